--- a/serve/forward/limits.go
+++ b/serve/forward/limits.go
@@ -78,7 +78,7 @@
 // heardLimit takes in what an answer says of its server's limit, unless another server gave it.
 func (h *Handler) heardLimit(s routing.Server, sent time.Time, reply Reply) {
 	if !reply.Misdirected {
-		h.limits.answered(s, sent, reply.Limit, reply.Proven && !reply.NotRun)
+		h.limits.answered(s, sent, reply.RateLimit, reply.Authentic && !reply.NotRun)
 	}
 }
 
