--- a/serve/forward/attempt.go
+++ b/serve/forward/attempt.go
@@ -16,24 +16,24 @@
 // receive and hand is for the goroutine of the relay, or for one that it waits for.
 type attempt struct {
 	segment
-	r           *relay
-	cancel      context.CancelFunc
-	ctx         context.Context // ends with the attempt; the server drops the run then
-	stopProbing context.CancelFunc
-	sentAt        time.Time
-	firstEventAt       time.Time // of the first event; zero before it
-	parts     chan responsePart
-	pushedBack        chan responsePart    // holds a signal that was taken and put back, one at most
-	requestWritten     chan struct{}  // says once that the whole request has left
-	response      *http.Response // nil before its headers are handled
-	rateLimit       string         // that the server named
-	probeFailures        <-chan error
-	versionLeaving      <-chan struct{} // closed when the version of the server leaves
+	r              *relay
+	cancel         context.CancelFunc
+	ctx            context.Context // ends with the attempt; the server drops the run then
+	stopProbing    context.CancelFunc
+	sentAt         time.Time
+	firstEventAt   time.Time // of the first event; zero before it
+	parts          chan responsePart
+	pushedBack     chan responsePart // holds a signal that was taken and put back, one at most
+	requestWritten chan struct{}     // says once that the whole request has left
+	response       *http.Response    // nil before its headers are handled
+	rateLimit      string            // that the server named
+	probeFailures  <-chan error
+	versionLeaving <-chan struct{} // closed when the version of the server leaves
 	prefilling     bool            // counted as a prompt that is read, and not yet as a run
-	spare       *spare
-	trial, pace *versions.Trial // of the server's version, nil where none is compared
-	eventCount        int             // events of this attempt
-	timesFoundLost   int             // times that the engine reported events of which none had arrived
+	spare          *spare
+	trial, pace    *versions.Trial // of the server's version, nil where none is compared
+	eventCount     int             // events of this attempt
+	timesFoundLost int             // times that the engine reported events of which none had arrived
 	// copyUsed says that a server was asked to go on from the copy that grows with the
 	// run: it is gone then, whether or not the answer went on there.
 	copyUsed bool
@@ -41,8 +41,8 @@
 
 // responsePart is the headers of an answer, or one event of its stream.
 type responsePart struct {
-	head *responseHead
-	event  streamEvent
+	head  *responseHead
+	event streamEvent
 }
 
 // responseHead is an answer up to its headers.
--- a/serve/forward/defaultcodec.go
+++ b/serve/forward/defaultcodec.go
@@ -13,14 +13,14 @@
 
 // Headers of OwnCodec. Those that the daemon sets are taken from no caller.
 const (
-	headerRequestID       = "X-Request-Id"
-	headerTimeout  = "X-Request-Timeout" // a duration such as 1.5s
-	headerLastEventID    = "Last-Event-Id"
+	headerRequestID   = "X-Request-Id"
+	headerTimeout     = "X-Request-Timeout" // a duration such as 1.5s
+	headerLastEventID = "Last-Event-Id"
 	headerBackendID   = "X-Backend-Id"
-	headerAccount  = "X-Account"
-	headerPriority = "X-Priority"
-	headerNotRun   = "X-Not-Run"
-	headerRateLimit    = "X-Request-Limit" // requests a second of all daemons together
+	headerAccount     = "X-Account"
+	headerPriority    = "X-Priority"
+	headerNotRun      = "X-Not-Run"
+	headerRateLimit   = "X-Request-Limit" // requests a second of all daemons together
 )
 
 // statusPath is where an engine says that it lives.
@@ -75,8 +75,8 @@
 		ID:          h.Get(headerRequestID),
 		NotRun:      h.Get(headerNotRun) != "" || status == http.StatusMisdirectedRequest,
 		Misdirected: status == http.StatusMisdirectedRequest,
-		Authentic:      true,
-		RateLimit:       h.Get(headerRateLimit),
+		Authentic:   true,
+		RateLimit:   h.Get(headerRateLimit),
 	}
 }
 
--- a/serve/forward/handler.go
+++ b/serve/forward/handler.go
@@ -92,8 +92,8 @@
 	versions   *versions.Manager
 	metrics    *metrics
 	running    atomic.Int64
-	maxKeyAge     atomic.Int64
-	shutdown       atomic.Pointer[ShutdownSchedule] // nil while the daemon serves
+	maxKeyAge  atomic.Int64
+	shutdown   atomic.Pointer[ShutdownSchedule] // nil while the daemon serves
 }
 
 // New returns a handler. Until o.Feed knows a configuration its requests wait for that a
--- a/serve/forward/plain.go
+++ b/serve/forward/plain.go
@@ -33,10 +33,10 @@
 
 // outcome is what came of one exchange.
 type outcome struct {
-	choice choice
-	sendNumber   int    // which of the request's sends it was, from 1
+	choice     choice
+	sendNumber int    // which of the request's sends it was, from 1
 	rateLimit  string // that the server named
-	err    error  // without a whole, proven answer
+	err        error  // without a whole, proven answer
 	// notRun says that the request did not run there and will not.
 	notRun bool
 	// rejected says that the server itself turned the request away, and full that it
@@ -45,14 +45,16 @@
 	status         int
 	header         http.Header
 	body           []byte
-	bodyRest           io.ReadCloser // what follows body, nil if that is all
+	bodyRest       io.ReadCloser // what follows body, nil if that is all
 }
 
 // hasResponse reports whether the server gave an answer that can be passed on.
 func (o *outcome) hasResponse() bool { return o.err == nil && !o.notRun }
 
 // isConclusive reports whether no other server could do better.
-func (o *outcome) isConclusive() bool { return o.hasResponse() && o.status < http.StatusInternalServerError }
+func (o *outcome) isConclusive() bool {
+	return o.hasResponse() && o.status < http.StatusInternalServerError
+}
 
 // exchanges runs the sends of one request; results arrive in the order they end.
 type exchanges struct {
@@ -64,7 +66,7 @@
 	// possibleRuns counts sends that may have run, sends all that reached a server; rejected
 	// those that were turned away, and full those of them for want of room.
 	possibleRuns, sends, rejected, rejectedFull int
-	tried                       []routing.Life
+	tried                                       []routing.Life
 	// unconnected are those to which no connection was made in time, reached says that one
 	// was made to another.
 	unconnected []*outcome
--- a/serve/forward/stream.go
+++ b/serve/forward/stream.go
@@ -39,12 +39,12 @@
 
 // relay is one answer that is passed on event by event.
 type relay struct {
-	h       *Handler
-	in      *inbound
-	service string
-	w       http.ResponseWriter
-	headersSent   bool  // headers and an event were released
-	lastEventID   int64 // id of the last event released
+	h           *Handler
+	in          *inbound
+	service     string
+	w           http.ResponseWriter
+	headersSent bool  // headers and an event were released
+	lastEventID int64 // id of the last event released
 	// heldCopy is a copy of the present run.
 	heldCopy kept
 	// resetBy is the engine that reset the connection before the first event; it may
@@ -52,10 +52,10 @@
 	resetBy choice
 	// misdirectedLife is the life for which the holder was asked in vain.
 	misdirectedLife routing.Life
-	possibleRuns        int // servers that may have run it
-	starts      int
-	sends       int
-	excluded      []routing.Life
+	possibleRuns    int // servers that may have run it
+	starts          int
+	sends           int
+	excluded        []routing.Life
 	// promptHolders are the engines that hold the prompt, nil before they were looked for.
 	promptHolders []routing.Life
 	// linkStalledSince is when the link from here was first found held up; zero if it was not.
@@ -63,12 +63,12 @@
 	// cannotContinue says that the answer was found unable to go on.
 	cannotContinue bool
 	// replacement is the attempt that took the answer over from the one before.
-	replacement   *attempt
-	lastEventAt   time.Time     // of the last event released, or of the start
-	interrupted   bool          // broke off after an event, and none followed yet
-	timeToFirstEvent   time.Duration // from the request's arrival to its first event, 0 before it
-	eventCount  int           // released
-	longestGap time.Duration // pause between two events released
+	replacement      *attempt
+	lastEventAt      time.Time     // of the last event released, or of the start
+	interrupted      bool          // broke off after an event, and none followed yet
+	timeToFirstEvent time.Duration // from the request's arrival to its first event, 0 before it
+	eventCount       int           // released
+	longestGap       time.Duration // pause between two events released
 }
 
 // nextAttempt is the one that took the answer over, or a new one.
@@ -87,8 +87,8 @@
 // segment is the part of an answer that one server makes.
 type segment struct {
 	target     choice
-	copyTo choice
-	resumeFrom   string // where the copy lies that it goes on from
+	copyTo     choice
+	resumeFrom string // where the copy lies that it goes on from
 	// unconfirmed says that no engine answered before the request was sent to this one.
 	unconfirmed bool
 }
@@ -105,12 +105,12 @@
 type segmentEnd uint8
 
 const (
-	segmentComplete   segmentEnd = iota // the answer is complete
-	segmentNotRun                // the server did not run it
-	segmentBroken                // it may go on elsewhere
-	segmentNonStream                // the server's answer is no stream: it was passed on
-	segmentAborted               // nothing more can be done
-	segmentMoved                 // it goes on elsewhere, because its server's version leaves
+	segmentComplete  segmentEnd = iota // the answer is complete
+	segmentNotRun                      // the server did not run it
+	segmentBroken                      // it may go on elsewhere
+	segmentNonStream                   // the server's answer is no stream: it was passed on
+	segmentAborted                     // nothing more can be done
+	segmentMoved                       // it goes on elsewhere, because its server's version leaves
 )
 
 // String returns the word used in logs.
--- a/serve/forward/upstream.go
+++ b/serve/forward/upstream.go
@@ -77,11 +77,11 @@
 	// configVersion of the configuration by which it is served, and its age on arrival.
 	configVersion int64
 	configAge     time.Duration
-	arrived time.Time
+	arrived       time.Time
 	// digests name the request in all its attempts, the most exact first; none until its body is
 	// read.
-	digests []string
-	deadline   time.Time // when the caller or the route gives up
+	digests  []string
+	deadline time.Time // when the caller or the route gives up
 }
 
 // priority is the account's, or else the route's; 0 is the most urgent.
