--- a/serve/forward/accept.go
+++ b/serve/forward/accept.go
@@ -61,16 +61,16 @@
 // back at once with the answers that were cut, while ninety daemons read the store
 // side by side; one that is turned away has used up its last attempt, and the answer
 // is lost.
-func (h *Handler) awaitFirstConfig(ctx context.Context, patience time.Duration) *feed.View {
-	most := maxFirstConfigWait
-	if patience > 0 {
-		most = min(most, time.Duration(firstConfigWaitRatio*float64(patience)))
+func (h *Handler) awaitFirstConfig(ctx context.Context, timeout time.Duration) *feed.View {
+	limit := maxFirstConfigWait
+	if timeout > 0 {
+		limit = min(limit, time.Duration(firstConfigWaitRatio*float64(timeout)))
 	}
-	wait := time.NewTimer(most)
-	defer wait.Stop()
+	timer := time.NewTimer(limit)
+	defer timer.Stop()
 	select {
 	case <-h.opts.Feed.Known():
-	case <-wait.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return h.opts.Feed.View()
@@ -96,14 +96,14 @@
 
 // requestTimeout is how long the answer is of use.
 func requestTimeout(in *inbound) time.Duration {
-	wait := in.route.Timeout
-	if in.call.Timeout > 0 && (wait <= 0 || in.call.Timeout < wait) {
-		wait = in.call.Timeout
+	timeout := in.route.Timeout
+	if in.call.Timeout > 0 && (timeout <= 0 || in.call.Timeout < timeout) {
+		timeout = in.call.Timeout
 	}
-	if wait <= 0 {
-		wait = defaultTimeout
+	if timeout <= 0 {
+		timeout = defaultTimeout
 	}
-	return wait
+	return timeout
 }
 
 // defaultTimeout holds where neither caller nor route sets a timeout.
--- a/serve/forward/attempt.go
+++ b/serve/forward/attempt.go
@@ -80,10 +80,10 @@
 
 // receive sends the request and hands on what comes back, until the attempt ends. The
 // body of an answer that is no stream is left to whom the headers are handed.
-func (a *attempt) receive(errand UpstreamRequest) {
+func (a *attempt) receive(req UpstreamRequest) {
 	var o responseHead
 	ctx := httptrace.WithClientTrace(a.ctx, &httptrace.ClientTrace{WroteRequest: a.onRequestWritten})
-	o.resp, o.reply, o.err = a.r.h.send(ctx, a.r.in, errand)
+	o.resp, o.reply, o.err = a.r.h.send(ctx, a.r.in, req)
 	if !a.tryDeliver(responsePart{head: &o}) {
 		if o.err == nil {
 			o.resp.Body.Close()
@@ -169,7 +169,7 @@
 
 // end closes the connection, so that the server drops a run that is not over, and takes
 // the attempt out of the counts.
-func (a *attempt) end(how segmentEnd) {
+func (a *attempt) end(result segmentEnd) {
 	a.cancel()
 	a.closeResponse()
 	pool := a.r.h.pool
@@ -179,7 +179,7 @@
 	} else {
 		pool.count(a.target, 0, -1, 0)
 	}
-	a.r.settleSpare(a.spare, how)
+	a.r.settleSpare(a.spare, result)
 }
 
 // closeResponse lets go of the answer, also of one that nobody has handled.
@@ -205,11 +205,11 @@
 }
 
 // settleSpare takes over a copy made on demand, or frees it once the answer is whole.
-func (r *relay) settleSpare(spare *spare, end segmentEnd) {
+func (r *relay) settleSpare(spare *spare, result segmentEnd) {
 	switch {
 	case spare == nil:
-	case (end == segmentBroken || end == segmentMoved) && r.replacement != nil && r.replacement.resumeFrom != "": // that copy is in use
-	case end == segmentBroken && r.replacement == nil:
+	case (result == segmentBroken || result == segmentMoved) && r.replacement != nil && r.replacement.resumeFrom != "": // that copy is in use
+	case result == segmentBroken && r.replacement == nil:
 		if copied := spare.copied.Load(); copied != nil {
 			r.heldCopy = *copied
 		}
@@ -220,19 +220,19 @@
 
 // isResponseLost reports whether an engine has made events of a request, which it runs from its
 // beginning, although none has arrived.
-func isResponseLost(report Report, id string, fresh bool) bool {
-	return fresh && report.Events[id] >= minLostEvents
+func isResponseLost(report Report, id string, fromStart bool) bool {
+	return fromStart && report.Events[id] >= minLostEvents
 }
 
 // startProbing probes the engine of a leg until ctx ends, and says when it seems dead, as often
 // as it does. Other servers answer no probe, and where the request cannot go on elsewhere
 // nothing would follow from it.
 func (r *relay) startProbing(ctx context.Context, l segment) <-chan error {
-	dead := make(chan error, 1)
+	probeFailures := make(chan error, 1)
 	if r.h.opts.Feed.View().Config.Engine(r.service) == nil || !r.in.route.Resumable {
-		return dead
+		return probeFailures
 	}
-	id, fresh := r.in.call.ID, r.lastEventID == 0
+	id, fromStart := r.in.call.ID, r.lastEventID == 0
 	go func() {
 		tick := time.NewTicker(probeInterval)
 		defer tick.Stop()
@@ -246,20 +246,20 @@
 			report, err := r.h.probe(ctx, l.target.server, probeTimeout)
 			switch {
 			case errors.Is(err, errRestarted):
-				trySend(dead, err)
+				trySend(probeFailures, err)
 				return
-			case err == nil && isResponseLost(report, id, fresh):
-				trySend(dead, errResponseLost)
+			case err == nil && isResponseLost(report, id, fromStart):
+				trySend(probeFailures, errResponseLost)
 			case err == nil:
 				failures = 0
 			default:
 				if failures++; failures >= maxFailedProbes {
-					trySend(dead, errUnresponsive)
+					trySend(probeFailures, errUnresponsive)
 				}
 			}
 		}
 	}()
-	return dead
+	return probeFailures
 }
 
 // trySend leaves an error where none waits to be read.
--- a/serve/forward/calls.go
+++ b/serve/forward/calls.go
@@ -20,13 +20,13 @@
 }
 
 func (p *pool) choosePlainFrom(now time.Time, l *layout, exclude []routing.Life) (choice, bool) {
-	for i, one := range l.loads {
-		one.plain.Limit = int32(l.servers[i].Slots)
+	for i, load := range l.loads {
+		load.plain.Limit = int32(l.servers[i].Slots)
 		if l.servers[i].Slots <= 0 {
-			one.plain.Limit = defaultSlots
+			load.plain.Limit = defaultSlots
 		}
-		if one.suspect(now) {
-			one.plain.Limit = 0
+		if load.suspect(now) {
+			load.plain.Limit = 0
 		}
 	}
 	exclude = slices.Clone(exclude)
--- a/serve/forward/place.go
+++ b/serve/forward/place.go
@@ -35,13 +35,13 @@
 // request all the same: the link from here may be at fault, and it loses nothing to try.
 func (r *relay) place(ctx context.Context, view *feed.View) (sampledEngine, bool) {
 	if view.Config.Engine(r.service) != nil {
-		others, all := r.h.neighbours.work(ctx, view, r.service)
-		known := all
-		if !all {
-			others, known = r.h.keepers.work(ctx, view, r.service, r.in.call.PromptKey)
+		others, everyDaemon := r.h.neighbours.work(ctx, view, r.service)
+		complete := everyDaemon
+		if !everyDaemon {
+			others, complete = r.h.keepers.work(ctx, view, r.service, r.in.call.PromptKey)
 		}
-		if known {
-			if c, ok := r.placeByFleetWork(ctx, view, others, !all); ok {
+		if complete {
+			if c, ok := r.placeByFleetWork(ctx, view, others, !everyDaemon); ok {
 				return c, true
 			}
 		}
@@ -55,18 +55,18 @@
 // the same: it may be dead, or full of what nobody told. Where none of the first few is
 // free the choice is left to the reports of more. among says that the engines in others are
 // those to choose from.
-func (r *relay) placeByFleetWork(ctx context.Context, view *feed.View, others workAt, among bool) (sampledEngine, bool) {
+func (r *relay) placeByFleetWork(ctx context.Context, view *feed.View, others workAt, onlyKnown bool) (sampledEngine, bool) {
 	excluded := slices.Clone(r.excluded)
-	asked := r.h.questions()
-	defer asked.judge()
+	queries := r.h.questions()
+	defer queries.judge()
 	for range maxSampleRounds {
-		c, unread, ok := r.h.pool.reader(time.Now(), view, r.service, others, among, excluded)
+		c, unread, ok := r.h.pool.reader(time.Now(), view, r.service, others, onlyKnown, excluded)
 		if !ok {
 			return sampledEngine{}, false
 		}
 		// The prompt itself is counted there by now.
-		if seen := asked.sampleLoads(ctx, []choice{c}, 1); len(seen) == 1 {
-			best := seen[0]
+		if sampled := queries.sampleLoads(ctx, []choice{c}, 1); len(sampled) == 1 {
+			best := sampled[0]
 			best.report.Unread = max(best.report.Unread, unread) // a report lags
 			if best.report.Free(r.in.call.PromptTokens) {
 				return best, true
@@ -85,8 +85,8 @@
 		return firstChoice(first)
 	}
 	excluded := slices.Clone(r.excluded)
-	asked := r.h.questions()
-	defer asked.judge()
+	queries := r.h.questions()
+	defer queries.judge()
 	var seen []sampledEngine
 	candidates := first
 	for round := range maxSampleRounds {
@@ -96,7 +96,7 @@
 		for _, c := range candidates {
 			excluded = append(excluded, c.server.Life())
 		}
-		seen = append(seen, asked.sampleLoads(ctx, candidates, 0)...)
+		seen = append(seen, queries.sampleLoads(ctx, candidates, 0)...)
 		if c, ok := r.leastLoaded(seen); ok && c.report.Free(r.in.call.PromptTokens) {
 			return c, true
 		}
@@ -130,22 +130,22 @@
 // sampleLoads asks engines for their load and returns those that answer, in the order given.
 // counted is how many prompts that were not sent yet are counted at each.
 func (q *questions) sampleLoads(ctx context.Context, candidates []choice, counted int) []sampledEngine {
-	answers := make([]*sampledEngine, len(candidates))
-	var all sync.WaitGroup
+	sampled := make([]*sampledEngine, len(candidates))
+	var wg sync.WaitGroup
 	for i, c := range candidates {
-		all.Go(func() {
+		wg.Go(func() {
 			report, err := q.ask(ctx, c.server, fastProbeTimeout)
 			if err != nil {
 				return
 			}
 			load := report.loadReport()
 			load.Unread = max(load.Unread, q.h.pool.reading(c)-counted) // a report lags
-			answers[i] = &sampledEngine{choice: c, report: load, answered: true}
+			sampled[i] = &sampledEngine{choice: c, report: load, answered: true}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	var seen []sampledEngine
-	for _, a := range answers {
+	for _, a := range sampled {
 		if a != nil {
 			seen = append(seen, *a)
 		}
--- a/serve/forward/plain.go
+++ b/serve/forward/plain.go
@@ -78,11 +78,11 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel() // ends the sends that lost
 	now := time.Now()
-	if lasted, refused := h.pressure.throttled(now, service); refused {
-		back := retryafter.Crowded(lasted, in.route.Objective, rand.Float64())
+	if overloadedFor, refused := h.pressure.throttled(now, service); refused {
+		retryAfter := retryafter.Crowded(overloadedFor, in.route.Objective, rand.Float64())
 		h.metrics.overloadRefusals.WithLabelValues(reasonTurnedAway).Inc()
-		h.opts.Log.Emit(event.CallThrottled, in.call.ID, service, lasted)
-		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the backend servers turn requests away").After(back)
+		h.opts.Log.Emit(event.CallThrottled, in.call.ID, service, overloadedFor)
+		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the backend servers turn requests away").After(retryAfter)
 	}
 	x := &exchanges{h: h, in: in, service: service, results: make(chan *outcome, 8)}
 	last, err := x.run(ctx)
@@ -249,10 +249,10 @@
 // rateLimitedError refuses a request because the servers of its service take no more now, by the limits
 // that they name. The caller comes back when there may be room.
 func (h *Handler) rateLimitedError(in *inbound, service string, v verdict.Verdict, wait time.Duration) error {
-	lasted, _ := h.pressure.refused(time.Now(), service)
-	back := max(wait, retryafter.Crowded(lasted, in.route.Objective, rand.Float64()))
+	overloadedFor, _ := h.pressure.refused(time.Now(), service)
+	retryAfter := max(wait, retryafter.Crowded(overloadedFor, in.route.Objective, rand.Float64()))
 	h.metrics.overloadRefusals.WithLabelValues(reasonRateLimited).Inc()
-	return verdict.New(v, verdict.CodeOverloaded, "the backend servers take no more requests now").After(back)
+	return verdict.New(v, verdict.CodeOverloaded, "the backend servers take no more requests now").After(retryAfter)
 }
 
 func (x *exchanges) deadlineError(ctx context.Context) error {
@@ -263,8 +263,8 @@
 }
 
 // exchange sends the request to one server and reads the answer.
-func (h *Handler) exchange(ctx context.Context, in *inbound, c choice, send int) *outcome {
-	o := &outcome{choice: c, sendNumber: send}
+func (h *Handler) exchange(ctx context.Context, in *inbound, c choice, sendNumber int) *outcome {
+	o := &outcome{choice: c, sendNumber: sendNumber}
 	started := time.Now()
 	trial := h.versions.Try(c.server, in.routeName(), rollout.Whole)
 	defer func() {
--- a/serve/forward/segment.go
+++ b/serve/forward/segment.go
@@ -38,33 +38,33 @@
 // follow passes on what the server of an attempt makes until its stream ends, breaks off, or
 // goes on elsewhere.
 func (r *relay) follow(ctx context.Context, a *attempt) (segmentEnd, error) {
-	silence := time.NewTimer(time.Hour)
-	defer silence.Stop()
-	leaves, again := a.versionLeaving, time.NewTimer(time.Hour)
-	defer again.Stop()
+	idle := time.NewTimer(time.Hour)
+	defer idle.Stop()
+	versionLeaving, retryMove := a.versionLeaving, time.NewTimer(time.Hour)
+	defer retryMove.Stop()
 	for {
 		select {
-		case <-leaves:
-			leaves = nil
-			again.Reset(0)
-		case <-again.C:
+		case <-versionLeaving:
+			versionLeaving = nil
+			retryMove.Reset(0)
+		case <-retryMove.C:
 			if r.moveOn(ctx, a) {
 				r.h.opts.Log.Emit(event.StreamMoved, r.in.call.ID, a.target.server.ID, r.replacement.target.server.ID, r.lastEventID)
 				return segmentMoved, nil
 			}
-			again.Reset(moveAgain)
+			retryMove.Reset(moveAgain)
 		case s := <-a.nextParts():
-			if end, err, over := r.handlePart(ctx, a, s); over {
+			if end, err, ended := r.handlePart(ctx, a, s); ended {
 				return end, err
 			}
 			if s.head == nil {
-				silence.Reset(r.idleTimeout(a))
+				idle.Reset(r.idleTimeout(a))
 			}
-		case <-silence.C:
+		case <-idle.C:
 			if r.tryTakeOver(ctx, a, errStreamIdle) {
 				return r.handleFailure(ctx, a.segment, errStreamIdle)
 			}
-			silence.Reset(takeover.Again)
+			idle.Reset(takeover.Again)
 		case err := <-a.probeFailures:
 			if errors.Is(err, errRestarted) || r.tryTakeOver(ctx, a, err) {
 				return r.handleFailure(ctx, a.segment, err)
@@ -76,7 +76,7 @@
 }
 
 // handlePart takes one signal of a server; over reports whether it ends the attempt.
-func (r *relay) handlePart(ctx context.Context, a *attempt, s responsePart) (end segmentEnd, err error, over bool) {
+func (r *relay) handlePart(ctx context.Context, a *attempt, s responsePart) (end segmentEnd, err error, ended bool) {
 	if s.head != nil {
 		return r.handleHead(ctx, a, *s.head)
 	}
@@ -98,7 +98,7 @@
 }
 
 // handleHead judges an answer by its headers.
-func (r *relay) handleHead(ctx context.Context, a *attempt, o responseHead) (end segmentEnd, err error, over bool) {
+func (r *relay) handleHead(ctx context.Context, a *attempt, o responseHead) (end segmentEnd, err error, ended bool) {
 	a.response, a.rateLimit = o.resp, o.reply.RateLimit
 	if o.err == nil {
 		r.h.heardLimit(a.target.server, a.sentAt, o.reply)
@@ -268,9 +268,9 @@
 // expiryError says why the request has ended before its answer. The connections of callers are
 // closed when the daemon ends, which looks like a caller that leaves.
 func (r *relay) expiryError() error {
-	now, stop := time.Now(), r.h.shutdown.Load()
+	now, shutdown := time.Now(), r.h.shutdown.Load()
 	switch {
-	case stop != nil && !now.Before(stop.ExitAt):
+	case shutdown != nil && !now.Before(shutdown.ExitAt):
 		return errDaemonExiting
 	case now.Before(r.in.deadline):
 		return errCallerGone
--- a/serve/forward/services.go
+++ b/serve/forward/services.go
@@ -2,11 +2,11 @@
 
 // getOrCreate returns what is kept of a service, empty where nothing was kept yet. The
 // caller holds the lock of kept.
-func getOrCreate[T any](kept map[string]*T, service string) *T {
-	one, ok := kept[service]
+func getOrCreate[T any](states map[string]*T, service string) *T {
+	value, ok := states[service]
 	if !ok {
-		one = new(T)
-		kept[service] = one
+		value = new(T)
+		states[service] = value
 	}
-	return one
+	return value
 }
--- a/serve/forward/stream.go
+++ b/serve/forward/stream.go
@@ -248,13 +248,13 @@
 // may take. A request that has run, or whose caller holds a part of the answer, is owed: it
 // is sent wherever it can be read in time.
 func (r *relay) admission(best sampledEngine) (admission prompts.Admission, due time.Duration) {
-	owed := r.sends > 0 || r.in.call.LastEventID > 0
+	mustServe := r.sends > 0 || r.in.call.LastEventID > 0
 	due = time.Until(r.in.deadline)
-	if !owed {
+	if !mustServe {
 		due = r.h.pressure.due(r.service, r.in, due)
 	}
 	admission = r.h.pressure.admit(r.service, best.report, r.in.call.PromptTokens, due)
-	if owed && admission == prompts.NoRoom {
+	if mustServe && admission == prompts.NoRoom {
 		admission = prompts.Admitted
 	}
 	return admission, due
@@ -266,12 +266,12 @@
 	if admission == prompts.Admitted {
 		return nil
 	}
-	lasted, answer := r.h.pressure.refused(time.Now(), r.service)
-	back := retryafter.Crowded(lasted, max(answer, r.in.route.Objective), rand.Float64())
+	overloadedFor, answer := r.h.pressure.refused(time.Now(), r.service)
+	retryAfter := retryafter.Crowded(overloadedFor, max(answer, r.in.route.Objective), rand.Float64())
 	r.h.metrics.overloadRefusals.WithLabelValues(admission.String()).Inc()
 	r.h.opts.Log.Emit(event.PromptRefused, r.in.call.ID, best.server.ID, admission.String(), r.in.call.PromptTokens,
-		best.report.Unread, best.report.Used, best.report.Memory, due, lasted, answer)
-	return verdict.New(r.verdict(), verdict.CodeOverloaded, "engines have no room for the prompt (%s)", admission).After(back)
+		best.report.Unread, best.report.Used, best.report.Memory, due, overloadedFor, answer)
+	return verdict.New(r.verdict(), verdict.CodeOverloaded, "engines have no room for the prompt (%s)", admission).After(retryAfter)
 }
 
 // tryAcquireRetry asks this daemon's part of the shared budget for one more send, and
--- a/serve/forward/takeover.go
+++ b/serve/forward/takeover.go
@@ -36,41 +36,41 @@
 // because no other server was reached, the budget afforded no repeat or the copy was gone.
 // It holds because a connection is closed only once another server has answered, has the
 // request, and has not turned it away.
-func (r *relay) tryTakeOver(ctx context.Context, a *attempt, why error) bool {
-	if errors.Is(why, errResponseLost) {
+func (r *relay) tryTakeOver(ctx context.Context, a *attempt, cause error) bool {
+	if errors.Is(cause, errResponseLost) {
 		r.heldCopy = a.runCopy() // the prompt was read, so the copy is there
 	}
 	outcome := takeover.TurnedAway
 	for outcome == takeover.TurnedAway {
 		var next *attempt
-		if outcome, next = r.prepareTakeover(ctx, a, why); next == nil {
+		if outcome, next = r.prepareTakeover(ctx, a, cause); next == nil {
 			break
 		}
-		if outcome = r.awaitTakeover(ctx, a, next, why); outcome == takeover.TakenOver {
+		if outcome = r.awaitTakeover(ctx, a, next, cause); outcome == takeover.TakenOver {
 			r.discardPending(a)
 			r.replacement = next
 			return true
 		}
 	}
-	r.cannotContinue = takeover.GiveUp(outcome, time.Since(r.lastEventAt)) && r.unreachable(ctx, a, why) &&
+	r.cannotContinue = takeover.GiveUp(outcome, time.Since(r.lastEventAt)) && r.unreachable(ctx, a, cause) &&
 		r.awaitLatePart(ctx, a) == takeover.Quiet
 	r.h.metrics.segmentsKept.WithLabelValues(outcome.String()).Inc()
-	r.h.opts.Log.Emit(event.LegKept, r.in.call.ID, a.target.server.ID, why, outcome.String(), r.cannotContinue, r.lastEventID, time.Since(r.lastEventAt))
+	r.h.opts.Log.Emit(event.LegKept, r.in.call.ID, a.target.server.ID, cause, outcome.String(), r.cannotContinue, r.lastEventID, time.Since(r.lastEventAt))
 	return r.cannotContinue
 }
 
 // prepareTakeover finds the server where a silent attempt may go on and sends the request there,
 // unless the silent one responds first. The relay waits meanwhile for one or the other,
 // so that what is found may be written to it.
-func (r *relay) prepareTakeover(ctx context.Context, a *attempt, why error) (takeover.Outcome, *attempt) {
-	asking, stop := context.WithCancel(ctx)
+func (r *relay) prepareTakeover(ctx context.Context, a *attempt, cause error) (takeover.Outcome, *attempt) {
+	prepareCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	var l segment
 	var outcome takeover.Outcome
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		l, outcome = r.reserve(asking, a, why)
+		l, outcome = r.reserve(prepareCtx, a, cause)
 	}()
 	select {
 	case <-done:
@@ -98,7 +98,7 @@
 
 // awaitTakeover waits for the first signal of the server that was sent the request after a
 // silent one, and lets go of it unless the answer goes on there.
-func (r *relay) awaitTakeover(ctx context.Context, a, next *attempt, why error) takeover.Outcome {
+func (r *relay) awaitTakeover(ctx context.Context, a, next *attempt, cause error) takeover.Outcome {
 	silent, other := takeover.Quiet, takeover.Quiet
 	overlap := time.NewTimer(time.Hour)
 	defer overlap.Stop()
@@ -128,7 +128,7 @@
 			next.pushBack(s)
 			other = s.takeoverState()
 		case <-overlap.C:
-			silentAnswers, otherAnswers := r.probeBoth(ctx, a, next, why)
+			silentAnswers, otherAnswers := r.probeBoth(ctx, a, next, cause)
 			over = takeover.Over(silentAnswers, otherAnswers, time.Since(since))
 			if over {
 				silent = r.awaitLatePart(ctx, a)
@@ -148,22 +148,22 @@
 // failed, and the answer is cut although it went on. It holds because what is on its way comes
 // no later than the answer of another engine that shows that the link works.
 func (r *relay) awaitLatePart(ctx context.Context, a *attempt) takeover.State {
-	settled := time.NewTimer(takeover.Settling)
-	defer settled.Stop()
+	timer := time.NewTimer(takeover.Settling)
+	defer timer.Stop()
 	select {
 	case s := <-a.nextParts():
 		a.pushBack(s)
 		return s.takeoverState()
-	case <-settled.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return takeover.Quiet
 }
 
 // probeBoth asks the engines of two attempts for a sign of life.
-func (r *relay) probeBoth(ctx context.Context, a, next *attempt, why error) (silent, other bool) {
+func (r *relay) probeBoth(ctx context.Context, a, next *attempt, cause error) (silent, other bool) {
 	var both sync.WaitGroup
-	both.Go(func() { silent = r.answers(ctx, a, why) })
+	both.Go(func() { silent = r.answers(ctx, a, cause) })
 	both.Go(func() {
 		_, err := r.h.probe(ctx, next.target.server, fastProbeTimeout)
 		other = err == nil
--- a/serve/forward/upstream.go
+++ b/serve/forward/upstream.go
@@ -115,8 +115,8 @@
 	if !strings.HasPrefix(target, "//") {
 		return &url.URL{Scheme: "http", Host: address, Opaque: target}
 	}
-	path, query, asked := strings.Cut(target, "?")
-	u := &url.URL{Scheme: "http", Host: address, Path: path, RawPath: path, RawQuery: query, ForceQuery: asked}
+	path, query, hasQuery := strings.Cut(target, "?")
+	u := &url.URL{Scheme: "http", Host: address, Path: path, RawPath: path, RawQuery: query, ForceQuery: hasQuery}
 	if decoded, err := url.PathUnescape(path); err == nil {
 		u.Path = decoded
 	}
@@ -149,7 +149,7 @@
 }
 
 // callServerUpTo is command, and reads no more than so many bytes of the answer.
-func (h *Handler) callServerUpTo(ctx context.Context, most int64, method string, s routing.Server, path string, body []byte) ([]byte, error) {
+func (h *Handler) callServerUpTo(ctx context.Context, limitBytes int64, method string, s routing.Server, path string, body []byte) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+s.Address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, errors.Wrap(err, path)
@@ -162,7 +162,7 @@
 		return nil, errors.Wrap(err, path)
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, most))
+	answer, err := io.ReadAll(io.LimitReader(resp.Body, limitBytes))
 	if err != nil {
 		return answer, errors.Wrap(err, path)
 	}
