--- a/serve/forward/plain.go
+++ b/serve/forward/plain.go
@@ -51,10 +51,8 @@
 // hasResponse reports whether the server gave an answer that can be passed on.
 func (o *outcome) hasResponse() bool { return o.err == nil && !o.notRun }
 
-// isConclusive reports whether no other server could do better.
-func (o *outcome) isConclusive() bool {
-	return o.hasResponse() && o.status < http.StatusInternalServerError
-}
+// isFinal reports whether no other server could do better.
+func (o *outcome) isFinal() bool { return o.hasResponse() && o.status < http.StatusInternalServerError }
 
 // exchanges runs the sends of one request; results arrive in the order they end.
 type exchanges struct {
@@ -109,7 +107,7 @@
 		case o := <-x.results:
 			x.pending--
 			x.record(ctx, o)
-			if o.isConclusive() {
+			if o.isFinal() {
 				return o, nil
 			}
 			if o.hasResponse() {
