--- a/serve/forward/accept.go
+++ b/serve/forward/accept.go
@@ -17,7 +17,7 @@
 	"mallowwind.dev/decision/verdict"
 )
 
-// accept reads a request and checks that it may be forwarded.
+// accept reads a caller's request and checks that it may be forwarded.
 func (h *Handler) accept(w http.ResponseWriter, r *http.Request) (*inbound, error) {
 	in := &inbound{
 		method: r.Method, host: r.Host, target: requestTarget(r), header: endToEndHeaders(r.Header), arrived: time.Now(),
@@ -54,13 +54,12 @@
 	return in, nil
 }
 
-// awaitFirstConfig waits a moment for the first configuration, for a caller that waits so
-// long itself, 0 if it does not say.
+// awaitFirstConfig waits a short time for the first configuration after a start of the daemon.
+// timeout is how long the caller waits; 0 if it does not say.
 //
-// The failure it guards against: all daemons are killed and start again. Callers come
-// back at once with the answers that were cut, while ninety daemons read the store
-// side by side; one that is turned away has used up its last attempt, and the answer
-// is lost.
+// Without the wait, a simultaneous restart of all daemons loses responses: callers reconnect
+// at once to resume the responses that were truncated, while ninety daemons read the store
+// concurrently. A caller that is refused then may have used up its last attempt.
 func (h *Handler) awaitFirstConfig(ctx context.Context, timeout time.Duration) *feed.View {
 	limit := maxFirstConfigWait
 	if timeout > 0 {
@@ -76,9 +75,9 @@
 	return h.opts.Feed.View()
 }
 
-// authorize finds the caller's account. A key that was taken away must not work
-// longer than KeyAge, also where the store cannot be reached: the daemon then
-// refuses rather than trust what it last knew.
+// authorize finds the caller's account. A revoked key must stop working within MaxKeyAge, even
+// while the store is unreachable, so the daemon refuses requests once its configuration has
+// not been confirmed for that long.
 func (h *Handler) authorize(in *inbound, config *routing.Config, age time.Duration) error {
 	if !config.NeedsKey(in.route) {
 		return nil
@@ -94,7 +93,7 @@
 	return nil
 }
 
-// requestTimeout is how long the answer is of use.
+// requestTimeout returns the shorter of the route's and the caller's timeout.
 func requestTimeout(in *inbound) time.Duration {
 	timeout := in.route.Timeout
 	if in.call.Timeout > 0 && (timeout <= 0 || in.call.Timeout < timeout) {
@@ -106,10 +105,10 @@
 	return timeout
 }
 
-// defaultTimeout holds where neither caller nor route sets a timeout.
+// defaultTimeout applies where neither the caller nor the route sets a timeout.
 const defaultTimeout = 30 * time.Second
 
-// readBody reads the whole body, so that it can be sent again.
+// readBody reads the whole body, so that the request can be retried.
 func (h *Handler) readBody(w http.ResponseWriter, r *http.Request, in *inbound, limit int64) error {
 	body := r.Body
 	if limit > 0 {
@@ -131,13 +130,14 @@
 	return nil
 }
 
-// readBodyByDeadline reads the body while the caller's time lasts: one that sends slowly
-// must not hold a connection and its part of the body for ever. After a whole body
-// the deadline is taken back, for the connection is read on to notice a caller
-// that leaves; otherwise the server would wait for the rest of the body in turn.
+// readBodyByDeadline reads the body until the request's deadline, so that a slow sender cannot
+// hold a connection and a partial body indefinitely. After a complete body the read deadline is
+// cleared, since the HTTP server keeps reading from the connection to notice that the caller
+// disconnects. After an incomplete one it stays set, or the HTTP server would wait for the rest
+// of the body.
 func (h *Handler) readBodyByDeadline(w http.ResponseWriter, in *inbound, body io.Reader) (err error) {
 	c := http.NewResponseController(w)
-	// A connection without deadlines only lacks the bound.
+	// A connection that does not support deadlines is read without one.
 	_ = c.SetReadDeadline(in.deadline)
 	in.body, err = readAll(in.body, body)
 	if err == nil {
@@ -146,7 +146,7 @@
 	return err
 }
 
-// readAll is io.ReadAll into a buffer that may have the right size already.
+// readAll is io.ReadAll into a buffer that may be preallocated.
 func readAll(buf []byte, r io.Reader) ([]byte, error) {
 	for {
 		if len(buf) == cap(buf) {
@@ -163,7 +163,7 @@
 	}
 }
 
-// requestTarget is the path and query as the caller wrote them.
+// requestTarget returns the path and query exactly as the caller sent them.
 func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
--- a/serve/forward/attempt.go
+++ b/serve/forward/attempt.go
@@ -12,52 +12,53 @@
 	"mallowwind.dev/serve/versions"
 )
 
-// attempt is a leg under way: a request that was sent, and what comes back of it. All but
-// receive and hand is for the goroutine of the relay, or for one that it waits for.
+// attempt is a segment in progress: a request that was sent to a backend server, and its
+// response. Except for receive and tryDeliver, its methods are called only by the goroutine of
+// the relay, or by one that the relay waits for.
 type attempt struct {
 	segment
 	r              *relay
 	cancel         context.CancelFunc
-	ctx            context.Context // ends with the attempt; the server drops the run then
+	ctx            context.Context // ends with the attempt; the server then cancels the run
 	stopProbing    context.CancelFunc
 	sentAt         time.Time
-	firstEventAt   time.Time // of the first event; zero before it
+	firstEventAt   time.Time // zero before the first event
 	parts          chan responsePart
-	pushedBack     chan responsePart // holds a signal that was taken and put back, one at most
-	requestWritten chan struct{}     // says once that the whole request has left
+	pushedBack     chan responsePart // at most one part that was received and pushed back
+	requestWritten chan struct{}     // receives once when the whole request is written
 	response       *http.Response    // nil before its headers are handled
-	rateLimit      string            // that the server named
-	probeFailures  <-chan error
-	versionLeaving <-chan struct{} // closed when the version of the server leaves
-	prefilling     bool            // counted as a prompt that is read, and not yet as a run
+	rateLimit      string            // as the server stated it
+	probeFailures  <-chan error      // why the engine is considered dead
+	versionLeaving <-chan struct{}   // closed when the server's version is withdrawn
+	prefilling     bool              // counted in the pool as prefilling its prompt, not as running
 	spare          *spare
-	trial, pace    *versions.Trial // of the server's version, nil where none is compared
-	eventCount     int             // events of this attempt
-	timesFoundLost int             // times that the engine reported events of which none had arrived
-	// copyUsed says that a server was asked to go on from the copy that grows with the
-	// run: it is gone then, whether or not the answer went on there.
+	trial, pace    *versions.Trial // of the server's version; nil where versions are not compared
+	eventCount     int             // events received in this attempt
+	timesFoundLost int             // times that the engine reported events and none had arrived
+	// copyUsed is set once a server was asked to resume from the incremental copy. The copy is
+	// consumed by that, whether or not the response continued there.
 	copyUsed bool
 }
 
-// responsePart is the headers of an answer, or one event of its stream.
+// responsePart is the head of a response, or one event of its stream.
 type responsePart struct {
 	head  *responseHead
 	event streamEvent
 }
 
-// responseHead is an answer up to its headers.
+// responseHead is a response up to its headers, or the error that came instead.
 type responseHead struct {
 	resp  *http.Response
 	reply Reply
 	err   error
 }
 
-// isStream reports whether events follow that are the answer to the request.
+// isStream reports whether the events of a successful, authentic response follow.
 func (o responseHead) isStream() bool {
 	return o.err == nil && !o.reply.NotRun && o.resp.StatusCode == http.StatusOK && o.reply.Authentic
 }
 
-// start sends the request of a leg, which is counted as one that is read.
+// start sends the request of a segment. The pool already counts its prompt as being prefilled.
 func (r *relay) start(ctx context.Context, l segment) *attempt {
 	a := &attempt{segment: l, r: r, sentAt: time.Now(), parts: make(chan responsePart), pushedBack: make(chan responsePart, 1), requestWritten: make(chan struct{}, 1), prefilling: true}
 	a.ctx, a.cancel = context.WithCancel(ctx)
@@ -78,8 +79,8 @@
 	return a
 }
 
-// receive sends the request and hands on what comes back, until the attempt ends. The
-// body of an answer that is no stream is left to whom the headers are handed.
+// receive sends the request and delivers the parts of the response until the attempt ends. The
+// body of a response that is not a stream is left to the receiver of its head.
 func (a *attempt) receive(req UpstreamRequest) {
 	var o responseHead
 	ctx := httptrace.WithClientTrace(a.ctx, &httptrace.ClientTrace{WroteRequest: a.onRequestWritten})
@@ -102,7 +103,7 @@
 	}
 }
 
-// onRequestWritten notes that the whole request has left.
+// onRequestWritten records that the whole request was written to the connection.
 func (a *attempt) onRequestWritten(info httptrace.WroteRequestInfo) {
 	if info.Err != nil {
 		return
@@ -113,7 +114,7 @@
 	}
 }
 
-// tryDeliver reports whether a signal was taken before the attempt ended.
+// tryDeliver reports whether a part was received before the attempt ended.
 func (a *attempt) tryDeliver(s responsePart) bool {
 	select {
 	case a.parts <- s:
@@ -123,7 +124,7 @@
 	}
 }
 
-// nextParts is where the next signal comes from.
+// nextParts returns the channel that supplies the next part.
 func (a *attempt) nextParts() <-chan responsePart {
 	if len(a.pushedBack) > 0 {
 		return a.pushedBack
@@ -131,10 +132,11 @@
 	return a.parts
 }
 
-// pushBack leaves the signal that was taken last to whom handles it.
+// pushBack returns the part that was received last, for a later receive from nextParts.
 func (a *attempt) pushBack(s responsePart) { a.pushedBack <- s }
 
-// markPrefilled counts the prompt as read with the first event.
+// markPrefilled counts the request as running instead of prefilling: the first event shows that
+// the prompt was prefilled.
 func (a *attempt) markPrefilled() {
 	if !a.prefilling {
 		return
@@ -142,7 +144,7 @@
 	a.prefilling, a.firstEventAt = false, time.Now()
 	a.firstEvent()
 	a.stopProbing()
-	a.probeFailures = nil // a word that waits there is out of date
+	a.probeFailures = nil // a failure that is still queued is out of date
 	r := a.r
 	r.h.pool.count(a.target, -1, 1, 0)
 	r.h.pool.worked(a.target)
@@ -154,7 +156,7 @@
 	}
 }
 
-// runCopy is the copy of the run that is believed to lie at another engine.
+// runCopy returns the incremental copy of the run that another engine should hold.
 func (a *attempt) runCopy() kept {
 	if a.copyUsed {
 		return kept{}
@@ -162,13 +164,13 @@
 	return a.incrementalCopy(a.r.in.call.ID)
 }
 
-// hasCopy reports whether a copy of the run is believed to lie at another engine.
+// hasCopy reports whether another engine should hold a copy of the run.
 func (a *attempt) hasCopy() bool {
 	return a.runCopy().at.load != nil || a.spare != nil && a.spare.copied.Load() != nil
 }
 
-// end closes the connection, so that the server drops a run that is not over, and takes
-// the attempt out of the counts.
+// end closes the connection, so that the server cancels an unfinished run, and removes the
+// attempt from the counts of the pool.
 func (a *attempt) end(result segmentEnd) {
 	a.cancel()
 	a.closeResponse()
@@ -182,7 +184,7 @@
 	a.r.settleSpare(a.spare, result)
 }
 
-// closeResponse lets go of the answer, also of one that nobody has handled.
+// closeResponse closes the response, also one whose head was pushed back and not handled.
 func (a *attempt) closeResponse() {
 	a.takePushedBack()
 	if a.response != nil {
@@ -190,8 +192,8 @@
 	}
 }
 
-// takePushedBack takes back what was put back and not handled: the headers, nil if it was none. The
-// answer that it opens is closed with the attempt.
+// takePushedBack removes a part that was pushed back and returns it if it is a head, nil
+// otherwise. The response of that head is closed with the attempt.
 func (a *attempt) takePushedBack() *responseHead {
 	select {
 	case s := <-a.pushedBack:
@@ -204,11 +206,12 @@
 	}
 }
 
-// settleSpare takes over a copy made on demand, or frees it once the answer is whole.
+// settleSpare keeps a copy made on demand where the response may resume from it, and frees it
+// otherwise.
 func (r *relay) settleSpare(spare *spare, result segmentEnd) {
 	switch {
 	case spare == nil:
-	case (result == segmentBroken || result == segmentMoved) && r.replacement != nil && r.replacement.resumeFrom != "": // that copy is in use
+	case (result == segmentBroken || result == segmentMoved) && r.replacement != nil && r.replacement.resumeFrom != "": // the replacement uses that copy
 	case result == segmentBroken && r.replacement == nil:
 		if copied := spare.copied.Load(); copied != nil {
 			r.heldCopy = *copied
@@ -218,15 +221,15 @@
 	}
 }
 
-// isResponseLost reports whether an engine has made events of a request, which it runs from its
-// beginning, although none has arrived.
+// isResponseLost reports whether an engine has generated events for a request although none has
+// arrived. It applies only to a request that the engine runs from its start.
 func isResponseLost(report Report, id string, fromStart bool) bool {
 	return fromStart && report.Events[id] >= minLostEvents
 }
 
-// startProbing probes the engine of a leg until ctx ends, and says when it seems dead, as often
-// as it does. Other servers answer no probe, and where the request cannot go on elsewhere
-// nothing would follow from it.
+// startProbing probes the engine of a segment until ctx ends. The channel it returns receives an
+// error each time the engine appears dead. Servers other than engines do not answer probes, and
+// for a request that cannot be resumed elsewhere the result would not matter: neither is probed.
 func (r *relay) startProbing(ctx context.Context, l segment) <-chan error {
 	probeFailures := make(chan error, 1)
 	if r.h.opts.Feed.View().Config.Engine(r.service) == nil || !r.in.route.Resumable {
@@ -262,7 +265,7 @@
 	return probeFailures
 }
 
-// trySend leaves an error where none waits to be read.
+// trySend sends an error unless the buffer of the channel is full.
 func trySend(out chan<- error, err error) {
 	select {
 	case out <- err:
@@ -270,7 +273,7 @@
 	}
 }
 
-// markCopyUsed notes that the copy which grows with the run is asked for.
+// markCopyUsed records that a server was asked to resume from the incremental copy.
 func (a *attempt) markCopyUsed() {
 	a.copyUsed = true
 	a.r.heldCopy = kept{}
--- a/serve/forward/budgets.go
+++ b/serve/forward/budgets.go
@@ -8,8 +8,8 @@
 	"mallowwind.dev/decision/repeats"
 )
 
-// budgetShare is this daemon's part of the fleet's budgets. The hash of its id takes the
-// place of an even offset, which would need the same list at every daemon.
+// budgetShare returns this daemon's share of the fleet-wide retry budgets. Its offset is a hash
+// of the daemon's ID: evenly spaced offsets would require the same list of daemons everywhere.
 func (p *pool) budgetShare() repeats.Share {
 	share := repeats.Share{Daemons: 1}
 	if p.view != nil && len(p.view.VMs) > 1 {
@@ -28,8 +28,8 @@
 	return b
 }
 
-// setRetryRule changes the budgets of all services, which begin anew: without a part
-// of the slack, since what was repeated before is forgotten.
+// setRetryRule changes the retry budgets of all services. They start again without a share of the
+// slack, because the retries made so far are forgotten.
 func (p *pool) setRetryRule(rule repeats.Rule) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -39,14 +39,15 @@
 	}
 }
 
-// countRequest counts a caller's request to a service.
+// countRequest records a caller's request to a service, which adds to the retry budget.
 func (p *pool) countRequest(now time.Time, service string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.retryBudget(service).Request(now)
 }
 
-// tryTakeRetry asks for one more send of a request.
+// tryTakeRetry reports whether the retry budget permits one more send of a request, and charges
+// it if so.
 func (p *pool) tryTakeRetry(now time.Time, service string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/serve/forward/calls.go
+++ b/serve/forward/calls.go
@@ -11,10 +11,11 @@
 	"mallowwind.dev/decision/route"
 )
 
-// defaultSlots holds for servers that do not say how many requests they run.
+// defaultSlots is the concurrency limit of servers that do not state one.
 const defaultSlots = 16
 
-// choosePlain chooses a server for a request that is no prompt.
+// choosePlain chooses a server for a plain request, one whose response is not a stream, and
+// counts the request in flight there.
 func (p *pool) choosePlain(now time.Time, view *feed.View, service string, exclude []routing.Life) (choice, bool) {
 	return p.in(view, service, func(l *layout) (choice, bool) { return p.choosePlainFrom(now, l, exclude) })
 }
@@ -42,8 +43,8 @@
 	}
 }
 
-// choosePlainWithPermit chooses a server for a request that is no prompt, one that gives a permit
-// where it names a limit.
+// choosePlainWithPermit is choosePlain, limited to servers that state no rate limit or for which
+// a permit was granted.
 func (h *Handler) choosePlainWithPermit(ctx context.Context, view *feed.View, service string, exclude []routing.Life) (choice, bool) {
 	exclude = slices.Clone(exclude)
 	for {
@@ -56,7 +57,7 @@
 	}
 }
 
-// bestPlain is the index of the server that is the first choice, -1 if there is none.
+// bestPlain returns the index of the preferred server, -1 if there is none.
 func (p *pool) bestPlain(l *layout, exclude []routing.Life) (i int, reason string) {
 	r := l.table.Pick(&route.Query{Exclude: l.ids(exclude), Random: rand.Uint64()})
 	if r.Index < 0 {
@@ -65,8 +66,9 @@
 	return l.index[l.table.At(r.Index).ID], string(r.Reason)
 }
 
-// lastResort is any server that is not excluded, -1 if there is none: all are suspect or full,
-// and a server that is sends the request back itself.
+// lastResort returns the index of the server with the fewest requests in flight that is not
+// excluded, -1 if there is none. All servers are suspect or full then, and one that cannot take
+// the request rejects it itself.
 func (l *layout) lastResort(exclude []routing.Life) (best int) {
 	best = -1
 	for i, s := range l.servers {
--- a/serve/forward/codec.go
+++ b/serve/forward/codec.go
@@ -1,7 +1,6 @@
-// Package forward passes callers' requests on to backend servers without
-// understanding them, and brings back each answer whole and once. It knows
-// routes, kinds and verdicts; how a request carries its id, deadline or account
-// on the wire is the business of a Codec.
+// Package forward is the reverse proxy for callers' requests. It treats requests and responses as
+// opaque and delivers each response completely and exactly once. It deals with routes, kinds and
+// verdicts; a Codec defines how a request carries its ID, deadline or account on the wire.
 package forward
 
 import (
@@ -12,56 +11,58 @@
 	"mallowwind.dev/decision/prompts"
 )
 
-// Call is what a caller's request says of itself.
+// Call holds the metadata of a caller's request.
 type Call struct {
-	// ID names this attempt of the caller; answers echo it.
+	// ID identifies this attempt of the caller; responses echo it.
 	ID string
-	// Timeout is how long the caller waits; 0 if it does not say.
+	// Timeout is how long the caller waits; 0 if it is not stated.
 	Timeout time.Duration
 	// Key is the account key; "" if there is none.
 	Key string
-	// LastEventID is the id of the last event that the caller holds; 0 at the start.
+	// LastEventID is the ID of the last event that the caller has received; 0 at the start.
 	LastEventID int64
-	// PromptTokens is the length of the prompt; 0 if the caller does not say.
+	// PromptTokens is the length of the prompt; 0 if it is not stated.
 	PromptTokens int
-	// PromptKey names the part of the prompt that no other request shares; "" if
-	// the caller does not say.
+	// PromptKey identifies the part of the prompt that no other request shares, as engines name
+	// it in their caches; "" if it is not stated.
 	PromptKey string
 }
 
-// UpstreamRequest is what the daemon adds to a request that it passes on.
+// UpstreamRequest holds the metadata that the daemon adds to a request that it forwards.
 type UpstreamRequest struct {
 	ID     string
 	Server routing.Server
-	// Timeout is how long the answer is still of use.
+	// Timeout is the time left until the request's deadline.
 	Timeout time.Duration
 	// Account is the name of the caller's account; "" on public routes.
 	Account string
-	// Priority ranks the request among those of its service, 0 first; negative
-	// means that nothing is said of it.
+	// Priority ranks the request among those of its service, 0 first; negative if it is not
+	// stated.
 	Priority int
-	// CopyTo is the server to which the memory of the run is sent while it grows.
+	// CopyTo is the address of the server that receives an incremental copy of the run's KV
+	// cache; "" if none does.
 	CopyTo string
-	// ResumeFrom is the server that holds such a copy, from which the run goes on.
+	// ResumeFrom names a copy of an earlier run, from which this run resumes; "" if there is
+	// none.
 	ResumeFrom string
-	// LastEventID is the id of the last event released to the caller.
+	// LastEventID is the ID of the last event sent to the caller.
 	LastEventID int64
 }
 
-// Reply is what an answer says of itself.
+// Reply holds the metadata of a backend server's response.
 type Reply struct {
-	// ID is the echo of the request's; "" if there is none.
+	// ID echoes the request's; "" if there is none.
 	ID string
-	// NotRun is the server's word that it did not run the request.
+	// NotRun is set where the server states that it did not run the request.
 	NotRun bool
-	// Misdirected says that another server than the one expected has the address.
+	// Misdirected is set where the address belongs to another server than the one expected.
 	Misdirected bool
-	// Authentic answers carry the proof that a server made them.
+	// Authentic is set where the response carries the proof that a server produced it.
 	Authentic bool
-	// Instance is the id of the server that answered, where it says so.
+	// Instance is the ID of the server that responded; "" if it is not stated.
 	Instance string
-	// RateLimit is how many requests a second the server says that it takes of all daemons
-	// together, as it writes that; "" if it names no limit.
+	// RateLimit is the number of requests per second that the server accepts from all daemons
+	// together, as the server writes it; "" if it states no limit.
 	RateLimit string
 }
 
@@ -91,38 +92,40 @@
 	return load
 }
 
-// Cache is what an engine says of the prompts that it holds.
+// Cache lists the prompts in the KV cache of an engine.
 type Cache struct {
-	// Born is that of the life that says it, as routing.Life.Born; 0 if it does not say.
+	// Born identifies the incarnation that reports, as routing.Life.Born; 0 if it is not stated.
 	Born int64
-	// PromptKeys are those held, as Call.OwnPart names them.
+	// PromptKeys are the cached prompts, each identified as by Call.PromptKey.
 	PromptKeys []string
 }
 
-// Codec translates between HTTP messages and what they mean here.
+// Codec translates between HTTP messages and the types of this package.
 type Codec interface {
+	// Call parses the headers of a caller's request.
 	Call(h http.Header) (Call, error)
-	// Outgoing turns the headers of a caller into those of a request to a server.
+	// Outgoing converts the headers of a caller's request into those of a request to a server.
 	Outgoing(h http.Header, e UpstreamRequest) http.Header
+	// Reply parses the status and the headers of a server's response.
 	Reply(status int, h http.Header) Reply
-	// CachePath is the path at which an engine tells what prompts it holds, and
-	// Cache reads the answer.
+	// CachePath returns the path at which an engine lists its cached prompts, and Cache parses
+	// that response.
 	CachePath() string
 	Cache(body []byte) (Cache, error)
-	// ProbePath returns the path at which an engine answers while it lives, without
-	// taking a slot, and Report reads the answer; an answer that is no engine's is
-	// an error.
+	// ProbePath returns the path at which a live engine responds without occupying a slot, and
+	// Report parses that response. Report returns an error if the response is not that of an
+	// engine.
 	ProbePath() string
 	Report(body []byte) (Report, error)
 }
 
-// RunCopier is a Codec of engines that copy the memory of a run when they are asked.
+// RunCopier is a Codec for engines that copy the KV cache of a run on demand.
 type RunCopier interface {
-	// CopyRequest returns the call by which the engine that runs a request copies its
-	// memory to the engine at target; the run goes on.
+	// CopyRequest returns the request that makes the engine that runs a request copy the run's
+	// KV cache to the engine at the address target. The run continues meanwhile.
 	CopyRequest(id, target string) (path string, body []byte, err error)
-	// ParseCopyReply reads the answer: the handle under which the copy lies.
+	// ParseCopyReply parses the response and returns the handle of the copy.
 	ParseCopyReply(body []byte) (handle string, err error)
-	// DropPath returns the path at which DELETE frees a copy.
+	// DropPath returns the path that a DELETE request uses to free a copy.
 	DropPath(handle string) (path string)
 }
--- a/serve/forward/events.go
+++ b/serve/forward/events.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// maxEventBytes bounds one event of a stream, in bytes.
+	// maxEventBytes bounds the size of one event.
 	maxEventBytes = 1 << 20
-	// eventBufferBytes holds some tens of the usual events, in bytes.
+	// eventBufferBytes is the read buffer of a stream. It holds some tens of typical events.
 	eventBufferBytes = 4 << 10
 )
 
-// streamEvent is one whole event as the server wrote it.
+// streamEvent is one complete server-sent event as the server wrote it.
 type streamEvent struct {
-	raw []byte // with the blank line that ends it
-	id  int64  // 0 if it has none
-	err error  // the end of the stream; io.EOF after its last event
+	raw []byte // includes the blank line that ends the event
+	id  int64  // 0 if the event has none
+	err error  // why the stream ended; io.EOF after its last event
 }
 
-// errTruncatedEvent means that a stream stopped within an event.
-var errTruncatedEvent = errors.New("forward: stream torn within an event")
+// errTruncatedEvent means that a stream ended in the middle of an event.
+var errTruncatedEvent = errors.New("forward: the stream ended in the middle of an event")
 
-// readEvent reads up to the blank line that ends an event. A piece of an event
-// at the end of the stream is never returned.
+// readEvent reads up to the blank line that ends an event. A partial event at the end of the
+// stream is discarded.
 func readEvent(r *bufio.Reader) streamEvent {
 	var e streamEvent
 	for {
@@ -45,19 +45,19 @@
 			e.parseField(line)
 		}
 		if len(e.raw) > maxEventBytes {
-			return streamEvent{err: errors.Errorf("an event of more than %d bytes", maxEventBytes)}
+			return streamEvent{err: errors.Errorf("the event exceeds %d bytes", maxEventBytes)}
 		}
 	}
 }
 
-// parseField takes the id out of a line.
+// parseField sets the ID of the event if the line contains one.
 func (e *streamEvent) parseField(line []byte) {
 	value, ok := bytes.CutPrefix(line, []byte("id:"))
 	if !ok {
 		return
 	}
-	// An id that is no number leaves the event without one; it is passed on as
-	// it is and cannot be resumed after.
+	// An event whose ID is not a number is forwarded unchanged, but a stream cannot be resumed
+	// after it.
 	if id, err := strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64); err == nil {
 		e.id = id
 	}
--- a/serve/forward/handler.go
+++ b/serve/forward/handler.go
@@ -22,32 +22,34 @@
 )
 
 const (
-	// keyAgeMargin is kept below the age after which a removed key must not work any
-	// more, for the clocks that count it do not run quite alike.
+	// keyAgeMargin is subtracted from the age at which a revoked key must stop working, to allow
+	// for clocks that run at different rates.
 	keyAgeMargin = 300 * time.Millisecond
-	// unconfiguredRetryAfter is when a caller comes back to a daemon that has no
-	// configuration: about what reading it takes.
+	// unconfiguredRetryAfter is the Retry-After of a daemon that has no configuration yet: about
+	// the time that reading the configuration takes.
 	unconfiguredRetryAfter = 300 * time.Millisecond
-	// maxFirstConfigWait is above what the last of a fleet takes whose daemons all read the
-	// store at once after all were killed.
+	// maxFirstConfigWait bounds the wait for the first configuration. It exceeds the time that
+	// the slowest daemon of a fleet takes when all daemons read the store at once after a
+	// simultaneous restart.
 	maxFirstConfigWait = 650 * time.Millisecond
-	// firstConfigWaitRatio is the part of its caller's time that a request waits at most, so
-	// that one with little can still go elsewhere.
+	// firstConfigWaitRatio is the part of the caller's timeout that a request may spend waiting
+	// for the first configuration. The rest lets a caller with a short timeout try another
+	// daemon.
 	firstConfigWaitRatio = 0.25
-	// shutdownRetryAfter is when a caller comes back that this daemon turned away while
-	// stopping: at once, at another address.
+	// shutdownRetryAfter is the Retry-After of a daemon that is shutting down. Callers retry at
+	// another address, so they need not wait.
 	shutdownRetryAfter = 50 * time.Millisecond
 )
 
-// writeGrace is how long an answer may still be written after the caller's time
-// is over: what is ready is delivered, also late.
+// writeGrace is how long after the request's deadline a response may still be written, so that a
+// response that is ready is delivered even if it is late.
 const writeGrace = 5 * time.Second
 
-// setWriteDeadline ends the writing to a caller that stops reading. Without it a write to
-// a full connection waits as long as the caller keeps it open, and the request
-// holds its memory and, for a stream, an engine.
+// setWriteDeadline bounds the time for writing to a caller that stops reading. Without it a write
+// to a connection whose buffers are full blocks for as long as the caller keeps the connection
+// open, while the request occupies memory and, for a stream, an engine.
 func (h *Handler) setWriteDeadline(w http.ResponseWriter, until time.Time) {
-	// A connection without deadlines only lacks the bound.
+	// A connection that does not support deadlines is written to without one.
 	_ = http.NewResponseController(w).SetWriteDeadline(until.Add(writeGrace))
 }
 
@@ -57,21 +59,23 @@
 	Codec Codec
 	Log   *event.Log
 	Self  routing.VM
-	// MaxKeyAge is how old the configuration may be for an account key to be trusted.
+	// MaxKeyAge is how long ago the configuration may last have been confirmed for an account key
+	// to be trusted.
 	MaxKeyAge time.Duration
-	// RetryBudget bounds the sends beyond the first of the whole fleet.
+	// RetryBudget bounds the retries of the whole fleet.
 	RetryBudget repeats.Rule
 	// Registerer receives the metrics; it may be nil.
 	Registerer prometheus.Registerer
 	// Dial opens connections to servers; nil means TCP.
 	Dial sent.DialFunc
-	// Dialer connects to other daemons; nil where none is asked for anything.
+	// Dialer connects to other daemons; nil where the daemon does not query any.
 	Dialer *link.Dialer
-	// Versions says which servers of a service may serve; nil where nobody else asks it.
+	// Versions decides which servers of a service may serve. If it is nil, New creates a manager
+	// for this handler alone.
 	Versions *versions.Manager
 }
 
-// processStart is the beginning of monotonic.
+// processStart is the origin of monotonic.
 var processStart = time.Now()
 
 func monotonic() time.Duration { return time.Since(processStart) }
@@ -93,11 +97,11 @@
 	metrics    *metrics
 	running    atomic.Int64
 	maxKeyAge  atomic.Int64
-	shutdown   atomic.Pointer[ShutdownSchedule] // nil while the daemon serves
+	shutdown   atomic.Pointer[ShutdownSchedule] // nil unless the daemon is shutting down
 }
 
-// New returns a handler. Until o.Feed knows a configuration its requests wait for that a
-// little and are then refused.
+// New returns a handler. Until o.Feed has a configuration, requests wait for one for a short time
+// and are then refused.
 func New(o Options) *Handler {
 	if o.Dial == nil {
 		o.Dial = (&net.Dialer{}).DialContext
@@ -118,29 +122,29 @@
 	return h
 }
 
-// SetBounds changes how old the configuration may be for account keys, and the
-// fleet's budget of repeats.
+// SetBounds changes the maximum age of the configuration for account keys, and the fleet's retry
+// budget.
 func (h *Handler) SetBounds(keyAge time.Duration, rule repeats.Rule) {
 	h.maxKeyAge.Store(int64(keyAge))
 	h.pool.setRetryRule(rule)
 }
 
-// Running is the number of requests in progress.
+// Running returns the number of requests in progress.
 func (h *Handler) Running() int { return int(h.running.Load()) }
 
-// ShutdownSchedule says what is still taken while the daemon stops.
+// ShutdownSchedule says which requests are still accepted during a graceful shutdown.
 type ShutdownSchedule struct {
-	// StreamsUntil is until when new streams are taken: later ones would outlast the process.
+	// StreamsUntil is until when new streams are accepted. Later ones would outlast the process.
 	StreamsUntil time.Time
-	// RequestsUntil is until when other requests are taken whatever time they have. Later
-	// ones are taken only if their time runs out before End, so that none that was
-	// taken is cut.
+	// RequestsUntil is until when other requests are accepted regardless of their deadlines.
+	// Later ones are accepted only if their deadline is before ExitAt, so that no accepted
+	// request is interrupted.
 	RequestsUntil time.Time
-	// ExitAt is when the process ends.
+	// ExitAt is when the process exits.
 	ExitAt time.Time
 }
 
-// accepts reports whether a request is still taken.
+// accepts reports whether a request is still accepted.
 func (s *ShutdownSchedule) accepts(in *inbound) bool {
 	switch {
 	case in.route.Kind == routing.Stream:
@@ -151,8 +155,8 @@
 	return in.deadline.Before(s.ExitAt)
 }
 
-// BeginShutdown begins the stop. Every answer ends its connection from now on, so that
-// callers go elsewhere.
+// BeginShutdown starts the graceful shutdown. From now on every response closes its connection,
+// so that callers move to other daemons.
 func (h *Handler) BeginShutdown(s ShutdownSchedule) { h.shutdown.Store(&s) }
 
 // ServeHTTP implements http.Handler.
@@ -194,5 +198,6 @@
 	h.refuse(w, in, err)
 }
 
-// Run tells and learns what daemons hold of requests that end their servers, until ctx ends.
+// Run exchanges with other daemons what is known of requests that crash backend servers, until
+// ctx ends.
 func (h *Handler) Run(ctx context.Context) { h.poisoned.run(ctx) }
