--- a/serve/forward/codec.go
+++ b/serve/forward/codec.go
@@ -66,20 +66,20 @@
 	RateLimit string
 }
 
-// Report is what an engine says of itself, as of a tenth of a second ago.
+// Report is the status that an engine reports. It lags by a tenth of a second.
 type Report struct {
-	// Born is that of the life that says it, as routing.Life.Born; 0 if it does not say.
+	// Born identifies the incarnation that reports, as routing.Life.Born; 0 if it is not stated.
 	Born int64
-	// Events are those that each run has made, by the id of its request.
+	// Events is the number of events that each run has generated, by request ID.
 	Events map[string]int
-	// Queued are the requests that have no place in the batch yet.
+	// Queued is the number of requests without a place in the batch.
 	Queued int
-	// UsedTokens and Memory are the tokens that it holds and cannot give up, and all that
-	// it can hold; Memory is 0 where it does not say.
+	// UsedTokens is the part of the KV cache that cannot be evicted, and CapacityTokens is all of
+	// it, in tokens; CapacityTokens is 0 if it is not stated.
 	UsedTokens, CapacityTokens int
 }
 
-// loadReport is what matters for placing one more prompt.
+// loadReport returns the part of the report that matters for placing a prompt.
 func (r Report) loadReport() prompts.Report {
 	load := prompts.Report{Unread: r.Queued, Used: r.UsedTokens, Memory: r.CapacityTokens}
 	for _, events := range r.Events {
--- a/serve/forward/defaultcodec.go
+++ b/serve/forward/defaultcodec.go
@@ -11,7 +11,8 @@
 	"github.com/pkg/errors"
 )
 
-// Headers of OwnCodec. Those that the daemon sets are taken from no caller.
+// Headers of DefaultCodec. Outgoing replaces or removes what a caller sent in those that the
+// daemon sets.
 const (
 	headerRequestID   = "X-Request-Id"
 	headerTimeout     = "X-Request-Timeout" // a duration such as 1.5s
@@ -20,16 +21,16 @@
 	headerAccount     = "X-Account"
 	headerPriority    = "X-Priority"
 	headerNotRun      = "X-Not-Run"
-	headerRateLimit   = "X-Request-Limit" // requests a second of all daemons together
+	headerRateLimit   = "X-Request-Limit" // requests per second from all daemons together
 )
 
-// statusPath is where an engine says that it lives.
+// statusPath is the path at which an engine responds to probes.
 const statusPath = "/v1/status"
 
-// DefaultCodec is how requests are marked where no platform says otherwise: an id and
-// a timeout of the caller's, a bearer token as the account key. A backend server
-// may refuse a request that names another server with 421, says with X-Not-Run
-// that it did not run one, and with X-Request-Limit what it takes. Answers bear no proof, so each counts as proven.
+// DefaultCodec is the Codec for deployments without a platform of their own. A caller states an
+// ID and a timeout, and uses a bearer token as the account key. A backend server may respond with
+// 421 to a request that names another server, with X-Not-Run to one that it did not run, and
+// states its rate limit with X-Request-Limit. Responses carry no proof, so all count as authentic.
 type DefaultCodec struct{}
 
 // Call implements Codec.
@@ -45,7 +46,7 @@
 	if key, ok := strings.CutPrefix(h.Get("Authorization"), "Bearer "); ok {
 		c.Key = strings.TrimSpace(key)
 	}
-	// An id that is no number is passed on for the server to judge.
+	// An ID that is not a number is forwarded for the server to reject.
 	if id, err := strconv.ParseInt(h.Get(headerLastEventID), 10, 64); err == nil {
 		c.LastEventID = id
 	}
@@ -80,7 +81,7 @@
 	}
 }
 
-// CachePath implements Codec. No engine of ours tells what prompts it holds.
+// CachePath implements Codec. Engines of this codec do not list their cached prompts.
 func (DefaultCodec) CachePath() string { return statusPath }
 
 // Cache implements Codec.
@@ -89,12 +90,12 @@
 // ProbePath implements Codec.
 func (DefaultCodec) ProbePath() string { return statusPath }
 
-// engineStatus is what an engine says of itself; the rest is not read here.
+// engineStatus is the part of an engine's status that is used here.
 type engineStatus struct {
 	Born int64 `json:"born"` // as routing.Life.Born
 }
 
-// Report implements Codec: any answer shows that an engine lives, an empty one too.
+// Report implements Codec. Any response shows that the engine is alive, even an empty one.
 func (DefaultCodec) Report(body []byte) (Report, error) {
 	if len(bytes.TrimSpace(body)) == 0 {
 		return Report{}, nil
--- a/serve/forward/metrics.go
+++ b/serve/forward/metrics.go
@@ -9,8 +9,8 @@
 	"mallowwind.dev/telemetry/metric"
 )
 
-// metrics count what callers get and what it took. Labels are bounded: kinds,
-// statuses, reasons and ends, never names of routes or servers.
+// metrics counts responses to callers and the work behind them. Label values are bounded: kinds,
+// statuses, reasons and ends, but never names of routes or servers.
 type metrics struct {
 	answers           *prometheus.CounterVec
 	answerSeconds     *prometheus.HistogramVec
@@ -72,19 +72,21 @@
 	return m
 }
 
-// reasonTurnedAway is the reason of refusals while servers turn requests away; the others
-// are those of prompts.Admission.
+// reasonTurnedAway is the reason of refusals while servers reject requests. The reasons of refused
+// prompts are the strings of prompts.Admission.
 const reasonTurnedAway = "turned_away"
 
-// reasonRateLimited is that of refusals because servers name limits that are reached.
+// reasonRateLimited is the reason of refusals because the rate limits that servers state are
+// reached.
 const reasonRateLimited = "rate"
 
-// Sources of answers.
+// Values of the label source.
 const (
 	sourceServer = "backend"
 	sourceDaemon = "daemon"
 )
 
+// countAnswer counts a response to a caller.
 func (m *metrics) countAnswer(in *inbound, status int, source string) {
 	kind := "none"
 	if in.route != nil {
@@ -94,7 +96,7 @@
 	m.answerSeconds.WithLabelValues(kind).Observe(time.Since(in.arrived).Seconds())
 }
 
-// countPermit counts an answer to the question for a permit.
+// countPermit counts a request for a permit by its result.
 func (m *metrics) countPermit(granted bool) {
 	result := "refused"
 	if granted {
@@ -103,7 +105,7 @@
 	m.permits.WithLabelValues(result).Inc()
 }
 
-// countSend counts one exchange.
+// countSend counts one exchange by its result.
 func (m *metrics) countSend(o *outcome) {
 	result := "answered"
 	switch {
--- a/serve/forward/place.go
+++ b/serve/forward/place.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	// SampleSize is how many engines are asked at once where a prompt could be read.
-	// With a third of the engines reading, all three do in one of thirty cases.
+	// SampleSize is the number of engines that are probed at once to place a prompt. While a
+	// third of all engines prefill a prompt, all three of a sample do in one of thirty cases.
 	SampleSize = 3
-	// maxSampleRounds bounds the questions before one prompt. They take a round trip each
-	// while engines answer, and askLimit each where none does.
+	// maxSampleRounds bounds the rounds of probes for one prompt. A round takes one round trip
+	// while engines respond, and fastProbeTimeout where none does.
 	maxSampleRounds = 3
-	// fastProbeTimeout is how long an engine may take to answer a question on which a choice
-	// waits: many round trips, and short beside the reading of a prompt.
+	// fastProbeTimeout bounds a probe that a placement waits for. It is many round trips, and
+	// short compared to the prefill of a prompt.
 	fastProbeTimeout = 50 * time.Millisecond
 )
 
-// sampledEngine is an engine with its answer; the report is empty where it gave none.
+// sampledEngine is an engine with its report, which is empty if the engine did not respond.
 type sampledEngine struct {
 	choice
 	report   prompts.Report
 	answered bool
 }
 
-// place chooses the engine that reads the prompt, and counts the prompt there: one that
-// has room and reads no other now. Engines that do not answer are passed over, since the
-// entry of one that died stays for seconds. Where none answers the best known gets the
-// request all the same: the link from here may be at fault, and it loses nothing to try.
+// place chooses the engine that prefills the prompt, and counts the prompt there. It prefers an
+// engine that has room and prefills no other prompt. Engines that do not respond are skipped,
+// since the entry of a crashed engine remains for seconds. If none responds, the one ranked first
+// gets the request anyway: the daemon's own link may be at fault, and nothing is lost by trying.
 func (r *relay) place(ctx context.Context, view *feed.View) (sampledEngine, bool) {
 	if view.Config.Engine(r.service) != nil {
 		others, everyDaemon := r.h.neighbours.work(ctx, view, r.service)
@@ -64,7 +64,7 @@
 		if !ok {
 			return sampledEngine{}, false
 		}
-		// The prompt itself is counted there by now.
+		// The count of 1 is this prompt, which reader has counted already.
 		if sampled := queries.sampleLoads(ctx, []choice{c}, 1); len(sampled) == 1 {
 			best := sampled[0]
 			best.report.Unread = max(best.report.Unread, unread) // a report lags
@@ -78,7 +78,7 @@
 	return sampledEngine{}, false
 }
 
-// placeByReports chooses by the reports of engines.
+// placeByReports chooses by the reports of a sample of engines.
 func (r *relay) placeByReports(ctx context.Context, view *feed.View) (sampledEngine, bool) {
 	first := r.h.pool.readers(time.Now(), view, r.service, r.in.call.PromptKey, SampleSize, r.excluded)
 	if len(first) == 0 || view.Config.Engine(r.service) == nil {
@@ -107,7 +107,7 @@
 	return firstChoice(first)
 }
 
-// firstChoice is the first of a list, of which no report is known.
+// firstChoice returns the first of a list, without a report.
 func firstChoice(list []choice) (sampledEngine, bool) {
 	if len(list) == 0 {
 		return sampledEngine{}, false
@@ -115,6 +115,7 @@
 	return sampledEngine{choice: list[0]}, true
 }
 
+// leastLoaded returns the sampled engine that is best for the prompt by its report.
 func (r *relay) leastLoaded(seen []sampledEngine) (sampledEngine, bool) {
 	reports := make([]prompts.Report, len(seen))
 	for i, s := range seen {
@@ -127,8 +128,8 @@
 	return seen[i], true
 }
 
-// sampleLoads asks engines for their load and returns those that answer, in the order given.
-// counted is how many prompts that were not sent yet are counted at each.
+// sampleLoads probes engines for their load and returns those that respond, in the order given.
+// counted is the number of prompts that the pool counts at each engine but that were not sent yet.
 func (q *questions) sampleLoads(ctx context.Context, candidates []choice, counted int) []sampledEngine {
 	sampled := make([]*sampledEngine, len(candidates))
 	var wg sync.WaitGroup
--- a/serve/forward/plain.go
+++ b/serve/forward/plain.go
@@ -19,62 +19,64 @@
 )
 
 const (
-	// hedgeDelayRatio is the part of a route's objective after which an idempotent
-	// request that has no answer is sent to a second server as well. What is left
-	// is enough for the second to answer within the objective.
+	// hedgeDelayRatio is the part of a route's latency objective after which an idempotent
+	// request without a response is hedged, that is sent to a second server as well. The rest
+	// is enough for the second server to respond within the objective.
 	hedgeDelayRatio = 0.6
-	// maxRejections bounds the servers that may turn one request away before the
-	// caller hears of it: beyond it the service is full, not one server.
+	// maxRejections bounds the servers that may reject one request before the caller is refused:
+	// with that many rejections the whole service is full, not a single server.
 	maxRejections = 3
-	// bufferedResponseBytes is how much of an answer is read before any of it is passed
-	// on, so that one which breaks off can be asked for again.
+	// bufferedResponseBytes is how much of a response is buffered before any of it is forwarded,
+	// so that a response that breaks off within that size can be retried.
 	bufferedResponseBytes = 256 << 10
 )
 
-// outcome is what came of one exchange.
+// outcome is the result of one exchange.
 type outcome struct {
 	choice     choice
-	sendNumber int    // which of the request's sends it was, from 1
-	rateLimit  string // that the server named
-	err        error  // without a whole, proven answer
-	// notRun says that the request did not run there and will not.
+	sendNumber int    // position among the sends of the request, from 1
+	rateLimit  string // as the server stated it
+	err        error  // why there is no complete, authentic response
+	// notRun is set if the request did not run at the server and will not.
 	notRun bool
-	// rejected says that the server itself turned the request away, and full that it
-	// did so for want of room.
+	// rejected is set if the server itself rejected the request, and full if it did so for lack
+	// of capacity.
 	rejected, full bool
 	status         int
 	header         http.Header
 	body           []byte
-	bodyRest       io.ReadCloser // what follows body, nil if that is all
+	bodyRest       io.ReadCloser // what follows body; nil if body is complete
 }
 
-// hasResponse reports whether the server gave an answer that can be passed on.
+// hasResponse reports whether there is a response that can be forwarded.
 func (o *outcome) hasResponse() bool { return o.err == nil && !o.notRun }
 
-// isFinal reports whether no other server could do better.
+// isFinal reports whether the response is forwarded at once: it is not a server error, which
+// another server might avoid.
 func (o *outcome) isFinal() bool { return o.hasResponse() && o.status < http.StatusInternalServerError }
 
-// exchanges runs the sends of one request; results arrive in the order they end.
+// exchanges runs the sends of one request. Results arrive in the order in which they complete.
 type exchanges struct {
 	h       *Handler
 	in      *inbound
 	service string
 	results chan *outcome
 	pending int
-	// possibleRuns counts sends that may have run, sends all that reached a server; rejected
-	// those that were turned away, and full those of them for want of room.
+	// possibleRuns counts the sends that may have run, sends those that reached a server,
+	// rejected those that a server rejected, and rejectedFull the rejections for lack of
+	// capacity.
 	possibleRuns, sends, rejected, rejectedFull int
 	tried                                       []routing.Life
-	// unconnected are those to which no connection was made in time, reached says that one
-	// was made to another.
+	// unconnected are the sends whose connections timed out. connected is set once a connection
+	// to another server was made, or failed in another way than by a timeout.
 	unconnected []*outcome
 	connected   bool
 }
 
-// forwardPlain forwards a request whose answer is passed on whole.
+// forwardPlain forwards a plain request, whose response is a single message.
 func (h *Handler) forwardPlain(ctx context.Context, w http.ResponseWriter, in *inbound, service string) error {
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // ends the sends that lost
+	defer cancel() // cancels hedged sends that are still in progress
 	now := time.Now()
 	if overloadedFor, refused := h.pressure.throttled(now, service); refused {
 		retryAfter := retryafter.Crowded(overloadedFor, in.route.Objective, rand.Float64())
@@ -93,8 +95,8 @@
 	return h.forwardResponse(w, in, last)
 }
 
-// run sends until one answer is good or nothing more may be tried. It returns
-// the answer to pass on.
+// run sends the request until a response is final or no further send is permitted. It returns the
+// response to forward.
 func (x *exchanges) run(ctx context.Context) (*outcome, error) {
 	if !x.sendToNext(ctx) {
 		return nil, x.noServerError()
@@ -129,7 +131,8 @@
 	}
 }
 
-// hedgeDelay is an hour for requests that are sent once only.
+// hedgeDelay returns the time after which the request is hedged, an hour for one that must not
+// be.
 func (x *exchanges) hedgeDelay() time.Duration {
 	if x.in.route.Kind != routing.Idempotent || x.in.route.Objective <= 0 {
 		return time.Hour
@@ -137,8 +140,8 @@
 	return time.Duration(hedgeDelayRatio * float64(x.in.route.Objective))
 }
 
-// sendToNext sends the request to one more server, if there is one and the budget
-// affords it.
+// sendToNext sends the request to one more server and reports whether there is one and the retry
+// budget permits it.
 func (x *exchanges) sendToNext(ctx context.Context) bool {
 	now, view := time.Now(), x.h.opts.Feed.View()
 	var c choice
@@ -170,16 +173,16 @@
 	return true
 }
 
-// recordRetryDenied records that the budget does not afford one more send of a request.
+// recordRetryDenied records that the retry budget does not permit one more send of a request.
 func (h *Handler) recordRetryDenied(in *inbound, sends int) {
 	h.metrics.retriesDenied.Inc()
 	h.opts.Log.Emit(event.RepeatDenied, in.call.ID, in.route.Name, sends)
 }
 
-// record takes back what an exchange that did not run was counted for, and makes servers
-// suspect that failed. One to which no connection was made in time is suspect only where a
-// connection to another was made for the same request: else the link from here is held up,
-// and all servers of the service would be suspect for seconds that are as good as before.
+// record removes an exchange that did not run from the counts, and marks servers that failed as
+// suspect. A server whose connection timed out is marked only once another server was reached for
+// the same request. Otherwise the daemon's own link may be stalled, and all servers of the service
+// would be suspect for seconds although they work.
 func (x *exchanges) record(ctx context.Context, o *outcome) {
 	switch {
 	case o.err != nil && o.notRun && isTimeout(o.err):
@@ -210,10 +213,10 @@
 	}
 }
 
-// canRetry reports whether another server may be tried after o.
+// canRetry reports whether the request may be sent to another server after o.
 func (x *exchanges) canRetry(o *outcome) bool {
 	if o.full && x.isOverloaded() {
-		return false // the others are as full
+		return false // the other servers are full as well
 	}
 	if o.notRun {
 		return x.rejected < maxRejections && len(x.tried) < 2*maxRejections
@@ -221,11 +224,11 @@
 	return x.in.route.Kind == routing.Idempotent && x.possibleRuns < x.in.route.Attempts
 }
 
-// isOverloaded reports whether the servers turn requests away, so that what is sent a
-// second time takes the place of another.
+// isOverloaded reports whether the servers reject requests for lack of capacity. A retry or a
+// hedged send would then displace another request.
 func (x *exchanges) isOverloaded() bool { return x.h.pressure.turnsAway(time.Now(), x.service) }
 
-// finalOutcome is the answer when nothing more can be tried.
+// finalOutcome returns the response to forward, or the error, when no further send is possible.
 func (x *exchanges) finalOutcome(best, last *outcome) (*outcome, error) {
 	if best != nil {
 		return best, nil
@@ -236,7 +239,7 @@
 	return nil, verdict.New(verdict.MayHaveRun, verdict.CodeBackendFailed, "the backend server gave no whole answer").Because(last.err)
 }
 
-// noServerError says that the request ran nowhere.
+// noServerError is the refusal of a request that no server took.
 func (x *exchanges) noServerError() error {
 	if wait, limited := x.h.limits.full(x.service); limited && len(x.tried) == 0 {
 		return x.h.rateLimitedError(x.in, x.service, verdict.NotRun, wait)
@@ -244,8 +247,8 @@
 	return verdict.New(verdict.NotRun, verdict.CodeNoBackend, "no backend server takes the request").After(x.h.pool.back(x.service))
 }
 
-// rateLimitedError refuses a request because the servers of its service take no more now, by the limits
-// that they name. The caller comes back when there may be room.
+// rateLimitedError is the refusal of a request because the rate limits that the servers of its
+// service state are reached. Its Retry-After is when a permit may be available.
 func (h *Handler) rateLimitedError(in *inbound, service string, v verdict.Verdict, wait time.Duration) error {
 	overloadedFor, _ := h.pressure.refused(time.Now(), service)
 	retryAfter := max(wait, retryafter.Crowded(overloadedFor, in.route.Objective, rand.Float64()))
@@ -253,6 +256,7 @@
 	return verdict.New(v, verdict.CodeOverloaded, "the backend servers take no more requests now").After(retryAfter)
 }
 
+// deadlineError is the error of a request whose deadline passed without a response.
 func (x *exchanges) deadlineError(ctx context.Context) error {
 	if x.possibleRuns == 0 {
 		return verdict.New(verdict.NotRun, verdict.CodeDeadline, "no backend server took the request in time")
@@ -260,7 +264,7 @@
 	return verdict.New(verdict.MayHaveRun, verdict.CodeDeadline, "no answer in time").Because(ctx.Err())
 }
 
-// exchange sends the request to one server and reads the answer.
+// exchange sends the request to one server and reads its response.
 func (h *Handler) exchange(ctx context.Context, in *inbound, c choice, sendNumber int) *outcome {
 	o := &outcome{choice: c, sendNumber: sendNumber}
 	started := time.Now()
@@ -288,7 +292,7 @@
 	o.full = reply.NotRun && !reply.Misdirected
 	o.body, o.bodyRest, o.err = readResponse(resp)
 	if o.err == nil && resp.StatusCode < http.StatusMultipleChoices && !reply.Authentic {
-		o.err = errors.New("a success without proof")
+		o.err = errors.New("the response carries no proof of its server")
 	}
 	if o.err != nil {
 		h.inspectBroken(ctx, in, o, started)
@@ -301,14 +305,14 @@
 	return o
 }
 
-// inspectBroken has it found out whether a server ended that broke off an exchange.
+// inspectBroken finds out in a goroutine whether the server of a failed exchange crashed.
 func (h *Handler) inspectBroken(ctx context.Context, in *inbound, o *outcome, started time.Time) {
 	if ctx.Err() == nil && !o.notRun {
 		go h.inspect(ending{in: in, at: o.choice, sent: started, err: o.err})
 	}
 }
 
-// markSuspect makes a server suspect unless the exchange was ended from here.
+// markSuspect marks a server as suspect unless the exchange ended because its context did.
 func (h *Handler) markSuspect(ctx context.Context, in *inbound, c choice, err error) {
 	if ctx.Err() != nil {
 		return
@@ -317,7 +321,7 @@
 	h.opts.Log.Emit(event.BackendSuspected, in.call.ID, c.server.ID, err, suspicion)
 }
 
-// readResponse reads an answer to its end, or its beginning if it is long.
+// readResponse reads a response to its end, or its first bufferedResponseBytes if it is longer.
 func readResponse(resp *http.Response) ([]byte, io.ReadCloser, error) {
 	var buf bytes.Buffer
 	if resp.ContentLength > 0 {
@@ -334,8 +338,8 @@
 	return buf.Bytes(), nil, err
 }
 
-// notRunStatuses are the statuses by which a server must not speak for the system:
-// each says that the request has not run, which only a server's own word shows.
+// notRunStatuses are the statuses that are not forwarded from a server: callers take each as a
+// promise that the request did not run, which a server makes only by stating it explicitly.
 var notRunStatuses = map[int]bool{
 	http.StatusRequestTimeout:     true,
 	http.StatusMisdirectedRequest: true,
@@ -343,7 +347,7 @@
 	http.StatusServiceUnavailable: true,
 }
 
-// forwardResponse gives the caller a server's answer.
+// forwardResponse writes a server's response to the caller.
 func (h *Handler) forwardResponse(w http.ResponseWriter, in *inbound, o *outcome) error {
 	if notRunStatuses[o.status] {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeBackendFailed, "the backend server answered %d and may have run the request", o.status)
@@ -353,7 +357,7 @@
 	if o.bodyRest == nil && len(o.body) > 0 {
 		w.Header()["Content-Length"] = []string{strconv.Itoa(len(o.body))}
 	} else if length := o.header["Content-Length"]; length != nil {
-		w.Header()["Content-Length"] = length // of an answer to HEAD too
+		w.Header()["Content-Length"] = length // also of a response to HEAD
 	}
 	w.WriteHeader(o.status)
 	if _, err := w.Write(o.body); err != nil {
@@ -369,8 +373,8 @@
 	return nil
 }
 
-// copyHeader gives the caller the server's headers but for those that concern
-// the server's connection.
+// copyHeader copies the end-to-end headers of a server's response to the caller's, except for
+// Content-Length.
 func copyHeader(to, from http.Header) {
 	for name, values := range endToEndHeaders(from) {
 		if name != "Content-Length" {
--- a/serve/forward/segment.go
+++ b/serve/forward/segment.go
@@ -14,29 +14,29 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// errCallerGone means that nobody waits for the answer any more.
-var errCallerGone = errors.New("forward: the caller left")
+// errCallerGone means that the caller disconnected before the response was complete.
+var errCallerGone = errors.New("forward: the caller disconnected")
 
-// errDaemonExiting means that the answer outlasted the graceful shutdown of this daemon.
-var errDaemonExiting = errors.New("forward: this daemon ends")
+// errDaemonExiting means that the response outlasted the graceful shutdown of this daemon.
+var errDaemonExiting = errors.New("forward: the daemon exits before the response is complete")
 
-// errUnresponsive means that a server gives no sign of life.
-var errUnresponsive = errors.New("forward: no sign of life")
+// errUnresponsive means that an engine did not respond to several probes in a row.
+var errUnresponsive = errors.New("forward: the engine does not respond to probes")
 
-// errResponseLost means that an engine runs the request and its answer does not arrive.
-var errResponseLost = errors.New("forward: the answer does not arrive")
+// errResponseLost means that an engine runs the request but its response does not arrive.
+var errResponseLost = errors.New("forward: the engine generates events but none arrives")
 
-// errStreamIdle means that a stream has made no event for as long as it may.
-var errStreamIdle = errors.New("forward: silent")
+// errStreamIdle means that a stream delivered no event within its idle timeout.
+var errStreamIdle = errors.New("forward: stream idle timeout")
 
-// errErrorResponse means that a server answered a stream with a failure of its own.
-var errErrorResponse = errors.New("forward: the server answered with a failure")
+// errErrorResponse means that a server responded to a stream request with an error status.
+var errErrorResponse = errors.New("forward: the server responded with an error status")
 
-// errNotAuthentic means that an answer does not show that a server made it.
-var errNotAuthentic = errors.New("forward: a success without proof")
+// errNotAuthentic means that a response lacks the proof that a server produced it.
+var errNotAuthentic = errors.New("forward: the response carries no proof of its server")
 
-// follow passes on what the server of an attempt makes until its stream ends, breaks off, or
-// goes on elsewhere.
+// follow forwards the events of an attempt until its stream ends, fails, or continues at another
+// server.
 func (r *relay) follow(ctx context.Context, a *attempt) (segmentEnd, error) {
 	idle := time.NewTimer(time.Hour)
 	defer idle.Stop()
@@ -75,7 +75,7 @@
 	}
 }
 
-// handlePart takes one signal of a server; over reports whether it ends the attempt.
+// handlePart processes one part of a response; ended reports whether it ends the attempt.
 func (r *relay) handlePart(ctx context.Context, a *attempt, s responsePart) (end segmentEnd, err error, ended bool) {
 	if s.head != nil {
 		return r.handleHead(ctx, a, *s.head)
@@ -97,7 +97,7 @@
 	return segmentComplete, nil, false
 }
 
-// handleHead judges an answer by its headers.
+// handleHead processes the head of a response; ended reports whether it ends the attempt.
 func (r *relay) handleHead(ctx context.Context, a *attempt, o responseHead) (end segmentEnd, err error, ended bool) {
 	a.response, a.rateLimit = o.resp, o.reply.RateLimit
 	if o.err == nil {
@@ -121,7 +121,8 @@
 	return segmentComplete, nil, false
 }
 
-// sendHeaders gives the caller the headers of the first server that answered.
+// sendHeaders sends the response headers to the caller, once: those of the first server that
+// responded.
 func (r *relay) sendHeaders(resp *http.Response) {
 	if r.headersSent {
 		return
@@ -133,17 +134,17 @@
 	r.w.WriteHeader(resp.StatusCode)
 }
 
-// forwardEvent gives the caller one event.
+// forwardEvent sends one event to the caller unless the caller has received it already.
 func (r *relay) forwardEvent(resp *http.Response, e streamEvent) error {
 	if e.id != 0 && e.id <= r.lastEventID {
-		return nil // the caller holds it
+		return nil // the caller has received it
 	}
 	r.sendHeaders(resp)
 	if _, err := r.w.Write(e.raw); err != nil {
-		return errors.Wrap(err, "caller")
+		return errors.Wrap(err, "write to the caller")
 	}
 	if err := http.NewResponseController(r.w).Flush(); err != nil {
-		return errors.Wrap(err, "caller")
+		return errors.Wrap(err, "write to the caller")
 	}
 	if e.id != 0 {
 		r.lastEventID = e.id
@@ -161,7 +162,8 @@
 	return nil
 }
 
-// handleFailure judges a leg that ended without a whole answer.
+// handleFailure classifies a segment that ended without a complete response, and decides what
+// the next segment may use.
 func (r *relay) handleFailure(ctx context.Context, l segment, err error) (segmentEnd, error) {
 	if ctx.Err() != nil {
 		return segmentAborted, r.expiryError()
@@ -169,34 +171,34 @@
 	if errors.Is(err, errNotSent) {
 		r.possibleRuns--
 		r.sends--
-		r.starts-- // another is tried as long as there is one
+		r.starts-- // a failed connection does not count towards maxStarts
 		if r.isLinkStalled(ctx, l, err) {
 			return segmentNotRun, err
 		}
 	}
-	if !l.unconfirmed || !isTimeout(err) { // else the link from here may be at fault
+	if !l.unconfirmed || !isTimeout(err) { // otherwise the daemon's own link may be at fault
 		r.h.markSuspect(ctx, r.in, l.target, err)
 	}
 	r.exclude(l)
 	switch {
 	case errors.Is(err, errNotSent):
 		return segmentNotRun, err
-	case r.replacement != nil: // it goes on already
+	case r.replacement != nil: // the response continues there already
 	case errors.Is(err, errResponseLost):
-		r.heldCopy = l.incrementalCopy(r.in.call.ID) // the prompt was read, so the copy is there
+		r.heldCopy = l.incrementalCopy(r.in.call.ID) // the prompt was prefilled, so the copy exists
 	case !r.headersSent && !errors.Is(err, errUnresponsive) && !errors.Is(err, errRestarted):
 		r.resetBy = l.target
 	}
 	return segmentBroken, err
 }
 
-// isLinkStalled reports whether a connection was not made in time because of the link from
-// here: no other engine answers either.
+// isLinkStalled reports whether a connection timed out because the daemon's own link is stalled:
+// no other engine responds either.
 //
-// The failure it guards against: the one engine that holds a prompt or a copy is ruled out
-// for a request of which nothing has left, and the prompt is read anew for a second of
-// another engine. It holds because that engine is tried again, for as long as a link is held
-// up at most, unless another answers.
+// Without this check, a stalled link would exclude the one engine that holds the prompt or a copy
+// of the run, although nothing of the request was sent, and the prompt would be prefilled again,
+// which occupies another engine for a second. Instead the same engine is tried again, for
+// takeover.HeldUp at most, unless another engine responds.
 func (r *relay) isLinkStalled(ctx context.Context, l segment, err error) bool {
 	view, now := r.h.opts.Feed.View(), time.Now()
 	if l.unconfirmed || !isTimeout(err) || view.Config.Engine(r.service) == nil {
@@ -212,7 +214,7 @@
 	return len(others) > 0 && len(r.h.questions().sampleLoads(ctx, others, 0)) == 0
 }
 
-// handleRejection handles a server's word that it did not run the request.
+// handleRejection processes a response which states that the server did not run the request.
 func (r *relay) handleRejection(ctx context.Context, l segment, o responseHead) (segmentEnd, error) {
 	err := errors.Errorf("status %d, instance %s", o.resp.StatusCode, o.reply.Instance)
 	next, succeeded := routing.Life{}, false
@@ -230,12 +232,11 @@
 	return segmentNotRun, err
 }
 
-// findSuccessor returns the life of instance, which answers at the address of old, if it is
-// an engine of the same service that started anew there, and remembers it then.
-// A daemon that has lost the store does not see it register, although copies are
-// sent to the address and lie at the new engine. Where one service alone has
-// engines, whatever speaks as an engine is of that service, also at an address
-// used again.
+// findSuccessor returns the incarnation of the instance that responds at the address of old, if
+// it is an engine of the same service that restarted there, and records it as the successor. A
+// daemon without access to the store does not see the instance register, although copies are sent
+// to the address and stored by the new engine. The check requires that only one service has
+// engines: any engine at a reused address then belongs to that service.
 func (r *relay) findSuccessor(ctx context.Context, old routing.Server, instance string) (routing.Life, bool) {
 	view := r.h.opts.Feed.View()
 	if instance == "" || instance == old.ID || view.Departed(instance) || view.Config.OnlyEngines() != r.service {
@@ -251,7 +252,8 @@
 	return next, true
 }
 
-// handleNonStream passes on a failure that a server answered, unless another may do better.
+// handleNonStream forwards an error response to the caller, unless the request can be resumed at
+// another server or the caller has received the headers already.
 func (r *relay) handleNonStream(ctx context.Context, l segment, o responseHead) (segmentEnd, error) {
 	if r.headersSent || r.canResume() {
 		r.exclude(l)
@@ -265,8 +267,9 @@
 	return segmentNonStream, err
 }
 
-// expiryError says why the request has ended before its answer. The connections of callers are
-// closed when the daemon ends, which looks like a caller that leaves.
+// expiryError returns the reason why the request's context ended before its response did. When
+// the daemon exits it closes its callers' connections, which looks like callers that disconnect;
+// the shutdown schedule tells the two apart.
 func (r *relay) expiryError() error {
 	now, shutdown := time.Now(), r.h.shutdown.Load()
 	switch {
@@ -278,7 +281,8 @@
 	return verdict.New(r.verdict(), verdict.CodeDeadline, "the answer was not finished in time")
 }
 
-// finishAttempt ends an attempt, and has it found out whether its server ended.
+// finishAttempt ends an attempt. If its stream failed, a goroutine finds out whether the server
+// crashed.
 func (r *relay) finishAttempt(a *attempt, end segmentEnd, err error) {
 	a.ended(end, errors.Is(err, errErrorResponse) || end == segmentNonStream && a.response != nil && a.response.StatusCode >= http.StatusInternalServerError)
 	a.end(end)
