--- a/serve/forward/place.go
+++ b/serve/forward/place.go
@@ -51,10 +51,10 @@
 	return c, ok
 }
 
-// placeByFleetWork chooses by what all daemons have under way. The engine chosen is asked all
-// the same: it may be dead, or full of what nobody told. Where none of the first few is
-// free the choice is left to the reports of more. among says that the engines in others are
-// those to choose from.
+// placeByFleetWork chooses by the requests that all daemons have in progress. The chosen engine is
+// still probed: it may be dead, or full of work that no daemon reported. If none of the first few
+// engines is free, the choice is left to placeByReports, which samples more of them. onlyKnown
+// limits the choice to the engines in others.
 func (r *relay) placeByFleetWork(ctx context.Context, view *feed.View, others workAt, onlyKnown bool) (sampledEngine, bool) {
 	excluded := slices.Clone(r.excluded)
 	queries := r.h.questions()
--- a/serve/forward/plain.go
+++ b/serve/forward/plain.go
@@ -256,7 +256,7 @@
 	return verdict.New(v, verdict.CodeOverloaded, "the backend servers take no more requests now").After(retryAfter)
 }
 
-// deadlineError is the error of a request whose deadline passed without a response.
+// deadlineError is the error of a request whose context ended without a response.
 func (x *exchanges) deadlineError(ctx context.Context) error {
 	if x.possibleRuns == 0 {
 		return verdict.New(verdict.NotRun, verdict.CodeDeadline, "no backend server took the request in time")
--- a/serve/forward/refuse.go
+++ b/serve/forward/refuse.go
@@ -13,8 +13,8 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// statusOf maps refusals to statuses. Those that promise that nothing ran are
-// used only with verdict not_run.
+// statusOf maps a refusal to an HTTP status. A status that callers take as a promise that nothing
+// ran is used only with verdict not_run.
 func statusOf(e *verdict.Error) int {
 	switch e.Code {
 	case verdict.CodeBadRequest:
@@ -34,19 +34,20 @@
 	return http.StatusBadGateway
 }
 
-// refusal is the body of an answer that the daemon gives itself.
+// refusal is the body of a response that the daemon itself gives.
 type refusal struct {
 	Verdict string `json:"verdict"`
 	Code    string `json:"code"`
 	Message string `json:"message"`
 }
 
-// refuse answers for the daemon and logs why.
+// refuse writes an error response of the daemon and logs its reason. A response that has begun is
+// aborted instead.
 func (h *Handler) refuse(w http.ResponseWriter, in *inbound, err error) {
 	if errors.Is(err, errTruncated) {
 		h.metrics.countAnswer(in, statusTruncated, sourceDaemon)
 		h.opts.Log.Emit(event.AnswerCut, in.call.ID, in.call.PromptKey, in.routeName(), in.accountName(), in.configVersion, err, time.Since(in.arrived))
-		panic(http.ErrAbortHandler) // ends the connection, so that the answer does not look whole
+		panic(http.ErrAbortHandler) // closes the connection, so that the response does not look complete
 	}
 	e := verdict.Of(err)
 	status := statusOf(e)
@@ -57,7 +58,7 @@
 		header.Set("Retry-After", strconv.FormatFloat(seconds, 'f', -1, 64))
 	}
 	w.WriteHeader(status)
-	// The caller may have left; there is nobody else to tell.
+	// An error here means that the caller disconnected.
 	_ = json.NewEncoder(w).Encode(refusal{Verdict: e.Verdict.String(), Code: string(e.Code), Message: e.Message})
 	h.metrics.countAnswer(in, status, sourceDaemon)
 	h.opts.Log.Emit(event.ForwardRefused, in.call.ID, in.call.PromptKey, in.routeName(), in.accountName(), in.configVersion, in.configAge,
@@ -78,8 +79,8 @@
 	return in.account.Name
 }
 
-// statusTruncated counts answers that were cut after their headers.
+// statusTruncated is the status under which responses truncated after their headers are counted.
 const statusTruncated = 0
 
-// errTruncated ends an answer that has begun and cannot be finished.
-var errTruncated = errors.New("forward: answer cut")
+// errTruncated ends a response that has begun and cannot be completed.
+var errTruncated = errors.New("forward: response truncated")
--- a/serve/forward/services.go
+++ b/serve/forward/services.go
@@ -1,7 +1,7 @@
 package forward
 
-// getOrCreate returns what is kept of a service, empty where nothing was kept yet. The
-// caller holds the lock of kept.
+// getOrCreate returns the state of a service, which it creates empty if there is none. The caller
+// holds the lock that guards states.
 func getOrCreate[T any](states map[string]*T, service string) *T {
 	value, ok := states[service]
 	if !ok {
--- a/serve/forward/stream.go
+++ b/serve/forward/stream.go
@@ -18,60 +18,60 @@
 )
 
 const (
-	// probeInterval is how often a server is asked for a sign of life while a stream
-	// waits for its first event, which a prompt may delay by seconds.
+	// probeInterval is how often an engine is probed while a stream waits for its first event,
+	// which the prefill of the prompt may delay by seconds.
 	probeInterval = 400 * time.Millisecond
-	// probeTimeout is many times a round trip; a server answers a probe without
-	// a slot.
+	// probeTimeout is many times a round trip. A probe does not wait for a slot of the engine.
 	probeTimeout = 200 * time.Millisecond
-	// maxFailedProbes is how many probes in a row fail at a server that is dead. One
-	// may be a lost packet.
+	// maxFailedProbes is the number of consecutive failed probes after which an engine counts as
+	// dead. A single failure may be a lost packet.
 	maxFailedProbes = 2
-	// minLostEvents is how many events an engine reports of a stream of which none has
-	// arrived before the answer counts as lost: a tenth of a second's, while a
-	// first event takes a round trip.
+	// minLostEvents is the number of events that an engine reports for a stream of which none
+	// has arrived before the response counts as lost. They take a tenth of a second to generate,
+	// while the first event takes one round trip to arrive.
 	minLostEvents = 3
-	// maxCopyProbes bounds the engines that are asked whether they can keep a copy.
+	// maxCopyProbes bounds the engines that are probed as the target of a copy.
 	maxCopyProbes = 3
-	// maxStarts bounds the servers that may turn one stream away.
+	// maxStarts bounds the requests sent for one stream, including those that servers reject.
 	maxStarts = 8
 )
 
-// relay is one answer that is passed on event by event.
+// relay forwards one response event by event, from one backend server or from several in turn.
 type relay struct {
 	h           *Handler
 	in          *inbound
 	service     string
 	w           http.ResponseWriter
-	headersSent bool  // headers and an event were released
-	lastEventID int64 // id of the last event released
-	// heldCopy is a copy of the present run.
+	headersSent bool  // the caller has received the headers
+	lastEventID int64 // ID of the last event sent to the caller
+	// heldCopy is a copy of the current run.
 	heldCopy kept
-	// resetBy is the engine that reset the connection before the first event; it may
-	// live and hold the prompt. Its server is zero if there is none.
+	// resetBy is the engine that reset the connection before the first event. It may be alive
+	// and hold the prompt. It is zero if there is none.
 	resetBy choice
-	// misdirectedLife is the life for which the holder was asked in vain.
+	// misdirectedLife is the incarnation that was asked to resume from a copy although another
+	// one has its address.
 	misdirectedLife routing.Life
-	possibleRuns    int // servers that may have run it
-	starts          int
-	sends           int
-	excluded        []routing.Life
-	// promptHolders are the engines that hold the prompt, nil before they were looked for.
+	possibleRuns    int            // servers that may have run the request
+	starts          int            // attempts, without those that could not connect
+	sends           int            // requests sent, without those that could not connect
+	excluded        []routing.Life // servers that must not be chosen again
+	// promptHolders are the engines that hold the prompt; nil before the lookup.
 	promptHolders []routing.Life
-	// linkStalledSince is when the link from here was first found held up; zero if it was not.
+	// linkStalledSince is when the daemon's own link was first found stalled; zero if it was not.
 	linkStalledSince time.Time
-	// cannotContinue says that the answer was found unable to go on.
+	// cannotContinue is set once the stalled response was found unable to continue.
 	cannotContinue bool
-	// replacement is the attempt that took the answer over from the one before.
+	// replacement is the attempt that took over the response from the previous one.
 	replacement      *attempt
-	lastEventAt      time.Time     // of the last event released, or of the start
-	interrupted      bool          // broke off after an event, and none followed yet
-	timeToFirstEvent time.Duration // from the request's arrival to its first event, 0 before it
-	eventCount       int           // released
-	longestGap       time.Duration // pause between two events released
+	lastEventAt      time.Time     // time of the last event sent to the caller, or of the start
+	interrupted      bool          // the stream broke off after an event, and none followed yet
+	timeToFirstEvent time.Duration // since the request's arrival; 0 before the first event
+	eventCount       int           // events sent to the caller
+	longestGap       time.Duration // between two events sent to the caller
 }
 
-// nextAttempt is the one that took the answer over, or a new one.
+// nextAttempt returns the attempt that took over the response, or starts a new one.
 func (r *relay) nextAttempt(ctx context.Context) (*attempt, error) {
 	if taken := r.replacement; taken != nil {
 		r.replacement = nil
@@ -84,16 +84,17 @@
 	return r.start(ctx, l), nil
 }
 
-// segment is the part of an answer that one server makes.
+// segment is the part of a response that one backend server produces.
 type segment struct {
-	target     choice
-	copyTo     choice
-	resumeFrom string // where the copy lies that it goes on from
-	// unconfirmed says that no engine answered before the request was sent to this one.
+	target     choice // the server
+	copyTo     choice // the engine that receives an incremental copy of the run
+	resumeFrom string // name of the copy that the run resumes from; "" if there is none
+	// unconfirmed is set if no engine responded to a probe before the request was sent.
 	unconfirmed bool
 }
 
-// incrementalCopy is the copy that is kept while the run grows, if there is one.
+// incrementalCopy returns the copy that the engine of the segment sends while the run generates
+// events, a zero one if there is none.
 func (l segment) incrementalCopy(id string) kept {
 	if l.copyTo.load == nil {
 		return kept{}
@@ -101,24 +102,24 @@
 	return kept{at: l.copyTo, name: copyName(l.copyTo.server, id)}
 }
 
-// segmentEnd says how a leg ended.
+// segmentEnd says how a segment ended.
 type segmentEnd uint8
 
 const (
-	segmentComplete  segmentEnd = iota // the answer is complete
-	segmentNotRun                      // the server did not run it
-	segmentBroken                      // it may go on elsewhere
-	segmentNonStream                   // the server's answer is no stream: it was passed on
-	segmentAborted                     // nothing more can be done
-	segmentMoved                       // it goes on elsewhere, because its server's version leaves
+	segmentComplete  segmentEnd = iota // the response is complete
+	segmentNotRun                      // the server did not run the request
+	segmentBroken                      // failed; the response may continue at another server
+	segmentNonStream                   // the server's response is not a stream and was forwarded
+	segmentAborted                     // the response ends here
+	segmentMoved                       // continues elsewhere, since the server's version is withdrawn
 )
 
-// String returns the word used in logs.
+// String returns the name used in logs and metrics.
 func (e segmentEnd) String() string {
 	return [...]string{"whole", "not_run", "broken", "answer", "aborted", "moved"}[e]
 }
 
-// forwardStream forwards a request whose answer is a series of events.
+// forwardStream forwards a request whose response is a stream of events.
 func (h *Handler) forwardStream(ctx context.Context, w http.ResponseWriter, in *inbound, service string) error {
 	r := &relay{h: h, in: in, service: service, w: w, lastEventID: in.call.LastEventID, lastEventAt: time.Now()}
 	if in.call.LastEventID > 0 {
@@ -129,7 +130,7 @@
 	}
 	h.pressure.asked(service, in.call.PromptTokens)
 	defer func() {
-		if r.replacement != nil { // the caller left in that moment
+		if r.replacement != nil { // the caller disconnected during the takeover
 			r.replacement.end(segmentAborted)
 		}
 	}()
@@ -161,8 +162,8 @@
 	}
 }
 
-// checkTimeLeft returns an error where the answer cannot be whole in the time that is left.
-// unread says that its prompt has to be read first.
+// checkTimeLeft returns an error if the response cannot be completed before the deadline. unread
+// is true if the prompt has to be prefilled first.
 func (r *relay) checkTimeLeft(unread bool) error {
 	if !r.h.pressure.unfinishable(r.service, r.in.call, unread, time.Until(r.in.deadline)) {
 		return nil
@@ -170,14 +171,15 @@
 	return verdict.New(r.verdict(), verdict.CodeOverloaded, "the answer cannot be whole in the time that is left")
 }
 
-// recordPace takes what a whole answer shows of the service. The ids of events count them.
+// recordPace records the event rate of a complete response, if one server produced all of it.
+// The ID of the last event is the number of events.
 func (r *relay) recordPace() {
 	if r.in.call.LastEventID == 0 && r.sends == 1 {
 		r.h.pressure.made(r.service, r.lastEventID, r.lastEventAt.Sub(r.in.arrived)-r.timeToFirstEvent)
 	}
 }
 
-// verdict says whether the request may have run.
+// verdict returns whether the request may have run.
 func (r *relay) verdict() verdict.Verdict {
 	if r.possibleRuns > 0 {
 		return verdict.MayHaveRun
@@ -185,7 +187,7 @@
 	return verdict.NotRun
 }
 
-// giveUp ends the answer; one that has begun is cut.
+// giveUp returns the error that ends the response. A response that has begun is truncated.
 func (r *relay) giveUp(err error) error {
 	if r.headersSent {
 		return errors.Wrapf(errTruncated, "%v", err)
@@ -193,13 +195,13 @@
 	return err
 }
 
-// canResume reports whether a run that broke off may be followed by another.
+// canResume reports whether another run may follow one that broke off.
 func (r *relay) canResume() bool {
 	return r.in.route.Resumable && r.possibleRuns < r.in.route.Attempts
 }
 
-// nextSegment chooses the server of the next leg: the one with a copy of the run
-// before, or one that reads the prompt. The request is counted there.
+// nextSegment chooses the server of the next segment: one that holds a copy of the previous run or
+// the prompt, or else one that prefills the prompt. The request is counted there.
 func (r *relay) nextSegment(ctx context.Context) (segment, error) {
 	now := time.Now()
 	if r.starts >= maxStarts || r.sends > 0 && !r.tryAcquireRetry(ctx, now) {
@@ -244,9 +246,9 @@
 	return r.withCopyTarget(ctx, segment{target: c.choice, unconfirmed: blind}), nil
 }
 
-// admission says whether an engine has room for the prompt, and how long its first event
-// may take. A request that has run, or whose caller holds a part of the answer, is owed: it
-// is sent wherever it can be read in time.
+// admission decides whether the prompt is sent to an engine, and returns how long the first event
+// may take. A request that has been sent before, or whose caller has received a part of the
+// response, is sent wherever its prompt can be prefilled in time, even without room.
 func (r *relay) admission(best sampledEngine) (admission prompts.Admission, due time.Duration) {
 	mustServe := r.sends > 0 || r.in.call.LastEventID > 0
 	due = time.Until(r.in.deadline)
@@ -260,7 +262,7 @@
 	return admission, due
 }
 
-// admit refuses a request that engines have no room for.
+// admit returns an error if the engines have no room for the prompt.
 func (r *relay) admit(best sampledEngine) error {
 	admission, due := r.admission(best)
 	if admission == prompts.Admitted {
@@ -274,9 +276,9 @@
 	return verdict.New(r.verdict(), verdict.CodeOverloaded, "engines have no room for the prompt (%s)", admission).After(retryAfter)
 }
 
-// tryAcquireRetry asks this daemon's part of the shared budget for one more send, and
-// then other daemons for theirs. Only streams borrow: a call that is repeated
-// would wait for the question longer than for its answer.
+// tryAcquireRetry takes one retry from this daemon's share of the retry budget, or borrows one from
+// another daemon. Only streams borrow: for a plain request, asking other daemons would take longer
+// than the response itself.
 func (r *relay) tryAcquireRetry(ctx context.Context, now time.Time) bool {
 	if r.h.pool.tryTakeRetry(now, r.service) {
 		return true
@@ -289,8 +291,8 @@
 	return false
 }
 
-// placeWithPermit is place, at an engine that gives a permit where it names a limit. It waits for
-// one where all are lost.
+// placeWithPermit is place, limited to engines that state no rate limit or for which a permit was
+// granted. If all engines are lost, it waits for one to return.
 func (r *relay) placeWithPermit(ctx context.Context, view *feed.View) (sampledEngine, bool) {
 	for range maxStarts {
 		c, ok := r.place(ctx, view)
@@ -305,13 +307,13 @@
 	return sampledEngine{}, false
 }
 
-// tryAcquirePermit reports whether a request may be sent to an engine by the limit that it names. A
-// permit is for a request that is sent at once.
+// tryAcquirePermit reports whether the rate limit that an engine states permits a request now. A
+// permit is only valid for a request that is sent at once.
 func (r *relay) tryAcquirePermit(ctx context.Context, c choice) bool {
 	return r.h.limits.take(ctx, c.server)
 }
 
-// noServerError says that no engine takes the request now.
+// noServerError is the refusal of a request that no engine takes now.
 func (r *relay) noServerError() error {
 	if wait, limited := r.h.limits.full(r.service); limited && r.sends == 0 {
 		return r.h.rateLimitedError(r.in, r.service, r.verdict(), max(wait, r.h.pool.back(r.service)))
@@ -319,9 +321,9 @@
 	return verdict.New(r.verdict(), verdict.CodeNoBackend, "no engine takes the request").After(r.h.pool.back(r.service))
 }
 
-// findCopyHolder is the engine that holds a copy now. It may have started anew at its
-// address since the copy was asked for: the view shows that, or its own word. A copy
-// that grows with its run is sent on to the new life, one made on demand is gone.
+// findCopyHolder returns the engine that holds a copy now, false if there is none. The engine may
+// have restarted at its address since the copy was requested, as the view or the engine itself
+// shows. An incremental copy is sent to the new incarnation as well, one made on demand is lost.
 func (r *relay) findCopyHolder(view *feed.View, held kept) (choice, bool) {
 	at := held.at
 	if c, ok := r.h.pool.at(view, r.service, at.server.Address); ok && c.server.Life() != r.misdirectedLife {
@@ -333,9 +335,9 @@
 	return at, !view.Departed(at.server.ID) && !slices.Contains(r.excluded, at.server.Life()) && !r.h.versions.Barred(view, at.server)
 }
 
-// retrySameEngine is the engine that reset the connection before the first event, if it
-// still holds the prompt: an engine may lose one answer and go on. Elsewhere the
-// prompt would be read a second time.
+// retrySameEngine returns the engine that reset the connection before the first event, if it still
+// holds the prompt. An engine may lose one response and keep running, and any other engine would
+// have to prefill the prompt a second time.
 func (r *relay) retrySameEngine(ctx context.Context, view *feed.View) (choice, bool) {
 	last := r.resetBy
 	r.resetBy = choice{}
@@ -344,7 +346,7 @@
 	}
 	c, ok := r.h.pool.server(view, r.service, last.server.Life())
 	if !ok {
-		return choice{}, false // it leaves, or has started anew
+		return choice{}, false // it is draining or has restarted
 	}
 	ctx, cancel := context.WithTimeout(ctx, fastProbeTimeout)
 	defer cancel()
@@ -353,8 +355,9 @@
 	return c, err == nil && life == c.server.Life() && slices.Contains(parts, r.in.call.PromptKey)
 }
 
-// findPromptHolder is an engine that holds the prompt of a stream which another daemon began. They are
-// looked for once: a further look would show no more, and each takes a part of the link.
+// findPromptHolder returns an engine that holds the prompt of a stream which another daemon began.
+// The lookup is made once per request: another one would find no more, and each uses bandwidth of
+// the daemon's link.
 func (r *relay) findPromptHolder(ctx context.Context, now time.Time, view *feed.View) (choice, bool) {
 	if r.in.call.LastEventID == 0 || r.in.call.PromptKey == "" {
 		return choice{}, false
@@ -374,7 +377,7 @@
 	return choice{}, false
 }
 
-// serverIDs are those of the servers whose lives are given.
+// serverIDs returns the server IDs of incarnations.
 func serverIDs(lives []routing.Life) []string {
 	list := make([]string, len(lives))
 	for i, life := range lives {
@@ -383,7 +386,8 @@
 	return list
 }
 
-// withCopyTarget adds the place of a copy where engines can keep one.
+// withCopyTarget adds the engine that receives an incremental copy, if the engines of the service
+// support that and the route is resumable.
 func (r *relay) withCopyTarget(ctx context.Context, l segment) segment {
 	view := r.h.opts.Feed.View()
 	engine := view.Config.Engine(r.service)
--- a/serve/forward/takeover.go
+++ b/serve/forward/takeover.go
@@ -14,11 +14,11 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// errTakeoverNotNeeded means that the server before a leg responded again.
-var errTakeoverNotNeeded = errors.New("forward: the server before responded again")
+// errTakeoverNotNeeded means that the stalled server responded before the takeover.
+var errTakeoverNotNeeded = errors.New("forward: takeover not needed, the stalled server responded")
 
-// idleTimeout is how long an attempt may be silent. An answer that may not go on elsewhere is
-// waited for as long as its caller waits.
+// idleTimeout returns how long an attempt may deliver nothing before a takeover is tried. A
+// response that cannot be resumed elsewhere is waited for until the request's deadline.
 func (r *relay) idleTimeout(a *attempt) time.Duration {
 	if !r.in.route.Resumable {
 		return time.Until(r.in.deadline)
@@ -26,19 +26,18 @@
 	return takeover.Patience(a.hasCopy(), r.in.route.GapTarget)
 }
 
-// tryTakeOver tries to let the answer of a silent attempt go on at another server. It reports
-// whether the attempt is over: r.taken is the one that goes on, or there is none and the
-// answer is given up. Else the silent server keeps the answer.
+// tryTakeOver tries to continue the response of a stalled attempt at another server, and reports
+// whether the attempt is over. If it is, r.replacement is the attempt that continues, or there is
+// none and the response is given up. Otherwise the stalled server keeps the response.
 //
-// The failure it guards against: silence is taken for the death of a server and its
-// connection is closed before anything is known of the next. The caller sees an answer cut
-// that was on its way, behind a link that was full for a second or a server that paused,
-// because no other server was reached, the budget afforded no repeat or the copy was gone.
-// It holds because a connection is closed only once another server has answered, has the
-// request, and has not turned it away.
+// A stalled server need not be dead: a congested link or a pause of the server for a second has
+// the same effect. If the daemon closed the connection first and looked for another server
+// afterwards, the caller would see a truncated response whenever no other server was reachable,
+// the retry budget was exhausted or the copy was gone. Therefore the connection is closed only
+// once another server has responded, has received the request and has not rejected it.
 func (r *relay) tryTakeOver(ctx context.Context, a *attempt, cause error) bool {
 	if errors.Is(cause, errResponseLost) {
-		r.heldCopy = a.runCopy() // the prompt was read, so the copy is there
+		r.heldCopy = a.runCopy() // the prompt was prefilled, so the copy exists
 	}
 	outcome := takeover.TurnedAway
 	for outcome == takeover.TurnedAway {
@@ -59,9 +58,9 @@
 	return r.cannotContinue
 }
 
-// prepareTakeover finds the server where a silent attempt may go on and sends the request there,
-// unless the silent one responds first. The relay waits meanwhile for one or the other,
-// so that what is found may be written to it.
+// prepareTakeover finds a server that may continue a stalled attempt and sends the request to it,
+// unless the stalled server responds first. The relay's own goroutine waits for one of the two
+// here, so that the goroutine that looks for a server may write to the relay.
 func (r *relay) prepareTakeover(ctx context.Context, a *attempt, cause error) (takeover.Outcome, *attempt) {
 	prepareCtx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -89,21 +88,22 @@
 	return outcome, r.start(ctx, l)
 }
 
-// discardPending drops what a silent attempt still had to say before its answer goes on elsewhere.
+// discardPending drops a part of a stalled attempt that was pushed back, before the response
+// continues elsewhere.
 func (r *relay) discardPending(a *attempt) {
 	if o := a.takePushedBack(); o != nil && o.err == nil && o.reply.NotRun {
 		r.possibleRuns--
 	}
 }
 
-// awaitTakeover waits for the first signal of the server that was sent the request after a
-// silent one, and lets go of it unless the answer goes on there.
+// awaitTakeover waits until the stalled server or the next one responds, and decides which of them
+// continues the response. It ends the next attempt if the stalled server does.
 func (r *relay) awaitTakeover(ctx context.Context, a, next *attempt, cause error) takeover.Outcome {
 	silent, other := takeover.Quiet, takeover.Quiet
 	overlap := time.NewTimer(time.Hour)
 	defer overlap.Stop()
 	written, over := next.requestWritten, false
-	var since time.Time // both have the request
+	var since time.Time // when the next server had received the request
 	for {
 		switch takeover.Settle(silent, other, over) {
 		case takeover.Move:
@@ -140,13 +140,13 @@
 	}
 }
 
-// awaitLatePart is what a silent attempt shows at last, before it is let go of. Its signal is put
-// back.
+// awaitLatePart waits for takeover.Settling for a part of a stalled attempt before the attempt is
+// given up, and returns the state that the part shows. The part is pushed back.
 //
-// The failure it guards against: the link from here is held up and free again while engines
-// are asked whether they respond. What was held up has arrived by the time the questions have
-// failed, and the answer is cut although it went on. It holds because what is on its way comes
-// no later than the answer of another engine that shows that the link works.
+// It covers a link of the daemon that stalls and recovers while engines are probed. The delayed
+// parts have arrived by the time the probes have failed, and without a last look the response
+// would be truncated although it continues. Delayed parts arrive no later than the response of
+// another engine that shows that the link works.
 func (r *relay) awaitLatePart(ctx context.Context, a *attempt) takeover.State {
 	timer := time.NewTimer(takeover.Settling)
 	defer timer.Stop()
@@ -160,7 +160,7 @@
 	return takeover.Quiet
 }
 
-// probeBoth asks the engines of two attempts for a sign of life.
+// probeBoth probes the engines of two attempts and reports which of them respond.
 func (r *relay) probeBoth(ctx context.Context, a, next *attempt, cause error) (silent, other bool) {
 	var both sync.WaitGroup
 	both.Go(func() { silent = r.answers(ctx, a, cause) })
@@ -172,7 +172,7 @@
 	return silent, other
 }
 
-// cancelTakeover ends an attempt that was to take an answer over.
+// cancelTakeover ends the attempt that was to continue the response, and returns why it does not.
 func (r *relay) cancelTakeover(ctx context.Context, a, next *attempt, other takeover.State) takeover.Outcome {
 	if other != takeover.Broken {
 		r.finishAttempt(next, segmentAborted, errTakeoverNotNeeded)
@@ -180,7 +180,7 @@
 	}
 	s := <-next.nextParts()
 	if s.head.reply.Misdirected {
-		a.copyUsed = false // it was asked for at an engine that does not have it
+		a.copyUsed = false // the request reached an engine that does not hold the copy
 	}
 	end, err := r.handleFailedTakeover(ctx, next.segment, *s.head)
 	next.response = s.head.resp
@@ -188,7 +188,7 @@
 	return takeover.TurnedAway
 }
 
-// handleFailedTakeover learns from a server that did not take an answer over.
+// handleFailedTakeover processes the response of a server that did not continue the stalled one.
 func (r *relay) handleFailedTakeover(ctx context.Context, l segment, o responseHead) (segmentEnd, error) {
 	switch {
 	case o.err != nil:
@@ -203,7 +203,7 @@
 	return segmentBroken, errors.Errorf("status %d", o.resp.StatusCode)
 }
 
-// takeoverState is what a signal shows of its server.
+// takeoverState returns the state of a server that a part of its response shows.
 func (s responsePart) takeoverState() takeover.State {
 	switch {
 	case s.head != nil && s.head.isStream():
@@ -214,7 +214,7 @@
 	return takeover.Broken
 }
 
-// exclude keeps the server of a leg from being chosen again for this request.
+// exclude prevents the server of a segment from being chosen again for this request.
 func (r *relay) exclude(l segment) {
 	if life := l.target.server.Life(); !slices.Contains(r.excluded, life) {
 		r.excluded = append(r.excluded, life)
--- a/serve/forward/upstream.go
+++ b/serve/forward/upstream.go
@@ -16,40 +16,39 @@
 	"mallowwind.dev/external/sent"
 )
 
-// dialTimeout is many times a round trip between zones (2 ms) and below the
-// second after which a lost SYN is sent again: another server is tried instead.
+// dialTimeout bounds the time to connect. It is many times a round trip between zones (2 ms), and
+// less than the second after which a lost SYN is retransmitted: another server is tried instead.
 const dialTimeout = 250 * time.Millisecond
 
-// maxEngineReplyBytes bounds what one engine tells of itself, in bytes.
+// maxEngineReplyBytes bounds the response of an engine to a probe or a command.
 const maxEngineReplyBytes = 1 << 20
 
-// errNotSent means that no byte of the request left: it has not run.
-var errNotSent = errors.New("forward: not sent")
+// errNotSent means that no byte of the request was sent, so it has not run.
+var errNotSent = errors.New("forward: request not sent")
 
-// notSentError is the reason why no byte of a request left.
+// notSentError wraps the reason why no byte of a request was sent.
 type notSentError struct{ cause error }
 
 // Error implements error.
 func (e notSentError) Error() string { return e.cause.Error() + ": " + errNotSent.Error() }
 
-// Is makes it errNotSent.
+// Is reports whether target is errNotSent.
 func (e notSentError) Is(target error) bool { return target == errNotSent }
 
 // Unwrap returns the reason.
 func (e notSentError) Unwrap() error { return e.cause }
 
-// isTimeout reports whether nothing came back in time. Any other error shows that the way to
+// isTimeout reports whether an error is a timeout. Any other error shows that the network path to
 // the server works.
 func isTimeout(err error) bool {
 	var n net.Error
 	return errors.Is(err, context.DeadlineExceeded) || errors.As(err, &n) && n.Timeout()
 }
 
-// newTransport returns a transport that uses each connection once. A kept
-// connection may have gone silent, may be closed by the server just as a
-// request is sent, and may carry a late answer to the request before; each
-// would be taken for the fate of the next request. A new connection costs one
-// round trip, and http.Transport repeats nothing of its own accord on it.
+// newTransport returns a transport that uses each connection once. A reused connection may be
+// dead without a reset, may be closed by the server just as a request is sent, or may carry a late
+// response to the previous request; each would be attributed to the next request. A new connection
+// costs one round trip, and http.Transport does not retry on it by itself.
 func newTransport(dial sent.DialFunc) *http.Transport {
 	limited := func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -63,11 +62,11 @@
 	return sent.NewTransportWith(limited, true)
 }
 
-// inbound is a caller's request, read whole.
+// inbound is a caller's request with its complete body.
 type inbound struct {
 	method string
 	host   string
-	target string // path and query as the caller wrote them
+	target string // path and query exactly as the caller sent them
 	header http.Header
 	body   []byte
 	call   Call
@@ -78,13 +77,14 @@
 	configVersion int64
 	configAge     time.Duration
 	arrived       time.Time
-	// digests name the request in all its attempts, the most exact first; none until its body is
-	// read.
+	// digests identify the request across the caller's attempts, the most specific first. They
+	// are empty until the body is read.
 	digests  []string
-	deadline time.Time // when the caller or the route gives up
+	deadline time.Time // by the timeout of the caller or of the route
 }
 
-// priority is the account's, or else the route's; 0 is the most urgent.
+// priority returns the account's priority, or the route's if the account has none; 0 is the most
+// urgent.
 func (in *inbound) priority() int {
 	if in.account != nil && in.account.Priority >= 0 {
 		return in.account.Priority
@@ -100,7 +100,7 @@
 		Header: codec.Outgoing(in.header, e),
 	}
 	if _, ok := req.Header["User-Agent"]; !ok {
-		req.Header["User-Agent"] = nil // keeps the library from adding its own
+		req.Header["User-Agent"] = nil // keeps net/http from adding its own
 	}
 	if len(in.body) > 0 {
 		req.Body = io.NopCloser(bytes.NewReader(in.body))
@@ -109,8 +109,8 @@
 	return req.WithContext(ctx)
 }
 
-// targetURL keeps path and query byte by byte. An opaque URL does so but for a
-// path that begins with two slashes, which would read as a host.
+// targetURL returns a URL that preserves path and query byte by byte. An opaque URL does so except
+// for a path that begins with two slashes, which would be parsed as a host.
 func targetURL(address, target string) *url.URL {
 	if !strings.HasPrefix(target, "//") {
 		return &url.URL{Scheme: "http", Host: address, Opaque: target}
@@ -123,7 +123,7 @@
 	return u
 }
 
-// send makes one exchange up to the answer's headers.
+// send sends the request to a server and returns the response up to its headers.
 func (h *Handler) send(ctx context.Context, in *inbound, e UpstreamRequest) (*http.Response, Reply, error) {
 	resp, err := h.transport.RoundTrip(in.outgoing(ctx, h.opts.Codec, e))
 	if err != nil {
@@ -132,23 +132,23 @@
 	reply := h.opts.Codec.Reply(resp.StatusCode, resp.Header)
 	if reply.ID != "" && reply.ID != in.call.ID {
 		resp.Body.Close()
-		return nil, Reply{}, errors.Errorf("answer to another request, %s", reply.ID)
+		return nil, Reply{}, errors.Errorf("the response belongs to another request, %s", reply.ID)
 	}
 	return resp, reply, nil
 }
 
-// getFromServer makes a call that runs nothing at a server and reads its whole answer. Beside an
-// error stands what had arrived of it.
+// getFromServer sends a GET request of the daemon itself to a server and reads the whole response.
+// With an error it returns the part of the body that arrived.
 func (h *Handler) getFromServer(ctx context.Context, s routing.Server, path string) ([]byte, error) {
 	return h.callServer(ctx, http.MethodGet, s, path, nil)
 }
 
-// callServer is ask with another method and a body.
+// callServer is getFromServer with a method and a body.
 func (h *Handler) callServer(ctx context.Context, method string, s routing.Server, path string, body []byte) ([]byte, error) {
 	return h.callServerUpTo(ctx, maxEngineReplyBytes, method, s, path, body)
 }
 
-// callServerUpTo is command, and reads no more than so many bytes of the answer.
+// callServerUpTo is callServer, limited to reading limitBytes of the response.
 func (h *Handler) callServerUpTo(ctx context.Context, limitBytes int64, method string, s routing.Server, path string, body []byte) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+s.Address+path, bytes.NewReader(body))
 	if err != nil {
@@ -172,7 +172,7 @@
 	return answer, nil
 }
 
-// fetchReport asks whatever answers at the address of an engine for its report.
+// fetchReport requests the report of whatever engine responds at the address of s.
 func (h *Handler) fetchReport(ctx context.Context, s routing.Server, limit time.Duration) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -187,13 +187,13 @@
 	return report, err
 }
 
-// hopByHopHeaders concern one connection only (RFC 9110, section 7.6.1).
+// hopByHopHeaders apply to a single connection (RFC 9110, section 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// endToEndHeaders returns a copy of h without what concerns one connection only.
+// endToEndHeaders returns a copy of h without the hop-by-hop headers.
 func endToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, line := range h["Connection"] {
