--- a/serve/forward/accept_test.go
+++ b/serve/forward/accept_test.go
@@ -13,7 +13,7 @@
 // on with it. The daemon cannot know; so it stops trusting keys before the bound after
 // which a removed key must not work, says that nothing ran, and serves again once the
 // store has answered. Routes without a key are served all along.
-func TestKeysAreNotTrustedBeyondTheirAge(t *testing.T) {
+func TestAccountKeysAreRefusedBeyondMaxKeyAge(t *testing.T) {
 	public := *plainRoutes()[0]
 	public.Name, public.Prefix, public.Public = "open", "/open/", true
 	inWorld(t, append(plainRoutes(), &public), func(w *world) {
@@ -47,7 +47,7 @@
 
 // A daemon is asked with a key that no configuration holds, by a request without one,
 // and with one that holds.
-func TestKeysOfAccounts(t *testing.T) {
+func TestAccountKeys(t *testing.T) {
 	inWorld(t, plainRoutes(), func(w *world) {
 		desk := w.add("d-1", "desk", "a", proven("ok"))
 		for key, status := range map[string]int{"key-1": http.StatusOK, "key-2": http.StatusOK, "key-3": http.StatusUnauthorized, "": http.StatusUnauthorized} {
@@ -63,7 +63,7 @@
 // All daemons were killed and start again. A caller comes back to one of them before it
 // has read the store, and has no further try. The request waits for the configuration,
 // which ninety daemons read side by side, a quarter of its caller's time at most.
-func TestRequestWaitsForTheFirstConfiguration(t *testing.T) {
+func TestRequestWaitsForFirstConfiguration(t *testing.T) {
 	cases := []struct {
 		name   string
 		reads  time.Duration // what reading the store takes
--- a/serve/forward/admit_test.go
+++ b/serve/forward/admit_test.go
@@ -12,7 +12,7 @@
 // A burst fills the memory of every engine. A prompt that is sent all the same waits
 // until its caller's time is over, and makes the engine throw out runs. Its caller is
 // told at once that nothing ran and when to come back.
-func TestFullEnginesRefuseAtOnce(t *testing.T) {
+func TestPromptIsRefusedWhenAllEnginesAreFull(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(5, time.Second, 40*time.Millisecond)
 		engines := []*fakeServer{w.add("e-a", "llm", "a", handle), w.add("e-b", "llm", "b", handle)}
@@ -35,7 +35,7 @@
 // The daemon of a caller died in a burst, and the caller comes with the id of its last
 // event. It holds a part of the answer, so the rest is owed, and engines that are
 // full get it all the same.
-func TestFullEnginesTakeWhatIsOwed(t *testing.T) {
+func TestResumedStreamIsAdmittedToFullEngine(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		a := w.add("e-a", "llm", "a", streaming(5, time.Second, 40*time.Millisecond))
 		a.reports("full run-1")
@@ -47,7 +47,7 @@
 // All engines have several prompts to read. The first event would come after the
 // route's objective: the caller is sent away before it waits for that, and one whose
 // objective has passed already is let in as long as half of its time would be left.
-func TestPromptsThatWaitTooLongAreRefused(t *testing.T) {
+func TestPromptIsRefusedBeyondQueueingObjective(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		a := w.add("e-a", "llm", "a", streaming(5, time.Second, 40*time.Millisecond))
 		sized := with(map[string]string{hTokens: "8000"})
@@ -64,7 +64,7 @@
 // A VM lost its power and the connection of a caller hung until the caller gave it up. It
 // comes back with more time than its prompt takes to read and less than the rest of its
 // answer. It hears at once that nothing ran; no engine reads and makes events in vain.
-func TestAnswerThatCannotBeWholeIsRefusedAtOnce(t *testing.T) {
+func TestRequestThatCannotCompleteInTimeIsRefused(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		a := w.add("e-a", "llm", "a", streaming(100, 200*time.Millisecond, 40*time.Millisecond))
 		sized := map[string]string{hTokens: "8000"}
--- a/serve/forward/defaultcodec.go
+++ b/serve/forward/defaultcodec.go
@@ -11,8 +11,8 @@
 	"github.com/pkg/errors"
 )
 
-// Headers of DefaultCodec. Outgoing replaces or removes what a caller sent in those that the
-// daemon sets.
+// Headers of DefaultCodec. Outgoing overwrites what a caller sent as backend ID, timeout, account
+// or priority.
 const (
 	headerRequestID   = "X-Request-Id"
 	headerTimeout     = "X-Request-Timeout" // a duration such as 1.5s
--- a/serve/forward/finish_test.go
+++ b/serve/forward/finish_test.go
@@ -13,7 +13,7 @@
 // has the prompt read, for a second of an engine; the caller's time is over before the end.
 // Cause: whether the answer can be whole was judged before the look, as if the prompt were
 // held. The caller hears at once, and no engine reads for nobody.
-func TestAnswerWhosePromptIsLostIsRefusedWhereItCannotBeWhole(t *testing.T) {
+func TestResumedStreamWithLostPromptIsRefusedIfItCannotComplete(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		reading := time.Second
 		handle := func(rw http.ResponseWriter, r *http.Request) {
@@ -47,7 +47,7 @@
 // All daemons start at once. Callers come back with little of their time left at one that
 // has seen no whole answer yet, and knows nothing of the engines' pace. Others have seen
 // answers: the callers must not wait for what cannot be whole.
-func TestDaemonThatKnowsNothingHearsThePace(t *testing.T) {
+func TestNewDaemonLearnsPaceFromPeers(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		w.add("e-1", "llm", "a", streaming(101, time.Second, 30*time.Millisecond))
 		other := w.addDaemon("vm-2")
--- a/serve/forward/place_test.go
+++ b/serve/forward/place_test.go
@@ -19,7 +19,7 @@
 // Other daemons send their prompts to engines that this one believes idle. A
 // prompt that goes there waits a second for each of them, and every answer that
 // runs there stalls. The engine says that it reads; another is chosen.
-func TestPromptGoesToAnEngineThatReadsNone(t *testing.T) {
+func TestPromptGoesToIdleEngine(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(5, time.Second, 40*time.Millisecond)
 		var idle *fakeServer
@@ -38,7 +38,7 @@
 }
 
 // All engines read a prompt, one of them only one. The prompt goes there.
-func TestPromptGoesWhereFewestWait(t *testing.T) {
+func TestPromptGoesToEngineWithFewestQueued(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(5, time.Second, 40*time.Millisecond)
 		a := w.add("e-a", "llm", "a", handle)
@@ -57,7 +57,7 @@
 // A burst of prompts fills the engines' memory, and an engine that runs out throws
 // out the newest run, whose caller waits while its prompt is read again. So one
 // without room gets neither a prompt nor a copy while another has room.
-func TestFullEngineGetsNothing(t *testing.T) {
+func TestFullEngineGetsNeitherPromptNorCopy(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(5, time.Second, 40*time.Millisecond)
 		a, b, c := w.add("e-a", "llm", "a", handle), w.add("e-b", "llm", "b", handle), w.add("e-c", "llm", "c", handle)
@@ -73,7 +73,7 @@
 
 // The engines answer no question for their load but run requests: the answers
 // are lost on the way, or asking fails here. The request is sent all the same.
-func TestPromptIsSentWhereNoEngineAnswers(t *testing.T) {
+func TestPromptIsSentWhenNoEngineRespondsToProbes(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		a := w.add("e-a", "llm", "a", streaming(5, 300*time.Millisecond, 40*time.Millisecond))
 		a.mute()
@@ -86,7 +86,7 @@
 // An engine goes dark after it has taken a request and before its first event.
 // Nothing is reset and nothing arrives. Probes find it, and another engine reads
 // the prompt.
-func TestEngineGoesDarkWhileItReads(t *testing.T) {
+func TestEngineBecomesUnreachableDuringPrefill(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(5, time.Second, 40*time.Millisecond)
 		a := w.add("e-a", "llm", "a", handle)
@@ -111,7 +111,7 @@
 // engine turns requests away. Each is sent once more, and the fleet's budget of
 // repeats runs out. The first such answer names the new engine; it is sent to from
 // then on, unless a server of another service was given the address.
-func TestRestartedEngineIsRemembered(t *testing.T) {
+func TestRestartedEngineIsUsedUnderItsNewID(t *testing.T) {
 	for service, turnedAway := range map[string]int{"llm": 1, "desk": 0} {
 		t.Run(service, func(t *testing.T) {
 			inWorld(t, streamRoute(), func(w *world) {
@@ -193,7 +193,7 @@
 // prompts read and answers made at all engines but one, of which the engines' reports, a
 // tenth of a second old, show nothing yet. The keepers of the engines know, and the prompt
 // goes to the one that is free; once the keepers are cut off, reports decide.
-func TestPromptGoesWhereKeepersKnowOfNoWork(t *testing.T) {
+func TestPromptPlacementAsksKeepersInLargeFleet(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(3, time.Second, 40*time.Millisecond)
 		for n := range 6 {
@@ -223,7 +223,7 @@
 // One engine resets every request at once while it answers questions well, so that it is
 // always idle. Each daemon finds that out by a prompt of its own, unless the others tell:
 // then their prompts go elsewhere for as long as it is suspect.
-func TestEngineThatFailsOthersIsLeftAlone(t *testing.T) {
+func TestEngineSuspectedByOtherDaemonsIsAvoided(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(3, time.Second, 40*time.Millisecond)
 		for n := range 6 {
@@ -271,7 +271,7 @@
 // Another daemon has a prompt read at one engine and an answer made at a second, which
 // the engines' reports, a tenth of a second old, do not show yet. A prompt sent to either
 // would wait for the one or hold up the other; told of both, the daemon takes the third.
-func TestPromptGoesWhereNoDaemonHasWork(t *testing.T) {
+func TestPromptPlacementCountsWorkOfOtherDaemons(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(3, time.Second, 40*time.Millisecond)
 		for _, id := range []string{"e-1", "e-2", "e-3"} {
@@ -299,7 +299,7 @@
 // Two prompts come to two daemons in the same moment. The second daemon asks the first
 // before anything of its prompt has reached an engine, and must hear of it all the same:
 // both would be read at one engine, the second after the first.
-func TestPromptCountsAtOnce(t *testing.T) {
+func TestPlacedPromptIsCountedBeforeItIsSent(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(3, time.Second, 40*time.Millisecond)
 		w.add("e-1", "llm", "a", handle)
@@ -317,7 +317,7 @@
 
 // A neighbour is cut off. Prompts must not wait for it one after the other: it is left
 // out for a second, and prompts are placed by the reports of engines meanwhile.
-func TestSilentNeighbourHoldsNothingUp(t *testing.T) {
+func TestUnresponsiveDaemonDoesNotDelayPlacement(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		w.add("e-1", "llm", "a", streaming(3, 100*time.Millisecond, 10*time.Millisecond))
 		w.addDaemon("vm-2")
--- a/serve/forward/plain_test.go
+++ b/serve/forward/plain_test.go
@@ -72,7 +72,7 @@
 
 // A server hangs. The caller of a call that may not be repeated hears at the
 // route's timeout, not later, and no second server runs it.
-func TestTimeoutIsAnsweredAtOnce(t *testing.T) {
+func TestHangingServerTimesOutAtRouteTimeout(t *testing.T) {
 	inWorld(t, plainRoutes(), func(w *world) {
 		w.add("d-1", "desk", "a", func(_ http.ResponseWriter, r *http.Request) { sleep(r, time.Hour) })
 		far := w.add("d-2", "desk", "b", proven("ok"))
@@ -98,7 +98,7 @@
 // The store is gone for longer than a removed key may be used. A daemon cannot
 // know whether a key still holds, so it says that the request has not run; it
 // serves again as soon as the store answers.
-func TestKeysAreRefusedOnceTheConfigurationIsOld(t *testing.T) {
+func TestAccountKeysAreRefusedWithStaleConfiguration(t *testing.T) {
 	inWorld(t, plainRoutes(), func(w *world) {
 		w.add("d-1", "desk", "a", proven("ok"))
 		ask := func() int { return w.ask(http.MethodPost, "/once/1", caller, "x").status }
@@ -114,7 +114,7 @@
 
 // Callers' headers that are the system's to set never reach a server, and the
 // path arrives byte by byte.
-func TestRequestArrivesUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	inWorld(t, plainRoutes(), func(w *world) {
 		s := w.add("d-1", "desk", "a", proven("ok"))
 		for _, path := range []string{"/once/a%2Fb?x=%20&&y", "/once//c/../d?"} {
@@ -130,7 +130,7 @@
 
 // A caller announces a body and sends half of it. Once its time is over the
 // daemon answers that nothing ran and keeps nothing of it.
-func TestSlowSenderIsGivenUp(t *testing.T) {
+func TestSlowRequestBodyTimesOut(t *testing.T) {
 	inWorld(t, plainRoutes(), func(w *world) {
 		s := w.add("d-1", "desk", "a", proven("ok"))
 		listener := faultnet.Pipe()
@@ -153,7 +153,7 @@
 }
 
 // An account with a priority of its own ranks by it, others by the route's.
-func TestPriorityOfTheAccountGoesFirst(t *testing.T) {
+func TestAccountPriorityOverridesRoutePriority(t *testing.T) {
 	routes := plainRoutes()
 	routes[0].Priority = 1
 	inWorld(t, routes, func(w *world) {
@@ -165,7 +165,7 @@
 	})
 }
 
-func TestAnswerToHeadKeepsItsLength(t *testing.T) {
+func TestHeadResponseKeepsContentLength(t *testing.T) {
 	inWorld(t, plainRoutes(), func(w *world) {
 		w.add("d-1", "desk", "a", func(rw http.ResponseWriter, _ *http.Request) {
 			rw.Header().Set(hProof, "p")
@@ -181,7 +181,7 @@
 // their queues. Callers wait for that three times, at one server after the other, and
 // learn nothing sooner. After some the daemon says so itself, at once, that nothing ran
 // and when to come back; once the servers have room again it sends as before.
-func TestFullServiceIsNotAskedAgain(t *testing.T) {
+func TestOverloadedServiceIsThrottled(t *testing.T) {
 	inWorld(t, plainRoutes(), func(w *world) {
 		var room atomic.Bool
 		handle := func(rw http.ResponseWriter, r *http.Request) {
@@ -213,7 +213,7 @@
 
 // A server of two turns away whatever it gets, and the other takes it. No caller
 // notices, and none is refused.
-func TestServerThatTurnsAwayAloneIsNoCrowd(t *testing.T) {
+func TestSingleRejectingServerDoesNotThrottle(t *testing.T) {
 	inWorld(t, plainRoutes(), func(w *world) {
 		w.add("d-1", "desk", "a", rejecting)
 		w.add("d-2", "desk", "b", proven("ok"))
@@ -226,7 +226,7 @@
 // The store is away and all servers of a service have started anew: each turns away
 // what is meant for the one before it. That says nothing of their load. Once the
 // entries are right nobody is refused.
-func TestRestartedServersAreNoCrowd(t *testing.T) {
+func TestMisdirectedRequestsDoNotThrottle(t *testing.T) {
 	inWorld(t, plainRoutes(), func(w *world) {
 		var known atomic.Bool
 		handle := func(rw http.ResponseWriter, r *http.Request) {
--- a/serve/forward/silent_test.go
+++ b/serve/forward/silent_test.go
@@ -52,7 +52,7 @@
 // the answer cut if the daemon has closed the connection to the first engine by then, and the
 // budget affords no further repeat. Evidence: the engine's run ended well 0.6 s before the
 // engine with the copy was asked, and the caller's connection was closed half a second later.
-func TestSilentAnswerWhoseCopyIsGone(t *testing.T) {
+func TestStalledStreamIsKeptWhenCopyIsGone(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := withCopyReleased(0, 600*time.Millisecond)
 		w.add("e-a", "llm", "a", handle)
@@ -97,7 +97,7 @@
 // The caller must not see its answer cut at once, for the budget affords a repeat a second
 // later and the caller waits for two. Evidence: 744 repeats denied in 90 s of restarts, each
 // of which ended an answer.
-func TestSilentAnswerGoesOnOnceARepeatIsFree(t *testing.T) {
+func TestStalledStreamResumesOnceRetryBudgetPermits(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(40, time.Second, 40*time.Millisecond)
 		a := w.add("e-a", "llm", "a", handle)
@@ -120,7 +120,7 @@
 // prompts. The two must not work on one answer side by side: the run that is given up ends
 // within 400 ms, of the request to the other if it gives no sign of life, or else of the
 // other's first event. The caller has each event once.
-func TestSilentRunEndsOnceAnotherHasTheRequest(t *testing.T) {
+func TestStalledRunEndsAfterTakeover(t *testing.T) {
 	for _, alive := range []bool{false, true} {
 		t.Run(fmt.Sprint("gives a sign of life: ", alive), func(t *testing.T) {
 			inWorld(t, streamRoute(), func(w *world) {
@@ -158,7 +158,7 @@
 
 // A silent engine speaks again while the one with the copy has the request already. The
 // answer stays where it was, the caller has each event once, and the second run is ended.
-func TestSilentEngineSpeaksAgain(t *testing.T) {
+func TestStalledEngineRecoversDuringTakeover(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		ended := make(chan struct{})
 		handle := func(rw http.ResponseWriter, r *http.Request) {
@@ -186,7 +186,7 @@
 
 // An engine goes dark while others answer. It is suspect then, so that the next callers do
 // not wait for it.
-func TestEngineThatIsSilentAloneIsSuspect(t *testing.T) {
+func TestSingleUnreachableEngineIsSuspect(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		for _, id := range []string{"a", "b", "c"} {
 			w.add("e-"+id, "llm", id, streaming(3, 10*time.Millisecond, 10*time.Millisecond))
@@ -202,7 +202,7 @@
 // The engine with the copy needs 300 ms to turn the request away: it has freed the copy and
 // is busy. The silent engine pauses for 900 ms and gives signs of life. A daemon that lets go
 // of it meanwhile has no repeat left, and the caller sees its answer cut.
-func TestSilentAnswerTurnedAwayLate(t *testing.T) {
+func TestStalledStreamIsKeptWhenTakeoverIsRejectedLate(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := withCopyReleased(300*time.Millisecond, 900*time.Millisecond)
 		w.add("e-a", "llm", "a", handle)
@@ -217,7 +217,7 @@
 // An engine goes dark in mid-answer; others answer, but the route allows no further run. The
 // caller's answer cannot go on here: it must be told at once so that it goes on elsewhere, and
 // not be held until its time is over.
-func TestCallerOfADeadEngineIsTold(t *testing.T) {
+func TestStreamOfDeadEngineIsTruncatedWithoutRetries(t *testing.T) {
 	route := streamRoute()
 	route[0].Attempts = 1
 	inWorld(t, route, func(w *world) {
@@ -241,7 +241,7 @@
 // A silent engine speaks again while a place for the next copy is being sought, when the next
 // engine has been chosen. The request that was not sent must not stay counted as one that the
 // next engine reads, or prompts avoid that engine until the daemon ends.
-func TestCountsOfATryThatWasNotNeeded(t *testing.T) {
+func TestCancelledTakeoverLeavesNoCounts(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := func(rw http.ResponseWriter, r *http.Request) { pausing(rw, r, 360*time.Millisecond) }
 		for _, id := range []string{"a", "b", "c"} {
@@ -267,7 +267,7 @@
 // An engine runs a request and its answer is lost; the route allows no further run. The answer
 // can never go on here although the engine answers questions: the caller must be told, and not
 // be held until its time is over.
-func TestLostAnswerThatCannotGoOnIsTold(t *testing.T) {
+func TestLostResponseIsTruncatedWithoutRetries(t *testing.T) {
 	route := streamRoute()
 	route[0].Attempts = 1
 	inWorld(t, route, func(w *world) {
@@ -285,7 +285,7 @@
 // An engine goes dark in mid-answer, and all others turn the request away, since they are full.
 // No server is left that was not tried: the caller must be told within seconds, and not be
 // held until its time is over.
-func TestDarkEngineWhileAllOthersTurnAway(t *testing.T) {
+func TestStreamOfUnreachableEngineEndsWhenOthersReject(t *testing.T) {
 	for _, n := range []int{2, 4, 7} {
 		inWorld(t, streamRoute(), func(w *world) {
 			var begun atomic.Int32
@@ -318,7 +318,7 @@
 
 // The copy is gone and repeats are left. The engine with the copy is asked once and no more:
 // each further question is a repeat of the whole system spent in vain.
-func TestCopyThatIsGoneIsAskedForOnce(t *testing.T) {
+func TestMissingCopyIsRequestedOnce(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := withCopyReleased(0, 600*time.Millisecond)
 		w.add("e-a", "llm", "a", handle)
--- a/serve/forward/stream_test.go
+++ b/serve/forward/stream_test.go
@@ -16,7 +16,7 @@
 // An engine resets its connections in the middle of an answer. The caller sees
 // one whole answer without a repeated or missing event; the second part comes
 // from the engine that holds the copy.
-func TestStreamGoesOnFromCopy(t *testing.T) {
+func TestStreamResumesFromCopy(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		var first *fakeServer
 		handle := streaming(40, time.Second, 40*time.Millisecond)
@@ -42,7 +42,7 @@
 
 // An engine falls silent in the middle of an answer; its connections stay open.
 // The answer goes on elsewhere within the 700 ms that callers accept as a pause.
-func TestSilentStreamGoesOnInTime(t *testing.T) {
+func TestStalledStreamResumesWithinGapTarget(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		quiet := func(rw http.ResponseWriter, r *http.Request) {
 			if r.Header.Get(hCopyAt) != "" {
@@ -64,7 +64,7 @@
 
 // An engine goes dark while it reads a prompt: nothing is reset and nothing
 // arrives. Probes find it and another engine reads the prompt.
-func TestDarkEngineBeforeFirstEvent(t *testing.T) {
+func TestUnreachableEngineBeforeFirstEvent(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := func(rw http.ResponseWriter, r *http.Request) {
 			if r.Header.Get(hCopyAt) != "" {
@@ -89,7 +89,7 @@
 // A daemon dies and its caller goes on at this one, which knows nothing of the
 // run. The engine that read the prompt still holds it; sent anywhere else, the
 // prompt would be read a second time and the answer wait for a second.
-func TestResumedStreamFindsThePrompt(t *testing.T) {
+func TestResumedStreamFindsCachedPrompt(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(12, time.Second, 40*time.Millisecond)
 		for _, id := range []string{"e-1", "e-2", "e-3", "e-4", "e-5"} {
@@ -109,7 +109,7 @@
 // links. Asking 120 engines what they hold takes a quarter of a second there. Given up
 // sooner, half of the prompts were read anew, each for a second of an engine. The one
 // that holds the prompt is used as soon as it has answered, without the others.
-func TestPromptIsFoundBehindASlowLink(t *testing.T) {
+func TestCachedPromptIsFoundOverSlowLink(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(12, 20*time.Millisecond, 40*time.Millisecond)
 		for _, id := range []string{"e-1", "e-2", "e-3", "e-4", "e-5"} {
@@ -130,7 +130,7 @@
 // streams at this daemon come through it, and they are given up when they are silent for
 // 350 ms. Whatever engines have to tell, less than that is read of it. All 120 were asked at
 // once and read to the end, 1.7 MB; as many are asked now as the largest answer so far allows.
-func TestLookLeavesTheLinkToStreams(t *testing.T) {
+func TestCacheScanLimitsBandwidth(t *testing.T) {
 	const linkPerTenth = 125_000 // bytes
 	var read int64
 	inWorld(t, streamRoute(), func(w *world) {
@@ -150,7 +150,7 @@
 // Daemons die, and their callers go on at others, before hundreds of engines: too many to
 // ask all of them what they hold. Each prompt was read a second time then. It lies at one of
 // the few engines among which every daemon places that prompt, and only those are asked.
-func TestPromptIsFoundAmongHundredsOfEngines(t *testing.T) {
+func TestCachedPromptIsFoundAmongHundredsOfEngines(t *testing.T) {
 	const engines, streams = 200, 20
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := func(rw http.ResponseWriter, r *http.Request) {
@@ -187,7 +187,7 @@
 
 // A stream ends in the middle of an event and no engine is left to go on. The
 // caller gets the whole events only, and the answer does not look complete.
-func TestTornStreamIsCut(t *testing.T) {
+func TestPartialEventIsNotForwarded(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		w.add("e-a", "llm", "a", func(rw http.ResponseWriter, _ *http.Request) {
 			rw.Header().Set(hProof, "p")
@@ -204,7 +204,7 @@
 // copy lies at an engine nobody has registered; then the run's engine dies. The
 // answer goes on from the copy, and never at a server of another service that
 // was given the address.
-func TestCopyAtAnEngineThatRestarted(t *testing.T) {
+func TestStreamResumesFromCopyAtRestartedEngine(t *testing.T) {
 	for _, service := range []string{"llm", "desk"} {
 		t.Run(service, func(t *testing.T) {
 			inWorld(t, streamRoute(), func(w *world) {
@@ -237,7 +237,7 @@
 
 // A caller comes back after an outage with less time than its prompt takes to
 // read. It hears at once that nothing ran, and no engine reads in vain.
-func TestHopelessPromptIsRefusedAtOnce(t *testing.T) {
+func TestPromptThatCannotBePrefilledInTimeIsRefused(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		a := w.add("e-a", "llm", "a", streaming(3, time.Second, 40*time.Millisecond))
 		long := map[string]string{hTokens: "8000", hPart: "p1"}
@@ -254,7 +254,7 @@
 // its entry may be gone by the time the run's engine dies. The answer must not
 // go on at an engine that leaves, although it names itself when it is asked for
 // by the old id.
-func TestCopyAtAnEngineThatLeaves(t *testing.T) {
+func TestStreamDoesNotResumeAtDrainingEngine(t *testing.T) {
 	for _, removed := range []bool{false, true} {
 		t.Run(fmt.Sprintf("removed %v", removed), func(t *testing.T) {
 			inWorld(t, streamRoute(), func(w *world) {
@@ -290,7 +290,7 @@
 
 // A caller stops reading in the middle of an answer and keeps its connection.
 // Once its time is over nothing of the request is left at the daemon or at an engine.
-func TestCallerThatStopsReadingIsGivenUp(t *testing.T) {
+func TestCallerThatStopsReadingTimesOut(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		ended := make(chan struct{})
 		w.add("e-a", "llm", "a", func(rw http.ResponseWriter, r *http.Request) {
@@ -320,7 +320,7 @@
 
 // A caller holds all events but not the end of the answer and asks for the rest.
 // The engine has no event left; the caller gets its proven, empty answer.
-func TestStreamWithoutEventsIsPassedOn(t *testing.T) {
+func TestStreamWithoutEventsIsForwarded(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		w.add("e-a", "llm", "a", streaming(9, 0, 0))
 		got := w.ask(http.MethodPost, "/s/1", with(map[string]string{hAfter: "9"}), "prompt")
@@ -333,7 +333,7 @@
 
 // A stream that may not go on elsewhere, from a server that is no engine, is
 // silent for seconds. Nothing is gained by ending it sooner: it is waited for.
-func TestStreamThatCannotGoOnIsWaitedFor(t *testing.T) {
+func TestNonResumableStreamMayStall(t *testing.T) {
 	routes := streamRoute()
 	routes[0].Resumable = false
 	routes[0].Targets[0].Service = "desk"
@@ -349,7 +349,7 @@
 // Half of all engines die at once and their entries stay for seconds. A caller
 // that arrives then gets its answer from one that lives, however many are tried
 // in vain before.
-func TestManyDeadEnginesBeforeOneThatLives(t *testing.T) {
+func TestManyDeadEnginesAreSkipped(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(3, 10*time.Millisecond, 10*time.Millisecond)
 		for n := range 40 {
@@ -365,7 +365,7 @@
 // An engine runs a request and its answer is lost: the connection stays open and
 // says nothing, while the engine is alive. Its report shows that it makes events;
 // the answer goes on from the copy and not after the caller's whole time.
-func TestLostAnswerGoesOnFromCopy(t *testing.T) {
+func TestLostResponseResumesFromCopy(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := func(rw http.ResponseWriter, r *http.Request) {
 			if r.Header.Get(hCopyAt) == "" {
@@ -387,7 +387,7 @@
 // An engine resets the connection of one request after it has read its prompt,
 // and lives on. The prompt is still there: the request goes to the same engine
 // again, where it needs no reading.
-func TestResetAfterReadingGoesToTheSameEngine(t *testing.T) {
+func TestResetAfterPrefillRetriesSameEngine(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		var tries atomic.Int32
 		handle := func(rw http.ResponseWriter, r *http.Request) {
@@ -413,7 +413,7 @@
 
 // The engine chosen for a copy has died and its entry is still there. The copy
 // goes to one that lives, or the answer would have none when its engine dies.
-func TestCopyIsSentToAnEngineThatLives(t *testing.T) {
+func TestCopyIsSentToLiveEngine(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(40, time.Second, 40*time.Millisecond)
 		runner := w.add("e-a", "llm", "a", handle)
@@ -434,7 +434,7 @@
 
 // An answer outlasts the graceful shutdown and is cut when the daemon ends. Who looks for
 // the cause must not read that the caller left.
-func TestAnswerThatOutlastsTheDaemonSaysSo(t *testing.T) {
+func TestResponseThatOutlastsShutdownReportsIt(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		r := &relay{h: w.handler, in: &inbound{deadline: time.Now().Add(time.Minute)}}
 		must.ErrorIs(t, r.expiryError(), errCallerGone)
--- a/serve/forward/upstream.go
+++ b/serve/forward/upstream.go
@@ -73,7 +73,8 @@
 	route  *routing.Route
 	// account is the caller's; nil on public routes.
 	account *routing.Account
-	// configVersion of the configuration by which it is served, and its age on arrival.
+	// configVersion is the version of the configuration that applies to the request, and
+	// configAge its age when the request arrived.
 	configVersion int64
 	configAge     time.Duration
 	arrived       time.Time
