--- a/serve/forward/accept_test.go
+++ b/serve/forward/accept_test.go
@@ -9,10 +9,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// An account key is taken away while a daemon has lost the store, and its caller goes
-// on with it. The daemon cannot know; so it stops trusting keys before the bound after
-// which a removed key must not work, says that nothing ran, and serves again once the
-// store has answered. Routes without a key are served all along.
+// An account key is revoked while the daemon cannot reach the store, and its caller keeps using
+// it. The daemon cannot learn of it, so it refuses all keys before the age at which a revoked key
+// must stop working, with verdict not_run, and accepts them again once the store responds. Public
+// routes are served throughout.
 func TestAccountKeysAreRefusedBeyondMaxKeyAge(t *testing.T) {
 	public := *plainRoutes()[0]
 	public.Name, public.Prefix, public.Public = "open", "/open/", true
@@ -45,8 +45,8 @@
 	})
 }
 
-// A daemon is asked with a key that no configuration holds, by a request without one,
-// and with one that holds.
+// Requests with a known key succeed; those with an unknown key or without one are refused and
+// reach no server.
 func TestAccountKeys(t *testing.T) {
 	inWorld(t, plainRoutes(), func(w *world) {
 		desk := w.add("d-1", "desk", "a", proven("ok"))
@@ -60,21 +60,21 @@
 	})
 }
 
-// All daemons were killed and start again. A caller comes back to one of them before it
-// has read the store, and has no further try. The request waits for the configuration,
-// which ninety daemons read side by side, a quarter of its caller's time at most.
+// All daemons restart at once, and a caller without further retries connects to one that has not
+// read the store yet. The request waits for the configuration, which ninety daemons read
+// concurrently, for a quarter of the caller's timeout at most.
 func TestRequestWaitsForFirstConfiguration(t *testing.T) {
 	cases := []struct {
 		name   string
-		reads  time.Duration // what reading the store takes
+		reads  time.Duration // time that reading the store takes
 		wait   string
 		status int
 		most   time.Duration
 	}{
 		{"read in time", 120 * time.Millisecond, "25000", http.StatusOK, 150 * time.Millisecond},
-		{"read late, before a thousand servers", 600 * time.Millisecond, "25000", http.StatusOK, 650 * time.Millisecond},
+		{"read late, with a thousand servers", 600 * time.Millisecond, "25000", http.StatusOK, 650 * time.Millisecond},
 		{"not read in time", time.Second, "25000", http.StatusServiceUnavailable, maxFirstConfigWait},
-		{"its caller has little time", 120 * time.Millisecond, "200", http.StatusServiceUnavailable, 50 * time.Millisecond},
+		{"short caller timeout", 120 * time.Millisecond, "200", http.StatusServiceUnavailable, 50 * time.Millisecond},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/serve/forward/admit_test.go
+++ b/serve/forward/admit_test.go
@@ -9,9 +9,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// A burst fills the memory of every engine. A prompt that is sent all the same waits
-// until its caller's time is over, and makes the engine throw out runs. Its caller is
-// told at once that nothing ran and when to come back.
+// A burst fills the KV cache of every engine. A prompt sent regardless would wait past its
+// caller's deadline and make the engine evict runs. It is refused at once with verdict not_run and
+// a Retry-After.
 func TestPromptIsRefusedWhenAllEnginesAreFull(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(5, time.Second, 40*time.Millisecond)
@@ -32,9 +32,8 @@
 	})
 }
 
-// The daemon of a caller died in a burst, and the caller comes with the id of its last
-// event. It holds a part of the answer, so the rest is owed, and engines that are
-// full get it all the same.
+// A caller whose daemon crashed in a burst resumes its stream with the ID of its last event. It has
+// received a part of the response, so the request is sent even though all engines are full.
 func TestResumedStreamIsAdmittedToFullEngine(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		a := w.add("e-a", "llm", "a", streaming(5, time.Second, 40*time.Millisecond))
@@ -44,14 +43,14 @@
 	})
 }
 
-// All engines have several prompts to read. The first event would come after the
-// route's objective: the caller is sent away before it waits for that, and one whose
-// objective has passed already is let in as long as half of its time would be left.
+// All engines have several prompts to prefill, so the first event would miss the route's
+// objective. The request is refused before it waits. A retried request whose objective has passed
+// already is admitted as long as its first event leaves half of the remaining time.
 func TestPromptIsRefusedBeyondQueueingObjective(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		a := w.add("e-a", "llm", "a", streaming(5, time.Second, 40*time.Millisecond))
 		sized := with(map[string]string{hTokens: "8000"})
-		must.Eq(t, http.StatusOK, w.ask(http.MethodPost, "/s/1", sized, "prompt").status) // a prompt takes a second
+		must.Eq(t, http.StatusOK, w.ask(http.MethodPost, "/s/1", sized, "prompt").status) // the prefill takes a second
 		a.reports("-1 -2 -3 -4")
 		must.Eq(t, http.StatusServiceUnavailable, w.ask(http.MethodPost, "/s/1", sized, "prompt").status)
 		late := with(map[string]string{hTokens: "8000", hWait: "16000"})
@@ -61,9 +60,9 @@
 	})
 }
 
-// A VM lost its power and the connection of a caller hung until the caller gave it up. It
-// comes back with more time than its prompt takes to read and less than the rest of its
-// answer. It hears at once that nothing ran; no engine reads and makes events in vain.
+// A caller lost its VM and retries with enough time for the prefill of its prompt, but not for the
+// rest of the response. The request is refused at once with verdict not_run, so that no engine
+// works on a response that cannot be completed.
 func TestRequestThatCannotCompleteInTimeIsRefused(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		a := w.add("e-a", "llm", "a", streaming(100, 200*time.Millisecond, 40*time.Millisecond))
@@ -79,7 +78,7 @@
 			must.Less(t, 50*time.Millisecond, got.took)
 		}
 		must.Eq(t, 5, a.requests())
-		sized[hAfter] = "80" // the rest may well be whole
+		sized[hAfter] = "80" // the rest can be completed in time
 		must.Eq(t, events(81, 100), w.ask(http.MethodPost, "/s/1", with(sized), "prompt").body)
 	})
 }
--- a/serve/forward/finish_test.go
+++ b/serve/forward/finish_test.go
@@ -8,11 +8,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// A VM lost its power, and its callers come back at another daemon when little of their
-// time is left. Order: the daemon looks which engine holds the prompt, none does, and it
-// has the prompt read, for a second of an engine; the caller's time is over before the end.
-// Cause: whether the answer can be whole was judged before the look, as if the prompt were
-// held. The caller hears at once, and no engine reads for nobody.
+// A VM fails, and its callers resume at another daemon with little time left. If the daemon
+// assumed that an engine still holds the prompt when it checks the deadline, and the lookup then
+// found none, the prompt would be prefilled for a second although the response cannot be completed
+// in time. The check is repeated after the lookup, so the request is refused at once.
 func TestResumedStreamWithLostPromptIsRefusedIfItCannotComplete(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		reading := time.Second
@@ -22,7 +21,7 @@
 		for _, id := range []string{"e-1", "e-2", "e-3"} {
 			w.add(id, "llm", "a", handle)
 		}
-		for range 5 { // the daemon learns how answers are made here
+		for range 5 { // the daemon learns the pace of the engines
 			must.NoError(t, w.ask(http.MethodPost, "/s/1", with(map[string]string{hTokens: "8000"}), "prompt").err)
 		}
 		ran := func() (n int) {
@@ -38,15 +37,15 @@
 		must.Less(t, 500*time.Millisecond, got.took)
 		must.Eq(t, before, ran())
 
-		w.servers["e-2"].holds("p7") // then there is time enough
+		w.servers["e-2"].holds("p7") // with the prompt cached there is enough time
 		reading, late[hAfter] = 0, "90"
 		must.Eq(t, events(91, 101), w.ask(http.MethodPost, "/s/1", with(late), "prompt").body)
 	})
 }
 
-// All daemons start at once. Callers come back with little of their time left at one that
-// has seen no whole answer yet, and knows nothing of the engines' pace. Others have seen
-// answers: the callers must not wait for what cannot be whole.
+// After a restart of all daemons, callers resume with little time left at a daemon that has not
+// seen a complete response and does not know the pace of the engines. It asks daemons that do, so
+// that a request which cannot complete in time is refused.
 func TestNewDaemonLearnsPaceFromPeers(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		w.add("e-1", "llm", "a", streaming(101, time.Second, 30*time.Millisecond))
--- a/serve/forward/plain_test.go
+++ b/serve/forward/plain_test.go
@@ -24,7 +24,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// breaking closes the connection in the middle of an answer.
+// breaking closes the connection in the middle of a response.
 func breaking(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(hProof, "p")
 	w.Header().Set("Content-Length", "100")
@@ -36,21 +36,21 @@
 	cases := []struct {
 		name   string
 		path   string
-		first  http.HandlerFunc // in the caller's zone, asked first
+		first  http.HandlerFunc // in the daemon's zone, tried first
 		second http.HandlerFunc
 		status int
 		body   string // "" is not compared
 		runs   [2]int // at the first and second server
 	}{
-		{"answered", "/once/1", proven("ok"), proven("other"), 200, "ok", [2]int{1, 0}},
-		{"failure passed on once", "/once/1", failing(500), proven("ok"), 500, "", [2]int{1, 0}},
-		{"failure repeated where it may be", "/again/1", failing(500), proven("ok"), 200, "ok", [2]int{1, 1}},
-		{"rejected, so sent elsewhere", "/once/1", rejecting, proven("ok"), 200, "ok", [2]int{1, 1}},
+		{"successful response", "/once/1", proven("ok"), proven("other"), 200, "ok", [2]int{1, 0}},
+		{"server error forwarded without a retry", "/once/1", failing(500), proven("ok"), 500, "", [2]int{1, 0}},
+		{"server error retried on an idempotent route", "/again/1", failing(500), proven("ok"), 200, "ok", [2]int{1, 1}},
+		{"rejected, so sent to another server", "/once/1", rejecting, proven("ok"), 200, "ok", [2]int{1, 1}},
 		{"rejected by all: nothing ran", "/once/1", rejecting, rejecting, 503, "", [2]int{1, 1}},
-		{"broken off: may have run", "/once/1", breaking, proven("ok"), 502, "", [2]int{1, 0}},
-		{"broken off, repeated", "/again/1", breaking, proven("ok"), 200, "ok", [2]int{1, 1}},
-		{"promise without the server's word", "/once/1", failing(503), proven("ok"), 502, "", [2]int{1, 0}},
-		{"both fail: the last answer", "/again/1", failing(500), failing(500), 500, "", [2]int{1, 1}},
+		{"connection broken: may have run", "/once/1", breaking, proven("ok"), 502, "", [2]int{1, 0}},
+		{"connection broken, retried on an idempotent route", "/again/1", breaking, proven("ok"), 200, "ok", [2]int{1, 1}},
+		{"status 503 without an explicit rejection", "/once/1", failing(503), proven("ok"), 502, "", [2]int{1, 0}},
+		{"both fail: the last response", "/again/1", failing(500), failing(500), 500, "", [2]int{1, 1}},
 		{"no route", "/none/1", proven("ok"), proven("ok"), 404, "", [2]int{0, 0}},
 	}
 	for _, c := range cases {
@@ -70,8 +70,8 @@
 	}
 }
 
-// A server hangs. The caller of a call that may not be repeated hears at the
-// route's timeout, not later, and no second server runs it.
+// A server hangs on a request that must not be retried. The caller gets an error at the route's
+// timeout, not later, and no second server runs the request.
 func TestHangingServerTimesOutAtRouteTimeout(t *testing.T) {
 	inWorld(t, plainRoutes(), func(w *world) {
 		w.add("d-1", "desk", "a", func(_ http.ResponseWriter, r *http.Request) { sleep(r, time.Hour) })
@@ -83,8 +83,8 @@
 	})
 }
 
-// A server hangs on an idempotent request. The second server is asked early
-// enough to answer within the route's objective of 100 ms.
+// A server hangs on an idempotent request. The hedged request reaches the second server early
+// enough for a response within the route's objective of 100 ms.
 func TestHangingServerIsHedged(t *testing.T) {
 	inWorld(t, plainRoutes(), func(w *world) {
 		w.add("d-1", "desk", "a", func(_ http.ResponseWriter, r *http.Request) { sleep(r, time.Hour) })
@@ -95,9 +95,8 @@
 	})
 }
 
-// The store is gone for longer than a removed key may be used. A daemon cannot
-// know whether a key still holds, so it says that the request has not run; it
-// serves again as soon as the store answers.
+// The store is unreachable for longer than a revoked key may be used. The daemon cannot know
+// whether a key is still valid, so it refuses the request.
 func TestAccountKeysAreRefusedWithStaleConfiguration(t *testing.T) {
 	inWorld(t, plainRoutes(), func(w *world) {
 		w.add("d-1", "desk", "a", proven("ok"))
@@ -112,8 +111,8 @@
 	})
 }
 
-// Callers' headers that are the system's to set never reach a server, and the
-// path arrives byte by byte.
+// Headers that only the daemon may set are not taken from the caller, and the path is forwarded
+// byte by byte.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	inWorld(t, plainRoutes(), func(w *world) {
 		s := w.add("d-1", "desk", "a", proven("ok"))
@@ -128,8 +127,8 @@
 	})
 }
 
-// A caller announces a body and sends half of it. Once its time is over the
-// daemon answers that nothing ran and keeps nothing of it.
+// A caller announces a body and sends only half of it. At the deadline the daemon responds with an
+// error, no server is called and nothing of the request remains in progress.
 func TestSlowRequestBodyTimesOut(t *testing.T) {
 	inWorld(t, plainRoutes(), func(w *world) {
 		s := w.add("d-1", "desk", "a", proven("ok"))
@@ -152,7 +151,7 @@
 	})
 }
 
-// An account with a priority of its own ranks by it, others by the route's.
+// A request has the priority of its account if there is one, otherwise that of its route.
 func TestAccountPriorityOverridesRoutePriority(t *testing.T) {
 	routes := plainRoutes()
 	routes[0].Priority = 1
@@ -177,10 +176,10 @@
 	})
 }
 
-// The servers left of a service are full and turn every request away after a wait in
-// their queues. Callers wait for that three times, at one server after the other, and
-// learn nothing sooner. After some the daemon says so itself, at once, that nothing ran
-// and when to come back; once the servers have room again it sends as before.
+// All servers of a service are full and reject every request after it has waited in their queues.
+// Without throttling, each caller would wait for up to three rejections in turn. After some
+// rejections the daemon refuses requests itself, at once, with verdict not_run and a Retry-After.
+// Once the servers have capacity again it forwards requests as before.
 func TestOverloadedServiceIsThrottled(t *testing.T) {
 	inWorld(t, plainRoutes(), func(w *world) {
 		var room atomic.Bool
@@ -211,8 +210,7 @@
 	})
 }
 
-// A server of two turns away whatever it gets, and the other takes it. No caller
-// notices, and none is refused.
+// One of two servers rejects every request and the other accepts it. No request is refused.
 func TestSingleRejectingServerDoesNotThrottle(t *testing.T) {
 	inWorld(t, plainRoutes(), func(w *world) {
 		w.add("d-1", "desk", "a", rejecting)
@@ -223,9 +221,9 @@
 	})
 }
 
-// The store is away and all servers of a service have started anew: each turns away
-// what is meant for the one before it. That says nothing of their load. Once the
-// entries are right nobody is refused.
+// While the store is unreachable, all servers of a service restart, and each rejects requests that
+// name its predecessor as misdirected. Such rejections are no sign of overload: once the entries
+// are correct, no request is refused.
 func TestMisdirectedRequestsDoNotThrottle(t *testing.T) {
 	inWorld(t, plainRoutes(), func(w *world) {
 		var known atomic.Bool
--- a/serve/forward/silent_test.go
+++ b/serve/forward/takeover_test.go
@@ -267,7 +267,7 @@
 // An engine runs a request and its answer is lost; the route allows no further run. The answer
 // can never go on here although the engine answers questions: the caller must be told, and not
 // be held until its time is over.
-func TestLostResponseIsTruncatedWithoutRetries(t *testing.T) {
+func TestLostResponseEndsEarlyWithoutRetries(t *testing.T) {
 	route := streamRoute()
 	route[0].Attempts = 1
 	inWorld(t, route, func(w *world) {
