--- a/serve/forward/admit_test.go
+++ b/serve/forward/admit_test.go
@@ -60,9 +60,9 @@
 	})
 }
 
-// A caller lost its VM and retries with enough time for the prefill of its prompt, but not for the
-// rest of the response. The request is refused at once with verdict not_run, so that no engine
-// works on a response that cannot be completed.
+// A VM fails, and a caller's connection hangs until the caller gives up. It retries with enough
+// time for the prefill of its prompt, but not for the rest of the response. The request is refused
+// at once with verdict not_run, so that no engine works on a response that cannot be completed.
 func TestRequestThatCannotCompleteInTimeIsRefused(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		a := w.add("e-a", "llm", "a", streaming(100, 200*time.Millisecond, 40*time.Millisecond))
--- a/serve/forward/place_test.go
+++ b/serve/forward/place_test.go
@@ -16,9 +16,9 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// Other daemons send their prompts to engines that this one believes idle. A
-// prompt that goes there waits a second for each of them, and every answer that
-// runs there stalls. The engine says that it reads; another is chosen.
+// Other daemons send prompts to engines that this daemon considers idle. Another prompt would wait
+// a second for each of them and stall the runs there. The engines' reports show the prefills, so
+// the idle engine is chosen.
 func TestPromptGoesToIdleEngine(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(5, time.Second, 40*time.Millisecond)
@@ -37,7 +37,7 @@
 	})
 }
 
-// All engines read a prompt, one of them only one. The prompt goes there.
+// All engines are busy with prefills. The prompt goes to the one with the fewest.
 func TestPromptGoesToEngineWithFewestQueued(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(5, time.Second, 40*time.Millisecond)
@@ -54,9 +54,9 @@
 	})
 }
 
-// A burst of prompts fills the engines' memory, and an engine that runs out throws
-// out the newest run, whose caller waits while its prompt is read again. So one
-// without room gets neither a prompt nor a copy while another has room.
+// A burst of prompts fills the engines' KV caches, and an engine that runs out of memory evicts
+// the newest run, whose prompt has to be prefilled again. An engine without room therefore gets
+// neither a prompt nor a copy while another has room.
 func TestFullEngineGetsNeitherPromptNorCopy(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(5, time.Second, 40*time.Millisecond)
@@ -71,8 +71,8 @@
 	})
 }
 
-// The engines answer no question for their load but run requests: the answers
-// are lost on the way, or asking fails here. The request is sent all the same.
+// The engines run requests but no probe gets a response, for instance because the daemon's link
+// loses it. The request is sent anyway.
 func TestPromptIsSentWhenNoEngineRespondsToProbes(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		a := w.add("e-a", "llm", "a", streaming(5, 300*time.Millisecond, 40*time.Millisecond))
@@ -83,9 +83,9 @@
 	})
 }
 
-// An engine goes dark after it has taken a request and before its first event.
-// Nothing is reset and nothing arrives. Probes find it, and another engine reads
-// the prompt.
+// An engine becomes unreachable after it has received a request and before its first event. No
+// connection is reset and nothing arrives. Probes detect it, and another engine prefills the
+// prompt.
 func TestEngineBecomesUnreachableDuringPrefill(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(5, time.Second, 40*time.Millisecond)
@@ -107,10 +107,10 @@
 	})
 }
 
-// The store is away and an engine restarts. Its entry names the old id, so the new
-// engine turns requests away. Each is sent once more, and the fleet's budget of
-// repeats runs out. The first such answer names the new engine; it is sent to from
-// then on, unless a server of another service was given the address.
+// An engine restarts while the store is unreachable. Its entry names the old ID, so the new engine
+// rejects requests as misdirected, and retrying each of them would exhaust the fleet's retry
+// budget. The first rejection names the new engine, which is used from then on unless a server of
+// another service has the address.
 func TestRestartedEngineIsUsedUnderItsNewID(t *testing.T) {
 	for service, turnedAway := range map[string]int{"llm": 1, "desk": 0} {
 		t.Run(service, func(t *testing.T) {
@@ -140,7 +140,7 @@
 	}
 }
 
-// peerDaemons are the handlers of other daemons, by address.
+// peerDaemons serves the requests to other daemons by their handlers, by address.
 type peerDaemons map[string]*Handler
 
 // RoundTrip implements http.RoundTripper.
@@ -155,7 +155,7 @@
 	return w.Result(), nil
 }
 
-// severablePeers are other daemons until they are cut off.
+// severablePeers is peerDaemons with a network partition that can be switched on.
 type severablePeers struct {
 	peerDaemons
 	isCut *atomic.Bool
@@ -170,8 +170,8 @@
 	return s.peerDaemons.RoundTrip(r)
 }
 
-// addDaemons makes more daemons, enough that each engine has a keeper, and returns them. All are
-// out of each other's reach once cut is set.
+// addDaemons creates count more daemons, so many that each engine has a keeper, and returns them.
+// No daemon can reach another one once cut is set.
 func (w *world) addDaemons(count int) (others []*Handler, cut *atomic.Bool) {
 	cut = &atomic.Bool{}
 	reach := severablePeers{peerDaemons{"vm-1:1": w.handler}, cut}
@@ -189,10 +189,10 @@
 	return others, cut
 }
 
-// Thirteen daemons are too many for each to ask all others before a prompt. Two of them have
-// prompts read and answers made at all engines but one, of which the engines' reports, a
-// tenth of a second old, show nothing yet. The keepers of the engines know, and the prompt
-// goes to the one that is free; once the keepers are cut off, reports decide.
+// Thirteen daemons are too many to query all of them before each prompt. Two daemons have prefills
+// and runs in progress at all engines but one, which the engines' reports, a tenth of a second old,
+// do not show yet. The keepers of the engines know of them, so the prompt goes to the free engine.
+// Once the keepers are unreachable, the engines' reports decide.
 func TestPromptPlacementAsksKeepersInLargeFleet(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(3, time.Second, 40*time.Millisecond)
@@ -220,9 +220,9 @@
 	})
 }
 
-// One engine resets every request at once while it answers questions well, so that it is
-// always idle. Each daemon finds that out by a prompt of its own, unless the others tell:
-// then their prompts go elsewhere for as long as it is suspect.
+// One engine resets every request immediately but responds to probes, so it always looks idle.
+// Without the suspicions of other daemons, each daemon would lose a prompt there to find out. With
+// them, prompts go to other engines while the engine is suspect.
 func TestEngineSuspectedByOtherDaemonsIsAvoided(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(3, time.Second, 40*time.Millisecond)
@@ -255,7 +255,7 @@
 	})
 }
 
-// addDaemon makes another daemon with work of its own, and has the world's daemon ask it.
+// addDaemon creates another daemon with its own state, which the daemon under test queries.
 func (w *world) addDaemon(id string) *Handler {
 	other := New(Options{
 		Feed: w.feed, Codec: testCodec{}, Log: event.Discard(), Self: routing.VM{ID: id, Zone: "b"},
@@ -268,9 +268,10 @@
 	return other
 }
 
-// Another daemon has a prompt read at one engine and an answer made at a second, which
-// the engines' reports, a tenth of a second old, do not show yet. A prompt sent to either
-// would wait for the one or hold up the other; told of both, the daemon takes the third.
+// Another daemon has a prefill in progress at one engine and a run at a second, which the engines'
+// reports, a tenth of a second old, do not show yet. A prompt sent to the first would wait, and one
+// sent to the second would stall the run. The daemon learns of both from the other daemon and
+// chooses the third engine.
 func TestPromptPlacementCountsWorkOfOtherDaemons(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(3, time.Second, 40*time.Millisecond)
@@ -292,13 +293,13 @@
 		must.Eq(t, 5, w.servers["e-3"].requests())
 		other.pool.count(engine("e-3"), 1, 0, 0)
 		must.Eq(t, events(1, 3), w.ask(http.MethodPost, "/s/1", caller, "prompt").body)
-		must.Eq(t, 1, w.servers["e-2"].requests()) // an answer is held up rather than two prompts
+		must.Eq(t, 1, w.servers["e-2"].requests()) // stalling a run is better than queueing behind a prefill
 	})
 }
 
-// Two prompts come to two daemons in the same moment. The second daemon asks the first
-// before anything of its prompt has reached an engine, and must hear of it all the same:
-// both would be read at one engine, the second after the first.
+// Two daemons place a prompt at the same time. The second daemon queries the first before the
+// first prompt has reached an engine. Unless that prompt is already counted, both are prefilled at
+// one engine, one after the other.
 func TestPlacedPromptIsCountedBeforeItIsSent(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(3, time.Second, 40*time.Millisecond)
@@ -315,8 +316,8 @@
 	})
 }
 
-// A neighbour is cut off. Prompts must not wait for it one after the other: it is left
-// out for a second, and prompts are placed by the reports of engines meanwhile.
+// Another daemon is unreachable. Prompts must not wait for its timeout one after the other: it is
+// not queried for a second, and prompts are placed by the reports of engines meanwhile.
 func TestUnresponsiveDaemonDoesNotDelayPlacement(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		w.add("e-1", "llm", "a", streaming(3, 100*time.Millisecond, 10*time.Millisecond))
@@ -335,7 +336,7 @@
 	})
 }
 
-// unresponsivePeers answer no question and count them.
+// unresponsivePeers counts requests to other daemons and never responds.
 type unresponsivePeers struct{ asked *int }
 
 // RoundTrip implements http.RoundTripper.
--- a/serve/forward/stream_test.go
+++ b/serve/forward/stream_test.go
@@ -13,9 +13,9 @@
 	"mallowwind.dev/external/standin/faultnet"
 )
 
-// An engine resets its connections in the middle of an answer. The caller sees
-// one whole answer without a repeated or missing event; the second part comes
-// from the engine that holds the copy.
+// An engine resets its connections in the middle of a stream. The caller receives a complete
+// response without duplicate or missing events; the second part comes from the engine that holds
+// the copy.
 func TestStreamResumesFromCopy(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		var first *fakeServer
@@ -40,8 +40,8 @@
 	})
 }
 
-// An engine falls silent in the middle of an answer; its connections stay open.
-// The answer goes on elsewhere within the 700 ms that callers accept as a pause.
+// An engine stops sending in the middle of a stream while its connections stay open. The stream
+// continues at another engine within the 700 ms that callers accept as a pause.
 func TestStalledStreamResumesWithinGapTarget(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		quiet := func(rw http.ResponseWriter, r *http.Request) {
@@ -62,8 +62,8 @@
 	})
 }
 
-// An engine goes dark while it reads a prompt: nothing is reset and nothing
-// arrives. Probes find it and another engine reads the prompt.
+// An engine becomes unreachable while it prefills a prompt: no connection is reset and nothing
+// arrives. Probes detect it and another engine prefills the prompt.
 func TestUnreachableEngineBeforeFirstEvent(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := func(rw http.ResponseWriter, r *http.Request) {
@@ -86,9 +86,9 @@
 	})
 }
 
-// A daemon dies and its caller goes on at this one, which knows nothing of the
-// run. The engine that read the prompt still holds it; sent anywhere else, the
-// prompt would be read a second time and the answer wait for a second.
+// A daemon crashes and its caller resumes at this one, which knows nothing of the run. The engine
+// that prefilled the prompt still has it cached; at any other engine the prompt would be prefilled
+// again and the response delayed by a second.
 func TestResumedStreamFindsCachedPrompt(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(12, time.Second, 40*time.Millisecond)
@@ -105,10 +105,10 @@
 	})
 }
 
-// All daemons were killed, and callers come back with their answers at VMs with slow
-// links. Asking 120 engines what they hold takes a quarter of a second there. Given up
-// sooner, half of the prompts were read anew, each for a second of an engine. The one
-// that holds the prompt is used as soon as it has answered, without the others.
+// After a restart of all daemons, callers resume their streams at VMs with slow links, where
+// listing the caches of 120 engines takes a quarter of a second. With a shorter timeout half of the
+// prompts were prefilled again, each for a second of an engine. The engine that holds the prompt is
+// used as soon as it has responded, without waiting for the others.
 func TestCachedPromptIsFoundOverSlowLink(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(12, 20*time.Millisecond, 40*time.Millisecond)
@@ -124,12 +124,12 @@
 	})
 }
 
-// A caller comes back with an answer that another daemon began, and this daemon asks 120
-// engines whether they hold its prompt. Each has more to tell than is expected of it, 14 KB.
-// A small VM has a link of 10 Mbit/s, which carries 125 KB in a tenth of a second; all
-// streams at this daemon come through it, and they are given up when they are silent for
-// 350 ms. Whatever engines have to tell, less than that is read of it. All 120 were asked at
-// once and read to the end, 1.7 MB; as many are asked now as the largest answer so far allows.
+// A caller resumes a stream that another daemon began, and this daemon looks for the prompt in the
+// caches of 120 engines. Each cache list is larger than expected, 14 KB. The link of a small VM has
+// 10 Mbit/s, or 125 KB in a tenth of a second; it carries all streams of the daemon, which count as
+// stalled after 350 ms without an event. A scan must read less than 125 KB, however large the lists
+// are. Reading all 120 lists at once took 1.7 MB; the size of the largest list so far now limits
+// how many engines are asked.
 func TestCacheScanLimitsBandwidth(t *testing.T) {
 	const linkPerTenth = 125_000 // bytes
 	var read int64
@@ -147,9 +147,9 @@
 	must.Less(t, linkPerTenth, read)
 }
 
-// Daemons die, and their callers go on at others, before hundreds of engines: too many to
-// ask all of them what they hold. Each prompt was read a second time then. It lies at one of
-// the few engines among which every daemon places that prompt, and only those are asked.
+// Daemons crash and their callers resume at others, in a service with hundreds of engines: too many
+// to list the caches of all. Without a lookup each prompt would be prefilled again. Every daemon
+// places a given prompt among the same few engines, and only their caches are listed.
 func TestCachedPromptIsFoundAmongHundredsOfEngines(t *testing.T) {
 	const engines, streams = 200, 20
 	inWorld(t, streamRoute(), func(w *world) {
@@ -185,8 +185,8 @@
 	})
 }
 
-// A stream ends in the middle of an event and no engine is left to go on. The
-// caller gets the whole events only, and the answer does not look complete.
+// A stream ends in the middle of an event and no engine is left to resume it. The caller receives
+// only complete events, and the response does not look complete.
 func TestPartialEventIsNotForwarded(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		w.add("e-a", "llm", "a", func(rw http.ResponseWriter, _ *http.Request) {
@@ -200,10 +200,9 @@
 	})
 }
 
-// The store is away. The engine that was to hold the copy restarts, so that the
-// copy lies at an engine nobody has registered; then the run's engine dies. The
-// answer goes on from the copy, and never at a server of another service that
-// was given the address.
+// While the store is unreachable, the engine that receives the copy restarts, so that an
+// unregistered engine holds the copy. Then the engine of the run crashes. The response resumes from
+// the copy, but never at a server of another service that now has the address.
 func TestStreamResumesFromCopyAtRestartedEngine(t *testing.T) {
 	for _, service := range []string{"llm", "desk"} {
 		t.Run(service, func(t *testing.T) {
@@ -235,8 +234,8 @@
 	}
 }
 
-// A caller comes back after an outage with less time than its prompt takes to
-// read. It hears at once that nothing ran, and no engine reads in vain.
+// A caller retries after an outage with less time than the prefill of its prompt takes. The request
+// is refused at once and no engine prefills the prompt in vain.
 func TestPromptThatCannotBePrefilledInTimeIsRefused(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		a := w.add("e-a", "llm", "a", streaming(3, time.Second, 40*time.Millisecond))
@@ -250,10 +249,9 @@
 	})
 }
 
-// The engine that holds a copy restarts at its address, registers, and leaves;
-// its entry may be gone by the time the run's engine dies. The answer must not
-// go on at an engine that leaves, although it names itself when it is asked for
-// by the old id.
+// The engine that holds a copy restarts at its address, registers and begins to drain. Its entry
+// may be removed by the time the engine of the run crashes. The response must not resume at a
+// draining engine, even though that engine names itself when it rejects a request for the old ID.
 func TestStreamDoesNotResumeAtDrainingEngine(t *testing.T) {
 	for _, removed := range []bool{false, true} {
 		t.Run(fmt.Sprintf("removed %v", removed), func(t *testing.T) {
@@ -288,8 +286,8 @@
 	}
 }
 
-// A caller stops reading in the middle of an answer and keeps its connection.
-// Once its time is over nothing of the request is left at the daemon or at an engine.
+// A caller stops reading in the middle of a stream and keeps its connection open. After its
+// deadline nothing of the request is left at the daemon or at an engine.
 func TestCallerThatStopsReadingTimesOut(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		ended := make(chan struct{})
@@ -318,8 +316,8 @@
 	})
 }
 
-// A caller holds all events but not the end of the answer and asks for the rest.
-// The engine has no event left; the caller gets its proven, empty answer.
+// A caller has received all events but not the end of the response, and resumes the stream. The
+// engine has no event left; the caller receives the engine's authentic, empty response.
 func TestStreamWithoutEventsIsForwarded(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		w.add("e-a", "llm", "a", streaming(9, 0, 0))
@@ -331,8 +329,8 @@
 	})
 }
 
-// A stream that may not go on elsewhere, from a server that is no engine, is
-// silent for seconds. Nothing is gained by ending it sooner: it is waited for.
+// A stream that cannot be resumed, from a server that is not an engine, delivers nothing for
+// seconds. The daemon waits for it, since ending it earlier would gain nothing.
 func TestNonResumableStreamMayStall(t *testing.T) {
 	routes := streamRoute()
 	routes[0].Resumable = false
@@ -346,9 +344,8 @@
 	})
 }
 
-// Half of all engines die at once and their entries stay for seconds. A caller
-// that arrives then gets its answer from one that lives, however many are tried
-// in vain before.
+// Many engines crash at once and their entries remain for seconds. A request that arrives then is
+// served by a live engine, however many crashed ones are tried first.
 func TestManyDeadEnginesAreSkipped(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(3, 10*time.Millisecond, 10*time.Millisecond)
@@ -362,9 +359,9 @@
 	})
 }
 
-// An engine runs a request and its answer is lost: the connection stays open and
-// says nothing, while the engine is alive. Its report shows that it makes events;
-// the answer goes on from the copy and not after the caller's whole time.
+// An engine runs a request whose response is lost: the connection stays open without data while
+// the engine is alive. Its report shows that it generates events, so the response resumes from the
+// copy early instead of waiting for the caller's deadline.
 func TestLostResponseResumesFromCopy(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := func(rw http.ResponseWriter, r *http.Request) {
@@ -384,9 +381,8 @@
 	})
 }
 
-// An engine resets the connection of one request after it has read its prompt,
-// and lives on. The prompt is still there: the request goes to the same engine
-// again, where it needs no reading.
+// An engine resets the connection of one request after the prefill and keeps running. The prompt is
+// still cached, so the request goes to the same engine again, where it needs no prefill.
 func TestResetAfterPrefillRetriesSameEngine(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		var tries atomic.Int32
@@ -411,8 +407,8 @@
 	})
 }
 
-// The engine chosen for a copy has died and its entry is still there. The copy
-// goes to one that lives, or the answer would have none when its engine dies.
+// The engine chosen for a copy has crashed and its entry remains. The copy must go to a live engine,
+// or the stream could not resume when its own engine crashes.
 func TestCopyIsSentToLiveEngine(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(40, time.Second, 40*time.Millisecond)
@@ -432,8 +428,8 @@
 	})
 }
 
-// An answer outlasts the graceful shutdown and is cut when the daemon ends. Who looks for
-// the cause must not read that the caller left.
+// A response outlasts the graceful shutdown and is truncated when the daemon exits. The logged
+// error must not say that the caller disconnected.
 func TestResponseThatOutlastsShutdownReportsIt(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		r := &relay{h: w.handler, in: &inbound{deadline: time.Now().Add(time.Minute)}}
--- a/serve/forward/takeover_test.go
+++ b/serve/forward/takeover_test.go
@@ -13,10 +13,10 @@
 	"mallowwind.dev/decision/repeats"
 )
 
-// noRetries is a budget that is used up.
+// noRetries is a retry budget without any retries.
 var noRetries = repeats.Rule{Window: 10 * time.Second}
 
-// setRetryBudget replaces the fleet's budget of repeats, with the daemon's part of the slack.
+// setRetryBudget replaces the fleet's retry budget. The daemon has its share of the slack.
 func (w *world) setRetryBudget(rule repeats.Rule) {
 	w.handler.pool.mu.Lock()
 	defer w.handler.pool.mu.Unlock()
@@ -24,7 +24,7 @@
 	clear(w.handler.pool.budgets)
 }
 
-// askMany sends n streams a moment apart and returns what their callers got.
+// askMany sends n streams 5 ms apart and returns what their callers received.
 func (w *world) askMany(n int) []answer {
 	got := make([]answer, n)
 	var all sync.WaitGroup
@@ -38,7 +38,7 @@
 	return got
 }
 
-// totalRequests is how many requests all servers were asked to run.
+// totalRequests returns how many requests all servers were asked to run.
 func (w *world) totalRequests() int {
 	n := 0
 	for _, s := range w.servers {
@@ -47,11 +47,11 @@
 	return n
 }
 
-// An engine pauses for 600 ms in the middle of an answer, since it reads prompts, and the
-// engine with the copy turns the request away, since it has freed the copy. The caller sees
-// the answer cut if the daemon has closed the connection to the first engine by then, and the
-// budget affords no further repeat. Evidence: the engine's run ended well 0.6 s before the
-// engine with the copy was asked, and the caller's connection was closed half a second later.
+// An engine pauses a stream for 600 ms because it prefills prompts, and the engine with the copy
+// rejects the request because it has freed the copy. If the daemon had closed the connection to the
+// first engine by then, and the retry budget permitted no further send, the response would be
+// truncated although the run completed 0.6 s before the second engine was asked; the caller's
+// connection was closed half a second later.
 func TestStalledStreamIsKeptWhenCopyIsGone(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := withCopyReleased(0, 600*time.Millisecond)
@@ -64,8 +64,8 @@
 	})
 }
 
-// withCopyReleased is an engine that has freed the copy it is asked for, and says so after a wait.
-// Other answers pause in the middle.
+// withCopyReleased is an engine that has freed the copy it is asked for, and rejects such requests
+// after a wait. Its other streams pause in the middle.
 func withCopyReleased(wait, pause time.Duration) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		if r.Header.Get(hCopyAt) == "" {
@@ -78,7 +78,7 @@
 	}
 }
 
-// pausing makes twenty events and pauses after the tenth.
+// pausing generates twenty events and pauses after the tenth.
 func pausing(rw http.ResponseWriter, r *http.Request, pause time.Duration) {
 	rw.Header().Set(hProof, "p")
 	for id := 1; id <= 20; id++ {
@@ -93,10 +93,10 @@
 	}
 }
 
-// An engine goes dark in the middle of an answer while the budget of repeats is used up.
-// The caller must not see its answer cut at once, for the budget affords a repeat a second
-// later and the caller waits for two. Evidence: 744 repeats denied in 90 s of restarts, each
-// of which ended an answer.
+// An engine becomes unreachable during a stream while the retry budget is exhausted. The response
+// must not be truncated at once: the budget permits a retry a second later, and the caller waits
+// for two seconds. In 90 s of restarts 744 retries were denied, and each denial truncated a
+// response.
 func TestStalledStreamResumesOnceRetryBudgetPermits(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(40, time.Second, 40*time.Millisecond)
@@ -107,7 +107,7 @@
 			time.Sleep(1500 * time.Millisecond)
 			runner, _ := roles(a, b)
 			runner.listener.Stall()
-			w.handler.pool.tryTakeRetry(time.Now(), "llm") // another stream's
+			w.handler.pool.tryTakeRetry(time.Now(), "llm") // for another stream
 		})
 		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
 		must.NoError(w.t, got.err)
@@ -116,13 +116,13 @@
 	})
 }
 
-// An engine falls silent and the one with the copy takes a second to answer, since it reads
-// prompts. The two must not work on one answer side by side: the run that is given up ends
-// within 400 ms, of the request to the other if it gives no sign of life, or else of the
-// other's first event. The caller has each event once.
+// A stream stalls, and the engine with the copy takes a second to respond because it prefills
+// prompts. Both engines must not work on the response for long: the abandoned run ends within
+// 400 ms of the request to the second engine if the first does not respond to probes, otherwise
+// within 400 ms of the second engine's first event. The caller receives each event once.
 func TestStalledRunEndsAfterTakeover(t *testing.T) {
 	for _, alive := range []bool{false, true} {
-		t.Run(fmt.Sprint("gives a sign of life: ", alive), func(t *testing.T) {
+		t.Run(fmt.Sprint("responds to probes: ", alive), func(t *testing.T) {
 			inWorld(t, streamRoute(), func(w *world) {
 				asked, began, ended := make(chan time.Time, 1), make(chan time.Time, 1), make(chan time.Time, 1)
 				handle := func(rw http.ResponseWriter, r *http.Request) {
@@ -156,8 +156,9 @@
 	}
 }
 
-// A silent engine speaks again while the one with the copy has the request already. The
-// answer stays where it was, the caller has each event once, and the second run is ended.
+// A stalled engine continues its stream when the engine with the copy has already received the
+// request. The response stays with the first engine, the caller receives each event once, and the
+// second run is cancelled.
 func TestStalledEngineRecoversDuringTakeover(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		ended := make(chan struct{})
@@ -184,8 +185,8 @@
 	})
 }
 
-// An engine goes dark while others answer. It is suspect then, so that the next callers do
-// not wait for it.
+// One engine becomes unreachable while others respond. It is marked as suspect, so that later
+// requests do not wait for it.
 func TestSingleUnreachableEngineIsSuspect(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		for _, id := range []string{"a", "b", "c"} {
@@ -199,9 +200,9 @@
 	})
 }
 
-// The engine with the copy needs 300 ms to turn the request away: it has freed the copy and
-// is busy. The silent engine pauses for 900 ms and gives signs of life. A daemon that lets go
-// of it meanwhile has no repeat left, and the caller sees its answer cut.
+// The engine with the copy has freed it and needs 300 ms to reject the request. The stalled engine
+// pauses for 900 ms but responds to probes. If the daemon abandoned it meanwhile, no retry would be
+// left and the response would be truncated.
 func TestStalledStreamIsKeptWhenTakeoverIsRejectedLate(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := withCopyReleased(300*time.Millisecond, 900*time.Millisecond)
@@ -214,9 +215,9 @@
 	})
 }
 
-// An engine goes dark in mid-answer; others answer, but the route allows no further run. The
-// caller's answer cannot go on here: it must be told at once so that it goes on elsewhere, and
-// not be held until its time is over.
+// An engine becomes unreachable during a stream. Others respond, but the route permits no further
+// run, so the response cannot continue at this daemon. The connection must be closed early, so that
+// the caller can resume elsewhere instead of waiting until its deadline.
 func TestStreamOfDeadEngineIsTruncatedWithoutRetries(t *testing.T) {
 	route := streamRoute()
 	route[0].Attempts = 1
@@ -238,9 +239,9 @@
 	})
 }
 
-// A silent engine speaks again while a place for the next copy is being sought, when the next
-// engine has been chosen. The request that was not sent must not stay counted as one that the
-// next engine reads, or prompts avoid that engine until the daemon ends.
+// A stalled engine continues its stream after the next engine was chosen, while a target for the
+// next copy is looked for. The request that is then not sent must not remain counted as a prefill
+// of the next engine, or prompts would avoid that engine until the daemon exits.
 func TestCancelledTakeoverLeavesNoCounts(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := func(rw http.ResponseWriter, r *http.Request) { pausing(rw, r, 360*time.Millisecond) }
@@ -264,9 +265,9 @@
 	})
 }
 
-// An engine runs a request and its answer is lost; the route allows no further run. The answer
-// can never go on here although the engine answers questions: the caller must be told, and not
-// be held until its time is over.
+// An engine runs a request whose response is lost, and the route permits no further run. The
+// response can never continue although the engine responds to probes, so the request must end well
+// before the caller's deadline.
 func TestLostResponseEndsEarlyWithoutRetries(t *testing.T) {
 	route := streamRoute()
 	route[0].Attempts = 1
@@ -282,9 +283,9 @@
 	})
 }
 
-// An engine goes dark in mid-answer, and all others turn the request away, since they are full.
-// No server is left that was not tried: the caller must be told within seconds, and not be
-// held until its time is over.
+// An engine becomes unreachable during a stream, and all others reject the request because they are
+// full. No untried server is left, so the request must end within seconds instead of at the
+// caller's deadline.
 func TestStreamOfUnreachableEngineEndsWhenOthersReject(t *testing.T) {
 	for _, n := range []int{2, 4, 7} {
 		inWorld(t, streamRoute(), func(w *world) {
@@ -310,14 +311,14 @@
 			})
 			got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
 			if got.took > 5*time.Second {
-				t.Errorf("%d engines: held for %s", n, got.took)
+				t.Errorf("%d engines: the request took %s, want at most 5s", n, got.took)
 			}
 		})
 	}
 }
 
-// The copy is gone and repeats are left. The engine with the copy is asked once and no more:
-// each further question is a repeat of the whole system spent in vain.
+// The copy is gone and the retry budget is not exhausted. The engine that held the copy is asked to
+// resume from it only once, since every further request wastes a retry of the fleet's budget.
 func TestMissingCopyIsRequestedOnce(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := withCopyReleased(0, 600*time.Millisecond)
