--- a/serve/forward/place.go
+++ b/serve/forward/place.go
@@ -87,7 +87,7 @@
 	excluded := slices.Clone(r.excluded)
 	queries := r.h.questions()
 	defer queries.judge()
-	var seen []sampledEngine
+	var sampled []sampledEngine
 	candidates := first
 	for round := range maxSampleRounds {
 		if round > 0 {
@@ -96,12 +96,12 @@
 		for _, c := range candidates {
 			excluded = append(excluded, c.server.Life())
 		}
-		seen = append(seen, queries.sampleLoads(ctx, candidates, 0)...)
-		if c, ok := r.leastLoaded(seen); ok && c.report.Free(r.in.call.PromptTokens) {
+		sampled = append(sampled, queries.sampleLoads(ctx, candidates, 0)...)
+		if c, ok := r.leastLoaded(sampled); ok && c.report.Free(r.in.call.PromptTokens) {
 			return c, true
 		}
 	}
-	if c, ok := r.leastLoaded(seen); ok {
+	if c, ok := r.leastLoaded(sampled); ok {
 		return c, true
 	}
 	return firstChoice(first)
@@ -116,16 +116,16 @@
 }
 
 // leastLoaded returns the sampled engine that is best for the prompt by its report.
-func (r *relay) leastLoaded(seen []sampledEngine) (sampledEngine, bool) {
-	reports := make([]prompts.Report, len(seen))
-	for i, s := range seen {
+func (r *relay) leastLoaded(sampled []sampledEngine) (sampledEngine, bool) {
+	reports := make([]prompts.Report, len(sampled))
+	for i, s := range sampled {
 		reports[i] = s.report
 	}
 	i := prompts.Quietest(reports, r.in.call.PromptTokens)
 	if i < 0 {
 		return sampledEngine{}, false
 	}
-	return seen[i], true
+	return sampled[i], true
 }
 
 // sampleLoads probes engines for their load and returns those that respond, in the order given.
@@ -145,11 +145,11 @@
 		})
 	}
 	wg.Wait()
-	var seen []sampledEngine
+	var responded []sampledEngine
 	for _, a := range sampled {
 		if a != nil {
-			seen = append(seen, *a)
+			responded = append(responded, *a)
 		}
 	}
-	return seen
+	return responded
 }
--- a/serve/forward/plain.go
+++ b/serve/forward/plain.go
@@ -131,8 +131,7 @@
 	}
 }
 
-// hedgeDelay returns the time after which the request is hedged, an hour for one that must not
-// be.
+// hedgeDelay returns the time after which the request is hedged. An hour stands for never.
 func (x *exchanges) hedgeDelay() time.Duration {
 	if x.in.route.Kind != routing.Idempotent || x.in.route.Objective <= 0 {
 		return time.Hour
--- a/serve/forward/stream.go
+++ b/serve/forward/stream.go
@@ -73,9 +73,9 @@
 
 // nextAttempt returns the attempt that took over the response, or starts a new one.
 func (r *relay) nextAttempt(ctx context.Context) (*attempt, error) {
-	if taken := r.replacement; taken != nil {
+	if replacement := r.replacement; replacement != nil {
 		r.replacement = nil
-		return taken, nil
+		return replacement, nil
 	}
 	l, err := r.nextSegment(ctx)
 	if err != nil {
@@ -242,8 +242,8 @@
 		r.h.pool.count(c.choice, -1, 0, 0)
 		return segment{}, err
 	}
-	blind := !c.answered && view.Config.Engine(r.service) != nil
-	return r.withCopyTarget(ctx, segment{target: c.choice, unconfirmed: blind}), nil
+	unconfirmed := !c.answered && view.Config.Engine(r.service) != nil
+	return r.withCopyTarget(ctx, segment{target: c.choice, unconfirmed: unconfirmed}), nil
 }
 
 // admission decides whether the prompt is sent to an engine, and returns how long the first event
--- a/serve/forward/stream_test.go
+++ b/serve/forward/stream_test.go
@@ -407,8 +407,8 @@
 	})
 }
 
-// The engine chosen for a copy has crashed and its entry remains. The copy must go to a live engine,
-// or the stream could not resume when its own engine crashes.
+// The engine chosen for a copy has crashed and its entry remains. The copy must go to a live
+// engine, or the stream could not resume when its own engine crashes.
 func TestCopyIsSentToLiveEngine(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		handle := streaming(40, time.Second, 40*time.Millisecond)
--- a/serve/forward/takeover.go
+++ b/serve/forward/takeover.go
@@ -14,8 +14,9 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// errTakeoverNotNeeded means that the stalled server responded before the takeover.
-var errTakeoverNotNeeded = errors.New("forward: takeover not needed, the stalled server responded")
+// errTakeoverCancelled means that the stalled server responded, or that the request ended, before
+// the next server did.
+var errTakeoverCancelled = errors.New("forward: takeover cancelled")
 
 // idleTimeout returns how long an attempt may deliver nothing before a takeover is tried. A
 // response that cannot be resumed elsewhere is waited for until the request's deadline.
@@ -62,8 +63,8 @@
 // unless the stalled server responds first. The relay's own goroutine waits for one of the two
 // here, so that the goroutine that looks for a server may write to the relay.
 func (r *relay) prepareTakeover(ctx context.Context, a *attempt, cause error) (takeover.Outcome, *attempt) {
-	prepareCtx, stop := context.WithCancel(ctx)
-	defer stop()
+	prepareCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	var l segment
 	var outcome takeover.Outcome
 	done := make(chan struct{})
@@ -75,7 +76,7 @@
 	case <-done:
 	case s := <-a.nextParts():
 		a.pushBack(s)
-		stop()
+		cancel()
 		<-done
 		if outcome == takeover.TakenOver {
 			r.uncount(l)
@@ -99,22 +100,22 @@
 // awaitTakeover waits until the stalled server or the next one responds, and decides which of them
 // continues the response. It ends the next attempt if the stalled server does.
 func (r *relay) awaitTakeover(ctx context.Context, a, next *attempt, cause error) takeover.Outcome {
-	silent, other := takeover.Quiet, takeover.Quiet
+	stalledState, nextState := takeover.Quiet, takeover.Quiet
 	overlap := time.NewTimer(time.Hour)
 	defer overlap.Stop()
-	written, over := next.requestWritten, false
-	var since time.Time // when the next server had received the request
+	written, overlapEnded := next.requestWritten, false
+	var writtenAt time.Time // when the next server had received the request
 	for {
-		switch takeover.Settle(silent, other, over) {
+		switch takeover.Settle(stalledState, nextState, overlapEnded) {
 		case takeover.Move:
 			return takeover.TakenOver
 		case takeover.Keep:
-			return r.cancelTakeover(ctx, a, next, other)
+			return r.cancelTakeover(ctx, a, next, nextState)
 		case takeover.Wait:
 		}
 		select {
 		case <-written:
-			written, since = nil, time.Now()
+			written, writtenAt = nil, time.Now()
 			if next.resumeFrom != "" {
 				a.markCopyUsed()
 			}
@@ -123,15 +124,15 @@
 			}
 		case s := <-a.nextParts():
 			a.pushBack(s)
-			silent = s.takeoverState()
+			stalledState = s.takeoverState()
 		case s := <-next.nextParts():
 			next.pushBack(s)
-			other = s.takeoverState()
+			nextState = s.takeoverState()
 		case <-overlap.C:
-			silentAnswers, otherAnswers := r.probeBoth(ctx, a, next, cause)
-			over = takeover.Over(silentAnswers, otherAnswers, time.Since(since))
-			if over {
-				silent = r.awaitLatePart(ctx, a)
+			stalledResponds, nextResponds := r.probeBoth(ctx, a, next, cause)
+			overlapEnded = takeover.Over(stalledResponds, nextResponds, time.Since(writtenAt))
+			if overlapEnded {
+				stalledState = r.awaitLatePart(ctx, a)
 			}
 			overlap.Reset(takeover.Overlap)
 		case <-ctx.Done():
@@ -161,21 +162,21 @@
 }
 
 // probeBoth probes the engines of two attempts and reports which of them respond.
-func (r *relay) probeBoth(ctx context.Context, a, next *attempt, cause error) (silent, other bool) {
+func (r *relay) probeBoth(ctx context.Context, a, next *attempt, cause error) (stalledResponds, nextResponds bool) {
 	var both sync.WaitGroup
-	both.Go(func() { silent = r.answers(ctx, a, cause) })
+	both.Go(func() { stalledResponds = r.answers(ctx, a, cause) })
 	both.Go(func() {
 		_, err := r.h.probe(ctx, next.target.server, fastProbeTimeout)
-		other = err == nil
+		nextResponds = err == nil
 	})
 	both.Wait()
-	return silent, other
+	return stalledResponds, nextResponds
 }
 
 // cancelTakeover ends the attempt that was to continue the response, and returns why it does not.
-func (r *relay) cancelTakeover(ctx context.Context, a, next *attempt, other takeover.State) takeover.Outcome {
-	if other != takeover.Broken {
-		r.finishAttempt(next, segmentAborted, errTakeoverNotNeeded)
+func (r *relay) cancelTakeover(ctx context.Context, a, next *attempt, nextState takeover.State) takeover.Outcome {
+	if nextState != takeover.Broken {
+		r.finishAttempt(next, segmentAborted, errTakeoverCancelled)
 		return takeover.NotNeeded
 	}
 	s := <-next.nextParts()
