--- a/serve/forward/accept.go
+++ b/serve/forward/accept.go
@@ -55,7 +55,7 @@
 }
 
 // awaitFirstConfig waits a short time for the first configuration after a start of the daemon.
-// timeout is how long the caller waits; 0 if it does not say.
+// timeout is how long the caller waits; 0 if it is not stated.
 //
 // Without the wait, a simultaneous restart of all daemons loses responses: callers reconnect
 // at once to resume the responses that were truncated, while ninety daemons read the store
