--- a/serve/forward/place.go
+++ b/serve/forward/place.go
@@ -11,37 +11,37 @@
 )
 
 const (
-	// SampleSize is how many engines are asked at once where a prompt could be read.
-	// With a third of the engines reading, all three do in one of thirty cases.
+	// SampleSize is the number of engines that are probed at once to place a prompt. While a
+	// third of all engines prefill a prompt, all three of a sample do in one of thirty cases.
 	SampleSize = 3
-	// maxSampleRounds bounds the questions before one prompt. They take a round trip each
-	// while engines answer, and askLimit each where none does.
+	// maxSampleRounds bounds the rounds of probes for one prompt. A round takes one round trip
+	// while engines respond, and fastProbeTimeout where none does.
 	maxSampleRounds = 3
-	// fastProbeTimeout is how long an engine may take to answer a question on which a choice
-	// waits: many round trips, and short beside the reading of a prompt.
+	// fastProbeTimeout bounds a probe that a placement waits for. It is many round trips, and
+	// short compared to the prefill of a prompt.
 	fastProbeTimeout = 50 * time.Millisecond
 )
 
-// sampledEngine is an engine with its answer; the report is empty where it gave none.
+// sampledEngine is an engine with its report, which is empty if the engine did not respond.
 type sampledEngine struct {
 	choice
 	report   prompts.Report
 	answered bool
 }
 
-// place chooses the engine that reads the prompt, and counts the prompt there: one that
-// has room and reads no other now. Engines that do not answer are passed over, since the
-// entry of one that died stays for seconds. Where none answers the best known gets the
-// request all the same: the link from here may be at fault, and it loses nothing to try.
+// place chooses the engine that prefills the prompt, and counts the prompt there. It prefers an
+// engine that has room and prefills no other prompt. Engines that do not respond are skipped,
+// since the entry of a crashed engine remains for seconds. If none responds, the one ranked first
+// gets the request anyway: the daemon's own link may be at fault, and nothing is lost by trying.
 func (r *relay) place(ctx context.Context, view *feed.View) (sampledEngine, bool) {
 	if view.Config.Engine(r.service) != nil {
-		others, all := r.h.neighbours.work(ctx, view, r.service)
-		known := all
-		if !all {
-			others, known = r.h.keepers.work(ctx, view, r.service, r.in.call.PromptKey)
+		others, everyDaemon := r.h.neighbours.work(ctx, view, r.service)
+		complete := everyDaemon
+		if !everyDaemon {
+			others, complete = r.h.keepers.work(ctx, view, r.service, r.in.call.PromptKey)
 		}
-		if known {
-			if c, ok := r.placeByFleetWork(ctx, view, others, !all); ok {
+		if complete {
+			if c, ok := r.placeByFleetWork(ctx, view, others, !everyDaemon); ok {
 				return c, true
 			}
 		}
@@ -51,22 +51,22 @@
 	return c, ok
 }
 
-// placeByFleetWork chooses by what all daemons have under way. The engine chosen is asked all
-// the same: it may be dead, or full of what nobody told. Where none of the first few is
-// free the choice is left to the reports of more. among says that the engines in others are
-// those to choose from.
-func (r *relay) placeByFleetWork(ctx context.Context, view *feed.View, others workAt, among bool) (sampledEngine, bool) {
+// placeByFleetWork chooses by the requests that all daemons have in progress. The chosen engine is
+// still probed: it may be dead, or full of work that no daemon reported. If none of the first few
+// engines is free, the choice is left to placeByReports, which samples more of them. onlyKnown
+// limits the choice to the engines in others.
+func (r *relay) placeByFleetWork(ctx context.Context, view *feed.View, others workAt, onlyKnown bool) (sampledEngine, bool) {
 	excluded := slices.Clone(r.excluded)
-	asked := r.h.questions()
-	defer asked.judge()
+	queries := r.h.questions()
+	defer queries.judge()
 	for range maxSampleRounds {
-		c, unread, ok := r.h.pool.reader(time.Now(), view, r.service, others, among, excluded)
+		c, unread, ok := r.h.pool.reader(time.Now(), view, r.service, others, onlyKnown, excluded)
 		if !ok {
 			return sampledEngine{}, false
 		}
-		// The prompt itself is counted there by now.
-		if seen := asked.sampleLoads(ctx, []choice{c}, 1); len(seen) == 1 {
-			best := seen[0]
+		// The count of 1 is this prompt, which reader has counted already.
+		if sampled := queries.sampleLoads(ctx, []choice{c}, 1); len(sampled) == 1 {
+			best := sampled[0]
 			best.report.Unread = max(best.report.Unread, unread) // a report lags
 			if best.report.Free(r.in.call.PromptTokens) {
 				return best, true
@@ -78,16 +78,16 @@
 	return sampledEngine{}, false
 }
 
-// placeByReports chooses by the reports of engines.
+// placeByReports chooses by the reports of a sample of engines.
 func (r *relay) placeByReports(ctx context.Context, view *feed.View) (sampledEngine, bool) {
 	first := r.h.pool.readers(time.Now(), view, r.service, r.in.call.PromptKey, SampleSize, r.excluded)
 	if len(first) == 0 || view.Config.Engine(r.service) == nil {
 		return firstChoice(first)
 	}
 	excluded := slices.Clone(r.excluded)
-	asked := r.h.questions()
-	defer asked.judge()
-	var seen []sampledEngine
+	queries := r.h.questions()
+	defer queries.judge()
+	var sampled []sampledEngine
 	candidates := first
 	for round := range maxSampleRounds {
 		if round > 0 {
@@ -96,18 +96,18 @@
 		for _, c := range candidates {
 			excluded = append(excluded, c.server.Life())
 		}
-		seen = append(seen, asked.sampleLoads(ctx, candidates, 0)...)
-		if c, ok := r.leastLoaded(seen); ok && c.report.Free(r.in.call.PromptTokens) {
+		sampled = append(sampled, queries.sampleLoads(ctx, candidates, 0)...)
+		if c, ok := r.leastLoaded(sampled); ok && c.report.Free(r.in.call.PromptTokens) {
 			return c, true
 		}
 	}
-	if c, ok := r.leastLoaded(seen); ok {
+	if c, ok := r.leastLoaded(sampled); ok {
 		return c, true
 	}
 	return firstChoice(first)
 }
 
-// firstChoice is the first of a list, of which no report is known.
+// firstChoice returns the first of a list, without a report.
 func firstChoice(list []choice) (sampledEngine, bool) {
 	if len(list) == 0 {
 		return sampledEngine{}, false
@@ -115,40 +115,41 @@
 	return sampledEngine{choice: list[0]}, true
 }
 
-func (r *relay) leastLoaded(seen []sampledEngine) (sampledEngine, bool) {
-	reports := make([]prompts.Report, len(seen))
-	for i, s := range seen {
+// leastLoaded returns the sampled engine that is best for the prompt by its report.
+func (r *relay) leastLoaded(sampled []sampledEngine) (sampledEngine, bool) {
+	reports := make([]prompts.Report, len(sampled))
+	for i, s := range sampled {
 		reports[i] = s.report
 	}
 	i := prompts.Quietest(reports, r.in.call.PromptTokens)
 	if i < 0 {
 		return sampledEngine{}, false
 	}
-	return seen[i], true
+	return sampled[i], true
 }
 
-// sampleLoads asks engines for their load and returns those that answer, in the order given.
-// counted is how many prompts that were not sent yet are counted at each.
+// sampleLoads probes engines for their load and returns those that respond, in the order given.
+// counted is the number of prompts that the pool counts at each engine but that were not sent yet.
 func (q *questions) sampleLoads(ctx context.Context, candidates []choice, counted int) []sampledEngine {
-	answers := make([]*sampledEngine, len(candidates))
-	var all sync.WaitGroup
+	sampled := make([]*sampledEngine, len(candidates))
+	var wg sync.WaitGroup
 	for i, c := range candidates {
-		all.Go(func() {
+		wg.Go(func() {
 			report, err := q.ask(ctx, c.server, fastProbeTimeout)
 			if err != nil {
 				return
 			}
 			load := report.loadReport()
 			load.Unread = max(load.Unread, q.h.pool.reading(c)-counted) // a report lags
-			answers[i] = &sampledEngine{choice: c, report: load, answered: true}
+			sampled[i] = &sampledEngine{choice: c, report: load, answered: true}
 		})
 	}
-	all.Wait()
-	var seen []sampledEngine
-	for _, a := range answers {
+	wg.Wait()
+	var responded []sampledEngine
+	for _, a := range sampled {
 		if a != nil {
-			seen = append(seen, *a)
+			responded = append(responded, *a)
 		}
 	}
-	return seen
+	return responded
 }
--- a/serve/forward/services.go
+++ b/serve/forward/services.go
@@ -1,12 +1,12 @@
 package forward
 
-// getOrCreate returns what is kept of a service, empty where nothing was kept yet. The
-// caller holds the lock of kept.
-func getOrCreate[T any](kept map[string]*T, service string) *T {
-	one, ok := kept[service]
+// getOrCreate returns the state of a service, which it creates empty if there is none. The caller
+// holds the lock that guards states.
+func getOrCreate[T any](states map[string]*T, service string) *T {
+	value, ok := states[service]
 	if !ok {
-		one = new(T)
-		kept[service] = one
+		value = new(T)
+		states[service] = value
 	}
-	return one
+	return value
 }
--- a/serve/forward/takeover.go
+++ b/serve/forward/takeover.go
@@ -14,11 +14,12 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// errTakeoverCancelled means that the server before a leg responded again.
-var errTakeoverCancelled = errors.New("forward: the server before responded again")
+// errTakeoverCancelled means that the stalled server responded, or that the request ended, before
+// the next server did.
+var errTakeoverCancelled = errors.New("forward: takeover cancelled")
 
-// idleTimeout is how long an attempt may be silent. An answer that may not go on elsewhere is
-// waited for as long as its caller waits.
+// idleTimeout returns how long an attempt may deliver nothing before a takeover is tried. A
+// response that cannot be resumed elsewhere is waited for until the request's deadline.
 func (r *relay) idleTimeout(a *attempt) time.Duration {
 	if !r.in.route.Resumable {
 		return time.Until(r.in.deadline)
@@ -26,57 +27,56 @@
 	return takeover.Patience(a.hasCopy(), r.in.route.GapTarget)
 }
 
-// tryTakeOver tries to let the answer of a silent attempt go on at another server. It reports
-// whether the attempt is over: r.taken is the one that goes on, or there is none and the
-// answer is given up. Else the silent server keeps the answer.
+// tryTakeOver tries to continue the response of a stalled attempt at another server, and reports
+// whether the attempt is over. If it is, r.replacement is the attempt that continues, or there is
+// none and the response is given up. Otherwise the stalled server keeps the response.
 //
-// The failure it guards against: silence is taken for the death of a server and its
-// connection is closed before anything is known of the next. The caller sees an answer cut
-// that was on its way, behind a link that was full for a second or a server that paused,
-// because no other server was reached, the budget afforded no repeat or the copy was gone.
-// It holds because a connection is closed only once another server has answered, has the
-// request, and has not turned it away.
-func (r *relay) tryTakeOver(ctx context.Context, a *attempt, why error) bool {
-	if errors.Is(why, errResponseLost) {
-		r.heldCopy = a.runCopy() // the prompt was read, so the copy is there
+// A stalled server need not be dead: a congested link or a pause of the server for a second has
+// the same effect. If the daemon closed the connection first and looked for another server
+// afterwards, the caller would see a truncated response whenever no other server was reachable,
+// the retry budget was exhausted or the copy was gone. Therefore the connection is closed only
+// once another server has responded, has received the request and has not rejected it.
+func (r *relay) tryTakeOver(ctx context.Context, a *attempt, cause error) bool {
+	if errors.Is(cause, errResponseLost) {
+		r.heldCopy = a.runCopy() // the prompt was prefilled, so the copy exists
 	}
 	outcome := takeover.TurnedAway
 	for outcome == takeover.TurnedAway {
 		var next *attempt
-		if outcome, next = r.prepareTakeover(ctx, a, why); next == nil {
+		if outcome, next = r.prepareTakeover(ctx, a, cause); next == nil {
 			break
 		}
-		if outcome = r.awaitTakeover(ctx, a, next, why); outcome == takeover.TakenOver {
+		if outcome = r.awaitTakeover(ctx, a, next, cause); outcome == takeover.TakenOver {
 			r.discardPending(a)
 			r.replacement = next
 			return true
 		}
 	}
-	r.cannotContinue = takeover.GiveUp(outcome, time.Since(r.lastEventAt)) && r.unreachable(ctx, a, why) &&
+	r.cannotContinue = takeover.GiveUp(outcome, time.Since(r.lastEventAt)) && r.unreachable(ctx, a, cause) &&
 		r.awaitLatePart(ctx, a) == takeover.Quiet
 	r.h.metrics.segmentsKept.WithLabelValues(outcome.String()).Inc()
-	r.h.opts.Log.Emit(event.LegKept, r.in.call.ID, a.target.server.ID, why, outcome.String(), r.cannotContinue, r.lastEventID, time.Since(r.lastEventAt))
+	r.h.opts.Log.Emit(event.LegKept, r.in.call.ID, a.target.server.ID, cause, outcome.String(), r.cannotContinue, r.lastEventID, time.Since(r.lastEventAt))
 	return r.cannotContinue
 }
 
-// prepareTakeover finds the server where a silent attempt may go on and sends the request there,
-// unless the silent one responds first. The relay waits meanwhile for one or the other,
-// so that what is found may be written to it.
-func (r *relay) prepareTakeover(ctx context.Context, a *attempt, why error) (takeover.Outcome, *attempt) {
-	asking, stop := context.WithCancel(ctx)
-	defer stop()
+// prepareTakeover finds a server that may continue a stalled attempt and sends the request to it,
+// unless the stalled server responds first. The relay's own goroutine waits for one of the two
+// here, so that the goroutine that looks for a server may write to the relay.
+func (r *relay) prepareTakeover(ctx context.Context, a *attempt, cause error) (takeover.Outcome, *attempt) {
+	prepareCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	var l segment
 	var outcome takeover.Outcome
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		l, outcome = r.reserve(asking, a, why)
+		l, outcome = r.reserve(prepareCtx, a, cause)
 	}()
 	select {
 	case <-done:
 	case s := <-a.nextParts():
 		a.pushBack(s)
-		stop()
+		cancel()
 		<-done
 		if outcome == takeover.TakenOver {
 			r.uncount(l)
@@ -89,32 +89,33 @@
 	return outcome, r.start(ctx, l)
 }
 
-// discardPending drops what a silent attempt still had to say before its answer goes on elsewhere.
+// discardPending drops a part of a stalled attempt that was pushed back, before the response
+// continues elsewhere.
 func (r *relay) discardPending(a *attempt) {
 	if o := a.takePushedBack(); o != nil && o.err == nil && o.reply.NotRun {
 		r.possibleRuns--
 	}
 }
 
-// awaitTakeover waits for the first signal of the server that was sent the request after a
-// silent one, and lets go of it unless the answer goes on there.
-func (r *relay) awaitTakeover(ctx context.Context, a, next *attempt, why error) takeover.Outcome {
-	silent, other := takeover.Quiet, takeover.Quiet
+// awaitTakeover waits until the stalled server or the next one responds, and decides which of them
+// continues the response. It ends the next attempt if the stalled server does.
+func (r *relay) awaitTakeover(ctx context.Context, a, next *attempt, cause error) takeover.Outcome {
+	stalledState, nextState := takeover.Quiet, takeover.Quiet
 	overlap := time.NewTimer(time.Hour)
 	defer overlap.Stop()
-	written, over := next.requestWritten, false
-	var since time.Time // both have the request
+	written, overlapEnded := next.requestWritten, false
+	var writtenAt time.Time // when the next server had received the request
 	for {
-		switch takeover.Settle(silent, other, over) {
+		switch takeover.Settle(stalledState, nextState, overlapEnded) {
 		case takeover.Move:
 			return takeover.TakenOver
 		case takeover.Keep:
-			return r.cancelTakeover(ctx, a, next, other)
+			return r.cancelTakeover(ctx, a, next, nextState)
 		case takeover.Wait:
 		}
 		select {
 		case <-written:
-			written, since = nil, time.Now()
+			written, writtenAt = nil, time.Now()
 			if next.resumeFrom != "" {
 				a.markCopyUsed()
 			}
@@ -123,15 +124,15 @@
 			}
 		case s := <-a.nextParts():
 			a.pushBack(s)
-			silent = s.takeoverState()
+			stalledState = s.takeoverState()
 		case s := <-next.nextParts():
 			next.pushBack(s)
-			other = s.takeoverState()
+			nextState = s.takeoverState()
 		case <-overlap.C:
-			silentAnswers, otherAnswers := r.probeBoth(ctx, a, next, why)
-			over = takeover.Over(silentAnswers, otherAnswers, time.Since(since))
-			if over {
-				silent = r.awaitLatePart(ctx, a)
+			stalledResponds, nextResponds := r.probeBoth(ctx, a, next, cause)
+			overlapEnded = takeover.Over(stalledResponds, nextResponds, time.Since(writtenAt))
+			if overlapEnded {
+				stalledState = r.awaitLatePart(ctx, a)
 			}
 			overlap.Reset(takeover.Overlap)
 		case <-ctx.Done():
@@ -140,47 +141,47 @@
 	}
 }
 
-// awaitLatePart is what a silent attempt shows at last, before it is let go of. Its signal is put
-// back.
+// awaitLatePart waits for takeover.Settling for a part of a stalled attempt before the attempt is
+// given up, and returns the state that the part shows. The part is pushed back.
 //
-// The failure it guards against: the link from here is held up and free again while engines
-// are asked whether they respond. What was held up has arrived by the time the questions have
-// failed, and the answer is cut although it went on. It holds because what is on its way comes
-// no later than the answer of another engine that shows that the link works.
+// It covers a link of the daemon that stalls and recovers while engines are probed. The delayed
+// parts have arrived by the time the probes have failed, and without a last look the response
+// would be truncated although it continues. Delayed parts arrive no later than the response of
+// another engine that shows that the link works.
 func (r *relay) awaitLatePart(ctx context.Context, a *attempt) takeover.State {
-	settled := time.NewTimer(takeover.Settling)
-	defer settled.Stop()
+	timer := time.NewTimer(takeover.Settling)
+	defer timer.Stop()
 	select {
 	case s := <-a.nextParts():
 		a.pushBack(s)
 		return s.takeoverState()
-	case <-settled.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return takeover.Quiet
 }
 
-// probeBoth asks the engines of two attempts for a sign of life.
-func (r *relay) probeBoth(ctx context.Context, a, next *attempt, why error) (silent, other bool) {
+// probeBoth probes the engines of two attempts and reports which of them respond.
+func (r *relay) probeBoth(ctx context.Context, a, next *attempt, cause error) (stalledResponds, nextResponds bool) {
 	var both sync.WaitGroup
-	both.Go(func() { silent = r.answers(ctx, a, why) })
+	both.Go(func() { stalledResponds = r.answers(ctx, a, cause) })
 	both.Go(func() {
 		_, err := r.h.probe(ctx, next.target.server, fastProbeTimeout)
-		other = err == nil
+		nextResponds = err == nil
 	})
 	both.Wait()
-	return silent, other
+	return stalledResponds, nextResponds
 }
 
-// cancelTakeover ends an attempt that was to take an answer over.
-func (r *relay) cancelTakeover(ctx context.Context, a, next *attempt, other takeover.State) takeover.Outcome {
-	if other != takeover.Broken {
+// cancelTakeover ends the attempt that was to continue the response, and returns why it does not.
+func (r *relay) cancelTakeover(ctx context.Context, a, next *attempt, nextState takeover.State) takeover.Outcome {
+	if nextState != takeover.Broken {
 		r.finishAttempt(next, segmentAborted, errTakeoverCancelled)
 		return takeover.NotNeeded
 	}
 	s := <-next.nextParts()
 	if s.head.reply.Misdirected {
-		a.copyUsed = false // it was asked for at an engine that does not have it
+		a.copyUsed = false // the request reached an engine that does not hold the copy
 	}
 	end, err := r.handleFailedTakeover(ctx, next.segment, *s.head)
 	next.response = s.head.resp
@@ -188,7 +189,7 @@
 	return takeover.TurnedAway
 }
 
-// handleFailedTakeover learns from a server that did not take an answer over.
+// handleFailedTakeover processes the response of a server that did not continue the stalled one.
 func (r *relay) handleFailedTakeover(ctx context.Context, l segment, o responseHead) (segmentEnd, error) {
 	switch {
 	case o.err != nil:
@@ -203,7 +204,7 @@
 	return segmentBroken, errors.Errorf("status %d", o.resp.StatusCode)
 }
 
-// takeoverState is what a signal shows of its server.
+// takeoverState returns the state of a server that a part of its response shows.
 func (s responsePart) takeoverState() takeover.State {
 	switch {
 	case s.head != nil && s.head.isStream():
@@ -214,7 +215,7 @@
 	return takeover.Broken
 }
 
-// exclude keeps the server of a leg from being chosen again for this request.
+// exclude prevents the server of a segment from being chosen again for this request.
 func (r *relay) exclude(l segment) {
 	if life := l.target.server.Life(); !slices.Contains(r.excluded, life) {
 		r.excluded = append(r.excluded, life)
