--- a/serve/forward/attempt.go
+++ b/serve/forward/attempt.go
@@ -31,7 +31,7 @@
 	probeFailures  <-chan error      // why the engine is considered dead
 	versionLeaving <-chan struct{}   // closed when the server's version is withdrawn
 	prefilling     bool              // counted in the pool as prefilling its prompt, not as running
-	spare          *spare
+	spare          *replicator
 	trial, pace    *versions.Trial // of the server's version; nil where versions are not compared
 	eventCount     int             // events received in this attempt
 	timesFoundLost int             // times that the engine reported events and none had arrived
@@ -62,16 +62,16 @@
 func (r *relay) start(ctx context.Context, l segment) *attempt {
 	a := &attempt{segment: l, r: r, sentAt: time.Now(), parts: make(chan responsePart), pushedBack: make(chan responsePart, 1), requestWritten: make(chan struct{}, 1), prefilling: true}
 	a.ctx, a.cancel = context.WithCancel(ctx)
-	r.h.pool.count(l.copyTo, 0, 0, 1)
+	r.h.pool.addLoad(l.copyTo, 0, 0, 1)
 	r.starts++
 	r.sends++
 	r.possibleRuns++
 	probing, stop := context.WithCancel(a.ctx)
 	a.stopProbing = stop
-	a.spare = r.newSpare(l)
+	a.spare = r.newReplicator(l)
 	a.probeFailures = r.startProbing(probing, l)
 	a.versionLeaving = r.h.versions.Leaves(r.h.opts.Feed.View(), l.target.server)
-	a.watchLeg(l, r.in.routeName())
+	a.startTrial(l, r.in.routeName())
 	go a.receive(UpstreamRequest{
 		ID: r.in.call.ID, Server: l.target.server, Timeout: time.Until(r.in.deadline),
 		Account: r.in.accountName(), Priority: r.in.priority(), CopyTo: l.copyTo.server.Address, ResumeFrom: l.resumeFrom, LastEventID: r.lastEventID,
@@ -142,14 +142,14 @@
 		return
 	}
 	a.prefilling, a.firstEventAt = false, time.Now()
-	a.firstEvent()
+	a.recordFirstEvent()
 	a.stopProbing()
 	a.probeFailures = nil // a failure that is still queued is out of date
 	r := a.r
-	r.h.pool.count(a.target, -1, 1, 0)
-	r.h.pool.worked(a.target)
+	r.h.pool.addLoad(a.target, -1, 1, 0)
+	r.h.pool.recordSuccess(a.target)
 	if a.resumeFrom == "" && r.in.call.LastEventID == 0 {
-		r.h.pressure.wasRead(r.service, r.in.call.PromptTokens, time.Since(a.sentAt))
+		r.h.pressure.recordPrefill(r.service, r.in.call.PromptTokens, time.Since(a.sentAt))
 	}
 	if a.spare != nil {
 		go a.spare.run(a.ctx)
@@ -157,16 +157,16 @@
 }
 
 // runCopy returns the incremental copy of the run that another engine should hold.
-func (a *attempt) runCopy() kept {
+func (a *attempt) runCopy() replica {
 	if a.copyUsed {
-		return kept{}
+		return replica{}
 	}
 	return a.incrementalCopy(a.r.in.call.ID)
 }
 
 // hasCopy reports whether another engine should hold a copy of the run.
 func (a *attempt) hasCopy() bool {
-	return a.runCopy().at.load != nil || a.spare != nil && a.spare.copied.Load() != nil
+	return a.runCopy().at.load != nil || a.spare != nil && a.spare.remade.Load() != nil
 }
 
 // end closes the connection, so that the server cancels an unfinished run, and removes the
@@ -175,11 +175,11 @@
 	a.cancel()
 	a.closeResponse()
 	pool := a.r.h.pool
-	pool.count(a.copyTo, 0, 0, -1)
+	pool.addLoad(a.copyTo, 0, 0, -1)
 	if a.prefilling {
-		pool.count(a.target, -1, 0, 0)
+		pool.addLoad(a.target, -1, 0, 0)
 	} else {
-		pool.count(a.target, 0, -1, 0)
+		pool.addLoad(a.target, 0, -1, 0)
 	}
 	a.r.settleSpare(a.spare, result)
 }
@@ -208,16 +208,16 @@
 
 // settleSpare keeps a copy made on demand where the response may resume from it, and frees it
 // otherwise.
-func (r *relay) settleSpare(spare *spare, result segmentEnd) {
+func (r *relay) settleSpare(spare *replicator, result segmentEnd) {
 	switch {
 	case spare == nil:
 	case (result == segmentBroken || result == segmentMoved) && r.replacement != nil && r.replacement.resumeFrom != "": // the replacement uses that copy
 	case result == segmentBroken && r.replacement == nil:
-		if copied := spare.copied.Load(); copied != nil {
+		if copied := spare.remade.Load(); copied != nil {
 			r.heldCopy = *copied
 		}
 	default:
-		spare.drop()
+		spare.free()
 	}
 }
 
@@ -276,9 +276,9 @@
 // markCopyUsed records that a server was asked to resume from the incremental copy.
 func (a *attempt) markCopyUsed() {
 	a.copyUsed = true
-	a.r.heldCopy = kept{}
+	a.r.heldCopy = replica{}
 	if a.spare != nil {
-		a.spare.used.Store(true)
-		a.spare.copied.Store(nil)
+		a.spare.firstUsed.Store(true)
+		a.spare.remade.Store(nil)
 	}
 }
--- a/serve/forward/place.go
+++ b/serve/forward/place.go
@@ -35,10 +35,10 @@
 // gets the request anyway: the daemon's own link may be at fault, and nothing is lost by trying.
 func (r *relay) place(ctx context.Context, view *feed.View) (sampledEngine, bool) {
 	if view.Config.Engine(r.service) != nil {
-		others, everyDaemon := r.h.neighbours.work(ctx, view, r.service)
+		others, everyDaemon := r.h.neighbours.totalWork(ctx, view, r.service)
 		complete := everyDaemon
 		if !everyDaemon {
-			others, complete = r.h.keepers.work(ctx, view, r.service, r.in.call.PromptKey)
+			others, complete = r.h.keepers.trackedWork(ctx, view, r.service, r.in.call.PromptKey)
 		}
 		if complete {
 			if c, ok := r.placeByFleetWork(ctx, view, others, !everyDaemon); ok {
@@ -47,7 +47,7 @@
 		}
 	}
 	c, ok := r.placeByReports(ctx, view)
-	r.h.pool.count(c.choice, 1, 0, 0)
+	r.h.pool.addLoad(c.choice, 1, 0, 0)
 	return c, ok
 }
 
@@ -55,12 +55,12 @@
 // still probed: it may be dead, or full of work that no daemon reported. If none of the first few
 // engines is free, the choice is left to placeByReports, which samples more of them. onlyKnown
 // limits the choice to the engines in others.
-func (r *relay) placeByFleetWork(ctx context.Context, view *feed.View, others workAt, onlyKnown bool) (sampledEngine, bool) {
+func (r *relay) placeByFleetWork(ctx context.Context, view *feed.View, others workloads, onlyKnown bool) (sampledEngine, bool) {
 	excluded := slices.Clone(r.excluded)
-	queries := r.h.questions()
-	defer queries.judge()
+	queries := r.h.newProbeRound()
+	defer queries.markSilent()
 	for range maxSampleRounds {
-		c, unread, ok := r.h.pool.reader(time.Now(), view, r.service, others, onlyKnown, excluded)
+		c, unread, ok := r.h.pool.reservePrefill(time.Now(), view, r.service, others, onlyKnown, excluded)
 		if !ok {
 			return sampledEngine{}, false
 		}
@@ -72,7 +72,7 @@
 				return best, true
 			}
 		}
-		r.h.pool.count(c, -1, 0, 0)
+		r.h.pool.addLoad(c, -1, 0, 0)
 		excluded = append(excluded, c.server.Life())
 	}
 	return sampledEngine{}, false
@@ -80,18 +80,18 @@
 
 // placeByReports chooses by the reports of a sample of engines.
 func (r *relay) placeByReports(ctx context.Context, view *feed.View) (sampledEngine, bool) {
-	first := r.h.pool.readers(time.Now(), view, r.service, r.in.call.PromptKey, SampleSize, r.excluded)
+	first := r.h.pool.prefillCandidates(time.Now(), view, r.service, r.in.call.PromptKey, SampleSize, r.excluded)
 	if len(first) == 0 || view.Config.Engine(r.service) == nil {
 		return firstChoice(first)
 	}
 	excluded := slices.Clone(r.excluded)
-	queries := r.h.questions()
-	defer queries.judge()
+	queries := r.h.newProbeRound()
+	defer queries.markSilent()
 	var sampled []sampledEngine
 	candidates := first
 	for round := range maxSampleRounds {
 		if round > 0 {
-			candidates = r.h.pool.readers(time.Now(), view, r.service, r.in.call.PromptKey, SampleSize, excluded)
+			candidates = r.h.pool.prefillCandidates(time.Now(), view, r.service, r.in.call.PromptKey, SampleSize, excluded)
 		}
 		for _, c := range candidates {
 			excluded = append(excluded, c.server.Life())
@@ -130,17 +130,17 @@
 
 // sampleLoads probes engines for their load and returns those that respond, in the order given.
 // counted is the number of prompts that the pool counts at each engine but that were not sent yet.
-func (q *questions) sampleLoads(ctx context.Context, candidates []choice, counted int) []sampledEngine {
+func (q *probeRound) sampleLoads(ctx context.Context, candidates []choice, counted int) []sampledEngine {
 	sampled := make([]*sampledEngine, len(candidates))
 	var wg sync.WaitGroup
 	for i, c := range candidates {
 		wg.Go(func() {
-			report, err := q.ask(ctx, c.server, fastProbeTimeout)
+			report, err := q.probe(ctx, c.server, fastProbeTimeout)
 			if err != nil {
 				return
 			}
 			load := report.loadReport()
-			load.Unread = max(load.Unread, q.h.pool.reading(c)-counted) // a report lags
+			load.Unread = max(load.Unread, q.h.pool.prefillCount(c)-counted) // a report lags
 			sampled[i] = &sampledEngine{choice: c, report: load, answered: true}
 		})
 	}
--- a/serve/forward/place_test.go
+++ b/serve/forward/place_test.go
@@ -20,37 +20,37 @@
 // a second for each of them and stall the runs there. The engines' reports show the prefills, so
 // the idle engine is chosen.
 func TestPromptGoesToIdleEngine(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		handle := streaming(5, time.Second, 40*time.Millisecond)
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		handle := streamEvents(5, time.Second, 40*time.Millisecond)
 		var idle *fakeServer
 		for i := range 9 {
 			s := w.add(fmt.Sprintf("e-%d", i), "llm", string(rune('a'+i%3)), handle)
-			s.reports("-other")
+			s.setRuns("-other")
 			if i == 7 {
 				idle = s
-				s.reports("other")
+				s.setRuns("other")
 			}
 		}
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.Eq(t, events(1, 5), got.body)
-		must.Eq(t, 1, idle.requests())
+		must.Eq(t, 1, idle.requestCount())
 	})
 }
 
 // All engines are busy with prefills. The prompt goes to the one with the fewest.
 func TestPromptGoesToEngineWithFewestQueued(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		handle := streaming(5, time.Second, 40*time.Millisecond)
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		handle := streamEvents(5, time.Second, 40*time.Millisecond)
 		a := w.add("e-a", "llm", "a", handle)
 		b := w.add("e-b", "llm", "b", handle)
-		a.reports("-one -two")
-		b.reports("-one run-1 run-2")
+		a.setRuns("-one -two")
+		b.setRuns("-one run-1 run-2")
 		for range 3 {
-			got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+			got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 			must.Eq(t, events(1, 5), got.body)
 		}
-		must.Eq(t, 0, a.requests())
-		must.Eq(t, 3, b.requests())
+		must.Eq(t, 0, a.requestCount())
+		must.Eq(t, 3, b.requestCount())
 	})
 }
 
@@ -58,26 +58,26 @@
 // the newest run, whose prompt has to be prefilled again. An engine without room therefore gets
 // neither a prompt nor a copy while another has room.
 func TestFullEngineGetsNeitherPromptNorCopy(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		handle := streaming(5, time.Second, 40*time.Millisecond)
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		handle := streamEvents(5, time.Second, 40*time.Millisecond)
 		a, b, c := w.add("e-a", "llm", "a", handle), w.add("e-b", "llm", "b", handle), w.add("e-c", "llm", "c", handle)
-		a.reports("full")
-		b.reports("-one")
-		c.reports("full run-1")
-		got := w.ask(http.MethodPost, "/s/1", with(map[string]string{hTokens: "80"}), "prompt")
+		a.setRuns("full")
+		b.setRuns("-one")
+		c.setRuns("full run-1")
+		got := w.request(http.MethodPost, "/s/1", withHeaders(map[string]string{hTokens: "80"}), "prompt")
 		must.Eq(t, events(1, 5), got.body)
-		must.Eq(t, 1, b.requests())
-		must.Eq(t, "", b.asked()[0].Header.Get(hCopyTo))
+		must.Eq(t, 1, b.requestCount())
+		must.Eq(t, "", b.requests()[0].Header.Get(hCopyTo))
 	})
 }
 
 // The engines run requests but no probe gets a response, for instance because the daemon's link
 // loses it. The request is sent anyway.
 func TestPromptIsSentWhenNoEngineRespondsToProbes(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		a := w.add("e-a", "llm", "a", streaming(5, 300*time.Millisecond, 40*time.Millisecond))
-		a.mute()
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		a := w.add("e-a", "llm", "a", streamEvents(5, 300*time.Millisecond, 40*time.Millisecond))
+		a.failStatus()
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.Eq(t, http.StatusOK, got.status)
 		must.Eq(t, events(1, 5), got.body)
 	})
@@ -87,22 +87,22 @@
 // connection is reset and nothing arrives. Probes detect it, and another engine prefills the
 // prompt.
 func TestEngineBecomesUnreachableDuringPrefill(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		handle := streaming(5, time.Second, 40*time.Millisecond)
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		handle := streamEvents(5, time.Second, 40*time.Millisecond)
 		a := w.add("e-a", "llm", "a", handle)
 		b := w.add("e-b", "llm", "b", handle)
 		go func() {
 			time.Sleep(300 * time.Millisecond)
-			if a.requests() > 0 {
+			if a.requestCount() > 0 {
 				a.listener.Stall()
 			} else {
 				b.listener.Stall()
 			}
 		}()
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.Eq(t, events(1, 5), got.body)
-		must.Eq(t, 1, a.requests())
-		must.Eq(t, 1, b.requests())
+		must.Eq(t, 1, a.requestCount())
+		must.Eq(t, 1, b.requestCount())
 		must.Less(t, 4*time.Second, got.took)
 	})
 }
@@ -114,16 +114,16 @@
 func TestRestartedEngineIsUsedUnderItsNewID(t *testing.T) {
 	for service, turnedAway := range map[string]int{"llm": 1, "desk": 0} {
 		t.Run(service, func(t *testing.T) {
-			inWorld(t, streamRoute(), func(w *world) {
-				handle := streaming(5, 300*time.Millisecond, 40*time.Millisecond)
+			withTestCluster(t, streamRoute(), func(w *testCluster) {
+				handle := streamEvents(5, 300*time.Millisecond, 40*time.Millisecond)
 				a := w.add("e-a", "llm", "a", handle)
-				now := w.restart(a, "e-new", service)
+				now := w.replaceServer(a, "e-new", service)
 				for range 4 {
-					got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+					got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 					must.Eq(t, service == "llm", got.body == events(1, 5))
 				}
 				old, next := 0, 0
-				for _, r := range now.asked() {
+				for _, r := range now.requests() {
 					switch r.Header.Get(hServer) {
 					case "e-a":
 						old++
@@ -150,7 +150,7 @@
 		return nil, errors.New("no such daemon")
 	}
 	w := httptest.NewRecorder()
-	_, telling := h.Telling()
+	_, telling := h.WorkService()
 	telling.ServeHTTP(w, r)
 	return w.Result(), nil
 }
@@ -172,7 +172,7 @@
 
 // addDaemons creates count more daemons, so many that each engine has a keeper, and returns them.
 // No daemon can reach another one once cut is set.
-func (w *world) addDaemons(count int) (others []*Handler, cut *atomic.Bool) {
+func (w *testCluster) addDaemons(count int) (others []*Handler, cut *atomic.Bool) {
 	cut = &atomic.Bool{}
 	reach := severablePeers{peerDaemons{"vm-1:1": w.handler}, cut}
 	w.put("mallowwind/vm/vm-1", `{"id":"vm-1","zone":"a","address":"vm-1:2","peer":"vm-1:1"}`)
@@ -194,27 +194,27 @@
 // do not show yet. The keepers of the engines know of them, so the prompt goes to the free engine.
 // Once the keepers are unreachable, the engines' reports decide.
 func TestPromptPlacementAsksKeepersInLargeFleet(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		handle := streaming(3, time.Second, 40*time.Millisecond)
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		handle := streamEvents(3, time.Second, 40*time.Millisecond)
 		for n := range 6 {
 			w.add(fmt.Sprintf("e-%d", n), "llm", "a", handle)
 		}
 		others, cut := w.addDaemons(12)
 		view := w.feed.View()
 		for n := range 5 {
-			c, ok := others[n%2].pool.server(view, "llm", routing.Life{ID: fmt.Sprintf("e-%d", n)})
+			c, ok := others[n%2].pool.findServer(view, "llm", routing.Life{ID: fmt.Sprintf("e-%d", n)})
 			must.True(t, ok)
-			others[n%2].pool.count(c, n%2, 1-n%2, 0)
+			others[n%2].pool.addLoad(c, n%2, 1-n%2, 0)
 		}
 		time.Sleep(workTimeout)
 		for n := range 5 {
-			got := w.ask(http.MethodPost, "/s/1", with(map[string]string{hPart: fmt.Sprintf("p%d", n)}), "prompt")
+			got := w.request(http.MethodPost, "/s/1", withHeaders(map[string]string{hPart: fmt.Sprintf("p%d", n)}), "prompt")
 			must.Eq(t, events(1, 3), got.body)
 		}
-		must.Eq(t, 5, w.servers["e-5"].requests())
+		must.Eq(t, 5, w.servers["e-5"].requestCount())
 
 		cut.Store(true)
-		got := w.ask(http.MethodPost, "/s/1", with(map[string]string{hPart: "p9"}), "prompt")
+		got := w.request(http.MethodPost, "/s/1", withHeaders(map[string]string{hPart: "p9"}), "prompt")
 		must.Eq(t, events(1, 3), got.body)
 		must.LessEq(t, time.Second+3*40*time.Millisecond+2*workTimeout, got.took)
 	})
@@ -224,39 +224,39 @@
 // Without the suspicions of other daemons, each daemon would lose a prompt there to find out. With
 // them, prompts go to other engines while the engine is suspect.
 func TestEngineSuspectedByOtherDaemonsIsAvoided(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		handle := streaming(3, time.Second, 40*time.Millisecond)
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		handle := streamEvents(3, time.Second, 40*time.Millisecond)
 		for n := range 6 {
 			w.add(fmt.Sprintf("e-%d", n), "llm", "a", handle)
 		}
 		others, _ := w.addDaemons(12)
-		must.NoError(t, w.ask(http.MethodPost, "/s/1", with(map[string]string{hPart: "p"}), "prompt").err)
+		must.NoError(t, w.request(http.MethodPost, "/s/1", withHeaders(map[string]string{hPart: "p"}), "prompt").err)
 		preferred := ""
 		for id, s := range w.servers {
-			if s.requests() > 0 {
+			if s.requestCount() > 0 {
 				preferred = id
 			}
 		}
 		failing := w.servers[preferred].server
 		for _, other := range others[:2] {
-			_, ok := other.pool.server(w.feed.View(), "llm", failing.Life())
+			_, ok := other.pool.findServer(w.feed.View(), "llm", failing.Life())
 			must.True(t, ok)
-			other.pool.failed(time.Now(), failing)
+			other.pool.recordFailure(time.Now(), failing)
 		}
 		time.Sleep(workTimeout)
 		for n := range 20 {
-			part := with(map[string]string{hPart: fmt.Sprintf("p%d", n)})
-			must.Eq(t, events(1, 3), w.ask(http.MethodPost, "/s/1", part, "prompt").body)
+			part := withHeaders(map[string]string{hPart: fmt.Sprintf("p%d", n)})
+			must.Eq(t, events(1, 3), w.request(http.MethodPost, "/s/1", part, "prompt").body)
 			for _, other := range others[:2] {
-				other.pool.failed(time.Now(), failing)
+				other.pool.recordFailure(time.Now(), failing)
 			}
 		}
-		must.Eq(t, 1, w.servers[preferred].requests())
+		must.Eq(t, 1, w.servers[preferred].requestCount())
 	})
 }
 
 // addDaemon creates another daemon with its own state, which the daemon under test queries.
-func (w *world) addDaemon(id string) *Handler {
+func (w *testCluster) addDaemon(id string) *Handler {
 	other := New(Options{
 		Feed: w.feed, Codec: testCodec{}, Log: event.Discard(), Self: routing.VM{ID: id, Zone: "b"},
 		RetryBudget: repeatsRule, Dial: w.dial,
@@ -273,27 +273,27 @@
 // sent to the second would stall the run. The daemon learns of both from the other daemon and
 // chooses the third engine.
 func TestPromptPlacementCountsWorkOfOtherDaemons(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		handle := streaming(3, time.Second, 40*time.Millisecond)
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		handle := streamEvents(3, time.Second, 40*time.Millisecond)
 		for _, id := range []string{"e-1", "e-2", "e-3"} {
 			w.add(id, "llm", "a", handle)
 		}
 		other := w.addDaemon("vm-2")
 		view := w.feed.View()
 		engine := func(id string) choice {
-			c, ok := other.pool.server(view, "llm", routing.Life{ID: id})
+			c, ok := other.pool.findServer(view, "llm", routing.Life{ID: id})
 			must.True(t, ok)
 			return c
 		}
-		other.pool.count(engine("e-1"), 1, 0, 0)
-		other.pool.count(engine("e-2"), 0, 1, 0)
+		other.pool.addLoad(engine("e-1"), 1, 0, 0)
+		other.pool.addLoad(engine("e-2"), 0, 1, 0)
 		for range 5 {
-			must.Eq(t, events(1, 3), w.ask(http.MethodPost, "/s/1", caller, "prompt").body)
+			must.Eq(t, events(1, 3), w.request(http.MethodPost, "/s/1", callerHeaders, "prompt").body)
 		}
-		must.Eq(t, 5, w.servers["e-3"].requests())
-		other.pool.count(engine("e-3"), 1, 0, 0)
-		must.Eq(t, events(1, 3), w.ask(http.MethodPost, "/s/1", caller, "prompt").body)
-		must.Eq(t, 1, w.servers["e-2"].requests()) // stalling a run is better than queueing behind a prefill
+		must.Eq(t, 5, w.servers["e-3"].requestCount())
+		other.pool.addLoad(engine("e-3"), 1, 0, 0)
+		must.Eq(t, events(1, 3), w.request(http.MethodPost, "/s/1", callerHeaders, "prompt").body)
+		must.Eq(t, 1, w.servers["e-2"].requestCount()) // stalling a run is better than queueing behind a prefill
 	})
 }
 
@@ -301,37 +301,37 @@
 // first prompt has reached an engine. Unless that prompt is already counted, both are prefilled at
 // one engine, one after the other.
 func TestPlacedPromptIsCountedBeforeItIsSent(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		handle := streaming(3, time.Second, 40*time.Millisecond)
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		handle := streamEvents(3, time.Second, 40*time.Millisecond)
 		w.add("e-1", "llm", "a", handle)
 		w.add("e-2", "llm", "a", handle)
 		view := w.feed.View()
-		first, _, ok := w.handler.pool.reader(time.Now(), view, "llm", nil, false, nil)
+		first, _, ok := w.handler.pool.reservePrefill(time.Now(), view, "llm", nil, false, nil)
 		must.True(t, ok)
 		other := newPool(routing.VM{ID: "vm-2"}, repeatsRule, w.handler.versions)
-		second, _, ok := other.reader(time.Now(), view, "llm", w.handler.pool.work(view, "llm"), false, nil)
+		second, _, ok := other.reservePrefill(time.Now(), view, "llm", w.handler.pool.localWork(view, "llm"), false, nil)
 		must.True(t, ok)
 		must.NotEq(t, first.server.ID, second.server.ID)
-		w.handler.pool.count(first, -1, 0, 0) // no request follows
+		w.handler.pool.addLoad(first, -1, 0, 0) // no request follows
 	})
 }
 
 // Another daemon is unreachable. Prompts must not wait for its timeout one after the other: it is
 // not queried for a second, and prompts are placed by the reports of engines meanwhile.
 func TestUnresponsiveDaemonDoesNotDelayPlacement(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		w.add("e-1", "llm", "a", streaming(3, 100*time.Millisecond, 10*time.Millisecond))
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		w.add("e-1", "llm", "a", streamEvents(3, 100*time.Millisecond, 10*time.Millisecond))
 		w.addDaemon("vm-2")
 		asked := 0
 		w.handler.neighbours.dialer = link.NewDialerWith(&http.Client{Transport: unresponsivePeers{&asked}})
 		for range 4 {
-			got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+			got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 			must.Eq(t, events(1, 3), got.body)
 			must.LessEq(t, 100*time.Millisecond+3*10*time.Millisecond+workTimeout, got.took)
 		}
 		must.Eq(t, 1, asked)
-		time.Sleep(workSilence)
-		w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		time.Sleep(peerBackoff)
+		w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.Eq(t, 2, asked)
 	})
 }
--- a/serve/forward/plain.go
+++ b/serve/forward/plain.go
@@ -78,7 +78,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel() // cancels hedged sends that are still in progress
 	now := time.Now()
-	if overloadedFor, refused := h.pressure.throttled(now, service); refused {
+	if overloadedFor, refused := h.pressure.throttle(now, service); refused {
 		retryAfter := retryafter.Crowded(overloadedFor, in.route.Objective, rand.Float64())
 		h.metrics.overloadRefusals.WithLabelValues(reasonTurnedAway).Inc()
 		h.opts.Log.Emit(event.CallThrottled, in.call.ID, service, overloadedFor)
@@ -87,7 +87,7 @@
 	x := &exchanges{h: h, in: in, service: service, results: make(chan *outcome, 8)}
 	last, err := x.run(ctx)
 	if x.rejectedFull > 0 || x.possibleRuns > 0 {
-		h.pressure.fate(time.Now(), service, x.possibleRuns > 0)
+		h.pressure.recordCall(time.Now(), service, x.possibleRuns > 0)
 	}
 	if err != nil {
 		return err
@@ -146,7 +146,7 @@
 	var c choice
 	ok := false
 	if len(x.tried) == 0 {
-		c, ok = x.h.drawnCall(ctx, view, x.service, x.in.routeName())
+		c, ok = x.h.chooseCanary(ctx, view, x.service, x.in.routeName())
 	}
 	if !ok {
 		c, ok = x.h.choosePlainWithPermit(ctx, view, x.service, x.tried)
@@ -225,7 +225,7 @@
 
 // isOverloaded reports whether the servers reject requests for lack of capacity. A retry or a
 // hedged send would then displace another request.
-func (x *exchanges) isOverloaded() bool { return x.h.pressure.turnsAway(time.Now(), x.service) }
+func (x *exchanges) isOverloaded() bool { return x.h.pressure.isRejecting(time.Now(), x.service) }
 
 // finalOutcome returns the response to forward, or the error, when no further send is possible.
 func (x *exchanges) finalOutcome(best, last *outcome) (*outcome, error) {
@@ -240,16 +240,16 @@
 
 // noServerError is the refusal of a request that no server took.
 func (x *exchanges) noServerError() error {
-	if wait, limited := x.h.limits.full(x.service); limited && len(x.tried) == 0 {
+	if wait, limited := x.h.limits.permitWait(x.service); limited && len(x.tried) == 0 {
 		return x.h.rateLimitedError(x.in, x.service, verdict.NotRun, wait)
 	}
-	return verdict.New(verdict.NotRun, verdict.CodeNoBackend, "no backend server takes the request").After(x.h.pool.back(x.service))
+	return verdict.New(verdict.NotRun, verdict.CodeNoBackend, "no backend server takes the request").After(x.h.pool.retryAfter(x.service))
 }
 
 // rateLimitedError is the refusal of a request because the rate limits that the servers of its
 // service state are reached. Its Retry-After is when a permit may be available.
 func (h *Handler) rateLimitedError(in *inbound, service string, v verdict.Verdict, wait time.Duration) error {
-	overloadedFor, _ := h.pressure.refused(time.Now(), service)
+	overloadedFor, _ := h.pressure.recordRefusal(time.Now(), service)
 	retryAfter := max(wait, retryafter.Crowded(overloadedFor, in.route.Objective, rand.Float64()))
 	h.metrics.overloadRefusals.WithLabelValues(reasonRateLimited).Inc()
 	return verdict.New(v, verdict.CodeOverloaded, "the backend servers take no more requests now").After(retryAfter)
@@ -269,7 +269,7 @@
 	started := time.Now()
 	trial := h.versions.Try(c.server, in.routeName(), rollout.Whole)
 	defer func() {
-		if result, ok := o.trial(ctx); ok {
+		if result, ok := o.trialOutcome(ctx); ok {
 			trial.Done(result)
 		} else {
 			trial.Drop()
@@ -286,7 +286,7 @@
 		return o
 	}
 	o.status, o.header, o.rateLimit = resp.StatusCode, resp.Header, reply.RateLimit
-	h.heardLimit(c.server, started, reply)
+	h.recordLimit(c.server, started, reply)
 	o.notRun, o.rejected = reply.NotRun, reply.NotRun
 	o.full = reply.NotRun && !reply.Misdirected
 	o.body, o.bodyRest, o.err = readResponse(resp)
@@ -297,9 +297,9 @@
 		h.inspectBroken(ctx, in, o, started)
 		return o
 	}
-	h.pool.worked(c)
+	h.pool.recordSuccess(c)
 	if o.hasResponse() {
-		h.poisoned.whole(in)
+		h.poisoned.recordCompletion(in)
 	}
 	return o
 }
@@ -307,7 +307,7 @@
 // inspectBroken finds out in a goroutine whether the server of a failed exchange crashed.
 func (h *Handler) inspectBroken(ctx context.Context, in *inbound, o *outcome, started time.Time) {
 	if ctx.Err() == nil && !o.notRun {
-		go h.inspect(ending{in: in, at: o.choice, sent: started, err: o.err})
+		go h.checkForCrash(brokenSend{in: in, at: o.choice, sentAt: started, err: o.err})
 	}
 }
 
@@ -316,8 +316,8 @@
 	if ctx.Err() != nil {
 		return
 	}
-	h.pool.failed(time.Now(), c.server)
-	h.opts.Log.Emit(event.BackendSuspected, in.call.ID, c.server.ID, err, suspicion)
+	h.pool.recordFailure(time.Now(), c.server)
+	h.opts.Log.Emit(event.BackendSuspected, in.call.ID, c.server.ID, err, minSuspicion)
 }
 
 // readResponse reads a response to its end, or its first bufferedResponseBytes if it is longer.
--- a/serve/forward/plain_test.go
+++ b/serve/forward/plain_test.go
@@ -42,29 +42,29 @@
 		body   string // "" is not compared
 		runs   [2]int // at the first and second server
 	}{
-		{"successful response", "/once/1", proven("ok"), proven("other"), 200, "ok", [2]int{1, 0}},
-		{"server error forwarded without a retry", "/once/1", failing(500), proven("ok"), 500, "", [2]int{1, 0}},
-		{"server error retried on an idempotent route", "/again/1", failing(500), proven("ok"), 200, "ok", [2]int{1, 1}},
-		{"rejected, so sent to another server", "/once/1", rejecting, proven("ok"), 200, "ok", [2]int{1, 1}},
+		{"successful response", "/once/1", respondProven("ok"), respondProven("other"), 200, "ok", [2]int{1, 0}},
+		{"server error forwarded without a retry", "/once/1", failing(500), respondProven("ok"), 500, "", [2]int{1, 0}},
+		{"server error retried on an idempotent route", "/again/1", failing(500), respondProven("ok"), 200, "ok", [2]int{1, 1}},
+		{"rejected, so sent to another server", "/once/1", rejecting, respondProven("ok"), 200, "ok", [2]int{1, 1}},
 		{"rejected by all: nothing ran", "/once/1", rejecting, rejecting, 503, "", [2]int{1, 1}},
-		{"connection broken: may have run", "/once/1", breaking, proven("ok"), 502, "", [2]int{1, 0}},
-		{"connection broken, retried on an idempotent route", "/again/1", breaking, proven("ok"), 200, "ok", [2]int{1, 1}},
-		{"status 503 without an explicit rejection", "/once/1", failing(503), proven("ok"), 502, "", [2]int{1, 0}},
+		{"connection broken: may have run", "/once/1", breaking, respondProven("ok"), 502, "", [2]int{1, 0}},
+		{"connection broken, retried on an idempotent route", "/again/1", breaking, respondProven("ok"), 200, "ok", [2]int{1, 1}},
+		{"status 503 without an explicit rejection", "/once/1", failing(503), respondProven("ok"), 502, "", [2]int{1, 0}},
 		{"both fail: the last response", "/again/1", failing(500), failing(500), 500, "", [2]int{1, 1}},
-		{"no route", "/none/1", proven("ok"), proven("ok"), 404, "", [2]int{0, 0}},
+		{"no route", "/none/1", respondProven("ok"), respondProven("ok"), 404, "", [2]int{0, 0}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			inWorld(t, plainRoutes(), func(w *world) {
+			withTestCluster(t, plainRoutes(), func(w *testCluster) {
 				near := w.add("d-1", "desk", "a", c.first)
 				far := w.add("d-2", "desk", "b", c.second)
-				got := w.ask(http.MethodPost, c.path, caller, "x")
+				got := w.request(http.MethodPost, c.path, callerHeaders, "x")
 				must.NoError(t, got.err)
 				must.Eq(t, c.status, got.status)
 				if c.body != "" {
 					must.Eq(t, c.body, got.body)
 				}
-				must.Eq(t, c.runs, [2]int{near.requests(), far.requests()})
+				must.Eq(t, c.runs, [2]int{near.requestCount(), far.requestCount()})
 			})
 		})
 	}
@@ -73,23 +73,23 @@
 // A server hangs on a request that must not be retried. The caller gets an error at the route's
 // timeout, not later, and no second server runs the request.
 func TestHangingServerTimesOutAtRouteTimeout(t *testing.T) {
-	inWorld(t, plainRoutes(), func(w *world) {
+	withTestCluster(t, plainRoutes(), func(w *testCluster) {
 		w.add("d-1", "desk", "a", func(_ http.ResponseWriter, r *http.Request) { sleep(r, time.Hour) })
-		far := w.add("d-2", "desk", "b", proven("ok"))
-		got := w.ask(http.MethodPost, "/once/1", caller, "x")
+		far := w.add("d-2", "desk", "b", respondProven("ok"))
+		got := w.request(http.MethodPost, "/once/1", callerHeaders, "x")
 		must.Eq(t, http.StatusGatewayTimeout, got.status)
 		must.Eq(t, 600*time.Millisecond, got.took)
-		must.Eq(t, 0, far.requests())
+		must.Eq(t, 0, far.requestCount())
 	})
 }
 
 // A server hangs on an idempotent request. The hedged request reaches the second server early
 // enough for a response within the route's objective of 100 ms.
 func TestHangingServerIsHedged(t *testing.T) {
-	inWorld(t, plainRoutes(), func(w *world) {
+	withTestCluster(t, plainRoutes(), func(w *testCluster) {
 		w.add("d-1", "desk", "a", func(_ http.ResponseWriter, r *http.Request) { sleep(r, time.Hour) })
-		w.add("d-2", "desk", "b", proven("ok"))
-		got := w.ask(http.MethodGet, "/again/1", caller, "")
+		w.add("d-2", "desk", "b", respondProven("ok"))
+		got := w.request(http.MethodGet, "/again/1", callerHeaders, "")
 		must.Eq(t, http.StatusOK, got.status)
 		must.Less(t, 100*time.Millisecond, got.took)
 	})
@@ -98,11 +98,11 @@
 // The store is unreachable for longer than a revoked key may be used. The daemon cannot know
 // whether a key is still valid, so it refuses the request.
 func TestAccountKeysAreRefusedWithStaleConfiguration(t *testing.T) {
-	inWorld(t, plainRoutes(), func(w *world) {
-		w.add("d-1", "desk", "a", proven("ok"))
-		ask := func() int { return w.ask(http.MethodPost, "/once/1", caller, "x").status }
+	withTestCluster(t, plainRoutes(), func(w *testCluster) {
+		w.add("d-1", "desk", "a", respondProven("ok"))
+		ask := func() int { return w.request(http.MethodPost, "/once/1", callerHeaders, "x").status }
 		must.Eq(t, http.StatusOK, ask())
-		must.Eq(t, http.StatusUnauthorized, w.ask(http.MethodPost, "/once/1", with(map[string]string{hKey: "no"}), "x").status)
+		must.Eq(t, http.StatusUnauthorized, w.request(http.MethodPost, "/once/1", withHeaders(map[string]string{hKey: "no"}), "x").status)
 		w.cancel()
 		time.Sleep(3 * time.Second)
 		must.Eq(t, http.StatusOK, ask())
@@ -114,11 +114,11 @@
 // Headers that only the daemon may set are not taken from the caller, and the path is forwarded
 // byte by byte.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
-	inWorld(t, plainRoutes(), func(w *world) {
-		s := w.add("d-1", "desk", "a", proven("ok"))
+	withTestCluster(t, plainRoutes(), func(w *testCluster) {
+		s := w.add("d-1", "desk", "a", respondProven("ok"))
 		for _, path := range []string{"/once/a%2Fb?x=%20&&y", "/once//c/../d?"} {
-			w.ask(http.MethodPost, path, with(map[string]string{hAccount: "thief", "Connection": "X-Hop", "X-Hop": "1"}), "x")
-			r := s.asked()[s.requests()-1]
+			w.request(http.MethodPost, path, withHeaders(map[string]string{hAccount: "thief", "Connection": "X-Hop", "X-Hop": "1"}), "x")
+			r := s.requests()[s.requestCount()-1]
 			must.Eq(t, path, r.RequestURI)
 			must.Eq(t, "mill", r.Header.Get(hAccount))
 			must.Eq(t, "", r.Header.Get("X-Hop"))
@@ -130,8 +130,8 @@
 // A caller announces a body and sends only half of it. At the deadline the daemon responds with an
 // error, no server is called and nothing of the request remains in progress.
 func TestSlowRequestBodyTimesOut(t *testing.T) {
-	inWorld(t, plainRoutes(), func(w *world) {
-		s := w.add("d-1", "desk", "a", proven("ok"))
+	withTestCluster(t, plainRoutes(), func(w *testCluster) {
+		s := w.add("d-1", "desk", "a", respondProven("ok"))
 		listener := faultnet.Pipe()
 		server := &http.Server{Handler: w.handler}
 		go server.Serve(listener)
@@ -146,7 +146,7 @@
 		must.NoError(t, err)
 		must.Eq(t, http.StatusGatewayTimeout, resp.StatusCode)
 		must.Eq(t, 600*time.Millisecond, time.Since(began))
-		must.Eq(t, 0, s.requests())
+		must.Eq(t, 0, s.requestCount())
 		must.Eq(t, 0, w.handler.Running())
 	})
 }
@@ -155,22 +155,22 @@
 func TestAccountPriorityOverridesRoutePriority(t *testing.T) {
 	routes := plainRoutes()
 	routes[0].Priority = 1
-	inWorld(t, routes, func(w *world) {
-		s := w.add("d-1", "desk", "a", proven("ok"))
+	withTestCluster(t, routes, func(w *testCluster) {
+		s := w.add("d-1", "desk", "a", respondProven("ok"))
 		for key, want := range map[string]string{"key-1": "1", "key-2": "3"} {
-			w.ask(http.MethodPost, "/once/1", with(map[string]string{hKey: key}), "x")
-			must.Eq(t, want, s.asked()[s.requests()-1].Header.Get(hPriority))
+			w.request(http.MethodPost, "/once/1", withHeaders(map[string]string{hKey: key}), "x")
+			must.Eq(t, want, s.requests()[s.requestCount()-1].Header.Get(hPriority))
 		}
 	})
 }
 
 func TestHeadResponseKeepsContentLength(t *testing.T) {
-	inWorld(t, plainRoutes(), func(w *world) {
+	withTestCluster(t, plainRoutes(), func(w *testCluster) {
 		w.add("d-1", "desk", "a", func(rw http.ResponseWriter, _ *http.Request) {
 			rw.Header().Set(hProof, "p")
 			rw.Header().Set("Content-Length", "1234")
 		})
-		got := w.ask(http.MethodHead, "/again/1", caller, "")
+		got := w.request(http.MethodHead, "/again/1", callerHeaders, "")
 		must.NoError(t, got.err)
 		must.Eq(t, "1234", got.header.Get("Content-Length"))
 	})
@@ -181,21 +181,21 @@
 // rejections the daemon refuses requests itself, at once, with verdict not_run and a Retry-After.
 // Once the servers have capacity again it forwards requests as before.
 func TestOverloadedServiceIsThrottled(t *testing.T) {
-	inWorld(t, plainRoutes(), func(w *world) {
+	withTestCluster(t, plainRoutes(), func(w *testCluster) {
 		var room atomic.Bool
 		handle := func(rw http.ResponseWriter, r *http.Request) {
 			if room.Load() {
-				proven("ok")(rw, r)
+				respondProven("ok")(rw, r)
 				return
 			}
 			sleep(r, 100*time.Millisecond)
 			rejecting(rw, r)
 		}
 		servers := []*fakeServer{w.add("d-1", "desk", "a", handle), w.add("d-2", "desk", "b", handle)}
-		sent := func() int { return servers[0].requests() + servers[1].requests() }
+		sent := func() int { return servers[0].requestCount() + servers[1].requestCount() }
 		statuses := map[int]int{}
 		for range 20 {
-			got := w.ask(http.MethodPost, "/once/1", caller, "x")
+			got := w.request(http.MethodPost, "/once/1", callerHeaders, "x")
 			statuses[got.status]++
 			must.StrContains(t, got.body, "not_run")
 			must.NotEq(t, "", got.header.Get("Retry-After"))
@@ -205,18 +205,18 @@
 		room.Store(true)
 		time.Sleep(2 * time.Second)
 		for range 20 {
-			must.Eq(t, http.StatusOK, w.ask(http.MethodPost, "/once/1", caller, "x").status)
+			must.Eq(t, http.StatusOK, w.request(http.MethodPost, "/once/1", callerHeaders, "x").status)
 		}
 	})
 }
 
 // One of two servers rejects every request and the other accepts it. No request is refused.
 func TestSingleRejectingServerDoesNotThrottle(t *testing.T) {
-	inWorld(t, plainRoutes(), func(w *world) {
+	withTestCluster(t, plainRoutes(), func(w *testCluster) {
 		w.add("d-1", "desk", "a", rejecting)
-		w.add("d-2", "desk", "b", proven("ok"))
+		w.add("d-2", "desk", "b", respondProven("ok"))
 		for range 40 {
-			must.Eq(t, http.StatusOK, w.ask(http.MethodPost, "/once/1", caller, "x").status)
+			must.Eq(t, http.StatusOK, w.request(http.MethodPost, "/once/1", callerHeaders, "x").status)
 		}
 	})
 }
@@ -225,11 +225,11 @@
 // name its predecessor as misdirected. Such rejections are no sign of overload: once the entries
 // are correct, no request is refused.
 func TestMisdirectedRequestsDoNotThrottle(t *testing.T) {
-	inWorld(t, plainRoutes(), func(w *world) {
+	withTestCluster(t, plainRoutes(), func(w *testCluster) {
 		var known atomic.Bool
 		handle := func(rw http.ResponseWriter, r *http.Request) {
 			if known.Load() {
-				proven("ok")(rw, r)
+				respondProven("ok")(rw, r)
 				return
 			}
 			rw.WriteHeader(http.StatusMisdirectedRequest)
@@ -237,11 +237,11 @@
 		w.add("d-1", "desk", "a", handle)
 		w.add("d-2", "desk", "b", handle)
 		for range 10 {
-			must.Eq(t, http.StatusServiceUnavailable, w.ask(http.MethodPost, "/once/1", caller, "x").status)
+			must.Eq(t, http.StatusServiceUnavailable, w.request(http.MethodPost, "/once/1", callerHeaders, "x").status)
 		}
 		known.Store(true)
 		for range 20 {
-			must.Eq(t, http.StatusOK, w.ask(http.MethodPost, "/once/1", caller, "x").status)
+			must.Eq(t, http.StatusOK, w.request(http.MethodPost, "/once/1", callerHeaders, "x").status)
 		}
 	})
 }
--- a/serve/forward/stream.go
+++ b/serve/forward/stream.go
@@ -45,7 +45,7 @@
 	headersSent bool  // the caller has received the headers
 	lastEventID int64 // ID of the last event sent to the caller
 	// heldCopy is a copy of the current run.
-	heldCopy kept
+	heldCopy replica
 	// resetBy is the engine that reset the connection before the first event. It may be alive
 	// and hold the prompt. It is zero if there is none.
 	resetBy choice
@@ -95,11 +95,11 @@
 
 // incrementalCopy returns the copy that the engine of the segment sends while the run generates
 // events, a zero one if there is none.
-func (l segment) incrementalCopy(id string) kept {
+func (l segment) incrementalCopy(id string) replica {
 	if l.copyTo.load == nil {
-		return kept{}
+		return replica{}
 	}
-	return kept{at: l.copyTo, name: copyName(l.copyTo.server, id)}
+	return replica{at: l.copyTo, name: replicaName(l.copyTo.server, id)}
 }
 
 // segmentEnd says how a segment ended.
@@ -123,12 +123,12 @@
 func (h *Handler) forwardStream(ctx context.Context, w http.ResponseWriter, in *inbound, service string) error {
 	r := &relay{h: h, in: in, service: service, w: w, lastEventID: in.call.LastEventID, lastEventAt: time.Now()}
 	if in.call.LastEventID > 0 {
-		h.learnPace(ctx, service)
+		h.fetchPace(ctx, service)
 	}
 	if err := r.checkTimeLeft(in.call.LastEventID == 0); err != nil {
 		return err
 	}
-	h.pressure.asked(service, in.call.PromptTokens)
+	h.pressure.recordPrompt(service, in.call.PromptTokens)
 	defer func() {
 		if r.replacement != nil { // the caller disconnected during the takeover
 			r.replacement.end(segmentAborted)
@@ -143,7 +143,7 @@
 		r.finishAttempt(a, end, err)
 		switch end {
 		case segmentComplete:
-			h.pressure.ended(service, time.Since(in.arrived))
+			h.pressure.recordDuration(service, time.Since(in.arrived))
 			r.recordPace()
 			h.metrics.countAnswer(in, http.StatusOK, sourceServer)
 			return nil
@@ -165,7 +165,7 @@
 // checkTimeLeft returns an error if the response cannot be completed before the deadline. unread
 // is true if the prompt has to be prefilled first.
 func (r *relay) checkTimeLeft(unread bool) error {
-	if !r.h.pressure.unfinishable(r.service, r.in.call, unread, time.Until(r.in.deadline)) {
+	if !r.h.pressure.isAnswerTooLate(r.service, r.in.call, unread, time.Until(r.in.deadline)) {
 		return nil
 	}
 	return verdict.New(r.verdict(), verdict.CodeOverloaded, "the answer cannot be whole in the time that is left")
@@ -175,7 +175,7 @@
 // The ID of the last event is the number of events.
 func (r *relay) recordPace() {
 	if r.in.call.LastEventID == 0 && r.sends == 1 {
-		r.h.pressure.made(r.service, r.lastEventID, r.lastEventAt.Sub(r.in.arrived)-r.timeToFirstEvent)
+		r.h.pressure.recordAnswer(r.service, r.lastEventID, r.lastEventAt.Sub(r.in.arrived)-r.timeToFirstEvent)
 	}
 }
 
@@ -209,18 +209,18 @@
 	}
 	view := r.h.opts.Feed.View()
 	if held := r.heldCopy; held.at.load != nil {
-		r.heldCopy = kept{}
+		r.heldCopy = replica{}
 		if c, ok := r.findCopyHolder(view, held); ok && r.tryAcquirePermit(ctx, c) {
-			r.h.pool.count(c, 1, 0, 0)
+			r.h.pool.addLoad(c, 1, 0, 0)
 			return r.withCopyTarget(ctx, segment{target: c, resumeFrom: held.name}), nil
 		}
 	}
 	if c, ok := r.retrySameEngine(ctx, view); ok && r.tryAcquirePermit(ctx, c) {
-		r.h.pool.count(c, 1, 0, 0)
+		r.h.pool.addLoad(c, 1, 0, 0)
 		return r.withCopyTarget(ctx, segment{target: c}), nil
 	}
 	if c, ok := r.findPromptHolder(ctx, now, view); ok && r.tryAcquirePermit(ctx, c) {
-		r.h.pool.count(c, 1, 0, 0)
+		r.h.pool.addLoad(c, 1, 0, 0)
 		return r.withCopyTarget(ctx, segment{target: c}), nil
 	}
 	if r.sends == 0 {
@@ -228,10 +228,10 @@
 			return segment{}, err
 		}
 	}
-	if r.h.pressure.hopeless(r.service, r.in.call.PromptTokens, r.in.deadline.Sub(now)) {
+	if r.h.pressure.isPrefillTooLate(r.service, r.in.call.PromptTokens, r.in.deadline.Sub(now)) {
 		return segment{}, verdict.New(r.verdict(), verdict.CodeOverloaded, "the prompt cannot be read in the time that is left")
 	}
-	if c, ok := r.placeDrawn(ctx, view); ok {
+	if c, ok := r.placeCanary(ctx, view); ok {
 		return r.withCopyTarget(ctx, segment{target: c}), nil
 	}
 	c, ok := r.placeWithPermit(ctx, view)
@@ -239,7 +239,7 @@
 		return segment{}, r.noServerError()
 	}
 	if err := r.admit(c); err != nil {
-		r.h.pool.count(c.choice, -1, 0, 0)
+		r.h.pool.addLoad(c.choice, -1, 0, 0)
 		return segment{}, err
 	}
 	unconfirmed := !c.answered && view.Config.Engine(r.service) != nil
@@ -253,7 +253,7 @@
 	mustServe := r.sends > 0 || r.in.call.LastEventID > 0
 	due = time.Until(r.in.deadline)
 	if !mustServe {
-		due = r.h.pressure.due(r.service, r.in, due)
+		due = r.h.pressure.firstEventBudget(r.service, r.in, due)
 	}
 	admission = r.h.pressure.admit(r.service, best.report, r.in.call.PromptTokens, due)
 	if mustServe && admission == prompts.NoRoom {
@@ -268,7 +268,7 @@
 	if admission == prompts.Admitted {
 		return nil
 	}
-	overloadedFor, answer := r.h.pressure.refused(time.Now(), r.service)
+	overloadedFor, answer := r.h.pressure.recordRefusal(time.Now(), r.service)
 	retryAfter := retryafter.Crowded(overloadedFor, max(answer, r.in.route.Objective), rand.Float64())
 	r.h.metrics.overloadRefusals.WithLabelValues(admission.String()).Inc()
 	r.h.opts.Log.Emit(event.PromptRefused, r.in.call.ID, best.server.ID, admission.String(), r.in.call.PromptTokens,
@@ -302,7 +302,7 @@
 		if !ok || r.tryAcquirePermit(ctx, c.choice) {
 			return c, ok
 		}
-		r.h.pool.count(c.choice, -1, 0, 0)
+		r.h.pool.addLoad(c.choice, -1, 0, 0)
 	}
 	return sampledEngine{}, false
 }
@@ -310,24 +310,24 @@
 // tryAcquirePermit reports whether the rate limit that an engine states permits a request now. A
 // permit is only valid for a request that is sent at once.
 func (r *relay) tryAcquirePermit(ctx context.Context, c choice) bool {
-	return r.h.limits.take(ctx, c.server)
+	return r.h.limits.acquire(ctx, c.server)
 }
 
 // noServerError is the refusal of a request that no engine takes now.
 func (r *relay) noServerError() error {
-	if wait, limited := r.h.limits.full(r.service); limited && r.sends == 0 {
-		return r.h.rateLimitedError(r.in, r.service, r.verdict(), max(wait, r.h.pool.back(r.service)))
+	if wait, limited := r.h.limits.permitWait(r.service); limited && r.sends == 0 {
+		return r.h.rateLimitedError(r.in, r.service, r.verdict(), max(wait, r.h.pool.retryAfter(r.service)))
 	}
-	return verdict.New(r.verdict(), verdict.CodeNoBackend, "no engine takes the request").After(r.h.pool.back(r.service))
+	return verdict.New(r.verdict(), verdict.CodeNoBackend, "no engine takes the request").After(r.h.pool.retryAfter(r.service))
 }
 
 // findCopyHolder returns the engine that holds a copy now, false if there is none. The engine may
 // have restarted at its address since the copy was requested, as the view or the engine itself
 // shows. An incremental copy is sent to the new incarnation as well, one made on demand is lost.
-func (r *relay) findCopyHolder(view *feed.View, held kept) (choice, bool) {
+func (r *relay) findCopyHolder(view *feed.View, held replica) (choice, bool) {
 	at := held.at
-	if c, ok := r.h.pool.at(view, r.service, at.server.Address); ok && c.server.Life() != r.misdirectedLife {
-		if held.once && c.server.Life() != at.server.Life() {
+	if c, ok := r.h.pool.serverAt(view, r.service, at.server.Address); ok && c.server.Life() != r.misdirectedLife {
+		if held.onDemand && c.server.Life() != at.server.Life() {
 			return at, false
 		}
 		at = c
@@ -344,13 +344,13 @@
 	if last.load == nil || r.in.call.PromptKey == "" {
 		return choice{}, false
 	}
-	c, ok := r.h.pool.server(view, r.service, last.server.Life())
+	c, ok := r.h.pool.findServer(view, r.service, last.server.Life())
 	if !ok {
 		return choice{}, false // it is draining or has restarted
 	}
 	ctx, cancel := context.WithTimeout(ctx, fastProbeTimeout)
 	defer cancel()
-	life, parts, err := r.h.cached(ctx, c.server)
+	life, parts, err := r.h.cachedParts(ctx, c.server)
 	c.reason = "same_again"
 	return c, err == nil && life == c.server.Life() && slices.Contains(parts, r.in.call.PromptKey)
 }
@@ -367,10 +367,10 @@
 		r.h.opts.Log.Emit(event.PromptLocated, r.in.call.ID, r.in.call.PromptKey, serverIDs(r.promptHolders))
 	}
 	for _, life := range r.promptHolders {
-		if slices.Contains(r.excluded, life) || r.h.pool.suspect(now, life) {
+		if slices.Contains(r.excluded, life) || r.h.pool.isSuspect(now, life) {
 			continue
 		}
-		if c, ok := r.h.pool.server(view, r.service, life); ok {
+		if c, ok := r.h.pool.findServer(view, r.service, life); ok {
 			return c, true
 		}
 	}
@@ -394,6 +394,6 @@
 	if engine == nil || !engine.Copies || !r.in.route.Resumable {
 		return l
 	}
-	l.copyTo, _ = r.copyPlace(ctx, l.target.server, r.excluded)
+	l.copyTo, _ = r.chooseReplicaEngine(ctx, l.target.server, r.excluded)
 	return l
 }
--- a/serve/forward/takeover.go
+++ b/serve/forward/takeover.go
@@ -52,7 +52,7 @@
 			return true
 		}
 	}
-	r.cannotContinue = takeover.GiveUp(outcome, time.Since(r.lastEventAt)) && r.unreachable(ctx, a, cause) &&
+	r.cannotContinue = takeover.GiveUp(outcome, time.Since(r.lastEventAt)) && r.isUnreachable(ctx, a, cause) &&
 		r.awaitLatePart(ctx, a) == takeover.Quiet
 	r.h.metrics.segmentsKept.WithLabelValues(outcome.String()).Inc()
 	r.h.opts.Log.Emit(event.LegKept, r.in.call.ID, a.target.server.ID, cause, outcome.String(), r.cannotContinue, r.lastEventID, time.Since(r.lastEventAt))
@@ -70,7 +70,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		l, outcome = r.reserve(prepareCtx, a, cause)
+		l, outcome = r.reserveFailover(prepareCtx, a, cause)
 	}()
 	select {
 	case <-done:
@@ -79,7 +79,7 @@
 		cancel()
 		<-done
 		if outcome == takeover.TakenOver {
-			r.uncount(l)
+			r.releaseLeg(l)
 		}
 		return takeover.NotNeeded, nil
 	}
@@ -164,7 +164,7 @@
 // probeBoth probes the engines of two attempts and reports which of them respond.
 func (r *relay) probeBoth(ctx context.Context, a, next *attempt, cause error) (stalledResponds, nextResponds bool) {
 	var both sync.WaitGroup
-	both.Go(func() { stalledResponds = r.answers(ctx, a, cause) })
+	both.Go(func() { stalledResponds = r.isResponsive(ctx, a, cause) })
 	both.Go(func() {
 		_, err := r.h.probe(ctx, next.target.server, fastProbeTimeout)
 		nextResponds = err == nil
--- a/serve/forward/upstream.go
+++ b/serve/forward/upstream.go
@@ -183,7 +183,7 @@
 	}
 	report, err := h.opts.Codec.Report(body)
 	if err != nil {
-		h.unreadable(s, err)
+		h.recordUnreadable(s, err)
 	}
 	return report, err
 }
