--- a/serve/forward/attempt.go
+++ b/serve/forward/attempt.go
@@ -30,7 +30,7 @@
 	dead        <-chan error
 	leaves      <-chan struct{} // closed when the version of the server leaves
 	reading     bool            // counted as a prompt that is read, and not yet as a run
-	spare       *spare
+	spare       *replicator
 	trial, pace *versions.Trial // of the server's version, nil where none is compared
 	made        int             // events of this attempt
 	foundLost   int             // times that the engine reported events of which none had arrived
@@ -61,16 +61,16 @@
 func (r *relay) start(ctx context.Context, l leg) *attempt {
 	a := &attempt{leg: l, r: r, sent: time.Now(), signals: make(chan signal), back: make(chan signal, 1), written: make(chan struct{}, 1), reading: true}
 	a.ctx, a.cancel = context.WithCancel(ctx)
-	r.h.pool.count(l.copyTo, 0, 0, 1)
+	r.h.pool.addLoad(l.copyTo, 0, 0, 1)
 	r.starts++
 	r.sends++
 	r.runs++
 	probing, stop := context.WithCancel(a.ctx)
 	a.stopProbing = stop
-	a.spare = r.newSpare(l)
+	a.spare = r.newReplicator(l)
 	a.dead = r.watch(probing, l)
 	a.leaves = r.h.versions.Leaves(r.h.opts.Feed.View(), l.at.server)
-	a.watchLeg(l, r.in.routeName())
+	a.startTrial(l, r.in.routeName())
 	go a.receive(Errand{
 		ID: r.in.call.ID, Server: l.at.server, Left: time.Until(r.in.until),
 		Account: r.in.accountName(), Priority: r.in.priority(), CopyTo: l.copyTo.server.Address, CopyAt: l.from, After: r.after,
@@ -140,14 +140,14 @@
 		return
 	}
 	a.reading, a.begun = false, time.Now()
-	a.firstEvent()
+	a.recordFirstEvent()
 	a.stopProbing()
 	a.dead = nil // a word that waits there is out of date
 	r := a.r
-	r.h.pool.count(a.at, -1, 1, 0)
-	r.h.pool.worked(a.at)
+	r.h.pool.addLoad(a.at, -1, 1, 0)
+	r.h.pool.recordSuccess(a.at)
 	if a.from == "" && r.in.call.After == 0 {
-		r.h.pressure.wasRead(r.service, r.in.call.PromptTokens, time.Since(a.sent))
+		r.h.pressure.recordPrefill(r.service, r.in.call.PromptTokens, time.Since(a.sent))
 	}
 	if a.spare != nil {
 		go a.spare.run(a.ctx)
@@ -155,16 +155,16 @@
 }
 
 // keptCopy is the copy of the run that is believed to lie at another engine.
-func (a *attempt) keptCopy() kept {
+func (a *attempt) keptCopy() replica {
 	if a.copyUsed {
-		return kept{}
+		return replica{}
 	}
 	return a.copy(a.r.in.call.ID)
 }
 
 // hasCopy reports whether a copy of the run is believed to lie at another engine.
 func (a *attempt) hasCopy() bool {
-	return a.keptCopy().at.load != nil || a.spare != nil && a.spare.copied.Load() != nil
+	return a.keptCopy().at.load != nil || a.spare != nil && a.spare.remade.Load() != nil
 }
 
 // end closes the connection, so that the server drops a run that is not over, and takes
@@ -173,11 +173,11 @@
 	a.cancel()
 	a.closeAnswer()
 	pool := a.r.h.pool
-	pool.count(a.copyTo, 0, 0, -1)
+	pool.addLoad(a.copyTo, 0, 0, -1)
 	if a.reading {
-		pool.count(a.at, -1, 0, 0)
+		pool.addLoad(a.at, -1, 0, 0)
 	} else {
-		pool.count(a.at, 0, -1, 0)
+		pool.addLoad(a.at, 0, -1, 0)
 	}
 	a.r.settle(a.spare, how)
 }
@@ -205,16 +205,16 @@
 }
 
 // settle takes over a copy made on demand, or frees it once the answer is whole.
-func (r *relay) settle(spare *spare, end legEnd) {
+func (r *relay) settle(spare *replicator, end legEnd) {
 	switch {
 	case spare == nil:
 	case (end == legBroken || end == legMoved) && r.taken != nil && r.taken.from != "": // that copy is in use
 	case end == legBroken && r.taken == nil:
-		if copied := spare.copied.Load(); copied != nil {
+		if copied := spare.remade.Load(); copied != nil {
 			r.held = *copied
 		}
 	default:
-		spare.drop()
+		spare.free()
 	}
 }
 
@@ -273,9 +273,9 @@
 // useCopy notes that the copy which grows with the run is asked for.
 func (a *attempt) useCopy() {
 	a.copyUsed = true
-	a.r.held = kept{}
+	a.r.held = replica{}
 	if a.spare != nil {
-		a.spare.used.Store(true)
-		a.spare.copied.Store(nil)
+		a.spare.firstUsed.Store(true)
+		a.spare.remade.Store(nil)
 	}
 }
--- a/serve/forward/candidate.go
+++ b/serve/forward/candidate.go
@@ -18,9 +18,9 @@
 // stays within 700 ms.
 const signOfLife = 150 * time.Millisecond
 
-// reserve chooses the leg that may follow a silent one, and takes a repeat from the
+// reserveFailover chooses the leg that may follow a silent one, and takes a repeat from the
 // budget for it. The request is counted at the server of the leg.
-func (r *relay) reserve(ctx context.Context, a *attempt, why error) (leg, takeover.Outcome) {
+func (r *relay) reserveFailover(ctx context.Context, a *attempt, why error) (leg, takeover.Outcome) {
 	if !r.mayGoOn() || r.starts >= maxStarts {
 		return leg{}, takeover.NoTries
 	}
@@ -36,23 +36,23 @@
 		outcome = takeover.NoRepeat
 	}
 	if outcome != takeover.TakenOver {
-		r.uncount(l)
+		r.releaseLeg(l)
 		return leg{}, outcome
 	}
 	return l, outcome
 }
 
-// uncount takes back the count of a leg whose request is not sent.
-func (r *relay) uncount(l leg) { r.h.pool.count(l.at, -1, 0, 0) }
+// releaseLeg takes back the count of a leg whose request is not sent.
+func (r *relay) releaseLeg(l leg) { r.h.pool.addLoad(l.at, -1, 0, 0) }
 
 // candidate is the leg at the engine that holds a copy of the run, if it gives a sign of
 // life, or at one that reads the prompt anew.
 func (r *relay) candidate(ctx context.Context, a *attempt, why error) (leg, takeover.Outcome) {
 	if c, held, ok := r.livingHolder(ctx, a); ok && r.permitted(ctx, c) {
-		r.h.pool.count(c, 1, 0, 0)
+		r.h.pool.addLoad(c, 1, 0, 0)
 		return leg{at: c, from: held.name}, takeover.TakenOver
 	}
-	if r.h.pressure.hopeless(r.service, r.in.call.PromptTokens, time.Until(r.in.until)) {
+	if r.h.pressure.isPrefillTooLate(r.service, r.in.call.PromptTokens, time.Until(r.in.until)) {
 		return leg{}, takeover.NoRoom
 	}
 	return r.withoutCopy(ctx, a, why)
@@ -69,7 +69,7 @@
 		return leg{}, takeover.NoServer
 	}
 	if !r.permitted(ctx, c.choice) {
-		r.uncount(leg{at: c.choice})
+		r.releaseLeg(leg{at: c.choice})
 		return leg{}, takeover.NoServer
 	}
 	l, outcome := leg{at: c.choice}, takeover.TakenOver
@@ -77,23 +77,23 @@
 		switch admission, _ := r.admission(c); {
 		case !c.answered:
 			outcome = takeover.NoServer
-		case r.answers(ctx, a, why):
+		case r.isResponsive(ctx, a, why):
 			outcome = takeover.Alive
 		case admission != prompts.Admitted:
 			outcome = takeover.NoRoom
 		}
 	}
 	if outcome != takeover.TakenOver {
-		r.uncount(l)
+		r.releaseLeg(l)
 		return leg{}, outcome
 	}
 	return l, outcome
 }
 
-// answers reports whether a silent engine gives a sign of life after all. It is asked last:
+// isResponsive reports whether a silent engine gives a sign of life after all. It is asked last:
 // where the link from here was full until a moment ago, others answer as well by now. One
 // whose answer is lost, or that has been silent for long, is not asked.
-func (r *relay) answers(ctx context.Context, a *attempt, why error) bool {
+func (r *relay) isResponsive(ctx context.Context, a *attempt, why error) bool {
 	long := time.Since(r.since) >= takeover.Patience(false, r.in.route.GapTarget)
 	if errors.Is(why, errAnswerLost) || errors.Is(why, errSilent) && long {
 		return false
@@ -102,11 +102,11 @@
 	return err == nil
 }
 
-// unreachable reports whether nothing more is to be expected of a silent engine: its answer
+// isUnreachable reports whether nothing more is to be expected of a silent engine: its answer
 // was found lost more than once, or it answers neither of two questions, one after the other,
 // while others answer both times: one lost packet does not show that, nor a link from here that
 // is free again in the middle of a question. Servers that are no engines cannot be asked.
-func (r *relay) unreachable(ctx context.Context, a *attempt, why error) bool {
+func (r *relay) isUnreachable(ctx context.Context, a *attempt, why error) bool {
 	if errors.Is(why, errAnswerLost) {
 		a.foundLost++
 		return a.foundLost >= deadProbes
@@ -115,12 +115,12 @@
 	if view.Config.Engine(r.service) == nil {
 		return false
 	}
-	others := r.h.pool.readers(time.Now(), view, r.service, "", Asked, []routing.Life{a.at.server.Life()})
+	others := r.h.pool.prefillCandidates(time.Now(), view, r.service, "", Asked, []routing.Life{a.at.server.Life()})
 	for range deadProbes {
 		var silent error
 		var all sync.WaitGroup
 		all.Go(func() { _, silent = r.h.probe(ctx, a.at.server, askLimit) })
-		answered := r.h.questions().survey(ctx, others, 0)
+		answered := r.h.newProbeRound().survey(ctx, others, 0)
 		all.Wait()
 		if silent == nil || len(answered) == 0 {
 			return false
@@ -130,19 +130,19 @@
 }
 
 // livingHolder is the engine that holds a copy of an attempt's run, if it answers.
-func (r *relay) livingHolder(ctx context.Context, a *attempt) (choice, kept, bool) {
+func (r *relay) livingHolder(ctx context.Context, a *attempt) (choice, replica, bool) {
 	held := r.held
 	if a.spare != nil {
-		if copied := a.spare.copied.Load(); copied != nil {
+		if copied := a.spare.remade.Load(); copied != nil {
 			held = *copied
 		}
 	}
 	if held.at.load == nil {
-		return choice{}, kept{}, false
+		return choice{}, replica{}, false
 	}
 	c, ok := r.holder(r.h.opts.Feed.View(), held)
 	if !ok {
-		return choice{}, kept{}, false
+		return choice{}, replica{}, false
 	}
 	_, err := r.h.probe(ctx, c.server, signOfLife)
 	return c, held, err == nil
--- a/serve/forward/leg.go
+++ b/serve/forward/leg.go
@@ -48,11 +48,11 @@
 			leaves = nil
 			again.Reset(0)
 		case <-again.C:
-			if r.moveOn(ctx, a) {
+			if r.migrate(ctx, a) {
 				r.h.opts.Log.Emit(event.StreamMoved, r.in.call.ID, a.at.server.ID, r.taken.at.server.ID, r.after)
 				return legMoved, nil
 			}
-			again.Reset(moveAgain)
+			again.Reset(migrationRetryInterval)
 		case s := <-a.inbox():
 			if end, err, over := r.handle(ctx, a, s); over {
 				return end, err
@@ -89,7 +89,7 @@
 		return end, err, true
 	}
 	a.heard()
-	a.nextEvent()
+	a.recordNextEvent()
 	r.held = a.keptCopy()
 	if err := r.release(a.answer, s.event); err != nil {
 		return legAborted, err, true
@@ -101,7 +101,7 @@
 func (r *relay) opened(ctx context.Context, a *attempt, o opened) (end legEnd, err error, over bool) {
 	a.answer, a.limit = o.resp, o.reply.Limit
 	if o.err == nil {
-		r.h.heardLimit(a.at.server, a.sent, o.reply)
+		r.h.recordLimit(a.at.server, a.sent, o.reply)
 	}
 	switch {
 	case o.err != nil:
@@ -208,8 +208,8 @@
 	if now.Sub(r.heldUpSince) >= takeover.HeldUp {
 		return false
 	}
-	others := r.h.pool.readers(now, view, r.service, "", Asked, []routing.Life{l.at.server.Life()})
-	return len(others) > 0 && len(r.h.questions().survey(ctx, others, 0)) == 0
+	others := r.h.pool.prefillCandidates(now, view, r.service, "", Asked, []routing.Life{l.at.server.Life()})
+	return len(others) > 0 && len(r.h.newProbeRound().survey(ctx, others, 0)) == 0
 }
 
 // turnedAway handles a server's word that it did not run the request.
@@ -223,7 +223,7 @@
 	case succeeded && l.from != "":
 		r.misdirected = l.at.server.Life()
 		l.at.server.ID, l.at.server.Born = next.ID, next.Born
-		r.held = kept{at: l.at, name: l.from}
+		r.held = replica{at: l.at, name: l.from}
 	case !succeeded && l.from == "":
 		r.exclude(l)
 	}
@@ -246,7 +246,7 @@
 		return routing.Life{}, false
 	}
 	next := routing.Life{ID: instance, Born: report.Born}
-	r.h.pool.succeed(view, old.Life(), next)
+	r.h.pool.recordSuccessor(view, old.Life(), next)
 	r.h.opts.Log.Emit(event.BackendSucceeded, r.in.call.ID, old.ID, next.ID, next.Born)
 	return next, true
 }
@@ -280,14 +280,14 @@
 
 // over ends an attempt, and has it found out whether its server ended.
 func (r *relay) over(a *attempt, end legEnd, err error) {
-	a.ended(end, errors.Is(err, errAnsweredFailure) || end == legAnswer && a.answer != nil && a.answer.StatusCode >= http.StatusInternalServerError)
+	a.recordEnd(end, errors.Is(err, errAnsweredFailure) || end == legAnswer && a.answer != nil && a.answer.StatusCode >= http.StatusInternalServerError)
 	a.end(end)
 	r.log(a, end, err)
 	switch end {
 	case legBroken:
-		go r.h.inspect(ending{in: r.in, at: a.at, sent: a.sent, begun: a.begun, from: a.from, err: err})
+		go r.h.checkForCrash(brokenSend{in: r.in, at: a.at, sentAt: a.sent, firstEventAt: a.begun, fromReplica: a.from, err: err})
 	case legWhole, legAnswer:
-		r.h.poisoned.whole(r.in)
+		r.h.poisoned.recordCompletion(r.in)
 	}
 }
 
--- a/serve/forward/place.go
+++ b/serve/forward/place.go
@@ -35,10 +35,10 @@
 // request all the same: the link from here may be at fault, and it loses nothing to try.
 func (r *relay) place(ctx context.Context, view *feed.View) (surveyed, bool) {
 	if view.Config.Engine(r.service) != nil {
-		others, all := r.h.neighbours.work(ctx, view, r.service)
+		others, all := r.h.neighbours.totalWork(ctx, view, r.service)
 		known := all
 		if !all {
-			others, known = r.h.keepers.work(ctx, view, r.service, r.in.call.OwnPart)
+			others, known = r.h.keepers.trackedWork(ctx, view, r.service, r.in.call.OwnPart)
 		}
 		if known {
 			if c, ok := r.placeKnowing(ctx, view, others, !all); ok {
@@ -47,7 +47,7 @@
 		}
 	}
 	c, ok := r.placeAsking(ctx, view)
-	r.h.pool.count(c.choice, 1, 0, 0)
+	r.h.pool.addLoad(c.choice, 1, 0, 0)
 	return c, ok
 }
 
@@ -55,12 +55,12 @@
 // the same: it may be dead, or full of what nobody told. Where none of the first few is
 // free the choice is left to the reports of more. among says that the engines in others are
 // those to choose from.
-func (r *relay) placeKnowing(ctx context.Context, view *feed.View, others workAt, among bool) (surveyed, bool) {
+func (r *relay) placeKnowing(ctx context.Context, view *feed.View, others workloads, among bool) (surveyed, bool) {
 	excluded := slices.Clone(r.failed)
-	asked := r.h.questions()
-	defer asked.judge()
+	asked := r.h.newProbeRound()
+	defer asked.markSilent()
 	for range askRounds {
-		c, unread, ok := r.h.pool.reader(time.Now(), view, r.service, others, among, excluded)
+		c, unread, ok := r.h.pool.reservePrefill(time.Now(), view, r.service, others, among, excluded)
 		if !ok {
 			return surveyed{}, false
 		}
@@ -72,7 +72,7 @@
 				return best, true
 			}
 		}
-		r.h.pool.count(c, -1, 0, 0)
+		r.h.pool.addLoad(c, -1, 0, 0)
 		excluded = append(excluded, c.server.Life())
 	}
 	return surveyed{}, false
@@ -80,18 +80,18 @@
 
 // placeAsking chooses by the reports of engines.
 func (r *relay) placeAsking(ctx context.Context, view *feed.View) (surveyed, bool) {
-	first := r.h.pool.readers(time.Now(), view, r.service, r.in.call.OwnPart, Asked, r.failed)
+	first := r.h.pool.prefillCandidates(time.Now(), view, r.service, r.in.call.OwnPart, Asked, r.failed)
 	if len(first) == 0 || view.Config.Engine(r.service) == nil {
 		return firstOf(first)
 	}
 	excluded := slices.Clone(r.failed)
-	asked := r.h.questions()
-	defer asked.judge()
+	asked := r.h.newProbeRound()
+	defer asked.markSilent()
 	var seen []surveyed
 	candidates := first
 	for round := range askRounds {
 		if round > 0 {
-			candidates = r.h.pool.readers(time.Now(), view, r.service, r.in.call.OwnPart, Asked, excluded)
+			candidates = r.h.pool.prefillCandidates(time.Now(), view, r.service, r.in.call.OwnPart, Asked, excluded)
 		}
 		for _, c := range candidates {
 			excluded = append(excluded, c.server.Life())
@@ -129,17 +129,17 @@
 
 // survey asks engines for their load and returns those that answer, in the order given.
 // counted is how many prompts that were not sent yet are counted at each.
-func (q *questions) survey(ctx context.Context, candidates []choice, counted int) []surveyed {
+func (q *probeRound) survey(ctx context.Context, candidates []choice, counted int) []surveyed {
 	answers := make([]*surveyed, len(candidates))
 	var all sync.WaitGroup
 	for i, c := range candidates {
 		all.Go(func() {
-			report, err := q.ask(ctx, c.server, askLimit)
+			report, err := q.probe(ctx, c.server, askLimit)
 			if err != nil {
 				return
 			}
 			load := report.load()
-			load.Unread = max(load.Unread, q.h.pool.reading(c)-counted) // a report lags
+			load.Unread = max(load.Unread, q.h.pool.prefillCount(c)-counted) // a report lags
 			answers[i] = &surveyed{choice: c, report: load, answered: true}
 		})
 	}
--- a/serve/forward/takeover.go
+++ b/serve/forward/takeover.go
@@ -52,7 +52,7 @@
 			return true
 		}
 	}
-	r.stuck = takeover.GiveUp(outcome, time.Since(r.since)) && r.unreachable(ctx, a, why) &&
+	r.stuck = takeover.GiveUp(outcome, time.Since(r.since)) && r.isUnreachable(ctx, a, why) &&
 		r.lastSignal(ctx, a) == takeover.Quiet
 	r.h.metrics.stayed.WithLabelValues(outcome.String()).Inc()
 	r.h.opts.Log.Emit(event.LegKept, r.in.call.ID, a.at.server.ID, why, outcome.String(), r.stuck, r.after, time.Since(r.since))
@@ -70,7 +70,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		l, outcome = r.reserve(asking, a, why)
+		l, outcome = r.reserveFailover(asking, a, why)
 	}()
 	select {
 	case <-done:
@@ -79,7 +79,7 @@
 		stop()
 		<-done
 		if outcome == takeover.TakenOver {
-			r.uncount(l)
+			r.releaseLeg(l)
 		}
 		return takeover.NotNeeded, nil
 	}
@@ -163,7 +163,7 @@
 // bothAsked asks the engines of two attempts for a sign of life.
 func (r *relay) bothAsked(ctx context.Context, a, next *attempt, why error) (silent, other bool) {
 	var both sync.WaitGroup
-	both.Go(func() { silent = r.answers(ctx, a, why) })
+	both.Go(func() { silent = r.isResponsive(ctx, a, why) })
 	both.Go(func() {
 		_, err := r.h.probe(ctx, next.at.server, askLimit)
 		other = err == nil
