--- a/serve/forward/absences.go
+++ b/serve/forward/absences.go
@@ -9,17 +9,17 @@
 	"mallowwind.dev/decision/absence"
 )
 
-// absentCheck is how often a request that waits for an engine looks whether one is there:
+// recoveryPollInterval is how often a request that waits for an engine looks whether one is there:
 // the feed shows one that returns within half a second.
-const absentCheck = 50 * time.Millisecond
+const recoveryPollInterval = 50 * time.Millisecond
 
-// forgetAway is how long an address without a server is remembered: longer than any absence
+// downServerTTL is how long an address without a server is remembered: longer than any absence
 // that is learned from.
-const forgetAway = 2 * time.Minute
+const downServerTTL = 2 * time.Minute
 
-// absence is what is known of how long servers of a service are away. The caller holds p.mu.
-func (p *pool) absence(service string) *absence.Absence {
-	return ofService(p.absences, service)
+// downtime is what is known of how long servers of a service are away. The caller holds p.mu.
+func (p *pool) downtime(service string) *absence.Absence {
+	return ofService(p.downtimes, service)
 }
 
 // recordReturns learns from the servers of a new view how long those were away that failed at
@@ -32,13 +32,13 @@
 			listed[s.Address] = true
 			before, ok := p.down[s.Address]
 			if ok && s.Life() != before.incarnation {
-				p.absence(service).Returned(now.Sub(before.since))
+				p.downtime(service).Returned(now.Sub(before.since))
 				delete(p.down, s.Address)
 			}
 		}
 	}
 	for address, one := range p.down {
-		if !listed[address] && now.Sub(one.since) > forgetAway {
+		if !listed[address] && now.Sub(one.since) > downServerTTL {
 			delete(p.down, address)
 		}
 	}
@@ -48,18 +48,18 @@
 func (p *pool) recoveryWait(service string, objective time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.absence(service).Wait(objective)
+	return p.downtime(service).Wait(objective)
 }
 
 // retryAfter is when a caller comes back that found no server of a service.
 func (p *pool) retryAfter(service string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.absence(service).Back(rand.Float64())
+	return p.downtime(service).Back(rand.Float64())
 }
 
-// anyThere reports whether a server of a service has not failed lately.
-func (p *pool) anyThere(now time.Time, view *feed.View, service string) bool {
+// hasHealthyServer reports whether a server of a service has not failed lately.
+func (p *pool) hasHealthyServer(now time.Time, view *feed.View, service string) bool {
 	_, ok := p.choose(view, service, func(l *serverSet) (choice, bool) {
 		for i, one := range l.loads {
 			if !one.isSuspect(now) {
@@ -83,7 +83,7 @@
 		return surveyed{}, false
 	}
 	until := time.Now().Add(r.h.pool.recoveryWait(r.service, r.in.route.Objective))
-	tick := time.NewTicker(absentCheck)
+	tick := time.NewTicker(recoveryPollInterval)
 	defer tick.Stop()
 	for time.Now().Before(until) {
 		select {
@@ -92,7 +92,7 @@
 			return surveyed{}, false
 		}
 		view := r.h.opts.Feed.View()
-		if !r.h.pool.anyThere(time.Now(), view, r.service) {
+		if !r.h.pool.hasHealthyServer(time.Now(), view, r.service) {
 			continue
 		}
 		r.failed = nil // what refused a connection may be back
@@ -105,7 +105,7 @@
 		}
 	}
 	view := r.h.opts.Feed.View()
-	if !r.h.pool.anyThere(time.Now(), view, r.service) {
+	if !r.h.pool.hasHealthyServer(time.Now(), view, r.service) {
 		return surveyed{}, false
 	}
 	return r.place(ctx, view)
--- a/serve/forward/absences_test.go
+++ b/serve/forward/absences_test.go
@@ -10,8 +10,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// loseAll crashes engines, and puts new ones at their addresses under other ids after a while.
-func (w *testCluster) loseAll(engines []*fakeServer, away time.Duration, generation int) []*fakeServer {
+// replaceAll crashes engines, and puts new ones at their addresses under other ids after a while.
+func (w *testCluster) replaceAll(engines []*fakeServer, away time.Duration, generation int) []*fakeServer {
 	for _, e := range engines {
 		w.crash(e)
 	}
@@ -30,14 +30,14 @@
 // that arrives meanwhile is refused, and so it is when it comes back half a second later:
 // its one repeat is used up though the engines are back by then. It waits instead, and its
 // answer is whole within the objective; an answer that was cut goes on.
-func TestCallersWaitForEnginesThatReturn(t *testing.T) {
+func TestRequestsWaitForRestartedEngines(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		handle := streamEvents(30, 500*time.Millisecond, 40*time.Millisecond)
 		engines := []*fakeServer{w.add("e-a", "llm", "a", handle), w.add("e-b", "llm", "b", handle)}
 		lost := make(chan []*fakeServer)
 		go func() {
 			time.Sleep(time.Second)
-			lost <- w.loseAll(engines, time.Second, 1)
+			lost <- w.replaceAll(engines, time.Second, 1)
 		}()
 		// Nothing is known the first time: the answer is cut soon.
 		must.Error(t, w.request(http.MethodPost, "/s/1", callerHeaders, "prompt").err)
@@ -46,7 +46,7 @@
 
 		go func() {
 			time.Sleep(time.Second)
-			lost <- w.loseAll(engines, time.Second, 2)
+			lost <- w.replaceAll(engines, time.Second, 2)
 		}()
 		cut := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(t, cut.err)
@@ -54,7 +54,7 @@
 		engines = <-lost
 		time.Sleep(time.Second)
 
-		go func() { lost <- w.loseAll(engines, time.Second, 3) }()
+		go func() { lost <- w.replaceAll(engines, time.Second, 3) }()
 		time.Sleep(100 * time.Millisecond)
 		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.Eq(t, events(1, 30), got.body)
@@ -65,12 +65,12 @@
 
 // All engines are lost and none returns. Callers wait no longer than engines were away
 // before, hear that nothing ran, and are told to come back after as long again.
-func TestCallersOfEnginesThatStayAway(t *testing.T) {
+func TestWaitIsBoundedWhileEnginesStayDown(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		engines := []*fakeServer{w.add("e-a", "llm", "a", streamEvents(3, 100*time.Millisecond, 10*time.Millisecond))}
 		w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		w.handler.pool.recordFailure(time.Now(), engines[0].server)
-		engines = w.loseAll(engines, time.Second, 1)
+		engines = w.replaceAll(engines, time.Second, 1)
 		time.Sleep(time.Second)
 		w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		w.crash(engines[0])
--- a/serve/forward/candidate.go
+++ b/serve/forward/candidate.go
@@ -13,10 +13,10 @@
 	"mallowwind.dev/decision/takeover"
 )
 
-// signOfLife is how long a server may take to answer before an answer goes on there: a
+// replicaProbeTimeout is how long a server may take to answer before an answer goes on there: a
 // round trip is 2 ms, and with the 350 ms of silence before and 100 ms to go on, a pause
 // stays within 700 ms.
-const signOfLife = 150 * time.Millisecond
+const replicaProbeTimeout = 150 * time.Millisecond
 
 // reserveFailover chooses the leg that may follow a silent one, and takes a repeat from the
 // budget for it. The request is counted at the server of the leg.
@@ -24,7 +24,7 @@
 	if !r.mayGoOn() || r.starts >= maxStarts {
 		return leg{}, takeover.NoTries
 	}
-	l, outcome := r.candidate(ctx, a, why)
+	l, outcome := r.failoverCandidate(ctx, a, why)
 	if outcome != takeover.TakenOver {
 		return leg{}, outcome
 	}
@@ -45,23 +45,23 @@
 // releaseLeg takes back the count of a leg whose request is not sent.
 func (r *relay) releaseLeg(l leg) { r.h.pool.addLoad(l.at, -1, 0, 0) }
 
-// candidate is the leg at the engine that holds a copy of the run, if it gives a sign of
+// failoverCandidate is the leg at the engine that holds a copy of the run, if it gives a sign of
 // life, or at one that reads the prompt anew.
-func (r *relay) candidate(ctx context.Context, a *attempt, why error) (leg, takeover.Outcome) {
-	if c, held, ok := r.livingHolder(ctx, a); ok && r.permitted(ctx, c) {
+func (r *relay) failoverCandidate(ctx context.Context, a *attempt, why error) (leg, takeover.Outcome) {
+	if c, held, ok := r.liveReplica(ctx, a); ok && r.permitted(ctx, c) {
 		r.h.pool.addLoad(c, 1, 0, 0)
 		return leg{at: c, from: held.name}, takeover.TakenOver
 	}
 	if r.h.pressure.isPrefillTooLate(r.service, r.in.call.PromptTokens, time.Until(r.in.until)) {
 		return leg{}, takeover.NoRoom
 	}
-	return r.withoutCopy(ctx, a, why)
+	return r.candidateWithoutReplica(ctx, a, why)
 }
 
-// withoutCopy is the leg at a server that makes the rest of the answer without a copy. It is
+// candidateWithoutReplica is the leg at a server that makes the rest of the answer without a copy. It is
 // late for the caller in any case, so it is worth it only where the silent server gives no
 // sign of life, or has been silent for long.
-func (r *relay) withoutCopy(ctx context.Context, a *attempt, why error) (leg, takeover.Outcome) {
+func (r *relay) candidateWithoutReplica(ctx context.Context, a *attempt, why error) (leg, takeover.Outcome) {
 	view := r.h.opts.Feed.View()
 	r.exclude(a.leg)
 	c, ok := r.place(ctx, view)
@@ -129,8 +129,8 @@
 	return true
 }
 
-// livingHolder is the engine that holds a copy of an attempt's run, if it answers.
-func (r *relay) livingHolder(ctx context.Context, a *attempt) (choice, replica, bool) {
+// liveReplica is the engine that holds a copy of an attempt's run, if it answers.
+func (r *relay) liveReplica(ctx context.Context, a *attempt) (choice, replica, bool) {
 	held := r.held
 	if a.spare != nil {
 		if copied := a.spare.remade.Load(); copied != nil {
@@ -144,6 +144,6 @@
 	if !ok {
 		return choice{}, replica{}, false
 	}
-	_, err := r.h.probe(ctx, c.server, signOfLife)
+	_, err := r.h.probe(ctx, c.server, replicaProbeTimeout)
 	return c, held, err == nil
 }
--- a/serve/forward/endings.go
+++ b/serve/forward/endings.go
@@ -22,8 +22,8 @@
 // digestBytes is the length of a request's digest.
 const digestBytes = 16
 
-// brokenOff reports whether a server broke off a connection on which a request was sent.
-func brokenOff(err error) bool {
+// isConnectionBroken reports whether a server broke off a connection on which a request was sent.
+func isConnectionBroken(err error) bool {
 	for _, reason := range []error{io.EOF, io.ErrUnexpectedEOF, io.ErrClosedPipe, syscall.ECONNRESET, syscall.EPIPE, errTorn, errRestarted} {
 		if errors.Is(err, reason) {
 			return true
@@ -68,14 +68,14 @@
 type processState string
 
 const (
-	stateEnded  processState = "ended" // another process answers at its address, or none
-	stateLives  processState = "lives"
-	stateSilent processState = "silent" // nobody knows
+	processExited  processState = "ended" // another process answers at its address, or none
+	processAlive   processState = "lives"
+	processUnknown processState = "silent" // nobody knows
 )
 
 // checkForCrash finds out whether the server of a send has ended, and logs it.
 func (h *Handler) checkForCrash(e brokenSend) {
-	if !brokenOff(e.err) {
+	if !isConnectionBroken(e.err) {
 		return
 	}
 	now := time.Now()
@@ -83,19 +83,19 @@
 	if !e.firstEventAt.IsZero() {
 		running = now.Sub(e.firstEventAt)
 	}
-	found := h.stateOf(e)
+	found := h.processStateOf(e)
 	end := poison.Ending{
 		Planned: h.isLeaving(e.at.server),
 		Unread:  e.fromReplica == "" && h.pressure.isPrefillTooLate(e.at.server.Service, e.in.call.PromptTokens, now.Sub(e.sentAt)),
 		Running: running,
 	}
-	if found == stateEnded && end.Judge() == poison.Counts {
-		end.Asked, end.Down = h.lookAround(e.at.server)
+	if found == processExited && end.Judge() == poison.Counts {
+		end.Asked, end.Down = h.countExitedNearby(e.at.server)
 	}
 	finding := end.Judge()
 	h.opts.Log.Emit(event.BackendBroke, e.in.call.ID, e.in.digests, e.in.call.OwnPart, e.in.accountName(),
 		e.at.server.ID, e.at.server.Zone, string(found), finding.String(), end.Asked, end.Down, now.Sub(e.sentAt), running, e.fromReplica, e.err)
-	if found == stateEnded && finding == poison.Counts {
+	if found == processExited && finding == poison.Counts {
 		h.poisoned.recordCrash(context.Background(), e.in, e.at.server.Life())
 	}
 }
@@ -114,32 +114,32 @@
 	return view.Departed(s.ID)
 }
 
-// stateOf finds out whether the server of a send has ended: a process that ended leaves a port
+// processStateOf finds out whether the server of a send has ended: a process that ended leaves a port
 // at which nobody listens.
-func (h *Handler) stateOf(e brokenSend) processState {
+func (h *Handler) processStateOf(e brokenSend) processState {
 	if errors.Is(e.err, errRestarted) {
-		return stateEnded
+		return processExited
 	}
-	return h.stateAt(e.at.server.Address)
+	return h.processStateAt(e.at.server.Address)
 }
 
-func (h *Handler) stateAt(address string) processState {
+func (h *Handler) processStateAt(address string) processState {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	conn, err := h.dial(ctx, "tcp", address)
 	switch {
 	case err == nil:
 		conn.Close()
-		return stateLives
+		return processAlive
 	case timedOut(err):
-		return stateSilent
+		return processUnknown
 	}
-	return stateEnded
+	return processExited
 }
 
-// lookAround asks some other servers of a server's zone for a connection, and returns how many
+// countExitedNearby asks some other servers of a server's zone for a connection, and returns how many
 // were asked and how many had ended.
-func (h *Handler) lookAround(s routing.Server) (asked, down int) {
+func (h *Handler) countExitedNearby(s routing.Server) (asked, down int) {
 	var others []routing.Server
 	for _, other := range h.opts.Feed.View().Servers[s.Service] {
 		if other.Zone == s.Zone && other.Address != s.Address {
@@ -152,7 +152,7 @@
 	var all sync.WaitGroup
 	for _, other := range others {
 		all.Go(func() {
-			if h.stateAt(other.Address) == stateEnded {
+			if h.processStateAt(other.Address) == processExited {
 				ended.Add(1)
 			}
 		})
--- a/serve/forward/engines.go
+++ b/serve/forward/engines.go
@@ -17,7 +17,7 @@
 	for i, s := range l.servers {
 		one := l.loads[i]
 		engines[i] = prompts.Engine{
-			Zone: s.Zone, Home: l.home[i], Reading: one.prefilling, Running: one.running, Copies: one.replicas,
+			Zone: s.Zone, Home: l.preferred[i], Reading: one.prefilling, Running: one.running, Copies: one.replicas,
 			Suspect: one.isSuspect(now), Excluded: slices.Contains(exclude, s.Life()),
 		}
 	}
@@ -30,10 +30,10 @@
 	var list []choice
 	p.choose(view, service, func(l *serverSet) (choice, bool) {
 		engines := p.engineStates(now, l, exclude)
-		for i, home := range l.homesOf(part) {
+		for i, home := range l.preferredFor(part) {
 			engines[i].Home = home
 		}
-		for _, c := range p.readOpen(now, l, engines, n, false) {
+		for _, c := range p.rankPermitted(now, l, engines, n, false) {
 			one, _ := l.choiceAt(c.Index, string(c.Reason))
 			list = append(list, one)
 		}
@@ -55,7 +55,7 @@
 			engines[i].Running += theirs.running
 			engines[i].Excluded = engines[i].Excluded || among && !known
 		}
-		for _, best := range p.readOpen(now, l, engines, 1, true) {
+		for _, best := range p.rankPermitted(now, l, engines, 1, true) {
 			unread = engines[best.Index].Reading
 			l.loads[best.Index].prefilling++
 			return l.choiceAt(best.Index, string(best.Reason))
@@ -68,9 +68,9 @@
 	return c, unread, ok
 }
 
-// readOpen returns the engines that may read a prompt, the best first and n at most, without
+// rankPermitted returns the engines that may read a prompt, the best first and n at most, without
 // those that may not be sent to now by the limits that they name.
-func (p *pool) readOpen(now time.Time, l *serverSet, engines []prompts.Engine, n int, known bool) []prompts.Choice {
+func (p *pool) rankPermitted(now time.Time, l *serverSet, engines []prompts.Engine, n int, known bool) []prompts.Choice {
 	for {
 		list := prompts.Read(engines, n, known, rand.Uint64())
 		closed := false
@@ -85,8 +85,8 @@
 	}
 }
 
-// window returns the engines among which a prompt is placed; any for one of no known part.
-func (p *pool) window(view *feed.View, service, part string) (servers []routing.Server) {
+// placementWindow returns the engines among which a prompt is placed; any for one of no known part.
+func (p *pool) placementWindow(view *feed.View, service, part string) (servers []routing.Server) {
 	prompt := rand.Uint64()
 	if part != "" {
 		prompt = xxhash.Sum64String(part)
@@ -146,11 +146,11 @@
 	})
 }
 
-// mayHold returns the engines of which one holds a prompt, if any does; few is false
+// cacheScanTargets returns the engines of which one holds a prompt, if any does; few is false
 // where that may be any engine of the service.
-func (p *pool) mayHold(view *feed.View, service, part string) (servers []routing.Server, few bool) {
+func (p *pool) cacheScanTargets(view *feed.View, service, part string) (servers []routing.Server, few bool) {
 	p.choose(view, service, func(l *serverSet) (choice, bool) {
-		if few = windowed(len(l.servers)); !few {
+		if few = usesWindows(len(l.servers)); !few {
 			return choice{}, false
 		}
 		servers = l.serversAt(prompts.LookedAt(xxhash.Sum64String(part), l.seats))
@@ -174,5 +174,5 @@
 		return false
 	}
 	_, ok := p.findServer(view, c.server.Service, c.server.Life())
-	return ok || p.staysFor(view, c.server)
+	return ok || p.isFinishingRuns(view, c.server)
 }
--- a/serve/forward/heldup_test.go
+++ b/serve/forward/heldup_test.go
@@ -16,24 +16,24 @@
 	"mallowwind.dev/decision/repeats"
 )
 
-// dialTimedOut is what a connection ends with that was not made in time.
-type dialTimedOut struct{ error }
+// dialTimeoutError is what a connection ends with that was not made in time.
+type dialTimeoutError struct{ error }
 
 // Timeout implements net.Error.
-func (dialTimedOut) Timeout() bool { return true }
+func (dialTimeoutError) Timeout() bool { return true }
 
 // Temporary implements net.Error.
-func (dialTimedOut) Temporary() bool { return true }
+func (dialTimeoutError) Temporary() bool { return true }
 
-// gate holds up new connections while it is shut, as a full link does.
-type gate struct {
+// dialGate holds up new connections while it is shut, as a full link does.
+type dialGate struct {
 	mu   sync.Mutex
 	open chan struct{} // closed while connections are made
 }
 
 // gateDials makes the daemon's new connections to servers wait at a gate, open at first.
-func (w *testCluster) gateDials() *gate {
-	g := &gate{open: make(chan struct{})}
+func (w *testCluster) gateDials() *dialGate {
+	g := &dialGate{open: make(chan struct{})}
 	close(g.open)
 	w.handler.transport = newTransport(func(ctx context.Context, network, address string) (net.Conn, error) {
 		g.mu.Lock()
@@ -43,14 +43,14 @@
 		case <-free:
 			return w.dial(ctx, network, address)
 		case <-ctx.Done():
-			return nil, &net.OpError{Op: "dial", Net: network, Err: dialTimedOut{ctx.Err()}}
+			return nil, &net.OpError{Op: "dial", Net: network, Err: dialTimeoutError{ctx.Err()}}
 		}
 	})
 	return g
 }
 
 // block holds up connections for a time.
-func (g *gate) block(d time.Duration) {
+func (g *dialGate) block(d time.Duration) {
 	free := make(chan struct{})
 	g.mu.Lock()
 	g.open = free
@@ -59,9 +59,9 @@
 	close(free)
 }
 
-// holdLink holds everything between the daemon and all servers for a time, without
+// stallLink holds everything between the daemon and all servers for a time, without
 // losing any of it.
-func (w *testCluster) holdLink(after, d time.Duration) {
+func (w *testCluster) stallLink(after, d time.Duration) {
 	time.Sleep(after)
 	for _, s := range w.servers {
 		s.listener.Stall()
@@ -78,7 +78,7 @@
 // before it knows that it can go on elsewhere. Evidence: with 88 daemons restarted in turn
 // 1,160 of 1,169 legs that broke did so within a second of a question to all engines from
 // the same VM, which filled its link, and engines ran on until their connection was closed.
-func TestAnswersBehindALinkHeldUp(t *testing.T) {
+func TestAnswersSurviveStalledLink(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		rule repeats.Rule
@@ -95,7 +95,7 @@
 					w.add("e-"+id, "llm", id, streamEvents(60, time.Second, 40*time.Millisecond))
 				}
 				w.budget(c.rule)
-				w.background(func() { w.holdLink(c.held, 1200*time.Millisecond) })
+				w.background(func() { w.stallLink(c.held, 1200*time.Millisecond) })
 				for _, got := range w.askMany(4) {
 					must.NoError(w.t, got.err)
 					must.Eq(w.t, http.StatusOK, got.status)
@@ -111,12 +111,12 @@
 // questions before their prompts, which says nothing of the engines: once the link is free
 // all are as good as before. Evidence: during such a second daemons named dozens of engines
 // suspect that worked, and chose among suspects only for seconds after.
-func TestEnginesBehindALinkHeldUpAreNotSuspect(t *testing.T) {
+func TestStalledLinkSuspectsNoEngine(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		for _, id := range []string{"a", "b", "c", "d"} {
 			w.add("e-"+id, "llm", id, streamEvents(20, 100*time.Millisecond, 40*time.Millisecond))
 		}
-		w.background(func() { w.holdLink(0, time.Second) })
+		w.background(func() { w.stallLink(0, time.Second) })
 		time.Sleep(time.Millisecond)
 		w.askMany(4)
 		for _, s := range w.servers {
@@ -127,13 +127,13 @@
 
 // The link of the daemon's VM is full in the middle of answers: what is on its way waits, and
 // no connection is made in time either. Four answers of a service with engines must go on.
-func TestAnswersBehindALinkThatMakesNoConnections(t *testing.T) {
+func TestAnswersSurviveBlockedDials(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		for _, id := range []string{"a", "b", "c"} {
 			w.add("e-"+id, "llm", id, streamEvents(60, time.Second, 40*time.Millisecond))
 		}
 		link := w.gateDials()
-		w.background(func() { w.holdLink(1500*time.Millisecond, 1200*time.Millisecond) })
+		w.background(func() { w.stallLink(1500*time.Millisecond, 1200*time.Millisecond) })
 		w.background(func() {
 			time.Sleep(1500 * time.Millisecond)
 			link.block(1200 * time.Millisecond)
@@ -149,7 +149,7 @@
 // held up for two seconds. No server of such a service can be asked for a sign of life. A
 // daemon that closes the first connection before another server has taken the request cuts
 // the answer, or makes it late, although no server failed.
-func TestStreamWithoutEnginesBehindALinkHeldUp(t *testing.T) {
+func TestStreamWithoutProbesSurvivesStalledLink(t *testing.T) {
 	route := streamRoute()
 	route[0].Targets = []routing.Target{{Service: "desk", Weight: 1}}
 	withTestCluster(t, route, func(w *testCluster) {
@@ -157,7 +157,7 @@
 			w.add("d-"+id, "desk", id, streamEvents(60, time.Second, 40*time.Millisecond))
 		}
 		link := w.gateDials()
-		w.background(func() { w.holdLink(1500*time.Millisecond, 2*time.Second) })
+		w.background(func() { w.stallLink(1500*time.Millisecond, 2*time.Second) })
 		w.background(func() {
 			time.Sleep(1500 * time.Millisecond)
 			link.block(2 * time.Second)
@@ -172,7 +172,7 @@
 // A silent answer goes on at the engine with the copy, which cannot be connected to for 450 ms:
 // nothing was sent, so the copy is still there. A daemon that believes it used reads the whole
 // prompt anew, for a second of an engine, and the caller's pause is as long.
-func TestCopyThatWasNotAskedForIsNotForgotten(t *testing.T) {
+func TestReplicaKeptAfterFailedDial(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		handle := func(rw http.ResponseWriter, r *http.Request) {
 			if r.Header.Get(hCopyAt) != "" || r.Header.Get(hAfter) != "0" {
@@ -211,7 +211,7 @@
 // this request reads the prompt anew, and one that looks at all caches before each further try
 // fills its link again. Evidence: after 15 of 42 looks that found the engine the first leg there
 // was not sent; one request looked 11 times in eight seconds.
-func TestPromptThatWasFoundIsNotLookedForAgain(t *testing.T) {
+func TestLocatedPromptIsNotScannedForAgain(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		for _, id := range []string{"e-1", "e-2", "e-3", "e-4", "e-5"} {
 			w.add(id, "llm", "a", streamEvents(12, time.Second, 40*time.Millisecond)).setCacheDelay(10 * time.Millisecond)
@@ -237,7 +237,7 @@
 // no connection is made in time. No server is at fault; once the link is free all must be as
 // good as before. Evidence: 581 times a server of calls was named suspect in 90 s of planned
 // restarts in which none failed, each time because a connection was not made in time.
-func TestServersOfCallsBehindALinkHeldUpAreNotSuspect(t *testing.T) {
+func TestBlockedDialsSuspectNoCallServer(t *testing.T) {
 	withTestCluster(t, plainRoutes(), func(w *testCluster) {
 		for _, id := range []string{"a", "b", "c"} {
 			w.add("d-"+id, "desk", id, respondProven("ok"))
@@ -253,16 +253,16 @@
 	})
 }
 
-// losesSYN makes the next connection to the server at an address wait for a second, as after
+// loseSYN makes the next connection to the server at an address wait for a second, as after
 // a lost SYN.
-func (w *testCluster) losesSYN(lossy *atomic.Value) {
+func (w *testCluster) loseSYN(lossy *atomic.Value) {
 	w.handler.transport = newTransport(func(ctx context.Context, network, address string) (net.Conn, error) {
 		if at, _ := lossy.Load().(string); at == address {
 			lossy.Store("") // one packet
 			select {
 			case <-time.After(time.Second):
 			case <-ctx.Done():
-				return nil, &net.OpError{Op: "dial", Net: network, Err: dialTimedOut{ctx.Err()}}
+				return nil, &net.OpError{Op: "dial", Net: network, Err: dialTimeoutError{ctx.Err()}}
 			}
 		}
 		return w.dial(ctx, network, address)
@@ -272,7 +272,7 @@
 // An engine that works pauses for 600 ms in mid-answer. The route allows no further run. One
 // packet of a question to the engine is lost while others answer. The engine must not count as
 // dead for it: the caller would see an answer cut that was on its way.
-func TestOneLostPacketIsNoDarkEngine(t *testing.T) {
+func TestOneLostPacketDoesNotFailEngine(t *testing.T) {
 	route := streamRoute()
 	route[0].Attempts = 1
 	withTestCluster(t, route, func(w *testCluster) {
@@ -281,7 +281,7 @@
 		for _, id := range []string{"a", "b", "c"} {
 			w.add("e-"+id, "llm", id, handle)
 		}
-		w.losesSYN(&lossy)
+		w.loseSYN(&lossy)
 		w.background(func() {
 			time.Sleep(600 * time.Millisecond)
 			for _, s := range w.servers {
@@ -299,7 +299,7 @@
 // An engine pauses for 900 ms and the one with the copy is asked. Then the link of the VM is
 // held up for 450 ms, so that neither is heard of. A daemon that lets go of the working engine
 // for that has nothing left when the other turns the request away, and no repeat.
-func TestLinkHeldUpWhileBothHaveTheRequest(t *testing.T) {
+func TestStalledLinkDuringTakeover(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		asked := make(chan struct{}, 1)
 		handle := func(rw http.ResponseWriter, r *http.Request) {
@@ -317,7 +317,7 @@
 		w.budget(repeats.Rule{Slack: 1.2, Window: 10 * time.Second}) // one repeat
 		w.background(func() {
 			<-asked
-			w.holdLink(20*time.Millisecond, 450*time.Millisecond)
+			w.stallLink(20*time.Millisecond, 450*time.Millisecond)
 		})
 		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(w.t, got.err)
@@ -328,7 +328,7 @@
 // The way to the engine with the copy is held up for 450 ms when an answer is to go on there,
 // and again when it goes on a second time, seconds later. Each hold-up is one of its own: the
 // copy is used both times, and no prompt is read anew.
-func TestSecondHoldUpOfOneAnswer(t *testing.T) {
+func TestTwoBlockedDialsDuringOneAnswer(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		var begun atomic.Int32
 		handle := func(rw http.ResponseWriter, r *http.Request) {
@@ -384,7 +384,7 @@
 // 400 ms while that copy is brought up to date, so that the call fails; the copy still lies
 // where it was. The engine that runs the request dies a moment later. If the copy was forgotten
 // the prompt is read anew, and the caller's pause is a second.
-func TestCopyIsNotForgottenForTheOwnLink(t *testing.T) {
+func TestReplicaKeptWhenRefreshTimesOut(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		handle := streamEvents(100, time.Second, 40*time.Millisecond)
 		a, b, c := w.add("e-a", "llm", "a", handle), w.add("e-b", "llm", "b", handle), w.add("e-c", "llm", "c", handle)
@@ -416,7 +416,7 @@
 
 // A caller arrives while no connection is made for a second, and its prompt is sent to the
 // best known engine all the same. That this engine is not reached says nothing of it.
-func TestEngineThatIsTriedBlindIsNotSuspect(t *testing.T) {
+func TestEngineTriedWithoutProbeIsNotSuspect(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		for _, id := range []string{"a", "b", "c"} {
 			w.add("e-"+id, "llm", id, streamEvents(20, 100*time.Millisecond, 40*time.Millisecond))
@@ -439,7 +439,7 @@
 // lets go of that engine: the other turns the request away, and no repeat is left. Evidence:
 // one of some seventy seeds of the soak with links held up cut one answer; its cause was found
 // by reading, and was not seen at work there.
-func TestSilentEngineRespondsInTheLastMoment(t *testing.T) {
+func TestSilentEngineRespondsDuringFinalProbe(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		asked := make(chan struct{}, 1)
 		handle := func(rw http.ResponseWriter, r *http.Request) {
@@ -456,7 +456,7 @@
 		w.budget(repeats.Rule{Slack: 1.2, Window: 10 * time.Second}) // one repeat
 		w.background(func() {
 			<-asked
-			w.holdLink(20*time.Millisecond, 265*time.Millisecond)
+			w.stallLink(20*time.Millisecond, 265*time.Millisecond)
 		})
 		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(w.t, got.err)
--- a/serve/forward/keepers.go
+++ b/serve/forward/keepers.go
@@ -31,15 +31,15 @@
 	return &workTracker{h: h, boot: rand.Uint64(), reporting: map[routing.Life]bool{}}
 }
 
-// applies reports whether the engines of a service have keepers.
-func (k *workTracker) applies(view *feed.View, service string) bool {
+// isTracked reports whether the engines of a service have keepers.
+func (k *workTracker) isTracked(view *feed.View, service string) bool {
 	return k.h.neighbours.dialer != nil && view.Config != nil && view.Config.Engine(service) != nil &&
 		len(view.VMs) > 1 && !prompts.Asks(len(view.VMs))
 }
 
 // workChanged tells the keeper of an engine that this daemon's work there is another.
 func (k *workTracker) workChanged(s routing.Server) {
-	if !k.applies(k.h.opts.Feed.View(), s.Service) {
+	if !k.isTracked(k.h.opts.Feed.View(), s.Service) {
 		return
 	}
 	k.mu.Lock()
@@ -102,28 +102,28 @@
 	k.ledger.Take(time.Now(), life, daemon, n)
 }
 
-// noted is what all daemons but one have told this one of an engine.
-func (k *workTracker) noted(life routing.Life, except string) prompts.Noted {
+// tracked is what all daemons but one have told this one of an engine.
+func (k *workTracker) tracked(life routing.Life, except string) prompts.Noted {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.ledger.At(time.Now(), life, except)
 }
 
-// workOf is what is noted of an engine. Each daemon that suspects it counts for a prompt that
+// workloadOf is what is noted of an engine. Each daemon that suspects it counts for a prompt that
 // is read there: it goes behind engines that are free, and before those that are crowded.
-func workOf(n prompts.Noted) workload {
+func workloadOf(n prompts.Noted) workload {
 	return workload{prefilling: n.Reading + n.Suspects, running: n.Running}
 }
 
 // trackedWork is what the other daemons have under way at the engines of a prompt's window, as far
 // as their keepers answer; ok is false where too few do for a choice.
 func (k *workTracker) trackedWork(ctx context.Context, view *feed.View, service, part string) (sum workloads, ok bool) {
-	if !k.applies(view, service) {
+	if !k.isTracked(view, service) {
 		return nil, false
 	}
 	vms, hashes := routing.Serving(view.VMs)
 	asked := map[int][]routing.Life{} // by place in vms
-	for _, s := range k.h.pool.window(view, service, part) {
+	for _, s := range k.h.pool.placementWindow(view, service, part) {
 		if i := prompts.Keeper(xxhash.Sum64String(s.ID), hashes); i >= 0 {
 			asked[i] = append(asked[i], s.Life())
 		}
@@ -150,7 +150,7 @@
 	self, told := k.h.opts.Self.ID, workloads{}
 	if vm.ID == self {
 		for _, life := range lives {
-			told[life] = workOf(k.noted(life, self))
+			told[life] = workloadOf(k.tracked(life, self))
 		}
 		return told
 	}
@@ -161,12 +161,12 @@
 	for _, life := range lives {
 		q.Servers = append(q.Servers, serverWork(life, workload{}))
 	}
-	reply, err := k.h.neighbours.noted(ctx, vm, q)
+	reply, err := k.h.neighbours.queryTracked(ctx, vm, q)
 	if err != nil {
 		return nil
 	}
 	for _, s := range reply.GetServers() {
-		told[routing.Life{ID: s.GetId(), Born: s.GetBorn()}] = workOf(prompts.Noted{
+		told[routing.Life{ID: s.GetId(), Born: s.GetBorn()}] = workloadOf(prompts.Noted{
 			Reading: int(max(s.GetReading(), 0)), Running: int(max(s.GetRunning(), 0)), Suspects: int(max(s.GetSuspects(), 0)),
 		})
 	}
@@ -193,7 +193,7 @@
 	reply := &peerpb.WorkReply{}
 	for _, s := range q.GetServers() {
 		life := routing.Life{ID: s.GetId(), Born: s.GetBorn()}
-		n := t.h.keepers.noted(life, q.GetDaemon())
+		n := t.h.keepers.tracked(life, q.GetDaemon())
 		reply.Servers = append(reply.Servers, &peerpb.ServerWork{
 			Id: life.ID, Born: life.Born, Reading: int32(n.Reading), Running: int32(n.Running), Suspects: int32(n.Suspects),
 		})
--- a/serve/forward/layout.go
+++ b/serve/forward/layout.go
@@ -12,12 +12,12 @@
 
 // serverSet is one service's servers in one view.
 type serverSet struct {
-	servers []routing.Server
-	loads   []*serverLoad
-	home    []bool
-	seats   []prompts.Seat
-	table   *route.Table
-	index   map[string]int // by id
+	servers   []routing.Server
+	loads     []*serverLoad
+	preferred []bool
+	seats     []prompts.Seat
+	table     *route.Table
+	index     map[string]int // by id
 }
 
 // updateView builds the layouts of a new view, or of other versions that may serve. It is called
@@ -27,21 +27,21 @@
 		return
 	}
 	p.view, p.snapshot = view, now
-	p.layouts = make(map[string]*serverSet, len(view.Servers))
+	p.serverSets = make(map[string]*serverSet, len(view.Servers))
 	used := make(map[routing.Life]*serverLoad, len(p.loads))
 	for service, servers := range view.Servers {
 		state := now.Of(service)
-		steady, trial := split(servers, state)
-		p.layouts[service] = p.buildServerSet(steady, used)
+		steady, trial := splitByVersion(servers, state)
+		p.serverSets[service] = p.buildServerSet(steady, used)
 		if state.Stage.Running() {
-			p.layouts[trialOf(service)] = p.buildServerSet(trial, used)
+			p.serverSets[canaryKey(service)] = p.buildServerSet(trial, used)
 			for _, s := range servers { // what is under way at all of them is still counted
 				p.currentServer(s, used)
 			}
 		}
 	}
 	p.loads = used
-	p.forgetSuccessors()
+	p.pruneSuccessors()
 	p.recordReturns()
 }
 
@@ -61,7 +61,7 @@
 		candidates = append(candidates, route.Candidate{ID: s.ID, Hash: hash, Rank: p.rank(s), Load: &one.calls})
 	}
 	l.table = route.NewTable(candidates)
-	l.home = p.homes(l.servers)
+	l.preferred = p.localSubset(l.servers)
 	return l
 }
 
@@ -90,8 +90,8 @@
 	return route.SameRegion
 }
 
-// homes marks this daemon's window of each zone's servers.
-func (p *pool) homes(servers []routing.Server) []bool {
+// localSubset marks this daemon's window of each zone's servers.
+func (p *pool) localSubset(servers []routing.Server) []bool {
 	self := xxhash.Sum64String(p.self.ID)
 	daemons := []uint64{self}
 	for _, vm := range p.view.VMs {
@@ -117,11 +117,11 @@
 	return home
 }
 
-// homesOf are the engines that go first for a prompt whose own part is given: this daemon's
+// preferredFor are the engines that go first for a prompt whose own part is given: this daemon's
 // homes, or where the engines are too many to be asked all, those of the prompt's window.
-func (l *serverSet) homesOf(part string) []bool {
-	if part == "" || !windowed(len(l.servers)) {
-		return l.home
+func (l *serverSet) preferredFor(part string) []bool {
+	if part == "" || !usesWindows(len(l.servers)) {
+		return l.preferred
 	}
 	home := make([]bool, len(l.servers))
 	for _, i := range prompts.Window(xxhash.Sum64String(part), l.seats) {
@@ -139,9 +139,9 @@
 	return servers
 }
 
-// windowed reports whether a service has too many engines for all to be asked what they
+// usesWindows reports whether a service has too many engines for all to be asked what they
 // hold, so that prompts are placed, and looked for, in windows of their own.
-func windowed(engines int) bool { return engines > maxScanned }
+func usesWindows(engines int) bool { return engines > maxScannedEngines }
 
 // indexOf is the index of the server whose present life is given, -1 if there is none.
 func (l *serverSet) indexOf(life routing.Life) int {
--- a/serve/forward/lending.go
+++ b/serve/forward/lending.go
@@ -15,9 +15,9 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// lendTimeout is many round trips between zones (2 ms), and short beside the
+// borrowTimeout is many round trips between zones (2 ms), and short beside the
 // pause that a stream may make (700 ms), of which finding the loss takes half.
-const lendTimeout = 60 * time.Millisecond
+const borrowTimeout = 60 * time.Millisecond
 
 // retryBorrower asks other daemons for repeats that they do not need.
 //
@@ -85,7 +85,7 @@
 }
 
 func (b *retryBorrower) requestRetry(ctx context.Context, address, service string) bool {
-	ctx, cancel := context.WithTimeout(ctx, lendTimeout)
+	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
 	client := peerpb.NewRepeatsProtobufClient(b.dialer.URL(address), b.dialer.Client)
 	reply, err := client.Lend(ctx, &peerpb.LendRequest{Service: service})
@@ -98,16 +98,16 @@
 	return reply.GetGranted()
 }
 
-// lending implements peerpb.Repeats.
-type lending struct{ pool *pool }
+// retryBudgetService implements peerpb.Repeats.
+type retryBudgetService struct{ pool *pool }
 
 // Lend counts a repeat of another daemon as one of this daemon.
-func (l lending) Lend(_ context.Context, q *peerpb.LendRequest) (*peerpb.LendReply, error) {
+func (l retryBudgetService) Lend(_ context.Context, q *peerpb.LendRequest) (*peerpb.LendReply, error) {
 	return &peerpb.LendReply{Granted: l.pool.repeat(time.Now(), q.GetService())}, nil
 }
 
 // RetryBudgetService returns the twirp service that other daemons call, and its path prefix.
 func (h *Handler) RetryBudgetService() (prefix string, handler http.Handler) {
-	s := peerpb.NewRepeatsServer(lending{h.pool})
+	s := peerpb.NewRepeatsServer(retryBudgetService{h.pool})
 	return s.PathPrefix(), s
 }
--- a/serve/forward/lending_test.go
+++ b/serve/forward/lending_test.go
@@ -14,11 +14,11 @@
 	"mallowwind.dev/peer/link"
 )
 
-// otherPools are those of other daemons, by address, that only lend.
-type otherPools map[string]*pool
+// lenderPools are those of other daemons, by address, that only lend.
+type lenderPools map[string]*pool
 
 // RoundTrip implements http.RoundTripper.
-func (n otherPools) RoundTrip(r *http.Request) (*http.Response, error) {
+func (n lenderPools) RoundTrip(r *http.Request) (*http.Response, error) {
 	p := n[r.URL.Host]
 	if p == nil {
 		return nil, errors.New("no such daemon")
@@ -32,7 +32,7 @@
 // An engine dies with a stream of a daemon that has used up its part of the
 // fleet's budget of repeats. A neighbour has repeats left. Without a question the
 // answer is cut; with it the neighbour gives one up and the stream goes on.
-func TestStreamGoesOnWithARepeatOfANeighbour(t *testing.T) {
+func TestStreamResumesWithBorrowedRetry(t *testing.T) {
 	cases := []struct {
 		name   string
 		slack  float64 // of the neighbour
@@ -47,7 +47,7 @@
 			withTestCluster(t, streamRoute(), func(w *testCluster) {
 				lender := newPool(routing.VM{ID: "vm-3"}, repeats.Rule{Slack: c.slack, Window: 10 * time.Second}, w.handler.versions)
 				w.handler.SetBounds(5*time.Second, repeats.Rule{Window: 10 * time.Second})
-				w.handler.borrower.dialer = link.NewDialerWith(&http.Client{Transport: otherPools{"three:1": lender}})
+				w.handler.borrower.dialer = link.NewDialerWith(&http.Client{Transport: lenderPools{"three:1": lender}})
 				lender.startedAt = lender.startedAt.Add(-10 * time.Second)
 				w.handler.pool.startedAt = lender.startedAt
 				w.put("mallowwind/vm/vm-2", `{"id":"vm-2","zone":"b","address":"two:2","peer":"two:1"}`) // died
--- a/serve/forward/limits.go
+++ b/serve/forward/limits.go
@@ -30,7 +30,7 @@
 	limit          quota.Limit
 	broadcasts     quota.Telling
 	permitRequests quota.Turn
-	bucket         quota.Bucket // of the permits given out here
+	permits        quota.Bucket // of the permits given out here
 	lastRequested  time.Time    // by another daemon for a permit, last
 	fallback       quota.Bucket // of this daemon's part, while no daemon that gives permits answers
 }
@@ -73,7 +73,7 @@
 		one.broadcasts.Told(time.Now())
 		m := one.message()
 		l.mu.Unlock()
-		l.spread(m)
+		l.broadcast(m)
 	})
 }
 
@@ -88,15 +88,15 @@
 func (l *rateLimits) entry(s routing.Server) *serverLimit {
 	one := l.servers[s.Life()]
 	if one == nil {
-		l.forgetGone()
+		l.prune()
 		one = &serverLimit{server: s, fallback: quota.Share(rand.Float64())}
 		l.servers[s.Life()] = one
 	}
 	return one
 }
 
-// forgetGone forgets servers whose lives have ended. The caller holds the lock.
-func (l *rateLimits) forgetGone() {
+// prune forgets servers whose lives have ended. The caller holds the lock.
+func (l *rateLimits) prune() {
 	there := map[routing.Life]bool{}
 	for _, servers := range l.h.opts.Feed.View().Servers {
 		for _, s := range servers {
@@ -123,11 +123,11 @@
 	return &peerpb.Limit{Server: one.server.ID, Born: one.server.Born, Named: named, Rate: rate}
 }
 
-// spread tells all other daemons of a limit. One that does not hear of it learns it from its
+// broadcast tells all other daemons of a limit. One that does not hear of it learns it from its
 // own next answer.
-func (l *rateLimits) spread(m *peerpb.Limit) {
+func (l *rateLimits) broadcast(m *peerpb.Limit) {
 	q := &peerpb.LimitedRequest{Limit: m}
-	l.h.neighbours.tellAll(l.h.opts.Feed.View(), func(ctx context.Context, vm routing.VM) error {
+	l.h.neighbours.broadcast(l.h.opts.Feed.View(), func(ctx context.Context, vm routing.VM) error {
 		_, err := callPeer(ctx, l.h.neighbours, vm, peerpb.NewQuotaProtobufClient, peerpb.Quota.Limited, q, limitTimeout)
 		return err
 	})
@@ -147,9 +147,9 @@
 	}
 }
 
-// limitedNow is what is known of a server that names a limit now, nil for any other. The caller
+// active is what is known of a server that names a limit now, nil for any other. The caller
 // holds the lock.
-func (l *rateLimits) limitedNow(s routing.Server) *serverLimit {
+func (l *rateLimits) active(s routing.Server) *serverLimit {
 	one := l.servers[s.Life()]
 	if one == nil {
 		return nil
--- a/serve/forward/lives.go
+++ b/serve/forward/lives.go
@@ -14,13 +14,13 @@
 // runs nothing of what was sent to it before.
 var errRestarted = errors.New("forward: the engine has started anew")
 
-// lifeOrder says which of an engine's lives says something, beside the life known here.
-type lifeOrder uint8
+// incarnationOrder says which of an engine's lives says something, beside the life known here.
+type incarnationOrder uint8
 
 const (
-	lifeSame   lifeOrder = iota // or one of the two is not known
-	lifeBefore                  // the word of an earlier life: reports lag
-	lifeAfter
+	incarnationSame  incarnationOrder = iota // or one of the two is not known
+	incarnationOlder                         // the word of an earlier life: reports lag
+	incarnationNewer
 )
 
 // observeIncarnation compares the start that a message of an engine names with the one known, and
@@ -29,18 +29,18 @@
 // The failure it guards against: an engine crashes and starts again under its id while a
 // connection to it is silent. Its new life answers every question, so that a stream whose
 // prompt was lost waits until its caller leaves, and copies are believed to lie there.
-func (h *Handler) observeIncarnation(s routing.Server, born int64) lifeOrder {
+func (h *Handler) observeIncarnation(s routing.Server, born int64) incarnationOrder {
 	life := routing.Life{ID: s.ID, Born: born}
 	switch {
 	case life.Before(s.Life()):
-		return lifeBefore
+		return incarnationOlder
 	case !s.Life().Before(life):
-		return lifeSame
+		return incarnationSame
 	}
-	if h.pool.renewed(h.opts.Feed.View(), s.Life(), life) {
+	if h.pool.recordRestart(h.opts.Feed.View(), s.Life(), life) {
 		h.opts.Log.Emit(event.BackendSucceeded, "", s.ID, life.ID, life.Born)
 	}
-	return lifeAfter
+	return incarnationNewer
 }
 
 // probe asks an engine for a sign of life. The word of an earlier life shows no more than
@@ -51,9 +51,9 @@
 		return Report{}, err
 	}
 	switch h.observeIncarnation(s, report.Born) {
-	case lifeBefore:
+	case incarnationOlder:
 		return Report{Born: report.Born}, nil
-	case lifeAfter:
+	case incarnationNewer:
 		return Report{}, errRestarted
 	}
 	return report, nil
--- a/serve/forward/lives_test.go
+++ b/serve/forward/lives_test.go
@@ -11,13 +11,13 @@
 	"mallowwind.dev/control/routing"
 )
 
-// firstLife is the start of engines that say it.
-const firstLife = 1_796_266_800_000
+// firstBorn is the start of engines that say it.
+const firstBorn = 1_796_266_800_000
 
-// addBorn starts an engine that says when it started, and waits until the handler knows it.
-func (w *testCluster) addBorn(id, zone string, handle http.HandlerFunc) *fakeServer {
+// addWithBorn starts an engine that says when it started, and waits until the handler knows it.
+func (w *testCluster) addWithBorn(id, zone string, handle http.HandlerFunc) *fakeServer {
 	w.t.Helper()
-	s := w.start(routing.Server{ID: id, Service: "llm", Zone: zone, Address: id + ":80", Slots: 4, Born: firstLife}, handle)
+	s := w.start(routing.Server{ID: id, Service: "llm", Zone: zone, Address: id + ":80", Slots: 4, Born: firstBorn}, handle)
 	w.register(s)
 	time.Sleep(time.Second)
 	return s
@@ -27,14 +27,14 @@
 // nobody: the connection stays open and says nothing, and the new life answers every
 // probe. The caller waits until its time is over, unless the start that the answer names
 // shows that nothing of its request is left there.
-func TestEngineRestartsUnderItsIDBehindASilentConnection(t *testing.T) {
+func TestRestartBehindSilentConnection(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		handle := streamEvents(5, time.Second, 40*time.Millisecond)
-		a, b := w.addBorn("e-a", "a", handle), w.addBorn("e-b", "b", handle)
+		a, b := w.addWithBorn("e-a", "a", handle), w.addWithBorn("e-b", "b", handle)
 		go func() {
 			time.Sleep(500 * time.Millisecond)
 			runner, _ := runnerAndHolder(a, b)
-			w.reborn(runner, true)
+			w.restartInPlace(runner, true)
 		}()
 		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(t, got.err)
@@ -46,7 +46,7 @@
 // The engine that keeps the copy of a run restarts under its id and registers. Two
 // seconds later the engine that runs the request dies. The copy was gone, though its id
 // was still there; another was made in time, and the answer goes on from it.
-func TestCopyAtAnEngineThatRestartedUnderItsID(t *testing.T) {
+func TestReplicaLostByRestartIsRemade(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		var fromCopy atomic.Int32
 		handle := func(rw http.ResponseWriter, r *http.Request) {
@@ -55,12 +55,12 @@
 			}
 			streamEvents(100, time.Second, 40*time.Millisecond)(rw, r)
 		}
-		a, b, c := w.addBorn("e-a", "a", handle), w.addBorn("e-b", "b", handle), w.addBorn("e-c", "c", handle)
+		a, b, c := w.addWithBorn("e-a", "a", handle), w.addWithBorn("e-b", "b", handle), w.addWithBorn("e-c", "c", handle)
 		runners := make(chan *fakeServer, 1)
 		go func() {
 			runner, holder, _ := awaitRunner(a, b, c)
 			runners <- runner
-			w.register(w.reborn(holder, false))
+			w.register(w.restartInPlace(holder, false))
 			time.Sleep(2 * time.Second)
 			w.crash(runner)
 		}()
@@ -77,35 +77,35 @@
 // A copy made on demand lies at an engine that has restarted under its id since. Sent
 // there, the request would be turned away at best, and at worst go on from whatever the
 // new life keeps under the same name. It is sent to read its prompt instead.
-func TestCopyMadeOnDemandIsLostWithItsLife(t *testing.T) {
+func TestOnDemandReplicaIsLostByRestart(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
-		s := w.addBorn("e-a", "a", streamEvents(5, time.Second, 40*time.Millisecond))
+		s := w.addWithBorn("e-a", "a", streamEvents(5, time.Second, 40*time.Millisecond))
 		view := w.feed.View()
 		c, ok := w.handler.pool.serverAt(view, "llm", s.server.Address)
 		must.True(t, ok)
 		r := &relay{h: w.handler, service: "llm"}
 		_, ok = r.holder(view, replica{at: c, onDemand: true})
 		must.True(t, ok)
-		w.register(w.reborn(s, false))
+		w.register(w.restartInPlace(s, false))
 		time.Sleep(time.Second)
 		_, ok = r.holder(w.feed.View(), replica{at: c, onDemand: true})
 		must.False(t, ok)
 		at, ok := r.holder(w.feed.View(), replica{at: c})
 		must.True(t, ok) // one that grows is sent to the new life too
-		must.Eq(t, int64(firstLife+1), at.server.Born)
+		must.Eq(t, int64(firstBorn+1), at.server.Born)
 	})
 }
 
 // An engine has failed and is a last resort. It restarts under its id: what was known of
 // its health was of a process that is gone, and callers need not wait for a while more.
-func TestSuspicionEndsWithTheLife(t *testing.T) {
+func TestRestartClearsSuspicion(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
-		s := w.addBorn("e-a", "a", streamEvents(5, time.Second, 40*time.Millisecond))
+		s := w.addWithBorn("e-a", "a", streamEvents(5, time.Second, 40*time.Millisecond))
 		pool := w.handler.pool
 		pool.prefillCandidates(time.Now(), w.feed.View(), "llm", "", 1, nil)
 		pool.recordFailure(time.Now(), s.server)
 		must.True(t, pool.isSuspect(time.Now(), s.server.Life()))
-		again := w.reborn(s, false)
+		again := w.restartInPlace(s, false)
 		w.register(again)
 		time.Sleep(time.Second)
 		list := pool.prefillCandidates(time.Now(), w.feed.View(), "llm", "", 1, nil)
@@ -118,11 +118,11 @@
 // The store shows the old life of an engine, which itself says that it has a new one.
 // What the engine says counts, and a report of the life before that was on its way for
 // long undoes nothing: it shows neither load nor runs of the present life.
-func TestReportsOfTwoLives(t *testing.T) {
+func TestReportsOfDifferentIncarnations(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
-		s := w.addBorn("e-a", "a", streamEvents(5, time.Second, 40*time.Millisecond))
+		s := w.addWithBorn("e-a", "a", streamEvents(5, time.Second, 40*time.Millisecond))
 		s.setRuns("run-1 full")
-		again := w.reborn(s, false)
+		again := w.restartInPlace(s, false)
 		again.setRuns("run-2")
 		_, err := w.handler.probe(w.t.Context(), s.server, time.Second)
 		must.ErrorIs(t, err, errRestarted)
@@ -134,21 +134,21 @@
 
 		late := list[0].server
 		late.Born++ // a third life, known already when the second still answers
-		must.True(t, w.handler.pool.renewed(w.feed.View(), list[0].server.Life(), late.Life()))
+		must.True(t, w.handler.pool.recordRestart(w.feed.View(), list[0].server.Life(), late.Life()))
 		report, err = w.handler.probe(w.t.Context(), late, time.Second)
 		must.NoError(t, err)
 		must.MapEmpty(t, report.Events)
 		must.Zero(t, report.Memory)
-		must.False(t, w.handler.pool.renewed(w.feed.View(), late.Life(), again.server.Life()))
+		must.False(t, w.handler.pool.recordRestart(w.feed.View(), late.Life(), again.server.Life()))
 	})
 }
 
 // A daemon died and its caller goes on here. The engine that had read the prompt has
 // restarted under its id since; its old list of prompts, which lags, still names it. The
 // request must not be sent there for that: it takes the first engine that is free.
-func TestPromptsOfAnEarlierLifeAreNotFound(t *testing.T) {
+func TestPromptsOfOlderIncarnationAreNotLocated(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
-		s := w.addBorn("e-a", "a", streamEvents(12, time.Second, 40*time.Millisecond))
+		s := w.addWithBorn("e-a", "a", streamEvents(12, time.Second, 40*time.Millisecond))
 		s.setCache("p7")
 		life, parts, err := w.handler.cachedParts(w.t.Context(), s.server)
 		must.NoError(t, err)
@@ -159,7 +159,7 @@
 		_, parts, err = w.handler.cachedParts(w.t.Context(), known)
 		must.NoError(t, err)
 		must.SliceEmpty(t, parts)
-		again := w.reborn(s, false)
+		again := w.restartInPlace(s, false)
 		again.setCache("p8")
 		life, parts, err = w.handler.cachedParts(w.t.Context(), s.server)
 		must.NoError(t, err)
@@ -169,7 +169,7 @@
 }
 
 // An engine that took the place of a crashed one leaves before this daemon has seen its entry, whose end comes in the same batch.
-func TestSuccessorThatLeavesAtOnceGetsNothing(t *testing.T) {
+func TestDepartedSuccessorGetsNoRequests(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		old := w.add("e-a", "llm", "a", streamEvents(5, time.Second, 40*time.Millisecond))
 		next := w.replaceServer(old, "e-new", "llm")
--- a/serve/forward/locate.go
+++ b/serve/forward/locate.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// scanAge is how long one look at all engines is used: the requests of a
+	// scanMaxAge is how long one look at all engines is used: the requests of a
 	// daemon that died come back within about a second of each other.
-	scanAge = 500 * time.Millisecond
+	scanMaxAge = 500 * time.Millisecond
 	// scanTimeout bounds the look: reading a prompt anew takes a second. A request whose
 	// prompt is found does not wait for the rest. It is shorter than scanAge, so that a
 	// daemon makes one look at a service at a time.
 	scanTimeout = 400 * time.Millisecond
-	// scanBytes is what a look reads of all answers. With their headers that is a tenth
+	// scanBudgetBytes is what a look reads of all answers. With their headers that is a tenth
 	// of a second of a link of 10 Mbit/s; 120 answers of 0.5 KB are 60 KB.
-	scanBytes = 100_000
-	// scanAnswer is what is read of one answer; a longer one is of no use. Each is taken to
+	scanBudgetBytes = 100_000
+	// maxCacheReplyBytes is what is read of one answer; a longer one is of no use. Each is taken to
 	// be as long until the first is there: eight engines are asked at once then.
-	scanAnswer = scanBytes / 8
-	// maxScanned is how many engines a service may have for all to be asked. Of more only
+	maxCacheReplyBytes = scanBudgetBytes / 8
+	// maxScannedEngines is how many engines a service may have for all to be asked. Of more only
 	// those of the prompt's window are.
-	maxScanned = 160
+	maxScannedEngines = 160
 )
 
 // locator finds the engine that still holds a prompt which another daemon, or
@@ -80,7 +80,7 @@
 	for _, part := range parts {
 		s.holders[part] = append(s.holders[part], life)
 	}
-	s.wake()
+	s.notify()
 }
 
 // finish says that no more comes.
@@ -88,11 +88,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.finished = true
-	s.wake()
+	s.notify()
 }
 
-// wake tells those that wait; s.mu is held.
-func (s *scan) wake() {
+// notify tells those that wait; s.mu is held.
+func (s *scan) notify() {
 	close(s.updated)
 	s.updated = make(chan struct{})
 }
@@ -101,7 +101,7 @@
 
 // holders returns the engines that hold part, as soon as one is known.
 func (l *locator) holders(ctx context.Context, service, part string) []routing.Life {
-	s := l.scan(service, part)
+	s := l.scanFor(service, part)
 	for {
 		holders, ended, news := s.holdersOf(part)
 		if len(holders) > 0 || ended {
@@ -115,18 +115,18 @@
 	}
 }
 
-// scan returns a look that is recent, or begins one.
-func (l *locator) scan(service, part string) *scan {
+// scanFor returns a look that is recent, or begins one.
+func (l *locator) scanFor(service, part string) *scan {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	view := l.h.opts.Feed.View()
-	if servers, few := l.h.pool.mayHold(view, service, part); few {
+	if servers, few := l.h.pool.cacheScanTargets(view, service, part); few {
 		s := newScan(now)
 		go l.runScan(service, s, servers)
 		return s
 	}
-	if s := l.scans[service]; s != nil && now.Sub(s.startedAt) < scanAge {
+	if s := l.scans[service]; s != nil && now.Sub(s.startedAt) < scanMaxAge {
 		return s
 	}
 	s := newScan(now)
@@ -140,13 +140,13 @@
 	l.h.metrics.scans.Inc()
 	ctx, cancel := context.WithTimeout(context.Background(), scanTimeout)
 	defer cancel()
-	answers := make(chan cacheAnswer, len(servers))
+	answers := make(chan cacheReply, len(servers))
 	ask := func(server routing.Server) {
-		life, parts, bytes, err := l.h.readCache(ctx, server)
+		life, parts, bytes, err := l.h.fetchCache(ctx, server)
 		if err == nil {
 			s.add(life, parts) // an engine that does not answer holds nothing of use
 		}
-		answers <- cacheAnswer{bytes, err}
+		answers <- cacheReply{bytes, err}
 	}
 	var cost scanProgress
 	for _, i := range rand.Perm(len(servers)) { // no engine is left out each time
@@ -165,8 +165,8 @@
 	l.h.opts.Log.Emit(event.CachesRead, service, cost.asked, cost.answered, cost.timeouts, cost.bytes, time.Since(s.startedAt))
 }
 
-// cacheAnswer is what came of a question to one engine.
-type cacheAnswer struct {
+// cacheReply is what came of a question to one engine.
+type cacheReply struct {
 	bytes int // of the answer's body, as far as it arrived
 	err   error
 }
@@ -187,14 +187,14 @@
 // canAsk reports whether one more engine may be asked: the answers that are on their way
 // are taken to be as large as the largest so far.
 func (l *scanProgress) canAsk() bool {
-	size := scanAnswer
+	size := maxCacheReplyBytes
 	if l.answered > 0 {
 		size = l.largest
 	}
-	return l.bytes+(l.pending()+1)*size <= scanBytes
+	return l.bytes+(l.pending()+1)*size <= scanBudgetBytes
 }
 
-func (l *scanProgress) add(one cacheAnswer) {
+func (l *scanProgress) add(one cacheReply) {
 	l.bytes += one.bytes
 	l.largest = max(l.largest, one.bytes)
 	if one.err == nil {
@@ -207,25 +207,25 @@
 	}
 }
 
-// errLong means that an engine holds more than is read of its answer.
-var errLong = errors.New("forward: the engine holds too much to tell")
+// errCacheTooLarge means that an engine holds more than is read of its answer.
+var errCacheTooLarge = errors.New("forward: the engine holds too much to tell")
 
 // cachedParts asks an engine what it holds, and which of its lives holds that.
 func (h *Handler) cachedParts(ctx context.Context, server routing.Server) (routing.Life, []string, error) {
-	life, parts, _, err := h.readCache(ctx, server)
+	life, parts, _, err := h.fetchCache(ctx, server)
 	return life, parts, err
 }
 
-// readCache is cached, and says how many bytes of the answer arrived.
-func (h *Handler) readCache(ctx context.Context, server routing.Server) (life routing.Life, parts []string, bytes int, err error) {
+// fetchCache is cached, and says how many bytes of the answer arrived.
+func (h *Handler) fetchCache(ctx context.Context, server routing.Server) (life routing.Life, parts []string, bytes int, err error) {
 	life = server.Life()
-	body, err := h.commandUpTo(ctx, scanAnswer, http.MethodGet, server, h.opts.Codec.CachePath(), nil)
+	body, err := h.commandUpTo(ctx, maxCacheReplyBytes, http.MethodGet, server, h.opts.Codec.CachePath(), nil)
 	h.metrics.cacheBytes.Add(float64(len(body)))
 	if err != nil {
 		return life, nil, len(body), err
 	}
-	if len(body) >= scanAnswer {
-		return life, nil, len(body), errLong
+	if len(body) >= maxCacheReplyBytes {
+		return life, nil, len(body), errCacheTooLarge
 	}
 	cache, err := h.opts.Codec.Cache(body)
 	if err != nil {
@@ -233,9 +233,9 @@
 		return life, nil, len(body), err
 	}
 	switch h.observeIncarnation(server, cache.Born) {
-	case lifeBefore:
+	case incarnationOlder:
 		return life, nil, len(body), nil
-	case lifeAfter:
+	case incarnationNewer:
 		life.Born = cache.Born
 	}
 	return life, cache.Parts, len(body), nil
--- a/serve/forward/neighbours.go
+++ b/serve/forward/neighbours.go
@@ -23,11 +23,11 @@
 	// workTimeout is how long another daemon may take to say what it has under way: ten
 	// round trips between zones, and short beside the reading of a prompt.
 	workTimeout = 20 * time.Millisecond
-	// paceAsked is how many daemons are asked what they learned: two or three have seen
+	// pacePeers is how many daemons are asked what they learned: two or three have seen
 	// the few answers that it takes.
-	paceAsked = 4
-	// maxTold bounds the daemons that are told something at the same time.
-	maxTold = 32
+	pacePeers = 4
+	// maxConcurrentCalls bounds the daemons that are told something at the same time.
+	maxConcurrentCalls = 32
 	// peerBackoff is how long a daemon that did not answer is left out, so that one that
 	// is dead or cut off does not hold up every prompt. It is about what a restart takes.
 	peerBackoff = time.Second
@@ -106,8 +106,8 @@
 	_, _ = callWork(ctx, n, vm, peerpb.Work.Note, note)
 }
 
-// noted asks a daemon what others have under way at servers that it keeps notes on.
-func (n *peerClient) noted(ctx context.Context, vm routing.VM, q *peerpb.NotedRequest) (*peerpb.WorkReply, error) {
+// queryTracked asks a daemon what others have under way at servers that it keeps notes on.
+func (n *peerClient) queryTracked(ctx context.Context, vm routing.VM, q *peerpb.NotedRequest) (*peerpb.WorkReply, error) {
 	return callWork(ctx, n, vm, peerpb.Work.Noted, q)
 }
 
@@ -130,13 +130,13 @@
 	return reply, n.recordResult(vm, err)
 }
 
-// tellAll calls tell for all other daemons. A call that fails is logged by judge.
-func (n *peerClient) tellAll(view *feed.View, tell func(context.Context, routing.VM) error) {
+// broadcast calls tell for all other daemons. A call that fails is logged by judge.
+func (n *peerClient) broadcast(view *feed.View, tell func(context.Context, routing.VM) error) {
 	if n.dialer == nil {
 		return
 	}
 	var all errgroup.Group
-	all.SetLimit(maxTold)
+	all.SetLimit(maxConcurrentCalls)
 	for _, vm := range routing.Peers(view.VMs, n.self) {
 		all.Go(func() error {
 			_ = tell(context.Background(), vm)
@@ -179,7 +179,7 @@
 	peers := h.neighbours.responsive(time.Now(), routing.Peers(view.VMs, h.neighbours.self))
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	var all sync.WaitGroup
-	for _, vm := range peers[:min(paceAsked, len(peers))] {
+	for _, vm := range peers[:min(pacePeers, len(peers))] {
 		all.Go(func() {
 			if reply, err := h.neighbours.queryPace(ctx, vm, service); err == nil {
 				h.pressure.mergeEstimates(service, prompts.Learned{
@@ -206,7 +206,7 @@
 
 // Pace implements peerpb.Work.
 func (t workService) Pace(_ context.Context, q *peerpb.WorkRequest) (*peerpb.PaceReply, error) {
-	l := t.h.pressure.learned(q.GetService())
+	l := t.h.pressure.estimates(q.GetService())
 	return &peerpb.PaceReply{PerToken: l.PerToken, PerEvent: l.PerEvent, Events: l.Events, Answers: int64(l.Answers)}, nil
 }
 
--- a/serve/forward/permits.go
+++ b/serve/forward/permits.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// permitGivers is how many daemons may be asked for a permit, one after the other.
-	permitGivers = 2
-	// acknowledgedFor is how long after a question for permits others are taken to ask here.
-	acknowledgedFor = 2 * time.Second
-	// unknownServer is when a permit is asked for again at a daemon that does not know the
+	// permitIssuers is how many daemons may be asked for a permit, one after the other.
+	permitIssuers = 2
+	// issuerConfirmedFor is how long after a question for permits others are taken to ask here.
+	issuerConfirmedFor = 2 * time.Second
+	// unknownServerRetry is when a permit is asked for again at a daemon that does not know the
 	// server: about what its entry takes to arrive.
-	unknownServer = 500 * time.Millisecond
+	unknownServerRetry = 500 * time.Millisecond
 )
 
 // canRequestPermit reports whether a server may be chosen now: it names no limit, or a permit may be asked
@@ -31,7 +31,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	one := l.limitedNow(s)
+	one := l.active(s)
 	return one == nil || one.permitRequests.Open(now)
 }
 
@@ -39,7 +39,7 @@
 // permit. The request waits for the answer to that question.
 func (l *rateLimits) acquire(ctx context.Context, s routing.Server) bool {
 	l.mu.Lock()
-	one := l.limitedNow(s)
+	one := l.active(s)
 	if one == nil {
 		l.mu.Unlock()
 		return true
@@ -64,7 +64,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range l.h.opts.Feed.View().Servers[service] {
-		one := l.limitedNow(s)
+		one := l.active(s)
 		if one == nil || s.Leaving {
 			continue
 		}
@@ -81,9 +81,9 @@
 	if l.h.neighbours.dialer == nil {
 		hashes = nil
 	}
-	for _, i := range rendezvous.Nearest(xxhash.Sum64String(one.server.ID), hashes, permitGivers) {
+	for _, i := range rendezvous.Nearest(xxhash.Sum64String(one.server.ID), hashes, permitIssuers) {
 		if vms[i].ID == l.h.opts.Self.ID {
-			if l.acknowledged(one) {
+			if l.isConfirmedIssuer(one) {
 				return l.issue(one, q.GetLimit().GetRate())
 			}
 			break
@@ -101,12 +101,12 @@
 	return one.fallback.Take(time.Now(), quota.Given(q.GetLimit().GetRate())/float64(max(1, len(vms))))
 }
 
-// acknowledged reports whether others ask this daemon for permits. One that is cut off from them
+// isConfirmedIssuer reports whether others ask this daemon for permits. One that is cut off from them
 // must not give itself what another daemon gives to them.
-func (l *rateLimits) acknowledged(one *serverLimit) bool {
+func (l *rateLimits) isConfirmedIssuer(one *serverLimit) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return time.Since(one.lastRequested) < acknowledgedFor
+	return time.Since(one.lastRequested) < issuerConfirmedFor
 }
 
 // issue gives out a permit here.
@@ -116,18 +116,18 @@
 	if known, named := one.limit.Rate(); named {
 		rate = known
 	}
-	return one.bucket.Take(time.Now(), quota.Given(rate))
+	return one.permits.Take(time.Now(), quota.Given(rate))
 }
 
-// rationing implements peerpb.Quota.
-type rationing struct{ limits *rateLimits }
+// quotaService implements peerpb.Quota.
+type quotaService struct{ limits *rateLimits }
 
 // Permit implements peerpb.Quota.
-func (r rationing) Permit(_ context.Context, q *peerpb.PermitRequest) (*peerpb.PermitReply, error) {
+func (r quotaService) Permit(_ context.Context, q *peerpb.PermitRequest) (*peerpb.PermitReply, error) {
 	m := q.GetLimit()
 	s, ok := r.limits.h.findServer(routing.Life{ID: m.GetServer(), Born: m.GetBorn()})
 	if !ok {
-		return &peerpb.PermitReply{WaitMs: unknownServer.Milliseconds()}, nil
+		return &peerpb.PermitReply{WaitMs: unknownServerRetry.Milliseconds()}, nil
 	}
 	r.limits.mu.Lock()
 	one := r.limits.entry(s)
@@ -138,13 +138,13 @@
 }
 
 // Limited implements peerpb.Quota.
-func (r rationing) Limited(_ context.Context, q *peerpb.LimitedRequest) (*peerpb.LimitedReply, error) {
+func (r quotaService) Limited(_ context.Context, q *peerpb.LimitedRequest) (*peerpb.LimitedReply, error) {
 	r.limits.observePeer(q.GetLimit())
 	return &peerpb.LimitedReply{}, nil
 }
 
 // QuotaService returns the twirp service that other daemons call, and its path prefix.
 func (h *Handler) QuotaService() (prefix string, handler http.Handler) {
-	s := peerpb.NewQuotaServer(rationing{h.limits})
+	s := peerpb.NewQuotaServer(quotaService{h.limits})
 	return s.PathPrefix(), s
 }
--- a/serve/forward/poisoned.go
+++ b/serve/forward/poisoned.go
@@ -24,19 +24,19 @@
 	view    *feed.View // the last one seen here
 	ledger  poison.Ledger[routing.Life]
 	marks   poison.Marks
-	running map[string]map[*underway]bool // by digest
-	details map[string]*peerpb.Poisonous  // of requests that have a mark or had ends counted here
-	pending map[string]*peerpb.Poisonous  // not in the store yet
-	roused  chan struct{}                 // holds an item when something is pending
+	running map[string]map[*activeRequest]bool // by digest
+	details map[string]*peerpb.Poisonous       // of requests that have a mark or had ends counted here
+	pending map[string]*peerpb.Poisonous       // not in the store yet
+	wakeup  chan struct{}                      // holds an item when something is pending
 }
 
-// underway is one request in progress.
-type underway struct{ cancel context.CancelCauseFunc }
+// activeRequest is one request in progress.
+type activeRequest struct{ cancel context.CancelCauseFunc }
 
 func newPoisonRegistry(h *Handler) *poisonRegistry {
 	return &poisonRegistry{
-		h: h, view: &feed.View{}, running: map[string]map[*underway]bool{}, details: map[string]*peerpb.Poisonous{},
-		pending: map[string]*peerpb.Poisonous{}, roused: make(chan struct{}, 1),
+		h: h, view: &feed.View{}, running: map[string]map[*activeRequest]bool{}, details: map[string]*peerpb.Poisonous{},
+		pending: map[string]*peerpb.Poisonous{}, wakeup: make(chan struct{}, 1),
 	}
 }
 
@@ -58,10 +58,10 @@
 		}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	one := &underway{cancel}
+	one := &activeRequest{cancel}
 	for _, digest := range in.digests {
 		if p.running[digest] == nil {
-			p.running[digest] = map[*underway]bool{}
+			p.running[digest] = map[*activeRequest]bool{}
 		}
 		p.running[digest][one] = true
 	}
@@ -71,7 +71,7 @@
 	}, nil
 }
 
-func (p *poisonRegistry) finish(digests []string, one *underway) {
+func (p *poisonRegistry) finish(digests []string, one *activeRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, digest := range digests {
@@ -106,14 +106,14 @@
 
 // mark is what is held of a request.
 func (p *poisonRegistry) mark(digest string) poison.Mark {
-	if p.stored(digest) {
+	if p.isStored(digest) {
 		return poison.Refused
 	}
 	return p.marks.Of(time.Now(), digest)
 }
 
-// stored reports whether the refusal of a request lies in the store.
-func (p *poisonRegistry) stored(digest string) bool {
+// isStored reports whether the refusal of a request lies in the store.
+func (p *poisonRegistry) isStored(digest string) bool {
 	_, ok := p.view.Refused[digest]
 	return ok
 }
@@ -123,10 +123,10 @@
 	for _, digest := range in.digests {
 		q := &peerpb.EndedRequest{Digest: digest, Server: life.ID, Born: life.Born, Account: in.accountName(), Route: in.routeName()}
 		p.countCrash(q)
-		p.toKeepers(digest, func(vm routing.VM) {
+		p.notifyTrackers(digest, func(vm routing.VM) {
 			reply, err := callPeer(ctx, p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Ended, q, poisonTimeout)
 			if err == nil {
-				p.observeMark(reply.GetRequest(), markOf(reply.GetMark()))
+				p.observeMark(reply.GetRequest(), markFromProto(reply.GetMark()))
 			}
 		})
 	}
@@ -139,7 +139,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.syncView(p.h.opts.Feed.View())
-	if p.stored(digest) {
+	if p.isStored(digest) {
 		return
 	}
 	one := p.details[digest]
@@ -150,21 +150,21 @@
 		one = &peerpb.Poisonous{Digest: digest, Account: one.Account, Route: one.Route, Servers: append(slices.Clone(one.Servers), life.ID)}
 	}
 	p.details[digest] = one
-	p.trim()
+	p.pruneDetails()
 	mark := p.ledger.Mark(digest)
-	if !p.raise(one, mark) {
+	if !p.setMark(one, mark) {
 		return
 	}
 	p.h.opts.Log.Emit(event.PoisonMarked, digest, one.Account, one.Route, mark.String(), one.Servers)
-	go p.spread(&peerpb.MarkedRequest{Request: one, Mark: peerpb.Mark(mark)})
+	go p.broadcast(&peerpb.MarkedRequest{Request: one, Mark: peerpb.Mark(mark)})
 	if mark == poison.Refused {
 		p.pending[digest] = one
-		p.rouse()
+		p.wakeWriter()
 	}
 }
 
-// trim forgets the details of requests that nothing is known of any more.
-func (p *poisonRegistry) trim() {
+// pruneDetails forgets the details of requests that nothing is known of any more.
+func (p *poisonRegistry) pruneDetails() {
 	if len(p.details) <= poison.MaxRequests {
 		return
 	}
@@ -174,9 +174,9 @@
 	})
 }
 
-// raise sets a mark, and ends the requests in progress that are refused now. It reports
+// setMark sets a mark, and ends the requests in progress that are refused now. It reports
 // whether the mark is new here.
-func (p *poisonRegistry) raise(one *peerpb.Poisonous, mark poison.Mark) bool {
+func (p *poisonRegistry) setMark(one *peerpb.Poisonous, mark poison.Mark) bool {
 	digest := one.GetDigest()
 	if mark == poison.Unmarked || !p.marks.Set(time.Now(), digest, mark) {
 		return false
@@ -194,11 +194,11 @@
 	defer p.mu.Unlock()
 	digest := one.GetDigest()
 	if mark == poison.Unmarked {
-		p.forget(digest)
+		p.forgetCounts(digest)
 		return
 	}
 	p.syncView(p.h.opts.Feed.View())
-	if p.stored(digest) || !p.raise(one, mark) {
+	if p.isStored(digest) || !p.setMark(one, mark) {
 		return
 	}
 	p.details[digest] = one
@@ -213,7 +213,7 @@
 			continue
 		}
 		p.h.opts.Log.Emit(event.PoisonCleared, in.call.ID, digest)
-		p.toKeepers(digest, func(vm routing.VM) {
+		p.notifyTrackers(digest, func(vm routing.VM) {
 			q := &peerpb.ClearedRequest{Digest: digest}
 			// A failure is logged by judge; the next whole answer clears the request there.
 			_, _ = callPeer(context.Background(), p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Cleared, q, poisonTimeout)
@@ -226,16 +226,16 @@
 func (p *poisonRegistry) clearCounts(digest string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	counted, watched := p.forget(digest)
+	counted, watched := p.forgetCounts(digest)
 	if watched {
-		go p.spread(&peerpb.MarkedRequest{Request: &peerpb.Poisonous{Digest: digest}, Mark: peerpb.Mark_MARK_UNMARKED})
+		go p.broadcast(&peerpb.MarkedRequest{Request: &peerpb.Poisonous{Digest: digest}, Mark: peerpb.Mark_MARK_UNMARKED})
 	}
 	return counted || watched
 }
 
-// forget forgets what is counted of a request and that it is watched. It reports whether either
+// forgetCounts forgets what is counted of a request and that it is watched. It reports whether either
 // was so. The caller holds the lock.
-func (p *poisonRegistry) forget(digest string) (counted, watched bool) {
+func (p *poisonRegistry) forgetCounts(digest string) (counted, watched bool) {
 	counted, watched = p.ledger.Clear(digest), p.marks.Clear(digest)
 	if counted || watched {
 		delete(p.details, digest)
--- a/serve/forward/poisonfleet.go
+++ b/serve/forward/poisonfleet.go
@@ -15,32 +15,32 @@
 )
 
 const (
-	// poisonKeepers is how many daemons count the ends of servers under one request: one of
+	// poisonTrackers is how many daemons count the ends of servers under one request: one of
 	// them may be dead, cut off or new.
-	poisonKeepers = 2
+	poisonTrackers = 2
 	// poisonTimeout is how long a daemon may take to hear of a request.
 	poisonTimeout = 300 * time.Millisecond
-	// marksAsked is how many daemons one that starts asks what they were told.
-	marksAsked = 4
+	// marksPeers is how many daemons one that starts asks what they were told.
+	marksPeers = 4
 )
 
-// toKeepers calls tell for each keeper of a request but this daemon.
-func (p *poisonRegistry) toKeepers(digest string, tell func(routing.VM)) {
+// notifyTrackers calls tell for each keeper of a request but this daemon.
+func (p *poisonRegistry) notifyTrackers(digest string, tell func(routing.VM)) {
 	if p.h.neighbours.dialer == nil {
 		return
 	}
 	vms, hashes := routing.Serving(p.h.opts.Feed.View().VMs)
-	for _, i := range rendezvous.Nearest(xxhash.Sum64String(digest), hashes, poisonKeepers) {
+	for _, i := range rendezvous.Nearest(xxhash.Sum64String(digest), hashes, poisonTrackers) {
 		if vms[i].ID != p.h.opts.Self.ID {
 			go tell(vms[i])
 		}
 	}
 }
 
-// spread tells all other daemons of a request. One that does not hear of it learns of a
+// broadcast tells all other daemons of a request. One that does not hear of it learns of a
 // refusal from the store, or from a keeper when it counts the end of a server itself.
-func (p *poisonRegistry) spread(q *peerpb.MarkedRequest) {
-	p.h.neighbours.tellAll(p.h.opts.Feed.View(), func(ctx context.Context, vm routing.VM) error {
+func (p *poisonRegistry) broadcast(q *peerpb.MarkedRequest) {
+	p.h.neighbours.broadcast(p.h.opts.Feed.View(), func(ctx context.Context, vm routing.VM) error {
 		_, err := callPeer(ctx, p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Marked, q, poisonTimeout)
 		return err
 	})
@@ -56,7 +56,7 @@
 	}
 	peers := routing.Peers(p.h.opts.Feed.View().VMs, p.h.opts.Self.ID)
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	for _, vm := range peers[:min(marksAsked, len(peers))] {
+	for _, vm := range peers[:min(marksPeers, len(peers))] {
 		go func() {
 			reply, err := callPeer(ctx, p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Marks, &peerpb.MarksRequest{}, poisonTimeout)
 			if err != nil {
@@ -69,8 +69,8 @@
 	}
 }
 
-// markOf reads a mark. One that is not known here marks nothing.
-func markOf(m peerpb.Mark) poison.Mark {
+// markFromProto reads a mark. One that is not known here marks nothing.
+func markFromProto(m peerpb.Mark) poison.Mark {
 	switch m {
 	case peerpb.Mark_MARK_WATCHED:
 		return poison.Watched
@@ -80,29 +80,29 @@
 	return poison.Unmarked
 }
 
-// poisonTelling implements peerpb.Poison.
-type poisonTelling struct{ p *poisonRegistry }
+// poisonService implements peerpb.Poison.
+type poisonService struct{ p *poisonRegistry }
 
 // Ended implements peerpb.Poison.
-func (t poisonTelling) Ended(_ context.Context, q *peerpb.EndedRequest) (*peerpb.EndedReply, error) {
+func (t poisonService) Ended(_ context.Context, q *peerpb.EndedRequest) (*peerpb.EndedReply, error) {
 	t.p.countCrash(q)
 	return t.p.status(q.GetDigest()), nil
 }
 
 // Cleared implements peerpb.Poison.
-func (t poisonTelling) Cleared(_ context.Context, q *peerpb.ClearedRequest) (*peerpb.ClearedReply, error) {
+func (t poisonService) Cleared(_ context.Context, q *peerpb.ClearedRequest) (*peerpb.ClearedReply, error) {
 	t.p.clearCounts(q.GetDigest())
 	return &peerpb.ClearedReply{}, nil
 }
 
 // Marked implements peerpb.Poison.
-func (t poisonTelling) Marked(_ context.Context, q *peerpb.MarkedRequest) (*peerpb.MarkedReply, error) {
-	t.p.observeMark(q.GetRequest(), markOf(q.GetMark()))
+func (t poisonService) Marked(_ context.Context, q *peerpb.MarkedRequest) (*peerpb.MarkedReply, error) {
+	t.p.observeMark(q.GetRequest(), markFromProto(q.GetMark()))
 	return &peerpb.MarkedReply{}, nil
 }
 
 // Marks implements peerpb.Poison.
-func (t poisonTelling) Marks(context.Context, *peerpb.MarksRequest) (*peerpb.MarksReply, error) {
+func (t poisonService) Marks(context.Context, *peerpb.MarksRequest) (*peerpb.MarksReply, error) {
 	p := t.p
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,6 +126,6 @@
 
 // PoisonService returns the twirp service that other daemons call, and its path prefix.
 func (h *Handler) PoisonService() (prefix string, handler http.Handler) {
-	s := peerpb.NewPoisonServer(poisonTelling{h.poisoned})
+	s := peerpb.NewPoisonServer(poisonService{h.poisoned})
 	return s.PathPrefix(), s
 }
--- a/serve/forward/poisonstore.go
+++ b/serve/forward/poisonstore.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// writeAgain is the mean pause before an entry is written that could not be.
-	writeAgain = time.Second
-	// settleEvery is how often the view is looked at where no request comes.
-	settleEvery = time.Second
+	// storeRetryInterval is the mean pause before an entry is written that could not be.
+	storeRetryInterval = time.Second
+	// viewSyncInterval is how often the view is looked at where no request comes.
+	viewSyncInterval = time.Second
 )
 
-// rouse has run look at what is pending.
-func (p *poisonRegistry) rouse() {
+// wakeWriter has run look at what is pending.
+func (p *poisonRegistry) wakeWriter() {
 	select {
-	case p.roused <- struct{}{}:
+	case p.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -36,13 +36,13 @@
 		p.fetchMarks(ctx)
 	case <-ctx.Done():
 	}
-	look := time.NewTicker(settleEvery)
+	look := time.NewTicker(viewSyncInterval)
 	defer look.Stop()
 	for {
 		select {
-		case <-p.roused:
+		case <-p.wakeup:
 			if !p.writePending(ctx) {
-				time.AfterFunc(writeAgain/2+rand.N(writeAgain), p.rouse)
+				time.AfterFunc(storeRetryInterval/2+rand.N(storeRetryInterval), p.wakeWriter)
 			}
 		case <-look.C:
 			p.mu.Lock()
--- a/serve/forward/pool.go
+++ b/serve/forward/pool.go
@@ -37,12 +37,12 @@
 
 // pool knows the servers and this daemon's work at each.
 type pool struct {
-	mu        sync.Mutex
-	self      routing.VM
-	startedAt time.Time
-	retryRule repeats.Rule
-	view      *feed.View
-	layouts   map[string]*serverSet
+	mu         sync.Mutex
+	self       routing.VM
+	startedAt  time.Time
+	retryRule  repeats.Rule
+	view       *feed.View
+	serverSets map[string]*serverSet
 	// loads are by life: what was learned of a server ends with it.
 	loads   map[routing.Life]*serverLoad
 	budgets map[string]*repeats.Budget
@@ -50,8 +50,8 @@
 	// the life there.
 	successors map[routing.Life]routing.Life
 	// down are the servers that failed and have not been back since, by address.
-	down     map[string]downServer
-	absences map[string]*absence.Absence // by service
+	down      map[string]downServer
+	downtimes map[string]*absence.Absence // by service
 	// onWorkChanged is told of servers at which this daemon's prompts, answers or suspicion are
 	// others than before. It is called without the lock.
 	onWorkChanged func(routing.Server)
@@ -69,10 +69,10 @@
 
 func newPool(self routing.VM, rule repeats.Rule, versions *versions.Manager) *pool {
 	return &pool{
-		self: self, startedAt: time.Now(), retryRule: rule, layouts: map[string]*serverSet{},
+		self: self, startedAt: time.Now(), retryRule: rule, serverSets: map[string]*serverSet{},
 		loads: map[routing.Life]*serverLoad{}, budgets: map[string]*repeats.Budget{},
 		successors: map[routing.Life]routing.Life{},
-		down:       map[string]downServer{}, absences: map[string]*absence.Absence{},
+		down:       map[string]downServer{}, downtimes: map[string]*absence.Absence{},
 		onWorkChanged: func(routing.Server) {}, versions: versions,
 	}
 }
@@ -91,7 +91,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.updateView(view, now)
-	l := p.layouts[service]
+	l := p.serverSets[service]
 	if l == nil {
 		return choice{}, false
 	}
@@ -100,13 +100,13 @@
 
 // recordFailure makes a server a last resort for a while.
 func (p *pool) recordFailure(now time.Time, s routing.Server) {
-	if p.suspectFrom(now, s) {
+	if p.markSuspect(now, s) {
 		p.onWorkChanged(s)
 	}
 }
 
-// suspectFrom begins the suspicion of a server, if it is known.
-func (p *pool) suspectFrom(now time.Time, s routing.Server) bool {
+// markSuspect begins the suspicion of a server, if it is known.
+func (p *pool) markSuspect(now time.Time, s routing.Server) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	one := p.loads[s.Life()]
--- a/serve/forward/pressure.go
+++ b/serve/forward/pressure.go
@@ -21,7 +21,7 @@
 type servicePressure struct {
 	pace     prompts.Pace
 	throttle throttle.Throttle
-	refusing retryafter.Spell // of refusals by this daemon
+	refusals retryafter.Spell // of refusals by this daemon
 }
 
 func newPressure() *pressure { return &pressure{services: map[string]*servicePressure{}} }
@@ -51,8 +51,8 @@
 	return p.lockService(service).pace.Knows()
 }
 
-// learned is what was learned of the engines of a service, here and from others.
-func (p *pressure) learned(service string) prompts.Learned {
+// estimates is what was learned of the engines of a service, here and from others.
+func (p *pressure) estimates(service string) prompts.Learned {
 	defer p.mu.Unlock()
 	return p.lockService(service).pace.Learned()
 }
@@ -105,7 +105,7 @@
 func (p *pressure) recordRefusal(now time.Time, service string) (lasted, answer time.Duration) {
 	defer p.mu.Unlock()
 	s := p.lockService(service)
-	return s.refusing.Seen(now), s.pace.Answer()
+	return s.refusals.Seen(now), s.pace.Answer()
 }
 
 // throttle reports whether a call is refused because the servers turn calls away,
@@ -116,7 +116,7 @@
 	if !s.throttle.Refuse(now, rand.Float64()) {
 		return 0, false
 	}
-	return s.refusing.Seen(now), true
+	return s.refusals.Seen(now), true
 }
 
 // isRejecting reports whether the servers of a service turn calls away now.
--- a/serve/forward/spare.go
+++ b/serve/forward/spare.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// spareEvery is how often a run looks whether its copy still lies somewhere. It
+	// replicaCheckInterval is how often a run looks whether its copy still lies somewhere. It
 	// is a fraction of the seconds between the losses of two zones.
-	spareEvery = 250 * time.Millisecond
-	// spareRefresh is how often a copy made on demand is brought up to date: going
+	replicaCheckInterval = 250 * time.Millisecond
+	// replicaRefreshInterval is how often a copy made on demand is brought up to date: going
 	// on from it reads at most a second's tokens again, in 20 ms.
-	spareRefresh = time.Second
-	// spareTimeout bounds one copying: the memory of a prompt of 8,000 tokens takes
+	replicaRefreshInterval = time.Second
+	// copyTimeout bounds one copying: the memory of a prompt of 8,000 tokens takes
 	// some 30 ms between zones, behind those of other runs.
-	spareTimeout = 500 * time.Millisecond
+	copyTimeout = 500 * time.Millisecond
 	// dropTimeout bounds the call that frees a copy.
 	dropTimeout = 500 * time.Millisecond
 )
@@ -76,7 +76,7 @@
 
 // run looks after the copy until the leg ends.
 func (s *replicator) run(ctx context.Context) {
-	tick := time.NewTicker(spareEvery)
+	tick := time.NewTicker(replicaCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -100,7 +100,7 @@
 	if now.Before(s.nextCopyAt) {
 		return
 	}
-	s.nextCopyAt = now.Add(s.refresh())
+	s.nextCopyAt = now.Add(s.refreshInterval())
 	if !lives {
 		place, ok := s.r.chooseReplicaEngine(ctx, s.l.at.server, s.failed)
 		if !ok {
@@ -111,22 +111,22 @@
 	s.copyRun(ctx)
 }
 
-// refresh is the time between two copyings: well before an unused copy is freed.
-func (s *replicator) refresh() time.Duration {
+// refreshInterval is the time between two copyings: well before an unused copy is freed.
+func (s *replicator) refreshInterval() time.Duration {
 	engine := s.r.h.opts.Feed.View().Config.Engine(s.r.service)
 	if engine == nil || engine.CopyKept <= 0 {
-		return spareRefresh
+		return replicaRefreshInterval
 	}
-	return min(spareRefresh, engine.CopyKept/3)
+	return min(replicaRefreshInterval, engine.CopyKept/3)
 }
 
 // copyRun has the run's memory copied to its place.
 func (s *replicator) copyRun(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, spareTimeout)
+	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
-	handle, err := s.move(ctx, s.target.server)
+	handle, err := s.requestCopy(ctx, s.target.server)
 	if err != nil {
-		s.notCopied(ctx, err)
+		s.recordCopyFailure(ctx, err)
 		return
 	}
 	s.timeouts = 0
@@ -138,9 +138,9 @@
 	s.remade.Store(&replica{at: s.target, name: replicaName(s.l.at.server, handle), onDemand: true})
 }
 
-// notCopied judges a copying that failed. The copy before still lies there; one call without
+// recordCopyFailure judges a copying that failed. The copy before still lies there; one call without
 // an answer in time may be due to the link from here, a second one is due to an engine.
-func (s *replicator) notCopied(ctx context.Context, err error) {
+func (s *replicator) recordCopyFailure(ctx context.Context, err error) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return // the leg has ended
 	}
@@ -153,7 +153,7 @@
 	s.target, s.timeouts = choice{}, 0 // another place next time
 }
 
-func (s *replicator) move(ctx context.Context, target routing.Server) (string, error) {
+func (s *replicator) requestCopy(ctx context.Context, target routing.Server) (string, error) {
 	path, body, err := s.mover.Move(s.r.in.call.ID, target.Address)
 	if err != nil {
 		return "", err
--- a/serve/forward/spare_test.go
+++ b/serve/forward/spare_test.go
@@ -35,7 +35,7 @@
 // seconds later the engine that runs the request dies. The copy was gone by then,
 // the prompt would be read anew, and the caller waits for it in mid-answer. A
 // second copy was made in time, and the answer goes on there.
-func TestLostCopyIsMadeAgain(t *testing.T) {
+func TestLostReplicaIsRemade(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		handle := streamEvents(100, time.Second, 40*time.Millisecond)
 		a, b, c := w.add("e-a", "llm", "a", handle), w.add("e-b", "llm", "b", handle), w.add("e-c", "llm", "c", handle)
@@ -67,7 +67,7 @@
 
 // A copy made on demand holds a place in the batch of its engine until it is
 // freed. After a whole answer it is freed at once; without a lost copy none is made.
-func TestCopyMadeAgainIsFreed(t *testing.T) {
+func TestRemadeReplicaIsFreed(t *testing.T) {
 	for name, lost := range map[string]bool{"first copy lost": true, "first copy kept": false} {
 		t.Run(name, func(t *testing.T) {
 			withTestCluster(t, streamRoute(), func(w *testCluster) {
@@ -95,7 +95,7 @@
 
 // The engine chosen for the second copy has no room for it after all. Another is
 // asked a second later, so that the run is without a copy for no longer.
-func TestCopyThatFailsIsMadeElsewhere(t *testing.T) {
+func TestReplicaIsMadeElsewhereAfterRefusal(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		handle := streamEvents(120, time.Second, 40*time.Millisecond)
 		engines := []*fakeServer{
--- a/serve/forward/successors.go
+++ b/serve/forward/successors.go
@@ -7,8 +7,8 @@
 	"mallowwind.dev/control/routing"
 )
 
-// forgetSuccessors drops those whose predecessors are not in the view any more.
-func (p *pool) forgetSuccessors() {
+// pruneSuccessors drops those whose predecessors are not in the view any more.
+func (p *pool) pruneSuccessors() {
 	listed := map[routing.Life]bool{}
 	for _, servers := range p.view.Servers {
 		for _, s := range servers {
@@ -26,19 +26,19 @@
 	now := p.versions.Now(view)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.successors[p.listed(old)] = next
+	p.successors[p.listedIncarnation(old)] = next
 	p.view = nil // the layouts are built anew
 	p.updateView(view, now)
 }
 
-// renewed notes that a server has begun another life under its id; it reports whether
+// recordRestart notes that a server has begun another life under its id; it reports whether
 // that was news.
-func (p *pool) renewed(view *feed.View, old, next routing.Life) bool {
+func (p *pool) recordRestart(view *feed.View, old, next routing.Life) bool {
 	now := p.versions.Now(view)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.updateView(view, now)
-	listed := p.listed(old)
+	listed := p.listedIncarnation(old)
 	if known, ok := p.successors[listed]; ok && known.ID == next.ID && known.Born >= next.Born {
 		return false
 	}
@@ -55,8 +55,8 @@
 	return true
 }
 
-// listed is the life that the view shows of a server: its own or its predecessor's.
-func (p *pool) listed(life routing.Life) routing.Life {
+// listedIncarnation is the life that the view shows of a server: its own or its predecessor's.
+func (p *pool) listedIncarnation(life routing.Life) routing.Life {
 	for old, next := range p.successors {
 		if next == life {
 			return old
--- a/serve/forward/trial.go
+++ b/serve/forward/trial.go
@@ -16,21 +16,21 @@
 	"mallowwind.dev/decision/rollout"
 )
 
-// minTrial is how many servers of a new version are tried at least: what one of them does may be
+// minCanaryServers is how many servers of a new version are tried at least: what one of them does may be
 // its own fault.
-const minTrial = 4
+const minCanaryServers = 4
 
-// roomy is how many more of them there are than would carry the load of an old one each: daemons
+// canaryHeadroomRatio is how many more of them there are than would carry the load of an old one each: daemons
 // know less of what the others have under way there.
-const roomy = 1.5
+const canaryHeadroomRatio = 1.5
 
-// trialOf names the layout of those servers of a new version that get the requests drawn for it.
+// canaryKey names the layout of those servers of a new version that get the requests drawn for it.
 // The layout of the service has the others.
-func trialOf(service string) string { return service + "\x00trial" }
+func canaryKey(service string) string { return service + "\x00trial" }
 
-// split returns the servers that may serve any request of their service, and those that get the
+// splitByVersion returns the servers that may serve any request of their service, and those that get the
 // requests drawn for a new version: so many that each carries about what one of the others does.
-func split(servers []routing.Server, s rollout.State) (steady, trial []routing.Server) {
+func splitByVersion(servers []routing.Server, s rollout.State) (steady, trial []routing.Server) {
 	for _, one := range servers {
 		switch {
 		case s.Steady(one.Version):
@@ -39,12 +39,12 @@
 			trial = append(trial, one)
 		}
 	}
-	n := max(minTrial, int(math.Ceil(roomy*s.Share*float64(len(steady)))))
-	return steady, spread(trial, n)
+	n := max(minCanaryServers, int(math.Ceil(canaryHeadroomRatio*s.Share*float64(len(steady)))))
+	return steady, spreadAcrossZones(trial, n)
 }
 
-// spread chooses n servers, the same at every daemon and of all zones by turns.
-func spread(servers []routing.Server, n int) []routing.Server {
+// spreadAcrossZones chooses n servers, the same at every daemon and of all zones by turns.
+func spreadAcrossZones(servers []routing.Server, n int) []routing.Server {
 	type ranked struct {
 		server     routing.Server
 		hash, turn uint64
@@ -69,8 +69,8 @@
 	return chosen
 }
 
-// reasonNew is the reason of a choice that was drawn for a new version.
-const reasonNew = "new_version"
+// reasonNewVersion is the reason of a choice that was drawn for a new version.
+const reasonNewVersion = "new_version"
 
 // chooseCanary chooses a server of the new version for a call that is drawn for it; ok is false where
 // it goes to the others.
@@ -79,7 +79,7 @@
 	if !h.versions.Drawn(view, service, route) {
 		return choice{}, false
 	}
-	c, ok := h.pool.plain(now, view, trialOf(service), nil)
+	c, ok := h.pool.plain(now, view, canaryKey(service), nil)
 	if !ok {
 		return c, false
 	}
@@ -87,7 +87,7 @@
 		h.pool.release(c)
 		return choice{}, false
 	}
-	c.reason = reasonNew
+	c.reason = reasonNewVersion
 	return c, true
 }
 
@@ -97,7 +97,7 @@
 	if r.starts > 0 || r.in.call.After > 0 || !r.h.versions.Drawn(view, r.service, r.in.routeName()) {
 		return choice{}, false
 	}
-	list := r.h.pool.prefillCandidates(time.Now(), view, trialOf(r.service), r.in.call.OwnPart, Asked, nil)
+	list := r.h.pool.prefillCandidates(time.Now(), view, canaryKey(r.service), r.in.call.OwnPart, Asked, nil)
 	asked := r.h.newProbeRound()
 	defer asked.markSilent()
 	best, ok := r.quietest(asked.survey(ctx, list, 0))
@@ -107,14 +107,14 @@
 	if admission, _ := r.admission(best); admission != prompts.Admitted {
 		return choice{}, false
 	}
-	best.reason = reasonNew
+	best.reason = reasonNewVersion
 	r.h.pool.addLoad(best.choice, 1, 0, 0)
 	return best.choice, true
 }
 
-// staysFor reports whether a server that gets no requests any more still serves for a while,
+// isFinishingRuns reports whether a server that gets no requests any more still serves for a while,
 // because answers under way at its version end there.
-func (p *pool) staysFor(view *feed.View, s routing.Server) bool {
+func (p *pool) isFinishingRuns(view *feed.View, s routing.Server) bool {
 	state := p.versions.Now(view).Of(s.Service)
 	return state.Stage == rollout.All && s.Version == state.Base &&
 		slices.ContainsFunc(view.Servers[s.Service], func(there routing.Server) bool {
@@ -161,8 +161,8 @@
 	return rollout.Good, true
 }
 
-// paceAfter is how many events of a stream show its pace.
-const paceAfter = 24
+// paceEventCount is how many events of a stream show its pace.
+const paceEventCount = 24
 
 // startTrial begins to watch a leg for a comparison of versions: one that makes an answer from its
 // beginning.
@@ -181,8 +181,8 @@
 
 // recordNextEvent records the pace of a stream once it has made enough events.
 func (a *attempt) recordNextEvent() {
-	if a.made++; a.made == paceAfter {
-		a.pace.DoneIn(rollout.Good, time.Since(a.begun)/paceAfter)
+	if a.made++; a.made == paceEventCount {
+		a.pace.DoneIn(rollout.Good, time.Since(a.begun)/paceEventCount)
 	}
 }
 
@@ -210,7 +210,7 @@
 	if a.reading || !r.mayGoOn() || r.starts >= maxStarts {
 		return false
 	}
-	c, held, ok := r.livingHolder(ctx, a)
+	c, held, ok := r.liveReplica(ctx, a)
 	view := r.h.opts.Feed.View()
 	if !ok || !r.h.versions.Now(view).Of(r.service).Steady(c.server.Version) || !r.permitted(ctx, c) || !r.mayRepeat(ctx, time.Now()) {
 		return false
--- a/serve/forward/trial_test.go
+++ b/serve/forward/trial_test.go
@@ -22,8 +22,8 @@
 	return s
 }
 
-// rollOut writes an order to v2 and how far the roll-out is, as other daemons would.
-func (w *testCluster) rollOut(service string, stage rollout.Stage, share float64) {
+// setRollout writes an order to v2 and how far the roll-out is, as other daemons would.
+func (w *testCluster) setRollout(service string, stage rollout.Stage, share float64) {
 	w.t.Helper()
 	key := feed.OwnRolloutOrderKey(service)
 	if _, err := w.store.Get(w.t.Context(), key); err != nil {
@@ -41,7 +41,7 @@
 
 // The servers of the version before stop without draining at the end of a roll-out, while answers
 // of many seconds are under way there.
-func TestAnswerGoesOnAtTheVersionThatStays(t *testing.T) {
+func TestAnswerMigratesToTargetVersion(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		handle := streamEvents(150, time.Second, 40*time.Millisecond)
 		a, b := w.addVersion("e-a", "llm", "a", "v1", handle), w.addVersion("e-b", "llm", "b", "v1", handle)
@@ -50,9 +50,9 @@
 		w.background(func() {
 			time.Sleep(2 * time.Second)
 			c, d = w.addVersion("e-c", "llm", "a", "v2", handle), w.addVersion("e-d", "llm", "b", "v2", handle)
-			w.rollOut("llm", rollout.All, 1)
-			w.rollOut("llm", rollout.Last, 1)
-			w.rollOut("llm", rollout.Completed, 1)
+			w.setRollout("llm", rollout.All, 1)
+			w.setRollout("llm", rollout.Last, 1)
+			w.setRollout("llm", rollout.Completed, 1)
 			w.crash(a)
 			w.crash(b)
 		})
@@ -70,7 +70,7 @@
 
 // A request that is drawn for a new version goes there once; what follows a failure goes to the
 // version before, and so does the copy of its run.
-func TestRequestGoesToANewVersionOnce(t *testing.T) {
+func TestRequestTriesCanaryOnce(t *testing.T) {
 	withTestCluster(t, append(streamRoute(), plainRoutes()...), func(w *testCluster) {
 		failing := func(rw http.ResponseWriter, r *http.Request) {
 			rw.Header().Set(hProof, "p")
@@ -81,8 +81,8 @@
 		time.Sleep(time.Second)
 		must.Eq(t, http.StatusOK, w.request(http.MethodPost, "/again/1", callerHeaders, "x").status)
 		must.Zero(t, bad.requestCount()) // no order allows its version
-		w.rollOut("desk", rollout.Few, 1)
-		w.rollOut("llm", rollout.Few, 1)
+		w.setRollout("desk", rollout.Few, 1)
+		w.setRollout("llm", rollout.Few, 1)
 		got := w.request(http.MethodPost, "/again/1", callerHeaders, "x")
 		must.Eq(t, http.StatusOK, got.status)
 		must.Eq(t, 1, bad.requestCount())
@@ -93,7 +93,7 @@
 		must.Eq(t, 1, engine.requestCount())
 		must.Eq(t, oldEngine.server.Address, engine.requests()[0].Header.Get(hCopyTo))
 
-		w.rollOut("desk", rollout.RolledBack, 0)
+		w.setRollout("desk", rollout.RolledBack, 0)
 		for n := range 20 {
 			must.Eq(t, http.StatusOK, w.request(http.MethodPost, fmt.Sprint("/again/", n), callerHeaders, "x").status)
 		}
@@ -102,15 +102,15 @@
 }
 
 // Answers at a version that is rolled back go on at the other one before its servers drain.
-func TestAnswerLeavesAVersionThatIsRolledBack(t *testing.T) {
+func TestAnswerMigratesOffRolledBackVersion(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		handle := streamEvents(150, time.Second, 40*time.Millisecond)
 		old, bad := w.addVersion("e-old", "llm", "b", "v1", handle), w.addVersion("e-new", "llm", "a", "v2", handle)
 		time.Sleep(time.Second)
-		w.rollOut("llm", rollout.Few, 1)
+		w.setRollout("llm", rollout.Few, 1)
 		w.background(func() {
 			time.Sleep(2 * time.Second)
-			w.rollOut("llm", rollout.RolledBack, 0)
+			w.setRollout("llm", rollout.RolledBack, 0)
 			w.crash(bad)
 		})
 		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
@@ -122,17 +122,17 @@
 }
 
 // A server of a new version fails: whoever chooses next must know of it.
-func TestSuspicionOfAServerOfANewVersion(t *testing.T) {
+func TestCanaryServerCanBeSuspect(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		handle := streamEvents(5, time.Second, 40*time.Millisecond)
 		w.addVersion("e-old", "llm", "b", "v1", handle)
 		tried := w.addVersion("e-new", "llm", "a", "v2", handle)
 		time.Sleep(time.Second)
-		w.rollOut("llm", rollout.Few, 1)
+		w.setRollout("llm", rollout.Few, 1)
 		pool, view := w.handler.pool, w.feed.View()
-		must.SliceLen(t, 1, pool.prefillCandidates(time.Now(), view, trialOf("llm"), "", 1, nil))
+		must.SliceLen(t, 1, pool.prefillCandidates(time.Now(), view, canaryKey("llm"), "", 1, nil))
 		pool.recordFailure(time.Now(), tried.server)
-		pool.choose(view, trialOf("llm"), func(l *serverSet) (choice, bool) {
+		pool.choose(view, canaryKey("llm"), func(l *serverSet) (choice, bool) {
 			must.True(t, l.loads[0].isSuspect(time.Now()))
 			return choice{}, false
 		})
--- a/serve/forward/world_test.go
+++ b/serve/forward/world_test.go
@@ -73,12 +73,12 @@
 
 // Cache reads the start of the engine as "@N" and then the parts that it holds.
 func (testCodec) Cache(body []byte) (Cache, error) {
-	born, words := startOf(strings.Fields(string(body)))
+	born, words := parseBorn(strings.Fields(string(body)))
 	return Cache{Born: born, Parts: words}, nil
 }
 
-// startOf takes the start of an engine, written as "@N", off the front.
-func startOf(words []string) (int64, []string) {
+// parseBorn takes the start of an engine, written as "@N", off the front.
+func parseBorn(words []string) (int64, []string) {
 	if len(words) == 0 || !strings.HasPrefix(words[0], "@") {
 		return 0, words
 	}
@@ -91,7 +91,7 @@
 // Report reads the start, "engine" and then the ids of runs with events, of those
 // without if they begin with a minus, and "full" of an engine without room.
 func (testCodec) Report(body []byte) (Report, error) {
-	born, words := startOf(strings.Fields(string(body)))
+	born, words := parseBorn(strings.Fields(string(body)))
 	if len(words) == 0 || words[0] != "engine" {
 		return Report{}, errors.New("no engine's answer")
 	}
@@ -140,20 +140,20 @@
 
 // fakeServer is a backend server in process.
 type fakeServer struct {
-	server     routing.Server
-	listener   *faultnet.Listener
-	mu         sync.Mutex
-	cacheReply string        // answer to the question what it holds
-	cacheLag   time.Duration // before that answer
-	runReport  string        // ids of the runs that it reports
-	muted      bool          // it does not tell what it does
-	moves      []string      // targets of copies made on demand
-	dropped    []string      // handles of copies freed
-	refusing   int           // copies that it refuses to make
-	received   []*http.Request
-	handle     http.HandlerFunc
-	http       *http.Server
-	cacheAsked int // how many times it was asked what it holds
+	server         routing.Server
+	listener       *faultnet.Listener
+	mu             sync.Mutex
+	cacheReply     string        // answer to the question what it holds
+	cacheDelay     time.Duration // before that answer
+	runReport      string        // ids of the runs that it reports
+	statusFails    bool          // it does not tell what it does
+	copyTargets    []string      // targets of copies made on demand
+	freedCopies    []string      // handles of copies freed
+	copiesToRefuse int           // copies that it refuses to make
+	received       []*http.Request
+	handle         http.HandlerFunc
+	http           *http.Server
+	cacheRequests  int // how many times it was asked what it holds
 }
 
 // dial connects to a fake server by its address.
@@ -189,7 +189,7 @@
 		if s.server.Service == "llm" {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if s.muted {
+			if s.statusFails {
 				w.WriteHeader(http.StatusInternalServerError)
 				return
 			}
@@ -198,14 +198,14 @@
 		return
 	case "/cache":
 		s.mu.Lock()
-		cached, lag := s.cacheReply, s.cacheLag
-		s.cacheAsked++
+		cached, lag := s.cacheReply, s.cacheDelay
+		s.cacheRequests++
 		s.mu.Unlock()
 		sleep(r, lag)
 		fmt.Fprint(w, s.bornPrefix(), cached)
 		return
 	}
-	if s.copying(w, r) {
+	if s.serveCopyCall(w, r) {
 		return
 	}
 	s.mu.Lock()
@@ -230,25 +230,25 @@
 	return fmt.Sprintf("@%d ", s.server.Born)
 }
 
-// copying answers the calls that make and free a copy on demand.
-func (s *fakeServer) copying(w http.ResponseWriter, r *http.Request) bool {
+// serveCopyCall answers the calls that make and free a copy on demand.
+func (s *fakeServer) serveCopyCall(w http.ResponseWriter, r *http.Request) bool {
 	body, _ := io.ReadAll(r.Body)
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if strings.HasPrefix(r.URL.Path, "/move/") && s.refusing > 0 {
-		s.refusing--
+	if strings.HasPrefix(r.URL.Path, "/move/") && s.copiesToRefuse > 0 {
+		s.copiesToRefuse--
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return true
 	}
 	if strings.HasPrefix(r.URL.Path, "/move/") {
-		s.moves = append(s.moves, string(body))
-		fmt.Fprintf(w, "h%d", len(s.moves))
+		s.copyTargets = append(s.copyTargets, string(body))
+		fmt.Fprintf(w, "h%d", len(s.copyTargets))
 		return true
 	}
 	handle, drop := strings.CutPrefix(r.URL.Path, "/drop/")
 	if drop {
-		s.dropped = append(s.dropped, handle)
+		s.freedCopies = append(s.freedCopies, handle)
 	}
 	return drop
 }
@@ -257,13 +257,13 @@
 func (s *fakeServer) copyCalls() (targets, dropped []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.moves), slices.Clone(s.dropped)
+	return slices.Clone(s.copyTargets), slices.Clone(s.freedCopies)
 }
 
 func (s *fakeServer) refuseCopies(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refusing = n
+	s.copiesToRefuse = n
 }
 
 // requests returns the requests that a server was asked to run.
@@ -284,7 +284,7 @@
 func (s *fakeServer) setCacheDelay(lag time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cacheLag = lag
+	s.cacheDelay = lag
 }
 
 func (s *fakeServer) setRuns(runs string) {
@@ -296,14 +296,14 @@
 func (s *fakeServer) failStatus() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.muted = true
+	s.statusFails = true
 }
 
 // cacheRequests is how many times servers were asked what they hold.
 func (w *testCluster) cacheRequests() (n int) {
 	for _, s := range w.servers {
 		s.mu.Lock()
-		n += s.cacheAsked
+		n += s.cacheRequests
 		s.mu.Unlock()
 	}
 	return n
@@ -329,7 +329,7 @@
 	servers     map[string]*fakeServer
 	// received are the bytes that servers have sent to the handler.
 	received atomic.Int64
-	buried   []*fakeServer // whose connections stay open though a later life has their place
+	replaced []*fakeServer // whose connections stay open though a later life has their place
 	cancel   context.CancelFunc
 	done     sync.WaitGroup
 }
@@ -337,7 +337,7 @@
 // withTestCluster runs test in virtual time with the routes given.
 func withTestCluster(t *testing.T, routes []*routing.Route, test func(*testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, routes)
+		w := newTestCluster(t, routes)
 		defer w.close() // also of a test that fails, or what it left ends the other tests with it
 		test(w)
 	})
@@ -345,7 +345,7 @@
 
 var repeatsRule = repeats.Rule{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 
-func newWorld(t *testing.T, routes []*routing.Route) *testCluster {
+func newTestCluster(t *testing.T, routes []*routing.Route) *testCluster {
 	services := []*routing.Service{
 		{Name: "llm", Engine: &routing.Engine{Slots: 4, Copies: true, Moves: true}}, {Name: "desk"},
 	}
@@ -357,15 +357,15 @@
 		hosts: map[string]*fakeServer{},
 	}
 	w.daemonStore = store.NewFaulty(w.store)
-	w.assemble()
+	w.newDaemon()
 	w.put("config", "{}")
 	w.startFeed()
 	synctest.Wait()
 	return w
 }
 
-// assemble makes the daemon's feed and handler.
-func (w *testCluster) assemble() {
+// newDaemon makes the daemon's feed and handler.
+func (w *testCluster) newDaemon() {
 	start := time.Now()
 	clock := func() time.Duration { return time.Since(start) + time.Hour }
 	self := routing.VM{ID: "vm-1", Zone: "a"}
@@ -390,7 +390,7 @@
 	w.cancel()
 	w.done.Wait()
 	w.daemonStore.SetDelay(reads)
-	w.assemble()
+	w.newDaemon()
 	w.startFeed()
 }
 
@@ -449,15 +449,15 @@
 	return w.start(server, old.handle)
 }
 
-// reborn puts another life of a server at its address, under its id and unknown to the
+// restartInPlace puts another life of a server at its address, under its id and unknown to the
 // store. Connections to the life before stay open and say nothing more if silently.
-func (w *testCluster) reborn(old *fakeServer, silently bool) *fakeServer {
+func (w *testCluster) restartInPlace(old *fakeServer, silently bool) *fakeServer {
 	server := old.server
 	server.Born++
 	if silently {
 		old.listener.Silence()
 		w.mu.Lock()
-		w.buried = append(w.buried, old)
+		w.replaced = append(w.replaced, old)
 		w.mu.Unlock()
 	} else {
 		w.crash(old)
@@ -471,10 +471,10 @@
 	s.http.Close()
 }
 
-// nothingCounted checks that what requests were counted for at servers was taken back once
+// checkLoadReleased checks that what requests were counted for at servers was taken back once
 // they are over, whichever way they ended. What stays counted keeps later requests away
 // from a server until the daemon ends.
-func (w *testCluster) nothingCounted() {
+func (w *testCluster) checkLoadReleased() {
 	time.Sleep(lateWrite) // requests whose callers left end
 	synctest.Wait()
 	w.handler.pool.mu.Lock()
@@ -490,12 +490,12 @@
 func (w *testCluster) background(play func()) { w.done.Go(play) }
 
 func (w *testCluster) close() {
-	w.nothingCounted()
+	w.checkLoadReleased()
 	w.cancel()
 	for _, s := range w.servers {
 		s.http.Close()
 	}
-	for _, s := range w.buried {
+	for _, s := range w.replaced {
 		s.http.Close()
 	}
 	w.done.Wait()
