--- a/serve/forward/borrow.go
+++ b/serve/forward/borrow.go
@@ -15,18 +15,17 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// borrowTimeout is many round trips between zones (2 ms), and short beside the
-// pause that a stream may make (700 ms), of which finding the loss takes half.
+// borrowTimeout allows for many round trips between zones (2 ms). It is short compared with the
+// permitted pause of a stream (700 ms), half of which passes before the loss is detected.
 const borrowTimeout = 60 * time.Millisecond
 
-// retryBorrower asks other daemons for repeats that they do not need.
+// retryBorrower borrows retry budget from other daemons.
 //
-// The failure it answers: engines of a zone die, one daemon has more broken
-// streams than its part of the fleet's budget, and cuts them although its
-// neighbours have repeats left. Their callers come back and the prompts are read
-// a second time.
+// It guards against an uneven loss: engines of a zone crash, and one daemon has more broken streams
+// than its share of the fleet's retry budget covers. It cuts answers although its peers have
+// retries left; the callers retry and their prompts are prefilled a second time.
 type retryBorrower struct {
-	dialer *link.Dialer // nil: nobody is asked
+	dialer *link.Dialer // nil disables borrowing
 	log    *event.Log
 	self   string
 
@@ -38,7 +37,7 @@
 	return &retryBorrower{dialer: o.Dialer, log: o.Log, self: o.Self.ID, lenders: map[string]*repeats.Lenders{}}
 }
 
-// borrow reports whether another daemon lent one repeat of a request to a service.
+// borrow reports whether another daemon lent one retry for a request to a service.
 func (b *retryBorrower) borrow(ctx context.Context, view *feed.View, request, service string) bool {
 	if b.dialer == nil {
 		return false
@@ -60,7 +59,7 @@
 	return false
 }
 
-// lenderCandidates are the daemons that serve beside this one, and where they are asked.
+// lenderCandidates returns the ids of the other serving daemons and their peer addresses.
 func (b *retryBorrower) lenderCandidates(view *feed.View) (ids []string, peers map[string]string) {
 	peers = make(map[string]string, len(view.VMs))
 	for _, vm := range routing.Peers(view.VMs, b.self) {
@@ -90,7 +89,8 @@
 	client := peerpb.NewRepeatsProtobufClient(b.dialer.URL(address), b.dialer.Client)
 	reply, err := client.Lend(ctx, &peerpb.LendRequest{Service: service})
 	if err != nil {
-		// What a lost answer granted stays unused: the fleet repeats less than it may.
+		// A retry granted in a lost reply stays unused: the fleet retries less than its budget
+		// allows.
 		b.log.Emit(event.LenderFailed, address, err)
 		b.dialer.DropIdle()
 		return false
@@ -101,12 +101,13 @@
 // retryBudgetService implements peerpb.Repeats.
 type retryBudgetService struct{ pool *pool }
 
-// Lend counts a repeat of another daemon as one of this daemon.
+// Lend charges a peer's retry to this daemon's budget.
 func (l retryBudgetService) Lend(_ context.Context, q *peerpb.LendRequest) (*peerpb.LendReply, error) {
 	return &peerpb.LendReply{Granted: l.pool.repeat(time.Now(), q.GetService())}, nil
 }
 
-// RetryBudgetService returns the twirp service that other daemons call, and its path prefix.
+// RetryBudgetService returns the path prefix and handler of the twirp service that lends retry
+// budget to other daemons.
 func (h *Handler) RetryBudgetService() (prefix string, handler http.Handler) {
 	s := peerpb.NewRepeatsServer(retryBudgetService{h.pool})
 	return s.PathPrefix(), s
--- a/serve/forward/candidate.go
+++ b/serve/forward/candidate.go
@@ -13,13 +13,13 @@
 	"mallowwind.dev/decision/takeover"
 )
 
-// replicaProbeTimeout is how long a server may take to answer before an answer goes on there: a
-// round trip is 2 ms, and with the 350 ms of silence before and 100 ms to go on, a pause
-// stays within 700 ms.
+// replicaProbeTimeout is how long an engine with a replica may take to answer the probe before the
+// answer resumes there. A round trip takes 2 ms; with 350 ms of silence before and 100 ms to
+// resume, the caller's pause stays below 700 ms.
 const replicaProbeTimeout = 150 * time.Millisecond
 
-// reserveFailover chooses the leg that may follow a silent one, and takes a repeat from the
-// budget for it. The request is counted at the server of the leg.
+// reserveFailover chooses the leg that may replace a silent one and takes a retry from the budget
+// for it. The request is counted at the server of the new leg.
 func (r *relay) reserveFailover(ctx context.Context, a *attempt, why error) (leg, takeover.Outcome) {
 	if !r.mayGoOn() || r.starts >= maxStarts {
 		return leg{}, takeover.NoTries
@@ -29,7 +29,7 @@
 		return leg{}, outcome
 	}
 	l = r.withCopy(ctx, l)
-	// A repeat is spent only on what is still silent now.
+	// Spends a retry only if the server is still silent.
 	if !pause.For(ctx, takeover.Settling) {
 		outcome = takeover.NotNeeded
 	} else if !r.mayRepeat(ctx, time.Now()) {
@@ -45,8 +45,8 @@
 // releaseLeg takes back the count of a leg whose request is not sent.
 func (r *relay) releaseLeg(l leg) { r.h.pool.addLoad(l.at, -1, 0, 0) }
 
-// failoverCandidate is the leg at the engine that holds a copy of the run, if it gives a sign of
-// life, or at one that reads the prompt anew.
+// failoverCandidate returns a leg at the engine that holds a replica of the run, if it answers a
+// probe, or else at a server that repeats the prefill.
 func (r *relay) failoverCandidate(ctx context.Context, a *attempt, why error) (leg, takeover.Outcome) {
 	if c, held, ok := r.liveReplica(ctx, a); ok && r.permitted(ctx, c) {
 		r.h.pool.addLoad(c, 1, 0, 0)
@@ -58,9 +58,9 @@
 	return r.candidateWithoutReplica(ctx, a, why)
 }
 
-// candidateWithoutReplica is the leg at a server that makes the rest of the answer without a copy. It is
-// late for the caller in any case, so it is worth it only where the silent server gives no
-// sign of life, or has been silent for long.
+// candidateWithoutReplica returns a leg at a server that resumes the answer without a replica. The
+// answer misses its gap target in any case, so this is only worth it if the silent server does not
+// answer a probe or has been silent for long.
 func (r *relay) candidateWithoutReplica(ctx context.Context, a *attempt, why error) (leg, takeover.Outcome) {
 	view := r.h.opts.Feed.View()
 	r.exclude(a.leg)
@@ -90,9 +90,9 @@
 	return l, outcome
 }
 
-// isResponsive reports whether a silent engine gives a sign of life after all. It is asked last:
-// where the link from here was full until a moment ago, others answer as well by now. One
-// whose answer is lost, or that has been silent for long, is not asked.
+// isResponsive reports whether a silent engine answers a probe after all. It is probed last: if
+// this VM's link was saturated until a moment ago, the other engines answer by now as well. An
+// engine whose answer is lost, or that has been silent for long, is not probed.
 func (r *relay) isResponsive(ctx context.Context, a *attempt, why error) bool {
 	long := time.Since(r.since) >= takeover.Patience(false, r.in.route.GapTarget)
 	if errors.Is(why, errAnswerLost) || errors.Is(why, errSilent) && long {
@@ -102,10 +102,10 @@
 	return err == nil
 }
 
-// isUnreachable reports whether nothing more is to be expected of a silent engine: its answer
-// was found lost more than once, or it answers neither of two questions, one after the other,
-// while others answer both times: one lost packet does not show that, nor a link from here that
-// is free again in the middle of a question. Servers that are no engines cannot be asked.
+// isUnreachable reports whether a silent engine is given up: its answer was found lost more than
+// once, or it fails two probes in a row while other engines answer both times. One lost packet is
+// not enough, nor a link of this VM that recovers in the middle of a probe. Servers that are not
+// engines cannot be probed.
 func (r *relay) isUnreachable(ctx context.Context, a *attempt, why error) bool {
 	if errors.Is(why, errAnswerLost) {
 		a.foundLost++
@@ -129,7 +129,7 @@
 	return true
 }
 
-// liveReplica is the engine that holds a copy of an attempt's run, if it answers.
+// liveReplica returns the engine that holds a replica of an attempt's run, if it answers a probe.
 func (r *relay) liveReplica(ctx context.Context, a *attempt) (choice, replica, bool) {
 	held := r.held
 	if a.spare != nil {
--- a/serve/forward/crashes.go
+++ b/serve/forward/crashes.go
@@ -22,7 +22,8 @@
 // digestBytes is the length of a request's digest.
 const digestBytes = 16
 
-// isConnectionBroken reports whether a server broke off a connection on which a request was sent.
+// isConnectionBroken reports whether err means that a server broke a connection on which a request
+// was sent.
 func isConnectionBroken(err error) bool {
 	for _, reason := range []error{io.EOF, io.ErrUnexpectedEOF, io.ErrClosedPipe, syscall.ECONNRESET, syscall.EPIPE, errTorn, errRestarted} {
 		if errors.Is(err, reason) {
@@ -32,10 +33,11 @@
 	return false
 }
 
-// digests name what a caller asks for in all its attempts: the account, method, host, path and
-// body, with the query and, where there is one, without it; neither the id of an attempt nor
-// other headers. A query may differ from one attempt to the next, or be all that tells two
-// requests apart; where it is that, whole answers clear the digest without it.
+// digests identify a request across its attempts. Each covers the account, method, host, path and
+// body; one includes the query and, where there is a query, another omits it. The attempt's id and
+// other headers are left out. The query may differ between attempts of one request, or be all that
+// distinguishes two requests; in the latter case complete answers clear the digest without the
+// query.
 func digests(in *inbound) []string {
 	list := []string{in.digest(in.target)}
 	if path, _, found := strings.Cut(in.target, "?"); found {
@@ -54,26 +56,27 @@
 	return hex.EncodeToString(hash.Sum(nil)[:digestBytes])
 }
 
-// brokenSend is a send that a server broke off.
+// brokenSend is a send whose connection the server broke.
 type brokenSend struct {
 	in *inbound
 	at choice
-	// sentAt is when the request was sent, begun when its first event arrived, zero before.
+	// firstEventAt is when the first event of the answer arrived; zero before that.
 	sentAt, firstEventAt time.Time
-	fromReplica          string // the copy that it went on from
+	fromReplica          string // name of the replica that the run resumed from; "" if none
 	err                  error
 }
 
-// processState is what a server is found to be after it broke off a connection.
+// processState is the state found for a server process after it broke a connection.
 type processState string
 
 const (
-	processExited  processState = "ended" // another process answers at its address, or none
+	processExited  processState = "ended" // another process answers at its address, or none does
 	processAlive   processState = "lives"
-	processUnknown processState = "silent" // nobody knows
+	processUnknown processState = "silent" // the connection attempt timed out
 )
 
-// checkForCrash finds out whether the server of a send has ended, and logs it.
+// checkForCrash finds out whether the server of a broken send has crashed, logs it, and counts the
+// crash against the request.
 func (h *Handler) checkForCrash(e brokenSend) {
 	if !isConnectionBroken(e.err) {
 		return
@@ -100,7 +103,7 @@
 	}
 }
 
-// isLeaving reports whether a server is known to leave, alone or with all of its version.
+// isLeaving reports whether a server is known to leave, by itself or with its whole version.
 func (h *Handler) isLeaving(s routing.Server) bool {
 	view := h.opts.Feed.View()
 	if h.versions.Barred(view, s) {
@@ -114,8 +117,8 @@
 	return view.Departed(s.ID)
 }
 
-// processStateOf finds out whether the server of a send has ended: a process that ended leaves a port
-// at which nobody listens.
+// processStateOf finds out whether the server process of a send has exited. No process listens on
+// the port of one that has.
 func (h *Handler) processStateOf(e brokenSend) processState {
 	if errors.Is(e.err, errRestarted) {
 		return processExited
@@ -137,8 +140,8 @@
 	return processExited
 }
 
-// countExitedNearby asks some other servers of a server's zone for a connection, and returns how many
-// were asked and how many had ended.
+// countExitedNearby dials other servers of the same zone and returns how many were dialed and how
+// many of their processes have exited.
 func (h *Handler) countExitedNearby(s routing.Server) (asked, down int) {
 	var others []routing.Server
 	for _, other := range h.opts.Feed.View().Servers[s.Service] {
--- a/serve/forward/engines.go
+++ b/serve/forward/engines.go
@@ -24,8 +24,8 @@
 	return engines
 }
 
-// prefillCandidates returns the engines that may read a prompt, the best first and n at most. part
-// is the prompt's own part; "" stands for any prompt.
+// prefillCandidates returns up to n engines that may prefill a prompt, the best first. part
+// identifies the portion of the prompt that no other request shares; "" stands for any prompt.
 func (p *pool) prefillCandidates(now time.Time, view *feed.View, service, part string, n int, exclude []routing.Life) []choice {
 	var list []choice
 	p.choose(view, service, func(l *serverSet) (choice, bool) {
@@ -42,10 +42,10 @@
 	return list
 }
 
-// reservePrefill returns the engine that is the first to read a prompt where others is what all
-// other daemons have under way, with the prompts known to be read there, and counts the
-// prompt there at once: a daemon that asks in the next moment must know of it. among is
-// true where only the engines in others are known, and chosen from.
+// reservePrefill chooses the best engine to prefill a prompt, given the work of all other daemons
+// in others, and also returns how many prefills are known there. It counts the prompt at that
+// engine at once, so that a peer that asks in the next moment learns of it. If among is set, only
+// the engines in others are known, and the choice is limited to them.
 func (p *pool) reservePrefill(now time.Time, view *feed.View, service string, others workloads, among bool, exclude []routing.Life) (c choice, unread int, ok bool) {
 	c, ok = p.choose(view, service, func(l *serverSet) (choice, bool) {
 		engines := p.engineStates(now, l, exclude)
@@ -68,8 +68,8 @@
 	return c, unread, ok
 }
 
-// rankPermitted returns the engines that may read a prompt, the best first and n at most, without
-// those that may not be sent to now by the limits that they name.
+// rankPermitted returns up to n engines that may prefill a prompt, the best first. It leaves out
+// engines for which no permit may be requested yet because of their rate limit.
 func (p *pool) rankPermitted(now time.Time, l *serverSet, engines []prompts.Engine, n int, known bool) []prompts.Choice {
 	for {
 		list := prompts.Read(engines, n, known, rand.Uint64())
@@ -85,7 +85,8 @@
 	}
 }
 
-// placementWindow returns the engines among which a prompt is placed; any for one of no known part.
+// placementWindow returns the engines among which a prompt is placed; a random window if its part
+// is unknown.
 func (p *pool) placementWindow(view *feed.View, service, part string) (servers []routing.Server) {
 	prompt := rand.Uint64()
 	if part != "" {
@@ -98,7 +99,7 @@
 	return servers
 }
 
-// workReport is what this daemon has under way at one server, and for how long it suspects it.
+// workReport returns this daemon's work at one server and for how long it suspects the server.
 func (p *pool) workReport(now time.Time, life routing.Life) prompts.Note {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,7 +110,7 @@
 	return prompts.Note{Reading: one.prefilling, Running: one.running, Suspect: max(0, one.suspectUntil.Sub(now))}
 }
 
-// localWork is what this daemon has under way at the engines of a service.
+// localWork returns this daemon's work at the engines of a service.
 func (p *pool) localWork(view *feed.View, service string) workloads {
 	at := workloads{}
 	p.choose(view, service, func(l *serverSet) (choice, bool) {
@@ -123,14 +124,15 @@
 	return at
 }
 
-// prefillCount is how many prompts of this daemon a server reads.
+// prefillCount returns how many of this daemon's prompts a server is prefilling.
 func (p *pool) prefillCount(c choice) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return c.load.prefilling
 }
 
-// chooseReplicaEngine chooses the engine that keeps a copy of a run at another.
+// chooseReplicaEngine chooses the engine that keeps the replica of a run executed at another
+// engine.
 func (p *pool) chooseReplicaEngine(now time.Time, view *feed.View, at routing.Server, exclude []routing.Life) (choice, bool) {
 	return p.choose(view, at.Service, func(l *serverSet) (choice, bool) {
 		engines := p.engineStates(now, l, append(slices.Clone(exclude), at.Life()))
@@ -138,7 +140,7 @@
 	})
 }
 
-// serverAt returns the server that has an address now.
+// serverAt returns the server that currently has an address.
 func (p *pool) serverAt(view *feed.View, service, address string) (choice, bool) {
 	return p.choose(view, service, func(l *serverSet) (choice, bool) {
 		i := slices.IndexFunc(l.servers, func(s routing.Server) bool { return s.Address == address })
@@ -146,8 +148,8 @@
 	})
 }
 
-// cacheScanTargets returns the engines of which one holds a prompt, if any does; few is false
-// where that may be any engine of the service.
+// cacheScanTargets returns the engines to scan for a prompt; few is false if it may be cached at
+// any engine of the service.
 func (p *pool) cacheScanTargets(view *feed.View, service, part string) (servers []routing.Server, few bool) {
 	p.choose(view, service, func(l *serverSet) (choice, bool) {
 		if few = usesWindows(len(l.servers)); !few {
@@ -159,16 +161,15 @@
 	return servers, few
 }
 
-// findServer returns a server whose life has not ended.
+// findServer returns the server with an incarnation, if that is still the current one.
 func (p *pool) findServer(view *feed.View, service string, life routing.Life) (choice, bool) {
 	return p.choose(view, service, func(l *serverSet) (choice, bool) {
 		return l.choiceAt(l.indexOf(life), "holds_prompt")
 	})
 }
 
-// isHealthy reports whether a server is still the one it was: neither leaving or gone
-// nor started anew or replaced at its address, and not suspect. A zero choice does
-// not live.
+// isHealthy reports whether a server may still be used: it is the same incarnation, is neither
+// leaving nor gone, and is not suspect. A zero choice is not healthy.
 func (p *pool) isHealthy(now time.Time, view *feed.View, c choice) bool {
 	if c.load == nil || p.isSuspect(now, c.server.Life()) {
 		return false
--- a/serve/forward/incarnations.go
+++ b/serve/forward/incarnations.go
@@ -10,25 +10,25 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// errRestarted means that an engine has started anew since it was chosen: it holds and
-// runs nothing of what was sent to it before.
+// errRestarted means that an engine has restarted since it was chosen: it holds and runs nothing of
+// what was sent to it before.
 var errRestarted = errors.New("forward: the engine has started anew")
 
-// incarnationOrder says which of an engine's lives says something, beside the life known here.
+// incarnationOrder orders the incarnation in an engine's message relative to the one known here.
 type incarnationOrder uint8
 
 const (
-	incarnationSame  incarnationOrder = iota // or one of the two is not known
-	incarnationOlder                         // the word of an earlier life: reports lag
+	incarnationSame  incarnationOrder = iota // or one of the two is unknown
+	incarnationOlder // the message of an earlier incarnation: reports lag
 	incarnationNewer
 )
 
-// observeIncarnation compares the start that a message of an engine names with the one known, and
-// remembers a later one: the store may show it seconds later.
+// observeIncarnation compares the start time in an engine's message with the known one and
+// remembers a newer incarnation, which the store may show seconds later.
 //
-// The failure it guards against: an engine crashes and starts again under its id while a
-// connection to it is silent. Its new life answers every question, so that a stream whose
-// prompt was lost waits until its caller leaves, and copies are believed to lie there.
+// It guards against an engine that crashes and restarts under its id while a connection to it is
+// silent. The new incarnation answers every probe, so a stream whose prefill was lost would wait
+// until its caller leaves, and replicas would be assumed to be there.
 func (h *Handler) observeIncarnation(s routing.Server, born int64) incarnationOrder {
 	life := routing.Life{ID: s.ID, Born: born}
 	switch {
@@ -43,8 +43,8 @@
 	return incarnationNewer
 }
 
-// probe asks an engine for a sign of life. The word of an earlier life shows no more than
-// that it answers; a later one fails with errRestarted.
+// probe checks whether an engine answers. An answer of an older incarnation shows only that it
+// responds; one of a newer incarnation fails with errRestarted.
 func (h *Handler) probe(ctx context.Context, s routing.Server, limit time.Duration) (Report, error) {
 	report, err := h.report(ctx, s, limit)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return report, nil
 }
 
-// recordUnreadable records that an engine's message cannot be used.
+// recordUnreadable records that an engine's message cannot be decoded.
 func (h *Handler) recordUnreadable(s routing.Server, err error) {
 	h.metrics.unreadable.Inc()
 	h.opts.Log.Emit(event.MessageRefused, s.ID, s.Address, err)
--- a/serve/forward/limits.go
+++ b/serve/forward/limits.go
@@ -12,36 +12,36 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// limitTimeout is how long a daemon may take to hear of a limit.
+// limitTimeout is the timeout for telling one daemon of a limit.
 const limitTimeout = 300 * time.Millisecond
 
-// rateLimits knows which servers name a limit and when this daemon may ask for a permit for one, and
-// gives out the permits for some of them.
+// rateLimits tracks the servers that announce a rate limit and when this daemon may request permits
+// for them. It also issues permits for the servers assigned to this daemon.
 type rateLimits struct {
 	h *Handler
 
-	mu      sync.Mutex // guards the rest
+	mu      sync.Mutex // guards the fields below
 	servers map[routing.Life]*serverLimit
 }
 
-// serverLimit is what is known of one life of a server that named a limit.
+// serverLimit is the state of one incarnation of a server that announced a limit.
 type serverLimit struct {
 	server         routing.Server
 	limit          quota.Limit
 	broadcasts     quota.Telling
 	permitRequests quota.Turn
-	permits        quota.Bucket // of the permits given out here
-	lastRequested  time.Time    // by another daemon for a permit, last
-	fallback       quota.Bucket // of this daemon's part, while no daemon that gives permits answers
+	permits        quota.Bucket // issued by this daemon
+	lastRequested  time.Time // when another daemon last requested a permit here
+	fallback       quota.Bucket // this daemon's share, used while no permit issuer answers
 }
 
 func newRateLimits(h *Handler) *rateLimits {
 	return &rateLimits{h: h, servers: map[routing.Life]*serverLimit{}}
 }
 
-// observeReply takes in what a server says in the answer to a request sent at a moment. ran says
-// that the answer is that of a run: a server that turns requests away does not say that its
-// limit is over.
+// observeReply records the limit in a server's answer to a request sent at the given time. ran says
+// that the answer comes from a run: a rejection without a limit does not mean that the limit is
+// lifted.
 func (l *rateLimits) observeReply(s routing.Server, sent time.Time, text string, ran bool) {
 	rate, named, err := quota.Read(text)
 	if err != nil {
@@ -62,7 +62,8 @@
 	}
 }
 
-// scheduleBroadcast has the other daemons told of a limit, now or soon. The caller holds the lock.
+// scheduleBroadcast arranges for the other daemons to be told of a limit, now or shortly. The
+// caller holds the lock.
 func (l *rateLimits) scheduleBroadcast(one *serverLimit) {
 	after, ok := one.broadcasts.Changed(time.Now())
 	if !ok {
@@ -77,14 +78,14 @@
 	})
 }
 
-// recordLimit takes in what an answer says of its server's limit, unless another server gave it.
+// recordLimit records the limit in an answer, unless another server than s answered.
 func (h *Handler) recordLimit(s routing.Server, sent time.Time, reply Reply) {
 	if !reply.Misdirected {
 		h.limits.observeReply(s, sent, reply.Limit, reply.Proven && !reply.NotRun)
 	}
 }
 
-// entry is what is known of a server. The caller holds the lock.
+// entry returns the state of a server and creates it if needed. The caller holds the lock.
 func (l *rateLimits) entry(s routing.Server) *serverLimit {
 	one := l.servers[s.Life()]
 	if one == nil {
@@ -95,7 +96,7 @@
 	return one
 }
 
-// prune forgets servers whose lives have ended. The caller holds the lock.
+// prune forgets incarnations that the view no longer lists. The caller holds the lock.
 func (l *rateLimits) prune() {
 	there := map[routing.Life]bool{}
 	for _, servers := range l.h.opts.Feed.View().Servers {
@@ -117,14 +118,14 @@
 	l.h.opts.Log.Emit(event.ServerLimitChanged, one.server.ID, one.server.Service, change.String(), rate, by, known, confirmed)
 }
 
-// message is what other daemons are told of a server. The caller holds the lock.
+// message returns the limit as other daemons are told of it. The caller holds the lock.
 func (one *serverLimit) message() *peerpb.Limit {
 	rate, named := one.limit.Rate()
 	return &peerpb.Limit{Server: one.server.ID, Born: one.server.Born, Named: named, Rate: rate}
 }
 
-// broadcast tells all other daemons of a limit. One that does not hear of it learns it from its
-// own next answer.
+// broadcast tells all other daemons of a limit. A daemon that misses the message learns the limit
+// from the next answer it gets.
 func (l *rateLimits) broadcast(m *peerpb.Limit) {
 	q := &peerpb.LimitedRequest{Limit: m}
 	l.h.neighbours.broadcast(l.h.opts.Feed.View(), func(ctx context.Context, vm routing.VM) error {
@@ -133,11 +134,11 @@
 	})
 }
 
-// observePeer takes in what another daemon says of a server.
+// observePeer records a limit reported by another daemon.
 func (l *rateLimits) observePeer(m *peerpb.Limit) {
 	s, ok := l.h.findServer(routing.Life{ID: m.GetServer(), Born: m.GetBorn()})
 	if !ok {
-		return // its entry has not arrived; its own answers will say it
+		return // its registration has not arrived here; its own answers will tell
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -147,8 +148,8 @@
 	}
 }
 
-// active is what is known of a server that names a limit now, nil for any other. The caller
-// holds the lock.
+// active returns the state of a server that currently has a limit, and nil for any other. The
+// caller holds the lock.
 func (l *rateLimits) active(s routing.Server) *serverLimit {
 	one := l.servers[s.Life()]
 	if one == nil {
@@ -160,7 +161,7 @@
 	return one
 }
 
-// findServer is the server of a life, if the view shows it.
+// findServer returns the server with an incarnation, if the view lists it.
 func (h *Handler) findServer(life routing.Life) (routing.Server, bool) {
 	for _, servers := range h.opts.Feed.View().Servers {
 		for _, s := range servers {
--- a/serve/forward/recovery.go
+++ b/serve/forward/recovery.go
@@ -9,21 +9,21 @@
 	"mallowwind.dev/decision/absence"
 )
 
-// recoveryPollInterval is how often a request that waits for an engine looks whether one is there:
-// the feed shows one that returns within half a second.
+// recoveryPollInterval is how often a waiting request checks whether an engine has returned. The
+// feed shows a returned engine within half a second.
 const recoveryPollInterval = 50 * time.Millisecond
 
-// downServerTTL is how long an address without a server is remembered: longer than any absence
-// that is learned from.
+// downServerTTL is how long the pool remembers that the server at an address is down. It exceeds
+// every downtime that absence.Absence learns from.
 const downServerTTL = 2 * time.Minute
 
-// downtime is what is known of how long servers of a service are away. The caller holds p.mu.
+// downtime returns the observed downtimes of a service's servers. The caller holds p.mu.
 func (p *pool) downtime(service string) *absence.Absence {
 	return ofService(p.downtimes, service)
 }
 
-// recordReturns learns from the servers of a new view how long those were away that failed at
-// their addresses. The caller holds p.mu.
+// recordReturns records the downtime of every failed server whose address has a new incarnation in
+// the current view. The caller holds p.mu.
 func (p *pool) recordReturns() {
 	now := p.view.Published
 	listed := map[string]bool{}
@@ -44,21 +44,21 @@
 	}
 }
 
-// recoveryWait is how long a request waits for a server of a service to return.
+// recoveryWait returns how long a request waits for a server of the service to return.
 func (p *pool) recoveryWait(service string, objective time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.downtime(service).Wait(objective)
 }
 
-// retryAfter is when a caller comes back that found no server of a service.
+// retryAfter returns the Retry-After for a caller whose request found no server of the service.
 func (p *pool) retryAfter(service string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.downtime(service).Back(rand.Float64())
 }
 
-// hasHealthyServer reports whether a server of a service has not failed lately.
+// hasHealthyServer reports whether the service has a server that has not failed recently.
 func (p *pool) hasHealthyServer(now time.Time, view *feed.View, service string) bool {
 	_, ok := p.choose(view, service, func(l *serverSet) (choice, bool) {
 		for i, one := range l.loads {
@@ -71,13 +71,13 @@
 	return ok
 }
 
-// awaitEngine waits for an engine to return where all have failed, and places the request
-// there. Engines return one by one, and the first would get every request that waits: one
-// that reads already is left to the others until the wait is over.
+// awaitEngine waits for an engine to return after all have failed, and places the request there.
+// Engines return one by one, and the first would get every waiting request: while the wait lasts, a
+// request takes only an engine with no prefill under way.
 //
-// The failure it answers: all engines are lost for as long as they take to start anew.
-// Callers that are refused, or cut in mid-answer, come back at once, are refused again
-// within the same second and are lost. Where no engine is registered nothing is waited for.
+// It guards against refusals during a restart of all engines. Callers that are refused, or whose
+// answers are cut, retry at once, are refused again within the same second and give up. A request
+// does not wait where no engine is registered.
 func (r *relay) awaitEngine(ctx context.Context) (surveyed, bool) {
 	if len(r.h.opts.Feed.View().Servers[r.service]) == 0 {
 		return surveyed{}, false
@@ -95,7 +95,7 @@
 		if !r.h.pool.hasHealthyServer(time.Now(), view, r.service) {
 			continue
 		}
-		r.failed = nil // what refused a connection may be back
+		r.failed = nil // a server that refused a connection may be back
 		c, ok := r.place(ctx, view)
 		switch {
 		case ok && c.report.Unread == 0:
--- a/serve/forward/serverset.go
+++ b/serve/forward/serverset.go
@@ -10,18 +10,18 @@
 	"mallowwind.dev/serve/versions"
 )
 
-// serverSet is one service's servers in one view.
+// serverSet holds the servers of one service in one view.
 type serverSet struct {
 	servers   []routing.Server
 	loads     []*serverLoad
 	preferred []bool
 	seats     []prompts.Seat
 	table     *route.Table
-	index     map[string]int // by id
+	index     map[string]int // by server id
 }
 
-// updateView builds the layouts of a new view, or of other versions that may serve. It is called
-// under the lock.
+// updateView rebuilds the server sets after a change of the view or of the versions that may serve.
+// The caller holds p.mu.
 func (p *pool) updateView(view *feed.View, now *versions.Snapshot) {
 	if p.view == view && p.snapshot == now {
 		return
@@ -35,7 +35,7 @@
 		p.serverSets[service] = p.buildServerSet(steady, used)
 		if state.Stage.Running() {
 			p.serverSets[canaryKey(service)] = p.buildServerSet(trial, used)
-			for _, s := range servers { // what is under way at all of them is still counted
+			for _, s := range servers { // keeps counting the work at all of them
 				p.currentServer(s, used)
 			}
 		}
@@ -65,12 +65,12 @@
 	return l
 }
 
-// currentServer returns the server that is at the place of one in the view, with this daemon's work there,
-// which it adds to that in use; ok is false where there is none any more.
+// currentServer returns the current incarnation of a server listed in the view and this daemon's
+// load there, which it adds to used; ok is false if the server is gone.
 func (p *pool) currentServer(s routing.Server, used map[routing.Life]*serverLoad) (at routing.Server, one *serverLoad, ok bool) {
 	if next, ok := p.successors[s.Life()]; ok {
 		if p.view.Departed(next.ID) {
-			return s, nil, false // the entry is of a life that ended before
+			return s, nil, false // the view lists an earlier incarnation
 		}
 		s.ID, s.Born = next.ID, next.Born
 	}
@@ -90,7 +90,7 @@
 	return route.SameRegion
 }
 
-// localSubset marks this daemon's window of each zone's servers.
+// localSubset marks the servers of each zone that belong to this daemon's subset.
 func (p *pool) localSubset(servers []routing.Server) []bool {
 	self := xxhash.Sum64String(p.self.ID)
 	daemons := []uint64{self}
@@ -117,8 +117,8 @@
 	return home
 }
 
-// preferredFor are the engines that go first for a prompt whose own part is given: this daemon's
-// homes, or where the engines are too many to be asked all, those of the prompt's window.
+// preferredFor marks the engines preferred for a prompt with the given part: this daemon's subset,
+// or the prompt's placement window where the service has too many engines to query them all.
 func (l *serverSet) preferredFor(part string) []bool {
 	if part == "" || !usesWindows(len(l.servers)) {
 		return l.preferred
@@ -130,7 +130,7 @@
 	return home
 }
 
-// serversAt are the servers at indices.
+// serversAt returns the servers at the given indices.
 func (l *serverSet) serversAt(indices []int) []routing.Server {
 	servers := make([]routing.Server, len(indices))
 	for n, i := range indices {
@@ -139,11 +139,11 @@
 	return servers
 }
 
-// usesWindows reports whether a service has too many engines for all to be asked what they
-// hold, so that prompts are placed, and looked for, in windows of their own.
+// usesWindows reports whether a service has too many engines to ask all of them which prompts they
+// cache. Prompts are then placed and searched for within a window of engines each.
 func usesWindows(engines int) bool { return engines > maxScannedEngines }
 
-// indexOf is the index of the server whose present life is given, -1 if there is none.
+// indexOf returns the index of the server whose current incarnation is given, or -1.
 func (l *serverSet) indexOf(life routing.Life) int {
 	if i, ok := l.index[life.ID]; ok && l.servers[i].Life() == life {
 		return i
@@ -151,7 +151,7 @@
 	return -1
 }
 
-// idsOf are those of the servers here among the lives given.
+// idsOf returns the ids of those servers of the set whose incarnations are given.
 func (l *serverSet) idsOf(lives []routing.Life) []string {
 	var ids []string
 	for _, life := range lives {
@@ -162,7 +162,7 @@
 	return ids
 }
 
-// choiceAt returns the server at index i, none for a negative one.
+// choiceAt returns the server at index i; ok is false for a negative index.
 func (l *serverSet) choiceAt(i int, reason string) (choice, bool) {
 	if i < 0 {
 		return choice{}, false
--- a/serve/forward/worktracker.go
+++ b/serve/forward/worktracker.go
@@ -14,30 +14,31 @@
 	"mallowwind.dev/peer/peerpb"
 )
 
-// workTracker tells the keepers of engines what this daemon has under way there, asks them
-// what the others have, and keeps the notes on the engines that are this daemon's to keep.
-// It stands for neighbours.work where daemons are too many to ask all of them.
+// workTracker shares knowledge of the load of engines where the fleet is too large for
+// peerClient.totalWork, which asks every daemon. Each engine has one tracking daemon, chosen by
+// rendezvous hashing. A workTracker reports this daemon's work to the tracking daemons, queries
+// them for the work of all others, and tracks the engines assigned to this daemon.
 type workTracker struct {
 	h    *Handler
-	boot uint64 // of this process
+	boot uint64 // identifies this process
 
-	mu        sync.Mutex // guards the rest
+	mu        sync.Mutex // guards the fields below
 	ledger    prompts.Ledger[routing.Life]
 	sequence  uint64
-	reporting map[routing.Life]bool // true: changed again since the note under way
+	reporting map[routing.Life]bool // reports in flight; true if the work has changed since
 }
 
 func newWorkTracker(h *Handler) *workTracker {
 	return &workTracker{h: h, boot: rand.Uint64(), reporting: map[routing.Life]bool{}}
 }
 
-// isTracked reports whether the engines of a service have keepers.
+// isTracked reports whether the engines of a service have tracking daemons.
 func (k *workTracker) isTracked(view *feed.View, service string) bool {
 	return k.h.neighbours.dialer != nil && view.Config != nil && view.Config.Engine(service) != nil &&
 		len(view.VMs) > 1 && !prompts.Asks(len(view.VMs))
 }
 
-// workChanged tells the keeper of an engine that this daemon's work there is another.
+// workChanged reports a change of this daemon's work at an engine to its tracking daemon.
 func (k *workTracker) workChanged(s routing.Server) {
 	if !k.isTracked(k.h.opts.Feed.View(), s.Service) {
 		return
@@ -51,7 +52,7 @@
 	}
 }
 
-// reportUntilCurrent sends notes on an engine until the last one says what holds.
+// reportUntilCurrent sends reports on an engine until the last one sent is up to date.
 func (k *workTracker) reportUntilCurrent(s routing.Server) {
 	for {
 		k.sendReport(s)
@@ -67,7 +68,7 @@
 	}
 }
 
-// sendReport sends one note. One that is lost is mended by the next.
+// sendReport sends one report. The next one corrects a report that is lost.
 func (k *workTracker) sendReport(s routing.Server) {
 	vms, hashes := routing.Serving(k.h.opts.Feed.View().VMs)
 	i := prompts.Keeper(xxhash.Sum64String(s.ID), hashes)
@@ -102,27 +103,27 @@
 	k.ledger.Take(time.Now(), life, daemon, n)
 }
 
-// tracked is what all daemons but one have told this one of an engine.
+// tracked returns the reported work of all daemons but one at an engine.
 func (k *workTracker) tracked(life routing.Life, except string) prompts.Noted {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.ledger.At(time.Now(), life, except)
 }
 
-// workloadOf is what is noted of an engine. Each daemon that suspects it counts for a prompt that
-// is read there: it goes behind engines that are free, and before those that are crowded.
+// workloadOf converts the reports on an engine. Each daemon that suspects the engine counts as one
+// prefill: the engine ranks behind idle engines and before busy ones.
 func workloadOf(n prompts.Noted) workload {
 	return workload{prefilling: n.Reading + n.Suspects, running: n.Running}
 }
 
-// trackedWork is what the other daemons have under way at the engines of a prompt's window, as far
-// as their keepers answer; ok is false where too few do for a choice.
+// trackedWork returns the work of all other daemons at the engines of a prompt's placement window,
+// as far as their tracking daemons answer; ok is false if too few answer for a choice.
 func (k *workTracker) trackedWork(ctx context.Context, view *feed.View, service, part string) (sum workloads, ok bool) {
 	if !k.isTracked(view, service) {
 		return nil, false
 	}
 	vms, hashes := routing.Serving(view.VMs)
-	asked := map[int][]routing.Life{} // by place in vms
+	asked := map[int][]routing.Life{} // by index in vms
 	for _, s := range k.h.pool.placementWindow(view, service, part) {
 		if i := prompts.Keeper(xxhash.Sum64String(s.ID), hashes); i >= 0 {
 			asked[i] = append(asked[i], s.Life())
@@ -145,7 +146,8 @@
 	return sum, len(sum) >= Asked
 }
 
-// query asks one keeper, which may be this daemon; nil where it does not answer.
+// query asks one tracking daemon, which may be this daemon. It returns nil if that daemon does not
+// answer.
 func (k *workTracker) query(ctx context.Context, vm routing.VM, lives []routing.Life) workloads {
 	self, told := k.h.opts.Self.ID, workloads{}
 	if vm.ID == self {
@@ -188,7 +190,7 @@
 	return &peerpb.NoteReply{}, nil
 }
 
-// Noted implements peerpb.Work. It names each server that was asked about.
+// Noted implements peerpb.Work. The reply lists every server in the query.
 func (t workService) Noted(_ context.Context, q *peerpb.NotedRequest) (*peerpb.WorkReply, error) {
 	reply := &peerpb.WorkReply{}
 	for _, s := range q.GetServers() {
