--- a/serve/forward/canary.go
+++ b/serve/forward/canary.go
@@ -16,20 +16,21 @@
 	"mallowwind.dev/decision/rollout"
 )
 
-// minCanaryServers is how many servers of a new version are tried at least: what one of them does may be
-// its own fault.
+// minCanaryServers is the minimum number of servers of a new version that get canary requests: the
+// failures of a single server may be its own fault.
 const minCanaryServers = 4
 
-// canaryHeadroomRatio is how many more of them there are than would carry the load of an old one each: daemons
-// know less of what the others have under way there.
+// canaryHeadroomRatio enlarges the set of canary servers beyond the size at which each would carry
+// the load of a server of the old version, since daemons know less of each other's work there.
 const canaryHeadroomRatio = 1.5
 
-// canaryKey names the layout of those servers of a new version that get the requests drawn for it.
-// The layout of the service has the others.
+// canaryKey returns the key of the server set that gets a service's canary requests. The service's
+// own set holds the other servers.
 func canaryKey(service string) string { return service + "\x00trial" }
 
-// splitByVersion returns the servers that may serve any request of their service, and those that get the
-// requests drawn for a new version: so many that each carries about what one of the others does.
+// splitByVersion separates the servers that may serve any request of their service from those that
+// get the canary requests. There are as many of the latter as give each about the load of one of
+// the others.
 func splitByVersion(servers []routing.Server, s rollout.State) (steady, trial []routing.Server) {
 	for _, one := range servers {
 		switch {
@@ -43,7 +44,8 @@
 	return steady, spreadAcrossZones(trial, n)
 }
 
-// spreadAcrossZones chooses n servers, the same at every daemon and of all zones by turns.
+// spreadAcrossZones chooses up to n servers, taking the zones in turn. Every daemon chooses the
+// same ones.
 func spreadAcrossZones(servers []routing.Server, n int) []routing.Server {
 	type ranked struct {
 		server     routing.Server
@@ -69,11 +71,11 @@
 	return chosen
 }
 
-// reasonNewVersion is the reason of a choice that was drawn for a new version.
+// reasonNewVersion is the reason of a choice made for a canary request.
 const reasonNewVersion = "new_version"
 
-// chooseCanary chooses a server of the new version for a call that is drawn for it; ok is false where
-// it goes to the others.
+// chooseCanary chooses a server of the new version for a call drawn as a canary; ok is false if the
+// call goes to the other servers.
 func (h *Handler) chooseCanary(ctx context.Context, view *feed.View, service, route string) (choice, bool) {
 	now := time.Now()
 	if !h.versions.Drawn(view, service, route) {
@@ -91,8 +93,8 @@
 	return c, true
 }
 
-// placeCanary chooses the engine of the new version for a prompt that is drawn for it, and counts
-// the prompt there; ok is false where it goes to the others.
+// placeCanary chooses an engine of the new version for a prompt drawn as a canary, and counts the
+// prompt there; ok is false if the prompt goes to the other engines.
 func (r *relay) placeCanary(ctx context.Context, view *feed.View) (choice, bool) {
 	if r.starts > 0 || r.in.call.After > 0 || !r.h.versions.Drawn(view, r.service, r.in.routeName()) {
 		return choice{}, false
@@ -112,8 +114,8 @@
 	return best.choice, true
 }
 
-// isFinishingRuns reports whether a server that gets no requests any more still serves for a while,
-// because answers under way at its version end there.
+// isFinishingRuns reports whether a server that gets no new requests still serves for a while,
+// because answers in progress finish at its version.
 func (p *pool) isFinishingRuns(view *feed.View, s routing.Server) bool {
 	state := p.versions.Now(view).Of(s.Service)
 	return state.Stage == rollout.All && s.Version == state.Base &&
@@ -122,8 +124,8 @@
 		})
 }
 
-// runningAtOldVersions is how many requests of this daemon are under way at servers of a service that have
-// another version than the target.
+// runningAtOldVersions returns how many requests of this daemon are in progress at servers of other
+// versions than the target.
 func (p *pool) runningAtOldVersions(service string, s rollout.State) (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,7 +140,8 @@
 	return n
 }
 
-// currentIncarnation is the life that has followed one of the view, or that life. The caller holds the lock.
+// currentIncarnation returns the successor of an incarnation listed in the view, or that
+// incarnation itself. The caller holds the lock.
 func (p *pool) currentIncarnation(life routing.Life) routing.Life {
 	if next, ok := p.successors[life]; ok {
 		return next
@@ -146,7 +149,8 @@
 	return life
 }
 
-// trialOutcome is what an exchange shows of its server; ok is false where it shows nothing.
+// trialOutcome returns what an exchange shows of its server's version; ok is false if it shows
+// nothing.
 func (o *outcome) trialOutcome(ctx context.Context) (result rollout.Outcome, ok bool) {
 	switch {
 	case ctx.Err() != nil && o.err != nil:
@@ -161,25 +165,25 @@
 	return rollout.Good, true
 }
 
-// paceEventCount is how many events of a stream show its pace.
+// paceEventCount is the number of events after which the pace of a stream is recorded.
 const paceEventCount = 24
 
-// startTrial begins to watch a leg for a comparison of versions: one that makes an answer from its
-// beginning.
+// startTrial starts a comparison sample for a leg that produces an answer from its beginning.
 func (a *attempt) startTrial(l leg, route string) {
 	if l.from == "" && a.r.in.call.After == 0 && a.r.after == 0 {
 		a.trial = a.r.h.versions.Try(l.at.server, route, rollout.First)
 	}
 }
 
-// recordFirstEvent records the time to the first event, and begins to watch what follows.
+// recordFirstEvent records the time to the first event and starts the samples for the rest of the
+// answer.
 func (a *attempt) recordFirstEvent() {
 	whole := a.trial.Also(rollout.Whole)
 	a.trial.Done(rollout.Good)
 	a.trial, a.pace = whole, whole.Also(rollout.Pace)
 }
 
-// recordNextEvent records the pace of a stream once it has made enough events.
+// recordNextEvent records the pace of a stream after enough events.
 func (a *attempt) recordNextEvent() {
 	if a.made++; a.made == paceEventCount {
 		a.pace.DoneIn(rollout.Good, time.Since(a.begun)/paceEventCount)
@@ -201,11 +205,12 @@
 	a.pace.Drop()
 }
 
-// migrationRetryInterval is the time between two attempts to let an answer go on at another version.
+// migrationRetryInterval is the time between two attempts to migrate an answer to another version.
 const migrationRetryInterval = 150 * time.Millisecond
 
-// migrate lets an answer go on from its copy, because the version of its server leaves, and reports
-// whether it does. The connection is closed first: both servers would run the request otherwise.
+// migrate resumes an answer from its replica because the version of its server leaves, and reports
+// whether it does. It closes the old connection first, so that the request does not run at both
+// servers.
 func (r *relay) migrate(ctx context.Context, a *attempt) bool {
 	if a.reading || !r.mayGoOn() || r.starts >= maxStarts {
 		return false
--- a/serve/forward/limits.go
+++ b/serve/forward/limits.go
@@ -31,7 +31,7 @@
 	broadcasts     quota.Telling
 	permitRequests quota.Turn
 	permits        quota.Bucket // issued by this daemon
-	lastRequested  time.Time // when another daemon last requested a permit here
+	lastRequested  time.Time    // when another daemon last requested a permit here
 	fallback       quota.Bucket // this daemon's share, used while no permit issuer answers
 }
 
--- a/serve/forward/locate.go
+++ b/serve/forward/locate.go
@@ -14,66 +14,68 @@
 )
 
 const (
-	// scanMaxAge is how long one look at all engines is used: the requests of a
-	// daemon that died come back within about a second of each other.
+	// scanMaxAge is how long a scan of all engines is reused: the requests of a daemon that died
+	// are retried within about a second of each other.
 	scanMaxAge = 500 * time.Millisecond
-	// scanTimeout bounds the look: reading a prompt anew takes a second. A request whose
-	// prompt is found does not wait for the rest. It is shorter than scanAge, so that a
-	// daemon makes one look at a service at a time.
+	// scanTimeout bounds a scan, since repeating a prefill takes only a second. A request whose
+	// prompt is found does not wait for the rest. The timeout is shorter than scanMaxAge, so that a
+	// daemon runs one scan of a service at a time.
 	scanTimeout = 400 * time.Millisecond
-	// scanBudgetBytes is what a look reads of all answers. With their headers that is a tenth
-	// of a second of a link of 10 Mbit/s; 120 answers of 0.5 KB are 60 KB.
+	// scanBudgetBytes bounds what a scan reads of all answers. With their headers that takes a
+	// tenth of a second on a 10 Mbit/s link; 120 answers of 0.5 KB add up to 60 KB.
 	scanBudgetBytes = 100_000
-	// maxCacheReplyBytes is what is read of one answer; a longer one is of no use. Each is taken to
-	// be as long until the first is there: eight engines are asked at once then.
+	// maxCacheReplyBytes bounds what is read of one answer; a longer answer is not used. Each
+	// answer is assumed to have this size until the first one arrives, so a scan starts with eight
+	// engines at once.
 	maxCacheReplyBytes = scanBudgetBytes / 8
-	// maxScannedEngines is how many engines a service may have for all to be asked. Of more only
-	// those of the prompt's window are.
+	// maxScannedEngines is the number of engines up to which all engines of a service are scanned.
+	// In a larger service only the prompt's placement window is scanned.
 	maxScannedEngines = 160
 )
 
-// locator finds the engine that still holds a prompt which another daemon, or
-// this one before a restart, had sent there.
+// locator finds the engine that still caches a prompt sent there by another daemon, or by this one
+// before a restart.
 //
-// The failure it answers: a daemon dies, its callers go on with their streams at
-// other daemons, which know nothing of the runs. Sent to an engine by load
-// alone, each prompt is read a second time; after the loss of all daemons that
-// is a second of work of every engine, all at once.
+// It guards against repeated prefills: a daemon dies, and its callers resume their streams at other
+// daemons, which know nothing of the runs. If each prompt went to the least loaded engine, all
+// would be prefilled a second time; after the loss of all daemons that costs every engine a second
+// of work at once.
 //
-// The failure it must not become: the streams of a daemon share its link with the look. Where
-// the answers fill the link, all streams fall silent together and are given up after
-// takeover.WithCopy; their callers come back at other daemons, which look too, so it spreads
-// until answers are cut for want of repeats. It holds because an answer grows with what an
-// engine holds and not with how long it has run, and because no more engines are asked than
-// scanBytes affords where all hold about as much; of one that holds more scanAnswer is read.
+// A scan must not disturb the daemon's streams, which share its link. If the answers saturated the
+// link, all streams would fall silent together and be given up after the silence timeout; their
+// callers would retry at other daemons, which scan as well, so the failure would spread until
+// answers are cut for lack of retry budget. It holds because the size of an answer depends on what
+// the engine caches and not on its uptime, because a scan asks no more engines than scanBudgetBytes
+// covers where all cache about as much, and because no more than maxCacheReplyBytes is read of an
+// engine that caches more.
 type locator struct {
 	h     *Handler
 	mu    sync.Mutex
 	scans map[string]*scan // by service
 }
 
-// scan is one look at the caches of a service's engines.
+// scan is one scan of the caches of a service's engines.
 type scan struct {
 	startedAt time.Time
 	mu        sync.Mutex
 	holders   map[string][]routing.Life // by part
 	finished  bool
-	updated   chan struct{} // closed and replaced with each answer, and at the end
+	updated   chan struct{} // closed and replaced after each answer and at the end
 }
 
 func newScan(now time.Time) *scan {
 	return &scan{startedAt: now, holders: map[string][]routing.Life{}, updated: make(chan struct{})}
 }
 
-// holdersOf returns the holders known of a part, whether more may come, and what is closed
-// when there is news.
+// holdersOf returns the engines found to cache a part, whether the scan has finished, and a channel
+// that is closed on the next update.
 func (s *scan) holdersOf(part string) (holders []routing.Life, ended bool, news <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.holders[part], s.finished, s.updated
 }
 
-// add records what one engine holds.
+// add records the parts that one engine caches.
 func (s *scan) add(life routing.Life, parts []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,7 +85,7 @@
 	s.notify()
 }
 
-// finish says that no more comes.
+// finish marks the scan as complete.
 func (s *scan) finish() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +93,7 @@
 	s.notify()
 }
 
-// notify tells those that wait; s.mu is held.
+// notify wakes the waiting requests; s.mu is held.
 func (s *scan) notify() {
 	close(s.updated)
 	s.updated = make(chan struct{})
@@ -99,7 +101,7 @@
 
 func newLocator(h *Handler) *locator { return &locator{h: h, scans: map[string]*scan{}} }
 
-// holders returns the engines that hold part, as soon as one is known.
+// holders returns the engines that cache part, as soon as one is known.
 func (l *locator) holders(ctx context.Context, service, part string) []routing.Life {
 	s := l.scanFor(service, part)
 	for {
@@ -115,7 +117,7 @@
 	}
 }
 
-// scanFor returns a look that is recent, or begins one.
+// scanFor returns a recent scan that covers the prompt, or starts one.
 func (l *locator) scanFor(service, part string) *scan {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -144,12 +146,12 @@
 	ask := func(server routing.Server) {
 		life, parts, bytes, err := l.h.fetchCache(ctx, server)
 		if err == nil {
-			s.add(life, parts) // an engine that does not answer holds nothing of use
+			s.add(life, parts) // an engine that does not answer is of no use
 		}
 		answers <- cacheReply{bytes, err}
 	}
 	var cost scanProgress
-	for _, i := range rand.Perm(len(servers)) { // no engine is left out each time
+	for _, i := range rand.Perm(len(servers)) { // random order, so that no engine is always left out
 		for !cost.canAsk() && cost.pending() > 0 {
 			cost.add(<-answers)
 		}
@@ -165,27 +167,27 @@
 	l.h.opts.Log.Emit(event.CachesRead, service, cost.asked, cost.answered, cost.timeouts, cost.bytes, time.Since(s.startedAt))
 }
 
-// cacheReply is what came of a question to one engine.
+// cacheReply is the result of asking one engine for its cached parts.
 type cacheReply struct {
-	bytes int // of the answer's body, as far as it arrived
+	bytes int // of the answer's body that arrived
 	err   error
 }
 
-// scanProgress is what a look has taken so far. Engines that are not asked would have been too much.
+// scanProgress tracks the cost of a scan. Engines that would exceed the budget are not asked.
 type scanProgress struct {
 	asked    int
 	answered int
 	failed   int
-	timeouts int // of those that failed: no answer when the look ended
+	timeouts int // failures without an answer by the end of the scan
 	bytes    int // of all answers
-	largest  int // of the answers, in bytes
+	largest  int // size of the largest answer, in bytes
 }
 
-// pending are the questions without an answer.
+// pending returns the number of engines that have not answered yet.
 func (l *scanProgress) pending() int { return l.asked - l.answered - l.failed }
 
-// canAsk reports whether one more engine may be asked: the answers that are on their way
-// are taken to be as large as the largest so far.
+// canAsk reports whether the budget allows asking one more engine, assuming that every pending
+// answer is as large as the largest so far.
 func (l *scanProgress) canAsk() bool {
 	size := maxCacheReplyBytes
 	if l.answered > 0 {
@@ -207,16 +209,16 @@
 	}
 }
 
-// errCacheTooLarge means that an engine holds more than is read of its answer.
+// errCacheTooLarge means that an engine's answer exceeds maxCacheReplyBytes.
 var errCacheTooLarge = errors.New("forward: the engine holds too much to tell")
 
-// cachedParts asks an engine what it holds, and which of its lives holds that.
+// cachedParts asks an engine which prompt parts it caches, and returns its incarnation as well.
 func (h *Handler) cachedParts(ctx context.Context, server routing.Server) (routing.Life, []string, error) {
 	life, parts, _, err := h.fetchCache(ctx, server)
 	return life, parts, err
 }
 
-// fetchCache is cached, and says how many bytes of the answer arrived.
+// fetchCache does the same as cachedParts and also returns how many bytes of the answer arrived.
 func (h *Handler) fetchCache(ctx context.Context, server routing.Server) (life routing.Life, parts []string, bytes int, err error) {
 	life = server.Life()
 	body, err := h.commandUpTo(ctx, maxCacheReplyBytes, http.MethodGet, server, h.opts.Codec.CachePath(), nil)
--- a/serve/forward/peers.go
+++ b/serve/forward/peers.go
@@ -20,41 +20,41 @@
 )
 
 const (
-	// workTimeout is how long another daemon may take to say what it has under way: ten
-	// round trips between zones, and short beside the reading of a prompt.
+	// workTimeout is how long another daemon may take to report its work: ten round trips between
+	// zones, and short compared with a prefill.
 	workTimeout = 20 * time.Millisecond
-	// pacePeers is how many daemons are asked what they learned: two or three have seen
-	// the few answers that it takes.
+	// pacePeers is the number of daemons asked for their estimates: two or three have already seen
+	// the few answers that an estimate takes.
 	pacePeers = 4
-	// maxConcurrentCalls bounds the daemons that are told something at the same time.
+	// maxConcurrentCalls bounds the concurrent calls of a broadcast.
 	maxConcurrentCalls = 32
-	// peerBackoff is how long a daemon that did not answer is left out, so that one that
-	// is dead or cut off does not hold up every prompt. It is about what a restart takes.
+	// peerBackoff is how long a daemon that did not answer is skipped, so that a dead or
+	// unreachable daemon does not delay every prompt. It is about the duration of a restart.
 	peerBackoff = time.Second
 )
 
-// workload is what is under way at one engine.
+// workload is the number of prefills and running answers at one engine.
 type workload struct{ prefilling, running int }
 
-// workloads is what is under way, by engine.
+// workloads holds the workload of each engine.
 type workloads map[routing.Life]workload
 
-// peerClient asks the other daemons what they have under way.
+// peerClient calls the other daemons.
 type peerClient struct {
-	dialer *link.Dialer // nil: nobody is asked
+	dialer *link.Dialer // nil disables calls
 	log    *event.Log
 	self   string
 
 	mu           sync.Mutex
-	backoffUntil map[string]time.Time // until when a daemon is left out, by id
+	backoffUntil map[string]time.Time // by daemon id; the daemon is skipped until then
 }
 
 func newPeerClient(o Options) *peerClient {
 	return &peerClient{dialer: o.Dialer, log: o.Log, self: o.Self.ID, backoffUntil: map[string]time.Time{}}
 }
 
-// totalWork is the sum of what the others have under way at the engines of a service; ok is
-// false where they are too many to be asked, or none of them answered.
+// totalWork sums the work of all other daemons at the engines of a service; ok is false if there
+// are too many daemons to ask, or if none answered.
 func (n *peerClient) totalWork(ctx context.Context, view *feed.View, service string) (sum workloads, ok bool) {
 	if n.dialer == nil || !prompts.Asks(len(view.VMs)) {
 		return nil, false
@@ -78,8 +78,8 @@
 	return sum, ok
 }
 
-// responsive are the daemons that answered when they were asked last. One that stops still has
-// answers under way.
+// responsive returns the daemons whose last call did not fail recently. A stopping daemon is
+// included: it still has answers in progress.
 func (n *peerClient) responsive(now time.Time, vms []routing.VM) (heard []routing.VM) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -95,31 +95,31 @@
 	return callWork(ctx, n, vm, peerpb.Work.AtServers, &peerpb.WorkRequest{Service: service})
 }
 
-// queryPace is what a daemon has learned of the engines of a service.
+// queryPace asks a daemon for its estimates of a service's engines.
 func (n *peerClient) queryPace(ctx context.Context, vm routing.VM, service string) (*peerpb.PaceReply, error) {
 	return callWork(ctx, n, vm, peerpb.Work.Pace, &peerpb.WorkRequest{Service: service})
 }
 
-// sendReport tells a daemon what this one has under way at a server that it keeps notes on.
+// sendReport reports this daemon's work at an engine to the engine's tracking daemon.
 func (n *peerClient) sendReport(ctx context.Context, vm routing.VM, note *peerpb.NoteRequest) {
-	// A failure is logged by judge; the next note says all.
+	// A failure is logged by recordResult; the next report is complete again.
 	_, _ = callWork(ctx, n, vm, peerpb.Work.Note, note)
 }
 
-// queryTracked asks a daemon what others have under way at servers that it keeps notes on.
+// queryTracked asks a tracking daemon for the work of other daemons at its engines.
 func (n *peerClient) queryTracked(ctx context.Context, vm routing.VM, q *peerpb.NotedRequest) (*peerpb.WorkReply, error) {
 	return callWork(ctx, n, vm, peerpb.Work.Noted, q)
 }
 
-// callWork makes one call of the service Work to a daemon.
+// callWork calls a method of the Work service at a daemon.
 func callWork[Q, R any](
 	ctx context.Context, n *peerClient, vm routing.VM, method func(peerpb.Work, context.Context, Q) (R, error), q Q,
 ) (R, error) {
 	return callPeer(ctx, n, vm, peerpb.NewWorkProtobufClient, method, q, workTimeout)
 }
 
-// callPeer makes one call to a daemon within a limit, and leaves the daemon out for a while if
-// it fails. client makes the client of the service called.
+// callPeer calls a daemon with a timeout and skips the daemon for a while if the call fails. client
+// creates the client of the called service.
 func callPeer[C, Q, R any](
 	ctx context.Context, n *peerClient, vm routing.VM, client func(string, peerpb.HTTPClient, ...twirp.ClientOption) C,
 	method func(C, context.Context, Q) (R, error), q Q, limit time.Duration,
@@ -130,7 +130,7 @@
 	return reply, n.recordResult(vm, err)
 }
 
-// broadcast calls tell for all other daemons. A call that fails is logged by judge.
+// broadcast calls tell for every other daemon. A failed call is logged by recordResult.
 func (n *peerClient) broadcast(view *feed.View, tell func(context.Context, routing.VM) error) {
 	if n.dialer == nil {
 		return
@@ -143,10 +143,10 @@
 			return nil
 		})
 	}
-	_ = all.Wait() // none returns an error
+	_ = all.Wait() // no call returns an error
 }
 
-// recordResult leaves a daemon that failed out for a while, and returns err.
+// recordResult skips a daemon for a while after a failure, and returns err.
 func (n *peerClient) recordResult(vm routing.VM, err error) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -169,8 +169,8 @@
 	}
 }
 
-// fetchPace asks some other daemons what they learned of the engines of a service, where
-// this one has seen too little to tell which answers cannot be whole in time.
+// fetchPace asks some other daemons for their estimates of a service's engines if this daemon has
+// seen too few answers to tell which ones cannot be complete in time.
 func (h *Handler) fetchPace(ctx context.Context, service string) {
 	if h.neighbours.dialer == nil || h.pressure.hasEstimates(service) {
 		return
@@ -210,7 +210,8 @@
 	return &peerpb.PaceReply{PerToken: l.PerToken, PerEvent: l.PerEvent, Events: l.Events, Answers: int64(l.Answers)}, nil
 }
 
-// WorkService returns the twirp service that other daemons call, and its path prefix.
+// WorkService returns the path prefix and handler of the twirp service that reports work and
+// estimates to other daemons.
 func (h *Handler) WorkService() (prefix string, handler http.Handler) {
 	s := peerpb.NewWorkServer(workService{h})
 	return s.PathPrefix(), s
--- a/serve/forward/permits.go
+++ b/serve/forward/permits.go
@@ -14,17 +14,19 @@
 )
 
 const (
-	// permitIssuers is how many daemons may be asked for a permit, one after the other.
+	// permitIssuers is the number of daemons that may issue permits for a server. They are asked in
+	// order until one answers.
 	permitIssuers = 2
-	// issuerConfirmedFor is how long after a question for permits others are taken to ask here.
+	// issuerConfirmedFor is how long after a permit request from another daemon this daemon counts
+	// as an issuer that others reach.
 	issuerConfirmedFor = 2 * time.Second
-	// unknownServerRetry is when a permit is asked for again at a daemon that does not know the
-	// server: about what its entry takes to arrive.
+	// unknownServerRetry is when a daemon asks again if the issuer does not know the server: about
+	// the time that the server's registration takes to arrive.
 	unknownServerRetry = 500 * time.Millisecond
 )
 
-// canRequestPermit reports whether a server may be chosen now: it names no limit, or a permit may be asked
-// for.
+// canRequestPermit reports whether a server may be chosen now: it has no limit, or a permit may be
+// requested.
 func (l *rateLimits) canRequestPermit(now time.Time, s routing.Server) bool {
 	if l == nil {
 		return true
@@ -35,8 +37,8 @@
 	return one == nil || one.permitRequests.Open(now)
 }
 
-// acquire reports whether a request may be sent to a server, at once: it names no limit, or gives a
-// permit. The request waits for the answer to that question.
+// acquire reports whether a request may be sent to a server at once: the server has no limit, or a
+// permit was granted. The request waits for the issuer's answer.
 func (l *rateLimits) acquire(ctx context.Context, s routing.Server) bool {
 	l.mu.Lock()
 	one := l.active(s)
@@ -57,8 +59,8 @@
 	return granted
 }
 
-// permitWait is how long it is until a permit may be asked for one of the servers of a service that
-// name a limit; limited is false where none does.
+// permitWait returns how long it takes until a permit may be requested for any of the service's
+// servers with a limit; limited is false if no server has one.
 func (l *rateLimits) permitWait(service string) (wait time.Duration, limited bool) {
 	now := time.Now()
 	l.mu.Lock()
@@ -75,7 +77,8 @@
 	return wait, limited
 }
 
-// requestPermit asks the daemons that give out permits for a server, one after the other.
+// requestPermit asks the issuers of a server's permits in order. If none answers, it uses this
+// daemon's own share of the limit.
 func (l *rateLimits) requestPermit(ctx context.Context, one *serverLimit, q *peerpb.PermitRequest) (granted bool, wait time.Duration) {
 	vms, hashes := routing.Serving(l.h.opts.Feed.View().VMs)
 	if l.h.neighbours.dialer == nil {
@@ -101,15 +104,15 @@
 	return one.fallback.Take(time.Now(), quota.Given(q.GetLimit().GetRate())/float64(max(1, len(vms))))
 }
 
-// isConfirmedIssuer reports whether others ask this daemon for permits. One that is cut off from them
-// must not give itself what another daemon gives to them.
+// isConfirmedIssuer reports whether other daemons request permits here. A daemon that is
+// partitioned from the others must not issue itself permits that another issuer grants to them.
 func (l *rateLimits) isConfirmedIssuer(one *serverLimit) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Since(one.lastRequested) < issuerConfirmedFor
 }
 
-// issue gives out a permit here.
+// issue grants a permit from this daemon's bucket, or returns how long to wait.
 func (l *rateLimits) issue(one *serverLimit, rate float64) (granted bool, wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -143,7 +146,7 @@
 	return &peerpb.LimitedReply{}, nil
 }
 
-// QuotaService returns the twirp service that other daemons call, and its path prefix.
+// QuotaService returns the path prefix and handler of the twirp service for limits and permits.
 func (h *Handler) QuotaService() (prefix string, handler http.Handler) {
 	s := peerpb.NewQuotaServer(quotaService{h.limits})
 	return s.PathPrefix(), s
--- a/serve/forward/poison.go
+++ b/serve/forward/poison.go
@@ -15,19 +15,19 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// poisonRegistry knows which requests end the servers that run them. Those that are refused lie in
-// the store, and daemons tell each other at once.
+// poisonRegistry tracks poison requests, which crash the servers that run them. Refusals are kept
+// in the store, and daemons tell each other of them at once.
 type poisonRegistry struct {
 	h *Handler
 
-	mu      sync.Mutex // guards the rest
-	view    *feed.View // the last one seen here
+	mu      sync.Mutex // guards the fields below
+	view    *feed.View // last view processed
 	ledger  poison.Ledger[routing.Life]
 	marks   poison.Marks
 	running map[string]map[*activeRequest]bool // by digest
-	details map[string]*peerpb.Poisonous       // of requests that have a mark or had ends counted here
-	pending map[string]*peerpb.Poisonous       // not in the store yet
-	wakeup  chan struct{}                      // holds an item when something is pending
+	details map[string]*peerpb.Poisonous       // of requests with a mark or with crashes counted here
+	pending map[string]*peerpb.Poisonous       // not written to the store yet
+	wakeup  chan struct{}                      // holds a value when entries are pending
 }
 
 // activeRequest is one request in progress.
@@ -40,13 +40,14 @@
 	}
 }
 
-// errPoison is the answer to a request that ends its servers. It has run, in this attempt or
-// in one before, so it promises nothing; and nothing is gained by coming back.
+// errPoison is the answer to a poison request. The request ran, in this attempt or an earlier one,
+// so the verdict is MayHaveRun. Retrying does not help, so there is no Retry-After.
 func errPoison(digest string) error {
 	return verdict.New(verdict.MayHaveRun, verdict.CodePoison, "backend servers end when they run this request, so it is sent to none (%s)", digest)
 }
 
-// begin begins a request, unless it is refused. Its context ends if it is refused later.
+// begin registers a request, unless it is refused. The returned context is canceled if the request
+// is refused later.
 func (p *poisonRegistry) begin(ctx context.Context, in *inbound) (_ context.Context, leave func(), err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,8 +83,8 @@
 	}
 }
 
-// syncView forgets what was told and counted of requests that lie in the store from now on: an
-// operator lifts their refusal there.
+// syncView drops the local marks and counts of requests whose refusal is now in the store, where an
+// operator can lift it.
 func (p *poisonRegistry) syncView(view *feed.View) {
 	if p.view == view {
 		return
@@ -97,14 +98,14 @@
 	}
 }
 
-// cancelRunning ends the attempts of a request that are in progress.
+// cancelRunning cancels the attempts of a request that are in progress.
 func (p *poisonRegistry) cancelRunning(digest string) {
 	for one := range p.running[digest] {
 		one.cancel(errPoison(digest))
 	}
 }
 
-// mark is what is held of a request.
+// mark returns the current mark of a request.
 func (p *poisonRegistry) mark(digest string) poison.Mark {
 	if p.isStored(digest) {
 		return poison.Refused
@@ -112,13 +113,13 @@
 	return p.marks.Of(time.Now(), digest)
 }
 
-// isStored reports whether the refusal of a request lies in the store.
+// isStored reports whether the refusal of a request is in the store.
 func (p *poisonRegistry) isStored(digest string) bool {
 	_, ok := p.view.Refused[digest]
 	return ok
 }
 
-// recordCrash counts the end of a server under a request here and at the request's keepers.
+// recordCrash counts a server crash against a request, here and at the request's tracking daemons.
 func (p *poisonRegistry) recordCrash(ctx context.Context, in *inbound, life routing.Life) {
 	for _, digest := range in.digests {
 		q := &peerpb.EndedRequest{Digest: digest, Server: life.ID, Born: life.Born, Account: in.accountName(), Route: in.routeName()}
@@ -132,7 +133,7 @@
 	}
 }
 
-// countCrash records the end of a server under a request, and marks the request by all that is
+// countCrash counts a server crash against a request and marks the request according to all crashes
 // counted here.
 func (p *poisonRegistry) countCrash(q *peerpb.EndedRequest) {
 	digest, life := q.GetDigest(), routing.Life{ID: q.GetServer(), Born: q.GetBorn()}
@@ -163,7 +164,7 @@
 	}
 }
 
-// pruneDetails forgets the details of requests that nothing is known of any more.
+// pruneDetails drops the details of requests without counted crashes and without a mark.
 func (p *poisonRegistry) pruneDetails() {
 	if len(p.details) <= poison.MaxRequests {
 		return
@@ -174,8 +175,8 @@
 	})
 }
 
-// setMark sets a mark, and ends the requests in progress that are refused now. It reports
-// whether the mark is new here.
+// setMark sets a mark and cancels requests in progress that are now refused. It reports whether the
+// mark is new here.
 func (p *poisonRegistry) setMark(one *peerpb.Poisonous, mark poison.Mark) bool {
 	digest := one.GetDigest()
 	if mark == poison.Unmarked || !p.marks.Set(time.Now(), digest, mark) {
@@ -188,7 +189,7 @@
 	return true
 }
 
-// observeMark takes in what another daemon says of a request.
+// observeMark applies a mark reported by another daemon.
 func (p *poisonRegistry) observeMark(one *peerpb.Poisonous, mark poison.Mark) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -205,8 +206,8 @@
 	p.h.opts.Log.Emit(event.PoisonTold, digest, one.GetAccount(), one.GetRoute(), mark.String(), one.GetServers())
 }
 
-// recordCompletion clears a request of which an answer is whole: other answers beside it ended its
-// servers.
+// recordCompletion clears a request that got a complete answer: other requests in progress crashed
+// its servers.
 func (p *poisonRegistry) recordCompletion(in *inbound) {
 	for _, digest := range in.digests {
 		if !p.clearCounts(digest) {
@@ -215,14 +216,15 @@
 		p.h.opts.Log.Emit(event.PoisonCleared, in.call.ID, digest)
 		p.notifyTrackers(digest, func(vm routing.VM) {
 			q := &peerpb.ClearedRequest{Digest: digest}
-			// A failure is logged by judge; the next whole answer clears the request there.
+			// A failure is logged by recordResult; the next complete answer clears the request
+			// there.
 			_, _ = callPeer(context.Background(), p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Cleared, q, poisonTimeout)
 		})
 	}
 }
 
-// clearCounts forgets what is counted of a request and that it is watched, which the other daemons
-// are told. It reports whether there was anything.
+// clearCounts drops the crashes counted against a request and its watched mark, and tells the other
+// daemons if it was watched. It reports whether anything was dropped.
 func (p *poisonRegistry) clearCounts(digest string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -233,8 +235,8 @@
 	return counted || watched
 }
 
-// forgetCounts forgets what is counted of a request and that it is watched. It reports whether either
-// was so. The caller holds the lock.
+// forgetCounts drops the crashes counted against a request and its watched mark, and reports which
+// of them existed. The caller holds the lock.
 func (p *poisonRegistry) forgetCounts(digest string) (counted, watched bool) {
 	counted, watched = p.ledger.Clear(digest), p.marks.Clear(digest)
 	if counted || watched {
--- a/serve/forward/poisonpeers.go
+++ b/serve/forward/poisonpeers.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// poisonTrackers is how many daemons count the ends of servers under one request: one of
-	// them may be dead, cut off or new.
+	// poisonTrackers is how many daemons count the crashes under one request: one of them may be
+	// dead, partitioned or newly started.
 	poisonTrackers = 2
-	// poisonTimeout is how long a daemon may take to hear of a request.
+	// poisonTimeout is the timeout for telling one daemon of a request.
 	poisonTimeout = 300 * time.Millisecond
-	// marksPeers is how many daemons one that starts asks what they were told.
+	// marksPeers is how many daemons a starting daemon asks for their marks.
 	marksPeers = 4
 )
 
-// notifyTrackers calls tell for each keeper of a request but this daemon.
+// notifyTrackers calls tell for each tracking daemon of a request except this one.
 func (p *poisonRegistry) notifyTrackers(digest string, tell func(routing.VM)) {
 	if p.h.neighbours.dialer == nil {
 		return
@@ -37,8 +37,8 @@
 	}
 }
 
-// broadcast tells all other daemons of a request. One that does not hear of it learns of a
-// refusal from the store, or from a keeper when it counts the end of a server itself.
+// broadcast tells all other daemons of a request. A daemon that misses the message learns of a
+// refusal from the store, or from a tracking daemon when it counts a crash itself.
 func (p *poisonRegistry) broadcast(q *peerpb.MarkedRequest) {
 	p.h.neighbours.broadcast(p.h.opts.Feed.View(), func(ctx context.Context, vm routing.VM) error {
 		_, err := callPeer(ctx, p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Marked, q, poisonTimeout)
@@ -46,10 +46,10 @@
 	})
 }
 
-// fetchMarks asks some daemons for the marks that they were told.
+// fetchMarks asks some daemons for the marks that they know.
 //
-// The failure it guards against: a request is refused while the store is away, and a daemon
-// that starts reads the store's state of before from a neighbour.
+// It guards against a daemon that starts during a store outage: a request was refused meanwhile,
+// and the daemon reads the store's state from before the outage from another daemon.
 func (p *poisonRegistry) fetchMarks(ctx context.Context) {
 	if p.h.neighbours.dialer == nil {
 		return
@@ -60,7 +60,7 @@
 		go func() {
 			reply, err := callPeer(ctx, p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Marks, &peerpb.MarksRequest{}, poisonTimeout)
 			if err != nil {
-				return // it is logged by judge
+				return // logged by recordResult
 			}
 			for _, one := range reply.GetRefused() {
 				p.observeMark(one, poison.Refused)
@@ -69,7 +69,7 @@
 	}
 }
 
-// markFromProto reads a mark. One that is not known here marks nothing.
+// markFromProto converts a mark. An unknown value counts as unmarked.
 func markFromProto(m peerpb.Mark) poison.Mark {
 	switch m {
 	case peerpb.Mark_MARK_WATCHED:
@@ -113,7 +113,7 @@
 	return reply, nil
 }
 
-// status is what is known here of a request.
+// status returns what this daemon knows of a request.
 func (p *poisonRegistry) status(digest string) *peerpb.EndedReply {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,7 +124,7 @@
 	return &peerpb.EndedReply{Request: one, Mark: peerpb.Mark(p.mark(digest))}
 }
 
-// PoisonService returns the twirp service that other daemons call, and its path prefix.
+// PoisonService returns the path prefix and handler of the twirp service for poison requests.
 func (h *Handler) PoisonService() (prefix string, handler http.Handler) {
 	s := peerpb.NewPoisonServer(poisonService{h.poisoned})
 	return s.PathPrefix(), s
--- a/serve/forward/poisonstore.go
+++ b/serve/forward/poisonstore.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// storeRetryInterval is the mean pause before an entry is written that could not be.
+	// storeRetryInterval is the mean delay before a failed store write is retried.
 	storeRetryInterval = time.Second
-	// viewSyncInterval is how often the view is looked at where no request comes.
+	// viewSyncInterval is how often the view is processed while no requests arrive.
 	viewSyncInterval = time.Second
 )
 
-// wakeWriter has run look at what is pending.
+// wakeWriter makes run write the pending entries.
 func (p *poisonRegistry) wakeWriter() {
 	select {
 	case p.wakeup <- struct{}{}:
@@ -28,8 +28,8 @@
 	}
 }
 
-// run asks other daemons what they were told, once some are known, and writes refusals to
-// the store until ctx ends.
+// run fetches the marks of other daemons once the feed knows some, and writes refusals to the store
+// until ctx ends.
 func (p *poisonRegistry) run(ctx context.Context) {
 	select {
 	case <-p.h.opts.Feed.Known():
@@ -54,7 +54,7 @@
 	}
 }
 
-// writePending writes what is pending to the store. It reports whether nothing is pending any more.
+// writePending writes the pending entries to the store. It reports whether none is left to retry.
 func (p *poisonRegistry) writePending(ctx context.Context) bool {
 	p.mu.Lock()
 	pending := slices.Collect(maps.Values(p.pending))
--- a/serve/forward/pool.go
+++ b/serve/forward/pool.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// minSuspicion is how long a server that failed is a last resort. One behind a
-	// link that loses packets is as good as before in a moment.
+	// minSuspicion is how long a failed server is used only as a last resort. A server behind a
+	// link that drops packets recovers in a moment.
 	minSuspicion = 2 * time.Second
-	// maxSuspicion is for a server that fails each time it is tried, for twice as
-	// long with each: one that crashed returns under another id, and its entry
-	// stays for some seconds.
+	// maxSuspicion bounds the suspicion of a server that fails on every try, which doubles with
+	// each failure. A crashed server returns under another id, while its old entry remains for some
+	// seconds.
 	maxSuspicion = 8 * time.Second
 )
 
-// serverLoad is what this daemon does at one server.
+// serverLoad is this daemon's work at one server.
 type serverLoad struct {
 	calls        route.Load
 	prefilling   int
 	running      int
 	replicas     int
 	suspectUntil time.Time
-	suspectFor   time.Duration // of the last failure, 0 after a success
+	suspectFor   time.Duration // duration after the last failure; 0 after a success
 }
 
-// isSuspect reports whether the server failed a moment ago.
+// isSuspect reports whether the server failed recently.
 func (l *serverLoad) isSuspect(now time.Time) bool { return now.Before(l.suspectUntil) }
 
-// pool knows the servers and this daemon's work at each.
+// pool tracks the servers and this daemon's work at each.
 type pool struct {
 	mu         sync.Mutex
 	self       routing.VM
@@ -43,20 +43,19 @@
 	retryRule  repeats.Rule
 	view       *feed.View
 	serverSets map[string]*serverSet
-	// loads are by life: what was learned of a server ends with it.
+	// loads are kept by incarnation: what was learned of a server does not outlive its process.
 	loads   map[routing.Life]*serverLoad
 	budgets map[string]*repeats.Budget
-	// successors are the lives that have begun at the address of one in the view, by
-	// the life there.
+	// successors maps an incarnation listed in the view to a newer one at the same address.
 	successors map[routing.Life]routing.Life
-	// down are the servers that failed and have not been back since, by address.
+	// down holds the servers that failed and have not returned since, by address.
 	down      map[string]downServer
 	downtimes map[string]*absence.Absence // by service
-	// onWorkChanged is told of servers at which this daemon's prompts, answers or suspicion are
-	// others than before. It is called without the lock.
+	// onWorkChanged is called, without the lock, for each server at which this daemon's prefills,
+	// running answers or suspicion have changed.
 	onWorkChanged func(routing.Server)
-	limits        *rateLimits // of servers; nil where none is known
-	// versions says which servers may serve, as of snapshot.
+	limits        *rateLimits // rate limits of servers; nil if there are none
+	// versions decides which servers may serve; snapshot is its last state applied.
 	versions *versions.Manager
 	snapshot *versions.Snapshot
 }
@@ -77,15 +76,15 @@
 	}
 }
 
-// choice is a server with the reason it was chosen for.
+// choice is a chosen server and the reason for the choice.
 type choice struct {
 	server routing.Server
 	load   *serverLoad
 	reason string
 }
 
-// choose runs pick with the layout of a service under the lock; without servers
-// there is no choice.
+// choose runs pick on the server set of a service under the lock. There is no choice if the service
+// has no servers.
 func (p *pool) choose(view *feed.View, service string, pick func(*serverSet) (choice, bool)) (choice, bool) {
 	now := p.versions.Now(view)
 	p.mu.Lock()
@@ -105,7 +104,7 @@
 	}
 }
 
-// markSuspect begins the suspicion of a server, if it is known.
+// markSuspect starts or extends the suspicion of a server and reports whether the server is known.
 func (p *pool) markSuspect(now time.Time, s routing.Server) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,17 +120,17 @@
 	return true
 }
 
-// recordSuccess ends the suspicion of a server that has answered.
+// recordSuccess ends the backoff of a server that has answered.
 func (p *pool) recordSuccess(c choice) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c.load.suspectFor = 0
 	if p.down[c.server.Address].incarnation == c.server.Life() {
-		delete(p.down, c.server.Address) // it was there all the time
+		delete(p.down, c.server.Address) // the server was up all the time
 	}
 }
 
-// isSuspect reports whether a server failed a moment ago.
+// isSuspect reports whether a server failed recently.
 func (p *pool) isSuspect(now time.Time, life routing.Life) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,7 +138,7 @@
 	return one != nil && one.isSuspect(now)
 }
 
-// addLoad changes this daemon's work at a server.
+// addLoad adds to the counts of this daemon's work at a server.
 func (p *pool) addLoad(c choice, reading, running, copies int) {
 	if c.load == nil {
 		return
--- a/serve/forward/pressure.go
+++ b/serve/forward/pressure.go
@@ -10,79 +10,78 @@
 	"mallowwind.dev/decision/throttle"
 )
 
-// pressure is what this daemon has learned of how busy each service is. It is safe
-// for concurrent use.
+// pressure tracks how busy each service is, as seen by this daemon. It is safe for concurrent use.
 type pressure struct {
 	mu       sync.Mutex
 	services map[string]*servicePressure
 }
 
-// servicePressure is what was learned of one service.
+// servicePressure is the state of one service.
 type servicePressure struct {
 	pace     prompts.Pace
 	throttle throttle.Throttle
-	refusals retryafter.Spell // of refusals by this daemon
+	refusals retryafter.Spell // requests refused by this daemon
 }
 
 func newPressure() *pressure { return &pressure{services: map[string]*servicePressure{}} }
 
-// lockService locks what is known of a service; the caller unlocks it.
+// lockService locks and returns the state of a service; the caller unlocks p.mu.
 func (p *pressure) lockService(service string) *servicePressure {
 	p.mu.Lock()
 	return ofService(p.services, service)
 }
 
-// isPrefillTooLate reports whether a prompt cannot be read in the time that is left.
+// isPrefillTooLate reports whether a prompt cannot be prefilled in the remaining time.
 func (p *pressure) isPrefillTooLate(service string, tokens int, left time.Duration) bool {
 	defer p.mu.Unlock()
 	return p.lockService(service).pace.Hopeless(tokens, left)
 }
 
-// isAnswerTooLate reports whether an answer cannot be whole in the time that is left, where
-// its prompt is still to be read or not.
+// isAnswerTooLate reports whether an answer cannot be complete in the remaining time. unread says
+// that its prompt still has to be prefilled.
 func (p *pressure) isAnswerTooLate(service string, c Call, unread bool, left time.Duration) bool {
 	defer p.mu.Unlock()
 	return p.lockService(service).pace.Unfinishable(c.PromptTokens, unread, c.After, left)
 }
 
-// hasEstimates reports whether enough answers were seen to tell which cannot be whole in time.
+// hasEstimates reports whether enough answers were seen to tell which cannot be complete in time.
 func (p *pressure) hasEstimates(service string) bool {
 	defer p.mu.Unlock()
 	return p.lockService(service).pace.Knows()
 }
 
-// estimates is what was learned of the engines of a service, here and from others.
+// estimates returns what this daemon and its peers learned of a service's engines.
 func (p *pressure) estimates(service string) prompts.Learned {
 	defer p.mu.Unlock()
 	return p.lockService(service).pace.Learned()
 }
 
-// mergeEstimates takes in what another daemon learned.
+// mergeEstimates merges the estimates of another daemon.
 func (p *pressure) mergeEstimates(service string, l prompts.Learned) {
 	defer p.mu.Unlock()
 	p.lockService(service).pace.Hear(l)
 }
 
-// recordAnswer records a whole answer: the ids of its events from first to last are counted, and
-// the time that those after the first took.
+// recordAnswer records a complete answer: its number of events, counted by their ids, and the time
+// from the first event to the last.
 func (p *pressure) recordAnswer(service string, events int64, took time.Duration) {
 	defer p.mu.Unlock()
 	p.lockService(service).pace.Made(events, took)
 }
 
-// recordPrompt records that a prompt is to be read.
+// recordPrompt records that a prompt is to be prefilled.
 func (p *pressure) recordPrompt(service string, tokens int) {
 	defer p.mu.Unlock()
 	p.lockService(service).pace.Asked(tokens)
 }
 
-// recordPrefill records the time that a prompt took to its first event.
+// recordPrefill records the time from sending a prompt to its first event.
 func (p *pressure) recordPrefill(service string, tokens int, took time.Duration) {
 	defer p.mu.Unlock()
 	p.lockService(service).pace.Observe(tokens, took)
 }
 
-// recordDuration records how long an answer took.
+// recordDuration records the duration of an answer.
 func (p *pressure) recordDuration(service string, took time.Duration) {
 	defer p.mu.Unlock()
 	p.lockService(service).pace.Ended(took)
@@ -94,22 +93,22 @@
 	return p.lockService(service).pace.Admit(r, tokens, due)
 }
 
-// firstEventBudget is how long the first event of a request may still take.
+// firstEventBudget returns how long the first event of a request may still take.
 func (p *pressure) firstEventBudget(service string, in *inbound, left time.Duration) time.Duration {
 	defer p.mu.Unlock()
 	return p.lockService(service).pace.Due(in.call.PromptTokens, in.route.Objective, in.route.Timeout, left)
 }
 
-// recordRefusal records that a prompt is refused for want of room. It returns for how long
-// that has been so, and how long answers take.
+// recordRefusal records that a request is refused for lack of capacity. It returns how long
+// requests have been refused, and how long answers take.
 func (p *pressure) recordRefusal(now time.Time, service string) (lasted, answer time.Duration) {
 	defer p.mu.Unlock()
 	s := p.lockService(service)
 	return s.refusals.Seen(now), s.pace.Answer()
 }
 
-// throttle reports whether a call is refused because the servers turn calls away,
-// and how long that has been so.
+// throttle decides whether a call is refused because the servers reject calls, and returns for how
+// long calls have been refused.
 func (p *pressure) throttle(now time.Time, service string) (lasted time.Duration, refused bool) {
 	defer p.mu.Unlock()
 	s := p.lockService(service)
@@ -119,13 +118,13 @@
 	return s.refusals.Seen(now), true
 }
 
-// isRejecting reports whether the servers of a service turn calls away now.
+// isRejecting reports whether the servers of a service currently reject calls.
 func (p *pressure) isRejecting(now time.Time, service string) bool {
 	defer p.mu.Unlock()
 	return p.lockService(service).throttle.Crowded(now)
 }
 
-// recordCall records what became of a call: taken by a server, or turned away by all tried.
+// recordCall records the outcome of a call: accepted by a server, or rejected by all servers tried.
 func (p *pressure) recordCall(now time.Time, service string, taken bool) {
 	defer p.mu.Unlock()
 	s := p.lockService(service)
--- a/serve/forward/probes.go
+++ b/serve/forward/probes.go
@@ -10,31 +10,31 @@
 	"mallowwind.dev/control/routing"
 )
 
-// probeRound are those that one choice asks of engines, and what they show of the engines
-// that do not answer.
+// probeRound groups the probes sent for one choice of an engine and decides what the missing
+// answers mean.
 //
-// The failure it guards against: the link of the VM is held up for a second, no engine
-// answers, and the daemon takes dozens of engines for dead that work. It chooses among
-// suspects only for seconds after. It holds because an engine that does not answer in time
-// is suspect only where the way to another has worked for a question of the same choice.
+// It guards against blaming engines for a stalled link: the VM's link stalls for a second, no
+// engine answers, and the daemon would suspect dozens of healthy engines and choose among suspects
+// only for seconds afterwards. It holds because an engine that times out becomes suspect only if
+// another engine was reached by a probe of the same round.
 type probeRound struct {
 	h         *Handler
 	mu        sync.Mutex
-	linkWorks bool // the way to an engine works
+	linkWorks bool // some engine was reached
 	silent    []routing.Server
 }
 
 func (h *Handler) newProbeRound() *probeRound { return &probeRound{h: h} }
 
-// probe asks an engine for a sign of life.
+// probe probes one engine.
 func (q *probeRound) probe(ctx context.Context, s routing.Server, limit time.Duration) (Report, error) {
 	report, err := q.h.probe(ctx, s, limit)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	switch {
-	case err == nil, errors.Is(err, errRestarted): // a later life is as good as any
+	case err == nil, errors.Is(err, errRestarted): // a newer incarnation proves the link just as well
 		q.linkWorks = true
-	case ctx.Err() != nil: // the question was ended from here
+	case ctx.Err() != nil: // canceled by this daemon
 	case timedOut(err):
 		q.silent = append(q.silent, s)
 	default:
@@ -44,7 +44,7 @@
 	return report, err
 }
 
-// markSilent makes the engines suspect that were silent while the way to another worked.
+// markSilent suspects the engines that timed out while another engine was reached.
 func (q *probeRound) markSilent() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/serve/forward/replicator.go
+++ b/serve/forward/replicator.go
@@ -14,57 +14,57 @@
 )
 
 const (
-	// replicaCheckInterval is how often a run looks whether its copy still lies somewhere. It
-	// is a fraction of the seconds between the losses of two zones.
+	// replicaCheckInterval is how often a run checks whether its replica still exists. It is a
+	// fraction of the seconds between the losses of two zones.
 	replicaCheckInterval = 250 * time.Millisecond
-	// replicaRefreshInterval is how often a copy made on demand is brought up to date: going
-	// on from it reads at most a second's tokens again, in 20 ms.
+	// replicaRefreshInterval is how often a replica made on demand is refreshed: a run that resumes
+	// from it repeats at most one second's tokens, in 20 ms.
 	replicaRefreshInterval = time.Second
-	// copyTimeout bounds one copying: the memory of a prompt of 8,000 tokens takes
-	// some 30 ms between zones, behind those of other runs.
+	// copyTimeout bounds one copy operation: the KV cache of a prompt of 8,000 tokens takes about
+	// 30 ms between zones, queued behind those of other runs.
 	copyTimeout = 500 * time.Millisecond
-	// dropTimeout bounds the call that frees a copy.
+	// dropTimeout bounds the call that frees a replica.
 	dropTimeout = 500 * time.Millisecond
 )
 
-// replica is a copy of a run's memory.
+// replica is a standby copy of a run's KV cache at another engine.
 type replica struct {
-	at   choice // its server is zero if there is none
-	name string // by which the engine there finds it
-	// onDemand says that it was made on demand. Unlike one that grows with its run it is
-	// not sent again to an engine that starts anew: it is lost with the life it lies at.
+	at   choice // no server if there is no replica
+	name string // identifies the replica at that engine
+	// onDemand says that the replica was made on demand. A replica that grows with its run is sent
+	// again to an engine that restarts; one made on demand is lost with the engine's incarnation.
 	onDemand bool
 }
 
-// replicaName is the name of a copy: of one that grows with its run the engine that
-// keeps it and the request, of one made on demand the engine that ran the request
-// and the handle.
+// replicaName returns the name of a replica. For a replica that grows with its run, it consists of
+// the address of the engine that keeps it and the request id; for one made on demand, of the
+// address of the engine that ran the request and the handle.
 func replicaName(s routing.Server, id string) string { return s.Address + "/" + id }
 
-// replicator makes another copy of a run whose first copy is lost.
+// replicator makes another replica of a run that has lost its first one.
 //
-// The failure it answers: the engine that keeps the copy dies before the one that
-// runs the request. Nothing is seen of it until the second dies too; then the
-// prompt is read anew, for a second, and the caller's pause is too long. With a
-// loss of some engines every three seconds half of all copies were lost so.
+// It guards against a double failure: the engine with the replica dies before the one that runs the
+// request. Nobody notices until the second engine dies as well; then the prefill is repeated, which
+// takes a second, and the caller's pause is too long. With engines lost every three seconds, half
+// of all replicas were lost this way.
 type replicator struct {
 	r      *relay
 	l      leg
 	mover  Mover
-	failed []routing.Life // engines that the run's request failed at before
+	failed []routing.Life // engines at which the request has failed before
 
-	// Used by run alone.
-	target     choice    // where the copy lies, the first one to begin with
-	madeHere   bool      // that copy was made here and is to be brought up to date
-	nextCopyAt time.Time // of the next copying, or of the next search for a place
-	timeouts   int       // copyings in a row that had no answer in time
+	// The fields below are used by run alone.
+	target     choice    // engine with the replica; initially the first one's
+	madeHere   bool      // the replica at target was made on demand and needs refreshing
+	nextCopyAt time.Time // time of the next copy, or of the next search for a target
+	timeouts   int       // consecutive copies that timed out
 
-	firstUsed atomic.Bool // the first copy was asked for
+	firstUsed atomic.Bool // the first replica was consumed by a resume
 	remade    atomic.Pointer[replica]
-	handle    atomic.Pointer[string] // frees the copy; nil if there is none
+	handle    atomic.Pointer[string] // frees the replica; nil if there is none
 }
 
-// newReplicator returns nil where engines cannot copy a run on demand.
+// newReplicator returns nil if the engines cannot copy a run on demand.
 func (r *relay) newReplicator(l leg) *replicator {
 	mover, ok := r.h.opts.Codec.(Mover)
 	engine := r.h.opts.Feed.View().Config.Engine(r.service)
@@ -74,7 +74,7 @@
 	return &replicator{r: r, l: l, mover: mover, failed: slices.Clone(r.failed), target: l.copyTo}
 }
 
-// run looks after the copy until the leg ends.
+// run maintains the replica until the leg ends.
 func (s *replicator) run(ctx context.Context) {
 	tick := time.NewTicker(replicaCheckInterval)
 	defer tick.Stop()
@@ -88,11 +88,11 @@
 	}
 }
 
-// check makes another copy where there is none, and brings one made here up to date.
+// check makes a replica if there is none and refreshes one made on demand.
 func (s *replicator) check(ctx context.Context, now time.Time) {
 	lives := s.r.h.pool.isHealthy(now, s.r.h.opts.Feed.View(), s.target) && (s.madeHere || !s.firstUsed.Load())
 	if lives && !s.madeHere {
-		return // the engine that runs the request keeps that copy itself
+		return // the engine that runs the request maintains that replica
 	}
 	if !lives {
 		s.remade.Store(nil)
@@ -111,7 +111,8 @@
 	s.copyRun(ctx)
 }
 
-// refreshInterval is the time between two copyings: well before an unused copy is freed.
+// refreshInterval returns the time between two copies: well before an engine frees an unused
+// replica.
 func (s *replicator) refreshInterval() time.Duration {
 	engine := s.r.h.opts.Feed.View().Config.Engine(s.r.service)
 	if engine == nil || engine.CopyKept <= 0 {
@@ -120,7 +121,7 @@
 	return min(replicaRefreshInterval, engine.CopyKept/3)
 }
 
-// copyRun has the run's memory copied to its place.
+// copyRun has the run's KV cache copied to the target.
 func (s *replicator) copyRun(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
@@ -138,8 +139,8 @@
 	s.remade.Store(&replica{at: s.target, name: replicaName(s.l.at.server, handle), onDemand: true})
 }
 
-// recordCopyFailure judges a copying that failed. The copy before still lies there; one call without
-// an answer in time may be due to the link from here, a second one is due to an engine.
+// recordCopyFailure handles a failed copy. The previous replica still exists. One timeout may be
+// due to this VM's link; after a second one in a row another target is chosen.
 func (s *replicator) recordCopyFailure(ctx context.Context, err error) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return // the leg has ended
@@ -150,7 +151,7 @@
 			return
 		}
 	}
-	s.target, s.timeouts = choice{}, 0 // another place next time
+	s.target, s.timeouts = choice{}, 0 // chooses another target next time
 }
 
 func (s *replicator) requestCopy(ctx context.Context, target routing.Server) (string, error) {
@@ -165,9 +166,9 @@
 	return s.mover.Moved(answer)
 }
 
-// free frees the copy of a run that has ended: it holds a place in the batch of
-// its engine until then. An engine that has started anew since knows nothing of the
-// handle, or another copy by it.
+// free frees the replica of a finished run, which occupies a slot in the batch of its engine until
+// then. If the engine that ran the request has restarted, the handle is unknown there or names
+// another replica.
 func (s *replicator) free() {
 	handle := s.handle.Load()
 	_, same := s.r.h.pool.findServer(s.r.h.opts.Feed.View(), s.r.service, s.l.at.server.Life())
@@ -179,16 +180,16 @@
 		defer cancel()
 		_, err := s.r.h.command(ctx, http.MethodDelete, s.l.at.server, s.mover.Drop(*handle), nil)
 		if err != nil {
-			// The engine frees it by itself some seconds later.
+			// The engine frees the replica by itself some seconds later.
 			s.r.h.opts.Log.Emit(event.CopyFailed, s.r.in.call.ID, s.l.at.server.ID, "", errors.Wrap(err, "drop"))
 		}
 	}()
 }
 
-// chooseReplicaEngine chooses an engine for a copy of a run at another, one that gives a
-// sign of life, since the entry of an engine that died stays for seconds, and has
-// room: a copy takes as much memory as the run, and where memory runs out an engine
-// throws out runs. Under a load of three times the usual no copy is worth that.
+// chooseReplicaEngine chooses an engine for a replica of a run executed at another engine. The
+// engine must answer a probe, since the entry of a dead engine remains for seconds, and must have
+// room: a replica takes as much memory as the run, and an engine that runs out of memory evicts
+// runs. Under three times the usual load a replica is not worth that.
 func (r *relay) chooseReplicaEngine(ctx context.Context, at routing.Server, failed []routing.Life) (choice, bool) {
 	excluded := slices.Clone(failed)
 	asked := r.h.newProbeRound()
--- a/serve/forward/successors.go
+++ b/serve/forward/successors.go
@@ -7,7 +7,7 @@
 	"mallowwind.dev/control/routing"
 )
 
-// pruneSuccessors drops those whose predecessors are not in the view any more.
+// pruneSuccessors drops the successors of incarnations that the view no longer lists.
 func (p *pool) pruneSuccessors() {
 	listed := map[routing.Life]bool{}
 	for _, servers := range p.view.Servers {
@@ -18,21 +18,21 @@
 	maps.DeleteFunc(p.successors, func(old, _ routing.Life) bool { return !listed[old] })
 }
 
-// recordSuccessor notes that a server of the view has started anew at its address. The view
-// shows that later, and not at all while the store is out of reach: what the life
-// before held would be asked for in vain, and where the id has changed every request
-// to that address would be turned away.
+// recordSuccessor records that a server of the view was replaced by a new one at its address. The
+// view shows this later, or not at all during a store outage. Until then requests would ask for
+// replicas and prompts of the old server in vain, and if the id has changed, every request to that
+// address would be rejected.
 func (p *pool) recordSuccessor(view *feed.View, old, next routing.Life) {
 	now := p.versions.Now(view)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.successors[p.listedIncarnation(old)] = next
-	p.view = nil // the layouts are built anew
+	p.view = nil // forces the server sets to be rebuilt
 	p.updateView(view, now)
 }
 
-// recordRestart notes that a server has begun another life under its id; it reports whether
-// that was news.
+// recordRestart records that a server has a newer incarnation under its id, and reports whether
+// that was unknown.
 func (p *pool) recordRestart(view *feed.View, old, next routing.Life) bool {
 	now := p.versions.Now(view)
 	p.mu.Lock()
@@ -45,17 +45,18 @@
 	for _, servers := range view.Servers {
 		for _, s := range servers {
 			if s.ID == next.ID && s.Born >= next.Born {
-				return false // the view shows it already
+				return false // the view already lists it
 			}
 		}
 	}
 	p.successors[listed] = next
-	p.view = nil // the layouts are built anew
+	p.view = nil // forces the server sets to be rebuilt
 	p.updateView(view, now)
 	return true
 }
 
-// listedIncarnation is the life that the view shows of a server: its own or its predecessor's.
+// listedIncarnation returns the incarnation of a server that the view lists: the given one or its
+// predecessor.
 func (p *pool) listedIncarnation(life routing.Life) routing.Life {
 	for old, next := range p.successors {
 		if next == life {
