--- a/serve/forward/canary.go
+++ b/serve/forward/canary.go
@@ -64,8 +64,8 @@
 	}
 	slices.SortStableFunc(list, func(a, b ranked) int { return cmp.Compare(a.turn, b.turn) })
 	chosen := make([]routing.Server, 0, n)
-	for _, one := range list[:min(n, len(list))] {
-		chosen = append(chosen, one.server)
+	for _, s := range list[:min(n, len(list))] {
+		chosen = append(chosen, s.server)
 	}
 	slices.SortFunc(chosen, func(a, b routing.Server) int { return cmp.Compare(a.ID, b.ID) })
 	return chosen
@@ -100,9 +100,9 @@
 		return choice{}, false
 	}
 	list := r.h.pool.prefillCandidates(time.Now(), view, canaryKey(r.service), r.in.call.OwnPart, Asked, nil)
-	asked := r.h.newProbeRound()
-	defer asked.markSilent()
-	best, ok := r.quietest(asked.survey(ctx, list, 0))
+	round := r.h.newProbeRound()
+	defer round.markSilent()
+	best, ok := r.quietest(round.survey(ctx, list, 0))
 	if !ok || !best.report.Free(r.in.call.PromptTokens) || !r.permitted(ctx, best.choice) {
 		return choice{}, false
 	}
@@ -119,8 +119,8 @@
 func (p *pool) isFinishingRuns(view *feed.View, s routing.Server) bool {
 	state := p.versions.Now(view).Of(s.Service)
 	return state.Stage == rollout.All && s.Version == state.Base &&
-		slices.ContainsFunc(view.Servers[s.Service], func(there routing.Server) bool {
-			return there.Life() == s.Life() && !there.Leaving
+		slices.ContainsFunc(view.Servers[s.Service], func(current routing.Server) bool {
+			return current.Life() == s.Life() && !current.Leaving
 		})
 }
 
@@ -133,8 +133,8 @@
 		return 0
 	}
 	for _, server := range p.view.Servers[service] {
-		if one := p.loads[p.currentIncarnation(server.Life())]; one != nil && server.Version != s.Target {
-			n += int(one.calls.InFlight) + one.prefilling + one.running
+		if load := p.loads[p.currentIncarnation(server.Life())]; load != nil && server.Version != s.Target {
+			n += int(load.calls.InFlight) + load.prefilling + load.running
 		}
 	}
 	return n
@@ -142,11 +142,11 @@
 
 // currentIncarnation returns the successor of an incarnation listed in the view, or that
 // incarnation itself. The caller holds the lock.
-func (p *pool) currentIncarnation(life routing.Life) routing.Life {
-	if next, ok := p.successors[life]; ok {
+func (p *pool) currentIncarnation(incarnation routing.Life) routing.Life {
+	if next, ok := p.successors[incarnation]; ok {
 		return next
 	}
-	return life
+	return incarnation
 }
 
 // trialOutcome returns what an exchange shows of its server's version; ok is false if it shows
--- a/serve/forward/candidate.go
+++ b/serve/forward/candidate.go
@@ -118,10 +118,10 @@
 	others := r.h.pool.prefillCandidates(time.Now(), view, r.service, "", Asked, []routing.Life{a.at.server.Life()})
 	for range deadProbes {
 		var silent error
-		var all sync.WaitGroup
-		all.Go(func() { _, silent = r.h.probe(ctx, a.at.server, askLimit) })
+		var wg sync.WaitGroup
+		wg.Go(func() { _, silent = r.h.probe(ctx, a.at.server, askLimit) })
 		answered := r.h.newProbeRound().survey(ctx, others, 0)
-		all.Wait()
+		wg.Wait()
 		if silent == nil || len(answered) == 0 {
 			return false
 		}
--- a/serve/forward/crashes.go
+++ b/serve/forward/crashes.go
@@ -87,17 +87,17 @@
 		running = now.Sub(e.firstEventAt)
 	}
 	found := h.processStateOf(e)
-	end := poison.Ending{
+	crash := poison.Ending{
 		Planned: h.isLeaving(e.at.server),
 		Unread:  e.fromReplica == "" && h.pressure.isPrefillTooLate(e.at.server.Service, e.in.call.PromptTokens, now.Sub(e.sentAt)),
 		Running: running,
 	}
-	if found == processExited && end.Judge() == poison.Counts {
-		end.Asked, end.Down = h.countExitedNearby(e.at.server)
+	if found == processExited && crash.Judge() == poison.Counts {
+		crash.Asked, crash.Down = h.countExitedNearby(e.at.server)
 	}
-	finding := end.Judge()
+	finding := crash.Judge()
 	h.opts.Log.Emit(event.BackendBroke, e.in.call.ID, e.in.digests, e.in.call.OwnPart, e.in.accountName(),
-		e.at.server.ID, e.at.server.Zone, string(found), finding.String(), end.Asked, end.Down, now.Sub(e.sentAt), running, e.fromReplica, e.err)
+		e.at.server.ID, e.at.server.Zone, string(found), finding.String(), crash.Asked, crash.Down, now.Sub(e.sentAt), running, e.fromReplica, e.err)
 	if found == processExited && finding == poison.Counts {
 		h.poisoned.recordCrash(context.Background(), e.in, e.at.server.Life())
 	}
@@ -109,9 +109,9 @@
 	if h.versions.Barred(view, s) {
 		return true
 	}
-	for _, now := range view.Servers[s.Service] {
-		if now.ID == s.ID {
-			return now.Leaving
+	for _, current := range view.Servers[s.Service] {
+		if current.ID == s.ID {
+			return current.Leaving
 		}
 	}
 	return view.Departed(s.ID)
@@ -142,7 +142,7 @@
 
 // countExitedNearby dials other servers of the same zone and returns how many were dialed and how
 // many of their processes have exited.
-func (h *Handler) countExitedNearby(s routing.Server) (asked, down int) {
+func (h *Handler) countExitedNearby(s routing.Server) (asked, exited int) {
 	var others []routing.Server
 	for _, other := range h.opts.Feed.View().Servers[s.Service] {
 		if other.Zone == s.Zone && other.Address != s.Address {
@@ -151,15 +151,15 @@
 	}
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	others = others[:min(poison.Looked, len(others))]
-	var ended atomic.Int32
-	var all sync.WaitGroup
+	var exitedCount atomic.Int32
+	var wg sync.WaitGroup
 	for _, other := range others {
-		all.Go(func() {
+		wg.Go(func() {
 			if h.processStateAt(other.Address) == processExited {
-				ended.Add(1)
+				exitedCount.Add(1)
 			}
 		})
 	}
-	all.Wait()
-	return len(others), int(ended.Load())
+	wg.Wait()
+	return len(others), int(exitedCount.Load())
 }
--- a/serve/forward/engines.go
+++ b/serve/forward/engines.go
@@ -15,10 +15,10 @@
 func (p *pool) engineStates(now time.Time, l *serverSet, exclude []routing.Life) []prompts.Engine {
 	engines := make([]prompts.Engine, len(l.servers))
 	for i, s := range l.servers {
-		one := l.loads[i]
+		load := l.loads[i]
 		engines[i] = prompts.Engine{
-			Zone: s.Zone, Home: l.preferred[i], Reading: one.prefilling, Running: one.running, Copies: one.replicas,
-			Suspect: one.isSuspect(now), Excluded: slices.Contains(exclude, s.Life()),
+			Zone: s.Zone, Home: l.preferred[i], Reading: load.prefilling, Running: load.running, Copies: load.replicas,
+			Suspect: load.isSuspect(now), Excluded: slices.Contains(exclude, s.Life()),
 		}
 	}
 	return engines
@@ -34,8 +34,8 @@
 			engines[i].Home = home
 		}
 		for _, c := range p.rankPermitted(now, l, engines, n, false) {
-			one, _ := l.choiceAt(c.Index, string(c.Reason))
-			list = append(list, one)
+			candidate, _ := l.choiceAt(c.Index, string(c.Reason))
+			list = append(list, candidate)
 		}
 		return choice{}, false
 	})
@@ -44,16 +44,16 @@
 
 // reservePrefill chooses the best engine to prefill a prompt, given the work of all other daemons
 // in others, and also returns how many prefills are known there. It counts the prompt at that
-// engine at once, so that a peer that asks in the next moment learns of it. If among is set, only
+// engine at once, so that a peer that asks in the next moment learns of it. If onlyOthers is set, only
 // the engines in others are known, and the choice is limited to them.
-func (p *pool) reservePrefill(now time.Time, view *feed.View, service string, others workloads, among bool, exclude []routing.Life) (c choice, unread int, ok bool) {
+func (p *pool) reservePrefill(now time.Time, view *feed.View, service string, others workloads, onlyOthers bool, exclude []routing.Life) (c choice, unread int, ok bool) {
 	c, ok = p.choose(view, service, func(l *serverSet) (choice, bool) {
 		engines := p.engineStates(now, l, exclude)
 		for i, s := range l.servers {
 			theirs, known := others[s.Life()]
 			engines[i].Reading += theirs.prefilling
 			engines[i].Running += theirs.running
-			engines[i].Excluded = engines[i].Excluded || among && !known
+			engines[i].Excluded = engines[i].Excluded || onlyOthers && !known
 		}
 		for _, best := range p.rankPermitted(now, l, engines, 1, true) {
 			unread = engines[best.Index].Reading
@@ -100,28 +100,28 @@
 }
 
 // workReport returns this daemon's work at one server and for how long it suspects the server.
-func (p *pool) workReport(now time.Time, life routing.Life) prompts.Note {
+func (p *pool) workReport(now time.Time, incarnation routing.Life) prompts.Note {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	one := p.loads[life]
-	if one == nil {
+	load := p.loads[incarnation]
+	if load == nil {
 		return prompts.Note{}
 	}
-	return prompts.Note{Reading: one.prefilling, Running: one.running, Suspect: max(0, one.suspectUntil.Sub(now))}
+	return prompts.Note{Reading: load.prefilling, Running: load.running, Suspect: max(0, load.suspectUntil.Sub(now))}
 }
 
 // localWork returns this daemon's work at the engines of a service.
 func (p *pool) localWork(view *feed.View, service string) workloads {
-	at := workloads{}
+	work := workloads{}
 	p.choose(view, service, func(l *serverSet) (choice, bool) {
 		for i, s := range l.servers {
-			if one := l.loads[i]; one.prefilling > 0 || one.running > 0 {
-				at[s.Life()] = workload{prefilling: one.prefilling, running: one.running}
+			if load := l.loads[i]; load.prefilling > 0 || load.running > 0 {
+				work[s.Life()] = workload{prefilling: load.prefilling, running: load.running}
 			}
 		}
 		return choice{}, false
 	})
-	return at
+	return work
 }
 
 // prefillCount returns how many of this daemon's prompts a server is prefilling.
@@ -133,10 +133,10 @@
 
 // chooseReplicaEngine chooses the engine that keeps the replica of a run executed at another
 // engine.
-func (p *pool) chooseReplicaEngine(now time.Time, view *feed.View, at routing.Server, exclude []routing.Life) (choice, bool) {
-	return p.choose(view, at.Service, func(l *serverSet) (choice, bool) {
-		engines := p.engineStates(now, l, append(slices.Clone(exclude), at.Life()))
-		return l.choiceAt(prompts.Copy(engines, at.Zone, rand.Uint64()), "")
+func (p *pool) chooseReplicaEngine(now time.Time, view *feed.View, server routing.Server, exclude []routing.Life) (choice, bool) {
+	return p.choose(view, server.Service, func(l *serverSet) (choice, bool) {
+		engines := p.engineStates(now, l, append(slices.Clone(exclude), server.Life()))
+		return l.choiceAt(prompts.Copy(engines, server.Zone, rand.Uint64()), "")
 	})
 }
 
@@ -162,9 +162,9 @@
 }
 
 // findServer returns the server with an incarnation, if that is still the current one.
-func (p *pool) findServer(view *feed.View, service string, life routing.Life) (choice, bool) {
+func (p *pool) findServer(view *feed.View, service string, incarnation routing.Life) (choice, bool) {
 	return p.choose(view, service, func(l *serverSet) (choice, bool) {
-		return l.choiceAt(l.indexOf(life), "holds_prompt")
+		return l.choiceAt(l.indexOf(incarnation), "holds_prompt")
 	})
 }
 
--- a/serve/forward/limits.go
+++ b/serve/forward/limits.go
@@ -55,24 +55,24 @@
 	if !named && l.servers[s.Life()] == nil {
 		return
 	}
-	one := l.entry(s)
-	if change := one.limit.Answered(sent, time.Now(), rate, named); change != quota.Unchanged {
-		l.logChange(one, change, "answer")
-		l.scheduleBroadcast(one)
+	state := l.entry(s)
+	if change := state.limit.Answered(sent, time.Now(), rate, named); change != quota.Unchanged {
+		l.logChange(state, change, "answer")
+		l.scheduleBroadcast(state)
 	}
 }
 
 // scheduleBroadcast arranges for the other daemons to be told of a limit, now or shortly. The
 // caller holds the lock.
-func (l *rateLimits) scheduleBroadcast(one *serverLimit) {
-	after, ok := one.broadcasts.Changed(time.Now())
+func (l *rateLimits) scheduleBroadcast(state *serverLimit) {
+	after, ok := state.broadcasts.Changed(time.Now())
 	if !ok {
 		return
 	}
 	time.AfterFunc(after, func() {
 		l.mu.Lock()
-		one.broadcasts.Told(time.Now())
-		m := one.message()
+		state.broadcasts.Told(time.Now())
+		m := state.message()
 		l.mu.Unlock()
 		l.broadcast(m)
 	})
@@ -87,41 +87,41 @@
 
 // entry returns the state of a server and creates it if needed. The caller holds the lock.
 func (l *rateLimits) entry(s routing.Server) *serverLimit {
-	one := l.servers[s.Life()]
-	if one == nil {
+	state := l.servers[s.Life()]
+	if state == nil {
 		l.prune()
-		one = &serverLimit{server: s, fallback: quota.Share(rand.Float64())}
-		l.servers[s.Life()] = one
+		state = &serverLimit{server: s, fallback: quota.Share(rand.Float64())}
+		l.servers[s.Life()] = state
 	}
-	return one
+	return state
 }
 
 // prune forgets incarnations that the view no longer lists. The caller holds the lock.
 func (l *rateLimits) prune() {
-	there := map[routing.Life]bool{}
+	listed := map[routing.Life]bool{}
 	for _, servers := range l.h.opts.Feed.View().Servers {
 		for _, s := range servers {
-			there[s.Life()] = true
+			listed[s.Life()] = true
 		}
 	}
-	for life := range l.servers {
-		if !there[life] {
-			delete(l.servers, life)
+	for incarnation := range l.servers {
+		if !listed[incarnation] {
+			delete(l.servers, incarnation)
 		}
 	}
 }
 
-func (l *rateLimits) logChange(one *serverLimit, change quota.Change, by string) {
+func (l *rateLimits) logChange(state *serverLimit, change quota.Change, by string) {
 	l.h.metrics.limitChanges.WithLabelValues(change.String()).Inc()
-	rate, _ := one.limit.Rate()
-	known, confirmed := one.limit.Age(time.Now())
-	l.h.opts.Log.Emit(event.ServerLimitChanged, one.server.ID, one.server.Service, change.String(), rate, by, known, confirmed)
+	rate, _ := state.limit.Rate()
+	known, confirmed := state.limit.Age(time.Now())
+	l.h.opts.Log.Emit(event.ServerLimitChanged, state.server.ID, state.server.Service, change.String(), rate, by, known, confirmed)
 }
 
 // message returns the limit as other daemons are told of it. The caller holds the lock.
-func (one *serverLimit) message() *peerpb.Limit {
-	rate, named := one.limit.Rate()
-	return &peerpb.Limit{Server: one.server.ID, Born: one.server.Born, Named: named, Rate: rate}
+func (s *serverLimit) message() *peerpb.Limit {
+	rate, named := s.limit.Rate()
+	return &peerpb.Limit{Server: s.server.ID, Born: s.server.Born, Named: named, Rate: rate}
 }
 
 // broadcast tells all other daemons of a limit. A daemon that misses the message learns the limit
@@ -142,30 +142,30 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	one := l.entry(s)
-	if change := one.limit.Told(time.Now(), m.GetRate(), m.GetNamed()); change != quota.Unchanged {
-		l.logChange(one, change, "told")
+	state := l.entry(s)
+	if change := state.limit.Told(time.Now(), m.GetRate(), m.GetNamed()); change != quota.Unchanged {
+		l.logChange(state, change, "told")
 	}
 }
 
 // active returns the state of a server that currently has a limit, and nil for any other. The
 // caller holds the lock.
 func (l *rateLimits) active(s routing.Server) *serverLimit {
-	one := l.servers[s.Life()]
-	if one == nil {
+	state := l.servers[s.Life()]
+	if state == nil {
 		return nil
 	}
-	if _, named := one.limit.Rate(); !named {
+	if _, named := state.limit.Rate(); !named {
 		return nil
 	}
-	return one
+	return state
 }
 
 // findServer returns the server with an incarnation, if the view lists it.
-func (h *Handler) findServer(life routing.Life) (routing.Server, bool) {
+func (h *Handler) findServer(incarnation routing.Life) (routing.Server, bool) {
 	for _, servers := range h.opts.Feed.View().Servers {
 		for _, s := range servers {
-			if s.Life() == life {
+			if s.Life() == incarnation {
 				return s, true
 			}
 		}
--- a/serve/forward/locate.go
+++ b/serve/forward/locate.go
@@ -76,11 +76,11 @@
 }
 
 // add records the parts that one engine caches.
-func (s *scan) add(life routing.Life, parts []string) {
+func (s *scan) add(incarnation routing.Life, parts []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, part := range parts {
-		s.holders[part] = append(s.holders[part], life)
+		s.holders[part] = append(s.holders[part], incarnation)
 	}
 	s.notify()
 }
@@ -144,9 +144,9 @@
 	defer cancel()
 	answers := make(chan cacheReply, len(servers))
 	ask := func(server routing.Server) {
-		life, parts, bytes, err := l.h.fetchCache(ctx, server)
+		incarnation, parts, bytes, err := l.h.fetchCache(ctx, server)
 		if err == nil {
-			s.add(life, parts) // an engine that does not answer is of no use
+			s.add(incarnation, parts) // an engine that does not answer is of no use
 		}
 		answers <- cacheReply{bytes, err}
 	}
@@ -196,15 +196,15 @@
 	return l.bytes+(l.pending()+1)*size <= scanBudgetBytes
 }
 
-func (l *scanProgress) add(one cacheReply) {
-	l.bytes += one.bytes
-	l.largest = max(l.largest, one.bytes)
-	if one.err == nil {
+func (l *scanProgress) add(reply cacheReply) {
+	l.bytes += reply.bytes
+	l.largest = max(l.largest, reply.bytes)
+	if reply.err == nil {
 		l.answered++
 		return
 	}
 	l.failed++
-	if errors.Is(one.err, context.DeadlineExceeded) {
+	if errors.Is(reply.err, context.DeadlineExceeded) {
 		l.timeouts++
 	}
 }
@@ -214,31 +214,31 @@
 
 // cachedParts asks an engine which prompt parts it caches, and returns its incarnation as well.
 func (h *Handler) cachedParts(ctx context.Context, server routing.Server) (routing.Life, []string, error) {
-	life, parts, _, err := h.fetchCache(ctx, server)
-	return life, parts, err
+	incarnation, parts, _, err := h.fetchCache(ctx, server)
+	return incarnation, parts, err
 }
 
 // fetchCache does the same as cachedParts and also returns how many bytes of the answer arrived.
-func (h *Handler) fetchCache(ctx context.Context, server routing.Server) (life routing.Life, parts []string, bytes int, err error) {
-	life = server.Life()
+func (h *Handler) fetchCache(ctx context.Context, server routing.Server) (incarnation routing.Life, parts []string, bytes int, err error) {
+	incarnation = server.Life()
 	body, err := h.commandUpTo(ctx, maxCacheReplyBytes, http.MethodGet, server, h.opts.Codec.CachePath(), nil)
 	h.metrics.cacheBytes.Add(float64(len(body)))
 	if err != nil {
-		return life, nil, len(body), err
+		return incarnation, nil, len(body), err
 	}
 	if len(body) >= maxCacheReplyBytes {
-		return life, nil, len(body), errCacheTooLarge
+		return incarnation, nil, len(body), errCacheTooLarge
 	}
 	cache, err := h.opts.Codec.Cache(body)
 	if err != nil {
 		h.recordUnreadable(server, err)
-		return life, nil, len(body), err
+		return incarnation, nil, len(body), err
 	}
 	switch h.observeIncarnation(server, cache.Born) {
 	case incarnationOlder:
-		return life, nil, len(body), nil
+		return incarnation, nil, len(body), nil
 	case incarnationNewer:
-		life.Born = cache.Born
+		incarnation.Born = cache.Born
 	}
-	return life, cache.Parts, len(body), nil
+	return incarnation, cache.Parts, len(body), nil
 }
--- a/serve/forward/peers.go
+++ b/serve/forward/peers.go
@@ -59,11 +59,11 @@
 	if n.dialer == nil || !prompts.Asks(len(view.VMs)) {
 		return nil, false
 	}
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	var mu sync.Mutex
 	sum = workloads{}
 	for _, vm := range n.responsive(time.Now(), routing.Peers(view.VMs, n.self)) {
-		all.Go(func() {
+		wg.Go(func() {
 			reply, err := n.queryWork(ctx, vm, service)
 			if err != nil {
 				return
@@ -74,7 +74,7 @@
 			sum.add(reply)
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	return sum, ok
 }
 
@@ -135,15 +135,15 @@
 	if n.dialer == nil {
 		return
 	}
-	var all errgroup.Group
-	all.SetLimit(maxConcurrentCalls)
+	var group errgroup.Group
+	group.SetLimit(maxConcurrentCalls)
 	for _, vm := range routing.Peers(view.VMs, n.self) {
-		all.Go(func() error {
+		group.Go(func() error {
 			_ = tell(context.Background(), vm)
 			return nil
 		})
 	}
-	_ = all.Wait() // no call returns an error
+	_ = group.Wait() // no call returns an error
 }
 
 // recordResult skips a daemon for a while after a failure, and returns err.
@@ -161,11 +161,11 @@
 
 func (w workloads) add(reply *peerpb.WorkReply) {
 	for _, s := range reply.GetServers() {
-		life := routing.Life{ID: s.GetId(), Born: s.GetBorn()}
-		one := w[life]
-		one.prefilling += int(max(s.GetReading(), 0))
-		one.running += int(max(s.GetRunning(), 0))
-		w[life] = one
+		incarnation := routing.Life{ID: s.GetId(), Born: s.GetBorn()}
+		sum := w[incarnation]
+		sum.prefilling += int(max(s.GetReading(), 0))
+		sum.running += int(max(s.GetRunning(), 0))
+		w[incarnation] = sum
 	}
 }
 
@@ -178,9 +178,9 @@
 	view := h.opts.Feed.View()
 	peers := h.neighbours.responsive(time.Now(), routing.Peers(view.VMs, h.neighbours.self))
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, vm := range peers[:min(pacePeers, len(peers))] {
-		all.Go(func() {
+		wg.Go(func() {
 			if reply, err := h.neighbours.queryPace(ctx, vm, service); err == nil {
 				h.pressure.mergeEstimates(service, prompts.Learned{
 					PerToken: reply.GetPerToken(), PerEvent: reply.GetPerEvent(),
@@ -189,7 +189,7 @@
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 // workService implements peerpb.Work.
@@ -198,8 +198,8 @@
 // AtServers implements peerpb.Work.
 func (t workService) AtServers(_ context.Context, q *peerpb.WorkRequest) (*peerpb.WorkReply, error) {
 	reply := &peerpb.WorkReply{}
-	for life, w := range t.h.pool.localWork(t.h.opts.Feed.View(), q.GetService()) {
-		reply.Servers = append(reply.Servers, serverWork(life, w))
+	for incarnation, w := range t.h.pool.localWork(t.h.opts.Feed.View(), q.GetService()) {
+		reply.Servers = append(reply.Servers, serverWork(incarnation, w))
 	}
 	return reply, nil
 }
--- a/serve/forward/permits.go
+++ b/serve/forward/permits.go
@@ -33,28 +33,28 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	one := l.active(s)
-	return one == nil || one.permitRequests.Open(now)
+	state := l.active(s)
+	return state == nil || state.permitRequests.Open(now)
 }
 
 // acquire reports whether a request may be sent to a server at once: the server has no limit, or a
 // permit was granted. The request waits for the issuer's answer.
 func (l *rateLimits) acquire(ctx context.Context, s routing.Server) bool {
 	l.mu.Lock()
-	one := l.active(s)
-	if one == nil {
+	state := l.active(s)
+	if state == nil {
 		l.mu.Unlock()
 		return true
 	}
-	ask, q := one.permitRequests.Ask(time.Now()), &peerpb.PermitRequest{Limit: one.message()}
+	ask, q := state.permitRequests.Ask(time.Now()), &peerpb.PermitRequest{Limit: state.message()}
 	l.mu.Unlock()
 	if !ask {
 		return false
 	}
-	granted, wait := l.requestPermit(ctx, one, q)
+	granted, wait := l.requestPermit(ctx, state, q)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	one.permitRequests.Answered(time.Now(), wait)
+	state.permitRequests.Answered(time.Now(), wait)
 	l.h.metrics.permit(granted)
 	return granted
 }
@@ -66,11 +66,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range l.h.opts.Feed.View().Servers[service] {
-		one := l.active(s)
-		if one == nil || s.Leaving {
+		state := l.active(s)
+		if state == nil || s.Leaving {
 			continue
 		}
-		if next := one.permitRequests.Wait(now); !limited || next < wait {
+		if next := state.permitRequests.Wait(now); !limited || next < wait {
 			wait, limited = next, true
 		}
 	}
@@ -79,15 +79,15 @@
 
 // requestPermit asks the issuers of a server's permits in order. If none answers, it uses this
 // daemon's own share of the limit.
-func (l *rateLimits) requestPermit(ctx context.Context, one *serverLimit, q *peerpb.PermitRequest) (granted bool, wait time.Duration) {
+func (l *rateLimits) requestPermit(ctx context.Context, state *serverLimit, q *peerpb.PermitRequest) (granted bool, wait time.Duration) {
 	vms, hashes := routing.Serving(l.h.opts.Feed.View().VMs)
 	if l.h.neighbours.dialer == nil {
 		hashes = nil
 	}
-	for _, i := range rendezvous.Nearest(xxhash.Sum64String(one.server.ID), hashes, permitIssuers) {
+	for _, i := range rendezvous.Nearest(xxhash.Sum64String(state.server.ID), hashes, permitIssuers) {
 		if vms[i].ID == l.h.opts.Self.ID {
-			if l.isConfirmedIssuer(one) {
-				return l.issue(one, q.GetLimit().GetRate())
+			if l.isConfirmedIssuer(state) {
+				return l.issue(state, q.GetLimit().GetRate())
 			}
 			break
 		}
@@ -101,25 +101,25 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return one.fallback.Take(time.Now(), quota.Given(q.GetLimit().GetRate())/float64(max(1, len(vms))))
+	return state.fallback.Take(time.Now(), quota.Given(q.GetLimit().GetRate())/float64(max(1, len(vms))))
 }
 
 // isConfirmedIssuer reports whether other daemons request permits here. A daemon that is
 // partitioned from the others must not issue itself permits that another issuer grants to them.
-func (l *rateLimits) isConfirmedIssuer(one *serverLimit) bool {
+func (l *rateLimits) isConfirmedIssuer(state *serverLimit) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return time.Since(one.lastRequested) < issuerConfirmedFor
+	return time.Since(state.lastRequested) < issuerConfirmedFor
 }
 
 // issue grants a permit from this daemon's bucket, or returns how long to wait.
-func (l *rateLimits) issue(one *serverLimit, rate float64) (granted bool, wait time.Duration) {
+func (l *rateLimits) issue(state *serverLimit, rate float64) (granted bool, wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if known, named := one.limit.Rate(); named {
+	if known, named := state.limit.Rate(); named {
 		rate = known
 	}
-	return one.permits.Take(time.Now(), quota.Given(rate))
+	return state.permits.Take(time.Now(), quota.Given(rate))
 }
 
 // quotaService implements peerpb.Quota.
@@ -133,10 +133,10 @@
 		return &peerpb.PermitReply{WaitMs: unknownServerRetry.Milliseconds()}, nil
 	}
 	r.limits.mu.Lock()
-	one := r.limits.entry(s)
-	one.lastRequested = time.Now()
+	state := r.limits.entry(s)
+	state.lastRequested = time.Now()
 	r.limits.mu.Unlock()
-	granted, wait := r.limits.issue(one, m.GetRate())
+	granted, wait := r.limits.issue(state, m.GetRate())
 	return &peerpb.PermitReply{Granted: granted, WaitMs: wait.Milliseconds() + 1}, nil
 }
 
--- a/serve/forward/poison.go
+++ b/serve/forward/poison.go
@@ -59,24 +59,24 @@
 		}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	one := &activeRequest{cancel}
+	request := &activeRequest{cancel}
 	for _, digest := range in.digests {
 		if p.running[digest] == nil {
 			p.running[digest] = map[*activeRequest]bool{}
 		}
-		p.running[digest][one] = true
+		p.running[digest][request] = true
 	}
 	return ctx, func() {
 		cancel(nil)
-		p.finish(in.digests, one)
+		p.finish(in.digests, request)
 	}, nil
 }
 
-func (p *poisonRegistry) finish(digests []string, one *activeRequest) {
+func (p *poisonRegistry) finish(digests []string, request *activeRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, digest := range digests {
-		delete(p.running[digest], one)
+		delete(p.running[digest], request)
 		if len(p.running[digest]) == 0 {
 			delete(p.running, digest)
 		}
@@ -100,8 +100,8 @@
 
 // cancelRunning cancels the attempts of a request that are in progress.
 func (p *poisonRegistry) cancelRunning(digest string) {
-	for one := range p.running[digest] {
-		one.cancel(errPoison(digest))
+	for request := range p.running[digest] {
+		request.cancel(errPoison(digest))
 	}
 }
 
@@ -120,9 +120,9 @@
 }
 
 // recordCrash counts a server crash against a request, here and at the request's tracking daemons.
-func (p *poisonRegistry) recordCrash(ctx context.Context, in *inbound, life routing.Life) {
+func (p *poisonRegistry) recordCrash(ctx context.Context, in *inbound, incarnation routing.Life) {
 	for _, digest := range in.digests {
-		q := &peerpb.EndedRequest{Digest: digest, Server: life.ID, Born: life.Born, Account: in.accountName(), Route: in.routeName()}
+		q := &peerpb.EndedRequest{Digest: digest, Server: incarnation.ID, Born: incarnation.Born, Account: in.accountName(), Route: in.routeName()}
 		p.countCrash(q)
 		p.notifyTrackers(digest, func(vm routing.VM) {
 			reply, err := callPeer(ctx, p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Ended, q, poisonTimeout)
@@ -136,30 +136,30 @@
 // countCrash counts a server crash against a request and marks the request according to all crashes
 // counted here.
 func (p *poisonRegistry) countCrash(q *peerpb.EndedRequest) {
-	digest, life := q.GetDigest(), routing.Life{ID: q.GetServer(), Born: q.GetBorn()}
+	digest, incarnation := q.GetDigest(), routing.Life{ID: q.GetServer(), Born: q.GetBorn()}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.syncView(p.h.opts.Feed.View())
 	if p.isStored(digest) {
 		return
 	}
-	one := p.details[digest]
-	if one == nil {
-		one = &peerpb.Poisonous{Digest: digest, Account: q.GetAccount(), Route: q.GetRoute()}
+	details := p.details[digest]
+	if details == nil {
+		details = &peerpb.Poisonous{Digest: digest, Account: q.GetAccount(), Route: q.GetRoute()}
 	}
-	if p.ledger.Ended(time.Now(), digest, life) {
-		one = &peerpb.Poisonous{Digest: digest, Account: one.Account, Route: one.Route, Servers: append(slices.Clone(one.Servers), life.ID)}
+	if p.ledger.Ended(time.Now(), digest, incarnation) {
+		details = &peerpb.Poisonous{Digest: digest, Account: details.Account, Route: details.Route, Servers: append(slices.Clone(details.Servers), incarnation.ID)}
 	}
-	p.details[digest] = one
+	p.details[digest] = details
 	p.pruneDetails()
 	mark := p.ledger.Mark(digest)
-	if !p.setMark(one, mark) {
+	if !p.setMark(details, mark) {
 		return
 	}
-	p.h.opts.Log.Emit(event.PoisonMarked, digest, one.Account, one.Route, mark.String(), one.Servers)
-	go p.broadcast(&peerpb.MarkedRequest{Request: one, Mark: peerpb.Mark(mark)})
+	p.h.opts.Log.Emit(event.PoisonMarked, digest, details.Account, details.Route, mark.String(), details.Servers)
+	go p.broadcast(&peerpb.MarkedRequest{Request: details, Mark: peerpb.Mark(mark)})
 	if mark == poison.Refused {
-		p.pending[digest] = one
+		p.pending[digest] = details
 		p.wakeWriter()
 	}
 }
@@ -177,8 +177,8 @@
 
 // setMark sets a mark and cancels requests in progress that are now refused. It reports whether the
 // mark is new here.
-func (p *poisonRegistry) setMark(one *peerpb.Poisonous, mark poison.Mark) bool {
-	digest := one.GetDigest()
+func (p *poisonRegistry) setMark(details *peerpb.Poisonous, mark poison.Mark) bool {
+	digest := details.GetDigest()
 	if mark == poison.Unmarked || !p.marks.Set(time.Now(), digest, mark) {
 		return false
 	}
@@ -190,20 +190,20 @@
 }
 
 // observeMark applies a mark reported by another daemon.
-func (p *poisonRegistry) observeMark(one *peerpb.Poisonous, mark poison.Mark) {
+func (p *poisonRegistry) observeMark(details *peerpb.Poisonous, mark poison.Mark) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	digest := one.GetDigest()
+	digest := details.GetDigest()
 	if mark == poison.Unmarked {
 		p.forgetCounts(digest)
 		return
 	}
 	p.syncView(p.h.opts.Feed.View())
-	if p.isStored(digest) || !p.setMark(one, mark) {
+	if p.isStored(digest) || !p.setMark(details, mark) {
 		return
 	}
-	p.details[digest] = one
-	p.h.opts.Log.Emit(event.PoisonTold, digest, one.GetAccount(), one.GetRoute(), mark.String(), one.GetServers())
+	p.details[digest] = details
+	p.h.opts.Log.Emit(event.PoisonTold, digest, details.GetAccount(), details.GetRoute(), mark.String(), details.GetServers())
 }
 
 // recordCompletion clears a request that got a complete answer: other requests in progress crashed
--- a/serve/forward/poisonpeers.go
+++ b/serve/forward/poisonpeers.go
@@ -62,8 +62,8 @@
 			if err != nil {
 				return // logged by recordResult
 			}
-			for _, one := range reply.GetRefused() {
-				p.observeMark(one, poison.Refused)
+			for _, request := range reply.GetRefused() {
+				p.observeMark(request, poison.Refused)
 			}
 		}()
 	}
@@ -117,11 +117,11 @@
 func (p *poisonRegistry) status(digest string) *peerpb.EndedReply {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	one := p.details[digest]
-	if one == nil {
-		one = &peerpb.Poisonous{Digest: digest}
+	details := p.details[digest]
+	if details == nil {
+		details = &peerpb.Poisonous{Digest: digest}
 	}
-	return &peerpb.EndedReply{Request: one, Mark: peerpb.Mark(p.mark(digest))}
+	return &peerpb.EndedReply{Request: details, Mark: peerpb.Mark(p.mark(digest))}
 }
 
 // PoisonService returns the path prefix and handler of the twirp service for poison requests.
--- a/serve/forward/poisonstore.go
+++ b/serve/forward/poisonstore.go
@@ -36,15 +36,15 @@
 		p.fetchMarks(ctx)
 	case <-ctx.Done():
 	}
-	look := time.NewTicker(viewSyncInterval)
-	defer look.Stop()
+	ticker := time.NewTicker(viewSyncInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-p.wakeup:
 			if !p.writePending(ctx) {
 				time.AfterFunc(storeRetryInterval/2+rand.N(storeRetryInterval), p.wakeWriter)
 			}
-		case <-look.C:
+		case <-ticker.C:
 			p.mu.Lock()
 			p.syncView(p.h.opts.Feed.View())
 			p.mu.Unlock()
@@ -60,17 +60,17 @@
 	pending := slices.Collect(maps.Values(p.pending))
 	p.mu.Unlock()
 	done := true
-	for _, one := range pending {
+	for _, request := range pending {
 		err := p.h.opts.Feed.Refuse(ctx, feed.Refused{
-			Digest: one.GetDigest(), Account: one.GetAccount(), Route: one.GetRoute(), Servers: one.GetServers(),
+			Digest: request.GetDigest(), Account: request.GetAccount(), Route: request.GetRoute(), Servers: request.GetServers(),
 		})
-		p.h.opts.Log.Emit(event.PoisonWritten, one.GetDigest(), err)
+		p.h.opts.Log.Emit(event.PoisonWritten, request.GetDigest(), err)
 		if err != nil && !errors.Is(err, feed.ErrRefusedFull) {
 			done = false
 			continue
 		}
 		p.mu.Lock()
-		delete(p.pending, one.GetDigest())
+		delete(p.pending, request.GetDigest())
 		p.mu.Unlock()
 	}
 	return done
--- a/serve/forward/pool.go
+++ b/serve/forward/pool.go
@@ -86,10 +86,10 @@
 // choose runs pick on the server set of a service under the lock. There is no choice if the service
 // has no servers.
 func (p *pool) choose(view *feed.View, service string, pick func(*serverSet) (choice, bool)) (choice, bool) {
-	now := p.versions.Now(view)
+	snapshot := p.versions.Now(view)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.updateView(view, now)
+	p.updateView(view, snapshot)
 	l := p.serverSets[service]
 	if l == nil {
 		return choice{}, false
@@ -108,19 +108,19 @@
 func (p *pool) markSuspect(now time.Time, s routing.Server) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	one := p.loads[s.Life()]
-	if one == nil {
+	load := p.loads[s.Life()]
+	if load == nil {
 		return false
 	}
-	one.suspectFor = min(max(2*one.suspectFor, minSuspicion), maxSuspicion)
-	one.suspectUntil = now.Add(one.suspectFor)
+	load.suspectFor = min(max(2*load.suspectFor, minSuspicion), maxSuspicion)
+	load.suspectUntil = now.Add(load.suspectFor)
 	if _, known := p.down[s.Address]; !known {
 		p.down[s.Address] = downServer{incarnation: s.Life(), since: now}
 	}
 	return true
 }
 
-// recordSuccess ends the backoff of a server that has answered.
+// recordSuccess resets the suspicion time of a server that has answered.
 func (p *pool) recordSuccess(c choice) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -131,11 +131,11 @@
 }
 
 // isSuspect reports whether a server failed recently.
-func (p *pool) isSuspect(now time.Time, life routing.Life) bool {
+func (p *pool) isSuspect(now time.Time, incarnation routing.Life) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	one := p.loads[life]
-	return one != nil && one.isSuspect(now)
+	load := p.loads[incarnation]
+	return load != nil && load.isSuspect(now)
 }
 
 // addLoad adds to the counts of this daemon's work at a server.
--- a/serve/forward/recovery.go
+++ b/serve/forward/recovery.go
@@ -14,7 +14,7 @@
 const recoveryPollInterval = 50 * time.Millisecond
 
 // downServerTTL is how long the pool remembers that the server at an address is down. It exceeds
-// every downtime that absence.Absence learns from.
+// every downtime that enters the estimates.
 const downServerTTL = 2 * time.Minute
 
 // downtime returns the observed downtimes of a service's servers. The caller holds p.mu.
@@ -30,15 +30,15 @@
 	for service, servers := range p.view.Servers {
 		for _, s := range servers {
 			listed[s.Address] = true
-			before, ok := p.down[s.Address]
-			if ok && s.Life() != before.incarnation {
-				p.downtime(service).Returned(now.Sub(before.since))
+			failed, ok := p.down[s.Address]
+			if ok && s.Life() != failed.incarnation {
+				p.downtime(service).Returned(now.Sub(failed.since))
 				delete(p.down, s.Address)
 			}
 		}
 	}
-	for address, one := range p.down {
-		if !listed[address] && now.Sub(one.since) > downServerTTL {
+	for address, server := range p.down {
+		if !listed[address] && now.Sub(server.since) > downServerTTL {
 			delete(p.down, address)
 		}
 	}
@@ -61,8 +61,8 @@
 // hasHealthyServer reports whether the service has a server that has not failed recently.
 func (p *pool) hasHealthyServer(now time.Time, view *feed.View, service string) bool {
 	_, ok := p.choose(view, service, func(l *serverSet) (choice, bool) {
-		for i, one := range l.loads {
-			if !one.isSuspect(now) {
+		for i, load := range l.loads {
+			if !load.isSuspect(now) {
 				return l.choiceAt(i, "")
 			}
 		}
--- a/serve/forward/replicator.go
+++ b/serve/forward/replicator.go
@@ -90,18 +90,18 @@
 
 // check makes a replica if there is none and refreshes one made on demand.
 func (s *replicator) check(ctx context.Context, now time.Time) {
-	lives := s.r.h.pool.isHealthy(now, s.r.h.opts.Feed.View(), s.target) && (s.madeHere || !s.firstUsed.Load())
-	if lives && !s.madeHere {
+	healthy := s.r.h.pool.isHealthy(now, s.r.h.opts.Feed.View(), s.target) && (s.madeHere || !s.firstUsed.Load())
+	if healthy && !s.madeHere {
 		return // the engine that runs the request maintains that replica
 	}
-	if !lives {
+	if !healthy {
 		s.remade.Store(nil)
 	}
 	if now.Before(s.nextCopyAt) {
 		return
 	}
 	s.nextCopyAt = now.Add(s.refreshInterval())
-	if !lives {
+	if !healthy {
 		place, ok := s.r.chooseReplicaEngine(ctx, s.l.at.server, s.failed)
 		if !ok {
 			return
@@ -190,16 +190,16 @@
 // engine must answer a probe, since the entry of a dead engine remains for seconds, and must have
 // room: a replica takes as much memory as the run, and an engine that runs out of memory evicts
 // runs. Under three times the usual load a replica is not worth that.
-func (r *relay) chooseReplicaEngine(ctx context.Context, at routing.Server, failed []routing.Life) (choice, bool) {
+func (r *relay) chooseReplicaEngine(ctx context.Context, server routing.Server, failed []routing.Life) (choice, bool) {
 	excluded := slices.Clone(failed)
-	asked := r.h.newProbeRound()
-	defer asked.markSilent()
+	round := r.h.newProbeRound()
+	defer round.markSilent()
 	for range copyTries {
-		c, ok := r.h.pool.chooseReplicaEngine(time.Now(), r.h.opts.Feed.View(), at, excluded)
+		c, ok := r.h.pool.chooseReplicaEngine(time.Now(), r.h.opts.Feed.View(), server, excluded)
 		if !ok {
 			return choice{}, false
 		}
-		report, err := asked.probe(ctx, c.server, askLimit)
+		report, err := round.probe(ctx, c.server, askLimit)
 		if err == nil && report.load().Fits(r.in.call.PromptTokens) {
 			return c, true
 		}
--- a/serve/forward/serverset.go
+++ b/serve/forward/serverset.go
@@ -22,15 +22,15 @@
 
 // updateView rebuilds the server sets after a change of the view or of the versions that may serve.
 // The caller holds p.mu.
-func (p *pool) updateView(view *feed.View, now *versions.Snapshot) {
-	if p.view == view && p.snapshot == now {
+func (p *pool) updateView(view *feed.View, snapshot *versions.Snapshot) {
+	if p.view == view && p.snapshot == snapshot {
 		return
 	}
-	p.view, p.snapshot = view, now
+	p.view, p.snapshot = view, snapshot
 	p.serverSets = make(map[string]*serverSet, len(view.Servers))
 	used := make(map[routing.Life]*serverLoad, len(p.loads))
 	for service, servers := range view.Servers {
-		state := now.Of(service)
+		state := snapshot.Of(service)
 		steady, trial := splitByVersion(servers, state)
 		p.serverSets[service] = p.buildServerSet(steady, used)
 		if state.Stage.Running() {
@@ -49,16 +49,16 @@
 	l := &serverSet{index: map[string]int{}}
 	var candidates []route.Candidate
 	for _, s := range servers {
-		s, one, ok := p.currentServer(s, used)
+		s, load, ok := p.currentServer(s, used)
 		if !ok || s.Leaving {
 			continue
 		}
 		l.index[s.ID] = len(l.servers)
 		l.servers = append(l.servers, s)
-		l.loads = append(l.loads, one)
+		l.loads = append(l.loads, load)
 		hash := xxhash.Sum64String(s.ID)
 		l.seats = append(l.seats, prompts.Seat{Zone: s.Zone, Hash: hash})
-		candidates = append(candidates, route.Candidate{ID: s.ID, Hash: hash, Rank: p.rank(s), Load: &one.calls})
+		candidates = append(candidates, route.Candidate{ID: s.ID, Hash: hash, Rank: p.rank(s), Load: &load.calls})
 	}
 	l.table = route.NewTable(candidates)
 	l.preferred = p.localSubset(l.servers)
@@ -67,20 +67,20 @@
 
 // currentServer returns the current incarnation of a server listed in the view and this daemon's
 // load there, which it adds to used; ok is false if the server is gone.
-func (p *pool) currentServer(s routing.Server, used map[routing.Life]*serverLoad) (at routing.Server, one *serverLoad, ok bool) {
+func (p *pool) currentServer(s routing.Server, used map[routing.Life]*serverLoad) (current routing.Server, load *serverLoad, ok bool) {
 	if next, ok := p.successors[s.Life()]; ok {
 		if p.view.Departed(next.ID) {
 			return s, nil, false // the view lists an earlier incarnation
 		}
 		s.ID, s.Born = next.ID, next.Born
 	}
-	if one = used[s.Life()]; one == nil {
-		if one = p.loads[s.Life()]; one == nil {
-			one = &serverLoad{}
+	if load = used[s.Life()]; load == nil {
+		if load = p.loads[s.Life()]; load == nil {
+			load = &serverLoad{}
 		}
-		used[s.Life()] = one
+		used[s.Life()] = load
 	}
-	return s, one, true
+	return s, load, true
 }
 
 func (p *pool) rank(s routing.Server) route.Rank {
@@ -144,19 +144,19 @@
 func usesWindows(engines int) bool { return engines > maxScannedEngines }
 
 // indexOf returns the index of the server whose current incarnation is given, or -1.
-func (l *serverSet) indexOf(life routing.Life) int {
-	if i, ok := l.index[life.ID]; ok && l.servers[i].Life() == life {
+func (l *serverSet) indexOf(incarnation routing.Life) int {
+	if i, ok := l.index[incarnation.ID]; ok && l.servers[i].Life() == incarnation {
 		return i
 	}
 	return -1
 }
 
 // idsOf returns the ids of those servers of the set whose incarnations are given.
-func (l *serverSet) idsOf(lives []routing.Life) []string {
+func (l *serverSet) idsOf(incarnations []routing.Life) []string {
 	var ids []string
-	for _, life := range lives {
-		if l.indexOf(life) >= 0 {
-			ids = append(ids, life.ID)
+	for _, incarnation := range incarnations {
+		if l.indexOf(incarnation) >= 0 {
+			ids = append(ids, incarnation.ID)
 		}
 	}
 	return ids
--- a/serve/forward/successors.go
+++ b/serve/forward/successors.go
@@ -23,21 +23,21 @@
 // replicas and prompts of the old server in vain, and if the id has changed, every request to that
 // address would be rejected.
 func (p *pool) recordSuccessor(view *feed.View, old, next routing.Life) {
-	now := p.versions.Now(view)
+	snapshot := p.versions.Now(view)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.successors[p.listedIncarnation(old)] = next
 	p.view = nil // forces the server sets to be rebuilt
-	p.updateView(view, now)
+	p.updateView(view, snapshot)
 }
 
 // recordRestart records that a server has a newer incarnation under its id, and reports whether
 // that was unknown.
 func (p *pool) recordRestart(view *feed.View, old, next routing.Life) bool {
-	now := p.versions.Now(view)
+	snapshot := p.versions.Now(view)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.updateView(view, now)
+	p.updateView(view, snapshot)
 	listed := p.listedIncarnation(old)
 	if known, ok := p.successors[listed]; ok && known.ID == next.ID && known.Born >= next.Born {
 		return false
@@ -51,17 +51,17 @@
 	}
 	p.successors[listed] = next
 	p.view = nil // forces the server sets to be rebuilt
-	p.updateView(view, now)
+	p.updateView(view, snapshot)
 	return true
 }
 
 // listedIncarnation returns the incarnation of a server that the view lists: the given one or its
 // predecessor.
-func (p *pool) listedIncarnation(life routing.Life) routing.Life {
+func (p *pool) listedIncarnation(incarnation routing.Life) routing.Life {
 	for old, next := range p.successors {
-		if next == life {
+		if next == incarnation {
 			return old
 		}
 	}
-	return life
+	return incarnation
 }
--- a/serve/forward/worktracker.go
+++ b/serve/forward/worktracker.go
@@ -33,62 +33,62 @@
 }
 
 // isTracked reports whether the engines of a service have tracking daemons.
-func (k *workTracker) isTracked(view *feed.View, service string) bool {
-	return k.h.neighbours.dialer != nil && view.Config != nil && view.Config.Engine(service) != nil &&
+func (t *workTracker) isTracked(view *feed.View, service string) bool {
+	return t.h.neighbours.dialer != nil && view.Config != nil && view.Config.Engine(service) != nil &&
 		len(view.VMs) > 1 && !prompts.Asks(len(view.VMs))
 }
 
 // workChanged reports a change of this daemon's work at an engine to its tracking daemon.
-func (k *workTracker) workChanged(s routing.Server) {
-	if !k.isTracked(k.h.opts.Feed.View(), s.Service) {
+func (t *workTracker) workChanged(s routing.Server) {
+	if !t.isTracked(t.h.opts.Feed.View(), s.Service) {
 		return
 	}
-	k.mu.Lock()
-	_, under := k.reporting[s.Life()]
-	k.reporting[s.Life()] = under
-	k.mu.Unlock()
-	if !under {
-		go k.reportUntilCurrent(s)
+	t.mu.Lock()
+	_, inFlight := t.reporting[s.Life()]
+	t.reporting[s.Life()] = inFlight
+	t.mu.Unlock()
+	if !inFlight {
+		go t.reportUntilCurrent(s)
 	}
 }
 
 // reportUntilCurrent sends reports on an engine until the last one sent is up to date.
-func (k *workTracker) reportUntilCurrent(s routing.Server) {
+func (t *workTracker) reportUntilCurrent(s routing.Server) {
 	for {
-		k.sendReport(s)
-		k.mu.Lock()
-		again := k.reporting[s.Life()]
-		if !again {
-			delete(k.reporting, s.Life())
-			k.mu.Unlock()
+		t.sendReport(s)
+		t.mu.Lock()
+		changed := t.reporting[s.Life()]
+		if !changed {
+			delete(t.reporting, s.Life())
+			t.mu.Unlock()
 			return
 		}
-		k.reporting[s.Life()] = false
-		k.mu.Unlock()
+		t.reporting[s.Life()] = false
+		t.mu.Unlock()
 	}
 }
 
 // sendReport sends one report. The next one corrects a report that is lost.
-func (k *workTracker) sendReport(s routing.Server) {
-	vms, hashes := routing.Serving(k.h.opts.Feed.View().VMs)
+func (t *workTracker) sendReport(s routing.Server) {
+	vms, hashes := routing.Serving(t.h.opts.Feed.View().VMs)
 	i := prompts.Keeper(xxhash.Sum64String(s.ID), hashes)
 	if i < 0 {
 		return
 	}
-	note := k.h.pool.workReport(time.Now(), s.Life())
-	k.mu.Lock()
-	k.sequence++
-	note.Boot, note.Sequence = k.boot, k.sequence
-	k.mu.Unlock()
-	self := k.h.opts.Self.ID
+	note := t.h.pool.workReport(time.Now(), s.Life())
+	t.mu.Lock()
+	t.sequence++
+	note.Boot, note.Sequence = t.boot, t.sequence
+	t.mu.Unlock()
+	self := t.h.opts.Self.ID
 	if vms[i].ID == self {
-		k.record(s.Life(), self, note)
+		t.record(s.Life(), self, note)
 		return
 	}
-	if len(k.h.neighbours.responsive(time.Now(), vms[i:i+1])) == 0 {
+	if len(t.h.neighbours.responsive(time.Now(), vms[i:i+1])) == 0 {
 		return
 	}
-	k.h.neighbours.sendReport(context.Background(), vms[i], &peerpb.NoteRequest{
+	t.h.neighbours.sendReport(context.Background(), vms[i], &peerpb.NoteRequest{
 		Daemon: self, Boot: note.Boot, Sequence: note.Sequence,
 		Work: &peerpb.ServerWork{
 			Id: s.ID, Born: s.Born, Reading: int32(note.Reading), Running: int32(note.Running),
@@ -97,17 +97,17 @@
 	})
 }
 
-func (k *workTracker) record(life routing.Life, daemon string, n prompts.Note) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.ledger.Take(time.Now(), life, daemon, n)
+func (t *workTracker) record(incarnation routing.Life, daemon string, n prompts.Note) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.ledger.Take(time.Now(), incarnation, daemon, n)
 }
 
 // tracked returns the reported work of all daemons but one at an engine.
-func (k *workTracker) tracked(life routing.Life, except string) prompts.Noted {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.ledger.At(time.Now(), life, except)
+func (t *workTracker) tracked(incarnation routing.Life, except string) prompts.Noted {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.ledger.At(time.Now(), incarnation, except)
 }
 
 // workloadOf converts the reports on an engine. Each daemon that suspects the engine counts as one
@@ -118,65 +118,65 @@
 
 // trackedWork returns the work of all other daemons at the engines of a prompt's placement window,
 // as far as their tracking daemons answer; ok is false if too few answer for a choice.
-func (k *workTracker) trackedWork(ctx context.Context, view *feed.View, service, part string) (sum workloads, ok bool) {
-	if !k.isTracked(view, service) {
+func (t *workTracker) trackedWork(ctx context.Context, view *feed.View, service, part string) (sum workloads, ok bool) {
+	if !t.isTracked(view, service) {
 		return nil, false
 	}
 	vms, hashes := routing.Serving(view.VMs)
 	asked := map[int][]routing.Life{} // by index in vms
-	for _, s := range k.h.pool.placementWindow(view, service, part) {
+	for _, s := range t.h.pool.placementWindow(view, service, part) {
 		if i := prompts.Keeper(xxhash.Sum64String(s.ID), hashes); i >= 0 {
 			asked[i] = append(asked[i], s.Life())
 		}
 	}
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	var mu sync.Mutex
 	sum = workloads{}
-	for i, lives := range asked {
-		all.Go(func() {
-			told := k.query(ctx, vms[i], lives)
+	for i, incarnations := range asked {
+		wg.Go(func() {
+			work := t.query(ctx, vms[i], incarnations)
 			mu.Lock()
 			defer mu.Unlock()
-			for life, w := range told {
-				sum[life] = w
+			for incarnation, w := range work {
+				sum[incarnation] = w
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	return sum, len(sum) >= Asked
 }
 
 // query asks one tracking daemon, which may be this daemon. It returns nil if that daemon does not
 // answer.
-func (k *workTracker) query(ctx context.Context, vm routing.VM, lives []routing.Life) workloads {
-	self, told := k.h.opts.Self.ID, workloads{}
+func (t *workTracker) query(ctx context.Context, vm routing.VM, incarnations []routing.Life) workloads {
+	self, work := t.h.opts.Self.ID, workloads{}
 	if vm.ID == self {
-		for _, life := range lives {
-			told[life] = workloadOf(k.tracked(life, self))
+		for _, incarnation := range incarnations {
+			work[incarnation] = workloadOf(t.tracked(incarnation, self))
 		}
-		return told
+		return work
 	}
-	if len(k.h.neighbours.responsive(time.Now(), []routing.VM{vm})) == 0 {
+	if len(t.h.neighbours.responsive(time.Now(), []routing.VM{vm})) == 0 {
 		return nil
 	}
 	q := &peerpb.NotedRequest{Daemon: self}
-	for _, life := range lives {
-		q.Servers = append(q.Servers, serverWork(life, workload{}))
+	for _, incarnation := range incarnations {
+		q.Servers = append(q.Servers, serverWork(incarnation, workload{}))
 	}
-	reply, err := k.h.neighbours.queryTracked(ctx, vm, q)
+	reply, err := t.h.neighbours.queryTracked(ctx, vm, q)
 	if err != nil {
 		return nil
 	}
 	for _, s := range reply.GetServers() {
-		told[routing.Life{ID: s.GetId(), Born: s.GetBorn()}] = workloadOf(prompts.Noted{
+		work[routing.Life{ID: s.GetId(), Born: s.GetBorn()}] = workloadOf(prompts.Noted{
 			Reading: int(max(s.GetReading(), 0)), Running: int(max(s.GetRunning(), 0)), Suspects: int(max(s.GetSuspects(), 0)),
 		})
 	}
-	return told
+	return work
 }
 
-func serverWork(life routing.Life, w workload) *peerpb.ServerWork {
-	return &peerpb.ServerWork{Id: life.ID, Born: life.Born, Reading: int32(w.prefilling), Running: int32(w.running)}
+func serverWork(incarnation routing.Life, w workload) *peerpb.ServerWork {
+	return &peerpb.ServerWork{Id: incarnation.ID, Born: incarnation.Born, Reading: int32(w.prefilling), Running: int32(w.running)}
 }
 
 // Note implements peerpb.Work.
@@ -194,10 +194,10 @@
 func (t workService) Noted(_ context.Context, q *peerpb.NotedRequest) (*peerpb.WorkReply, error) {
 	reply := &peerpb.WorkReply{}
 	for _, s := range q.GetServers() {
-		life := routing.Life{ID: s.GetId(), Born: s.GetBorn()}
-		n := t.h.keepers.tracked(life, q.GetDaemon())
+		incarnation := routing.Life{ID: s.GetId(), Born: s.GetBorn()}
+		n := t.h.keepers.tracked(incarnation, q.GetDaemon())
 		reply.Servers = append(reply.Servers, &peerpb.ServerWork{
-			Id: life.ID, Born: life.Born, Reading: int32(n.Reading), Running: int32(n.Running), Suspects: int32(n.Suspects),
+			Id: incarnation.ID, Born: incarnation.Born, Reading: int32(n.Reading), Running: int32(n.Running), Suspects: int32(n.Suspects),
 		})
 	}
 	return reply, nil
