--- a/serve/forward/canary.go
+++ b/serve/forward/canary.go
@@ -101,7 +101,7 @@
 	}
 	list := r.h.pool.prefillCandidates(time.Now(), view, canaryKey(r.service), r.in.call.OwnPart, Asked, nil)
 	round := r.h.newProbeRound()
-	defer round.markSilent()
+	defer round.suspectSilent()
 	best, ok := r.quietest(round.survey(ctx, list, 0))
 	if !ok || !best.report.Free(r.in.call.PromptTokens) || !r.permitted(ctx, best.choice) {
 		return choice{}, false
--- a/serve/forward/place.go
+++ b/serve/forward/place.go
@@ -58,7 +58,7 @@
 func (r *relay) placeKnowing(ctx context.Context, view *feed.View, others workloads, among bool) (surveyed, bool) {
 	excluded := slices.Clone(r.failed)
 	asked := r.h.newProbeRound()
-	defer asked.markSilent()
+	defer asked.suspectSilent()
 	for range askRounds {
 		c, unread, ok := r.h.pool.reservePrefill(time.Now(), view, r.service, others, among, excluded)
 		if !ok {
@@ -86,7 +86,7 @@
 	}
 	excluded := slices.Clone(r.failed)
 	asked := r.h.newProbeRound()
-	defer asked.markSilent()
+	defer asked.suspectSilent()
 	var seen []surveyed
 	candidates := first
 	for round := range askRounds {
--- a/serve/forward/probes.go
+++ b/serve/forward/probes.go
@@ -44,8 +44,8 @@
 	return report, err
 }
 
-// markSilent suspects the engines that timed out while another engine was reached.
-func (q *probeRound) markSilent() {
+// suspectSilent suspects the engines that timed out while another engine was reached.
+func (q *probeRound) suspectSilent() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if !q.linkWorks {
--- a/serve/forward/replicator.go
+++ b/serve/forward/replicator.go
@@ -193,7 +193,7 @@
 func (r *relay) chooseReplicaEngine(ctx context.Context, server routing.Server, failed []routing.Life) (choice, bool) {
 	excluded := slices.Clone(failed)
 	round := r.h.newProbeRound()
-	defer round.markSilent()
+	defer round.suspectSilent()
 	for range copyTries {
 		c, ok := r.h.pool.chooseReplicaEngine(time.Now(), r.h.opts.Feed.View(), server, excluded)
 		if !ok {
