--- a/serve/forward/canary.go
+++ b/serve/forward/canary.go
@@ -31,17 +31,17 @@
 // splitByVersion separates the servers that may serve any request of their service from those that
 // get the canary requests. There are as many of the latter as give each about the load of one of
 // the others.
-func splitByVersion(servers []routing.Server, s rollout.State) (steady, trial []routing.Server) {
-	for _, one := range servers {
+func splitByVersion(servers []routing.Server, s rollout.State) (steady, canaries []routing.Server) {
+	for _, server := range servers {
 		switch {
-		case s.Steady(one.Version):
-			steady = append(steady, one)
-		case one.Version == s.Target && !one.Leaving:
-			trial = append(trial, one)
+		case s.Steady(server.Version):
+			steady = append(steady, server)
+		case server.Version == s.Target && !server.Leaving:
+			canaries = append(canaries, server)
 		}
 	}
 	n := max(minCanaryServers, int(math.Ceil(canaryHeadroomRatio*s.Share*float64(len(steady)))))
-	return steady, spreadAcrossZones(trial, n)
+	return steady, spreadAcrossZones(canaries, n)
 }
 
 // spreadAcrossZones chooses up to n servers, taking the zones in turn. Every daemon chooses the
--- a/serve/forward/candidate.go
+++ b/serve/forward/candidate.go
@@ -94,8 +94,8 @@
 // this VM's link was saturated until a moment ago, the other engines answer by now as well. An
 // engine whose answer is lost, or that has been silent for long, is not probed.
 func (r *relay) isResponsive(ctx context.Context, a *attempt, why error) bool {
-	long := time.Since(r.since) >= takeover.Patience(false, r.in.route.GapTarget)
-	if errors.Is(why, errAnswerLost) || errors.Is(why, errSilent) && long {
+	silentTooLong := time.Since(r.since) >= takeover.Patience(false, r.in.route.GapTarget)
+	if errors.Is(why, errAnswerLost) || errors.Is(why, errSilent) && silentTooLong {
 		return false
 	}
 	_, err := r.h.probe(ctx, a.at.server, askLimit)
@@ -117,12 +117,12 @@
 	}
 	others := r.h.pool.prefillCandidates(time.Now(), view, r.service, "", Asked, []routing.Life{a.at.server.Life()})
 	for range deadProbes {
-		var silent error
+		var probeErr error
 		var wg sync.WaitGroup
-		wg.Go(func() { _, silent = r.h.probe(ctx, a.at.server, askLimit) })
+		wg.Go(func() { _, probeErr = r.h.probe(ctx, a.at.server, askLimit) })
 		answered := r.h.newProbeRound().survey(ctx, others, 0)
 		wg.Wait()
-		if silent == nil || len(answered) == 0 {
+		if probeErr == nil || len(answered) == 0 {
 			return false
 		}
 	}
@@ -133,8 +133,8 @@
 func (r *relay) liveReplica(ctx context.Context, a *attempt) (choice, replica, bool) {
 	held := r.held
 	if a.spare != nil {
-		if copied := a.spare.remade.Load(); copied != nil {
-			held = *copied
+		if remade := a.spare.remade.Load(); remade != nil {
+			held = *remade
 		}
 	}
 	if held.at.load == nil {
--- a/serve/forward/engines.go
+++ b/serve/forward/engines.go
@@ -30,8 +30,8 @@
 	var list []choice
 	p.choose(view, service, func(l *serverSet) (choice, bool) {
 		engines := p.engineStates(now, l, exclude)
-		for i, home := range l.preferredFor(part) {
-			engines[i].Home = home
+		for i, preferred := range l.preferredFor(part) {
+			engines[i].Home = preferred
 		}
 		for _, c := range p.rankPermitted(now, l, engines, n, false) {
 			candidate, _ := l.choiceAt(c.Index, string(c.Reason))
@@ -44,8 +44,8 @@
 
 // reservePrefill chooses the best engine to prefill a prompt, given the work of all other daemons
 // in others, and also returns how many prefills are known there. It counts the prompt at that
-// engine at once, so that a peer that asks in the next moment learns of it. If onlyOthers is set, only
-// the engines in others are known, and the choice is limited to them.
+// engine at once, so that a peer that asks in the next moment learns of it. If onlyOthers is set,
+// only the engines in others are known, and the choice is limited to them.
 func (p *pool) reservePrefill(now time.Time, view *feed.View, service string, others workloads, onlyOthers bool, exclude []routing.Life) (c choice, unread int, ok bool) {
 	c, ok = p.choose(view, service, func(l *serverSet) (choice, bool) {
 		engines := p.engineStates(now, l, exclude)
@@ -73,13 +73,13 @@
 func (p *pool) rankPermitted(now time.Time, l *serverSet, engines []prompts.Engine, n int, known bool) []prompts.Choice {
 	for {
 		list := prompts.Read(engines, n, known, rand.Uint64())
-		closed := false
+		limited := false
 		for _, c := range list {
 			if !p.limits.canRequestPermit(now, l.servers[c.Index]) {
-				engines[c.Index].Excluded, closed = true, true
+				engines[c.Index].Excluded, limited = true, true
 			}
 		}
-		if !closed {
+		if !limited {
 			return list
 		}
 	}
@@ -148,17 +148,17 @@
 	})
 }
 
-// cacheScanTargets returns the engines to scan for a prompt; few is false if it may be cached at
-// any engine of the service.
-func (p *pool) cacheScanTargets(view *feed.View, service, part string) (servers []routing.Server, few bool) {
+// cacheScanTargets returns the engines to scan for a prompt; windowed is false if it may be cached
+// at any engine of the service.
+func (p *pool) cacheScanTargets(view *feed.View, service, part string) (servers []routing.Server, windowed bool) {
 	p.choose(view, service, func(l *serverSet) (choice, bool) {
-		if few = usesWindows(len(l.servers)); !few {
+		if windowed = usesWindows(len(l.servers)); !windowed {
 			return choice{}, false
 		}
 		servers = l.serversAt(prompts.LookedAt(xxhash.Sum64String(part), l.seats))
 		return choice{}, false
 	})
-	return servers, few
+	return servers, windowed
 }
 
 // findServer returns the server with an incarnation, if that is still the current one.
--- a/serve/forward/incarnations.go
+++ b/serve/forward/incarnations.go
@@ -19,7 +19,7 @@
 
 const (
 	incarnationSame  incarnationOrder = iota // or one of the two is unknown
-	incarnationOlder                         // the message of an earlier incarnation: reports lag
+	incarnationOlder                         // a delayed report of an earlier incarnation
 	incarnationNewer
 )
 
--- a/serve/forward/locate.go
+++ b/serve/forward/locate.go
@@ -44,10 +44,10 @@
 // A scan must not disturb the daemon's streams, which share its link. If the answers saturated the
 // link, all streams would fall silent together and be given up after the silence timeout; their
 // callers would retry at other daemons, which scan as well, so the failure would spread until
-// answers are cut for lack of retry budget. It holds because the size of an answer depends on what
-// the engine caches and not on its uptime, because a scan asks no more engines than scanBudgetBytes
-// covers where all cache about as much, and because no more than maxCacheReplyBytes is read of an
-// engine that caches more.
+// answers are cut for lack of retry budget. Scans stay small because the size of an answer depends
+// on what the engine caches and not on its uptime, because a scan asks no more engines than
+// scanBudgetBytes covers where all cache about as much, and because no more than maxCacheReplyBytes
+// is read of an engine that caches more.
 type locator struct {
 	h     *Handler
 	mu    sync.Mutex
@@ -69,7 +69,7 @@
 
 // holdersOf returns the engines found to cache a part, whether the scan has finished, and a channel
 // that is closed on the next update.
-func (s *scan) holdersOf(part string) (holders []routing.Life, ended bool, news <-chan struct{}) {
+func (s *scan) holdersOf(part string) (holders []routing.Life, finished bool, updated <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.holders[part], s.finished, s.updated
@@ -105,12 +105,12 @@
 func (l *locator) holders(ctx context.Context, service, part string) []routing.Life {
 	s := l.scanFor(service, part)
 	for {
-		holders, ended, news := s.holdersOf(part)
-		if len(holders) > 0 || ended {
+		holders, finished, updated := s.holdersOf(part)
+		if len(holders) > 0 || finished {
 			return holders
 		}
 		select {
-		case <-news:
+		case <-updated:
 		case <-ctx.Done():
 			return nil
 		}
@@ -123,7 +123,7 @@
 	defer l.mu.Unlock()
 	now := time.Now()
 	view := l.h.opts.Feed.View()
-	if servers, few := l.h.pool.cacheScanTargets(view, service, part); few {
+	if servers, windowed := l.h.pool.cacheScanTargets(view, service, part); windowed {
 		s := newScan(now)
 		go l.runScan(service, s, servers)
 		return s
@@ -184,28 +184,28 @@
 }
 
 // pending returns the number of engines that have not answered yet.
-func (l *scanProgress) pending() int { return l.asked - l.answered - l.failed }
+func (p *scanProgress) pending() int { return p.asked - p.answered - p.failed }
 
 // canAsk reports whether the budget allows asking one more engine, assuming that every pending
 // answer is as large as the largest so far.
-func (l *scanProgress) canAsk() bool {
+func (p *scanProgress) canAsk() bool {
 	size := maxCacheReplyBytes
-	if l.answered > 0 {
-		size = l.largest
+	if p.answered > 0 {
+		size = p.largest
 	}
-	return l.bytes+(l.pending()+1)*size <= scanBudgetBytes
+	return p.bytes+(p.pending()+1)*size <= scanBudgetBytes
 }
 
-func (l *scanProgress) add(reply cacheReply) {
-	l.bytes += reply.bytes
-	l.largest = max(l.largest, reply.bytes)
+func (p *scanProgress) add(reply cacheReply) {
+	p.bytes += reply.bytes
+	p.largest = max(p.largest, reply.bytes)
 	if reply.err == nil {
-		l.answered++
+		p.answered++
 		return
 	}
-	l.failed++
+	p.failed++
 	if errors.Is(reply.err, context.DeadlineExceeded) {
-		l.timeouts++
+		p.timeouts++
 	}
 }
 
--- a/serve/forward/peers.go
+++ b/serve/forward/peers.go
@@ -55,16 +55,16 @@
 
 // totalWork sums the work of all other daemons at the engines of a service; ok is false if there
 // are too many daemons to ask, or if none answered.
-func (n *peerClient) totalWork(ctx context.Context, view *feed.View, service string) (sum workloads, ok bool) {
-	if n.dialer == nil || !prompts.Asks(len(view.VMs)) {
+func (c *peerClient) totalWork(ctx context.Context, view *feed.View, service string) (sum workloads, ok bool) {
+	if c.dialer == nil || !prompts.Asks(len(view.VMs)) {
 		return nil, false
 	}
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	sum = workloads{}
-	for _, vm := range n.responsive(time.Now(), routing.Peers(view.VMs, n.self)) {
+	for _, vm := range c.responsive(time.Now(), routing.Peers(view.VMs, c.self)) {
 		wg.Go(func() {
-			reply, err := n.queryWork(ctx, vm, service)
+			reply, err := c.queryWork(ctx, vm, service)
 			if err != nil {
 				return
 			}
@@ -80,66 +80,66 @@
 
 // responsive returns the daemons whose last call did not fail recently. A stopping daemon is
 // included: it still has answers in progress.
-func (n *peerClient) responsive(now time.Time, vms []routing.VM) (heard []routing.VM) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+func (c *peerClient) responsive(now time.Time, vms []routing.VM) (responsive []routing.VM) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, vm := range vms {
-		if !now.Before(n.backoffUntil[vm.ID]) {
-			heard = append(heard, vm)
+		if !now.Before(c.backoffUntil[vm.ID]) {
+			responsive = append(responsive, vm)
 		}
 	}
-	return heard
+	return responsive
 }
 
-func (n *peerClient) queryWork(ctx context.Context, vm routing.VM, service string) (*peerpb.WorkReply, error) {
-	return callWork(ctx, n, vm, peerpb.Work.AtServers, &peerpb.WorkRequest{Service: service})
+func (c *peerClient) queryWork(ctx context.Context, vm routing.VM, service string) (*peerpb.WorkReply, error) {
+	return callWork(ctx, c, vm, peerpb.Work.AtServers, &peerpb.WorkRequest{Service: service})
 }
 
 // queryPace asks a daemon for its estimates of a service's engines.
-func (n *peerClient) queryPace(ctx context.Context, vm routing.VM, service string) (*peerpb.PaceReply, error) {
-	return callWork(ctx, n, vm, peerpb.Work.Pace, &peerpb.WorkRequest{Service: service})
+func (c *peerClient) queryPace(ctx context.Context, vm routing.VM, service string) (*peerpb.PaceReply, error) {
+	return callWork(ctx, c, vm, peerpb.Work.Pace, &peerpb.WorkRequest{Service: service})
 }
 
 // sendReport reports this daemon's work at an engine to the engine's tracking daemon.
-func (n *peerClient) sendReport(ctx context.Context, vm routing.VM, note *peerpb.NoteRequest) {
+func (c *peerClient) sendReport(ctx context.Context, vm routing.VM, report *peerpb.NoteRequest) {
 	// A failure is logged by recordResult; the next report is complete again.
-	_, _ = callWork(ctx, n, vm, peerpb.Work.Note, note)
+	_, _ = callWork(ctx, c, vm, peerpb.Work.Note, report)
 }
 
 // queryTracked asks a tracking daemon for the work of other daemons at its engines.
-func (n *peerClient) queryTracked(ctx context.Context, vm routing.VM, q *peerpb.NotedRequest) (*peerpb.WorkReply, error) {
-	return callWork(ctx, n, vm, peerpb.Work.Noted, q)
+func (c *peerClient) queryTracked(ctx context.Context, vm routing.VM, q *peerpb.NotedRequest) (*peerpb.WorkReply, error) {
+	return callWork(ctx, c, vm, peerpb.Work.Noted, q)
 }
 
 // callWork calls a method of the Work service at a daemon.
 func callWork[Q, R any](
-	ctx context.Context, n *peerClient, vm routing.VM, method func(peerpb.Work, context.Context, Q) (R, error), q Q,
+	ctx context.Context, c *peerClient, vm routing.VM, method func(peerpb.Work, context.Context, Q) (R, error), q Q,
 ) (R, error) {
-	return callPeer(ctx, n, vm, peerpb.NewWorkProtobufClient, method, q, workTimeout)
+	return callPeer(ctx, c, vm, peerpb.NewWorkProtobufClient, method, q, workTimeout)
 }
 
 // callPeer calls a daemon with a timeout and skips the daemon for a while if the call fails. client
 // creates the client of the called service.
 func callPeer[C, Q, R any](
-	ctx context.Context, n *peerClient, vm routing.VM, client func(string, peerpb.HTTPClient, ...twirp.ClientOption) C,
+	ctx context.Context, c *peerClient, vm routing.VM, client func(string, peerpb.HTTPClient, ...twirp.ClientOption) C,
 	method func(C, context.Context, Q) (R, error), q Q, limit time.Duration,
 ) (R, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	reply, err := method(client(n.dialer.URL(vm.Peer), n.dialer.Client), ctx, q)
-	return reply, n.recordResult(vm, err)
+	reply, err := method(client(c.dialer.URL(vm.Peer), c.dialer.Client), ctx, q)
+	return reply, c.recordResult(vm, err)
 }
 
-// broadcast calls tell for every other daemon. A failed call is logged by recordResult.
-func (n *peerClient) broadcast(view *feed.View, tell func(context.Context, routing.VM) error) {
-	if n.dialer == nil {
+// broadcast calls notify for every other daemon. A failed call is logged by recordResult.
+func (c *peerClient) broadcast(view *feed.View, notify func(context.Context, routing.VM) error) {
+	if c.dialer == nil {
 		return
 	}
 	var group errgroup.Group
 	group.SetLimit(maxConcurrentCalls)
-	for _, vm := range routing.Peers(view.VMs, n.self) {
+	for _, vm := range routing.Peers(view.VMs, c.self) {
 		group.Go(func() error {
-			_ = tell(context.Background(), vm)
+			_ = notify(context.Background(), vm)
 			return nil
 		})
 	}
@@ -147,15 +147,15 @@
 }
 
 // recordResult skips a daemon for a while after a failure, and returns err.
-func (n *peerClient) recordResult(vm routing.VM, err error) error {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+func (c *peerClient) recordResult(vm routing.VM, err error) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if err == nil {
-		delete(n.backoffUntil, vm.ID)
+		delete(c.backoffUntil, vm.ID)
 		return nil
 	}
-	n.backoffUntil[vm.ID] = time.Now().Add(peerBackoff)
-	n.log.Emit(event.NeighbourSilent, vm.Peer, err)
+	c.backoffUntil[vm.ID] = time.Now().Add(peerBackoff)
+	c.log.Emit(event.NeighbourSilent, vm.Peer, err)
 	return err
 }
 
--- a/serve/forward/poison.go
+++ b/serve/forward/poison.go
@@ -48,7 +48,7 @@
 
 // begin registers a request, unless it is refused. The returned context is canceled if the request
 // is refused later.
-func (p *poisonRegistry) begin(ctx context.Context, in *inbound) (_ context.Context, leave func(), err error) {
+func (p *poisonRegistry) begin(ctx context.Context, in *inbound) (_ context.Context, finish func(), err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.syncView(p.h.opts.Feed.View())
--- a/serve/forward/poisonpeers.go
+++ b/serve/forward/poisonpeers.go
@@ -24,15 +24,15 @@
 	marksPeers = 4
 )
 
-// notifyTrackers calls tell for each tracking daemon of a request except this one.
-func (p *poisonRegistry) notifyTrackers(digest string, tell func(routing.VM)) {
+// notifyTrackers calls notify for each tracking daemon of a request except this one.
+func (p *poisonRegistry) notifyTrackers(digest string, notify func(routing.VM)) {
 	if p.h.neighbours.dialer == nil {
 		return
 	}
 	vms, hashes := routing.Serving(p.h.opts.Feed.View().VMs)
 	for _, i := range rendezvous.Nearest(xxhash.Sum64String(digest), hashes, poisonTrackers) {
 		if vms[i].ID != p.h.opts.Self.ID {
-			go tell(vms[i])
+			go notify(vms[i])
 		}
 	}
 }
--- a/serve/forward/pool.go
+++ b/serve/forward/pool.go
@@ -139,16 +139,16 @@
 }
 
 // addLoad adds to the counts of this daemon's work at a server.
-func (p *pool) addLoad(c choice, reading, running, copies int) {
+func (p *pool) addLoad(c choice, prefilling, running, replicas int) {
 	if c.load == nil {
 		return
 	}
 	p.mu.Lock()
-	c.load.prefilling += reading
+	c.load.prefilling += prefilling
 	c.load.running += running
-	c.load.replicas += copies
+	c.load.replicas += replicas
 	p.mu.Unlock()
-	if reading != 0 || running != 0 {
+	if prefilling != 0 || running != 0 {
 		p.onWorkChanged(c.server)
 	}
 }
--- a/serve/forward/pressure.go
+++ b/serve/forward/pressure.go
@@ -125,10 +125,10 @@
 }
 
 // recordCall records the outcome of a call: accepted by a server, or rejected by all servers tried.
-func (p *pressure) recordCall(now time.Time, service string, taken bool) {
+func (p *pressure) recordCall(now time.Time, service string, accepted bool) {
 	defer p.mu.Unlock()
 	s := p.lockService(service)
-	if taken {
+	if accepted {
 		s.throttle.Taken(now)
 		return
 	}
--- a/serve/forward/probes.go
+++ b/serve/forward/probes.go
@@ -15,8 +15,8 @@
 //
 // It guards against blaming engines for a stalled link: the VM's link stalls for a second, no
 // engine answers, and the daemon would suspect dozens of healthy engines and choose among suspects
-// only for seconds afterwards. It holds because an engine that times out becomes suspect only if
-// another engine was reached by a probe of the same round.
+// only for seconds afterwards. An engine that times out therefore becomes suspect only if another
+// engine was reached by a probe of the same round.
 type probeRound struct {
 	h         *Handler
 	mu        sync.Mutex
--- a/serve/forward/replicator.go
+++ b/serve/forward/replicator.go
@@ -55,7 +55,7 @@
 
 	// The fields below are used by run alone.
 	target     choice    // engine with the replica; initially the first one's
-	madeHere   bool      // the replica at target was made on demand and needs refreshing
+	onDemand   bool      // the replica at target was made on demand and needs refreshing
 	nextCopyAt time.Time // time of the next copy, or of the next search for a target
 	timeouts   int       // consecutive copies that timed out
 
@@ -90,8 +90,8 @@
 
 // check makes a replica if there is none and refreshes one made on demand.
 func (s *replicator) check(ctx context.Context, now time.Time) {
-	healthy := s.r.h.pool.isHealthy(now, s.r.h.opts.Feed.View(), s.target) && (s.madeHere || !s.firstUsed.Load())
-	if healthy && !s.madeHere {
+	healthy := s.r.h.pool.isHealthy(now, s.r.h.opts.Feed.View(), s.target) && (s.onDemand || !s.firstUsed.Load())
+	if healthy && !s.onDemand {
 		return // the engine that runs the request maintains that replica
 	}
 	if !healthy {
@@ -102,11 +102,11 @@
 	}
 	s.nextCopyAt = now.Add(s.refreshInterval())
 	if !healthy {
-		place, ok := s.r.chooseReplicaEngine(ctx, s.l.at.server, s.failed)
+		target, ok := s.r.chooseReplicaEngine(ctx, s.l.at.server, s.failed)
 		if !ok {
 			return
 		}
-		s.target, s.madeHere = place, true
+		s.target, s.onDemand = target, true
 	}
 	s.copyRun(ctx)
 }
--- a/serve/forward/serverset.go
+++ b/serve/forward/serverset.go
@@ -31,10 +31,10 @@
 	used := make(map[routing.Life]*serverLoad, len(p.loads))
 	for service, servers := range view.Servers {
 		state := snapshot.Of(service)
-		steady, trial := splitByVersion(servers, state)
+		steady, canaries := splitByVersion(servers, state)
 		p.serverSets[service] = p.buildServerSet(steady, used)
 		if state.Stage.Running() {
-			p.serverSets[canaryKey(service)] = p.buildServerSet(trial, used)
+			p.serverSets[canaryKey(service)] = p.buildServerSet(canaries, used)
 			for _, s := range servers { // keeps counting the work at all of them
 				p.currentServer(s, used)
 			}
@@ -103,7 +103,7 @@
 	for i, s := range servers {
 		zones[s.Zone] = append(zones[s.Zone], i)
 	}
-	home := make([]bool, len(servers))
+	preferred := make([]bool, len(servers))
 	for _, members := range zones {
 		hashes := make([]uint64, len(members))
 		for k, i := range members {
@@ -111,10 +111,10 @@
 		}
 		size := (len(members) + len(daemons) - 1) / len(daemons)
 		for _, k := range route.Subset(self, daemons, hashes, size) {
-			home[members[k]] = true
+			preferred[members[k]] = true
 		}
 	}
-	return home
+	return preferred
 }
 
 // preferredFor marks the engines preferred for a prompt with the given part: this daemon's subset,
@@ -123,11 +123,11 @@
 	if part == "" || !usesWindows(len(l.servers)) {
 		return l.preferred
 	}
-	home := make([]bool, len(l.servers))
+	preferred := make([]bool, len(l.servers))
 	for _, i := range prompts.Window(xxhash.Sum64String(part), l.seats) {
-		home[i] = true
+		preferred[i] = true
 	}
-	return home
+	return preferred
 }
 
 // serversAt returns the servers at the given indices.
--- a/serve/forward/worktracker.go
+++ b/serve/forward/worktracker.go
@@ -75,24 +75,24 @@
 	if i < 0 {
 		return
 	}
-	note := t.h.pool.workReport(time.Now(), s.Life())
+	report := t.h.pool.workReport(time.Now(), s.Life())
 	t.mu.Lock()
 	t.sequence++
-	note.Boot, note.Sequence = t.boot, t.sequence
+	report.Boot, report.Sequence = t.boot, t.sequence
 	t.mu.Unlock()
 	self := t.h.opts.Self.ID
 	if vms[i].ID == self {
-		t.record(s.Life(), self, note)
+		t.record(s.Life(), self, report)
 		return
 	}
 	if len(t.h.neighbours.responsive(time.Now(), vms[i:i+1])) == 0 {
 		return
 	}
 	t.h.neighbours.sendReport(context.Background(), vms[i], &peerpb.NoteRequest{
-		Daemon: self, Boot: note.Boot, Sequence: note.Sequence,
+		Daemon: self, Boot: report.Boot, Sequence: report.Sequence,
 		Work: &peerpb.ServerWork{
-			Id: s.ID, Born: s.Born, Reading: int32(note.Reading), Running: int32(note.Running),
-			SuspectMs: note.Suspect.Milliseconds(),
+			Id: s.ID, Born: s.Born, Reading: int32(report.Reading), Running: int32(report.Running),
+			SuspectMs: report.Suspect.Milliseconds(),
 		},
 	})
 }
@@ -123,16 +123,16 @@
 		return nil, false
 	}
 	vms, hashes := routing.Serving(view.VMs)
-	asked := map[int][]routing.Life{} // by index in vms
+	queries := map[int][]routing.Life{} // by index in vms
 	for _, s := range t.h.pool.placementWindow(view, service, part) {
 		if i := prompts.Keeper(xxhash.Sum64String(s.ID), hashes); i >= 0 {
-			asked[i] = append(asked[i], s.Life())
+			queries[i] = append(queries[i], s.Life())
 		}
 	}
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	sum = workloads{}
-	for i, incarnations := range asked {
+	for i, incarnations := range queries {
 		wg.Go(func() {
 			work := t.query(ctx, vms[i], incarnations)
 			mu.Lock()
