--- a/serve/forward/incarnations_test.go
+++ b/serve/forward/incarnations_test.go
@@ -104,13 +104,13 @@
 		pool.prefillCandidates(time.Now(), w.feed.View(), "llm", "", 1, nil)
 		pool.recordFailure(time.Now(), s.server)
 		must.True(t, pool.isSuspect(time.Now(), s.server.Life()))
-		again := w.restartInPlace(s, false)
-		w.register(again)
+		restarted := w.restartInPlace(s, false)
+		w.register(restarted)
 		time.Sleep(time.Second)
 		list := pool.prefillCandidates(time.Now(), w.feed.View(), "llm", "", 1, nil)
 		must.SliceLen(t, 1, list)
 		must.False(t, pool.isSuspect(time.Now(), list[0].server.Life()))
-		must.Eq(t, again.server.Life(), list[0].server.Life())
+		must.Eq(t, restarted.server.Life(), list[0].server.Life())
 	})
 }
 
@@ -121,24 +121,24 @@
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		s := w.addWithBorn("e-a", "a", streamEvents(5, time.Second, 40*time.Millisecond))
 		s.setRuns("run-1 full")
-		again := w.restartInPlace(s, false)
-		again.setRuns("run-2")
+		restarted := w.restartInPlace(s, false)
+		restarted.setRuns("run-2")
 		_, err := w.handler.probe(w.t.Context(), s.server, time.Second)
 		must.ErrorIs(t, err, errRestarted)
 		list := w.handler.pool.prefillCandidates(time.Now(), w.feed.View(), "llm", "", 1, nil)
-		must.Eq(t, again.server.Life(), list[0].server.Life())
+		must.Eq(t, restarted.server.Life(), list[0].server.Life())
 		report, err := w.handler.probe(w.t.Context(), list[0].server, time.Second)
 		must.NoError(t, err)
 		must.MapContainsKey(t, report.Events, "run-2")
 
-		late := list[0].server
-		late.Born++ // a third incarnation, known before the second one's answer arrives
-		must.True(t, w.handler.pool.recordRestart(w.feed.View(), list[0].server.Life(), late.Life()))
-		report, err = w.handler.probe(w.t.Context(), late, time.Second)
+		third := list[0].server
+		third.Born++ // a third incarnation, known before the second one's answer arrives
+		must.True(t, w.handler.pool.recordRestart(w.feed.View(), list[0].server.Life(), third.Life()))
+		report, err = w.handler.probe(w.t.Context(), third, time.Second)
 		must.NoError(t, err)
 		must.MapEmpty(t, report.Events)
 		must.Zero(t, report.Memory)
-		must.False(t, w.handler.pool.recordRestart(w.feed.View(), late.Life(), again.server.Life()))
+		must.False(t, w.handler.pool.recordRestart(w.feed.View(), third.Life(), restarted.server.Life()))
 	})
 }
 
@@ -158,12 +158,12 @@
 		_, parts, err = w.handler.cachedParts(w.t.Context(), known)
 		must.NoError(t, err)
 		must.SliceEmpty(t, parts)
-		again := w.restartInPlace(s, false)
-		again.setCache("p8")
+		restarted := w.restartInPlace(s, false)
+		restarted.setCache("p8")
 		incarnation, parts, err = w.handler.cachedParts(w.t.Context(), s.server)
 		must.NoError(t, err)
 		must.Eq(t, []string{"p8"}, parts)
-		must.Eq(t, again.server.Life(), incarnation)
+		must.Eq(t, restarted.server.Life(), incarnation)
 	})
 }
 
--- a/serve/forward/recovery_test.go
+++ b/serve/forward/recovery_test.go
@@ -36,38 +36,37 @@
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		handle := streamEvents(30, 500*time.Millisecond, 40*time.Millisecond)
 		engines := []*fakeServer{w.add("e-a", "llm", "a", handle), w.add("e-b", "llm", "b", handle)}
-		lost := make(chan []*fakeServer)
+		replaced := make(chan []*fakeServer)
 		go func() {
 			time.Sleep(time.Second)
-			lost <- w.replaceAll(engines, time.Second, 1)
+			replaced <- w.replaceAll(engines, time.Second, 1)
 		}()
 		// No downtime is known yet, so the answer is cut soon.
 		must.Error(t, w.request(http.MethodPost, "/s/1", callerHeaders, "prompt").err)
-		engines = <-lost
+		engines = <-replaced
 		time.Sleep(time.Second)
 
 		go func() {
 			time.Sleep(time.Second)
-			lost <- w.replaceAll(engines, time.Second, 2)
+			replaced <- w.replaceAll(engines, time.Second, 2)
 		}()
 		cut := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(t, cut.err)
 		must.Eq(t, events(1, 30), cut.body)
-		engines = <-lost
+		engines = <-replaced
 		time.Sleep(time.Second)
 
-		go func() { lost <- w.replaceAll(engines, time.Second, 3) }()
+		go func() { replaced <- w.replaceAll(engines, time.Second, 3) }()
 		time.Sleep(100 * time.Millisecond)
 		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.Eq(t, events(1, 30), got.body)
 		must.Less(t, 4*time.Second, got.took)
-		<-lost
+		<-replaced
 	})
 }
 
-// Guards against requests that wait forever for engines that do not return. A request waits no
-// longer than past downtimes suggest, reports that nothing ran, and sets Retry-After to about as
-// long again.
+// Guards against requests that wait for engines which do not return. A request must wait no longer
+// than past downtimes suggest, be answered as not run, and carry a Retry-After of about as long.
 func TestWaitIsBoundedWhileEnginesStayDown(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		engines := []*fakeServer{w.add("e-a", "llm", "a", streamEvents(3, 100*time.Millisecond, 10*time.Millisecond))}
