--- a/serve/forward/cluster_test.go
+++ b/serve/forward/cluster_test.go
@@ -344,7 +344,7 @@
 	})
 }
 
-var repeatsRule = repeats.Rule{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
+var testRetryRule = repeats.Rule{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 
 func newTestCluster(t *testing.T, routes []*routing.Route) *testCluster {
 	services := []*routing.Service{
@@ -373,9 +373,9 @@
 	w.feed = feed.New(feed.Options{Store: storesim.Confirming{Store: w.daemonStore, Hold: time.Second}, Schema: w.schema, Clock: clock, Log: event.Discard()})
 	w.handler = New(Options{
 		Feed: w.feed, Codec: testCodec{}, Log: event.Discard(), Self: self, KeyAge: 5 * time.Second,
-		Repeats: repeatsRule, Dial: w.dial,
+		Repeats: testRetryRule, Dial: w.dial,
 	})
-	w.handler.pool.startedAt = start.Add(-repeatsRule.Window) // gives the daemon its full share of the slack
+	w.handler.pool.startedAt = start.Add(-testRetryRule.Window) // gives the daemon its full share of the slack
 }
 
 // startFeed starts the feed.
--- a/serve/forward/stalledlink_test.go
+++ b/serve/forward/stalledlink_test.go
@@ -84,9 +84,9 @@
 		stallAfter time.Duration // time before the link stalls: during prefills or in mid-answer
 	}{
 		{"in mid-answer, no retries left", noRepeats, 1500 * time.Millisecond},
-		{"in mid-answer, retries left", repeatsRule, 1500 * time.Millisecond},
+		{"in mid-answer, retries left", testRetryRule, 1500 * time.Millisecond},
 		{"before the first event, no retries left", noRepeats, 200 * time.Millisecond},
-		{"before the first event, retries left", repeatsRule, 200 * time.Millisecond},
+		{"before the first event, retries left", testRetryRule, 200 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			withTestCluster(t, streamRoute(), func(w *testCluster) {
