--- a/serve/forward/locate.go
+++ b/serve/forward/locate.go
@@ -19,7 +19,7 @@
 	scanMaxAge = 500 * time.Millisecond
 	// scanTimeout bounds a scan, since repeating a prefill takes only a second. A request whose
 	// prompt is found does not wait for the rest. The timeout is shorter than scanMaxAge, so that a
-	// daemon runs one scan of a service at a time.
+	// daemon runs one scan of all engines of a service at a time.
 	scanTimeout = 400 * time.Millisecond
 	// scanBudgetBytes bounds what a scan reads of all answers. With their headers that takes a
 	// tenth of a second on a 10 Mbit/s link; 120 answers of 0.5 KB add up to 60 KB.
@@ -117,7 +117,8 @@
 	}
 }
 
-// scanFor returns a recent scan that covers the prompt, or starts one.
+// scanFor returns a recent scan of all engines of the service, or starts one. Where the service uses
+// placement windows, it starts a scan of the window of this prompt.
 func (l *locator) scanFor(service, part string) *scan {
 	l.mu.Lock()
 	defer l.mu.Unlock()
