--- a/serve/forward/borrow.go
+++ b/serve/forward/borrow.go
@@ -74,13 +74,13 @@
 func (b *retryBorrower) nextLender(service string, daemons, asked []string) (string, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return ofService(b.lenders, service).Next(time.Now(), daemons, asked, rand.Uint64())
+	return getOrCreate(b.lenders, service).Next(time.Now(), daemons, asked, rand.Uint64())
 }
 
 func (b *retryBorrower) recordRefusal(service, id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	ofService(b.lenders, service).Refused(time.Now(), id)
+	getOrCreate(b.lenders, service).Refused(time.Now(), id)
 }
 
 func (b *retryBorrower) requestRetry(ctx context.Context, address, service string) bool {
@@ -103,7 +103,7 @@
 
 // Lend charges a peer's retry to this daemon's budget.
 func (l retryBudgetService) Lend(_ context.Context, q *peerpb.LendRequest) (*peerpb.LendReply, error) {
-	return &peerpb.LendReply{Granted: l.pool.repeat(time.Now(), q.GetService())}, nil
+	return &peerpb.LendReply{Granted: l.pool.tryTakeRetry(time.Now(), q.GetService())}, nil
 }
 
 // RetryBudgetService returns the path prefix and handler of the twirp service that lends retry
--- a/serve/forward/canary.go
+++ b/serve/forward/canary.go
@@ -81,7 +81,7 @@
 	if !h.versions.Drawn(view, service, route) {
 		return choice{}, false
 	}
-	c, ok := h.pool.plain(now, view, canaryKey(service), nil)
+	c, ok := h.pool.choosePlain(now, view, canaryKey(service), nil)
 	if !ok {
 		return c, false
 	}
@@ -96,14 +96,14 @@
 // placeCanary chooses an engine of the new version for a prompt drawn as a canary, and counts the
 // prompt there; ok is false if the prompt goes to the other engines.
 func (r *relay) placeCanary(ctx context.Context, view *feed.View) (choice, bool) {
-	if r.starts > 0 || r.in.call.After > 0 || !r.h.versions.Drawn(view, r.service, r.in.routeName()) {
+	if r.starts > 0 || r.in.call.LastEventID > 0 || !r.h.versions.Drawn(view, r.service, r.in.routeName()) {
 		return choice{}, false
 	}
-	list := r.h.pool.prefillCandidates(time.Now(), view, canaryKey(r.service), r.in.call.OwnPart, Asked, nil)
+	list := r.h.pool.prefillCandidates(time.Now(), view, canaryKey(r.service), r.in.call.PromptKey, SampleSize, nil)
 	round := r.h.newProbeRound()
 	defer round.suspectSilent()
-	best, ok := r.quietest(round.survey(ctx, list, 0))
-	if !ok || !best.report.Free(r.in.call.PromptTokens) || !r.permitted(ctx, best.choice) {
+	best, ok := r.leastLoaded(round.sampleLoads(ctx, list, 0))
+	if !ok || !best.report.Free(r.in.call.PromptTokens) || !r.tryAcquirePermit(ctx, best.choice) {
 		return choice{}, false
 	}
 	if admission, _ := r.admission(best); admission != prompts.Admitted {
@@ -169,9 +169,9 @@
 const paceEventCount = 24
 
 // startTrial starts a comparison sample for a leg that produces an answer from its beginning.
-func (a *attempt) startTrial(l leg, route string) {
-	if l.from == "" && a.r.in.call.After == 0 && a.r.after == 0 {
-		a.trial = a.r.h.versions.Try(l.at.server, route, rollout.First)
+func (a *attempt) startTrial(l segment, route string) {
+	if l.resumeFrom == "" && a.r.in.call.LastEventID == 0 && a.r.lastEventID == 0 {
+		a.trial = a.r.h.versions.Try(l.target.server, route, rollout.First)
 	}
 }
 
@@ -185,19 +185,19 @@
 
 // recordNextEvent records the pace of a stream after enough events.
 func (a *attempt) recordNextEvent() {
-	if a.made++; a.made == paceEventCount {
-		a.pace.DoneIn(rollout.Good, time.Since(a.begun)/paceEventCount)
+	if a.eventCount++; a.eventCount == paceEventCount {
+		a.pace.DoneIn(rollout.Good, time.Since(a.firstEventAt)/paceEventCount)
 	}
 }
 
 // recordEnd records how the attempt ended.
-func (a *attempt) recordEnd(end legEnd, failed bool) {
+func (a *attempt) recordEnd(end segmentEnd, failed bool) {
 	switch {
-	case end == legWhole:
+	case end == segmentComplete:
 		a.trial.Done(rollout.Good)
-	case failed, end == legNotRun && a.answer != nil && a.answer.StatusCode == http.StatusServiceUnavailable:
+	case failed, end == segmentNotRun && a.response != nil && a.response.StatusCode == http.StatusServiceUnavailable:
 		a.trial.Done(rollout.Failed)
-	case end == legBroken && a.r.taken == nil:
+	case end == segmentBroken && a.r.replacement == nil:
 		a.trial.Done(rollout.Broke)
 	default:
 		a.trial.Done(rollout.Waiting)
@@ -212,18 +212,18 @@
 // whether it does. It closes the old connection first, so that the request does not run at both
 // servers.
 func (r *relay) migrate(ctx context.Context, a *attempt) bool {
-	if a.reading || !r.mayGoOn() || r.starts >= maxStarts {
+	if a.prefilling || !r.canResume() || r.starts >= maxStarts {
 		return false
 	}
 	c, held, ok := r.liveReplica(ctx, a)
 	view := r.h.opts.Feed.View()
-	if !ok || !r.h.versions.Now(view).Of(r.service).Steady(c.server.Version) || !r.permitted(ctx, c) || !r.mayRepeat(ctx, time.Now()) {
+	if !ok || !r.h.versions.Now(view).Of(r.service).Steady(c.server.Version) || !r.tryAcquirePermit(ctx, c) || !r.tryAcquireRetry(ctx, time.Now()) {
 		return false
 	}
 	r.h.pool.addLoad(c, 1, 0, 0)
-	l := r.withCopy(ctx, leg{at: c, from: held.name})
-	r.held = replica{}
+	l := r.withCopyTarget(ctx, segment{target: c, resumeFrom: held.name})
+	r.heldCopy = replica{}
 	a.cancel()
-	r.taken = r.start(ctx, l)
+	r.replacement = r.start(ctx, l)
 	return true
 }
--- a/serve/forward/candidate.go
+++ b/serve/forward/candidate.go
@@ -20,40 +20,40 @@
 
 // reserveFailover chooses the leg that may replace a silent one and takes a retry from the budget
 // for it. The request is counted at the server of the new leg.
-func (r *relay) reserveFailover(ctx context.Context, a *attempt, why error) (leg, takeover.Outcome) {
-	if !r.mayGoOn() || r.starts >= maxStarts {
-		return leg{}, takeover.NoTries
+func (r *relay) reserveFailover(ctx context.Context, a *attempt, why error) (segment, takeover.Outcome) {
+	if !r.canResume() || r.starts >= maxStarts {
+		return segment{}, takeover.NoTries
 	}
 	l, outcome := r.failoverCandidate(ctx, a, why)
 	if outcome != takeover.TakenOver {
-		return leg{}, outcome
+		return segment{}, outcome
 	}
-	l = r.withCopy(ctx, l)
+	l = r.withCopyTarget(ctx, l)
 	// Spends a retry only if the server is still silent.
 	if !pause.For(ctx, takeover.Settling) {
 		outcome = takeover.NotNeeded
-	} else if !r.mayRepeat(ctx, time.Now()) {
+	} else if !r.tryAcquireRetry(ctx, time.Now()) {
 		outcome = takeover.NoRepeat
 	}
 	if outcome != takeover.TakenOver {
 		r.releaseLeg(l)
-		return leg{}, outcome
+		return segment{}, outcome
 	}
 	return l, outcome
 }
 
 // releaseLeg takes back the count of a leg whose request is not sent.
-func (r *relay) releaseLeg(l leg) { r.h.pool.addLoad(l.at, -1, 0, 0) }
+func (r *relay) releaseLeg(l segment) { r.h.pool.addLoad(l.target, -1, 0, 0) }
 
 // failoverCandidate returns a leg at the engine that holds a replica of the run, if it answers a
 // probe, or else at a server that repeats the prefill.
-func (r *relay) failoverCandidate(ctx context.Context, a *attempt, why error) (leg, takeover.Outcome) {
-	if c, held, ok := r.liveReplica(ctx, a); ok && r.permitted(ctx, c) {
+func (r *relay) failoverCandidate(ctx context.Context, a *attempt, why error) (segment, takeover.Outcome) {
+	if c, held, ok := r.liveReplica(ctx, a); ok && r.tryAcquirePermit(ctx, c) {
 		r.h.pool.addLoad(c, 1, 0, 0)
-		return leg{at: c, from: held.name}, takeover.TakenOver
+		return segment{target: c, resumeFrom: held.name}, takeover.TakenOver
 	}
-	if r.h.pressure.isPrefillTooLate(r.service, r.in.call.PromptTokens, time.Until(r.in.until)) {
-		return leg{}, takeover.NoRoom
+	if r.h.pressure.isPrefillTooLate(r.service, r.in.call.PromptTokens, time.Until(r.in.deadline)) {
+		return segment{}, takeover.NoRoom
 	}
 	return r.candidateWithoutReplica(ctx, a, why)
 }
@@ -61,18 +61,18 @@
 // candidateWithoutReplica returns a leg at a server that resumes the answer without a replica. The
 // answer misses its gap target in any case, so this is only worth it if the silent server does not
 // answer a probe or has been silent for long.
-func (r *relay) candidateWithoutReplica(ctx context.Context, a *attempt, why error) (leg, takeover.Outcome) {
+func (r *relay) candidateWithoutReplica(ctx context.Context, a *attempt, why error) (segment, takeover.Outcome) {
 	view := r.h.opts.Feed.View()
-	r.exclude(a.leg)
+	r.exclude(a.segment)
 	c, ok := r.place(ctx, view)
 	if !ok {
-		return leg{}, takeover.NoServer
+		return segment{}, takeover.NoServer
 	}
-	if !r.permitted(ctx, c.choice) {
-		r.releaseLeg(leg{at: c.choice})
-		return leg{}, takeover.NoServer
+	if !r.tryAcquirePermit(ctx, c.choice) {
+		r.releaseLeg(segment{target: c.choice})
+		return segment{}, takeover.NoServer
 	}
-	l, outcome := leg{at: c.choice}, takeover.TakenOver
+	l, outcome := segment{target: c.choice}, takeover.TakenOver
 	if view.Config.Engine(r.service) != nil {
 		switch admission, _ := r.admission(c); {
 		case !c.answered:
@@ -85,7 +85,7 @@
 	}
 	if outcome != takeover.TakenOver {
 		r.releaseLeg(l)
-		return leg{}, outcome
+		return segment{}, outcome
 	}
 	return l, outcome
 }
@@ -94,11 +94,11 @@
 // this VM's link was saturated until a moment ago, the other engines answer by now as well. An
 // engine whose answer is lost, or that has been silent for long, is not probed.
 func (r *relay) isResponsive(ctx context.Context, a *attempt, why error) bool {
-	silentTooLong := time.Since(r.since) >= takeover.Patience(false, r.in.route.GapTarget)
-	if errors.Is(why, errAnswerLost) || errors.Is(why, errSilent) && silentTooLong {
+	silentTooLong := time.Since(r.lastEventAt) >= takeover.Patience(false, r.in.route.GapTarget)
+	if errors.Is(why, errResponseLost) || errors.Is(why, errStreamIdle) && silentTooLong {
 		return false
 	}
-	_, err := r.h.probe(ctx, a.at.server, askLimit)
+	_, err := r.h.probe(ctx, a.target.server, fastProbeTimeout)
 	return err == nil
 }
 
@@ -107,20 +107,20 @@
 // not enough, nor a link of this VM that recovers in the middle of a probe. Servers that are not
 // engines cannot be probed.
 func (r *relay) isUnreachable(ctx context.Context, a *attempt, why error) bool {
-	if errors.Is(why, errAnswerLost) {
-		a.foundLost++
-		return a.foundLost >= deadProbes
+	if errors.Is(why, errResponseLost) {
+		a.timesFoundLost++
+		return a.timesFoundLost >= maxFailedProbes
 	}
 	view := r.h.opts.Feed.View()
 	if view.Config.Engine(r.service) == nil {
 		return false
 	}
-	others := r.h.pool.prefillCandidates(time.Now(), view, r.service, "", Asked, []routing.Life{a.at.server.Life()})
-	for range deadProbes {
+	others := r.h.pool.prefillCandidates(time.Now(), view, r.service, "", SampleSize, []routing.Life{a.target.server.Life()})
+	for range maxFailedProbes {
 		var probeErr error
 		var wg sync.WaitGroup
-		wg.Go(func() { _, probeErr = r.h.probe(ctx, a.at.server, askLimit) })
-		answered := r.h.newProbeRound().survey(ctx, others, 0)
+		wg.Go(func() { _, probeErr = r.h.probe(ctx, a.target.server, fastProbeTimeout) })
+		answered := r.h.newProbeRound().sampleLoads(ctx, others, 0)
 		wg.Wait()
 		if probeErr == nil || len(answered) == 0 {
 			return false
@@ -131,7 +131,7 @@
 
 // liveReplica returns the engine that holds a replica of an attempt's run, if it answers a probe.
 func (r *relay) liveReplica(ctx context.Context, a *attempt) (choice, replica, bool) {
-	held := r.held
+	held := r.heldCopy
 	if a.spare != nil {
 		if remade := a.spare.remade.Load(); remade != nil {
 			held = *remade
@@ -140,7 +140,7 @@
 	if held.at.load == nil {
 		return choice{}, replica{}, false
 	}
-	c, ok := r.holder(r.h.opts.Feed.View(), held)
+	c, ok := r.findCopyHolder(r.h.opts.Feed.View(), held)
 	if !ok {
 		return choice{}, replica{}, false
 	}
--- a/serve/forward/crashes.go
+++ b/serve/forward/crashes.go
@@ -25,7 +25,7 @@
 // isConnectionBroken reports whether err means that a server broke a connection on which a request
 // was sent.
 func isConnectionBroken(err error) bool {
-	for _, reason := range []error{io.EOF, io.ErrUnexpectedEOF, io.ErrClosedPipe, syscall.ECONNRESET, syscall.EPIPE, errTorn, errRestarted} {
+	for _, reason := range []error{io.EOF, io.ErrUnexpectedEOF, io.ErrClosedPipe, syscall.ECONNRESET, syscall.EPIPE, errTruncatedEvent, errRestarted} {
 		if errors.Is(err, reason) {
 			return true
 		}
@@ -96,7 +96,7 @@
 		crash.Asked, crash.Down = h.countExitedNearby(e.at.server)
 	}
 	finding := crash.Judge()
-	h.opts.Log.Emit(event.BackendBroke, e.in.call.ID, e.in.digests, e.in.call.OwnPart, e.in.accountName(),
+	h.opts.Log.Emit(event.BackendBroke, e.in.call.ID, e.in.digests, e.in.call.PromptKey, e.in.accountName(),
 		e.at.server.ID, e.at.server.Zone, string(found), finding.String(), crash.Asked, crash.Down, now.Sub(e.sentAt), running, e.fromReplica, e.err)
 	if found == processExited && finding == poison.Counts {
 		h.poisoned.recordCrash(context.Background(), e.in, e.at.server.Life())
@@ -134,7 +134,7 @@
 	case err == nil:
 		conn.Close()
 		return processAlive
-	case timedOut(err):
+	case isTimeout(err):
 		return processUnknown
 	}
 	return processExited
--- a/serve/forward/finish_test.go
+++ b/serve/forward/finish_test.go
@@ -50,7 +50,7 @@
 func TestDaemonThatKnowsNothingHearsThePace(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		w.add("e-1", "llm", "a", streamEvents(101, time.Second, 30*time.Millisecond))
-		other := w.beside("vm-2")
+		other := w.addDaemon("vm-2")
 		for range 5 {
 			other.pressure.recordPrefill("llm", 8000, time.Second)
 			other.pressure.recordAnswer("llm", 101, 3*time.Second)
--- a/serve/forward/incarnations.go
+++ b/serve/forward/incarnations.go
@@ -46,7 +46,7 @@
 // probe checks whether an engine answers. An answer of an older incarnation shows only that it
 // responds; one of a newer incarnation fails with errRestarted.
 func (h *Handler) probe(ctx context.Context, s routing.Server, limit time.Duration) (Report, error) {
-	report, err := h.report(ctx, s, limit)
+	report, err := h.fetchReport(ctx, s, limit)
 	if err != nil {
 		return Report{}, err
 	}
@@ -61,6 +61,6 @@
 
 // recordUnreadable records that an engine's message cannot be decoded.
 func (h *Handler) recordUnreadable(s routing.Server, err error) {
-	h.metrics.unreadable.Inc()
+	h.metrics.unreadableMessages.Inc()
 	h.opts.Log.Emit(event.MessageRefused, s.ID, s.Address, err)
 }
--- a/serve/forward/incarnations_test.go
+++ b/serve/forward/incarnations_test.go
@@ -83,13 +83,13 @@
 		c, ok := w.handler.pool.serverAt(view, "llm", s.server.Address)
 		must.True(t, ok)
 		r := &relay{h: w.handler, service: "llm"}
-		_, ok = r.holder(view, replica{at: c, onDemand: true})
+		_, ok = r.findCopyHolder(view, replica{at: c, onDemand: true})
 		must.True(t, ok)
 		w.register(w.restartInPlace(s, false))
 		time.Sleep(time.Second)
-		_, ok = r.holder(w.feed.View(), replica{at: c, onDemand: true})
+		_, ok = r.findCopyHolder(w.feed.View(), replica{at: c, onDemand: true})
 		must.False(t, ok)
-		at, ok := r.holder(w.feed.View(), replica{at: c})
+		at, ok := r.findCopyHolder(w.feed.View(), replica{at: c})
 		must.True(t, ok) // a replica that grows with its run is sent to the new incarnation too
 		must.Eq(t, int64(firstBorn+1), at.server.Born)
 	})
@@ -137,7 +137,7 @@
 		report, err = w.handler.probe(w.t.Context(), third, time.Second)
 		must.NoError(t, err)
 		must.MapEmpty(t, report.Events)
-		must.Zero(t, report.Memory)
+		must.Zero(t, report.CapacityTokens)
 		must.False(t, w.handler.pool.recordRestart(w.feed.View(), third.Life(), restarted.server.Life()))
 	})
 }
--- a/serve/forward/limits.go
+++ b/serve/forward/limits.go
@@ -81,7 +81,7 @@
 // recordLimit records the limit in an answer, unless another server than s answered.
 func (h *Handler) recordLimit(s routing.Server, sent time.Time, reply Reply) {
 	if !reply.Misdirected {
-		h.limits.observeReply(s, sent, reply.Limit, reply.Proven && !reply.NotRun)
+		h.limits.observeReply(s, sent, reply.RateLimit, reply.Authentic && !reply.NotRun)
 	}
 }
 
--- a/serve/forward/locate.go
+++ b/serve/forward/locate.go
@@ -140,7 +140,7 @@
 
 func (l *locator) runScan(service string, s *scan, servers []routing.Server) {
 	defer s.finish()
-	l.h.metrics.scans.Inc()
+	l.h.metrics.cacheScans.Inc()
 	ctx, cancel := context.WithTimeout(context.Background(), scanTimeout)
 	defer cancel()
 	answers := make(chan cacheReply, len(servers))
@@ -222,7 +222,7 @@
 // fetchCache does the same as cachedParts and also returns how many bytes of the answer arrived.
 func (h *Handler) fetchCache(ctx context.Context, server routing.Server) (incarnation routing.Life, parts []string, bytes int, err error) {
 	incarnation = server.Life()
-	body, err := h.commandUpTo(ctx, maxCacheReplyBytes, http.MethodGet, server, h.opts.Codec.CachePath(), nil)
+	body, err := h.callServerUpTo(ctx, maxCacheReplyBytes, http.MethodGet, server, h.opts.Codec.CachePath(), nil)
 	h.metrics.cacheBytes.Add(float64(len(body)))
 	if err != nil {
 		return incarnation, nil, len(body), err
@@ -241,5 +241,5 @@
 	case incarnationNewer:
 		incarnation.Born = cache.Born
 	}
-	return incarnation, cache.Parts, len(body), nil
+	return incarnation, cache.PromptKeys, len(body), nil
 }
--- a/serve/forward/permits.go
+++ b/serve/forward/permits.go
@@ -55,7 +55,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	state.permitRequests.Answered(time.Now(), wait)
-	l.h.metrics.permit(granted)
+	l.h.metrics.countPermit(granted)
 	return granted
 }
 
--- a/serve/forward/pressure.go
+++ b/serve/forward/pressure.go
@@ -28,7 +28,7 @@
 // lockService locks and returns the state of a service; the caller unlocks p.mu.
 func (p *pressure) lockService(service string) *servicePressure {
 	p.mu.Lock()
-	return ofService(p.services, service)
+	return getOrCreate(p.services, service)
 }
 
 // isPrefillTooLate reports whether a prompt cannot be prefilled in the remaining time.
@@ -41,7 +41,7 @@
 // that its prompt still has to be prefilled.
 func (p *pressure) isAnswerTooLate(service string, c Call, unread bool, left time.Duration) bool {
 	defer p.mu.Unlock()
-	return p.lockService(service).pace.Unfinishable(c.PromptTokens, unread, c.After, left)
+	return p.lockService(service).pace.Unfinishable(c.PromptTokens, unread, c.LastEventID, left)
 }
 
 // hasEstimates reports whether enough answers were seen to tell which cannot be complete in time.
--- a/serve/forward/probes.go
+++ b/serve/forward/probes.go
@@ -35,7 +35,7 @@
 	case err == nil, errors.Is(err, errRestarted): // a newer incarnation proves the link just as well
 		q.linkWorks = true
 	case ctx.Err() != nil: // canceled by this daemon
-	case timedOut(err):
+	case isTimeout(err):
 		q.silent = append(q.silent, s)
 	default:
 		q.linkWorks = true
--- a/serve/forward/recovery.go
+++ b/serve/forward/recovery.go
@@ -19,7 +19,7 @@
 
 // downtime returns the observed downtimes of a service's servers. The caller holds p.mu.
 func (p *pool) downtime(service string) *absence.Absence {
-	return ofService(p.downtimes, service)
+	return getOrCreate(p.downtimes, service)
 }
 
 // recordReturns records the downtime of every failed server whose address has a new incarnation in
@@ -78,9 +78,9 @@
 // It guards against refusals during a restart of all engines. Callers that are refused, or whose
 // answers are cut, retry at once, are refused again within the same second and give up. A request
 // does not wait where no engine is registered.
-func (r *relay) awaitEngine(ctx context.Context) (surveyed, bool) {
+func (r *relay) awaitEngine(ctx context.Context) (sampledEngine, bool) {
 	if len(r.h.opts.Feed.View().Servers[r.service]) == 0 {
-		return surveyed{}, false
+		return sampledEngine{}, false
 	}
 	until := time.Now().Add(r.h.pool.recoveryWait(r.service, r.in.route.Objective))
 	tick := time.NewTicker(recoveryPollInterval)
@@ -89,13 +89,13 @@
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			return surveyed{}, false
+			return sampledEngine{}, false
 		}
 		view := r.h.opts.Feed.View()
 		if !r.h.pool.hasHealthyServer(time.Now(), view, r.service) {
 			continue
 		}
-		r.failed = nil // a server that refused a connection may be back
+		r.excluded = nil // a server that refused a connection may be back
 		c, ok := r.place(ctx, view)
 		switch {
 		case ok && c.report.Unread == 0:
@@ -106,7 +106,7 @@
 	}
 	view := r.h.opts.Feed.View()
 	if !r.h.pool.hasHealthyServer(time.Now(), view, r.service) {
-		return surveyed{}, false
+		return sampledEngine{}, false
 	}
 	return r.place(ctx, view)
 }
--- a/serve/forward/replicator.go
+++ b/serve/forward/replicator.go
@@ -49,8 +49,8 @@
 // of all replicas were lost this way.
 type replicator struct {
 	r      *relay
-	l      leg
-	mover  Mover
+	l      segment
+	mover  RunCopier
 	failed []routing.Life // engines at which the request has failed before
 
 	// The fields below are used by run alone.
@@ -65,13 +65,13 @@
 }
 
 // newReplicator returns nil if the engines cannot copy a run on demand.
-func (r *relay) newReplicator(l leg) *replicator {
-	mover, ok := r.h.opts.Codec.(Mover)
+func (r *relay) newReplicator(l segment) *replicator {
+	mover, ok := r.h.opts.Codec.(RunCopier)
 	engine := r.h.opts.Feed.View().Config.Engine(r.service)
 	if !ok || engine == nil || !engine.Moves || !r.in.route.Resumable {
 		return nil
 	}
-	return &replicator{r: r, l: l, mover: mover, failed: slices.Clone(r.failed), target: l.copyTo}
+	return &replicator{r: r, l: l, mover: mover, failed: slices.Clone(r.excluded), target: l.copyTo}
 }
 
 // run maintains the replica until the leg ends.
@@ -102,7 +102,7 @@
 	}
 	s.nextCopyAt = now.Add(s.refreshInterval())
 	if !healthy {
-		target, ok := s.r.chooseReplicaEngine(ctx, s.l.at.server, s.failed)
+		target, ok := s.r.chooseReplicaEngine(ctx, s.l.target.server, s.failed)
 		if !ok {
 			return
 		}
@@ -132,11 +132,11 @@
 	}
 	s.timeouts = 0
 	if s.remade.Load() == nil {
-		s.r.h.metrics.remade.Inc()
-		s.r.h.opts.Log.Emit(event.CopyMade, s.r.in.call.ID, s.l.at.server.ID, s.target.server.ID)
+		s.r.h.metrics.copiesRemade.Inc()
+		s.r.h.opts.Log.Emit(event.CopyMade, s.r.in.call.ID, s.l.target.server.ID, s.target.server.ID)
 	}
 	s.handle.Store(&handle)
-	s.remade.Store(&replica{at: s.target, name: replicaName(s.l.at.server, handle), onDemand: true})
+	s.remade.Store(&replica{at: s.target, name: replicaName(s.l.target.server, handle), onDemand: true})
 }
 
 // recordCopyFailure handles a failed copy. The previous replica still exists. One timeout may be
@@ -145,9 +145,9 @@
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return // the leg has ended
 	}
-	s.r.h.opts.Log.Emit(event.CopyFailed, s.r.in.call.ID, s.l.at.server.ID, s.target.server.ID, err)
-	if timedOut(err) {
-		if s.timeouts++; s.timeouts < deadProbes {
+	s.r.h.opts.Log.Emit(event.CopyFailed, s.r.in.call.ID, s.l.target.server.ID, s.target.server.ID, err)
+	if isTimeout(err) {
+		if s.timeouts++; s.timeouts < maxFailedProbes {
 			return
 		}
 	}
@@ -155,15 +155,15 @@
 }
 
 func (s *replicator) requestCopy(ctx context.Context, target routing.Server) (string, error) {
-	path, body, err := s.mover.Move(s.r.in.call.ID, target.Address)
+	path, body, err := s.mover.CopyRequest(s.r.in.call.ID, target.Address)
 	if err != nil {
 		return "", err
 	}
-	answer, err := s.r.h.command(ctx, http.MethodPost, s.l.at.server, path, body)
+	answer, err := s.r.h.callServer(ctx, http.MethodPost, s.l.target.server, path, body)
 	if err != nil {
 		return "", err
 	}
-	return s.mover.Moved(answer)
+	return s.mover.ParseCopyReply(answer)
 }
 
 // free frees the replica of a finished run, which occupies a slot in the batch of its engine until
@@ -171,17 +171,17 @@
 // another replica.
 func (s *replicator) free() {
 	handle := s.handle.Load()
-	_, same := s.r.h.pool.findServer(s.r.h.opts.Feed.View(), s.r.service, s.l.at.server.Life())
+	_, same := s.r.h.pool.findServer(s.r.h.opts.Feed.View(), s.r.service, s.l.target.server.Life())
 	if handle == nil || !same {
 		return
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), dropTimeout)
 		defer cancel()
-		_, err := s.r.h.command(ctx, http.MethodDelete, s.l.at.server, s.mover.Drop(*handle), nil)
+		_, err := s.r.h.callServer(ctx, http.MethodDelete, s.l.target.server, s.mover.DropPath(*handle), nil)
 		if err != nil {
 			// The engine frees the replica by itself some seconds later.
-			s.r.h.opts.Log.Emit(event.CopyFailed, s.r.in.call.ID, s.l.at.server.ID, "", errors.Wrap(err, "drop"))
+			s.r.h.opts.Log.Emit(event.CopyFailed, s.r.in.call.ID, s.l.target.server.ID, "", errors.Wrap(err, "drop"))
 		}
 	}()
 }
@@ -194,13 +194,13 @@
 	excluded := slices.Clone(failed)
 	round := r.h.newProbeRound()
 	defer round.suspectSilent()
-	for range copyTries {
+	for range maxCopyProbes {
 		c, ok := r.h.pool.chooseReplicaEngine(time.Now(), r.h.opts.Feed.View(), server, excluded)
 		if !ok {
 			return choice{}, false
 		}
-		report, err := round.probe(ctx, c.server, askLimit)
-		if err == nil && report.load().Fits(r.in.call.PromptTokens) {
+		report, err := round.probe(ctx, c.server, fastProbeTimeout)
+		if err == nil && report.loadReport().Fits(r.in.call.PromptTokens) {
 			return c, true
 		}
 		excluded = append(excluded, c.server.Life())
--- a/serve/forward/stalledlink_test.go
+++ b/serve/forward/stalledlink_test.go
@@ -83,9 +83,9 @@
 		rule       repeats.Rule
 		stallAfter time.Duration // time before the link stalls: during prefills or in mid-answer
 	}{
-		{"in mid-answer, no retries left", noRepeats, 1500 * time.Millisecond},
+		{"in mid-answer, no retries left", noRetries, 1500 * time.Millisecond},
 		{"in mid-answer, retries left", testRetryRule, 1500 * time.Millisecond},
-		{"before the first event, no retries left", noRepeats, 200 * time.Millisecond},
+		{"before the first event, no retries left", noRetries, 200 * time.Millisecond},
 		{"before the first event, retries left", testRetryRule, 200 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -93,14 +93,14 @@
 				for _, id := range []string{"a", "b", "c"} {
 					w.add("e-"+id, "llm", id, streamEvents(60, time.Second, 40*time.Millisecond))
 				}
-				w.budget(c.rule)
+				w.setRetryBudget(c.rule)
 				w.background(func() { w.stallLink(c.stallAfter, 1200*time.Millisecond) })
 				for _, got := range w.askMany(4) {
 					must.NoError(w.t, got.err)
 					must.Eq(w.t, http.StatusOK, got.status)
 					must.Eq(w.t, events(1, 60), got.body)
 				}
-				must.Eq(w.t, 4, w.runs())
+				must.Eq(w.t, 4, w.totalRequests())
 			})
 		})
 	}
@@ -162,7 +162,7 @@
 		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(1, 60), got.body)
-		must.Eq(w.t, 1, w.runs())
+		must.Eq(w.t, 1, w.totalRequests())
 	})
 }
 
@@ -223,10 +223,10 @@
 		got := w.request(http.MethodPost, "/s/1", withHeaders(map[string]string{hAfter: "9", hPart: "p7"}), "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(10, 12), got.body)
-		scans := testutil.ToFloat64(w.handler.metrics.scans)
+		scans := testutil.ToFloat64(w.handler.metrics.cacheScans)
 		at := w.servers["e-4"].requestCount()
 		if scans != 1 || at != 1 {
-			w.t.Fatalf("%v scans, %d requests to the engine that caches the prompt, %d to others", scans, at, w.runs()-at)
+			w.t.Fatalf("%v scans, %d requests to the engine that caches the prompt, %d to others", scans, at, w.totalRequests()-at)
 		}
 	})
 }
@@ -310,7 +310,7 @@
 		}
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
-		w.budget(repeats.Rule{Slack: 1.2, Window: 10 * time.Second}) // one retry
+		w.setRetryBudget(repeats.Rule{Slack: 1.2, Window: 10 * time.Second}) // one retry
 		w.background(func() {
 			<-asked
 			w.stallLink(20*time.Millisecond, 450*time.Millisecond)
@@ -363,7 +363,7 @@
 		w.background(func() {
 			time.Sleep(351 * time.Millisecond)
 			link.block(450 * time.Millisecond)
-			for w.runs() < 2 {
+			for w.totalRequests() < 2 {
 				time.Sleep(time.Millisecond)
 			}
 			time.Sleep(78*40*time.Millisecond + 351*time.Millisecond)
@@ -441,7 +441,7 @@
 		handle := func(rw http.ResponseWriter, r *http.Request) {
 			if r.Header.Get(hCopyAt) != "" {
 				asked <- struct{}{}
-				copyFreed(300*time.Millisecond, 0)(rw, r)
+				withCopyReleased(300*time.Millisecond, 0)(rw, r)
 				return
 			}
 			w.servers[r.Header.Get(hServer)].failStatus()
@@ -449,7 +449,7 @@
 		}
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
-		w.budget(repeats.Rule{Slack: 1.2, Window: 10 * time.Second}) // one retry
+		w.setRetryBudget(repeats.Rule{Slack: 1.2, Window: 10 * time.Second}) // one retry
 		w.background(func() {
 			<-asked
 			w.stallLink(20*time.Millisecond, 265*time.Millisecond)
--- a/serve/forward/worktracker.go
+++ b/serve/forward/worktracker.go
@@ -143,7 +143,7 @@
 		})
 	}
 	wg.Wait()
-	return sum, len(sum) >= Asked
+	return sum, len(sum) >= SampleSize
 }
 
 // query asks one tracking daemon, which may be this daemon. It returns nil if that daemon does not
