--- a/serve/forward/lending_test.go
+++ b/serve/forward/borrow_test.go
@@ -14,11 +14,11 @@
 	"mallowwind.dev/peer/link"
 )
 
-// otherPools are those of other daemons, by address, that only lend.
-type otherPools map[string]*pool
+// lenderPools holds the pools of other daemons by peer address. They only lend retries.
+type lenderPools map[string]*pool
 
 // RoundTrip implements http.RoundTripper.
-func (n otherPools) RoundTrip(r *http.Request) (*http.Response, error) {
+func (n lenderPools) RoundTrip(r *http.Request) (*http.Response, error) {
 	p := n[r.URL.Host]
 	if p == nil {
 		return nil, errors.New("no such daemon")
@@ -29,28 +29,28 @@
 	return w.Result(), nil
 }
 
-// An engine dies with a stream of a daemon that has used up its part of the
-// fleet's budget of repeats. A neighbour has repeats left. Without a question the
-// answer is cut; with it the neighbour gives one up and the stream goes on.
-func TestStreamGoesOnWithARepeatOfANeighbour(t *testing.T) {
+// Guards against cut answers while a peer has retries left. An engine crashes with a stream of a
+// daemon that has used up its share of the fleet's retry budget. The daemon must borrow a retry so
+// that the stream resumes, and the lender must be charged for it.
+func TestStreamResumesWithBorrowedRetry(t *testing.T) {
 	cases := []struct {
 		name   string
-		slack  float64 // of the neighbour
+		slack  float64 // of the lender
 		whole  bool
-		remain bool // the neighbour may still repeat
+		remain bool // the lender may still retry
 	}{
-		{"neighbour has one", 1.5, true, false},
-		{"neighbour has none", 0, false, false},
+		{"lender has a retry", 1.5, true, false},
+		{"lender has none", 0, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			withTestCluster(t, streamRoute(), func(w *testCluster) {
 				lender := newPool(routing.VM{ID: "vm-3"}, repeats.Rule{Slack: c.slack, Window: 10 * time.Second}, w.handler.versions)
 				w.handler.SetBounds(5*time.Second, repeats.Rule{Window: 10 * time.Second})
-				w.handler.borrower.dialer = link.NewDialerWith(&http.Client{Transport: otherPools{"three:1": lender}})
+				w.handler.borrower.dialer = link.NewDialerWith(&http.Client{Transport: lenderPools{"three:1": lender}})
 				lender.startedAt = lender.startedAt.Add(-10 * time.Second)
 				w.handler.pool.startedAt = lender.startedAt
-				w.put("mallowwind/vm/vm-2", `{"id":"vm-2","zone":"b","address":"two:2","peer":"two:1"}`) // died
+				w.put("mallowwind/vm/vm-2", `{"id":"vm-2","zone":"b","address":"two:2","peer":"two:1"}`) // dead
 				w.put("mallowwind/vm/vm-3", `{"id":"vm-3","zone":"c","address":"three:2","peer":"three:1"}`)
 				handle := streamEvents(40, time.Second, 40*time.Millisecond)
 				a := w.add("e-a", "llm", "a", handle)
--- a/serve/forward/candidate.go
+++ b/serve/forward/candidate.go
@@ -13,23 +13,23 @@
 	"mallowwind.dev/decision/takeover"
 )
 
-// signOfLife is how long a server may take to answer before an answer goes on there: a
-// round trip is 2 ms, and with the 350 ms of silence before and 100 ms to go on, a pause
-// stays within 700 ms.
-const signOfLife = 150 * time.Millisecond
+// replicaProbeTimeout is how long an engine with a replica may take to answer the probe before the
+// answer resumes there. A round trip takes 2 ms; with 350 ms of silence before and 100 ms to
+// resume, the caller's pause stays below 700 ms.
+const replicaProbeTimeout = 150 * time.Millisecond
 
-// reserveFailover chooses the leg that may follow a silent one, and takes a repeat from the
-// budget for it. The request is counted at the server of the leg.
+// reserveFailover chooses the leg that may replace a silent one and takes a retry from the budget
+// for it. The request is counted at the server of the new leg.
 func (r *relay) reserveFailover(ctx context.Context, a *attempt, why error) (segment, takeover.Outcome) {
 	if !r.canResume() || r.starts >= maxStarts {
 		return segment{}, takeover.NoTries
 	}
-	l, outcome := r.candidate(ctx, a, why)
+	l, outcome := r.failoverCandidate(ctx, a, why)
 	if outcome != takeover.TakenOver {
 		return segment{}, outcome
 	}
 	l = r.withCopyTarget(ctx, l)
-	// A repeat is spent only on what is still silent now.
+	// Spends a retry only if the server is still silent.
 	if !pause.For(ctx, takeover.Settling) {
 		outcome = takeover.NotNeeded
 	} else if !r.tryAcquireRetry(ctx, time.Now()) {
@@ -45,23 +45,23 @@
 // releaseLeg takes back the count of a leg whose request is not sent.
 func (r *relay) releaseLeg(l segment) { r.h.pool.addLoad(l.target, -1, 0, 0) }
 
-// candidate is the leg at the engine that holds a copy of the run, if it gives a sign of
-// life, or at one that reads the prompt anew.
-func (r *relay) candidate(ctx context.Context, a *attempt, why error) (segment, takeover.Outcome) {
-	if c, held, ok := r.livingHolder(ctx, a); ok && r.tryAcquirePermit(ctx, c) {
+// failoverCandidate returns a leg at the engine that holds a replica of the run, if it answers a
+// probe, or else at a server that repeats the prefill.
+func (r *relay) failoverCandidate(ctx context.Context, a *attempt, why error) (segment, takeover.Outcome) {
+	if c, held, ok := r.liveReplica(ctx, a); ok && r.tryAcquirePermit(ctx, c) {
 		r.h.pool.addLoad(c, 1, 0, 0)
 		return segment{target: c, resumeFrom: held.name}, takeover.TakenOver
 	}
 	if r.h.pressure.isPrefillTooLate(r.service, r.in.call.PromptTokens, time.Until(r.in.deadline)) {
 		return segment{}, takeover.NoRoom
 	}
-	return r.withoutCopy(ctx, a, why)
+	return r.candidateWithoutReplica(ctx, a, why)
 }
 
-// withoutCopy is the leg at a server that makes the rest of the answer without a copy. It is
-// late for the caller in any case, so it is worth it only where the silent server gives no
-// sign of life, or has been silent for long.
-func (r *relay) withoutCopy(ctx context.Context, a *attempt, why error) (segment, takeover.Outcome) {
+// candidateWithoutReplica returns a leg at a server that resumes the answer without a replica. The
+// answer misses its gap target in any case, so this is only worth it if the silent server does not
+// answer a probe or has been silent for long.
+func (r *relay) candidateWithoutReplica(ctx context.Context, a *attempt, why error) (segment, takeover.Outcome) {
 	view := r.h.opts.Feed.View()
 	r.exclude(a.segment)
 	c, ok := r.place(ctx, view)
@@ -90,22 +90,22 @@
 	return l, outcome
 }
 
-// isResponsive reports whether a silent engine gives a sign of life after all. It is asked last:
-// where the link from here was full until a moment ago, others answer as well by now. One
-// whose answer is lost, or that has been silent for long, is not asked.
+// isResponsive reports whether a silent engine answers a probe after all. It is probed last: if
+// this VM's link was saturated until a moment ago, the other engines answer by now as well. An
+// engine whose answer is lost, or that has been silent for long, is not probed.
 func (r *relay) isResponsive(ctx context.Context, a *attempt, why error) bool {
-	long := time.Since(r.lastEventAt) >= takeover.Patience(false, r.in.route.GapTarget)
-	if errors.Is(why, errResponseLost) || errors.Is(why, errStreamIdle) && long {
+	silentTooLong := time.Since(r.lastEventAt) >= takeover.Patience(false, r.in.route.GapTarget)
+	if errors.Is(why, errResponseLost) || errors.Is(why, errStreamIdle) && silentTooLong {
 		return false
 	}
 	_, err := r.h.probe(ctx, a.target.server, fastProbeTimeout)
 	return err == nil
 }
 
-// isUnreachable reports whether nothing more is to be expected of a silent engine: its answer
-// was found lost more than once, or it answers neither of two questions, one after the other,
-// while others answer both times: one lost packet does not show that, nor a link from here that
-// is free again in the middle of a question. Servers that are no engines cannot be asked.
+// isUnreachable reports whether a silent engine is given up: its answer was found lost more than
+// once, or it fails two probes in a row while other engines answer both times. One lost packet is
+// not enough, nor a link of this VM that recovers in the middle of a probe. Servers that are not
+// engines cannot be probed.
 func (r *relay) isUnreachable(ctx context.Context, a *attempt, why error) bool {
 	if errors.Is(why, errResponseLost) {
 		a.timesFoundLost++
@@ -117,24 +117,24 @@
 	}
 	others := r.h.pool.prefillCandidates(time.Now(), view, r.service, "", SampleSize, []routing.Life{a.target.server.Life()})
 	for range maxFailedProbes {
-		var silent error
-		var all sync.WaitGroup
-		all.Go(func() { _, silent = r.h.probe(ctx, a.target.server, fastProbeTimeout) })
+		var probeErr error
+		var wg sync.WaitGroup
+		wg.Go(func() { _, probeErr = r.h.probe(ctx, a.target.server, fastProbeTimeout) })
 		answered := r.h.newProbeRound().sampleLoads(ctx, others, 0)
-		all.Wait()
-		if silent == nil || len(answered) == 0 {
+		wg.Wait()
+		if probeErr == nil || len(answered) == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// livingHolder is the engine that holds a copy of an attempt's run, if it answers.
-func (r *relay) livingHolder(ctx context.Context, a *attempt) (choice, replica, bool) {
+// liveReplica returns the engine that holds a replica of an attempt's run, if it answers a probe.
+func (r *relay) liveReplica(ctx context.Context, a *attempt) (choice, replica, bool) {
 	held := r.heldCopy
 	if a.spare != nil {
-		if copied := a.spare.remade.Load(); copied != nil {
-			held = *copied
+		if remade := a.spare.remade.Load(); remade != nil {
+			held = *remade
 		}
 	}
 	if held.at.load == nil {
@@ -144,6 +144,6 @@
 	if !ok {
 		return choice{}, replica{}, false
 	}
-	_, err := r.h.probe(ctx, c.server, signOfLife)
+	_, err := r.h.probe(ctx, c.server, replicaProbeTimeout)
 	return c, held, err == nil
 }
--- a/serve/forward/world_test.go
+++ b/serve/forward/cluster_test.go
@@ -71,14 +71,14 @@
 
 func (testCodec) CachePath() string { return "/cache" }
 
-// Cache reads the start of the engine as "@N" and then the parts that it holds.
+// Cache reads the start time of the engine as "@N", followed by the parts that it caches.
 func (testCodec) Cache(body []byte) (Cache, error) {
-	born, words := startOf(strings.Fields(string(body)))
+	born, words := parseBorn(strings.Fields(string(body)))
 	return Cache{Born: born, PromptKeys: words}, nil
 }
 
-// startOf takes the start of an engine, written as "@N", off the front.
-func startOf(words []string) (int64, []string) {
+// parseBorn removes the start time of an engine, written as "@N", from the front.
+func parseBorn(words []string) (int64, []string) {
 	if len(words) == 0 || !strings.HasPrefix(words[0], "@") {
 		return 0, words
 	}
@@ -88,12 +88,12 @@
 
 func (testCodec) ProbePath() string { return "/alive" }
 
-// Report reads the start, "engine" and then the ids of runs with events, of those
-// without if they begin with a minus, and "full" of an engine without room.
+// Report reads the start time, "engine", and the ids of runs. A minus before an id means a run
+// without events, and "full" means an engine without room.
 func (testCodec) Report(body []byte) (Report, error) {
-	born, words := startOf(strings.Fields(string(body)))
+	born, words := parseBorn(strings.Fields(string(body)))
 	if len(words) == 0 || words[0] != "engine" {
-		return Report{}, errors.New("no engine's answer")
+		return Report{}, errors.New("not an engine's answer")
 	}
 	r := Report{Born: born, Events: map[string]int{}}
 	for _, id := range words[1:] {
@@ -119,7 +119,7 @@
 
 func (testCodec) DropPath(handle string) string { return "/drop/" + handle }
 
-// testSchema stores servers as JSON and gets the configuration from the world.
+// testSchema stores servers as JSON and always decodes the same configuration.
 type testSchema struct {
 	feed.OwnRollouts
 	config *routing.Config
@@ -138,22 +138,22 @@
 	return s, err
 }
 
-// fakeServer is a backend server in process.
+// fakeServer is an in-process backend server.
 type fakeServer struct {
-	server     routing.Server
-	listener   *faultnet.Listener
-	mu         sync.Mutex
-	cacheReply string        // answer to the question what it holds
-	cacheLag   time.Duration // before that answer
-	runReport  string        // ids of the runs that it reports
-	muted      bool          // it does not tell what it does
-	moves      []string      // targets of copies made on demand
-	dropped    []string      // handles of copies freed
-	refusing   int           // copies that it refuses to make
-	received   []*http.Request
-	handle     http.HandlerFunc
-	http       *http.Server
-	cacheAsked int // how many times it was asked what it holds
+	server         routing.Server
+	listener       *faultnet.Listener
+	mu             sync.Mutex
+	cacheReply     string        // body of its answer to a cache request
+	cacheDelay     time.Duration // delay of that answer
+	runReport      string        // ids of the runs in its status
+	statusFails    bool          // status requests fail
+	copyTargets    []string      // targets of replicas made on demand
+	freedCopies    []string      // handles of freed replicas
+	copiesToRefuse int           // number of copy calls that it still refuses
+	received       []*http.Request
+	handle         http.HandlerFunc
+	http           *http.Server
+	cacheRequests  int // number of cache requests
 }
 
 // dial connects to a fake server by its address.
@@ -171,7 +171,7 @@
 	return &countedConn{Conn: conn, received: &w.received}, nil
 }
 
-// countedConn adds what is read from it.
+// countedConn adds the bytes read to received.
 type countedConn struct {
 	net.Conn
 	received *atomic.Int64
@@ -189,7 +189,7 @@
 		if s.server.Service == "llm" {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if s.muted {
+			if s.statusFails {
 				w.WriteHeader(http.StatusInternalServerError)
 				return
 			}
@@ -198,20 +198,20 @@
 		return
 	case "/cache":
 		s.mu.Lock()
-		cached, lag := s.cacheReply, s.cacheLag
-		s.cacheAsked++
+		cached, lag := s.cacheReply, s.cacheDelay
+		s.cacheRequests++
 		s.mu.Unlock()
 		sleep(r, lag)
 		fmt.Fprint(w, s.bornPrefix(), cached)
 		return
 	}
-	if s.copying(w, r) {
+	if s.serveCopyCall(w, r) {
 		return
 	}
 	s.mu.Lock()
 	s.received = append(s.received, r)
 	s.mu.Unlock()
-	// The server notices a caller that leaves only once the body is read.
+	// The server notices that a caller has left only after the body is read.
 	_, _ = io.Copy(io.Discard, r.Body)
 	w.Header().Set(hID, r.Header.Get(hID))
 	if want := r.Header.Get(hServer); want != s.server.ID {
@@ -222,7 +222,7 @@
 	s.handle(w, r)
 }
 
-// bornPrefix is what the server says of its start, before anything else.
+// bornPrefix returns the server's start time as the test codec reads it; "" if it reports none.
 func (s *fakeServer) bornPrefix() string {
 	if s.server.Born == 0 {
 		return ""
@@ -230,61 +230,62 @@
 	return fmt.Sprintf("@%d ", s.server.Born)
 }
 
-// copying answers the calls that make and free a copy on demand.
-func (s *fakeServer) copying(w http.ResponseWriter, r *http.Request) bool {
+// serveCopyCall answers the calls that make and free a replica on demand. It reports whether r is
+// one.
+func (s *fakeServer) serveCopyCall(w http.ResponseWriter, r *http.Request) bool {
 	body, _ := io.ReadAll(r.Body)
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if strings.HasPrefix(r.URL.Path, "/move/") && s.refusing > 0 {
-		s.refusing--
+	if strings.HasPrefix(r.URL.Path, "/move/") && s.copiesToRefuse > 0 {
+		s.copiesToRefuse--
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return true
 	}
 	if strings.HasPrefix(r.URL.Path, "/move/") {
-		s.moves = append(s.moves, string(body))
-		fmt.Fprintf(w, "h%d", len(s.moves))
+		s.copyTargets = append(s.copyTargets, string(body))
+		fmt.Fprintf(w, "h%d", len(s.copyTargets))
 		return true
 	}
 	handle, drop := strings.CutPrefix(r.URL.Path, "/drop/")
 	if drop {
-		s.dropped = append(s.dropped, handle)
+		s.freedCopies = append(s.freedCopies, handle)
 	}
 	return drop
 }
 
-// copyCalls returns the targets of copies made on demand and the handles freed.
+// copyCalls returns the targets of replicas made on demand and the handles of freed ones.
 func (s *fakeServer) copyCalls() (targets, dropped []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.moves), slices.Clone(s.dropped)
+	return slices.Clone(s.copyTargets), slices.Clone(s.freedCopies)
 }
 
 func (s *fakeServer) refuseCopies(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refusing = n
+	s.copiesToRefuse = n
 }
 
-// requests returns the requests that a server was asked to run.
+// requests returns the requests that the server was asked to run.
 func (s *fakeServer) requests() []*http.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.received)
 }
 
-// setCache and reports set what a server tells of itself.
+// setCache sets the parts that the server reports as cached.
 func (s *fakeServer) setCache(parts string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cacheReply = parts
 }
 
-// setCacheDelay sets how long a server takes to tell what it holds.
+// setCacheDelay sets how long the server takes to answer a cache request.
 func (s *fakeServer) setCacheDelay(lag time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cacheLag = lag
+	s.cacheDelay = lag
 }
 
 func (s *fakeServer) setRuns(runs string) {
@@ -296,56 +297,56 @@
 func (s *fakeServer) failStatus() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.muted = true
+	s.statusFails = true
 }
 
-// cacheRequests is how many times servers were asked what they hold.
+// cacheRequests returns the number of cache requests to all servers.
 func (w *testCluster) cacheRequests() (n int) {
 	for _, s := range w.servers {
 		s.mu.Lock()
-		n += s.cacheAsked
+		n += s.cacheRequests
 		s.mu.Unlock()
 	}
 	return n
 }
 
-// requestCount are those that a server was asked to run.
+// requestCount returns how many requests the server was asked to run.
 func (s *fakeServer) requestCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.received)
 }
 
-// testCluster is a handler before fake servers, in virtual time.
+// testCluster is a handler with fake servers and an in-memory store, in virtual time.
 type testCluster struct {
 	t           *testing.T
 	schema      testSchema
 	store       *store.Memory
-	daemonStore *store.Faulty // the store as the daemon reaches it
+	daemonStore *store.Faulty // the store as the daemon sees it
 	mu          sync.Mutex
 	hosts       map[string]*fakeServer // by address
 	feed        *feed.Manager
 	handler     *Handler
 	servers     map[string]*fakeServer
-	// received are the bytes that servers have sent to the handler.
+	// received counts the bytes that servers have sent to the handler.
 	received atomic.Int64
-	buried   []*fakeServer // whose connections stay open though a later life has their place
+	replaced []*fakeServer // silent previous incarnations, whose connections stay open
 	cancel   context.CancelFunc
 	done     sync.WaitGroup
 }
 
-// withTestCluster runs test in virtual time with the routes given.
+// withTestCluster runs a test in virtual time with the given routes.
 func withTestCluster(t *testing.T, routes []*routing.Route, test func(*testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, routes)
-		defer w.close() // also of a test that fails, or what it left ends the other tests with it
+		w := newTestCluster(t, routes)
+		defer w.close() // also if the test fails: goroutines left behind would end the other tests as well
 		test(w)
 	})
 }
 
 var testRetryRule = repeats.Rule{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 
-func newWorld(t *testing.T, routes []*routing.Route) *testCluster {
+func newTestCluster(t *testing.T, routes []*routing.Route) *testCluster {
 	services := []*routing.Service{
 		{Name: "llm", Engine: &routing.Engine{Slots: 4, Copies: true, Moves: true}}, {Name: "desk"},
 	}
@@ -357,15 +358,15 @@
 		hosts: map[string]*fakeServer{},
 	}
 	w.daemonStore = store.NewFaulty(w.store)
-	w.assemble()
+	w.newDaemon()
 	w.put("config", "{}")
 	w.startFeed()
 	synctest.Wait()
 	return w
 }
 
-// assemble makes the daemon's feed and handler.
-func (w *testCluster) assemble() {
+// newDaemon creates the daemon's feed and handler.
+func (w *testCluster) newDaemon() {
 	start := time.Now()
 	clock := func() time.Duration { return time.Since(start) + time.Hour }
 	self := routing.VM{ID: "vm-1", Zone: "a"}
@@ -374,7 +375,7 @@
 		Feed: w.feed, Codec: testCodec{}, Log: event.Discard(), Self: self, MaxKeyAge: 5 * time.Second,
 		RetryBudget: testRetryRule, Dial: w.dial,
 	})
-	w.handler.pool.startedAt = start.Add(-testRetryRule.Window) // the daemon has its part of the slack
+	w.handler.pool.startedAt = start.Add(-testRetryRule.Window) // gives the daemon its full share of the slack
 }
 
 // startFeed starts the feed.
@@ -384,13 +385,12 @@
 	w.done.Go(func() { w.feed.Run(ctx) })
 }
 
-// restartDaemon replaces the daemon by one that has just started, and whose reads of
-// the store take some time.
+// restartDaemon replaces the daemon by a newly started one with a slow connection to the store.
 func (w *testCluster) restartDaemon(reads time.Duration) {
 	w.cancel()
 	w.done.Wait()
 	w.daemonStore.SetDelay(reads)
-	w.assemble()
+	w.newDaemon()
 	w.startFeed()
 }
 
@@ -404,7 +404,7 @@
 	must.NoError(w.t, err)
 }
 
-// add starts a server and waits until the handler knows it.
+// add starts and registers a server, and waits until the handler knows it.
 func (w *testCluster) add(id, service, zone string, handle http.HandlerFunc) *fakeServer {
 	w.t.Helper()
 	s := w.start(routing.Server{ID: id, Service: service, Zone: zone, Address: id + ":80", Slots: 4}, handle)
@@ -413,7 +413,7 @@
 	return s
 }
 
-// register writes a server's entry.
+// register writes a server's entry to the store.
 func (w *testCluster) register(s *fakeServer) {
 	w.t.Helper()
 	raw, err := json.Marshal(s.server)
@@ -421,7 +421,7 @@
 	w.put("server/"+s.server.ID, string(raw))
 }
 
-// remove deletes a key of the store.
+// remove deletes a key from the store.
 func (w *testCluster) remove(key string) {
 	w.t.Helper()
 	kv, err := w.store.Get(w.t.Context(), key)
@@ -429,7 +429,7 @@
 	must.NoError(w.t, w.store.Delete(w.t.Context(), key, kv.Version))
 }
 
-// start runs a server that the store does not know.
+// start runs a server that is not registered in the store.
 func (w *testCluster) start(server routing.Server, handle http.HandlerFunc) *fakeServer {
 	s := &fakeServer{server: server, listener: faultnet.Pipe(), handle: handle}
 	s.http = &http.Server{Handler: s}
@@ -441,7 +441,7 @@
 	return s
 }
 
-// replaceServer puts a new server at the address of an old one, unknown to the store.
+// replaceServer starts an unregistered server with another id at the address of an old one.
 func (w *testCluster) replaceServer(old *fakeServer, id, service string) *fakeServer {
 	w.crash(old)
 	server := old.server
@@ -449,15 +449,15 @@
 	return w.start(server, old.handle)
 }
 
-// reborn puts another life of a server at its address, under its id and unknown to the
-// store. Connections to the life before stay open and say nothing more if silently.
-func (w *testCluster) reborn(old *fakeServer, silently bool) *fakeServer {
+// restartInPlace starts an unregistered new incarnation of a server at its address and under its
+// id. If silently is set, connections to the old incarnation stay open without any traffic.
+func (w *testCluster) restartInPlace(old *fakeServer, silently bool) *fakeServer {
 	server := old.server
 	server.Born++
 	if silently {
 		old.listener.Silence()
 		w.mu.Lock()
-		w.buried = append(w.buried, old)
+		w.replaced = append(w.replaced, old)
 		w.mu.Unlock()
 	} else {
 		w.crash(old)
@@ -471,42 +471,42 @@
 	s.http.Close()
 }
 
-// nothingCounted checks that what requests were counted for at servers was taken back once
-// they are over, whichever way they ended. What stays counted keeps later requests away
-// from a server until the daemon ends.
-func (w *testCluster) nothingCounted() {
-	time.Sleep(writeGrace) // requests whose callers left end
+// checkLoadReleased checks that no load is left counted at any server after all requests have
+// ended, in whatever way. A leaked count would keep later requests away from a server until the
+// daemon ends.
+func (w *testCluster) checkLoadReleased() {
+	time.Sleep(writeGrace) // lets requests end whose callers have left
 	synctest.Wait()
 	w.handler.pool.mu.Lock()
 	defer w.handler.pool.mu.Unlock()
-	for life, one := range w.handler.pool.loads {
+	for incarnation, one := range w.handler.pool.loads {
 		if counted := [3]int{one.prefilling, one.running, one.replicas}; counted != [3]int{} {
-			w.t.Errorf("%s: %v prompts read, runs and copies are counted at the end", life.ID, counted)
+			w.t.Errorf("%s: %v prefills, running answers and replicas are still counted at the end", incarnation.ID, counted)
 		}
 	}
 }
 
-// background plays a part of the story beside the test, which waits for its end.
+// background runs a function concurrently with the test; close waits for its end.
 func (w *testCluster) background(play func()) { w.done.Go(play) }
 
 func (w *testCluster) close() {
-	w.nothingCounted()
+	w.checkLoadReleased()
 	w.cancel()
 	for _, s := range w.servers {
 		s.http.Close()
 	}
-	for _, s := range w.buried {
+	for _, s := range w.replaced {
 		s.http.Close()
 	}
 	w.done.Wait()
 }
 
-// response is what a caller got.
+// response is what a caller received.
 type response struct {
 	status int
 	header http.Header
 	body   string
-	err    error // the body broke off
+	err    error // the body is incomplete
 	took   time.Duration
 }
 
@@ -535,7 +535,7 @@
 	return response{status: resp.StatusCode, header: resp.Header, body: string(raw), err: err, took: time.Since(start)}
 }
 
-// runnerAndHolder says which of two engines runs the one request there is; the other keeps the copy.
+// runnerAndHolder returns the engine that runs the only request and the one with the replica.
 func runnerAndHolder(a, b *fakeServer) (runner, holder *fakeServer) {
 	if b.requestCount() > 0 {
 		return b, a
@@ -543,7 +543,7 @@
 	return a, b
 }
 
-// respondProven answers with a proof.
+// respondProven answers with a proof header.
 func respondProven(body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(hProof, "p")
@@ -551,8 +551,8 @@
 	}
 }
 
-// streamEvents makes events first+1 to last at a pace, after a wait for the first.
-// It goes on after the event that the request names.
+// streamEvents sends the events up to last at a pace, after a delay before the first. It resumes
+// after the event named in the request.
 func streamEvents(last int, first, pace time.Duration) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		after, _ := strconv.Atoi(r.Header.Get(hAfter))
@@ -583,7 +583,7 @@
 	}
 }
 
-// events is a whole stream of events first to last.
+// events returns the complete stream of events first to last.
 func events(first, last int) string {
 	var b strings.Builder
 	for id := first; id <= last; id++ {
@@ -613,7 +613,7 @@
 
 var callerHeaders = map[string]string{hID: "r1", hWait: "25000", hKey: "key-1"}
 
-// withHeaders returns the caller's headers with more.
+// withHeaders returns the caller's headers together with more.
 func withHeaders(more map[string]string) map[string]string {
 	all := map[string]string{}
 	for _, m := range []map[string]string{callerHeaders, more} {
--- a/serve/forward/endings.go
+++ b/serve/forward/crashes.go
@@ -22,8 +22,9 @@
 // digestBytes is the length of a request's digest.
 const digestBytes = 16
 
-// brokenOff reports whether a server broke off a connection on which a request was sent.
-func brokenOff(err error) bool {
+// isConnectionBroken reports whether err means that a server broke a connection on which a request
+// was sent.
+func isConnectionBroken(err error) bool {
 	for _, reason := range []error{io.EOF, io.ErrUnexpectedEOF, io.ErrClosedPipe, syscall.ECONNRESET, syscall.EPIPE, errTruncatedEvent, errRestarted} {
 		if errors.Is(err, reason) {
 			return true
@@ -32,10 +33,11 @@
 	return false
 }
 
-// digests name what a caller asks for in all its attempts: the account, method, host, path and
-// body, with the query and, where there is one, without it; neither the id of an attempt nor
-// other headers. A query may differ from one attempt to the next, or be all that tells two
-// requests apart; where it is that, whole answers clear the digest without it.
+// digests identify a request across its attempts. Each covers the account, method, host, path and
+// body; one includes the query and, where there is a query, another omits it. The attempt's id and
+// other headers are left out. The query may differ between attempts of one request, or be all that
+// distinguishes two requests; in the latter case complete answers clear the digest without the
+// query.
 func digests(in *inbound) []string {
 	list := []string{in.digest(in.target)}
 	if path, _, found := strings.Cut(in.target, "?"); found {
@@ -54,28 +56,29 @@
 	return hex.EncodeToString(hash.Sum(nil)[:digestBytes])
 }
 
-// brokenSend is a send that a server broke off.
+// brokenSend is a send whose connection the server broke.
 type brokenSend struct {
 	in *inbound
 	at choice
-	// sentAt is when the request was sent, begun when its first event arrived, zero before.
+	// firstEventAt is when the first event of the answer arrived; zero before that.
 	sentAt, firstEventAt time.Time
-	fromReplica          string // the copy that it went on from
+	fromReplica          string // name of the replica that the run resumed from; "" if none
 	err                  error
 }
 
-// processState is what a server is found to be after it broke off a connection.
+// processState is the state found for a server process after it broke a connection.
 type processState string
 
 const (
-	stateEnded  processState = "ended" // another process answers at its address, or none
-	stateLives  processState = "lives"
-	stateSilent processState = "silent" // nobody knows
+	processExited  processState = "ended" // another process answers at its address, or none does
+	processAlive   processState = "lives"
+	processUnknown processState = "silent" // the connection attempt timed out
 )
 
-// checkForCrash finds out whether the server of a send has ended, and logs it.
+// checkForCrash finds out whether the server of a broken send has crashed, logs it, and counts the
+// crash against the request.
 func (h *Handler) checkForCrash(e brokenSend) {
-	if !brokenOff(e.err) {
+	if !isConnectionBroken(e.err) {
 		return
 	}
 	now := time.Now()
@@ -83,63 +86,63 @@
 	if !e.firstEventAt.IsZero() {
 		running = now.Sub(e.firstEventAt)
 	}
-	found := h.stateOf(e)
-	end := poison.Ending{
+	found := h.processStateOf(e)
+	crash := poison.Ending{
 		Planned: h.isLeaving(e.at.server),
 		Unread:  e.fromReplica == "" && h.pressure.isPrefillTooLate(e.at.server.Service, e.in.call.PromptTokens, now.Sub(e.sentAt)),
 		Running: running,
 	}
-	if found == stateEnded && end.Judge() == poison.Counts {
-		end.Asked, end.Down = h.lookAround(e.at.server)
+	if found == processExited && crash.Judge() == poison.Counts {
+		crash.Asked, crash.Down = h.countExitedNearby(e.at.server)
 	}
-	finding := end.Judge()
+	finding := crash.Judge()
 	h.opts.Log.Emit(event.BackendBroke, e.in.call.ID, e.in.digests, e.in.call.PromptKey, e.in.accountName(),
-		e.at.server.ID, e.at.server.Zone, string(found), finding.String(), end.Asked, end.Down, now.Sub(e.sentAt), running, e.fromReplica, e.err)
-	if found == stateEnded && finding == poison.Counts {
+		e.at.server.ID, e.at.server.Zone, string(found), finding.String(), crash.Asked, crash.Down, now.Sub(e.sentAt), running, e.fromReplica, e.err)
+	if found == processExited && finding == poison.Counts {
 		h.poisoned.recordCrash(context.Background(), e.in, e.at.server.Life())
 	}
 }
 
-// isLeaving reports whether a server is known to leave, alone or with all of its version.
+// isLeaving reports whether a server is known to leave, by itself or with its whole version.
 func (h *Handler) isLeaving(s routing.Server) bool {
 	view := h.opts.Feed.View()
 	if h.versions.Barred(view, s) {
 		return true
 	}
-	for _, now := range view.Servers[s.Service] {
-		if now.ID == s.ID {
-			return now.Leaving
+	for _, current := range view.Servers[s.Service] {
+		if current.ID == s.ID {
+			return current.Leaving
 		}
 	}
 	return view.Departed(s.ID)
 }
 
-// stateOf finds out whether the server of a send has ended: a process that ended leaves a port
-// at which nobody listens.
-func (h *Handler) stateOf(e brokenSend) processState {
+// processStateOf finds out whether the server process of a send has exited. No process listens on
+// the port of one that has.
+func (h *Handler) processStateOf(e brokenSend) processState {
 	if errors.Is(e.err, errRestarted) {
-		return stateEnded
+		return processExited
 	}
-	return h.stateAt(e.at.server.Address)
+	return h.processStateAt(e.at.server.Address)
 }
 
-func (h *Handler) stateAt(address string) processState {
+func (h *Handler) processStateAt(address string) processState {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	conn, err := h.dial(ctx, "tcp", address)
 	switch {
 	case err == nil:
 		conn.Close()
-		return stateLives
+		return processAlive
 	case isTimeout(err):
-		return stateSilent
+		return processUnknown
 	}
-	return stateEnded
+	return processExited
 }
 
-// lookAround asks some other servers of a server's zone for a connection, and returns how many
-// were asked and how many had ended.
-func (h *Handler) lookAround(s routing.Server) (asked, down int) {
+// countExitedNearby dials other servers of the same zone and returns how many were dialed and how
+// many of their processes have exited.
+func (h *Handler) countExitedNearby(s routing.Server) (asked, exited int) {
 	var others []routing.Server
 	for _, other := range h.opts.Feed.View().Servers[s.Service] {
 		if other.Zone == s.Zone && other.Address != s.Address {
@@ -148,15 +151,15 @@
 	}
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	others = others[:min(poison.Looked, len(others))]
-	var ended atomic.Int32
-	var all sync.WaitGroup
+	var exitedCount atomic.Int32
+	var wg sync.WaitGroup
 	for _, other := range others {
-		all.Go(func() {
-			if h.stateAt(other.Address) == stateEnded {
-				ended.Add(1)
+		wg.Go(func() {
+			if h.processStateAt(other.Address) == processExited {
+				exitedCount.Add(1)
 			}
 		})
 	}
-	all.Wait()
-	return len(others), int(ended.Load())
+	wg.Wait()
+	return len(others), int(exitedCount.Load())
 }
--- a/serve/forward/engines.go
+++ b/serve/forward/engines.go
@@ -15,47 +15,47 @@
 func (p *pool) engineStates(now time.Time, l *serverSet, exclude []routing.Life) []prompts.Engine {
 	engines := make([]prompts.Engine, len(l.servers))
 	for i, s := range l.servers {
-		one := l.loads[i]
+		load := l.loads[i]
 		engines[i] = prompts.Engine{
-			Zone: s.Zone, Home: l.home[i], Reading: one.prefilling, Running: one.running, Copies: one.replicas,
-			Suspect: one.isSuspect(now), Excluded: slices.Contains(exclude, s.Life()),
+			Zone: s.Zone, Home: l.preferred[i], Reading: load.prefilling, Running: load.running, Copies: load.replicas,
+			Suspect: load.isSuspect(now), Excluded: slices.Contains(exclude, s.Life()),
 		}
 	}
 	return engines
 }
 
-// prefillCandidates returns the engines that may read a prompt, the best first and n at most. part
-// is the prompt's own part; "" stands for any prompt.
+// prefillCandidates returns up to n engines that may prefill a prompt, the best first. part
+// identifies the portion of the prompt that no other request shares; "" stands for any prompt.
 func (p *pool) prefillCandidates(now time.Time, view *feed.View, service, part string, n int, exclude []routing.Life) []choice {
 	var list []choice
 	p.choose(view, service, func(l *serverSet) (choice, bool) {
 		engines := p.engineStates(now, l, exclude)
-		for i, home := range l.homesOf(part) {
-			engines[i].Home = home
+		for i, preferred := range l.preferredFor(part) {
+			engines[i].Home = preferred
 		}
-		for _, c := range p.readOpen(now, l, engines, n, false) {
-			one, _ := l.choiceAt(c.Index, string(c.Reason))
-			list = append(list, one)
+		for _, c := range p.rankPermitted(now, l, engines, n, false) {
+			candidate, _ := l.choiceAt(c.Index, string(c.Reason))
+			list = append(list, candidate)
 		}
 		return choice{}, false
 	})
 	return list
 }
 
-// reservePrefill returns the engine that is the first to read a prompt where others is what all
-// other daemons have under way, with the prompts known to be read there, and counts the
-// prompt there at once: a daemon that asks in the next moment must know of it. among is
-// true where only the engines in others are known, and chosen from.
-func (p *pool) reservePrefill(now time.Time, view *feed.View, service string, others workloads, among bool, exclude []routing.Life) (c choice, unread int, ok bool) {
+// reservePrefill chooses the best engine to prefill a prompt, given the work of all other daemons
+// in others, and also returns how many prefills are known there. It counts the prompt at that
+// engine at once, so that a peer that asks in the next moment learns of it. If onlyOthers is set,
+// only the engines in others are known, and the choice is limited to them.
+func (p *pool) reservePrefill(now time.Time, view *feed.View, service string, others workloads, onlyOthers bool, exclude []routing.Life) (c choice, unread int, ok bool) {
 	c, ok = p.choose(view, service, func(l *serverSet) (choice, bool) {
 		engines := p.engineStates(now, l, exclude)
 		for i, s := range l.servers {
 			theirs, known := others[s.Life()]
 			engines[i].Reading += theirs.prefilling
 			engines[i].Running += theirs.running
-			engines[i].Excluded = engines[i].Excluded || among && !known
+			engines[i].Excluded = engines[i].Excluded || onlyOthers && !known
 		}
-		for _, best := range p.readOpen(now, l, engines, 1, true) {
+		for _, best := range p.rankPermitted(now, l, engines, 1, true) {
 			unread = engines[best.Index].Reading
 			l.loads[best.Index].prefilling++
 			return l.choiceAt(best.Index, string(best.Reason))
@@ -68,25 +68,26 @@
 	return c, unread, ok
 }
 
-// readOpen returns the engines that may read a prompt, the best first and n at most, without
-// those that may not be sent to now by the limits that they name.
-func (p *pool) readOpen(now time.Time, l *serverSet, engines []prompts.Engine, n int, known bool) []prompts.Choice {
+// rankPermitted returns up to n engines that may prefill a prompt, the best first. It leaves out
+// engines for which no permit may be requested yet because of their rate limit.
+func (p *pool) rankPermitted(now time.Time, l *serverSet, engines []prompts.Engine, n int, known bool) []prompts.Choice {
 	for {
 		list := prompts.Read(engines, n, known, rand.Uint64())
-		closed := false
+		limited := false
 		for _, c := range list {
 			if !p.limits.canRequestPermit(now, l.servers[c.Index]) {
-				engines[c.Index].Excluded, closed = true, true
+				engines[c.Index].Excluded, limited = true, true
 			}
 		}
-		if !closed {
+		if !limited {
 			return list
 		}
 	}
 }
 
-// window returns the engines among which a prompt is placed; any for one of no known part.
-func (p *pool) window(view *feed.View, service, part string) (servers []routing.Server) {
+// placementWindow returns the engines among which a prompt is placed; a random window if its part
+// is unknown.
+func (p *pool) placementWindow(view *feed.View, service, part string) (servers []routing.Server) {
 	prompt := rand.Uint64()
 	if part != "" {
 		prompt = xxhash.Sum64String(part)
@@ -98,47 +99,48 @@
 	return servers
 }
 
-// workReport is what this daemon has under way at one server, and for how long it suspects it.
-func (p *pool) workReport(now time.Time, life routing.Life) prompts.Note {
+// workReport returns this daemon's work at one server and for how long it suspects the server.
+func (p *pool) workReport(now time.Time, incarnation routing.Life) prompts.Note {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	one := p.loads[life]
-	if one == nil {
+	load := p.loads[incarnation]
+	if load == nil {
 		return prompts.Note{}
 	}
-	return prompts.Note{Reading: one.prefilling, Running: one.running, Suspect: max(0, one.suspectUntil.Sub(now))}
+	return prompts.Note{Reading: load.prefilling, Running: load.running, Suspect: max(0, load.suspectUntil.Sub(now))}
 }
 
-// localWork is what this daemon has under way at the engines of a service.
+// localWork returns this daemon's work at the engines of a service.
 func (p *pool) localWork(view *feed.View, service string) workloads {
-	at := workloads{}
+	work := workloads{}
 	p.choose(view, service, func(l *serverSet) (choice, bool) {
 		for i, s := range l.servers {
-			if one := l.loads[i]; one.prefilling > 0 || one.running > 0 {
-				at[s.Life()] = workload{prefilling: one.prefilling, running: one.running}
+			if load := l.loads[i]; load.prefilling > 0 || load.running > 0 {
+				work[s.Life()] = workload{prefilling: load.prefilling, running: load.running}
 			}
 		}
 		return choice{}, false
 	})
-	return at
+	return work
 }
 
-// prefillCount is how many prompts of this daemon a server reads.
+// prefillCount returns how many of this daemon's prompts a server is prefilling.
 func (p *pool) prefillCount(c choice) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return c.load.prefilling
 }
 
-// chooseReplicaEngine chooses the engine that keeps a copy of a run at another.
-func (p *pool) chooseReplicaEngine(now time.Time, view *feed.View, at routing.Server, exclude []routing.Life) (choice, bool) {
-	return p.choose(view, at.Service, func(l *serverSet) (choice, bool) {
-		engines := p.engineStates(now, l, append(slices.Clone(exclude), at.Life()))
-		return l.choiceAt(prompts.Copy(engines, at.Zone, rand.Uint64()), "")
+// chooseReplicaEngine chooses the engine that keeps the replica of a run executed at another
+// engine.
+func (p *pool) chooseReplicaEngine(now time.Time, view *feed.View, server routing.Server, exclude []routing.Life) (choice, bool) {
+	return p.choose(view, server.Service, func(l *serverSet) (choice, bool) {
+		engines := p.engineStates(now, l, append(slices.Clone(exclude), server.Life()))
+		return l.choiceAt(prompts.Copy(engines, server.Zone, rand.Uint64()), "")
 	})
 }
 
-// serverAt returns the server that has an address now.
+// serverAt returns the server that currently has an address.
 func (p *pool) serverAt(view *feed.View, service, address string) (choice, bool) {
 	return p.choose(view, service, func(l *serverSet) (choice, bool) {
 		i := slices.IndexFunc(l.servers, func(s routing.Server) bool { return s.Address == address })
@@ -146,33 +148,32 @@
 	})
 }
 
-// mayHold returns the engines of which one holds a prompt, if any does; few is false
-// where that may be any engine of the service.
-func (p *pool) mayHold(view *feed.View, service, part string) (servers []routing.Server, few bool) {
+// cacheScanTargets returns the engines to scan for a prompt; windowed is false if it may be cached
+// at any engine of the service.
+func (p *pool) cacheScanTargets(view *feed.View, service, part string) (servers []routing.Server, windowed bool) {
 	p.choose(view, service, func(l *serverSet) (choice, bool) {
-		if few = windowed(len(l.servers)); !few {
+		if windowed = usesWindows(len(l.servers)); !windowed {
 			return choice{}, false
 		}
 		servers = l.serversAt(prompts.LookedAt(xxhash.Sum64String(part), l.seats))
 		return choice{}, false
 	})
-	return servers, few
+	return servers, windowed
 }
 
-// findServer returns a server whose life has not ended.
-func (p *pool) findServer(view *feed.View, service string, life routing.Life) (choice, bool) {
+// findServer returns the server with an incarnation, if that is still the current one.
+func (p *pool) findServer(view *feed.View, service string, incarnation routing.Life) (choice, bool) {
 	return p.choose(view, service, func(l *serverSet) (choice, bool) {
-		return l.choiceAt(l.indexOf(life), "holds_prompt")
+		return l.choiceAt(l.indexOf(incarnation), "holds_prompt")
 	})
 }
 
-// isHealthy reports whether a server is still the one it was: neither leaving or gone
-// nor started anew or replaced at its address, and not suspect. A zero choice does
-// not live.
+// isHealthy reports whether a server may still be used: it is the same incarnation, is neither
+// leaving nor gone, and is not suspect. A zero choice is not healthy.
 func (p *pool) isHealthy(now time.Time, view *feed.View, c choice) bool {
 	if c.load == nil || p.isSuspect(now, c.server.Life()) {
 		return false
 	}
 	_, ok := p.findServer(view, c.server.Service, c.server.Life())
-	return ok || p.staysFor(view, c.server)
+	return ok || p.isFinishingRuns(view, c.server)
 }
--- a/serve/forward/permits.go
+++ b/serve/forward/permits.go
@@ -14,77 +14,80 @@
 )
 
 const (
-	// permitGivers is how many daemons may be asked for a permit, one after the other.
-	permitGivers = 2
-	// acknowledgedFor is how long after a question for permits others are taken to ask here.
-	acknowledgedFor = 2 * time.Second
-	// unknownServer is when a permit is asked for again at a daemon that does not know the
-	// server: about what its entry takes to arrive.
-	unknownServer = 500 * time.Millisecond
+	// permitIssuers is the number of daemons that may issue permits for a server. They are asked in
+	// order until one answers.
+	permitIssuers = 2
+	// issuerConfirmedFor is how long after a permit request from another daemon this daemon counts
+	// as an issuer that others reach.
+	issuerConfirmedFor = 2 * time.Second
+	// unknownServerRetry is when a daemon asks again if the issuer does not know the server: about
+	// the time that the server's registration takes to arrive.
+	unknownServerRetry = 500 * time.Millisecond
 )
 
-// canRequestPermit reports whether a server may be chosen now: it names no limit, or a permit may be asked
-// for.
+// canRequestPermit reports whether a server may be chosen now: it has no limit, or a permit may be
+// requested.
 func (l *rateLimits) canRequestPermit(now time.Time, s routing.Server) bool {
 	if l == nil {
 		return true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	one := l.limitedNow(s)
-	return one == nil || one.permitRequests.Open(now)
+	state := l.active(s)
+	return state == nil || state.permitRequests.Open(now)
 }
 
-// acquire reports whether a request may be sent to a server, at once: it names no limit, or gives a
-// permit. The request waits for the answer to that question.
+// acquire reports whether a request may be sent to a server at once: the server has no limit, or a
+// permit was granted. The request waits for the issuer's answer.
 func (l *rateLimits) acquire(ctx context.Context, s routing.Server) bool {
 	l.mu.Lock()
-	one := l.limitedNow(s)
-	if one == nil {
+	state := l.active(s)
+	if state == nil {
 		l.mu.Unlock()
 		return true
 	}
-	ask, q := one.permitRequests.Ask(time.Now()), &peerpb.PermitRequest{Limit: one.message()}
+	ask, q := state.permitRequests.Ask(time.Now()), &peerpb.PermitRequest{Limit: state.message()}
 	l.mu.Unlock()
 	if !ask {
 		return false
 	}
-	granted, wait := l.requestPermit(ctx, one, q)
+	granted, wait := l.requestPermit(ctx, state, q)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	one.permitRequests.Answered(time.Now(), wait)
+	state.permitRequests.Answered(time.Now(), wait)
 	l.h.metrics.countPermit(granted)
 	return granted
 }
 
-// permitWait is how long it is until a permit may be asked for one of the servers of a service that
-// name a limit; limited is false where none does.
+// permitWait returns how long it takes until a permit may be requested for any of the service's
+// servers with a limit; limited is false if no server has one.
 func (l *rateLimits) permitWait(service string) (wait time.Duration, limited bool) {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range l.h.opts.Feed.View().Servers[service] {
-		one := l.limitedNow(s)
-		if one == nil || s.Leaving {
+		state := l.active(s)
+		if state == nil || s.Leaving {
 			continue
 		}
-		if next := one.permitRequests.Wait(now); !limited || next < wait {
+		if next := state.permitRequests.Wait(now); !limited || next < wait {
 			wait, limited = next, true
 		}
 	}
 	return wait, limited
 }
 
-// requestPermit asks the daemons that give out permits for a server, one after the other.
-func (l *rateLimits) requestPermit(ctx context.Context, one *serverLimit, q *peerpb.PermitRequest) (granted bool, wait time.Duration) {
+// requestPermit asks the issuers of a server's permits in order. If none answers, it uses this
+// daemon's own share of the limit.
+func (l *rateLimits) requestPermit(ctx context.Context, state *serverLimit, q *peerpb.PermitRequest) (granted bool, wait time.Duration) {
 	vms, hashes := routing.Serving(l.h.opts.Feed.View().VMs)
 	if l.h.neighbours.dialer == nil {
 		hashes = nil
 	}
-	for _, i := range rendezvous.Nearest(xxhash.Sum64String(one.server.ID), hashes, permitGivers) {
+	for _, i := range rendezvous.Nearest(xxhash.Sum64String(state.server.ID), hashes, permitIssuers) {
 		if vms[i].ID == l.h.opts.Self.ID {
-			if l.acknowledged(one) {
-				return l.issue(one, q.GetLimit().GetRate())
+			if l.isConfirmedIssuer(state) {
+				return l.issue(state, q.GetLimit().GetRate())
 			}
 			break
 		}
@@ -98,53 +101,53 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return one.fallback.Take(time.Now(), quota.Given(q.GetLimit().GetRate())/float64(max(1, len(vms))))
+	return state.fallback.Take(time.Now(), quota.Given(q.GetLimit().GetRate())/float64(max(1, len(vms))))
 }
 
-// acknowledged reports whether others ask this daemon for permits. One that is cut off from them
-// must not give itself what another daemon gives to them.
-func (l *rateLimits) acknowledged(one *serverLimit) bool {
+// isConfirmedIssuer reports whether other daemons request permits here. A daemon that is
+// partitioned from the others must not issue itself permits that another issuer grants to them.
+func (l *rateLimits) isConfirmedIssuer(state *serverLimit) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return time.Since(one.lastRequested) < acknowledgedFor
+	return time.Since(state.lastRequested) < issuerConfirmedFor
 }
 
-// issue gives out a permit here.
-func (l *rateLimits) issue(one *serverLimit, rate float64) (granted bool, wait time.Duration) {
+// issue grants a permit from this daemon's bucket, or returns how long to wait.
+func (l *rateLimits) issue(state *serverLimit, rate float64) (granted bool, wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if known, named := one.limit.Rate(); named {
+	if known, named := state.limit.Rate(); named {
 		rate = known
 	}
-	return one.bucket.Take(time.Now(), quota.Given(rate))
+	return state.permits.Take(time.Now(), quota.Given(rate))
 }
 
-// rationing implements peerpb.Quota.
-type rationing struct{ limits *rateLimits }
+// quotaService implements peerpb.Quota.
+type quotaService struct{ limits *rateLimits }
 
 // Permit implements peerpb.Quota.
-func (r rationing) Permit(_ context.Context, q *peerpb.PermitRequest) (*peerpb.PermitReply, error) {
+func (r quotaService) Permit(_ context.Context, q *peerpb.PermitRequest) (*peerpb.PermitReply, error) {
 	m := q.GetLimit()
 	s, ok := r.limits.h.findServer(routing.Life{ID: m.GetServer(), Born: m.GetBorn()})
 	if !ok {
-		return &peerpb.PermitReply{WaitMs: unknownServer.Milliseconds()}, nil
+		return &peerpb.PermitReply{WaitMs: unknownServerRetry.Milliseconds()}, nil
 	}
 	r.limits.mu.Lock()
-	one := r.limits.entry(s)
-	one.lastRequested = time.Now()
+	state := r.limits.entry(s)
+	state.lastRequested = time.Now()
 	r.limits.mu.Unlock()
-	granted, wait := r.limits.issue(one, m.GetRate())
+	granted, wait := r.limits.issue(state, m.GetRate())
 	return &peerpb.PermitReply{Granted: granted, WaitMs: wait.Milliseconds() + 1}, nil
 }
 
 // Limited implements peerpb.Quota.
-func (r rationing) Limited(_ context.Context, q *peerpb.LimitedRequest) (*peerpb.LimitedReply, error) {
+func (r quotaService) Limited(_ context.Context, q *peerpb.LimitedRequest) (*peerpb.LimitedReply, error) {
 	r.limits.observePeer(q.GetLimit())
 	return &peerpb.LimitedReply{}, nil
 }
 
-// QuotaService returns the twirp service that other daemons call, and its path prefix.
+// QuotaService returns the path prefix and handler of the twirp service for limits and permits.
 func (h *Handler) QuotaService() (prefix string, handler http.Handler) {
-	s := peerpb.NewQuotaServer(rationing{h.limits})
+	s := peerpb.NewQuotaServer(quotaService{h.limits})
 	return s.PathPrefix(), s
 }
--- /dev/null
+++ b/serve/forward/poison.go
@@ -0,0 +1,246 @@
+package forward
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"sync"
+	"time"
+
+	"mallowwind.dev/control/feed"
+	"mallowwind.dev/control/routing"
+	"mallowwind.dev/decision/poison"
+	"mallowwind.dev/decision/verdict"
+	"mallowwind.dev/peer/peerpb"
+	"mallowwind.dev/telemetry/event"
+)
+
+// poisonRegistry tracks poison requests, which crash the servers that run them. Refusals are kept
+// in the store, and daemons tell each other of them at once.
+type poisonRegistry struct {
+	h *Handler
+
+	mu      sync.Mutex // guards the fields below
+	view    *feed.View // last view processed
+	ledger  poison.Ledger[routing.Life]
+	marks   poison.Marks
+	running map[string]map[*activeRequest]bool // by digest
+	details map[string]*peerpb.Poisonous       // of requests with a mark or with crashes counted here
+	pending map[string]*peerpb.Poisonous       // not written to the store yet
+	wakeup  chan struct{}                      // holds a value when entries are pending
+}
+
+// activeRequest is one request in progress.
+type activeRequest struct{ cancel context.CancelCauseFunc }
+
+func newPoisonRegistry(h *Handler) *poisonRegistry {
+	return &poisonRegistry{
+		h: h, view: &feed.View{}, running: map[string]map[*activeRequest]bool{}, details: map[string]*peerpb.Poisonous{},
+		pending: map[string]*peerpb.Poisonous{}, wakeup: make(chan struct{}, 1),
+	}
+}
+
+// errPoison is the answer to a poison request. The request ran, in this attempt or an earlier one,
+// so the verdict is MayHaveRun. Retrying does not help, so there is no Retry-After.
+func errPoison(digest string) error {
+	return verdict.New(verdict.MayHaveRun, verdict.CodePoison, "backend servers end when they run this request, so it is sent to none (%s)", digest)
+}
+
+// begin registers a request, unless it is refused. The returned context is canceled if the request
+// is refused later.
+func (p *poisonRegistry) begin(ctx context.Context, in *inbound) (_ context.Context, finish func(), err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.syncView(p.h.opts.Feed.View())
+	for _, digest := range in.digests {
+		if p.mark(digest) == poison.Refused {
+			p.h.metrics.poisonRefusals.Inc()
+			return ctx, nil, errPoison(digest)
+		}
+	}
+	ctx, cancel := context.WithCancelCause(ctx)
+	request := &activeRequest{cancel}
+	for _, digest := range in.digests {
+		if p.running[digest] == nil {
+			p.running[digest] = map[*activeRequest]bool{}
+		}
+		p.running[digest][request] = true
+	}
+	return ctx, func() {
+		cancel(nil)
+		p.finish(in.digests, request)
+	}, nil
+}
+
+func (p *poisonRegistry) finish(digests []string, request *activeRequest) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, digest := range digests {
+		delete(p.running[digest], request)
+		if len(p.running[digest]) == 0 {
+			delete(p.running, digest)
+		}
+	}
+}
+
+// syncView drops the local marks and counts of requests whose refusal is now in the store, where an
+// operator can lift it.
+func (p *poisonRegistry) syncView(view *feed.View) {
+	if p.view == view {
+		return
+	}
+	p.view = view
+	for digest := range view.Refused {
+		p.marks.Lift(digest)
+		p.ledger.Clear(digest)
+		delete(p.details, digest)
+		p.cancelRunning(digest)
+	}
+}
+
+// cancelRunning cancels the attempts of a request that are in progress.
+func (p *poisonRegistry) cancelRunning(digest string) {
+	for request := range p.running[digest] {
+		request.cancel(errPoison(digest))
+	}
+}
+
+// mark returns the current mark of a request.
+func (p *poisonRegistry) mark(digest string) poison.Mark {
+	if p.isStored(digest) {
+		return poison.Refused
+	}
+	return p.marks.Of(time.Now(), digest)
+}
+
+// isStored reports whether the refusal of a request is in the store.
+func (p *poisonRegistry) isStored(digest string) bool {
+	_, ok := p.view.Refused[digest]
+	return ok
+}
+
+// recordCrash counts a server crash against a request, here and at the request's tracking daemons.
+func (p *poisonRegistry) recordCrash(ctx context.Context, in *inbound, incarnation routing.Life) {
+	for _, digest := range in.digests {
+		q := &peerpb.EndedRequest{Digest: digest, Server: incarnation.ID, Born: incarnation.Born, Account: in.accountName(), Route: in.routeName()}
+		p.countCrash(q)
+		p.notifyTrackers(digest, func(vm routing.VM) {
+			reply, err := callPeer(ctx, p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Ended, q, poisonTimeout)
+			if err == nil {
+				p.observeMark(reply.GetRequest(), markFromProto(reply.GetMark()))
+			}
+		})
+	}
+}
+
+// countCrash counts a server crash against a request and marks the request according to all crashes
+// counted here.
+func (p *poisonRegistry) countCrash(q *peerpb.EndedRequest) {
+	digest, incarnation := q.GetDigest(), routing.Life{ID: q.GetServer(), Born: q.GetBorn()}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.syncView(p.h.opts.Feed.View())
+	if p.isStored(digest) {
+		return
+	}
+	details := p.details[digest]
+	if details == nil {
+		details = &peerpb.Poisonous{Digest: digest, Account: q.GetAccount(), Route: q.GetRoute()}
+	}
+	if p.ledger.Ended(time.Now(), digest, incarnation) {
+		details = &peerpb.Poisonous{Digest: digest, Account: details.Account, Route: details.Route, Servers: append(slices.Clone(details.Servers), incarnation.ID)}
+	}
+	p.details[digest] = details
+	p.pruneDetails()
+	mark := p.ledger.Mark(digest)
+	if !p.setMark(details, mark) {
+		return
+	}
+	p.h.opts.Log.Emit(event.PoisonMarked, digest, details.Account, details.Route, mark.String(), details.Servers)
+	go p.broadcast(&peerpb.MarkedRequest{Request: details, Mark: peerpb.Mark(mark)})
+	if mark == poison.Refused {
+		p.pending[digest] = details
+		p.wakeWriter()
+	}
+}
+
+// pruneDetails drops the details of requests without counted crashes and without a mark.
+func (p *poisonRegistry) pruneDetails() {
+	if len(p.details) <= poison.MaxRequests {
+		return
+	}
+	now := time.Now()
+	maps.DeleteFunc(p.details, func(digest string, _ *peerpb.Poisonous) bool {
+		return p.ledger.Mark(digest) == poison.Unmarked && p.marks.Of(now, digest) == poison.Unmarked
+	})
+}
+
+// setMark sets a mark and cancels requests in progress that are now refused. It reports whether the
+// mark is new here.
+func (p *poisonRegistry) setMark(details *peerpb.Poisonous, mark poison.Mark) bool {
+	digest := details.GetDigest()
+	if mark == poison.Unmarked || !p.marks.Set(time.Now(), digest, mark) {
+		return false
+	}
+	p.h.metrics.poisonMarks.WithLabelValues(mark.String()).Inc()
+	if mark == poison.Refused {
+		p.cancelRunning(digest)
+	}
+	return true
+}
+
+// observeMark applies a mark reported by another daemon.
+func (p *poisonRegistry) observeMark(details *peerpb.Poisonous, mark poison.Mark) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	digest := details.GetDigest()
+	if mark == poison.Unmarked {
+		p.forgetCounts(digest)
+		return
+	}
+	p.syncView(p.h.opts.Feed.View())
+	if p.isStored(digest) || !p.setMark(details, mark) {
+		return
+	}
+	p.details[digest] = details
+	p.h.opts.Log.Emit(event.PoisonTold, digest, details.GetAccount(), details.GetRoute(), mark.String(), details.GetServers())
+}
+
+// recordCompletion clears a request that got a complete answer: other requests in progress crashed
+// its servers.
+func (p *poisonRegistry) recordCompletion(in *inbound) {
+	for _, digest := range in.digests {
+		if !p.clearCounts(digest) {
+			continue
+		}
+		p.h.opts.Log.Emit(event.PoisonCleared, in.call.ID, digest)
+		p.notifyTrackers(digest, func(vm routing.VM) {
+			q := &peerpb.ClearedRequest{Digest: digest}
+			// A failure is logged by recordResult; the next complete answer clears the request
+			// there.
+			_, _ = callPeer(context.Background(), p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Cleared, q, poisonTimeout)
+		})
+	}
+}
+
+// clearCounts drops the crashes counted against a request and its watched mark, and tells the other
+// daemons if it was watched. It reports whether anything was dropped.
+func (p *poisonRegistry) clearCounts(digest string) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	counted, watched := p.forgetCounts(digest)
+	if watched {
+		go p.broadcast(&peerpb.MarkedRequest{Request: &peerpb.Poisonous{Digest: digest}, Mark: peerpb.Mark_MARK_UNMARKED})
+	}
+	return counted || watched
+}
+
+// forgetCounts drops the crashes counted against a request and its watched mark, and reports which
+// of them existed. The caller holds the lock.
+func (p *poisonRegistry) forgetCounts(digest string) (counted, watched bool) {
+	counted, watched = p.ledger.Clear(digest), p.marks.Clear(digest)
+	if counted || watched {
+		delete(p.details, digest)
+	}
+	return counted, watched
+}
--- a/serve/forward/poisonstore.go
+++ b/serve/forward/poisonstore.go
@@ -14,37 +14,37 @@
 )
 
 const (
-	// writeAgain is the mean pause before an entry is written that could not be.
-	writeAgain = time.Second
-	// settleEvery is how often the view is looked at where no request comes.
-	settleEvery = time.Second
+	// storeRetryInterval is the mean delay before a failed store write is retried.
+	storeRetryInterval = time.Second
+	// viewSyncInterval is how often the view is processed while no requests arrive.
+	viewSyncInterval = time.Second
 )
 
-// rouse has run look at what is pending.
-func (p *poisonRegistry) rouse() {
+// wakeWriter makes run write the pending entries.
+func (p *poisonRegistry) wakeWriter() {
 	select {
-	case p.roused <- struct{}{}:
+	case p.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// run asks other daemons what they were told, once some are known, and writes refusals to
-// the store until ctx ends.
+// run fetches the marks of other daemons once the feed knows some, and writes refusals to the store
+// until ctx ends.
 func (p *poisonRegistry) run(ctx context.Context) {
 	select {
 	case <-p.h.opts.Feed.Known():
 		p.fetchMarks(ctx)
 	case <-ctx.Done():
 	}
-	look := time.NewTicker(settleEvery)
-	defer look.Stop()
+	ticker := time.NewTicker(viewSyncInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-p.roused:
+		case <-p.wakeup:
 			if !p.writePending(ctx) {
-				time.AfterFunc(writeAgain/2+rand.N(writeAgain), p.rouse)
+				time.AfterFunc(storeRetryInterval/2+rand.N(storeRetryInterval), p.wakeWriter)
 			}
-		case <-look.C:
+		case <-ticker.C:
 			p.mu.Lock()
 			p.syncView(p.h.opts.Feed.View())
 			p.mu.Unlock()
@@ -54,23 +54,23 @@
 	}
 }
 
-// writePending writes what is pending to the store. It reports whether nothing is pending any more.
+// writePending writes the pending entries to the store. It reports whether none is left to retry.
 func (p *poisonRegistry) writePending(ctx context.Context) bool {
 	p.mu.Lock()
 	pending := slices.Collect(maps.Values(p.pending))
 	p.mu.Unlock()
 	done := true
-	for _, one := range pending {
+	for _, request := range pending {
 		err := p.h.opts.Feed.Refuse(ctx, feed.Refused{
-			Digest: one.GetDigest(), Account: one.GetAccount(), Route: one.GetRoute(), Servers: one.GetServers(),
+			Digest: request.GetDigest(), Account: request.GetAccount(), Route: request.GetRoute(), Servers: request.GetServers(),
 		})
-		p.h.opts.Log.Emit(event.PoisonWritten, one.GetDigest(), err)
+		p.h.opts.Log.Emit(event.PoisonWritten, request.GetDigest(), err)
 		if err != nil && !errors.Is(err, feed.ErrRefusedFull) {
 			done = false
 			continue
 		}
 		p.mu.Lock()
-		delete(p.pending, one.GetDigest())
+		delete(p.pending, request.GetDigest())
 		p.mu.Unlock()
 	}
 	return done
--- a/serve/forward/pool.go
+++ b/serve/forward/pool.go
@@ -13,50 +13,49 @@
 )
 
 const (
-	// minSuspicion is how long a server that failed is a last resort. One behind a
-	// link that loses packets is as good as before in a moment.
+	// minSuspicion is how long a failed server is used only as a last resort. A server behind a
+	// link that drops packets recovers in a moment.
 	minSuspicion = 2 * time.Second
-	// maxSuspicion is for a server that fails each time it is tried, for twice as
-	// long with each: one that crashed returns under another id, and its entry
-	// stays for some seconds.
+	// maxSuspicion bounds the suspicion of a server that fails on every try, which doubles with
+	// each failure. A crashed server returns under another id, while its old entry remains for some
+	// seconds.
 	maxSuspicion = 8 * time.Second
 )
 
-// serverLoad is what this daemon does at one server.
+// serverLoad is this daemon's work at one server.
 type serverLoad struct {
 	calls        route.Load
 	prefilling   int
 	running      int
 	replicas     int
 	suspectUntil time.Time
-	suspectFor   time.Duration // of the last failure, 0 after a success
+	suspectFor   time.Duration // duration after the last failure; 0 after a success
 }
 
-// isSuspect reports whether the server failed a moment ago.
+// isSuspect reports whether the server failed recently.
 func (l *serverLoad) isSuspect(now time.Time) bool { return now.Before(l.suspectUntil) }
 
-// pool knows the servers and this daemon's work at each.
+// pool tracks the servers and this daemon's work at each.
 type pool struct {
-	mu        sync.Mutex
-	self      routing.VM
-	startedAt time.Time
-	retryRule repeats.Rule
-	view      *feed.View
-	layouts   map[string]*serverSet
-	// loads are by life: what was learned of a server ends with it.
+	mu         sync.Mutex
+	self       routing.VM
+	startedAt  time.Time
+	retryRule  repeats.Rule
+	view       *feed.View
+	serverSets map[string]*serverSet
+	// loads are kept by incarnation: what was learned of a server does not outlive its process.
 	loads   map[routing.Life]*serverLoad
 	budgets map[string]*repeats.Budget
-	// successors are the lives that have begun at the address of one in the view, by
-	// the life there.
+	// successors maps an incarnation listed in the view to a newer one at the same address.
 	successors map[routing.Life]routing.Life
-	// down are the servers that failed and have not been back since, by address.
-	down     map[string]downServer
-	absences map[string]*absence.Absence // by service
-	// onWorkChanged is told of servers at which this daemon's prompts, answers or suspicion are
-	// others than before. It is called without the lock.
+	// down holds the servers that failed and have not returned since, by address.
+	down      map[string]downServer
+	downtimes map[string]*absence.Absence // by service
+	// onWorkChanged is called, without the lock, for each server at which this daemon's prefills,
+	// running answers or suspicion have changed.
 	onWorkChanged func(routing.Server)
-	limits        *rateLimits // of servers; nil where none is known
-	// versions says which servers may serve, as of snapshot.
+	limits        *rateLimits // rate limits of servers; nil if there are none
+	// versions decides which servers may serve; snapshot is its last state applied.
 	versions *versions.Manager
 	snapshot *versions.Snapshot
 }
@@ -69,29 +68,29 @@
 
 func newPool(self routing.VM, rule repeats.Rule, versions *versions.Manager) *pool {
 	return &pool{
-		self: self, startedAt: time.Now(), retryRule: rule, layouts: map[string]*serverSet{},
+		self: self, startedAt: time.Now(), retryRule: rule, serverSets: map[string]*serverSet{},
 		loads: map[routing.Life]*serverLoad{}, budgets: map[string]*repeats.Budget{},
 		successors: map[routing.Life]routing.Life{},
-		down:       map[string]downServer{}, absences: map[string]*absence.Absence{},
+		down:       map[string]downServer{}, downtimes: map[string]*absence.Absence{},
 		onWorkChanged: func(routing.Server) {}, versions: versions,
 	}
 }
 
-// choice is a server with the reason it was chosen for.
+// choice is a chosen server and the reason for the choice.
 type choice struct {
 	server routing.Server
 	load   *serverLoad
 	reason string
 }
 
-// choose runs pick with the layout of a service under the lock; without servers
-// there is no choice.
+// choose runs pick on the server set of a service under the lock. There is no choice if the service
+// has no servers.
 func (p *pool) choose(view *feed.View, service string, pick func(*serverSet) (choice, bool)) (choice, bool) {
-	now := p.versions.Now(view)
+	snapshot := p.versions.Now(view)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.updateView(view, now)
-	l := p.layouts[service]
+	p.updateView(view, snapshot)
+	l := p.serverSets[service]
 	if l == nil {
 		return choice{}, false
 	}
@@ -100,56 +99,56 @@
 
 // recordFailure makes a server a last resort for a while.
 func (p *pool) recordFailure(now time.Time, s routing.Server) {
-	if p.suspectFrom(now, s) {
+	if p.markSuspect(now, s) {
 		p.onWorkChanged(s)
 	}
 }
 
-// suspectFrom begins the suspicion of a server, if it is known.
-func (p *pool) suspectFrom(now time.Time, s routing.Server) bool {
+// markSuspect starts or extends the suspicion of a server and reports whether the server is known.
+func (p *pool) markSuspect(now time.Time, s routing.Server) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	one := p.loads[s.Life()]
-	if one == nil {
+	load := p.loads[s.Life()]
+	if load == nil {
 		return false
 	}
-	one.suspectFor = min(max(2*one.suspectFor, minSuspicion), maxSuspicion)
-	one.suspectUntil = now.Add(one.suspectFor)
+	load.suspectFor = min(max(2*load.suspectFor, minSuspicion), maxSuspicion)
+	load.suspectUntil = now.Add(load.suspectFor)
 	if _, known := p.down[s.Address]; !known {
 		p.down[s.Address] = downServer{incarnation: s.Life(), since: now}
 	}
 	return true
 }
 
-// recordSuccess ends the suspicion of a server that has answered.
+// recordSuccess resets the suspicion time of a server that has answered.
 func (p *pool) recordSuccess(c choice) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c.load.suspectFor = 0
 	if p.down[c.server.Address].incarnation == c.server.Life() {
-		delete(p.down, c.server.Address) // it was there all the time
+		delete(p.down, c.server.Address) // the server was up all the time
 	}
 }
 
-// isSuspect reports whether a server failed a moment ago.
-func (p *pool) isSuspect(now time.Time, life routing.Life) bool {
+// isSuspect reports whether a server failed recently.
+func (p *pool) isSuspect(now time.Time, incarnation routing.Life) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	one := p.loads[life]
-	return one != nil && one.isSuspect(now)
+	load := p.loads[incarnation]
+	return load != nil && load.isSuspect(now)
 }
 
-// addLoad changes this daemon's work at a server.
-func (p *pool) addLoad(c choice, reading, running, copies int) {
+// addLoad adds to the counts of this daemon's work at a server.
+func (p *pool) addLoad(c choice, prefilling, running, replicas int) {
 	if c.load == nil {
 		return
 	}
 	p.mu.Lock()
-	c.load.prefilling += reading
+	c.load.prefilling += prefilling
 	c.load.running += running
-	c.load.replicas += copies
+	c.load.replicas += replicas
 	p.mu.Unlock()
-	if reading != 0 || running != 0 {
+	if prefilling != 0 || running != 0 {
 		p.onWorkChanged(c.server)
 	}
 }
--- a/serve/forward/absences_test.go
+++ b/serve/forward/recovery_test.go
@@ -10,12 +10,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// loseAll crashes engines, and puts new ones at their addresses under other ids after a while.
-func (w *testCluster) loseAll(engines []*fakeServer, away time.Duration, generation int) []*fakeServer {
+// replaceAll crashes engines and, after a while, starts new ones at their addresses under other
+// ids.
+func (w *testCluster) replaceAll(engines []*fakeServer, downtime time.Duration, generation int) []*fakeServer {
 	for _, e := range engines {
 		w.crash(e)
 	}
-	time.Sleep(away)
+	time.Sleep(downtime)
 	var next []*fakeServer
 	for _, e := range engines {
 		w.remove("server/" + e.server.ID)
@@ -26,51 +27,52 @@
 	return next
 }
 
-// All engines are lost for a second, and it is known by then how long that takes. A caller
-// that arrives meanwhile is refused, and so it is when it comes back half a second later:
-// its one repeat is used up though the engines are back by then. It waits instead, and its
-// answer is whole within the objective; an answer that was cut goes on.
-func TestCallersWaitForEnginesThatReturn(t *testing.T) {
+// Guards against refusals during a restart of all engines. The engines are down for a second, and
+// the daemon already knows how long a restart takes. A caller that is refused meanwhile retries
+// half a second later, is refused again, and has used up its only retry although the engines are
+// back by then. Instead, the request must wait and be complete within the objective, and a broken
+// answer must resume.
+func TestRequestsWaitForRestartedEngines(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		handle := streamEvents(30, 500*time.Millisecond, 40*time.Millisecond)
 		engines := []*fakeServer{w.add("e-a", "llm", "a", handle), w.add("e-b", "llm", "b", handle)}
-		lost := make(chan []*fakeServer)
+		replaced := make(chan []*fakeServer)
 		go func() {
 			time.Sleep(time.Second)
-			lost <- w.loseAll(engines, time.Second, 1)
+			replaced <- w.replaceAll(engines, time.Second, 1)
 		}()
-		// Nothing is known the first time: the answer is cut soon.
+		// No downtime is known yet, so the answer is cut soon.
 		must.Error(t, w.request(http.MethodPost, "/s/1", callerHeaders, "prompt").err)
-		engines = <-lost
+		engines = <-replaced
 		time.Sleep(time.Second)
 
 		go func() {
 			time.Sleep(time.Second)
-			lost <- w.loseAll(engines, time.Second, 2)
+			replaced <- w.replaceAll(engines, time.Second, 2)
 		}()
 		cut := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(t, cut.err)
 		must.Eq(t, events(1, 30), cut.body)
-		engines = <-lost
+		engines = <-replaced
 		time.Sleep(time.Second)
 
-		go func() { lost <- w.loseAll(engines, time.Second, 3) }()
+		go func() { replaced <- w.replaceAll(engines, time.Second, 3) }()
 		time.Sleep(100 * time.Millisecond)
 		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.Eq(t, events(1, 30), got.body)
 		must.Less(t, 4*time.Second, got.took)
-		<-lost
+		<-replaced
 	})
 }
 
-// All engines are lost and none returns. Callers wait no longer than engines were away
-// before, hear that nothing ran, and are told to come back after as long again.
-func TestCallersOfEnginesThatStayAway(t *testing.T) {
+// Guards against requests that wait for engines which do not return. A request must wait no longer
+// than past downtimes suggest, be answered as not run, and carry a Retry-After of about as long.
+func TestWaitIsBoundedWhileEnginesStayDown(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		engines := []*fakeServer{w.add("e-a", "llm", "a", streamEvents(3, 100*time.Millisecond, 10*time.Millisecond))}
 		w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		w.handler.pool.recordFailure(time.Now(), engines[0].server)
-		engines = w.loseAll(engines, time.Second, 1)
+		engines = w.replaceAll(engines, time.Second, 1)
 		time.Sleep(time.Second)
 		w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		w.crash(engines[0])
@@ -84,7 +86,7 @@
 		w.remove("server/" + engines[0].server.ID)
 		time.Sleep(time.Second)
 		got = w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
-		must.Eq(t, http.StatusServiceUnavailable, got.status) // none is registered
+		must.Eq(t, http.StatusServiceUnavailable, got.status) // no engine is registered
 		must.Less(t, 100*time.Millisecond, got.took)
 	})
 }
--- /dev/null
+++ b/serve/forward/worktracker.go
@@ -0,0 +1,204 @@
+package forward
+
+import (
+	"context"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"mallowwind.dev/control/feed"
+	"mallowwind.dev/control/routing"
+	"mallowwind.dev/decision/prompts"
+	"mallowwind.dev/peer/peerpb"
+)
+
+// workTracker shares knowledge of the load of engines where the fleet is too large for
+// peerClient.totalWork, which asks every daemon. Each engine has one tracking daemon, chosen by
+// rendezvous hashing. A workTracker reports this daemon's work to the tracking daemons, queries
+// them for the work of all others, and tracks the engines assigned to this daemon.
+type workTracker struct {
+	h    *Handler
+	boot uint64 // identifies this process
+
+	mu        sync.Mutex // guards the fields below
+	ledger    prompts.Ledger[routing.Life]
+	sequence  uint64
+	reporting map[routing.Life]bool // reports in flight; true if the work has changed since
+}
+
+func newWorkTracker(h *Handler) *workTracker {
+	return &workTracker{h: h, boot: rand.Uint64(), reporting: map[routing.Life]bool{}}
+}
+
+// isTracked reports whether the engines of a service have tracking daemons.
+func (t *workTracker) isTracked(view *feed.View, service string) bool {
+	return t.h.neighbours.dialer != nil && view.Config != nil && view.Config.Engine(service) != nil &&
+		len(view.VMs) > 1 && !prompts.Asks(len(view.VMs))
+}
+
+// workChanged reports a change of this daemon's work at an engine to its tracking daemon.
+func (t *workTracker) workChanged(s routing.Server) {
+	if !t.isTracked(t.h.opts.Feed.View(), s.Service) {
+		return
+	}
+	t.mu.Lock()
+	_, inFlight := t.reporting[s.Life()]
+	t.reporting[s.Life()] = inFlight
+	t.mu.Unlock()
+	if !inFlight {
+		go t.reportUntilCurrent(s)
+	}
+}
+
+// reportUntilCurrent sends reports on an engine until the last one sent is up to date.
+func (t *workTracker) reportUntilCurrent(s routing.Server) {
+	for {
+		t.sendReport(s)
+		t.mu.Lock()
+		changed := t.reporting[s.Life()]
+		if !changed {
+			delete(t.reporting, s.Life())
+			t.mu.Unlock()
+			return
+		}
+		t.reporting[s.Life()] = false
+		t.mu.Unlock()
+	}
+}
+
+// sendReport sends one report. The next one corrects a report that is lost.
+func (t *workTracker) sendReport(s routing.Server) {
+	vms, hashes := routing.Serving(t.h.opts.Feed.View().VMs)
+	i := prompts.Keeper(xxhash.Sum64String(s.ID), hashes)
+	if i < 0 {
+		return
+	}
+	report := t.h.pool.workReport(time.Now(), s.Life())
+	t.mu.Lock()
+	t.sequence++
+	report.Boot, report.Sequence = t.boot, t.sequence
+	t.mu.Unlock()
+	self := t.h.opts.Self.ID
+	if vms[i].ID == self {
+		t.record(s.Life(), self, report)
+		return
+	}
+	if len(t.h.neighbours.responsive(time.Now(), vms[i:i+1])) == 0 {
+		return
+	}
+	t.h.neighbours.sendReport(context.Background(), vms[i], &peerpb.NoteRequest{
+		Daemon: self, Boot: report.Boot, Sequence: report.Sequence,
+		Work: &peerpb.ServerWork{
+			Id: s.ID, Born: s.Born, Reading: int32(report.Reading), Running: int32(report.Running),
+			SuspectMs: report.Suspect.Milliseconds(),
+		},
+	})
+}
+
+func (t *workTracker) record(incarnation routing.Life, daemon string, n prompts.Note) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.ledger.Take(time.Now(), incarnation, daemon, n)
+}
+
+// tracked returns the reported work of all daemons but one at an engine.
+func (t *workTracker) tracked(incarnation routing.Life, except string) prompts.Noted {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.ledger.At(time.Now(), incarnation, except)
+}
+
+// workloadOf converts the reports on an engine. Each daemon that suspects the engine counts as one
+// prefill: the engine ranks behind idle engines and before busy ones.
+func workloadOf(n prompts.Noted) workload {
+	return workload{prefilling: n.Reading + n.Suspects, running: n.Running}
+}
+
+// trackedWork returns the work of all other daemons at the engines of a prompt's placement window,
+// as far as their tracking daemons answer; ok is false if too few answer for a choice.
+func (t *workTracker) trackedWork(ctx context.Context, view *feed.View, service, part string) (sum workloads, ok bool) {
+	if !t.isTracked(view, service) {
+		return nil, false
+	}
+	vms, hashes := routing.Serving(view.VMs)
+	queries := map[int][]routing.Life{} // by index in vms
+	for _, s := range t.h.pool.placementWindow(view, service, part) {
+		if i := prompts.Keeper(xxhash.Sum64String(s.ID), hashes); i >= 0 {
+			queries[i] = append(queries[i], s.Life())
+		}
+	}
+	var wg sync.WaitGroup
+	var mu sync.Mutex
+	sum = workloads{}
+	for i, incarnations := range queries {
+		wg.Go(func() {
+			work := t.query(ctx, vms[i], incarnations)
+			mu.Lock()
+			defer mu.Unlock()
+			for incarnation, w := range work {
+				sum[incarnation] = w
+			}
+		})
+	}
+	wg.Wait()
+	return sum, len(sum) >= SampleSize
+}
+
+// query asks one tracking daemon, which may be this daemon. It returns nil if that daemon does not
+// answer.
+func (t *workTracker) query(ctx context.Context, vm routing.VM, incarnations []routing.Life) workloads {
+	self, work := t.h.opts.Self.ID, workloads{}
+	if vm.ID == self {
+		for _, incarnation := range incarnations {
+			work[incarnation] = workloadOf(t.tracked(incarnation, self))
+		}
+		return work
+	}
+	if len(t.h.neighbours.responsive(time.Now(), []routing.VM{vm})) == 0 {
+		return nil
+	}
+	q := &peerpb.NotedRequest{Daemon: self}
+	for _, incarnation := range incarnations {
+		q.Servers = append(q.Servers, serverWork(incarnation, workload{}))
+	}
+	reply, err := t.h.neighbours.queryTracked(ctx, vm, q)
+	if err != nil {
+		return nil
+	}
+	for _, s := range reply.GetServers() {
+		work[routing.Life{ID: s.GetId(), Born: s.GetBorn()}] = workloadOf(prompts.Noted{
+			Reading: int(max(s.GetReading(), 0)), Running: int(max(s.GetRunning(), 0)), Suspects: int(max(s.GetSuspects(), 0)),
+		})
+	}
+	return work
+}
+
+func serverWork(incarnation routing.Life, w workload) *peerpb.ServerWork {
+	return &peerpb.ServerWork{Id: incarnation.ID, Born: incarnation.Born, Reading: int32(w.prefilling), Running: int32(w.running)}
+}
+
+// Note implements peerpb.Work.
+func (t workService) Note(_ context.Context, q *peerpb.NoteRequest) (*peerpb.NoteReply, error) {
+	w := q.GetWork()
+	t.h.keepers.record(routing.Life{ID: w.GetId(), Born: w.GetBorn()}, q.GetDaemon(), prompts.Note{
+		Boot: q.GetBoot(), Sequence: q.GetSequence(),
+		Reading: int(max(w.GetReading(), 0)), Running: int(max(w.GetRunning(), 0)),
+		Suspect: time.Duration(w.GetSuspectMs()) * time.Millisecond,
+	})
+	return &peerpb.NoteReply{}, nil
+}
+
+// Noted implements peerpb.Work. The reply lists every server in the query.
+func (t workService) Noted(_ context.Context, q *peerpb.NotedRequest) (*peerpb.WorkReply, error) {
+	reply := &peerpb.WorkReply{}
+	for _, s := range q.GetServers() {
+		incarnation := routing.Life{ID: s.GetId(), Born: s.GetBorn()}
+		n := t.h.keepers.tracked(incarnation, q.GetDaemon())
+		reply.Servers = append(reply.Servers, &peerpb.ServerWork{
+			Id: incarnation.ID, Born: incarnation.Born, Reading: int32(n.Reading), Running: int32(n.Running), Suspects: int32(n.Suspects),
+		})
+	}
+	return reply, nil
+}
