--- a/serve/forward/plain.go
+++ b/serve/forward/plain.go
@@ -82,7 +82,7 @@
 		retryAfter := retryafter.Crowded(overloadedFor, in.route.Objective, rand.Float64())
 		h.metrics.overloadRefusals.WithLabelValues(reasonTurnedAway).Inc()
 		h.opts.Log.Emit(event.CallThrottled, in.call.ID, service, overloadedFor)
-		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the backend servers turn requests away").After(retryAfter)
+		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the backend servers turn requests away").WithRetryAfter(retryAfter)
 	}
 	x := &exchanges{h: h, in: in, service: service, results: make(chan *outcome, 8)}
 	last, err := x.run(ctx)
@@ -235,7 +235,7 @@
 	if x.possibleRuns == 0 {
 		return nil, x.noServerError()
 	}
-	return nil, verdict.New(verdict.MayHaveRun, verdict.CodeBackendFailed, "the backend server gave no whole answer").Because(last.err)
+	return nil, verdict.New(verdict.MayHaveRun, verdict.CodeBackendFailed, "the backend server gave no whole answer").WithCause(last.err)
 }
 
 // noServerError is the refusal of a request that no server took.
@@ -243,7 +243,7 @@
 	if wait, limited := x.h.limits.permitWait(x.service); limited && len(x.tried) == 0 {
 		return x.h.rateLimitedError(x.in, x.service, verdict.NotRun, wait)
 	}
-	return verdict.New(verdict.NotRun, verdict.CodeNoBackend, "no backend server takes the request").After(x.h.pool.retryAfter(x.service))
+	return verdict.New(verdict.NotRun, verdict.CodeNoBackend, "no backend server takes the request").WithRetryAfter(x.h.pool.retryAfter(x.service))
 }
 
 // rateLimitedError is the refusal of a request because the rate limits that the servers of its
@@ -252,15 +252,15 @@
 	overloadedFor, _ := h.pressure.recordRefusal(time.Now(), service)
 	retryAfter := max(wait, retryafter.Crowded(overloadedFor, in.route.Objective, rand.Float64()))
 	h.metrics.overloadRefusals.WithLabelValues(reasonRateLimited).Inc()
-	return verdict.New(v, verdict.CodeOverloaded, "the backend servers take no more requests now").After(retryAfter)
+	return verdict.New(v, verdict.CodeOverloaded, "the backend servers take no more requests now").WithRetryAfter(retryAfter)
 }
 
 // deadlineError is the error of a request whose context ended without a response.
 func (x *exchanges) deadlineError(ctx context.Context) error {
 	if x.possibleRuns == 0 {
-		return verdict.New(verdict.NotRun, verdict.CodeDeadline, "no backend server took the request in time")
+		return verdict.New(verdict.NotRun, verdict.CodeDeadlineExceeded, "no backend server took the request in time")
 	}
-	return verdict.New(verdict.MayHaveRun, verdict.CodeDeadline, "no answer in time").Because(ctx.Err())
+	return verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "no answer in time").WithCause(ctx.Err())
 }
 
 // exchange sends the request to one server and reads its response.
