--- a/serve/forward/leg.go
+++ b/serve/forward/leg.go
@@ -275,7 +275,7 @@
 	case now.Before(r.in.until):
 		return errCallerLeft
 	}
-	return verdict.New(r.verdict(), verdict.CodeDeadline, "the answer was not finished in time")
+	return verdict.New(r.verdict(), verdict.CodeDeadlineExceeded, "the answer was not finished in time")
 }
 
 // over ends an attempt, and has it found out whether its server ended.
