--- a/decision/admit/admit.go
+++ b/decision/admit/admit.go
@@ -33,7 +33,7 @@
 	Urgent
 	Normal
 	Long
-	classes
+	classCount
 )
 
 // String returns the lower-case name.
@@ -42,38 +42,38 @@
 }
 
 const (
-	// reserveSpread sizes the slots kept for a class: the number its arrivals
+	// reserveStdDevs sizes the slots kept for a class: the number its arrivals
 	// keep busy on average, and this many standard deviations of a Poisson count
 	// more. At three, one arrival in some hundred finds the reserve full.
-	reserveSpread = 3.0
-	// maxReserve is the largest share of slots kept for the classes above
+	reserveStdDevs = 3.0
+	// maxReserveRatio is the largest share of slots kept for the classes above
 	// another, so that very many lookups cannot stop the work below entirely.
-	maxReserve = 0.6
-	// resumedOvershoot is the part of the slots by which continuations may pass
+	maxReserveRatio = 0.6
+	// resumedOverflowDivisor is the part of the slots by which continuations may pass
 	// them: what a lost server ran must go on somewhere, and an eighth more
 	// streams in a batch slow each by a few percent.
-	resumedOvershoot = 8
-	// longFloor is the share of tokens, of those started by other classes, that
+	resumedOverflowDivisor = 8
+	// minLongTokenRatio is the share of tokens, of those started by other classes, that
 	// waiting long work is credited with. It bounds how long a review waits under
 	// endless normal load and costs normal work at most that share.
-	longFloor = 0.15
-	// reserveMemory is how long a class is remembered after its last arrival.
+	minLongTokenRatio = 0.15
+	// reserveExpiry is how long a class is remembered after its last arrival.
 	// A reserve for a class that sends nothing would waste its slots.
-	reserveMemory = time.Minute
-	// shedSlack is how far the predicted start may pass the deadline before
+	reserveExpiry = time.Minute
+	// shedToleranceRatio is how far the predicted start may pass the deadline before
 	// waiting work is refused. The prediction errs by about a fifth; without
 	// slack work that would just make it is thrown away.
-	shedSlack = 1.2
-	// urgentPatience is the share of its patience that an urgent request may be
+	shedToleranceRatio = 1.2
+	// maxUrgentWaitRatio is the share of its patience that an urgent request may be
 	// expected to wait. A lookup is asked for now: under overload a long queue
 	// answers as many, later, and refuses the rest after they waited. Measured
 	// against newest-first and larger shares in docs/design/30-load-admission.md.
-	urgentPatience = 0.05
-	// queuePatience is the share of its patience that any other request may be
+	maxUrgentWaitRatio = 0.05
+	// maxQueueWaitRatio is the share of its patience that any other request may be
 	// expected to wait when it arrives. Predictions err and shares move: work
 	// let in up to its whole patience is often refused only at the end of it.
 	// At 0.3 as much work is done and one refusal in sixteen is late, at 1 most.
-	queuePatience = 0.3
+	maxQueueWaitRatio = 0.3
 	// maxRetryAfter bounds what a refused caller is told: load an hour away
 	// cannot be predicted from a drain rate.
 	maxRetryAfter = time.Minute
@@ -115,13 +115,13 @@
 
 // The reasons.
 const (
-	ReasonSlotFree      Reason = "slot_free"
-	ReasonQueued    Reason = "queued"
-	ReasonCannotStartInTime      Reason = "cannot_start_in_time"
-	ReasonUrgentWouldWait      Reason = "urgent_would_wait"
-	ReasonExpired   Reason = "expired"
-	ReasonNoCapacity Reason = "no_capacity"
-	ReasonDeadlineUnreachable  Reason = "became_hopeless"
+	ReasonSlotFree            Reason = "slot_free"
+	ReasonQueued              Reason = "queued"
+	ReasonCannotStartInTime   Reason = "cannot_start_in_time"
+	ReasonUrgentWouldWait     Reason = "urgent_would_wait"
+	ReasonExpired             Reason = "expired"
+	ReasonNoCapacity          Reason = "no_capacity"
+	ReasonDeadlineUnreachable Reason = "became_hopeless"
 )
 
 // Decision is the answer to an offer.
@@ -139,27 +139,27 @@
 // Wait the item belongs to the queue until Next, Shed or Remove gives it back.
 // After Start the caller reports Started once a backend server is chosen.
 func (q *Queue) Offer(now time.Time, it *Item, slots int) Decision {
-	q.seen(now, it)
+	q.recordArrival(now, it)
 	if !it.Deadline.After(now) {
 		return q.refuse(now, it, slots, 0, ReasonExpired)
 	}
 	if slots <= 0 {
 		return q.refuse(now, it, slots, 0, ReasonNoCapacity)
 	}
-	if q.waitingUpTo(it.Class) == 0 && q.allowed(now, it.Class, slots) {
+	if q.waitingUpTo(it.Class) == 0 && q.canStart(now, it.Class, slots) {
 		return Decision{Action: Start, Reason: ReasonSlotFree}
 	}
-	return q.enqueue(now, it, slots)
+	return q.enqueueOrRefuse(now, it, slots)
 }
 
-// enqueue lets an item wait, or refuses it when it cannot start in time.
-func (q *Queue) enqueue(now time.Time, it *Item, slots int) Decision {
-	wait := q.predict(now, it, q.aheadOf(it), slots)
+// enqueueOrRefuse lets an item wait, or refuses it when it cannot start in time.
+func (q *Queue) enqueueOrRefuse(now time.Time, it *Item, slots int) Decision {
+	wait := q.predictWait(now, it, q.accountQueuedCost(it), slots)
 	patience := it.Deadline.Sub(now)
-	if it.Class == Urgent && float64(wait) > urgentPatience*float64(patience) {
+	if it.Class == Urgent && float64(wait) > maxUrgentWaitRatio*float64(patience) {
 		return q.refuse(now, it, slots, wait, ReasonUrgentWouldWait)
 	}
-	if float64(wait) > queuePatience*float64(patience) && it.Class != Resumed {
+	if float64(wait) > maxQueueWaitRatio*float64(patience) && it.Class != Resumed {
 		return q.refuse(now, it, slots, wait, ReasonCannotStartInTime)
 	}
 	q.push(it)
@@ -173,42 +173,42 @@
 	}
 }
 
-// allowed reports whether a request of class c may start when slots may run,
+// canStart reports whether a request of class c may start when slots may run,
 // given the reserves of the classes above it.
-func (q *Queue) allowed(now time.Time, c Class, slots int) bool {
+func (q *Queue) canStart(now time.Time, c Class, slots int) bool {
 	running := q.Running()
 	switch {
 	case c == Resumed:
-		return running < slots+max(q.spare, slots/resumedOvershoot+1)
+		return running < slots+max(q.urgentOverflow, slots/resumedOverflowDivisor+1)
 	case c == Urgent:
-		return running < slots+q.spare
+		return running < slots+q.urgentOverflow
 	case running >= slots:
 		return false
 	}
 	lower := q.running[Normal] + q.running[Long]
-	most := float64(slots) * maxReserve
-	urgent := min(q.reserve(now, Urgent, slots), most)
+	most := float64(slots) * maxReserveRatio
+	urgent := min(q.reservedSlots(now, Urgent, slots), most)
 	if float64(lower) >= float64(slots)-urgent {
 		return false
 	}
 	if c == Normal {
 		return true
 	}
-	keep := min(urgent+q.reserve(now, Normal, slots), most)
+	keep := min(urgent+q.reservedSlots(now, Normal, slots), most)
 	return float64(q.running[Long]) < float64(slots)-keep
 }
 
 // SetUrgentOverflow tells how many more than slots may run for the sake of urgent work,
 // because backend servers reported room that this daemon has no share of. A
 // daemon's part of a small pool is exceeded by chance long before the pool is full.
-func (q *Queue) SetUrgentOverflow(n int) { q.spare = n }
+func (q *Queue) SetUrgentOverflow(n int) { q.urgentOverflow = n }
 
-// reserve is the number of slots kept for class c: what its arrivals need, none
+// reservedSlots is the number of slots kept for class c: what its arrivals need, none
 // where it sent nothing lately, and never the last slot.
-func (q *Queue) reserve(now time.Time, c Class, slots int) float64 {
-	if slots < 2 || q.last[c].IsZero() || now.Sub(q.last[c]) > reserveMemory {
+func (q *Queue) reservedSlots(now time.Time, c Class, slots int) float64 {
+	if slots < 2 || q.lastArrival[c].IsZero() || now.Sub(q.lastArrival[c]) > reserveExpiry {
 		return 0
 	}
-	busy := q.drain.busy(now, c)
-	return min(math.Ceil(busy+reserveSpread*math.Sqrt(busy)), float64(slots-1))
+	busy := q.stats.busySlots(now, c)
+	return min(math.Ceil(busy+reserveStdDevs*math.Sqrt(busy)), float64(slots-1))
 }
--- a/decision/admit/admit_test.go
+++ b/decision/admit/admit_test.go
@@ -16,9 +16,9 @@
 	return &Item{Account: account, Weight: 1, Class: class, Cost: cost, Deadline: epoch.Add(patience)}
 }
 
-// taught returns a queue that has seen work of every class hold a slot for
+// trainedQueue returns a queue that has seen work of every class hold a slot for
 // held and cost that many tokens.
-func taught(held time.Duration, cost float64) *Queue {
+func trainedQueue(held time.Duration, cost float64) *Queue {
 	q := NewQueue()
 	for _, c := range []Class{Resumed, Urgent, Normal, Long} {
 		it := item("t", c, cost, time.Hour)
@@ -28,18 +28,18 @@
 	return q
 }
 
-// fill starts work until slots are taken.
-func fill(q *Queue, class Class, n int) {
+// occupySlots starts work until slots are taken.
+func occupySlots(q *Queue, class Class, n int) {
 	for range n {
 		q.RecordStart(item("fill", class, 100, time.Hour))
 	}
 }
 
-func always(*Item) bool { return true }
+func acceptAll(*Item) bool { return true }
 
-func TestWhatCannotStartInTimeIsRefusedOnArrival(t *testing.T) {
-	q := taught(10*time.Second, 100)
-	fill(q, Normal, 2)
+func TestUnreachableDeadlineIsRefusedOnArrival(t *testing.T) {
+	q := trainedQueue(10*time.Second, 100)
+	occupySlots(q, Normal, 2)
 	must.Eq(t, Wait, q.Offer(epoch, item("a", Normal, 100, 40*time.Second), 2).Action)
 	must.Eq(t, Wait, q.Offer(epoch, item("a", Normal, 100, 40*time.Second), 2).Action)
 	d := q.Offer(epoch, item("a", Normal, 100, 30*time.Second), 2)
@@ -53,7 +53,7 @@
 // Long work has filled every slot it may have when the lookup arrives.
 // The reserve must let the lookup start at once, and long work must not take it.
 func TestReserveKeepsSlotsForUrgentWork(t *testing.T) {
-	q := taught(time.Second, 100)
+	q := trainedQueue(time.Second, 100)
 	now := epoch
 	for range 200 { // ten lookups a second keep about ten slots busy
 		now = now.Add(100 * time.Millisecond)
@@ -71,9 +71,9 @@
 // One account sends a hundred long requests, another one a minute later.
 // In order of arrival the second waits for all hundred.
 // With fair sharing it starts with the next free slot.
-func TestHeavyAccountWaitsBehindItself(t *testing.T) {
-	q := taught(time.Second, 100)
-	fill(q, Normal, 1)
+func TestHeavyAccountDoesNotDelayOthers(t *testing.T) {
+	q := trainedQueue(time.Second, 100)
+	occupySlots(q, Normal, 1)
 	for range 100 {
 		must.Eq(t, Wait, q.Offer(epoch, item("heavy", Normal, 100, time.Hour), 1).Action)
 	}
@@ -82,7 +82,7 @@
 	for k := 0; ; k++ {
 		must.Less(t, 3, k)
 		q.RecordFinish(Normal, 100, time.Second)
-		if q.Next(epoch, 1, always) == light {
+		if q.Next(epoch, 1, acceptAll) == light {
 			break
 		}
 	}
@@ -91,9 +91,9 @@
 // Reviews wait for ever while normal requests keep every slot busy.
 // Normal work always waits too and comes first.
 // The floor must start long work for its share of the tokens.
-func TestFloorKeepsLongWorkMoving(t *testing.T) {
-	q := taught(time.Second, 100)
-	fill(q, Normal, 1)
+func TestMinimumShareKeepsLongWorkRunning(t *testing.T) {
+	q := trainedQueue(time.Second, 100)
+	occupySlots(q, Normal, 1)
 	long, normal := 0, 0
 	for range 400 {
 		q.Enqueue(item("a", Normal, 100, time.Hour))
@@ -102,7 +102,7 @@
 	class := Normal
 	for range 400 {
 		q.RecordFinish(class, 100, time.Second)
-		it := q.Next(epoch, 1, always)
+		it := q.Next(epoch, 1, acceptAll)
 		must.NotNil(t, it)
 		class = it.Class
 		if class == Long {
@@ -116,9 +116,9 @@
 
 // A zone is lost while requests wait; half of them can no longer start in time.
 // They must be given back for their answer at once, not at their deadline.
-func TestLossOfCapacityShedsWhatBecameHopeless(t *testing.T) {
-	q := taught(10*time.Second, 100)
-	fill(q, Normal, 20)
+func TestLossOfCapacityShedsUnreachableDeadlines(t *testing.T) {
+	q := trainedQueue(10*time.Second, 100)
+	occupySlots(q, Normal, 20)
 	for range 20 {
 		must.Eq(t, Wait, q.Offer(epoch, item("a", Normal, 100, 34*time.Second), 20).Action)
 	}
@@ -131,9 +131,9 @@
 	}
 }
 
-func TestUrgentIsRefusedRatherThanHeld(t *testing.T) {
-	q := taught(time.Second, 100)
-	fill(q, Urgent, 2)
+func TestUrgentIsRefusedRatherThanQueued(t *testing.T) {
+	q := trainedQueue(time.Second, 100)
+	occupySlots(q, Urgent, 2)
 	must.Eq(t, Wait, q.Offer(epoch, item("a", Urgent, 100, 20*time.Second), 2).Action)
 	must.Eq(t, Wait, q.Offer(epoch, item("a", Urgent, 100, 20*time.Second), 2).Action)
 	must.Eq(t, Wait, q.Offer(epoch, item("a", Urgent, 100, 20*time.Second), 2).Action)
@@ -147,7 +147,7 @@
 // back exactly once, and counts return to zero.
 func TestQueueProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := taught(time.Second, 100)
+		q := trainedQueue(time.Second, 100)
 		slots := rapid.IntRange(1, 6).Draw(t, "slots")
 		now := epoch
 		waiting := map[*Item]bool{}
@@ -156,14 +156,14 @@
 			running = append(running, it)
 			most := slots
 			if it.Class == Resumed {
-				most += slots/resumedOvershoot + 1
+				most += slots/resumedOverflowDivisor + 1
 			}
 			if len(running) > most {
 				t.Fatalf("%s started as number %d of %d", it.Class, len(running), slots)
 			}
 		}
 		settle := func() {
-			for it := q.Next(now, slots, always); it != nil; it = q.Next(now, slots, always) {
+			for it := q.Next(now, slots, acceptAll); it != nil; it = q.Next(now, slots, acceptAll) {
 				if !waiting[it] {
 					t.Fatal("an item came out that did not wait")
 				}
@@ -205,9 +205,9 @@
 func BenchmarkOffer(b *testing.B) {
 	for _, accounts := range []int{10, 810} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
-			q := taught(time.Millisecond, 100)
+			q := trainedQueue(time.Millisecond, 100)
 			items := make([]*Item, 4*accounts)
-			fill(q, Normal, 1)
+			occupySlots(q, Normal, 1)
 			for i := range items {
 				items[i] = item(fmt.Sprint("account-", i%accounts), Normal, 100, time.Hour)
 				q.Offer(epoch, items[i], 1)
@@ -215,7 +215,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				q.RecordFinish(Normal, 100, time.Millisecond)
-				it := q.Next(epoch, 1, always)
+				it := q.Next(epoch, 1, acceptAll)
 				q.Offer(epoch, it, 1)
 			}
 		})
--- a/decision/budget/budget.go
+++ b/decision/budget/budget.go
@@ -16,15 +16,15 @@
 	// ten carries the loss of one engine of 18 a minute, and keeps
 	// the worst case at a tenth more load.
 	DefaultRatio = 0.10
-	// window is how much past work the budget can draw on, in seconds of income:
+	// windowSeconds is how much past work the budget can draw on, in seconds of income:
 	// long enough to take over what one dead engine ran, short enough that a
 	// quiet hour does not pay for many repeats at once.
-	window = 60.0
-	// trickle is the least income in tokens a second, so that a daemon with
+	windowSeconds = 60.0
+	// minIncomePerSecond is the least income in tokens a second, so that a daemon with
 	// little traffic can still afford a takeover now and then.
-	trickle = 10.0
-	// floorTokens is the least the balance can hold.
-	floorTokens = 4000.0
+	minIncomePerSecond = 10.0
+	// minCapacityTokens is the least the balance can hold.
+	minCapacityTokens = 4000.0
 )
 
 // Reason says why an expense was granted or refused.
@@ -51,47 +51,47 @@
 // Budget is the balance of one service on one daemon. The zero value has the default share
 // and a full floor. It is not safe for concurrent use.
 type Budget struct {
-	balance float64
-	income  float64 // decayed tokens earned a second
-	updated time.Time
+	balance         float64
+	incomePerSecond float64 // decayed tokens earned a second
+	updated         time.Time
 }
 
 const (
-	// minTakeoverShare and maxTakeoverShare are the shares of generated tokens
+	// minTakeoverRatio and maxTakeoverShare are the shares of generated tokens
 	// that takeovers of live attempts may cost at weight 0 and 1 of resume
 	// latency. Between them the share grows with the square of the weight, so
 	// that services that weigh cost stay under one in a hundred.
-	minTakeoverShare, maxTakeoverShare = 0.005, 0.05
-	// prefillCost is what reading one token of prompt or prefix costs an engine
+	minTakeoverRatio, maxTakeoverRatio = 0.005, 0.05
+	// prefillCostRatio is what reading one token of prompt or prefix costs an engine
 	// beside generating one: prefill works on many tokens at once.
-	prefillCost = 0.1
+	prefillCostRatio = 0.1
 )
 
 // TakeoverRatio is the share of a service's generated tokens that takeovers may
 // cost, by its weight of resume latency from 0 to 1.
 func TakeoverRatio(weight float64) float64 {
 	weight = min(max(weight, 0), 1)
-	return minTakeoverShare + weight*weight*(maxTakeoverShare-minTakeoverShare)
+	return minTakeoverRatio + weight*weight*(maxTakeoverRatio-minTakeoverRatio)
 }
 
 // TakeoverCost is the extra work, in generated tokens, of a takeover that makes
 // another engine read this many tokens of prompt and answer.
-func TakeoverCost(tokens int) float64 { return prefillCost * float64(tokens) }
+func TakeoverCost(tokens int) float64 { return prefillCostRatio * float64(tokens) }
 
 // Deposit credits a share of useful tokens.
 func (b *Budget) Deposit(now time.Time, tokens, share float64) {
-	b.advance(now)
+	b.refill(now)
 	earned := share * tokens
-	b.income += earned / window
-	b.balance = min(b.balance+earned, b.most())
+	b.incomePerSecond += earned / windowSeconds
+	b.balance = min(b.balance+earned, b.capacity())
 }
 
 // Withdraw asks for an expense.
 func (b *Budget) Withdraw(now time.Time, e Withdrawal) Reason {
-	b.advance(now)
+	b.refill(now)
 	switch {
 	case e.Forced:
-		b.balance = max(b.balance-e.Tokens, -b.most())
+		b.balance = max(b.balance-e.Tokens, -b.capacity())
 		return Forced
 	case e.Saturated:
 		return Saturated
@@ -105,20 +105,20 @@
 // Wait is how long until tokens are affordable at the present income.
 func (b *Budget) Wait(tokens float64) time.Duration {
 	missing := max(0, tokens-b.balance)
-	return time.Duration(missing / (b.income + trickle) * float64(time.Second))
+	return time.Duration(missing / (b.incomePerSecond + minIncomePerSecond) * float64(time.Second))
 }
 
 // Balance is the number of tokens that may be spent now.
 func (b *Budget) Balance() float64 { return b.balance }
 
-func (b *Budget) most() float64 { return max(floorTokens, b.income*window) }
+func (b *Budget) capacity() float64 { return max(minCapacityTokens, b.incomePerSecond*windowSeconds) }
 
-func (b *Budget) advance(now time.Time) {
+func (b *Budget) refill(now time.Time) {
 	if b.updated.IsZero() {
-		b.balance = floorTokens
+		b.balance = minCapacityTokens
 	} else if s := now.Sub(b.updated).Seconds(); s > 0 {
-		b.income = max(0, b.income-b.income*min(1, s/window))
-		b.balance = min(b.balance+trickle*s, b.most())
+		b.incomePerSecond = max(0, b.incomePerSecond-b.incomePerSecond*min(1, s/windowSeconds))
+		b.balance = min(b.balance+minIncomePerSecond*s, b.capacity())
 	}
 	b.updated = now
 }
--- a/decision/budget/budget_test.go
+++ b/decision/budget/budget_test.go
@@ -13,7 +13,7 @@
 // All engines stall at once and every stream looks dead.
 // Each would be started a second time, which doubles the load of the stall.
 // The budget must stop at its share of the useful tokens.
-func TestStormOfTakeoversStopsAtTheShare(t *testing.T) {
+func TestTakeoverStormStopsAtTheRatio(t *testing.T) {
 	var b Budget
 	now := epoch
 	for range 600 {
@@ -24,18 +24,18 @@
 	for b.Withdraw(now, Withdrawal{Tokens: 500}) == Granted {
 		spent += 500
 	}
-	test.Between(t, 0.05*600*1000, spent, DefaultRatio*600*1000+floorTokens)
+	test.Between(t, 0.05*600*1000, spent, DefaultRatio*600*1000+minCapacityTokens)
 	test.Eq(t, Exhausted, b.Withdraw(now, Withdrawal{Tokens: 500}))
 	test.Between(t, 0, b.Wait(500), time.Second)
 }
 
-func TestNoRetryAgainstAQueue(t *testing.T) {
+func TestNoRetryWhileSaturated(t *testing.T) {
 	var b Budget
 	test.Eq(t, Saturated, b.Withdraw(epoch, Withdrawal{Tokens: 1, Saturated: true}))
 	test.Eq(t, Granted, b.Withdraw(epoch, Withdrawal{Tokens: 1}))
 }
 
-func TestForcedContinuationIsPaidByLaterOnes(t *testing.T) {
+func TestForcedContinuationOverdrawsTheBudget(t *testing.T) {
 	var b Budget
 	must.Eq(t, Forced, b.Withdraw(epoch, Withdrawal{Tokens: 7000, Forced: true, Saturated: true}))
 	test.Negative(t, b.Balance())
@@ -46,7 +46,7 @@
 
 // A service that weighs cost sees a long hour of false suspicions. What its
 // takeovers cost stays under one in a hundred of the tokens it generates.
-func TestCostSettingStaysUnderOneInAHundred(t *testing.T) {
+func TestLowLatencyWeightKeepsTakeoversUnderOnePercent(t *testing.T) {
 	const perSecond, cost = 5000.0, 200
 	var b Budget
 	now, spent := epoch, 0.0
--- a/decision/entries/entries.go
+++ b/decision/entries/entries.go
@@ -39,15 +39,15 @@
 // everybody is told all.
 var DefaultRule = SubsetRule{MinVMs: 16, Oversubscription: 8}
 
-// hysteresis is the part by which an account's load must shrink before it
+// shrinkRatio is the part by which an account's load must shrink before it
 // is told fewer VMs, so that noise does not move its callers.
-const hysteresis = 0.7
+const shrinkRatio = 0.7
 
-// anyTold is how many VMs a caller is told whose account is not known: as many as
+// unknownAccountVMCount is how many VMs a caller is told whose account is not known: as many as
 // callers take. Callers give up open connections to VMs that their next answer leaves
 // out, so an answer should name most VMs of the one before: with 88 VMs it names two
 // thirds of them or more, and a fifth if 16 are told. Up to 64 VMs all are told.
-const anyTold = 64
+const unknownAccountVMCount = 64
 
 // VM is one entry VM.
 type VM struct {
@@ -75,12 +75,12 @@
 
 // The reasons.
 const (
-	ReasonMinimum Reason = "least"
-	ReasonByLoad  Reason = "by_load"
-	ReasonHysteresis  Reason = "kept"
-	ReasonAll   Reason = "all"
-	ReasonNone  Reason = "none"
-	ReasonAccountUnknown   Reason = "account_unknown"
+	ReasonMinimum        Reason = "least"
+	ReasonByLoad         Reason = "by_load"
+	ReasonHysteresis     Reason = "kept"
+	ReasonAll            Reason = "all"
+	ReasonNone           Reason = "none"
+	ReasonAccountUnknown Reason = "account_unknown"
 )
 
 // Selection names VMs by index, in the order the caller should try them.
@@ -98,8 +98,8 @@
 	if len(ring) == 0 {
 		return Selection{Reason: ReasonNone}
 	}
-	n, why := r.count(len(ring), q)
-	first := r.begin(len(ring), n, q)
+	n, why := r.windowSize(len(ring), q)
+	first := r.windowStart(len(ring), n, q)
 	turn := int(q.Rotation % uint64(n))
 	told := make([]int, n)
 	for k := range told {
@@ -123,7 +123,7 @@
 	if size == 0 {
 		return Selection{Reason: ReasonNone}
 	}
-	n, why := anyTold, ReasonAccountUnknown
+	n, why := unknownAccountVMCount, ReasonAccountUnknown
 	if n >= size {
 		n, why = size, ReasonAll
 	}
@@ -131,7 +131,7 @@
 	if first < 0 { // it is leaving, and others may be with it
 		first = int(vms[own].Hash % uint64(size))
 	}
-	first += int(turn%uint64(size)) * step(size, n)
+	first += int(turn%uint64(size)) * windowStep(size, n)
 	told := make([]int, n)
 	for k := range told {
 		told[k] = ring[(first+k)%size]
@@ -139,10 +139,10 @@
 	return Selection{VMs: told, Reason: why}
 }
 
-// step is how far on the next window of n out of size VMs begins: the least number
+// windowStep is how far on the next window of n out of size VMs begins: the least number
 // from n on without a divisor in common with size, so that windows hardly overlap the
 // one before and in size answers each place is the first of one.
-func step(size, n int) int {
+func windowStep(size, n int) int {
 	for gcd(size, n) != 1 {
 		n++
 	}
@@ -156,9 +156,9 @@
 	return a
 }
 
-// begin is where an account's window of n out of size VMs starts: where the
+// windowStart is where an account's window of n out of size VMs starts: where the
 // parts before it end, when all parts together go round the ring Spread times.
-func (r SubsetRule) begin(size, n int, q Query) int {
+func (r SubsetRule) windowStart(size, n int, q Query) int {
 	if n >= size {
 		return 0
 	}
@@ -166,8 +166,8 @@
 	return int((turns-math.Floor(turns))*float64(size)) % size
 }
 
-// count is the number of VMs to tell out of n.
-func (r SubsetRule) count(n int, q Query) (int, Reason) {
+// windowSize is the number of VMs to tell out of n.
+func (r SubsetRule) windowSize(n int, q Query) (int, Reason) {
 	want := min(n, max(r.MinVMs, ceil(r.Oversubscription*q.LoadShare*float64(n))))
 	why := ReasonByLoad
 	switch {
@@ -176,7 +176,7 @@
 	case want == min(n, r.MinVMs):
 		why = ReasonMinimum
 	}
-	if q.PreviousCount > want && float64(want) > hysteresis*float64(q.PreviousCount) && q.PreviousCount <= n {
+	if q.PreviousCount > want && float64(want) > shrinkRatio*float64(q.PreviousCount) && q.PreviousCount <= n {
 		return q.PreviousCount, ReasonHysteresis
 	}
 	return want, why
--- a/decision/entries/entries_test.go
+++ b/decision/entries/entries_test.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-func vms(n, zones int) []VM {
+func newFleet(n, zones int) []VM {
 	out := make([]VM, n)
 	for i := range out {
 		id := fmt.Sprintf("e%d", i)
@@ -19,8 +19,8 @@
 	return out
 }
 
-func TestSmallFleetIsToldWholeInTurn(t *testing.T) {
-	fleet := vms(7, 3)
+func TestSmallFleetIsSelectedWholeInRotation(t *testing.T) {
+	fleet := newFleet(7, 3)
 	first := map[int]int{}
 	for turn := range uint64(70) {
 		a := Select(fleet, Query{LoadShare: 0.1, Rotation: turn})
@@ -35,8 +35,8 @@
 
 // Callers keep connecting to a VM that is about to stop.
 // It leaves the answers as soon as it is leaving, in every account's answer.
-func TestLeavingVMVanishesAtOnce(t *testing.T) {
-	fleet := vms(40, 5)
+func TestUnusableVMIsNeverSelected(t *testing.T) {
+	fleet := newFleet(40, 5)
 	fleet[3].Usable = false
 	for part := range 20 {
 		a := Select(fleet, Query{LoadShare: 0.05, ShareBefore: 0.05 * float64(part)})
@@ -45,8 +45,8 @@
 	must.Eq(t, ReasonNone, Select(nil, Query{}).Reason)
 }
 
-func TestEveryAnswerSpansTheZones(t *testing.T) {
-	fleet := vms(390, 7)
+func TestEverySelectionSpansTheZones(t *testing.T) {
+	fleet := newFleet(390, 7)
 	for k := range 100 {
 		zones := map[string]bool{}
 		for _, i := range Select(fleet, Query{LoadShare: 0.001, ShareBefore: float64(k) / 100}).VMs {
@@ -59,7 +59,7 @@
 // A few accounts bring most of the load; one VM carries twice its share.
 // Windows that follow each other's parts must load the VMs evenly.
 func TestLargeAccountsLoadTheVMsEvenly(t *testing.T) {
-	fleet := vms(390, 7)
+	fleet := newFleet(390, 7)
 	var shares []AccountLoad
 	for k := range 810 {
 		name := fmt.Sprintf("a%d", k)
@@ -78,8 +78,8 @@
 	}
 }
 
-func TestAnswerShrinksOnlyWhenTheLoadClearlyDid(t *testing.T) {
-	fleet := vms(390, 7)
+func TestSelectionShrinksOnlyPastTheHysteresis(t *testing.T) {
+	fleet := newFleet(390, 7)
 	told := len(Select(fleet, Query{LoadShare: 0.02}).VMs)
 	a := Select(fleet, Query{LoadShare: 0.018, PreviousCount: told})
 	test.Eq(t, ReasonHysteresis, a.Reason)
@@ -87,8 +87,8 @@
 	test.Less(t, told, len(Select(fleet, Query{LoadShare: 0.005, PreviousCount: told}).VMs))
 }
 
-func TestMember(t *testing.T) {
-	fleet := vms(40, 5)
+func TestIsSelected(t *testing.T) {
+	fleet := newFleet(40, 5)
 	q := Query{LoadShare: 0.001}
 	inside := Select(fleet, q).VMs[0]
 	told, member := DefaultRule.IsSelected(fleet, q, inside)
@@ -102,14 +102,14 @@
 // the same VMs, or all do at the same moment, or the one daemon that is asked does.
 // Whoever is asked, the answers together name each VM equally often, and each VM is
 // the first of equally many, for callers that use the first address alone.
-func TestAnswersOfUnknownAccountsCoverTheRing(t *testing.T) {
+func TestUnknownAccountSelectionsCoverTheRingEvenly(t *testing.T) {
 	asked := map[string]func(k int) (own int, turn uint64){
 		"one daemon":           func(k int) (int, uint64) { return 3, uint64(k) },
 		"all, after as many":   func(k int) (int, uint64) { return k, 5 },
 		"all, in a later turn": func(k int) (int, uint64) { return k, 1 << 62 },
 	}
 	for _, size := range []int{1, 7, 64, 65, 87, 88, 128, 390} {
-		fleet := vms(size, min(4, size))
+		fleet := newFleet(size, min(4, size))
 		for name, question := range asked {
 			named, first := make([]int, size), make([]int, size)
 			told := 0
@@ -118,7 +118,7 @@
 				own = min(own, size-1)
 				a := SelectForUnknownAccount(fleet, own, turn)
 				told = len(a.VMs)
-				must.Eq(t, min(size, anyTold), told)
+				must.Eq(t, min(size, unknownAccountVMCount), told)
 				for _, i := range a.VMs {
 					named[i]++
 				}
@@ -134,8 +134,8 @@
 
 // A daemon that is leaving still answers. It names others, and does not begin with
 // the same VM as every other daemon that leaves.
-func TestLeavingDaemonSpreadsItsAnswersToo(t *testing.T) {
-	fleet := vms(88, 4)
+func TestLeavingDaemonsSelectDifferentFirstVMs(t *testing.T) {
+	fleet := newFleet(88, 4)
 	first := map[int]bool{}
 	for own := range 20 {
 		fleet[own].Usable = false
@@ -150,9 +150,9 @@
 
 // A zone is lost while callers keep an answer, or VMs leave in turn. No more of an
 // answer may go with a zone than of the fleet, and none of what went is named again.
-func TestAnswersOfUnknownAccountsHoldTheZonesEvenly(t *testing.T) {
+func TestUnknownAccountSelectionsBalanceTheZones(t *testing.T) {
 	for _, size := range []int{88, 390} {
-		fleet := vms(size, 4)
+		fleet := newFleet(size, 4)
 		for zones := 4; zones > 1; zones-- {
 			for own := range fleet {
 				in := map[string]int{}
@@ -161,7 +161,7 @@
 					in[fleet[i].Zone]++
 				}
 				must.MapLen(t, zones, in)
-				even := min(anyTold, size*zones/4) / zones
+				even := min(unknownAccountVMCount, size*zones/4) / zones
 				for _, n := range in {
 					must.Between(t, even-1, n, even+2)
 				}
--- a/decision/gossip/choose.go
+++ b/decision/gossip/choose.go
@@ -11,34 +11,34 @@
 // In a small fleet several rings name the same successor. Further rings then
 // bring the neighbours to fewNeighbours, as far as there are members.
 const (
-	fewNeighbours = 4
+	minNeighbours = 4
 	maxRings      = 12
 )
 
 // Neighbours returns the ids this daemon watches: its successor on each ring,
 // without repetition. The slice is valid until the next change.
 func (t *Table) Neighbours() []string {
-	if t.ringsAt == t.version && t.ringsAt != 0 {
-		return t.rings
+	if t.neighboursVersion == t.version && t.neighboursVersion != 0 {
+		return t.neighbours
 	}
-	t.rings = t.rings[:0]
+	t.neighbours = t.neighbours[:0]
 	for ring := range t.cfg.ZoneRings {
-		t.follow("z"+strconv.Itoa(ring), t.self.rec.Zone)
+		t.addSuccessor("z"+strconv.Itoa(ring), t.self.rec.Zone)
 	}
 	for ring := range t.cfg.GlobalRings {
-		t.follow("g"+strconv.Itoa(ring), "")
+		t.addSuccessor("g"+strconv.Itoa(ring), "")
 	}
-	for ring := t.cfg.GlobalRings; len(t.rings) < fewNeighbours && ring < maxRings; ring++ {
-		t.follow("g"+strconv.Itoa(ring), "")
+	for ring := t.cfg.GlobalRings; len(t.neighbours) < minNeighbours && ring < maxRings; ring++ {
+		t.addSuccessor("g"+strconv.Itoa(ring), "")
 	}
-	t.ringsAt = t.version
-	return t.rings
+	t.neighboursVersion = t.version
+	return t.neighbours
 }
 
-// follow adds this daemon's successor on a ring: the member with the next
+// addSuccessor adds this daemon's successor on a ring: the member with the next
 // larger hash, or the smallest of all. Suspects stay on the ring: they are
 // probed on, and their refutations heard.
-func (t *Table) follow(ring, zone string) {
+func (t *Table) addSuccessor(ring, zone string) {
 	own := xxhash.Sum64String(ring + "\x00" + t.self.rec.ID)
 	var next, first string
 	var nextHash, firstHash uint64
@@ -57,8 +57,8 @@
 	if next == "" {
 		next = first
 	}
-	if next != "" && !slices.Contains(t.rings, next) {
-		t.rings = append(t.rings, next)
+	if next != "" && !slices.Contains(t.neighbours, next) {
+		t.neighbours = append(t.neighbours, next)
 	}
 }
 
@@ -71,23 +71,23 @@
 	t.round++
 	var out []Record
 	if n := t.Neighbours(); len(n) > 0 {
-		t.turn = (t.turn + 1) % len(n)
-		out = append(out, t.members[n[t.turn]].rec)
+		t.neighbourIndex = (t.neighbourIndex + 1) % len(n)
+		out = append(out, t.members[n[t.neighbourIndex]].rec)
 	}
-	if len(out) > 0 && t.round%t.cfg.ReconnectRounds != 0 && !t.ignorant() {
+	if len(out) > 0 && t.round%t.cfg.ReconnectRounds != 0 && !t.knowsLessThanHalf() {
 		return out
 	}
-	if stray, ok := t.stray(); ok {
+	if stray, ok := t.randomUnreachedVM(); ok {
 		out = append(out, stray)
 	}
 	return out
 }
 
-// stray picks one listed VM that is unknown or gone here, at random.
-func (t *Table) stray() (Record, bool) {
+// randomUnreachedVM picks one listed VM that is unknown or gone here, at random.
+func (t *Table) randomUnreachedVM() (Record, bool) {
 	var pick Record
 	seen := 0
-	for _, row := range t.listed {
+	for _, row := range t.vmList {
 		m, known := t.members[row.ID]
 		if row.ID == t.self.rec.ID || (known && m.rec.State != Gone) {
 			continue
@@ -101,14 +101,16 @@
 }
 
 // FanoutTargets returns the members that are told of news at once.
-func (t *Table) FanoutTargets() []Record { return t.pick(t.cfg.Fanout, "") }
+func (t *Table) FanoutTargets() []Record { return t.pickAlive(t.cfg.Fanout, "") }
 
 // IndirectProbers returns the members that are asked to repeat a probe of target.
-func (t *Table) IndirectProbers(target string) []Record { return t.pick(t.cfg.IndirectProbes, target) }
+func (t *Table) IndirectProbers(target string) []Record {
+	return t.pickAlive(t.cfg.IndirectProbes, target)
+}
 
-// pick returns up to n neighbours, then other members at random, that are
+// pickAlive returns up to n neighbours, then other members at random, that are
 // alive and not except.
-func (t *Table) pick(n int, except string) []Record {
+func (t *Table) pickAlive(n int, except string) []Record {
 	var out []Record
 	near := slices.Clone(t.Neighbours())
 	t.rng.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
@@ -136,13 +138,13 @@
 func (t *Table) Updates() []Record {
 	var due []*member
 	for _, m := range t.members {
-		if m.sends > 0 && m != t.self {
+		if m.sendsLeft > 0 && m != t.self {
 			due = append(due, m)
 		}
 	}
 	slices.SortFunc(due, func(a, b *member) int {
-		if a.sends != b.sends {
-			return b.sends - a.sends
+		if a.sendsLeft != b.sendsLeft {
+			return b.sendsLeft - a.sendsLeft
 		}
 		return byID(a.rec, b.rec)
 	})
@@ -151,7 +153,7 @@
 	}
 	out := make([]Record, len(due))
 	for i, m := range due {
-		m.sends--
+		m.sendsLeft--
 		out[i] = m.rec
 	}
 	return out
@@ -163,7 +165,7 @@
 // at several times the traffic of a steady state.
 func (t *Table) RecordInSync() {
 	for _, m := range t.members {
-		m.sends /= 2
+		m.sendsLeft /= 2
 	}
 }
 
@@ -179,8 +181,8 @@
 // BucketHashes returns one hash for each part of the table.
 func (t *Table) BucketHashes() [Buckets]uint64 { return t.buckets }
 
-// maxDiffer bounds the parts repaired at once to a few kilobytes.
-const maxDiffer = 4
+// maxSyncBuckets bounds the parts repaired at once to a few kilobytes.
+const maxSyncBuckets = 4
 
 // BucketsToSync returns the parts in which this table differs from the hashes of
 // another and that are to be repaired now, and counts the repair as made.
@@ -189,8 +191,8 @@
 // parts from a random one on. A daemon that knows less than half of the listed
 // VMs, because it joins or a partition heals, takes all parts each Interval.
 func (t *Table) BucketsToSync(hashes []uint64, now time.Time) []uint32 {
-	limit, every := maxDiffer, t.cfg.SyncInterval
-	if t.ignorant() {
+	limit, every := maxSyncBuckets, t.cfg.SyncInterval
+	if t.knowsLessThanHalf() {
 		limit, every = Buckets, t.cfg.ProbeInterval
 	}
 	if len(hashes) != Buckets || (!t.lastSync.IsZero() && now.Sub(t.lastSync) < every) {
@@ -208,15 +210,15 @@
 	return out
 }
 
-// ignorant reports whether less than half of the listed VMs are known.
-func (t *Table) ignorant() bool {
+// knowsLessThanHalf reports whether less than half of the listed VMs are known.
+func (t *Table) knowsLessThanHalf() bool {
 	known := 0
 	for _, m := range t.members {
 		if m.rec.State != Gone {
 			known++
 		}
 	}
-	return 2*known < len(t.listed)
+	return 2*known < len(t.vmList)
 }
 
 // RecordsIn returns all records in the given parts, those of gone members included.
--- a/decision/gossip/record.go
+++ b/decision/gossip/record.go
@@ -29,9 +29,9 @@
 
 // Record is one claim about a member, as it travels between daemons.
 type Record struct {
-	ID     string
-	Zone   string
-	Region string
+	ID         string
+	Zone       string
+	Region     string
 	CallerAddr string // address for callers
 	PeerAddr   string // address for other daemons
 	// Incarnation is the start of the process, unix nanoseconds. It names the
@@ -75,7 +75,7 @@
 // ListedVM is one entry VM of the platform's list.
 type ListedVM struct {
 	ID, Zone, Region, PeerAddr string
-	Leaving                bool
+	Leaving                    bool
 }
 
 // Reason says why a belief changed.
@@ -83,15 +83,15 @@
 
 // The reasons of changes.
 const (
-	ReasonJoined     Reason = "joined"
-	ReasonGossip       Reason = "news from another entry VM"
+	ReasonJoined           Reason = "joined"
+	ReasonGossip           Reason = "news from another entry VM"
 	ReasonProbeFailed      Reason = "direct and indirect probes failed"
-	ReasonSuspicionTimeout  Reason = "a suspicion was not contradicted in time"
-	ReasonUnlisted   Reason = "silent and no longer in the VM list"
-	ReasonRefuted    Reason = "contradicted a claim about itself"
-	ReasonLeaving      Reason = "leaves"
-	ReasonServing     Reason = "serves callers"
-	ReasonSuperseded Reason = "another process runs under this VM id"
+	ReasonSuspicionTimeout Reason = "a suspicion was not contradicted in time"
+	ReasonUnlisted         Reason = "silent and no longer in the VM list"
+	ReasonRefuted          Reason = "contradicted a claim about itself"
+	ReasonLeaving          Reason = "leaves"
+	ReasonServing          Reason = "serves callers"
+	ReasonSuperseded       Reason = "another process runs under this VM id"
 )
 
 // Change is one change of belief.
@@ -104,16 +104,16 @@
 // Config holds the thresholds; the package comment gives their reasons.
 type Config struct {
 	ProbeInterval    time.Duration // between two probes by one daemon
-	SuspicionTimeout   time.Duration // a suspect's time to contradict
-	GoneRetention      time.Duration // how long a gone member's record is kept
-	SyncInterval   time.Duration // between two repairs of differing tables
-	ZoneRings   int
-	GlobalRings int
-	IndirectProbes     int // members asked to repeat a failed probe
-	Fanout      int // exchanges made at once for news
-	MaxUpdates  int // records carried by one exchange
+	SuspicionTimeout time.Duration // a suspect's time to contradict
+	GoneRetention    time.Duration // how long a gone member's record is kept
+	SyncInterval     time.Duration // between two repairs of differing tables
+	ZoneRings        int
+	GlobalRings      int
+	IndirectProbes   int // members asked to repeat a failed probe
+	Fanout           int // exchanges made at once for news
+	MaxUpdates       int // records carried by one exchange
 	ReconnectRounds  int // every how many rounds a VM not believed alive is tried
-	PauseRounds  int // rounds missed before a daemon concludes that it was paused itself
+	PauseRounds      int // rounds missed before a daemon concludes that it was paused itself
 }
 
 // DefaultConfig returns the values in use.
--- a/decision/gossip/table.go
+++ b/decision/gossip/table.go
@@ -14,20 +14,20 @@
 // members a part holds twelve, about a kilobyte.
 const Buckets = 32
 
-// spread scales how often an update is passed on: spread*log2(members) times.
+// retransmitFactor scales how often an update is passed on: spread*log2(members) times.
 // The burst that follows news uses up about ten of them; those left let the
 // next regular exchanges reach whoever the burst missed, before the comparison
 // of tables has to.
-const spread = 4
+const retransmitFactor = 4
 
 // member is a record with what only this daemon knows of it.
 type member struct {
-	rec      Record
-	deadline time.Time // of a suspicion
-	goneAt   time.Time
-	sends    int // how often the record is still to be passed on
-	leaving  bool
-	absent   int // reads of the list in a row without it
+	rec               Record
+	suspicionDeadline time.Time // of a suspicion
+	goneAt            time.Time
+	sendsLeft         int // how often the record is still to be passed on
+	listedLeaving     bool
+	missedReads       int // reads of the list in a row without it
 }
 
 // Table is one daemon's belief. It is not safe for concurrent use.
@@ -36,16 +36,16 @@
 	rng     *rand.Rand
 	self    *member
 	members map[string]*member // includes self
-	listed  []ListedVM
+	vmList  []ListedVM
 	buckets [Buckets]uint64
 	version uint64
 
-	rings    []string // neighbours, kept while ringsAt == version
-	ringsAt  uint64
-	turn     int
-	round    int
-	lastTick time.Time
-	lastSync time.Time
+	neighbours        []string // neighbours, kept while ringsAt == version
+	neighboursVersion uint64
+	neighbourIndex    int
+	round             int
+	lastTick          time.Time
+	lastSync          time.Time
 }
 
 // New returns a Table that knows only this daemon.
@@ -53,7 +53,7 @@
 	t := &Table{cfg: cfg, rng: rng, members: make(map[string]*member)}
 	t.self = &member{}
 	t.members[self.ID] = t.self
-	t.put(t.self, self)
+	t.store(t.self, self)
 	return t
 }
 
@@ -81,7 +81,7 @@
 			continue
 		}
 		rec := m.rec
-		if m.leaving {
+		if m.listedLeaving {
 			rec.State = Leaving
 		}
 		out = append(out, rec)
@@ -92,12 +92,12 @@
 
 func byID(a, b Record) int { return strings.Compare(a.ID, b.ID) }
 
-// put stores a record, keeps the bucket's hash and queues the news.
-func (t *Table) put(m *member, rec Record) {
+// store stores a record, keeps the bucket's hash and queues the news.
+func (t *Table) store(m *member, rec Record) {
 	b := bucketOf(rec.ID)
 	t.buckets[b] ^= m.rec.hash() ^ rec.hash()
 	m.rec = rec
-	m.sends = spread * bits.Len(uint(len(t.members)))
+	m.sendsLeft = retransmitFactor * bits.Len(uint(len(t.members)))
 	t.version++
 }
 
@@ -135,16 +135,16 @@
 	if !known {
 		reason = ReasonJoined
 	}
-	return t.set(m, rec, reason, now), true
+	return t.applyRecord(m, rec, reason, now), true
 }
 
-// set changes a member's record and its deadlines.
-func (t *Table) set(m *member, rec Record, reason Reason, now time.Time) Change {
+// applyRecord changes a member's record and its deadlines.
+func (t *Table) applyRecord(m *member, rec Record, reason Reason, now time.Time) Change {
 	from := m.rec.State
-	t.put(m, rec)
+	t.store(m, rec)
 	switch rec.State {
 	case Suspect:
-		m.deadline = now.Add(t.cfg.SuspicionTimeout)
+		m.suspicionDeadline = now.Add(t.cfg.SuspicionTimeout)
 	case Gone:
 		m.goneAt = now
 	}
@@ -168,7 +168,7 @@
 		return Change{}, false
 	}
 	own.Refutation = claim.Refutation + 1
-	t.put(t.self, own)
+	t.store(t.self, own)
 	return Change{Record: own, From: claim.State, Reason: ReasonRefuted}, true
 }
 
@@ -177,7 +177,7 @@
 	rec := t.self.rec
 	rec.CallerAddr = caller
 	rec.Refutation++ // newer than what others hold of this incarnation
-	t.put(t.self, rec)
+	t.store(t.self, rec)
 	return Change{Record: rec, From: rec.State, Reason: ReasonServing}
 }
 
@@ -186,7 +186,7 @@
 	rec := t.self.rec
 	from := rec.State
 	rec.State = state
-	t.put(t.self, rec)
+	t.store(t.self, rec)
 	return Change{Record: rec, From: from, Reason: ReasonLeaving}
 }
 
@@ -207,7 +207,7 @@
 	default:
 		return Change{}, false
 	}
-	return t.set(m, next, ReasonProbeFailed, now), true
+	return t.applyRecord(m, next, ReasonProbeFailed, now), true
 }
 
 // Tick advances the time and returns suspicions that became certain.
@@ -224,7 +224,7 @@
 	for id, m := range t.members {
 		switch m.rec.State {
 		case Suspect:
-			if c, ok := t.judge(m, paused, now); ok {
+			if c, ok := t.checkSuspicion(m, paused, now); ok {
 				changes = append(changes, c)
 			}
 		case Gone:
@@ -237,27 +237,27 @@
 	return changes
 }
 
-func (t *Table) judge(m *member, paused bool, now time.Time) (Change, bool) {
+func (t *Table) checkSuspicion(m *member, paused bool, now time.Time) (Change, bool) {
 	if paused {
-		m.deadline = now.Add(t.cfg.SuspicionTimeout)
+		m.suspicionDeadline = now.Add(t.cfg.SuspicionTimeout)
 		return Change{}, false
 	}
 	reason := ReasonSuspicionTimeout
-	if m.absent >= 2 {
+	if m.missedReads >= 2 {
 		reason = ReasonUnlisted
-	} else if now.Before(m.deadline) {
+	} else if now.Before(m.suspicionDeadline) {
 		return Change{}, false
 	}
 	rec := m.rec
 	rec.State = Gone
-	return t.set(m, rec, reason, now), true
+	return t.applyRecord(m, rec, reason, now), true
 }
 
 // SetVMList takes the entry VMs of the platform's list. The list lags both
 // ways, so it only adds: whom to try, who leaves, and, once two reads lack a
 // VM, that a suspect needs no more time.
 func (t *Table) SetVMList(rows []ListedVM) {
-	t.listed = rows
+	t.vmList = rows
 	byRow := make(map[string]ListedVM, len(rows))
 	for _, r := range rows {
 		byRow[r.ID] = r
@@ -265,12 +265,12 @@
 	for id, m := range t.members {
 		row, ok := byRow[id]
 		if ok {
-			m.absent = 0
+			m.missedReads = 0
 		} else {
-			m.absent++
+			m.missedReads++
 		}
-		if leaving := ok && row.Leaving; leaving != m.leaving {
-			m.leaving = leaving
+		if leaving := ok && row.Leaving; leaving != m.listedLeaving {
+			m.listedLeaving = leaving
 			t.version++
 		}
 	}
--- a/decision/gossip/table_test.go
+++ b/decision/gossip/table_test.go
@@ -10,18 +10,18 @@
 	"github.com/shoenig/test/must"
 )
 
-var start = time.Unix(1000, 0)
+var epoch = time.Unix(1000, 0)
 
 func record(i, zones int) Record {
 	return Record{ID: fmt.Sprintf("vm%03d", i), Zone: fmt.Sprint("z", i%zones), PeerAddr: fmt.Sprint(i), Incarnation: 1}
 }
 
-// full returns the table of member i in a fleet that knows itself.
-func full(i, n, zones int) *Table {
+// newFullTable returns the table of member i in a fleet that knows itself.
+func newFullTable(i, n, zones int) *Table {
 	t := New(record(i, zones), DefaultConfig(), rand.New(rand.NewPCG(uint64(i), 1)))
 	for j := range n {
 		if j != i {
-			t.Merge([]Record{record(j, zones)}, start)
+			t.Merge([]Record{record(j, zones)}, epoch)
 		}
 	}
 	return t
@@ -35,7 +35,7 @@
 		watched := make(map[string]int)
 		most := 0
 		for i := range n {
-			neighbours := full(i, n, zones).Neighbours()
+			neighbours := newFullTable(i, n, zones).Neighbours()
 			most = max(most, len(neighbours))
 			for _, id := range neighbours {
 				watched[id]++
@@ -61,7 +61,7 @@
 	tables := make(map[int]*Table)
 	for i := range n {
 		if i%zones != 0 {
-			tables[i] = full(i, n, zones)
+			tables[i] = newFullTable(i, n, zones)
 		}
 	}
 	rounds := 0
@@ -77,7 +77,7 @@
 			}
 		}
 		for _, table := range tables {
-			table.Merge(gone, start)
+			table.Merge(gone, epoch)
 		}
 		left -= len(gone)
 	}
@@ -86,7 +86,7 @@
 
 // Claims arrive in any order and more than once. Whoever has heard the same
 // claims must believe the same, and have the same hash.
-func TestOrderOfNewsDoesNotMatter(t *testing.T) {
+func TestMergeOrderDoesNotMatter(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		var news []Record
@@ -99,10 +99,10 @@
 		for i := 1; i < 6; i++ { // everybody is known, as after a join
 			news = append(news, record(i, 2))
 		}
-		a, b := full(0, 6, 2), full(0, 6, 2)
-		a.Merge(news, start)
+		a, b := newFullTable(0, 6, 2), newFullTable(0, 6, 2)
+		a.Merge(news, epoch)
 		rng.Shuffle(len(news), func(i, j int) { news[i], news[j] = news[j], news[i] })
-		b.Merge(append(news, news...), start)
+		b.Merge(append(news, news...), epoch)
 		must.Eq(t, a.Members(), b.Members(), must.Sprint("seed ", seed))
 		must.Eq(t, a.RootHash(), b.RootHash(), must.Sprint("seed ", seed))
 	}
@@ -110,9 +110,9 @@
 
 // This daemon was paused for a minute with suspicions running. The suspects
 // answered meanwhile into sockets it did not read; it must not give them up.
-func TestOwnPauseGivesNobodyUp(t *testing.T) {
-	table := full(0, 3, 1)
-	now := start
+func TestOwnPauseRestartsSuspicions(t *testing.T) {
+	table := newFullTable(0, 3, 1)
+	now := epoch
 	table.Tick(now)
 	_, ok := table.RecordProbeFailure(record(1, 1), now)
 	must.True(t, ok)
@@ -132,10 +132,10 @@
 // A claim that this daemon is gone is contradicted so that it loses wherever
 // it got to; a claim about a newer process under its id is not.
 func TestRefutation(t *testing.T) {
-	table := full(0, 3, 1)
+	table := newFullTable(0, 3, 1)
 	claim := record(0, 1)
 	claim.State, claim.Refutation = Gone, 4
-	changes := table.Merge([]Record{claim}, start)
+	changes := table.Merge([]Record{claim}, epoch)
 	must.Len(t, 1, changes)
 	must.True(t, table.Self().Supersedes(claim))
 	must.Eq(t, Alive, table.Self().State)
@@ -143,21 +143,21 @@
 
 	claim.Incarnation = 2
 	before := table.Self()
-	changes = table.Merge([]Record{claim}, start)
+	changes = table.Merge([]Record{claim}, epoch)
 	must.Eq(t, ReasonSuperseded, changes[0].Reason)
 	must.Eq(t, before, table.Self())
 }
 
 // A suspect that two reads of the list in a row no longer show needs no more time.
 func TestUnlistedSuspectIsGone(t *testing.T) {
-	table := full(0, 3, 1)
-	table.Tick(start)
-	table.RecordProbeFailure(record(1, 1), start)
+	table := newFullTable(0, 3, 1)
+	table.Tick(epoch)
+	table.RecordProbeFailure(record(1, 1), epoch)
 	rows := []ListedVM{{ID: "vm000"}, {ID: "vm002"}}
 	table.SetVMList(rows)
-	must.SliceEmpty(t, table.Tick(start.Add(time.Second)))
+	must.SliceEmpty(t, table.Tick(epoch.Add(time.Second)))
 	table.SetVMList(rows)
-	changes := table.Tick(start.Add(2 * time.Second))
+	changes := table.Tick(epoch.Add(2 * time.Second))
 	must.Len(t, 1, changes)
 	must.Eq(t, ReasonUnlisted, changes[0].Reason)
 }
--- a/decision/health/health.go
+++ b/decision/health/health.go
@@ -17,33 +17,33 @@
 )
 
 const (
-	// slowFactor is how many times slower than the median of its peers a server
+	// ejectSlowRatio is how many times slower than the median of its peers a server
 	// is a straggler. A full batch is about half again as slow as a single
 	// stream, so uneven load alone stays well below.
-	slowFactor = 2.0
-	// trialFactor is how close to the median a server on trial must come.
-	trialFactor = 1.5
-	// minSamples is how many gaps must be seen before a server is compared.
-	minSamples = 16
-	// failureStreak is how many failures in a row eject a server. One may be the
+	ejectSlowRatio = 2.0
+	// probationSlowRatio is how close to the median a server on trial must come.
+	probationSlowRatio = 1.5
+	// minSampleCount is how many gaps must be seen before a server is compared.
+	minSampleCount = 16
+	// maxConsecutiveFailures is how many failures in a row eject a server. One may be the
 	// caller's request, three in a row across requests are the server's.
-	failureStreak = 3
-	// maxEjected is the largest share of peers left out at once. Beyond it the
+	maxConsecutiveFailures = 3
+	// maxEjectedRatio is the largest share of peers left out at once. Beyond it the
 	// fault is common to them, and the rest could not carry the load.
-	maxEjected = 0.2
-	// minPeers is the least number of peers with which a median means anything.
-	minPeers = 3
-	// firstPause and longestPause bound the time out; it doubles with each
+	maxEjectedRatio = 0.2
+	// minPeerCount is the least number of peers with which a median means anything.
+	minPeerCount = 3
+	// minEjectionTime and longestPause bound the time out; it doubles with each
 	// ejection that follows a trial that failed.
-	firstPause   = 5 * time.Second
-	longestPause = time.Minute
-	// rampTime is the slow start: after a return or a restart caches are cold
+	minEjectionTime = 5 * time.Second
+	maxEjectionTime = time.Minute
+	// slowStartTime is the slow start: after a return or a restart caches are cold
 	// and the first requests all prefill.
-	rampTime = 10 * time.Second
-	// rampFloor is the weight at the beginning of the slow start.
-	rampFloor = 0.1
-	// memory is how many gaps the averages look back on.
-	memory = 16
+	slowStartTime = 10 * time.Second
+	// slowStartMinRatio is the weight at the beginning of the slow start.
+	slowStartMinRatio = 0.1
+	// gapWindowCount is how many gaps the averages look back on.
+	gapWindowCount = 16
 )
 
 // State of a server as this daemon treats it.
@@ -53,8 +53,8 @@
 const (
 	Healthy State = iota
 	Ejected
-	Probation   // one request at a time
-	Warming // slow start
+	Probation // one request at a time
+	Warming   // slow start
 )
 
 // String returns the lower-case name.
@@ -68,24 +68,24 @@
 // The reasons.
 const (
 	ReasonSlowerThanPeers     Reason = "slower_than_peers"
-	ReasonConsecutiveFailures  Reason = "failures_in_a_row"
-	ReasonProbationDue Reason = "trial_due"
-	ReasonProbationPassed  Reason = "trial_succeeded"
-	ReasonProbationFailed Reason = "trial_failed"
-	ReasonRestart  Reason = "restarted"
-	ReasonWarm     Reason = "warm"
+	ReasonConsecutiveFailures Reason = "failures_in_a_row"
+	ReasonProbationDue        Reason = "trial_due"
+	ReasonProbationPassed     Reason = "trial_succeeded"
+	ReasonProbationFailed     Reason = "trial_failed"
+	ReasonRestart             Reason = "restarted"
+	ReasonWarm                Reason = "warm"
 )
 
 // Server is what one daemon knows of one server. The zero value is a healthy
 // server of which nothing is known. It is not safe for concurrent use.
 type Server struct {
-	state    State
-	since    time.Time
-	until    time.Time // end of the ejection
-	pause    time.Duration
-	gap      float64 // seconds, decayed mean
-	samples  int
-	failures int // in a row
+	state               State
+	stateSince          time.Time
+	ejectedUntil        time.Time // end of the ejection
+	ejectionTime        time.Duration
+	meanGapSeconds      float64 // seconds, decayed mean
+	sampleCount         int
+	consecutiveFailures int // in a row
 }
 
 // State returns the present state.
@@ -94,23 +94,23 @@
 // ObserveTokenGap records the time between two tokens, or per token of a plain answer.
 func (p *Server) ObserveTokenGap(gap time.Duration) {
 	g := gap.Seconds()
-	if p.samples == 0 {
-		p.gap = g
+	if p.sampleCount == 0 {
+		p.meanGapSeconds = g
 	}
-	p.samples++
-	p.gap += (g - p.gap) / memory
+	p.sampleCount++
+	p.meanGapSeconds += (g - p.meanGapSeconds) / gapWindowCount
 }
 
 // RecordSuccess records an attempt that ended well.
-func (p *Server) RecordSuccess() { p.failures = 0 }
+func (p *Server) RecordSuccess() { p.consecutiveFailures = 0 }
 
 // RecordFailure records an attempt that the server did not finish.
-func (p *Server) RecordFailure() { p.failures++ }
+func (p *Server) RecordFailure() { p.consecutiveFailures++ }
 
 // RecordRestart begins a slow start, because the caches are cold.
 func (p *Server) RecordRestart(now time.Time) Transition {
-	p.samples, p.failures = 0, 0
-	return p.become(now, Warming, ReasonRestart)
+	p.sampleCount, p.consecutiveFailures = 0, 0
+	return p.transition(now, Warming, ReasonRestart)
 }
 
 // Weight is the share of its usual work the server gets now.
@@ -119,10 +119,10 @@
 	case Ejected:
 		return 0
 	case Probation:
-		return rampFloor
+		return slowStartMinRatio
 	case Warming:
-		part := now.Sub(p.since).Seconds() / rampTime.Seconds()
-		return min(1, rampFloor+(1-rampFloor)*part)
+		part := now.Sub(p.stateSince).Seconds() / slowStartTime.Seconds()
+		return min(1, slowStartMinRatio+(1-slowStartMinRatio)*part)
 	default:
 		return 1
 	}
@@ -152,9 +152,9 @@
 	Median time.Duration
 }
 
-func (p *Server) become(now time.Time, to State, why Reason) Transition {
+func (p *Server) transition(now time.Time, to State, why Reason) Transition {
 	t := Transition{From: p.state, To: to, Reason: why}
-	p.state, p.since = to, now
+	p.state, p.stateSince = to, now
 	return t
 }
 
@@ -177,7 +177,7 @@
 		}
 	}
 	for i, p := range peers {
-		t, changed := p.step(now, median, out < allowedOut(len(peers)))
+		t, changed := p.update(now, median, out < ejectionLimit(len(peers)))
 		if !changed {
 			continue
 		}
@@ -185,79 +185,79 @@
 			out++
 		}
 		t.Index = i
-		t.Gap, t.Median = seconds(p.gap), seconds(median)
+		t.Gap, t.Median = toDuration(p.meanGapSeconds), toDuration(median)
 		e.transitions = append(e.transitions, t)
 	}
 	return e.transitions
 }
 
-func allowedOut(peers int) int {
-	if peers < minPeers {
+func ejectionLimit(peers int) int {
+	if peers < minPeerCount {
 		return 0
 	}
-	return max(1, int(maxEjected*float64(peers)))
+	return max(1, int(maxEjectedRatio*float64(peers)))
 }
 
-func (p *Server) step(now time.Time, median float64, mayEject bool) (Transition, bool) {
+func (p *Server) update(now time.Time, median float64, mayEject bool) (Transition, bool) {
 	switch p.state {
 	case Ejected:
-		if now.Before(p.until) {
+		if now.Before(p.ejectedUntil) {
 			return Transition{}, false
 		}
-		p.samples, p.failures = 0, 0
-		return p.become(now, Probation, ReasonProbationDue), true
+		p.sampleCount, p.consecutiveFailures = 0, 0
+		return p.transition(now, Probation, ReasonProbationDue), true
 	case Probation:
-		return p.judgeTrial(now, median)
+		return p.evaluateProbation(now, median)
 	case Warming:
-		if now.Sub(p.since) >= rampTime {
-			p.pause = 0
-			return p.become(now, Healthy, ReasonWarm), true
+		if now.Sub(p.stateSince) >= slowStartTime {
+			p.ejectionTime = 0
+			return p.transition(now, Healthy, ReasonWarm), true
 		}
 	}
 	switch {
 	case !mayEject:
 		return Transition{}, false
-	case p.failures >= failureStreak:
+	case p.consecutiveFailures >= maxConsecutiveFailures:
 		return p.eject(now, ReasonConsecutiveFailures), true
-	case p.samples >= minSamples && median > 0 && p.gap > slowFactor*median:
+	case p.sampleCount >= minSampleCount && median > 0 && p.meanGapSeconds > ejectSlowRatio*median:
 		return p.eject(now, ReasonSlowerThanPeers), true
 	}
 	return Transition{}, false
 }
 
-// judgeTrial ends a trial once enough tokens were seen. A trial on which no
+// evaluateProbation ends a trial once enough tokens were seen. A trial on which no
 // request falls stays open and costs nothing.
-func (p *Server) judgeTrial(now time.Time, median float64) (Transition, bool) {
+func (p *Server) evaluateProbation(now time.Time, median float64) (Transition, bool) {
 	switch {
-	case p.failures > 0:
+	case p.consecutiveFailures > 0:
 		return p.eject(now, ReasonProbationFailed), true
-	case p.samples < minSamples:
+	case p.sampleCount < minSampleCount:
 		return Transition{}, false
-	case median > 0 && p.gap > trialFactor*median:
+	case median > 0 && p.meanGapSeconds > probationSlowRatio*median:
 		return p.eject(now, ReasonProbationFailed), true
 	}
-	return p.become(now, Warming, ReasonProbationPassed), true
+	return p.transition(now, Warming, ReasonProbationPassed), true
 }
 
 func (p *Server) eject(now time.Time, why Reason) Transition {
-	p.pause = min(max(2*p.pause, firstPause), longestPause)
-	p.until = now.Add(p.pause)
-	return p.become(now, Ejected, why)
+	p.ejectionTime = min(max(2*p.ejectionTime, minEjectionTime), maxEjectionTime)
+	p.ejectedUntil = now.Add(p.ejectionTime)
+	return p.transition(now, Ejected, why)
 }
 
 // median of the gaps of peers that serve normally and are known well enough.
 func (e *Evaluator) median(peers []*Server) float64 {
 	e.gaps = e.gaps[:0]
 	for _, p := range peers {
-		if p.samples >= minSamples && (p.state == Healthy || p.state == Warming) {
-			e.gaps = append(e.gaps, p.gap)
+		if p.sampleCount >= minSampleCount && (p.state == Healthy || p.state == Warming) {
+			e.gaps = append(e.gaps, p.meanGapSeconds)
 		}
 	}
-	if len(e.gaps) < minPeers {
+	if len(e.gaps) < minPeerCount {
 		return 0
 	}
 	slices.Sort(e.gaps)
 	return e.gaps[len(e.gaps)/2]
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func toDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/decision/limit/account.go
+++ b/decision/limit/account.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// burst is how many seconds of an account's rate it may use ahead. A minute
+// burstSeconds is how many seconds of an account's rate it may use ahead. A minute
 // carries the chance of several long requests in a row at one of several VMs;
 // with ten seconds an account that asks exactly its limit gets two thirds of it.
-const burst = 60.0
+const burstSeconds = 60.0
 
 // TokenBucket is the token bucket of one account at one entry VM. The zero value
 // is a full bucket. It is not safe for concurrent use.
 type TokenBucket struct {
-	debt    float64 // tokens taken and not yet refilled
-	updated time.Time
+	debtTokens float64 // tokens taken and not yet refilled
+	updated    time.Time
 }
 
 // AccountShare is this VM's part of an account's limit, with no message between VMs:
@@ -33,16 +33,16 @@
 // the whole cost would refuse half of what is within the limit.
 func (a *TokenBucket) Take(now time.Time, cost, rate float64) time.Duration {
 	a.refill(now, rate)
-	if over := a.debt - burst*rate; over >= 0 && a.debt > 0 {
+	if over := a.debtTokens - burstSeconds*rate; over >= 0 && a.debtTokens > 0 {
 		return time.Duration((over + 1) / rate * float64(time.Second))
 	}
-	a.debt += cost
+	a.debtTokens += cost
 	return 0
 }
 
 func (a *TokenBucket) refill(now time.Time, rate float64) {
 	if !a.updated.IsZero() {
-		a.debt = max(0, a.debt-rate*now.Sub(a.updated).Seconds())
+		a.debtTokens = max(0, a.debtTokens-rate*now.Sub(a.updated).Seconds())
 	}
 	a.updated = now
 }
--- a/decision/limit/limit_test.go
+++ b/decision/limit/limit_test.go
@@ -10,13 +10,13 @@
 
 var epoch = time.Unix(1000, 0)
 
-// settle shows s one gap for 30 s, which end at the returned time.
-func settle(s *Concurrency, now time.Time, gap time.Duration, inFlight func() int) time.Time {
+// feedGaps shows s one gap for 30 s, which end at the returned time.
+func feedGaps(s *Concurrency, now time.Time, gap time.Duration, inFlight func() int) time.Time {
 	for range 120 {
-		for range gapMemory {
+		for range gapWindowCount {
 			s.ObserveTokenGap(gap)
 		}
-		now = now.Add(adjustEvery)
+		now = now.Add(adjustInterval)
 		s.Adjust(now, inFlight())
 	}
 	return now
@@ -26,21 +26,21 @@
 	s := NewConcurrency(32, 1, 0)
 	must.Eq(t, 32, s.Limit())
 	full := func() int { return s.Limit() }
-	now := settle(&s, epoch, 20*time.Millisecond, full)
+	now := feedGaps(&s, epoch, 20*time.Millisecond, full)
 	must.Eq(t, 32, s.Limit())
-	now = settle(&s, now, 80*time.Millisecond, full)
+	now = feedGaps(&s, now, 80*time.Millisecond, full)
 	test.LessEq(t, 4, s.Limit())
-	settle(&s, now, 22*time.Millisecond, full)
+	feedGaps(&s, now, 22*time.Millisecond, full)
 	test.GreaterEq(t, 30, s.Limit())
 }
 
 func TestUnusedLimitDoesNotGrow(t *testing.T) {
 	s := NewConcurrency(32, 1, 0)
-	now := settle(&s, epoch, 20*time.Millisecond, func() int { return 0 })
-	now = settle(&s, now, 80*time.Millisecond, func() int { return s.Limit() })
+	now := feedGaps(&s, epoch, 20*time.Millisecond, func() int { return 0 })
+	now = feedGaps(&s, now, 80*time.Millisecond, func() int { return s.Limit() })
 	low := s.Limit()
 	must.Less(t, 32, low)
-	settle(&s, now, 20*time.Millisecond, func() int { return 0 })
+	feedGaps(&s, now, 20*time.Millisecond, func() int { return 0 })
 	test.Eq(t, low, s.Limit())
 }
 
@@ -48,7 +48,7 @@
 // Seven daemons read the same old report; each takes all that was free.
 // One that is alone must approach the slots without ever passing them; what
 // stays unused is less than one request for each daemon that might come.
-func TestDaemonsThatReadTheSameReportShareWhatIsFree(t *testing.T) {
+func TestDaemonsThatReadTheSameReportShareFreeSlots(t *testing.T) {
 	const slots, daemons = 20, 7
 	servers := make([]Concurrency, daemons)
 	for i := range servers {
@@ -90,7 +90,7 @@
 	test.Less(t, 16, s.Limit())
 }
 
-func TestAccountGetsItsRateHoweverLargeItsRequests(t *testing.T) {
+func TestAccountGetsItsRateForAnyRequestSize(t *testing.T) {
 	var a TokenBucket
 	now, granted := epoch, 0.0
 	for range 6000 {
@@ -99,10 +99,10 @@
 			granted += 5000
 		}
 	}
-	test.Between(t, 600*100, granted, 600*100+burst*100+5000)
+	test.Between(t, 600*100, granted, 600*100+burstSeconds*100+5000)
 }
 
-func TestRefusedAccountIsLetInWhenItWasTold(t *testing.T) {
+func TestRefusedAccountIsGrantedAfterTheReturnedWait(t *testing.T) {
 	var a TokenBucket
 	must.Zero(t, a.Take(epoch, 50000, 100))
 	wait := a.Take(epoch, 10, 100)
@@ -111,7 +111,7 @@
 	test.Zero(t, a.Take(epoch.Add(wait), 10, 100))
 }
 
-func TestShareOfAVMThatWasNotTold(t *testing.T) {
+func TestAccountShareOfUnselectedVM(t *testing.T) {
 	test.Eq(t, 0.125, AccountShare(8, true))
 	test.Eq(t, 0.0125, AccountShare(8, false))
 }
--- a/decision/limit/server.go
+++ b/decision/limit/server.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// tolerance is how much slower than its best a token gap may get before the
+	// gapToleranceRatio is how much slower than its best a token gap may get before the
 	// limit falls. A full batch of a continuously batching engine is about half
 	// again as slow as a single stream; beyond twice the engine is overrun.
-	tolerance = 2.0
-	// smoothing is the share of a new limit taken over at each adjustment.
-	smoothing = 0.2
-	// gapMemory is how many observations the recent gap looks back on.
-	gapMemory = 32
-	// bestMemory is the time constant with which the best gap rises, so that a
+	gapToleranceRatio = 2.0
+	// smoothingRatio is the share of a new limit taken over at each adjustment.
+	smoothingRatio = 0.2
+	// gapWindowCount is how many observations the recent gap looks back on.
+	gapWindowCount = 32
+	// bestGapTimeConstant is the time constant with which the best gap rises, so that a
 	// change of model is learned. It is long against any saturation: a best gap
 	// that rose with the load would never show that the server is overrun.
-	bestMemory = 30 * time.Minute
-	// adjustEvery is the least time between adjustments: about ten gaps, so that
+	bestGapTimeConstant = 30 * time.Minute
+	// adjustInterval is the least time between adjustments: about ten gaps, so that
 	// each adjustment sees the effect of the one before.
-	adjustEvery = 250 * time.Millisecond
-	// waitingBackoff is the factor applied when the engine reports that it queues
+	adjustInterval = 250 * time.Millisecond
+	// waitingBackoffRatio is the factor applied when the engine reports that it queues
 	// requests itself.
-	waitingBackoff = 0.8
+	waitingBackoffRatio = 0.8
 	// minLimit keeps a path open on which recovery can be seen.
 	minLimit = 1.0
 )
@@ -42,14 +42,14 @@
 // in the token gap and, with a lag, in the engine's report. The zero value is
 // not usable. It is not safe for concurrent use.
 type Concurrency struct {
-	phase   float64
-	limit   float64
-	ceiling float64
-	best    float64 // seconds
-	recent  float64 // seconds
-	seen    int
-	next    time.Time
-	report  time.Time // of the last report taken in
+	roundingPhase    float64
+	limit            float64
+	ceiling          float64
+	bestGapSeconds   float64 // seconds
+	recentGapSeconds float64 // seconds
+	gapCount         int
+	nextAdjust       time.Time
+	lastReport       time.Time // of the last report taken in
 }
 
 // NewConcurrency starts at this daemon's even share of slots among daemons. phase,
@@ -57,13 +57,13 @@
 // then means four at a third of the daemons and three at the others, and their
 // sum is what the server can take.
 func NewConcurrency(slots, daemons int, phase float64) Concurrency {
-	share := even(slots, daemons)
-	return Concurrency{limit: share, ceiling: share, phase: phase}
+	share := evenShare(slots, daemons)
+	return Concurrency{limit: share, ceiling: share, roundingPhase: phase}
 }
 
-// even is the even share. With daemons 0 there is none: the server is far away
+// evenShare is the even share. With daemons 0 there is none: the server is far away
 // and only what it reports free may be used.
-func even(slots, daemons int) float64 {
+func evenShare(slots, daemons int) float64 {
 	if daemons <= 0 {
 		return 0
 	}
@@ -73,7 +73,7 @@
 // Limit is the number of requests this daemon may have there. It is 0 only
 // where the even share is less than one request and others use the server.
 func (s *Concurrency) Limit() int {
-	return int(min(s.limit, s.ceiling) + s.phase)
+	return int(min(s.limit, s.ceiling) + s.roundingPhase)
 }
 
 // ObserveTokenGap records the time between two tokens of one stream.
@@ -82,21 +82,21 @@
 	if g <= 0 {
 		return
 	}
-	if s.seen == 0 {
-		s.best, s.recent = g, g
+	if s.gapCount == 0 {
+		s.bestGapSeconds, s.recentGapSeconds = g, g
 	}
-	s.seen++
-	s.recent += (g - s.recent) / gapMemory
-	s.best = min(s.best, s.recent)
+	s.gapCount++
+	s.recentGapSeconds += (g - s.recentGapSeconds) / gapWindowCount
+	s.bestGapSeconds = min(s.bestGapSeconds, s.recentGapSeconds)
 }
 
 // Report is what the engine said of itself, some time ago.
 type Report struct {
-	TakenAt   time.Time
-	Running int
-	Waiting int
-	Slots   int // 0 if unknown
-	OwnInFlight     int // requests of this daemon when the report was taken
+	TakenAt     time.Time
+	Running     int
+	Waiting     int
+	Slots       int // 0 if unknown
+	OwnInFlight int // requests of this daemon when the report was taken
 	// SharingDaemons is how many daemons have an even share, Readers how many act on
 	// the same report.
 	SharingDaemons, ReadingDaemons int
@@ -112,32 +112,32 @@
 	if r.Slots > 0 && (slots <= 0 || r.Slots < slots) {
 		slots = r.Slots
 	}
-	share := even(slots, r.SharingDaemons)
+	share := evenShare(slots, r.SharingDaemons)
 	if r.TakenAt.IsZero() {
 		s.ceiling = share
 		return
 	}
 	free := float64(slots - r.Running - r.Waiting)
 	s.ceiling = max(share, float64(r.OwnInFlight)+free/float64(max(r.ReadingDaemons, 1)))
-	if r.Waiting > 0 && r.TakenAt.After(s.report) && r.OwnInFlight > 0 {
-		s.limit = max(share/2, min(minLimit, share), s.limit*waitingBackoff)
+	if r.Waiting > 0 && r.TakenAt.After(s.lastReport) && r.OwnInFlight > 0 {
+		s.limit = max(share/2, min(minLimit, share), s.limit*waitingBackoffRatio)
 	}
-	s.report = r.TakenAt
+	s.lastReport = r.TakenAt
 }
 
 // Adjust moves the limit when it is due, and reports whether it changed. A
 // limit that is not used says nothing, so it only grows when at least half of
 // it is in flight.
 func (s *Concurrency) Adjust(now time.Time, inFlight int) bool {
-	if now.Before(s.next) {
+	if now.Before(s.nextAdjust) {
 		return false
 	}
-	s.next = now.Add(adjustEvery)
-	s.best += (s.recent - s.best) * float64(adjustEvery) / float64(bestMemory)
+	s.nextAdjust = now.Add(adjustInterval)
+	s.bestGapSeconds += (s.recentGapSeconds - s.bestGapSeconds) * float64(adjustInterval) / float64(bestGapTimeConstant)
 	before := s.Limit()
 	gradient := 1.0
-	if s.seen >= gapMemory && s.recent > 0 {
-		gradient = min(1, max(0.5, tolerance*s.best/s.recent))
+	if s.gapCount >= gapWindowCount && s.recentGapSeconds > 0 {
+		gradient = min(1, max(0.5, gapToleranceRatio*s.bestGapSeconds/s.recentGapSeconds))
 	}
 	target := s.limit * gradient
 	if gradient == 1 {
@@ -146,7 +146,7 @@
 		}
 		target += math.Sqrt(s.limit)
 	}
-	s.limit += smoothing * (target - s.limit)
+	s.limit += smoothingRatio * (target - s.limit)
 	s.limit = min(max(s.limit, min(minLimit, s.ceiling)), s.ceiling)
 	return s.Limit() != before
 }
--- a/decision/lineage/lineage.go
+++ b/decision/lineage/lineage.go
@@ -16,8 +16,8 @@
 	"strings"
 )
 
-// epochCountShift splits an Epoch into a counter and a random part.
-const epochCountShift = 48
+// ownerCountShift splits an Epoch into a counter and a random part.
+const ownerCountShift = 48
 
 // Epoch names one ownership of a generation. The upper 16 bits count
 // ownerships; the lower 48 bits are random, so that two entry VMs that adopt
@@ -29,18 +29,18 @@
 
 // Next returns an epoch that follows e.
 func (e Epoch) Next(random uint64) Epoch {
-	const mask = 1<<epochCountShift - 1
-	return (e>>epochCountShift+1)<<epochCountShift | Epoch(random&mask)
+	const mask = 1<<ownerCountShift - 1
+	return (e>>ownerCountShift+1)<<ownerCountShift | Epoch(random&mask)
 }
 
 // OwnerCount returns how many owners there were up to and including e.
-func (e Epoch) OwnerCount() int { return int(e >> epochCountShift) }
+func (e Epoch) OwnerCount() int { return int(e >> ownerCountShift) }
 
 // Fork is the begin of an epoch at a token offset.
 type Fork struct {
-	Epoch Epoch
-	FromOffset  int    // tokens before From belong to earlier epochs
-	Owner string // VM id
+	Epoch      Epoch
+	FromOffset int    // tokens before From belong to earlier epochs
+	Owner      string // VM id
 }
 
 // History is the ownership history of one answer, oldest first. It is never empty.
@@ -135,8 +135,8 @@
 	return c.Generation + ":" + strconv.FormatUint(uint64(c.Position.Epoch), 16) + ":" + strconv.Itoa(c.Position.Offset)
 }
 
-// maxOffset bounds offsets read from callers; no answer is that long.
-const maxOffset = 1 << 24
+// maxOffsetTokens bounds offsets read from callers; no answer is that long.
+const maxOffsetTokens = 1 << 24
 
 // ParseCursor reads the form written by String.
 func ParseCursor(s string) (Cursor, error) {
@@ -149,19 +149,19 @@
 		return Cursor{}, fmt.Errorf("%q: %w", s, ErrInvalidCursor)
 	}
 	offset, err := strconv.ParseUint(parts[2], 10, 32)
-	if err != nil || offset > maxOffset {
+	if err != nil || offset > maxOffsetTokens {
 		return Cursor{}, fmt.Errorf("%q: %w", s, ErrInvalidCursor)
 	}
 	return Cursor{Generation: parts[0], Position: Position{Epoch: Epoch(epoch), Offset: int(offset)}}, nil
 }
 
-// idLength is the number of characters of a generation id after its first.
-const idLength = 32
+// idHexDigitCount is the number of characters of a generation id after its first.
+const idHexDigitCount = 32
 
 // IsValidID reports whether s has the form of a generation id: g or k and 32
 // lower-case hexadecimal digits.
 func IsValidID(s string) bool {
-	if len(s) != idLength+1 || (s[0] != 'g' && s[0] != 'k') {
+	if len(s) != idHexDigitCount+1 || (s[0] != 'g' && s[0] != 'k') {
 		return false
 	}
 	for _, c := range s[1:] {
--- a/decision/lineage/lineage_test.go
+++ b/decision/lineage/lineage_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestRelate(t *testing.T) {
+func TestCompare(t *testing.T) {
 	first := FirstEpoch(1)
 	second := first.Next(2)
 	line := History{{Epoch: first, Owner: "a"}}.Extend(Fork{Epoch: second, FromOffset: 10, Owner: "b"})
@@ -44,7 +44,7 @@
 			return
 		}
 		must.True(t, IsValidID(c.Generation))
-		must.Between(t, 0, c.Position.Offset, maxOffset)
+		must.Between(t, 0, c.Position.Offset, maxOffsetTokens)
 		again, err := ParseCursor(c.String())
 		must.NoError(t, err)
 		must.Eq(t, c, again)
--- a/decision/resume/decide.go
+++ b/decision/resume/decide.go
@@ -11,10 +11,10 @@
 
 // The actions.
 const (
-	Wait     Action = iota // let the running attempts go on
-	Reattach               // read the leading attempt again on a fresh connection
-	StartAttempt                // start one more attempt
-	Fail                   // tell the caller that the answer stops here
+	Wait         Action = iota // let the running attempts go on
+	Reattach                   // read the leading attempt again on a fresh connection
+	StartAttempt               // start one more attempt
+	Fail                       // tell the caller that the answer stops here
 )
 
 // Reason explains an Action, for logs and metrics.
@@ -22,15 +22,15 @@
 
 // The reasons.
 const (
-	ReasonHealthy   Reason = "healthy"
-	ReasonProbe     Reason = "probe"
-	ReasonSuspected Reason = "suspected"
-	ReasonSilentTooLong   Reason = "silent_too_long"
-	ReasonNoAttemptRunning    Reason = "broken"
-	ReasonGlobalStall   Reason = "global_stall"
-	ReasonAlreadyRacing    Reason = "already_racing"
+	ReasonHealthy           Reason = "healthy"
+	ReasonProbe             Reason = "probe"
+	ReasonSuspected         Reason = "suspected"
+	ReasonSilentTooLong     Reason = "silent_too_long"
+	ReasonNoAttemptRunning  Reason = "broken"
+	ReasonGlobalStall       Reason = "global_stall"
+	ReasonAlreadyRacing     Reason = "already_racing"
 	ReasonAttemptsExhausted Reason = "attempts_exhausted"
-	ReasonDeadline  Reason = "resume_deadline"
+	ReasonDeadline          Reason = "resume_deadline"
 )
 
 const (
@@ -38,14 +38,14 @@
 	// delivered nothing. A request that brings down every engine it reaches
 	// shows like this; five covers two engine deaths and a rack switch in one resume.
 	maxAttempts = 5
-	// maxRacing bounds attempts that run at once. Two cover the usual loss; the
+	// maxConcurrentAttempts bounds attempts that run at once. Two cover the usual loss; the
 	// third is for a takeover that lands on another engine of the same lost zone.
-	maxRacing = 3
+	maxConcurrentAttempts = 3
 	// minDeadline is the least time without any token before an answer fails.
 	minDeadline = 60 * time.Second
-	// certainCeilings is how many ceilings of silence make an engine's loss
+	// certainCeilingCount is how many ceilings of silence make an engine's loss
 	// certain for all practical ends: past it a takeover is owed, not speculative.
-	certainCeilings = 2
+	certainCeilingCount = 2
 )
 
 // Policy bounds what is done for one answer.
@@ -73,14 +73,14 @@
 func PolicyForService(weight float64, deadline time.Duration) Policy {
 	s := silence.ConfigForWeight(weight)
 	return Policy{
-		Silence:     s,
-		MaxAttempts: maxAttempts,
-		MaxConcurrentAttempts:   maxRacing,
+		Silence:               s,
+		MaxAttempts:           maxAttempts,
+		MaxConcurrentAttempts: maxConcurrentAttempts,
 		// A service that may wait long for its first token may also wait as long
 		// for a continuation: its answer is owed, and the engines may come back.
-		Deadline: max(minDeadline, deadline),
-		CertainAfter:  certainCeilings * s.Ceiling,
-		Reattach: true,
+		Deadline:     max(minDeadline, deadline),
+		CertainAfter: certainCeilingCount * s.Ceiling,
+		Reattach:     true,
 	}
 }
 
@@ -88,13 +88,13 @@
 // Threshold are those of the attempt that is least suspicious, since as long as
 // one is healthy the answer goes on.
 type AnswerState struct {
-	RunningAttempts     int           // attempts that may still win, those waiting for a backend server included
-	RacingAttempts      int           // those of them that do not merely read an engine again
-	SilentFor      time.Duration // since the attempt last delivered or was granted its engine
-	StalledFor     time.Duration // since the last accepted token or, before it, since the start
-	SuspectAfter   time.Duration // silence at which the attempt is suspected
-	FailedAttempts   int           // attempts since the last accepted token that an engine took and that failed
-	GlobalStall bool
+	RunningAttempts int           // attempts that may still win, those waiting for a backend server included
+	RacingAttempts  int           // those of them that do not merely read an engine again
+	SilentFor       time.Duration // since the attempt last delivered or was granted its engine
+	StalledFor      time.Duration // since the last accepted token or, before it, since the start
+	SuspectAfter    time.Duration // silence at which the attempt is suspected
+	FailedAttempts  int           // attempts since the last accepted token that an engine took and that failed
+	GlobalStall     bool
 	// CanReattach says that the leading attempt may still run at its engine
 	// and was not yet read again since it last delivered.
 	CanReattach bool
--- a/decision/resume/resume.go
+++ b/decision/resume/resume.go
@@ -16,10 +16,10 @@
 // a text that is no longer the answer. The zero value is an empty answer. It is
 // not safe for concurrent use.
 type Race struct {
-	length   int
-	finished bool
-	leader   uint64 // attempt that delivered last, 0 if none
-	base     map[uint64]int
+	acceptedTokens int
+	finished       bool
+	leader         uint64 // attempt that delivered last, 0 if none
+	prefixTokens   map[uint64]int
 }
 
 // DropReason says why tokens were not accepted.
@@ -28,10 +28,10 @@
 // The reasons for dropping tokens.
 const (
 	Accepted    DropReason = iota
-	Superseded           // another attempt extended the answer first
-	Duplicate         // the whole chunk lies before the next offset
-	Gap              // the chunk begins after the next offset
-	AfterFinish      // the answer is already whole
+	Superseded             // another attempt extended the answer first
+	Duplicate              // the whole chunk lies before the next offset
+	Gap                    // the chunk begins after the next offset
+	AfterFinish            // the answer is already whole
 )
 
 // String returns the lower-case name.
@@ -41,11 +41,11 @@
 
 // Restore sets the race to an answer of length tokens that another owner began.
 func (r *Race) Restore(length int, finished bool) {
-	r.length, r.finished = length, finished
+	r.acceptedTokens, r.finished = length, finished
 }
 
 // Length returns the number of accepted tokens.
-func (r *Race) Length() int { return r.length }
+func (r *Race) Length() int { return r.acceptedTokens }
 
 // Leader returns the attempt that delivered last, 0 if none did.
 func (r *Race) Leader() uint64 { return r.leader }
@@ -55,10 +55,10 @@
 
 // AddAttempt enters an attempt whose prefix is the answer as it stands.
 func (r *Race) AddAttempt(attempt uint64) {
-	if r.base == nil {
-		r.base = make(map[uint64]int)
+	if r.prefixTokens == nil {
+		r.prefixTokens = make(map[uint64]int)
 	}
-	r.base[attempt] = r.length
+	r.prefixTokens[attempt] = r.acceptedTokens
 }
 
 // AddReattached enters an attempt that produced the last accepted tokens itself.
@@ -68,29 +68,29 @@
 }
 
 // RemoveAttempt removes an attempt: it failed or was cancelled.
-func (r *Race) RemoveAttempt(attempt uint64) { delete(r.base, attempt) }
+func (r *Race) RemoveAttempt(attempt uint64) { delete(r.prefixTokens, attempt) }
 
 // Running returns the number of attempts that may still win.
-func (r *Race) Running() int { return len(r.base) }
+func (r *Race) Running() int { return len(r.prefixTokens) }
 
 // Offer decides about a chunk of n tokens at offset, the last one if finish is
 // set. On Accepted, skip is the number of leading tokens already held.
 func (r *Race) Offer(attempt uint64, offset, n int, finish bool) (skip int, drop DropReason) {
-	base, running := r.base[attempt]
+	base, running := r.prefixTokens[attempt]
 	switch {
 	case r.finished:
 		return 0, AfterFinish
-	case !running || (r.length > base && r.leader != attempt):
+	case !running || (r.acceptedTokens > base && r.leader != attempt):
 		return 0, Superseded
-	case offset > r.length:
+	case offset > r.acceptedTokens:
 		return 0, Gap
-	case offset+n <= r.length && !finish:
+	case offset+n <= r.acceptedTokens && !finish:
 		return 0, Duplicate
-	case offset+n < r.length:
+	case offset+n < r.acceptedTokens:
 		return 0, Duplicate
 	}
-	skip = r.length - offset
-	r.length = offset + n
+	skip = r.acceptedTokens - offset
+	r.acceptedTokens = offset + n
 	r.leader = attempt
 	r.finished = finish
 	return skip, Accepted
@@ -99,8 +99,8 @@
 // Losers returns the attempts that can no longer win.
 func (r *Race) Losers() []uint64 {
 	var out []uint64
-	for a, base := range r.base {
-		if a != r.leader && r.length > base {
+	for a, base := range r.prefixTokens {
+		if a != r.leader && r.acceptedTokens > base {
 			out = append(out, a)
 		}
 	}
--- a/decision/silence/silence.go
+++ b/decision/silence/silence.go
@@ -12,11 +12,11 @@
 import "time"
 
 const (
-	// gainMean and gainDev are the smoothing gains of RFC 6298, 1/8 and 1/4.
-	gainMean = 8
-	gainDev  = 4
-	// warmup is how many gaps must have been seen before they are trusted.
-	warmup = 8
+	// meanGainDivisor and gainDev are the smoothing gains of RFC 6298, 1/8 and 1/4.
+	meanGainDivisor = 8
+	devGainDivisor  = 4
+	// minSampleCount is how many gaps must have been seen before they are trusted.
+	minSampleCount = 8
 )
 
 // Config bounds the learned thresholds.
@@ -52,22 +52,22 @@
 		return cost + time.Duration(weight*float64(latency-cost))
 	}
 	return Config{
-		Floor:        between(800*time.Millisecond, 250*time.Millisecond),
-		Ceiling:      between(4*time.Second, 2*time.Second),
+		Floor:             between(800*time.Millisecond, 250*time.Millisecond),
+		Ceiling:           between(4*time.Second, 2*time.Second),
 		FirstChunkFloor:   between(2*time.Second, 800*time.Millisecond),
 		FirstChunkCeiling: between(10*time.Second, 4*time.Second),
-		Deviations:   8,
+		Deviations:        8,
 		// The multiple of RFC 6298.
-		FirstChunkDeviations:    4,
-		TakeoverDeviations: 1,
+		FirstChunkDeviations: 4,
+		TakeoverDeviations:   1,
 	}
 }
 
 // GapEstimator learns the gaps of one stream or one engine. The zero value knows
 // nothing. It is not safe for concurrent use.
 type GapEstimator struct {
-	n         int
-	mean, dev time.Duration
+	sampleCount int
+	mean, dev   time.Duration
 }
 
 // Observe adds one gap between two consecutive chunks.
@@ -75,28 +75,28 @@
 	if gap < 0 {
 		return
 	}
-	if g.n == 0 {
+	if g.sampleCount == 0 {
 		g.mean, g.dev = gap, gap/2
-		g.n = 1
+		g.sampleCount = 1
 		return
 	}
 	diff := gap - g.mean
-	g.mean += diff / gainMean
+	g.mean += diff / meanGainDivisor
 	if diff < 0 {
 		diff = -diff
 	}
-	g.dev += (diff - g.dev) / gainDev
-	g.n++
+	g.dev += (diff - g.dev) / devGainDivisor
+	g.sampleCount++
 }
 
 // HasEnoughSamples reports whether enough gaps were seen to trust them.
-func (g *GapEstimator) HasEnoughSamples() bool { return g.n >= warmup }
+func (g *GapEstimator) HasEnoughSamples() bool { return g.sampleCount >= minSampleCount }
 
 // Mean returns the smoothed gap.
 func (g *GapEstimator) Mean() time.Duration { return g.mean }
 
-// limit returns the learned limit, or ceiling while nothing is known.
-func (g *GapEstimator) limit(floor, ceiling time.Duration, deviations int) time.Duration {
+// threshold returns the learned limit, or ceiling while nothing is known.
+func (g *GapEstimator) threshold(floor, ceiling time.Duration, deviations int) time.Duration {
 	if !g.HasEnoughSamples() {
 		return ceiling
 	}
@@ -108,29 +108,29 @@
 // its engine showed on other streams: a stream alone is blind to a batch that
 // just grew, an engine alone to a stream that is always slow.
 func Threshold(c Config, stream, engine *GapEstimator) time.Duration {
-	s := stream.limit(c.Floor, c.Ceiling, c.Deviations)
+	s := stream.threshold(c.Floor, c.Ceiling, c.Deviations)
 	if engine == nil || !engine.HasEnoughSamples() {
 		return s
 	}
-	e := engine.limit(c.Floor, c.Ceiling, c.Deviations)
+	e := engine.threshold(c.Floor, c.Ceiling, c.Deviations)
 	if !stream.HasEnoughSamples() {
 		return e
 	}
 	return max(s, e)
 }
 
-// prefillUnit is how many tokens of prompt and prefix double the time to the
+// prefillScaleTokens is how many tokens of prompt and prefix double the time to the
 // first chunk that is taken to be normal: an engine that reads some 10,000
 // tokens a second beside its batch needs 400 ms for as many.
-const prefillUnit = 4000
+const prefillScaleTokens = 4000
 
-// prefillScale is how much longer than for an empty prompt the first chunk may take.
-func prefillScale(tokens int) float64 { return 1 + float64(tokens)/prefillUnit }
+// prefillRatio is how much longer than for an empty prompt the first chunk may take.
+func prefillRatio(tokens int) float64 { return 1 + float64(tokens)/prefillScaleTokens }
 
 // NormalizeFirstChunkWait reduces the time to a first chunk to that of an empty prompt, so
 // that the times of long and short prompts can be learned together.
 func NormalizeFirstChunkWait(wait time.Duration, tokens int) time.Duration {
-	return time.Duration(float64(wait) / prefillScale(tokens))
+	return time.Duration(float64(wait) / prefillRatio(tokens))
 }
 
 // FirstChunkThreshold returns how long an attempt over tokens of prompt and prefix
@@ -143,32 +143,32 @@
 	}
 	limit := c.FirstChunkCeiling
 	if engine != nil {
-		limit = engine.limit(c.FirstChunkFloor, c.FirstChunkCeiling, deviations)
+		limit = engine.threshold(c.FirstChunkFloor, c.FirstChunkCeiling, deviations)
 	}
-	return time.Duration(float64(limit) * prefillScale(tokens))
+	return time.Duration(float64(limit) * prefillRatio(tokens))
 }
 
-// overslept is how much later than asked for a timer may fire before the
+// maxTimerDelay is how much later than asked for a timer may fire before the
 // process itself is taken to have been paused.
-const overslept = 150 * time.Millisecond
+const maxTimerDelay = 150 * time.Millisecond
 
 // WasPaused reports whether a process that meant to look at due and looks at
 // now was paused or starved itself. All streams seem silent to it then, while
 // their chunks wait in its own buffers; silence must be counted anew.
-func WasPaused(due, now time.Time) bool { return !due.IsZero() && now.Sub(due) > overslept }
+func WasPaused(due, now time.Time) bool { return !due.IsZero() && now.Sub(due) > maxTimerDelay }
 
-// stallShare is the share of streams silent at once above which the cause is
+// stallRatio is the share of streams silent at once above which the cause is
 // taken to lie outside single engines: here, or in the network near here. A
 // loss that takes a third of the engines is the largest one zone can cause.
-const stallShare = 0.5
+const stallRatio = 0.5
 
-// stallStreams is the least number of streams for which a share means anything.
-const stallStreams = 4
+// minStreamCount is the least number of streams for which a share means anything.
+const minStreamCount = 4
 
 // IsGlobalStall reports whether so many streams are silent at once that taking
 // over would only add load: many prompts read anew by engines that are all
 // slow. silent and total count streams on engines other than the one suspected,
 // so that the death of the one engine in use is not mistaken for a stall.
 func IsGlobalStall(silent, total int) bool {
-	return total >= stallStreams && float64(silent) > stallShare*float64(total)
+	return total >= minStreamCount && float64(silent) > stallRatio*float64(total)
 }
--- a/decision/silence/silence_test.go
+++ b/decision/silence/silence_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func learned(gaps ...time.Duration) *GapEstimator {
+func trainedEstimator(gaps ...time.Duration) *GapEstimator {
 	g := &GapEstimator{}
 	for range 4 {
 		for _, d := range gaps {
@@ -19,10 +19,10 @@
 
 // The threshold follows the engine that is in use: neither a fixed one that is
 // long for the fast, nor one that suspects the slow.
-func TestThresholdFollowsTheGaps(t *testing.T) {
+func TestThresholdAdaptsToTheGaps(t *testing.T) {
 	c := ConfigForWeight(1)
-	fast := learned(20*time.Millisecond, 30*time.Millisecond)
-	slow := learned(100*time.Millisecond, 300*time.Millisecond)
+	fast := trainedEstimator(20*time.Millisecond, 30*time.Millisecond)
+	slow := trainedEstimator(100*time.Millisecond, 300*time.Millisecond)
 	must.Eq(t, c.Floor, Threshold(c, fast, nil))
 	must.Eq(t, c.Ceiling, Threshold(c, &GapEstimator{}, nil))
 	must.Greater(t, 300*time.Millisecond, Threshold(c, slow, nil))
@@ -45,23 +45,23 @@
 func TestFirstThresholdScalesWithThePrompt(t *testing.T) {
 	c := ConfigForWeight(1)
 	engine := &GapEstimator{}
-	for range warmup {
-		engine.Observe(NormalizeFirstChunkWait(2*time.Second, prefillUnit))
+	for range minSampleCount {
+		engine.Observe(NormalizeFirstChunkWait(2*time.Second, prefillScaleTokens))
 	}
-	short, long := FirstChunkThreshold(c, engine, 0, false), FirstChunkThreshold(c, engine, prefillUnit, false)
+	short, long := FirstChunkThreshold(c, engine, 0, false), FirstChunkThreshold(c, engine, prefillScaleTokens, false)
 	must.Eq(t, 2*short, long)
 	must.Greater(t, 2*time.Second, long)
-	must.Eq(t, 2*c.FirstChunkCeiling, FirstChunkThreshold(c, nil, prefillUnit, false))
+	must.Eq(t, 2*c.FirstChunkCeiling, FirstChunkThreshold(c, nil, prefillScaleTokens, false))
 	must.Less(t, short, FirstChunkThreshold(c, engine, 0, true), must.Sprint("an answer that stands still"))
 }
 
-func TestGlobalStall(t *testing.T) {
+func TestIsGlobalStall(t *testing.T) {
 	must.False(t, IsGlobalStall(3, 3), must.Sprint("too few to tell"))
 	must.False(t, IsGlobalStall(4, 12), must.Sprint("a zone of three"))
 	must.True(t, IsGlobalStall(7, 12))
 }
 
-func TestOverslept(t *testing.T) {
+func TestWasPaused(t *testing.T) {
 	now := time.Unix(100, 0)
 	must.False(t, WasPaused(time.Time{}, now))
 	must.False(t, WasPaused(now.Add(-100*time.Millisecond), now))
--- a/decision/slot/plan.go
+++ b/decision/slot/plan.go
@@ -17,7 +17,7 @@
 	BothLost
 	// Rebalance: the pair is healthy but not the one the members call for.
 	Rebalance
-	reasons
+	reasonCount
 )
 
 // String returns the name used in logs and metrics.
@@ -68,9 +68,9 @@
 		return nil
 	}
 	p := newPlanner(s)
-	var byReason [reasons][]Move
+	var byReason [reasonCount][]Move
 	for i := range s.Slots {
-		m, ok := p.move(s.Slots[i])
+		m, ok := p.planSlot(s.Slots[i])
 		if ok {
 			byReason[m.Reason] = append(byReason[m.Reason], m)
 		}
@@ -85,7 +85,7 @@
 type planner struct {
 	Snapshot
 	healthy map[string]Member
-	rank    *ranker
+	ranker  *ranker
 }
 
 func newPlanner(s Snapshot) *planner {
@@ -97,7 +97,7 @@
 			p.healthy[m.ID] = m.Member
 		}
 	}
-	p.rank = newRanker(members)
+	p.ranker = newRanker(members)
 	return p
 }
 
@@ -105,29 +105,29 @@
 	return !m.IsNone() && p.healthy[m.ID].IsSameProcess(m)
 }
 
-// move decides about one slot.
-func (p *planner) move(a Assignment) (Move, bool) {
+// planSlot decides about one slot.
+func (p *planner) planSlot(a Assignment) (Move, bool) {
 	owner, witness := p.isHealthy(a.Owner), p.isHealthy(a.Witness)
 	switch {
 	case a.Term == 0:
-		return p.take(a, NeverAssigned, p.rank.owner(a.Slot))
+		return p.moveIfResponsible(a, NeverAssigned, p.ranker.owner(a.Slot))
 	case owner && witness:
-		return p.improve(a)
+		return p.planHealthyPair(a)
 	case owner:
 		return p.replaceWitness(a)
 	case witness:
-		return p.take(a, OwnerLost, a.Witness)
+		return p.moveIfResponsible(a, OwnerLost, a.Witness)
 	default:
-		return p.take(a, BothLost, p.rank.owner(a.Slot))
+		return p.moveIfResponsible(a, BothLost, p.ranker.owner(a.Slot))
 	}
 }
 
-// take makes the move if the responsible member is this daemon.
-func (p *planner) take(a Assignment, why Reason, responsible Member) (Move, bool) {
+// moveIfResponsible makes the move if the responsible member is this daemon.
+func (p *planner) moveIfResponsible(a Assignment, why Reason, responsible Member) (Move, bool) {
 	if !responsible.IsSameProcess(p.Self) {
 		return Move{}, false
 	}
-	w := p.rank.witness(a.Slot, p.Self, p.AvoidWitnesses)
+	w := p.ranker.witness(a.Slot, p.Self, p.AvoidWitnesses)
 	return Move{From: a, Witness: w, Reason: why}, true
 }
 
@@ -136,32 +136,32 @@
 	if !a.Owner.IsSameProcess(p.Self) {
 		return Move{}, false
 	}
-	w := p.rank.witness(a.Slot, p.Self, p.AvoidWitnesses)
+	w := p.ranker.witness(a.Slot, p.Self, p.AvoidWitnesses)
 	if w.IsNone() && a.Witness.IsNone() && !p.IsSealed(a.Slot) {
 		return Move{}, false
 	}
 	return Move{From: a, Witness: w, Reason: WitnessLost}, true
 }
 
-// improve covers slots whose pair is healthy.
-func (p *planner) improve(a Assignment) (Move, bool) {
+// planHealthyPair covers slots whose pair is healthy.
+func (p *planner) planHealthyPair(a Assignment) (Move, bool) {
 	own := a.Owner.IsSameProcess(p.Self)
 	if own && p.IsSealed(a.Slot) {
-		return p.take(a, Sealed, p.Self)
+		return p.moveIfResponsible(a, Sealed, p.Self)
 	}
 	if own && p.AvoidWitnesses[a.Witness.ID] {
-		return p.take(a, WitnessLost, p.Self)
+		return p.moveIfResponsible(a, WitnessLost, p.Self)
 	}
 	if !p.Rebalance || !p.IsStable(a.Slot) {
 		return Move{}, false
 	}
-	target := p.rank.owner(a.Slot)
+	target := p.ranker.owner(a.Slot)
 	if !own {
-		return p.take(a, Rebalance, target)
+		return p.moveIfResponsible(a, Rebalance, target)
 	}
 	if !target.IsSameProcess(p.Self) {
 		return Move{}, false
 	}
-	w := p.rank.witness(a.Slot, p.Self, p.AvoidWitnesses)
+	w := p.ranker.witness(a.Slot, p.Self, p.AvoidWitnesses)
 	return Move{From: a, Witness: w, Reason: Rebalance}, !w.IsSameProcess(a.Witness)
 }
--- a/decision/slot/plan_test.go
+++ b/decision/slot/plan_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// settle applies every daemon's moves to fresh slots until nobody moves.
-func settle(t *testing.T, all []MemberStatus, slots []Assignment) []Assignment {
+// converge applies every daemon's moves to fresh slots until nobody moves.
+func converge(t *testing.T, all []MemberStatus, slots []Assignment) []Assignment {
 	slots = append([]Assignment(nil), slots...)
 	for range 5 {
 		moved := 0
@@ -44,7 +44,7 @@
 	return nil
 }
 
-func fresh() []Assignment {
+func unassignedSlots() []Assignment {
 	slots := make([]Assignment, Count)
 	for i := range slots {
 		slots[i].Slot = i
@@ -52,10 +52,10 @@
 	return slots
 }
 
-func TestEverySlotSettlesOnAPairInTwoZones(t *testing.T) {
+func TestEverySlotConvergesOnAPairInTwoZones(t *testing.T) {
 	all := members(7)
 	owned := map[string]int{}
-	for _, a := range settle(t, all, fresh()) {
+	for _, a := range converge(t, all, unassignedSlots()) {
 		must.NotEqOp(t, a.Owner.Zone, a.Witness.Zone)
 		owned[a.Owner.ID]++
 	}
@@ -68,7 +68,7 @@
 	// One entry VM dies. Slots it had nothing to do with stay where they are,
 	// or their calls would stall for nothing.
 	all := members(7)
-	before := settle(t, all, fresh())
+	before := converge(t, all, unassignedSlots())
 	s := snapshot(all[0], all[:6], before)
 	s.Rebalance = false
 	for _, self := range all[:6] {
@@ -78,15 +78,15 @@
 			must.NotEqOp(t, all[6].ID, m.Witness.ID)
 		}
 	}
-	for _, a := range settle(t, all[:6], before) {
+	for _, a := range converge(t, all[:6], before) {
 		must.False(t, a.Includes(all[6].Member))
 	}
 }
 
-func TestEachRepairFallsToExactlyOneDaemon(t *testing.T) {
+func TestEachRepairIsPlannedByExactlyOneDaemon(t *testing.T) {
 	// Two entry VMs die at once; every slot of theirs is repaired by one daemon.
 	all := members(7)
-	before := settle(t, all, fresh())
+	before := converge(t, all, unassignedSlots())
 	alive := all[2:]
 	by := map[int]string{}
 	for _, self := range alive {
@@ -104,14 +104,14 @@
 	}
 }
 
-func TestLeavingMemberGivesUpEverySlotAndTakesNone(t *testing.T) {
+func TestLeavingMemberReleasesEverySlotAndTakesNone(t *testing.T) {
 	all := members(6)
-	before := settle(t, all, fresh())
+	before := converge(t, all, unassignedSlots())
 	all[3].Leaving = true
 	s := snapshot(all[3], all, before)
 	s.Leaving = true
 	must.SliceEmpty(t, Plan(s))
-	for _, a := range settle(t, all, before) {
+	for _, a := range converge(t, all, before) {
 		must.False(t, a.Includes(all[3].Member))
 	}
 }
@@ -120,16 +120,16 @@
 	// A VM restarts its daemon between two looks of the others. Its new process
 	// has none of the keys, so the slot counts as having lost it.
 	all := members(3)
-	slots := settle(t, all, fresh())
+	slots := converge(t, all, unassignedSlots())
 	all[1].Incarnation++
-	for _, a := range settle(t, all, slots) {
+	for _, a := range converge(t, all, slots) {
 		must.True(t, a.Owner.Incarnation == all[1].Incarnation || a.Owner.ID != all[1].ID)
 	}
 }
 
 func TestRepairsComeBeforeRebalancing(t *testing.T) {
 	all := members(6)
-	before := settle(t, all[1:], fresh())
+	before := converge(t, all[1:], unassignedSlots())
 	s := snapshot(all[0], all, before)
 	s.Slots = append([]Assignment(nil), before...)
 	for i := range 10 {
--- a/decision/slot/slot.go
+++ b/decision/slot/slot.go
@@ -51,7 +51,7 @@
 	ID          string `json:"id"`
 	Incarnation uint64 `json:"inc"`
 	Zone        string `json:"zone"`
-	PeerAddr        string `json:"peer"` // address other daemons connect to
+	PeerAddr    string `json:"peer"` // address other daemons connect to
 }
 
 // IsNone reports whether m stands for nobody.
@@ -79,9 +79,9 @@
 	return a.Owner.IsSameProcess(m) || a.Witness.IsSameProcess(m)
 }
 
-// weigh is the rendezvous weight of a member for a slot. It uses the VM id and
+// rendezvousWeight is the rendezvous weight of a member for a slot. It uses the VM id and
 // not the incarnation, so that a restarted daemon gets its slots back.
-func weigh(idHash uint64, slot int) uint64 {
+func rendezvousWeight(idHash uint64, slot int) uint64 {
 	x := idHash ^ (uint64(slot)+1)*0x9e3779b97f4a7c15
 	x ^= x >> 31
 	x *= 0xbf58476d1ce4e5b9
@@ -109,7 +109,7 @@
 	var best Member
 	var most uint64
 	for i, m := range r.members {
-		if w := weigh(r.hashes[i], slot); best.IsNone() || w > most {
+		if w := rendezvousWeight(r.hashes[i], slot); best.IsNone() || w > most {
 			best, most = m, w
 		}
 	}
@@ -134,7 +134,7 @@
 		if m.Zone != owner.Zone {
 			class++
 		}
-		if w := weigh(r.hashes[i], slot); class > top || (class == top && w > most) {
+		if w := rendezvousWeight(r.hashes[i], slot); class > top || (class == top && w > most) {
 			best, most, top = m, w, class
 		}
 	}
--- a/decision/verdict/verdict_test.go
+++ b/decision/verdict/verdict_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestEveryCodeIsExplained(t *testing.T) {
+func TestEveryCodeIsDocumented(t *testing.T) {
 	source, err := os.ReadFile("verdict.go")
 	must.NoError(t, err)
 	page, err := os.ReadFile("../../docs/errors.md")
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestUnclassifiedFailuresPromiseNothing(t *testing.T) {
+func TestUnclassifiedErrorsMayHaveRun(t *testing.T) {
 	must.EqOp(t, MayHaveRun, FromError(errors.New("x")).Verdict)
 	must.EqOp(t, MayHaveRun, new(Error).Verdict)
 	known := New(NotRun, CodeOverloaded, "busy").WithRetryAfter(time.Second)
