--- a/decision/admit/admit.go
+++ b/decision/admit/admit.go
@@ -1,21 +1,21 @@
-// Package admit decides what is let in, what waits and for how long, and what
-// is turned away. One Queue stands before each set of backend servers that can
-// run the same work.
+// Package admit is admission control: it decides which requests start, which wait in a queue
+// and which are refused. One Queue stands in front of each set of backend servers that can run
+// the same work.
 //
-// Load it answers: a burst of urgent lookups beside long generations, one
-// account that sends most of the work, and saturation for minutes.
+// It handles bursts of urgent lookups next to long generations, a single account that sends
+// most of the work, and saturation that lasts for minutes.
 //
-// Without it, requests wait at the engines in order of arrival: an urgent
-// lookup waits behind minutes of tokens, the account that sends most gets
-// most, and beyond saturation every answer starts after its caller has left,
-// so that the backend servers do full work and nobody gets anything.
+// Without it, requests queue at the engines in order of arrival: an urgent lookup waits behind
+// minutes of tokens, the account that sends most gets most of the capacity, and beyond
+// saturation every answer starts after its caller has left, so that the backend servers are
+// fully loaded and no caller gets a useful answer.
 //
-// How it decides: classes are served urgent first, each class below another
-// leaves free what the arrivals of the classes above need, and long work has a
-// floor so that it cannot starve. Within a class accounts share by start-time fair
-// queueing with work counted in tokens. What cannot start before its deadline
-// at the measured drain rate is refused on arrival; what became hopeless while
-// it waited is refused as soon as that is known.
+// Classes are served in order of urgency. Each class leaves free the slots that the arrivals
+// of the more urgent classes need, and long work is guaranteed a minimum share so that it
+// cannot starve. Within a class, accounts share capacity by start-time fair queueing with cost
+// counted in tokens. A request that cannot start before its deadline at the measured drain
+// rate is refused on arrival; a waiting request that can no longer start in time is refused as
+// soon as that is known.
 package admit
 
 import (
@@ -23,10 +23,10 @@
 	"time"
 )
 
-// Class orders work; smaller values are more urgent.
+// Class is the priority class of a request; smaller values are more urgent.
 type Class uint8
 
-// The classes. Resumed continues an answer already begun, so its caller has
+// The priority classes. Resumed continues an answer that has already begun, so its caller has
 // the most to lose; it is never queued behind new work.
 const (
 	Resumed Class = iota
@@ -42,53 +42,54 @@
 }
 
 const (
-	// reserveStdDevs sizes the slots kept for a class: the number its arrivals
-	// keep busy on average, and this many standard deviations of a Poisson count
-	// more. At three, one arrival in some hundred finds the reserve full.
+	// reserveStdDevs sizes the reserve of a class: the number of slots that its arrivals keep
+	// busy on average plus this many standard deviations of a Poisson count. With three, about
+	// one arrival in several hundred finds the reserve full.
 	reserveStdDevs = 3.0
-	// maxReserveRatio is the largest share of slots kept for the classes above
-	// another, so that very many lookups cannot stop the work below entirely.
+	// maxReserveRatio is the largest share of the slots that is reserved for more urgent
+	// classes, so that a flood of lookups cannot stop the less urgent work entirely.
 	maxReserveRatio = 0.6
-	// resumedOverflowDivisor is the part of the slots by which continuations may pass
-	// them: what a lost server ran must go on somewhere, and an eighth more
-	// streams in a batch slow each by a few percent.
+	// resumedOverflowDivisor is the divisor of the slot count that gives how far continuations
+	// may exceed the slots. The answers of a lost server must continue somewhere, and an
+	// eighth more streams in a batch slow each stream by only a few percent.
 	resumedOverflowDivisor = 8
-	// minLongTokenRatio is the share of tokens, of those started by other classes, that
-	// waiting long work is credited with. It bounds how long a review waits under
-	// endless normal load and costs normal work at most that share.
+	// minLongTokenRatio is the credit that waiting long work earns for each token started by
+	// another class. It bounds how long a review waits under continuous normal load and costs
+	// normal work at most this share.
 	minLongTokenRatio = 0.15
-	// reserveExpiry is how long a class is remembered after its last arrival.
-	// A reserve for a class that sends nothing would waste its slots.
+	// reserveExpiry is how long slots stay reserved for a class after its last arrival. A
+	// reserve for a class that sends nothing would waste its slots.
 	reserveExpiry = time.Minute
-	// shedToleranceRatio is how far the predicted start may pass the deadline before
-	// waiting work is refused. The prediction errs by about a fifth; without
-	// slack work that would just make it is thrown away.
+	// shedToleranceRatio is how far the predicted wait may exceed the time left to the
+	// deadline before a waiting request is refused. The prediction is off by about a fifth;
+	// without the tolerance, requests that would just make their deadline are refused.
 	shedToleranceRatio = 1.2
-	// maxUrgentWaitRatio is the share of its patience that an urgent request may be
-	// expected to wait. A lookup is asked for now: under overload a long queue
-	// answers as many, later, and refuses the rest after they waited. Measured
-	// against newest-first and larger shares in docs/design/30-load-admission.md.
+	// maxUrgentWaitRatio is the largest predicted wait of an urgent request, as a share of the
+	// time left to its deadline. Lookups need an answer at once: under overload a long queue
+	// serves no more of them, serves them later, and refuses the rest only after they have
+	// waited. For the comparison with newest-first order and with larger shares see
+	// docs/design/30-load-admission.md.
 	maxUrgentWaitRatio = 0.05
-	// maxQueueWaitRatio is the share of its patience that any other request may be
-	// expected to wait when it arrives. Predictions err and shares move: work
-	// let in up to its whole patience is often refused only at the end of it.
-	// At 0.3 as much work is done and one refusal in sixteen is late, at 1 most.
+	// maxQueueWaitRatio is the largest predicted wait of any other request on arrival, as a
+	// share of the time left to its deadline. Predictions are inexact and the accounts' shares
+	// change, so requests admitted up to their full deadline are often refused only at its
+	// end. At 0.3 as much work is completed as at 1, and one refusal in sixteen is late; at 1
+	// most are.
 	maxQueueWaitRatio = 0.3
-	// maxRetryAfter bounds what a refused caller is told: load an hour away
-	// cannot be predicted from a drain rate.
+	// maxRetryAfter bounds the Retry-After of a refusal: the drain rate does not predict load
+	// an hour ahead.
 	maxRetryAfter = time.Minute
-	// minRetryAfter is the least a refused caller is told to wait: the header
-	// counts whole seconds, and a queue of lookups drains faster than the burst
-	// that filled it passes.
+	// minRetryAfter is the shortest Retry-After: the header counts whole seconds, and a queue
+	// of lookups drains before the burst that filled it has passed.
 	minRetryAfter = time.Second
 )
 
-// Item is one request. The caller fills the exported fields and keeps the Item
-// until it has started, was refused or removed; a Queue adds nothing else, so
-// that waiting allocates nothing.
+// Item is one request. The caller fills the exported fields and keeps the Item until it has
+// started, was refused or was removed. The Queue links items through their own fields, so
+// waiting allocates nothing.
 type Item struct {
 	Account  string
-	Weight   float64 // share in fair queueing; 1 is usual, values <= 0 count as 1
+	Weight   float64 // weight in fair queueing; 1 is usual, values <= 0 count as 1
 	Class    Class
 	Cost     float64 // expected work in tokens
 	Deadline time.Time
@@ -100,7 +101,7 @@
 // IsWaiting reports whether the item is in a queue.
 func (it *Item) IsWaiting() bool { return it.flow != nil }
 
-// Action is what becomes of an offered item.
+// Action is what happens to an offered item.
 type Action uint8
 
 // The actions.
@@ -110,7 +111,7 @@
 	Refuse
 )
 
-// Reason says why; it goes into the log line and the metric.
+// Reason explains a Decision in logs and metrics.
 type Reason string
 
 // The reasons.
@@ -124,20 +125,20 @@
 	ReasonDeadlineUnreachable Reason = "became_hopeless"
 )
 
-// Decision is the answer to an offer.
+// Decision is the result of an offer.
 type Decision struct {
 	Action Action
 	Reason Reason
 	// PredictedWait is the predicted time until the item starts.
 	PredictedWait time.Duration
-	// RetryAfter is when an equal request is expected to be let in; 0 where the
-	// queue knows of no capacity at all.
+	// RetryAfter is when an equal request is expected to be admitted; 0 if no capacity is
+	// known.
 	RetryAfter time.Duration
 }
 
-// Offer decides about a new item when slots requests may run at once. After
-// Wait the item belongs to the queue until Next, Shed or Remove gives it back.
-// After Start the caller reports Started once a backend server is chosen.
+// Offer decides whether a new item starts, waits or is refused when slots requests may run at
+// once. After Wait the item belongs to the queue until Next, Shed or Remove returns it. After
+// Start the caller calls RecordStart once a backend server is chosen.
 func (q *Queue) Offer(now time.Time, it *Item, slots int) Decision {
 	q.recordArrival(now, it)
 	if !it.Deadline.After(now) {
@@ -152,14 +153,15 @@
 	return q.enqueueOrRefuse(now, it, slots)
 }
 
-// enqueueOrRefuse lets an item wait, or refuses it when it cannot start in time.
+// enqueueOrRefuse queues an item, or refuses it if its predicted wait is too long for its
+// deadline.
 func (q *Queue) enqueueOrRefuse(now time.Time, it *Item, slots int) Decision {
 	wait := q.predictWait(now, it, q.accountQueuedCost(it), slots)
-	patience := it.Deadline.Sub(now)
-	if it.Class == Urgent && float64(wait) > maxUrgentWaitRatio*float64(patience) {
+	timeLeft := it.Deadline.Sub(now)
+	if it.Class == Urgent && float64(wait) > maxUrgentWaitRatio*float64(timeLeft) {
 		return q.refuse(now, it, slots, wait, ReasonUrgentWouldWait)
 	}
-	if float64(wait) > maxQueueWaitRatio*float64(patience) && it.Class != Resumed {
+	if float64(wait) > maxQueueWaitRatio*float64(timeLeft) && it.Class != Resumed {
 		return q.refuse(now, it, slots, wait, ReasonCannotStartInTime)
 	}
 	q.push(it)
@@ -173,8 +175,8 @@
 	}
 }
 
-// canStart reports whether a request of class c may start when slots may run,
-// given the reserves of the classes above it.
+// canStart reports whether a request of class c may start when slots requests may run at once,
+// given the reserves of the more urgent classes.
 func (q *Queue) canStart(now time.Time, c Class, slots int) bool {
 	running := q.Running()
 	switch {
@@ -185,26 +187,26 @@
 	case running >= slots:
 		return false
 	}
-	lower := q.running[Normal] + q.running[Long]
-	most := float64(slots) * maxReserveRatio
-	urgent := min(q.reservedSlots(now, Urgent, slots), most)
-	if float64(lower) >= float64(slots)-urgent {
+	lessUrgent := q.running[Normal] + q.running[Long]
+	maxReserved := float64(slots) * maxReserveRatio
+	urgentReserve := min(q.reservedSlots(now, Urgent, slots), maxReserved)
+	if float64(lessUrgent) >= float64(slots)-urgentReserve {
 		return false
 	}
 	if c == Normal {
 		return true
 	}
-	keep := min(urgent+q.reservedSlots(now, Normal, slots), most)
-	return float64(q.running[Long]) < float64(slots)-keep
+	reserved := min(urgentReserve+q.reservedSlots(now, Normal, slots), maxReserved)
+	return float64(q.running[Long]) < float64(slots)-reserved
 }
 
-// SetUrgentOverflow tells how many more than slots may run for the sake of urgent work,
-// because backend servers reported room that this daemon has no share of. A
-// daemon's part of a small pool is exceeded by chance long before the pool is full.
+// SetUrgentOverflow sets how many requests beyond the slots may run for urgent work because
+// backend servers reported free room outside this daemon's share. In a small pool a daemon's
+// share is exceeded by chance long before the pool is full.
 func (q *Queue) SetUrgentOverflow(n int) { q.urgentOverflow = n }
 
-// reservedSlots is the number of slots kept for class c: what its arrivals need, none
-// where it sent nothing lately, and never the last slot.
+// reservedSlots returns the number of slots reserved for class c: what its arrivals need, none
+// if it has had no arrivals within reserveExpiry, and never the last slot.
 func (q *Queue) reservedSlots(now time.Time, c Class, slots int) float64 {
 	if slots < 2 || q.lastArrival[c].IsZero() || now.Sub(q.lastArrival[c]) > reserveExpiry {
 		return 0
--- a/decision/admit/admit_test.go
+++ b/decision/admit/admit_test.go
@@ -12,12 +12,12 @@
 
 var epoch = time.Unix(1000, 0)
 
-func item(account string, class Class, cost float64, patience time.Duration) *Item {
-	return &Item{Account: account, Weight: 1, Class: class, Cost: cost, Deadline: epoch.Add(patience)}
+func item(account string, class Class, cost float64, timeout time.Duration) *Item {
+	return &Item{Account: account, Weight: 1, Class: class, Cost: cost, Deadline: epoch.Add(timeout)}
 }
 
-// trainedQueue returns a queue that has seen work of every class hold a slot for
-// held and cost that many tokens.
+// trainedQueue returns a queue that has finished one request of every class, which held its
+// slot for held and cost that many tokens.
 func trainedQueue(held time.Duration, cost float64) *Queue {
 	q := NewQueue()
 	for _, c := range []Class{Resumed, Urgent, Normal, Long} {
@@ -28,7 +28,7 @@
 	return q
 }
 
-// occupySlots starts work until slots are taken.
+// occupySlots starts n requests that do not finish.
 func occupySlots(q *Queue, class Class, n int) {
 	for range n {
 		q.RecordStart(item("fill", class, 100, time.Hour))
@@ -49,9 +49,9 @@
 	test.Between(t, 10*time.Second, d.RetryAfter, 20*time.Second)
 }
 
-// A driver's lookup waits behind contracts although it needs an answer at once.
-// Long work has filled every slot it may have when the lookup arrives.
-// The reserve must let the lookup start at once, and long work must not take it.
+// A driver's lookup needs an answer at once but arrives when long work has filled every slot
+// that it may use. The reserve must let the lookup start at once, and long work must not use
+// it.
 func TestReserveKeepsSlotsForUrgentWork(t *testing.T) {
 	q := trainedQueue(time.Second, 100)
 	now := epoch
@@ -68,9 +68,9 @@
 	test.Eq(t, Start, q.Offer(now, item("shop", Urgent, 100, time.Hour), 100).Action)
 }
 
-// One account sends a hundred long requests, another one a minute later.
-// In order of arrival the second waits for all hundred.
-// With fair sharing it starts with the next free slot.
+// One account sends a hundred long requests, then a second account sends one. In order of
+// arrival the second account waits for all hundred; with fair queueing it starts within the
+// next few free slots.
 func TestHeavyAccountDoesNotDelayOthers(t *testing.T) {
 	q := trainedQueue(time.Second, 100)
 	occupySlots(q, Normal, 1)
@@ -88,9 +88,8 @@
 	}
 }
 
-// Reviews wait for ever while normal requests keep every slot busy.
-// Normal work always waits too and comes first.
-// The floor must start long work for its share of the tokens.
+// Normal requests, which are served first, keep every slot busy and always have a backlog, so
+// long work starves. The minimum share must start long work for its share of the tokens.
 func TestMinimumShareKeepsLongWorkRunning(t *testing.T) {
 	q := trainedQueue(time.Second, 100)
 	occupySlots(q, Normal, 1)
@@ -114,8 +113,8 @@
 	test.Between(t, 0.1, float64(long)/float64(long+normal), 0.2)
 }
 
-// A zone is lost while requests wait; half of them can no longer start in time.
-// They must be given back for their answer at once, not at their deadline.
+// A zone is lost while requests wait, and part of them can no longer start in time. They must
+// be refused at once and not at their deadline.
 func TestLossOfCapacityShedsUnreachableDeadlines(t *testing.T) {
 	q := trainedQueue(10*time.Second, 100)
 	occupySlots(q, Normal, 20)
@@ -142,9 +141,9 @@
 	test.Eq(t, ReasonUrgentWouldWait, d.Reason)
 }
 
-// Whatever is offered, started and finished: nothing starts beyond the slots
-// but continuations, those by a bounded number, every waiting item is given
-// back exactly once, and counts return to zero.
+// For any sequence of offers, starts and finishes: only continuations start beyond the slots,
+// and only a bounded number of them, every waiting item is returned exactly once, and the
+// counts return to zero.
 func TestQueueProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := trainedQueue(time.Second, 100)
@@ -165,7 +164,7 @@
 		settle := func() {
 			for it := q.Next(now, slots, acceptAll); it != nil; it = q.Next(now, slots, acceptAll) {
 				if !waiting[it] {
-					t.Fatal("an item came out that did not wait")
+					t.Fatal("Next returned an item that was not waiting")
 				}
 				delete(waiting, it)
 				begin(it)
@@ -200,8 +199,7 @@
 	})
 }
 
-// BenchmarkOffer measures one request through a busy queue: offered, waiting,
-// started, finished.
+// BenchmarkOffer measures one request through a busy queue: offer, wait, start, finish.
 func BenchmarkOffer(b *testing.B) {
 	for _, accounts := range []int{10, 810} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
--- a/decision/admit/queue.go
+++ b/decision/admit/queue.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Queue holds the waiting work before one set of backend servers. The zero
-// value is not usable; it is not safe for concurrent use.
+// Queue holds the work that waits for one set of backend servers. The zero value is not
+// usable; a Queue is not safe for concurrent use.
 type Queue struct {
 	byClass          [classCount]classQueue
 	running          [classCount]int
-	lastArrival      [classCount]time.Time // last arrival
-	longCreditTokens float64               // tokens that the floor owes to long work
+	lastArrival      [classCount]time.Time
+	longCreditTokens float64 // tokens that long work may start before normal work
 	stats            loadStats
-	urgentOverflow   int
+	urgentOverflow   int // requests beyond the slots that urgent work may run
 	scratch          []*Item
 }
 
@@ -31,8 +31,8 @@
 	flows        map[string]*flow
 	active       flowHeap
 	virtualTime  float64 // start tag of the last started item
-	activeWeight float64 // of active flows
-	queuedCost   float64 // waiting tokens
+	activeWeight float64 // sum over active flows
+	queuedCost   float64 // tokens
 	waiting      int
 }
 
@@ -40,10 +40,10 @@
 type flow struct {
 	account    string
 	weight     float64
-	startTag   float64 // virtual start of the next item
+	startTag   float64 // virtual start time of the next item
 	head, tail *Item
-	queuedCost float64
-	heapIndex  int // in the heap of active flows, -1 when idle
+	queuedCost float64 // tokens
+	heapIndex  int     // in the heap of active flows, -1 when idle
 }
 
 type flowHeap []*flow
@@ -69,8 +69,8 @@
 	return f
 }
 
-// maxFlowCount bounds the accounts remembered without waiting work; above it
-// those whose debt has passed are forgotten.
+// maxFlowCount is the number of flows in a class from which a new flow first evicts the idle
+// flows whose start tag has passed.
 const maxFlowCount = 4096
 
 func (c *classQueue) flowOf(it *Item) *flow {
@@ -93,7 +93,8 @@
 	return f
 }
 
-// evictIdle drops idle accounts that owe nothing.
+// evictIdle drops idle flows whose start tag is not ahead of the virtual time: they would
+// start from the virtual time anyway.
 func (c *classQueue) evictIdle() {
 	for name, f := range c.flows {
 		if f.heapIndex < 0 && f.startTag <= c.virtualTime {
@@ -102,7 +103,7 @@
 	}
 }
 
-// charge counts a start of it against its account.
+// charge advances the flow's start tag by the cost of a started item.
 func (c *classQueue) charge(f *flow, cost float64) {
 	f.startTag = max(f.startTag, c.virtualTime)
 	c.virtualTime = f.startTag
@@ -128,11 +129,11 @@
 	}
 }
 
-// Enqueue lets an item wait although nothing can run it yet: capacity is about to
-// appear, or the only free slots are on servers it excludes.
+// Enqueue queues an item unconditionally: capacity is about to appear, or the only free slots
+// are on servers that the item excludes.
 func (q *Queue) Enqueue(it *Item) { q.push(it) }
 
-// Remove takes a waiting item out, for instance because its caller left.
+// Remove takes a waiting item out, for instance because its caller disconnected.
 func (q *Queue) Remove(it *Item) {
 	f := it.flow
 	if f == nil {
@@ -163,8 +164,8 @@
 	}
 }
 
-// RecordStart records that it runs now. An item that was offered with Action
-// Start and one returned by Next are both reported here.
+// RecordStart records that an item was started after Offer returned Start. Next calls it for
+// the items that it returns.
 func (q *Queue) RecordStart(it *Item) {
 	c := &q.byClass[it.Class]
 	f := c.flowOf(it)
@@ -183,15 +184,16 @@
 	}
 }
 
-// RecordFinish records the end of work that ran for held and cost that many tokens.
+// RecordFinish records the end of a request that held a slot for held and cost that many
+// tokens.
 func (q *Queue) RecordFinish(class Class, cost float64, held time.Duration) {
 	q.running[class]--
 	q.stats.recordFinish(class, cost, held)
 }
 
-// Next offers waiting items in order to try until one is taken, and returns it,
-// or nil. try picks a backend server; it returns false where none has room for
-// this item, which lets the next class have its turn.
+// Next calls try with the first waiting item of each class, in class order, until one is
+// accepted, and returns that item, or nil. try picks a backend server; it returns false if no
+// server has room for the item, and the next class is tried.
 func (q *Queue) Next(now time.Time, slots int, try func(*Item) bool) *Item {
 	for _, class := range q.classOrder() {
 		c := &q.byClass[class]
@@ -212,8 +214,8 @@
 	return nil
 }
 
-// classOrder is the order of classes: long work comes before normal work when the
-// floor owes it at least its next item.
+// classOrder returns the order in which classes are served: long work comes before normal work
+// once its credit covers its next item.
 func (q *Queue) classOrder() [classCount]Class {
 	if l := &q.byClass[Long]; len(l.active) > 0 && q.longCreditTokens >= l.active[0].head.Cost {
 		return [classCount]Class{Resumed, Urgent, Long, Normal}
@@ -221,8 +223,8 @@
 	return [classCount]Class{Resumed, Urgent, Normal, Long}
 }
 
-// Shed takes out the items that have expired or can no longer start in time,
-// so that their callers hear of it at once. The slice is valid until the next call.
+// Shed removes and returns the items that have expired or can no longer start in time, so that
+// their callers are refused at once. The slice is valid until the next call.
 func (q *Queue) Shed(now time.Time, slots int) []*Item {
 	q.scratch = q.scratch[:0]
 	for class := Urgent; class < classCount; class++ {
@@ -244,14 +246,14 @@
 }
 
 func (q *Queue) cannotMeetDeadline(now time.Time, it *Item, ahead float64, slots int) bool {
-	patience := it.Deadline.Sub(now)
-	if patience <= 0 {
+	timeLeft := it.Deadline.Sub(now)
+	if timeLeft <= 0 {
 		return true
 	}
-	return float64(q.predictWait(now, it, ahead, slots)) > shedToleranceRatio*float64(patience)
+	return float64(q.predictWait(now, it, ahead, slots)) > shedToleranceRatio*float64(timeLeft)
 }
 
-// RefusalFor is the decision for an item that Shed returned.
+// RefusalFor returns the decision for an item that Shed returned.
 func (q *Queue) RefusalFor(now time.Time, it *Item, slots int) Decision {
 	why := ReasonDeadlineUnreachable
 	if !it.Deadline.After(now) {
@@ -260,7 +262,7 @@
 	return q.refuse(now, it, slots, q.predictWait(now, it, q.accountQueuedCost(it), slots), why)
 }
 
-// Waiting returns the number of waiting items and their tokens.
+// Waiting returns the number of waiting items and their cost in tokens.
 func (q *Queue) Waiting() (items int, tokens float64) {
 	for c := range q.byClass {
 		items += q.byClass[c].waiting
@@ -278,6 +280,7 @@
 	return n
 }
 
+// waitingUpTo returns the number of waiting items of class and of the more urgent classes.
 func (q *Queue) waitingUpTo(class Class) int {
 	n := 0
 	for c := Resumed; c <= class; c++ {
@@ -286,5 +289,5 @@
 	return n
 }
 
-// IsEmpty reports whether nothing waits.
+// IsEmpty reports whether no item waits.
 func (q *Queue) IsEmpty() bool { return q.waitingUpTo(Long) == 0 }
