--- a/decision/admit/admit_test.go
+++ b/decision/admit/admit_test.go
@@ -153,15 +153,15 @@
 		var running []*Item
 		begin := func(it *Item) {
 			running = append(running, it)
-			most := slots
+			maxRunning := slots
 			if it.Class == Resumed {
-				most += slots/resumedOverflowDivisor + 1
+				maxRunning += slots/resumedOverflowDivisor + 1
 			}
-			if len(running) > most {
+			if len(running) > maxRunning {
 				t.Fatalf("%s started as number %d of %d", it.Class, len(running), slots)
 			}
 		}
-		settle := func() {
+		startAndShed := func() {
 			for it := q.Next(now, slots, acceptAll); it != nil; it = q.Next(now, slots, acceptAll) {
 				if !waiting[it] {
 					t.Fatal("Next returned an item that was not waiting")
@@ -181,7 +181,7 @@
 			if rapid.Bool().Draw(t, "arrive") || len(running) == 0 {
 				it := item(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "account"),
 					Class(rapid.IntRange(0, int(Long)).Draw(t, "class")), float64(rapid.IntRange(1, 500).Draw(t, "cost")), 0)
-				it.Deadline = now.Add(time.Duration(rapid.IntRange(0, 20000).Draw(t, "patience")) * time.Millisecond)
+				it.Deadline = now.Add(time.Duration(rapid.IntRange(0, 20000).Draw(t, "timeout")) * time.Millisecond)
 				switch q.Offer(now, it, slots).Action {
 				case Start:
 					q.RecordStart(it)
@@ -194,7 +194,7 @@
 				running = running[1:]
 				q.RecordFinish(it.Class, it.Cost, time.Second)
 			}
-			settle()
+			startAndShed()
 		}
 	})
 }
--- a/decision/budget/budget.go
+++ b/decision/budget/budget.go
@@ -1,33 +1,33 @@
-// Package budget decides whether a retry or a takeover is affordable. There is
-// one budget a service for both, counted in tokens.
+// Package budget limits the extra work caused by retries and takeovers. Each service has one
+// budget for both, counted in tokens.
 //
-// Load it answers: failures at saturation, and a stall of all engines at once.
+// It handles failures at saturation and a stall of all engines at once.
 //
-// Without it, each failure adds load exactly when there is least room: retries
-// multiply the offered work, the added work makes more requests fail, and the
-// system stays down after the cause has gone. A global stall looks like the
-// death of every engine and would start every generation a second time.
+// Without it, each failure adds load exactly when there is least capacity: retries multiply
+// the offered work, the added work makes more requests fail, and the system stays overloaded
+// after the cause has gone. A global stall looks like the death of every engine and would
+// start every generation a second time.
 package budget
 
 import "time"
 
 const (
-	// DefaultRatio is the share of useful tokens that may be spent again. One in
-	// ten carries the loss of one engine of 18 a minute, and keeps
-	// the worst case at a tenth more load.
+	// DefaultRatio is the ratio of extra tokens to useful tokens that a service may spend. One
+	// in ten covers the loss of one engine out of 18 each minute and limits the worst case to
+	// a tenth more load.
 	DefaultRatio = 0.10
-	// windowSeconds is how much past work the budget can draw on, in seconds of income:
-	// long enough to take over what one dead engine ran, short enough that a
-	// quiet hour does not pay for many repeats at once.
+	// windowSeconds is how many seconds of income the balance can hold: enough to take over
+	// what one dead engine ran, and too little for a quiet hour to pay for many repeats at
+	// once.
 	windowSeconds = 60.0
-	// minIncomePerSecond is the least income in tokens a second, so that a daemon with
-	// little traffic can still afford a takeover now and then.
+	// minIncomePerSecond is the least income in tokens, so that a daemon with little traffic
+	// can still afford an occasional takeover.
 	minIncomePerSecond = 10.0
-	// minCapacityTokens is the least the balance can hold.
+	// minCapacityTokens is the least capacity of the balance.
 	minCapacityTokens = 4000.0
 )
 
-// Reason says why an expense was granted or refused.
+// Reason explains why a withdrawal was granted or refused.
 type Reason string
 
 // The reasons.
@@ -38,77 +38,77 @@
 	Saturated Reason = "saturated"
 )
 
-// Withdrawal is what the budget is asked to pay.
+// Withdrawal is a request to spend tokens.
 type Withdrawal struct {
 	Tokens float64
-	// Forced marks the continuation of an answer whose backend server is
-	// certainly gone: it is always granted, and paid for by the next ones.
+	// Forced marks the continuation of an answer whose backend server is certainly gone. It is
+	// always granted; the overdraft is repaid before further withdrawals are granted.
 	Forced bool
-	// Saturated says that requests are waiting for backend servers.
+	// Saturated reports that requests are waiting for backend servers.
 	Saturated bool
 }
 
-// Budget is the balance of one service on one daemon. The zero value has the default share
-// and a full floor. It is not safe for concurrent use.
+// Budget is the balance of one service on one daemon. The zero value starts with
+// minCapacityTokens. A Budget is not safe for concurrent use.
 type Budget struct {
 	balance         float64
-	incomePerSecond float64 // decayed tokens earned a second
+	incomePerSecond float64 // decayed mean of deposited tokens
 	updated         time.Time
 }
 
 const (
-	// minTakeoverRatio and maxTakeoverShare are the shares of generated tokens
-	// that takeovers of live attempts may cost at weight 0 and 1 of resume
-	// latency. Between them the share grows with the square of the weight, so
-	// that services that weigh cost stay under one in a hundred.
+	// minTakeoverRatio and maxTakeoverRatio are the ratios of takeover cost to generated
+	// tokens allowed for takeovers of live attempts at resume latency weights 0 and 1. Between
+	// them the ratio grows with the square of the weight, so that services that weigh cost
+	// stay under 1%.
 	minTakeoverRatio, maxTakeoverRatio = 0.005, 0.05
-	// prefillCostRatio is what reading one token of prompt or prefix costs an engine
-	// beside generating one: prefill works on many tokens at once.
+	// prefillCostRatio is the engine's cost of reading one token of prompt or prefix relative
+	// to generating one: prefill processes many tokens at once.
 	prefillCostRatio = 0.1
 )
 
-// TakeoverRatio is the share of a service's generated tokens that takeovers may
-// cost, by its weight of resume latency from 0 to 1.
+// TakeoverRatio returns the ratio of takeover cost to generated tokens that a service may
+// spend, given its weight of resume latency from 0 to 1.
 func TakeoverRatio(weight float64) float64 {
 	weight = min(max(weight, 0), 1)
 	return minTakeoverRatio + weight*weight*(maxTakeoverRatio-minTakeoverRatio)
 }
 
-// TakeoverCost is the extra work, in generated tokens, of a takeover that makes
-// another engine read this many tokens of prompt and answer.
+// TakeoverCost returns the extra work, in generated tokens, of a takeover that makes another
+// engine read this many tokens of prompt and answer.
 func TakeoverCost(tokens int) float64 { return prefillCostRatio * float64(tokens) }
 
-// Deposit credits a share of useful tokens.
-func (b *Budget) Deposit(now time.Time, tokens, share float64) {
+// Deposit adds ratio times the useful tokens to the balance.
+func (b *Budget) Deposit(now time.Time, tokens, ratio float64) {
 	b.refill(now)
-	earned := share * tokens
-	b.incomePerSecond += earned / windowSeconds
-	b.balance = min(b.balance+earned, b.capacity())
+	credit := ratio * tokens
+	b.incomePerSecond += credit / windowSeconds
+	b.balance = min(b.balance+credit, b.capacity())
 }
 
-// Withdraw asks for an expense.
-func (b *Budget) Withdraw(now time.Time, e Withdrawal) Reason {
+// Withdraw asks to spend tokens and returns whether and why it is granted.
+func (b *Budget) Withdraw(now time.Time, w Withdrawal) Reason {
 	b.refill(now)
 	switch {
-	case e.Forced:
-		b.balance = max(b.balance-e.Tokens, -b.capacity())
+	case w.Forced:
+		b.balance = max(b.balance-w.Tokens, -b.capacity())
 		return Forced
-	case e.Saturated:
+	case w.Saturated:
 		return Saturated
-	case b.balance < e.Tokens:
+	case b.balance < w.Tokens:
 		return Exhausted
 	}
-	b.balance -= e.Tokens
+	b.balance -= w.Tokens
 	return Granted
 }
 
-// Wait is how long until tokens are affordable at the present income.
+// Wait returns the time until tokens can be withdrawn at the current income.
 func (b *Budget) Wait(tokens float64) time.Duration {
 	missing := max(0, tokens-b.balance)
 	return time.Duration(missing / (b.incomePerSecond + minIncomePerSecond) * float64(time.Second))
 }
 
-// Balance is the number of tokens that may be spent now.
+// Balance returns the number of tokens that can be withdrawn now.
 func (b *Budget) Balance() float64 { return b.balance }
 
 func (b *Budget) capacity() float64 { return max(minCapacityTokens, b.incomePerSecond*windowSeconds) }
--- a/decision/budget/budget_test.go
+++ b/decision/budget/budget_test.go
@@ -10,15 +10,14 @@
 
 var epoch = time.Unix(1000, 0)
 
-// All engines stall at once and every stream looks dead.
-// Each would be started a second time, which doubles the load of the stall.
-// The budget must stop at its share of the useful tokens.
+// All engines stall at once, so every stream looks dead. Starting each of them a second time
+// doubles the load during the stall. The budget must stop at its ratio of the useful tokens.
 func TestTakeoverStormStopsAtTheRatio(t *testing.T) {
 	var b Budget
 	now := epoch
 	for range 600 {
 		now = now.Add(100 * time.Millisecond)
-		b.Deposit(now, 1000, DefaultRatio) // 10,000 tokens a second
+		b.Deposit(now, 1000, DefaultRatio) // 10,000 tokens per second
 	}
 	spent := 0.0
 	for b.Withdraw(now, Withdrawal{Tokens: 500}) == Granted {
@@ -44,17 +43,17 @@
 	test.Eq(t, Granted, b.Withdraw(epoch.Add(wait+time.Second), Withdrawal{Tokens: 1000}))
 }
 
-// A service that weighs cost sees a long hour of false suspicions. What its
-// takeovers cost stays under one in a hundred of the tokens it generates.
+// A service that weighs cost sees an hour of false suspicions. Its takeovers must cost less
+// than 1% of the tokens that it generates.
 func TestLowLatencyWeightKeepsTakeoversUnderOnePercent(t *testing.T) {
-	const perSecond, cost = 5000.0, 200
+	const perSecond, takeoverTokens = 5000.0, 200
 	var b Budget
 	now, spent := epoch, 0.0
 	for range 3600 {
 		now = now.Add(time.Second)
 		b.Deposit(now, perSecond, TakeoverRatio(0.2))
-		for b.Withdraw(now, Withdrawal{Tokens: cost}) == Granted {
-			spent += cost
+		for b.Withdraw(now, Withdrawal{Tokens: takeoverTokens}) == Granted {
+			spent += takeoverTokens
 		}
 	}
 	test.Between(t, 0.005*3600*perSecond, spent, 0.01*3600*perSecond)
--- a/decision/entries/entries.go
+++ b/decision/entries/entries.go
@@ -1,21 +1,21 @@
-// Package entries decides which entry VMs an account is told to use. No
-// balancer stands before them, so this answer is the balancer.
+// Package entries selects the entry VMs whose addresses an account's callers receive. No load
+// balancer stands in front of the entry VMs, so this selection balances the load.
 //
-// Load it answers: a few accounts that bring most of the load, entry VMs that
-// are replaced all day, and a zone that is lost while answers are kept.
+// It handles a few accounts that send most of the load, entry VMs that are replaced all day,
+// and the loss of a zone while callers still hold older selections.
 //
-// Without it, callers use the first address they know: one VM carries a large
-// account alone, and callers go on connecting to a VM that is leaving.
+// Without it, callers use the first address they know: one VM carries a large account alone,
+// and callers keep connecting to a VM that is leaving.
 //
-// The VMs form a ring on which the zones alternate, and each account is told a
-// window of it: as many VMs as its part of the load needs, at least Rule.Least.
-// Windows begin where the parts of the accounts before it end, so that together
-// they cover the ring evenly; independent draws leave one VM with twice the
-// mean. A VM or an account more moves a window by a place or two.
+// The VMs form a ring on which the zones alternate. Each account is given a window of the
+// ring: as many VMs as its share of the load needs, and at least SubsetRule.MinVMs. An
+// account's window begins where the shares of the preceding accounts end, so that together the
+// windows cover the ring evenly; independent random windows leave one VM with twice the mean
+// load. Adding a VM or an account moves a window by one or two positions.
 //
-// Where the account is not known there are no parts to place a window by: taken for
-// zero they give everybody the same window, and in a fleet of 88 VMs five of six carry
-// nothing. So each answer is another window (Any).
+// If the account is unknown, there is no load share to place a window by. Treating the shares
+// as zero gives every caller the same window, and in a fleet of 88 VMs five out of six carry
+// no load. SelectForUnknownAccount therefore returns another window for each answer.
 package entries
 
 import (
@@ -24,29 +24,30 @@
 	"sort"
 )
 
-// SubsetRule says how many VMs an account is told.
+// SubsetRule determines how many VMs are selected for an account.
 type SubsetRule struct {
-	// MinVMs is told to every account. Fewer leave VMs with uneven load, because
-	// each then carries few accounts, and lose more when a zone goes.
+	// MinVMs is the least number of VMs of an account. Smaller subsets load the VMs unevenly,
+	// because each VM then serves few accounts, and lose more of their VMs when a zone is
+	// lost.
 	MinVMs int
-	// Oversubscription is how many times the number of VMs that an account would fill on
-	// its own it is told: callers pick among them unevenly.
+	// Oversubscription multiplies the number of VMs that the account's load would fill,
+	// because callers choose unevenly among the VMs that they are given.
 	Oversubscription float64
 }
 
-// DefaultRule is the rule in use. Its values come from the study "entries" of
-// bench load, in docs/design/33-load-entries.md: with up to sixteen VMs
-// everybody is told all.
+// DefaultRule is the rule in use. Its values come from the study "entries" of bench load, in
+// docs/design/33-load-entries.md: with up to sixteen VMs every account is given all of them.
 var DefaultRule = SubsetRule{MinVMs: 16, Oversubscription: 8}
 
-// shrinkRatio is the part by which an account's load must shrink before it
-// is told fewer VMs, so that noise does not move its callers.
+// shrinkRatio is the fraction of the previous window size that the new size must not exceed
+// for the window to shrink, so that noise in the load does not move an account's callers.
 const shrinkRatio = 0.7
 
-// unknownAccountVMCount is how many VMs a caller is told whose account is not known: as many as
-// callers take. Callers give up open connections to VMs that their next answer leaves
-// out, so an answer should name most VMs of the one before: with 88 VMs it names two
-// thirds of them or more, and a fifth if 16 are told. Up to 64 VMs all are told.
+// unknownAccountVMCount is the number of VMs selected for callers of unknown accounts, which
+// is the most that callers use. Callers close connections to VMs that are missing from their
+// next answer, so an answer should repeat most VMs of the previous one: with 88 VMs it repeats
+// at least two thirds of them, and only a fifth if 16 are selected. Up to 64 VMs all are
+// selected.
 const unknownAccountVMCount = 64
 
 // VM is one entry VM.
@@ -59,18 +60,19 @@
 	Usable bool
 }
 
-// Query asks for an account's answer.
+// Query describes the account for which VMs are selected.
 type Query struct {
-	// LoadShare is the account's share of the whole load, 0 to 1, and Before that of
-	// all accounts before it in an order that every VM computes alike.
+	// LoadShare is the account's share of the total load, 0 to 1. ShareBefore is the sum of
+	// the shares of all preceding accounts, in an order that every VM computes alike.
 	LoadShare, ShareBefore float64
-	// PreviousCount is how many VMs the last answer named, 0 if none.
+	// PreviousCount is the number of VMs in the previous selection, 0 if there was none.
 	PreviousCount int
-	// Rotation rotates the order, so that callers that use the first address spread.
+	// Rotation rotates the order of the selected VMs, to spread callers that use the first
+	// address.
 	Rotation uint64
 }
 
-// Reason says how the number of VMs came about.
+// Reason explains the number of selected VMs.
 type Reason string
 
 // The reasons.
@@ -83,16 +85,16 @@
 	ReasonAccountUnknown Reason = "account_unknown"
 )
 
-// Selection names VMs by index, in the order the caller should try them.
+// Selection lists VMs by index, in the order in which the caller should try them.
 type Selection struct {
 	VMs    []int
 	Reason Reason
 }
 
-// Select computes the answer to q from the VMs in view by the default rule.
+// Select returns the selection for q among vms by DefaultRule.
 func Select(vms []VM, q Query) Selection { return DefaultRule.Select(vms, q) }
 
-// Select computes the answer to q from the VMs in view.
+// Select returns the selection for q among vms.
 func (r SubsetRule) Select(vms []VM, q Query) Selection {
 	ring := Ring(vms)
 	if len(ring) == 0 {
@@ -100,24 +102,24 @@
 	}
 	n, why := r.windowSize(len(ring), q)
 	first := r.windowStart(len(ring), n, q)
-	turn := int(q.Rotation % uint64(n))
-	told := make([]int, n)
-	for k := range told {
-		told[k] = ring[(first+(k+turn)%n)%len(ring)]
+	rotation := int(q.Rotation % uint64(n))
+	selected := make([]int, n)
+	for k := range selected {
+		selected[k] = ring[(first+(k+rotation)%n)%len(ring)]
 	}
-	return Selection{VMs: told, Reason: why}
+	return Selection{VMs: selected, Reason: why}
 }
 
-// SelectForUnknownAccount computes the turn-th answer that the daemon on VM own, an index of vms, gives
-// callers of whose account nothing is known.
+// SelectForUnknownAccount returns the VMs that the daemon on vms[own] gives to callers of an
+// unknown account in its rotation-th answer.
 //
-// It guards against callers that all meet at a few VMs. That shows as links that are
-// full while most are idle: streams fall silent and lookups take a second there. It
-// holds whoever is asked: windows of different daemons in the same turn begin at
-// different VMs, and those of one daemon follow each other round the ring. In as many
-// answers as there are VMs each VM is named equally often, and first once, for callers
-// that use the first address.
-func SelectForUnknownAccount(vms []VM, own int, turn uint64) Selection {
+// It prevents all callers from meeting at a few VMs, whose links are then saturated while most
+// are idle: streams stall and lookups take a second there. This holds whichever daemons are
+// asked: at the same rotation the windows of different daemons begin at different VMs, and
+// successive windows of one daemon follow each other around the ring. In as many answers as
+// there are VMs, each VM is selected equally often and is first exactly once, for callers that
+// use only the first address.
+func SelectForUnknownAccount(vms []VM, own int, rotation uint64) Selection {
 	ring := Ring(vms)
 	size := len(ring)
 	if size == 0 {
@@ -128,20 +130,20 @@
 		n, why = size, ReasonAll
 	}
 	first := slices.Index(ring, own)
-	if first < 0 { // it is leaving, and others may be with it
+	if first < 0 { // this daemon is leaving, and others may be leaving too
 		first = int(vms[own].Hash % uint64(size))
 	}
-	first += int(turn%uint64(size)) * windowStep(size, n)
-	told := make([]int, n)
-	for k := range told {
-		told[k] = ring[(first+k)%size]
+	first += int(rotation%uint64(size)) * windowStep(size, n)
+	selected := make([]int, n)
+	for k := range selected {
+		selected[k] = ring[(first+k)%size]
 	}
-	return Selection{VMs: told, Reason: why}
+	return Selection{VMs: selected, Reason: why}
 }
 
-// windowStep is how far on the next window of n out of size VMs begins: the least number
-// from n on without a divisor in common with size, so that windows hardly overlap the
-// one before and in size answers each place is the first of one.
+// windowStep returns the distance between the starts of successive windows of n out of size
+// VMs: the smallest number from n on that is coprime to size, so that successive windows
+// hardly overlap and in size answers every position is the start of one window.
 func windowStep(size, n int) int {
 	for gcd(size, n) != 1 {
 		n++
@@ -156,17 +158,18 @@
 	return a
 }
 
-// windowStart is where an account's window of n out of size VMs starts: where the
-// parts before it end, when all parts together go round the ring Spread times.
+// windowStart returns where an account's window of n out of size VMs starts: where the shares
+// of the preceding accounts end, if all shares together go round the ring Oversubscription
+// times.
 func (r SubsetRule) windowStart(size, n int, q Query) int {
 	if n >= size {
 		return 0
 	}
-	turns := q.ShareBefore * max(r.Oversubscription, 1)
-	return int((turns-math.Floor(turns))*float64(size)) % size
+	laps := q.ShareBefore * max(r.Oversubscription, 1)
+	return int((laps-math.Floor(laps))*float64(size)) % size
 }
 
-// windowSize is the number of VMs to tell out of n.
+// windowSize returns the number of VMs to select out of n.
 func (r SubsetRule) windowSize(n int, q Query) (int, Reason) {
 	want := min(n, max(r.MinVMs, ceil(r.Oversubscription*q.LoadShare*float64(n))))
 	why := ReasonByLoad
@@ -190,8 +193,8 @@
 	return n
 }
 
-// Ring returns the usable VMs so that the zones alternate as evenly as their
-// sizes allow; within a zone the order is that of the hash of the id.
+// Ring returns the indexes of the usable VMs, ordered so that the zones alternate as evenly as
+// their sizes allow. Within a zone the VMs are ordered by the hash of their id.
 func Ring(vms []VM) []int {
 	ring := make([]int, 0, len(vms))
 	size := make(map[string]int, 8)
@@ -205,16 +208,16 @@
 		x, y := &vms[ring[a]], &vms[ring[b]]
 		return x.Hash < y.Hash || x.Hash == y.Hash && x.ID < y.ID
 	})
-	place := make([]float64, len(vms))
+	position := make([]float64, len(vms))
 	rank := make(map[string]int, len(size))
 	for _, i := range ring {
 		zone := vms[i].Zone
-		place[i] = (float64(rank[zone]) + 0.5) / float64(size[zone])
+		position[i] = (float64(rank[zone]) + 0.5) / float64(size[zone])
 		rank[zone]++
 	}
 	sort.SliceStable(ring, func(a, b int) bool {
 		x, y := ring[a], ring[b]
-		return place[x] < place[y] || place[x] == place[y] && vms[x].Zone < vms[y].Zone
+		return position[x] < position[y] || position[x] == position[y] && vms[x].Zone < vms[y].Zone
 	})
 	return ring
 }
@@ -226,17 +229,17 @@
 	Weight float64
 }
 
-// LoadPosition returns an account's part of the load and the parts before it, in
-// the order of the hash of the names.
-func LoadPosition(shares []AccountLoad, name string) (part, before float64) {
+// LoadPosition returns an account's share of the load and the sum of the shares of the
+// accounts before it, in the order of the hash of the names.
+func LoadPosition(loads []AccountLoad, name string) (share, before float64) {
 	var self AccountLoad
-	for _, s := range shares {
+	for _, s := range loads {
 		if s.Name == name {
 			self = s
 		}
 	}
 	sum := 0.0
-	for _, s := range shares {
+	for _, s := range loads {
 		sum += s.Weight
 		if s.Hash < self.Hash || s.Hash == self.Hash && s.Name < self.Name {
 			before += s.Weight
@@ -248,12 +251,12 @@
 	return self.Weight / sum, before / sum
 }
 
-// IsSelected reports whether VM i is among those that q's account is told, and how
-// many that are. An entry VM uses it to know its part of the account's limit.
-func (r SubsetRule) IsSelected(vms []VM, q Query, i int) (told int, member bool) {
+// IsSelected reports whether VM i is in the selection for q, and how many VMs are selected. An
+// entry VM uses it to compute its part of the account's limit.
+func (r SubsetRule) IsSelected(vms []VM, q Query, i int) (selected int, isSelected bool) {
 	a := r.Select(vms, q)
 	for _, j := range a.VMs {
-		member = member || j == i
+		isSelected = isSelected || j == i
 	}
-	return len(a.VMs), member
+	return len(a.VMs), isSelected
 }
