--- a/decision/gossip/choose.go
+++ b/decision/gossip/choose.go
@@ -8,15 +8,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// In a small fleet several rings name the same successor. Further rings then
-// bring the neighbours to fewNeighbours, as far as there are members.
+// In a small fleet several rings have the same successor. Additional rings then bring the
+// number of neighbours to minNeighbours, as far as there are members.
 const (
 	minNeighbours = 4
 	maxRings      = 12
 )
 
-// Neighbours returns the ids this daemon watches: its successor on each ring,
-// without repetition. The slice is valid until the next change.
+// Neighbours returns the ids of the members that this daemon watches: its successor on each
+// ring, without duplicates. The slice is valid until the next change.
 func (t *Table) Neighbours() []string {
 	if t.neighboursVersion == t.version && t.neighboursVersion != 0 {
 		return t.neighbours
@@ -35,9 +35,9 @@
 	return t.neighbours
 }
 
-// addSuccessor adds this daemon's successor on a ring: the member with the next
-// larger hash, or the smallest of all. Suspects stay on the ring: they are
-// probed on, and their refutations heard.
+// addSuccessor adds this daemon's successor on a ring to the neighbours: the member with the
+// next larger hash or, if there is none, the smallest. Suspects stay on the ring, so that they
+// are still probed and their refutations are received.
 func (t *Table) addSuccessor(ring, zone string) {
 	own := xxhash.Sum64String(ring + "\x00" + t.self.rec.ID)
 	var next, first string
@@ -62,11 +62,10 @@
 	}
 }
 
-// ExchangeTargets returns whom to exchange with in this round: one neighbour in turn
-// and a VM that the list shows but that is not believed alive. The latter is
-// how a daemon joins and how the parts of a healed partition find each other;
-// it is tried every StrayEvery rounds, or each round while less than half of
-// the listed VMs are known.
+// ExchangeTargets returns the members to contact in this round: one neighbour in turn and, in
+// some rounds, a listed VM that is unknown or gone here. The latter is how a daemon joins and
+// how the sides of a healed partition find each other; it is tried every ReconnectRounds
+// rounds, or in each round while less than half of the listed VMs are known.
 func (t *Table) ExchangeTargets() []Record {
 	t.round++
 	var out []Record
@@ -77,44 +76,42 @@
 	if len(out) > 0 && t.round%t.cfg.ReconnectRounds != 0 && !t.knowsLessThanHalf() {
 		return out
 	}
-	if stray, ok := t.randomUnreachedVM(); ok {
-		out = append(out, stray)
+	if unreached, ok := t.randomUnreachedVM(); ok {
+		out = append(out, unreached)
 	}
 	return out
 }
 
-// randomUnreachedVM picks one listed VM that is unknown or gone here, at random.
+// randomUnreachedVM picks a random listed VM that is unknown or gone here.
 func (t *Table) randomUnreachedVM() (Record, bool) {
 	var pick Record
-	seen := 0
+	candidates := 0
 	for _, row := range t.vmList {
 		m, known := t.members[row.ID]
 		if row.ID == t.self.rec.ID || (known && m.rec.State != Gone) {
 			continue
 		}
-		seen++
-		if t.rng.IntN(seen) == 0 {
+		candidates++
+		if t.rng.IntN(candidates) == 0 {
 			pick = Record{ID: row.ID, Zone: row.Zone, Region: row.Region, PeerAddr: row.PeerAddr, State: Gone}
 		}
 	}
-	return pick, seen > 0
+	return pick, candidates > 0
 }
 
-// FanoutTargets returns the members that are told of news at once.
-func (t *Table) FanoutTargets() []Record { return t.pickAlive(t.cfg.Fanout, "") }
+// FanoutTargets returns the members that are sent an update at once.
+func (t *Table) FanoutTargets() []Record { return t.pick(t.cfg.Fanout, "") }
 
 // IndirectProbers returns the members that are asked to repeat a probe of target.
-func (t *Table) IndirectProbers(target string) []Record {
-	return t.pickAlive(t.cfg.IndirectProbes, target)
-}
+func (t *Table) IndirectProbers(target string) []Record { return t.pick(t.cfg.IndirectProbes, target) }
 
-// pickAlive returns up to n neighbours, then other members at random, that are
-// alive and not except.
-func (t *Table) pickAlive(n int, except string) []Record {
+// pick returns up to n alive members other than except: neighbours first, then other
+// members at random.
+func (t *Table) pick(n int, except string) []Record {
 	var out []Record
-	near := slices.Clone(t.Neighbours())
-	t.rng.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
-	for _, id := range near {
+	neighbours := slices.Clone(t.Neighbours())
+	t.rng.Shuffle(len(neighbours), func(i, j int) { neighbours[i], neighbours[j] = neighbours[j], neighbours[i] })
+	for _, id := range neighbours {
 		m := t.members[id]
 		if len(out) < n && id != except && m.rec.State == Alive {
 			out = append(out, m.rec)
@@ -126,15 +123,15 @@
 	rest := t.Members()
 	t.rng.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
 	for _, rec := range rest {
-		if len(out) < n && rec.ID != except && rec.ID != t.self.rec.ID && rec.State == Alive && !slices.Contains(near, rec.ID) {
+		if len(out) < n && rec.ID != except && rec.ID != t.self.rec.ID && rec.State == Alive && !slices.Contains(neighbours, rec.ID) {
 			out = append(out, rec)
 		}
 	}
 	return out
 }
 
-// Updates returns the records to pass on with the next exchange, those passed
-// on least first, and counts them as passed on.
+// Updates returns the records to pass on with the next exchange, those sent least often first,
+// and counts them as sent.
 func (t *Table) Updates() []Record {
 	var due []*member
 	for _, m := range t.members {
@@ -159,17 +156,17 @@
 	return out
 }
 
-// RecordInSync records that an exchange found both tables equal. Where tables agree
-// everybody is likely to know, so what is still to be passed on is halved.
-// After 390 daemons start together the rest would otherwise go on for minutes,
-// at several times the traffic of a steady state.
+// RecordInSync records that an exchange found both tables equal. Where tables are equal most
+// members are likely to know the pending updates, so their remaining transmissions are halved.
+// After 390 daemons start together the rest would otherwise continue for minutes, at several
+// times the traffic of the steady state.
 func (t *Table) RecordInSync() {
 	for _, m := range t.members {
 		m.sendsLeft /= 2
 	}
 }
 
-// RootHash returns a hash over the whole table; equal tables have equal roots.
+// RootHash returns a hash over the whole table; equal tables have equal root hashes.
 func (t *Table) RootHash() uint64 {
 	var root uint64
 	for _, b := range t.buckets {
@@ -178,24 +175,25 @@
 	return root
 }
 
-// BucketHashes returns one hash for each part of the table.
+// BucketHashes returns one hash for each bucket.
 func (t *Table) BucketHashes() [Buckets]uint64 { return t.buckets }
 
-// maxSyncBuckets bounds the parts repaired at once to a few kilobytes.
+// maxSyncBuckets bounds the buckets repaired at once, which limits a repair to a few
+// kilobytes.
 const maxSyncBuckets = 4
 
-// BucketsToSync returns the parts in which this table differs from the hashes of
-// another and that are to be repaired now, and counts the repair as made.
-// Passing news makes tables differ for moments, and comparing each time would
-// cost more than the news: a repair is due every SyncEvery and takes four
-// parts from a random one on. A daemon that knows less than half of the listed
-// VMs, because it joins or a partition heals, takes all parts each Interval.
+// BucketsToSync returns the buckets that are to be repaired now because this table differs
+// there from the hashes of another, and counts the repair as made. Tables differ briefly while
+// updates spread, and repairing them in each exchange would cost more than the updates: a
+// repair is due every SyncInterval and covers up to maxSyncBuckets buckets from a random one
+// on. A daemon that knows less than half of the listed VMs, because it joins or a partition
+// heals, repairs all buckets once per ProbeInterval.
 func (t *Table) BucketsToSync(hashes []uint64, now time.Time) []uint32 {
-	limit, every := maxSyncBuckets, t.cfg.SyncInterval
+	maxBuckets, interval := maxSyncBuckets, t.cfg.SyncInterval
 	if t.knowsLessThanHalf() {
-		limit, every = Buckets, t.cfg.ProbeInterval
+		maxBuckets, interval = Buckets, t.cfg.ProbeInterval
 	}
-	if len(hashes) != Buckets || (!t.lastSync.IsZero() && now.Sub(t.lastSync) < every) {
+	if len(hashes) != Buckets || (!t.lastSync.IsZero() && now.Sub(t.lastSync) < interval) {
 		return nil
 	}
 	t.lastSync = now
@@ -203,7 +201,7 @@
 	start := t.rng.IntN(Buckets)
 	for i := range Buckets {
 		b := (start + i) % Buckets
-		if t.buckets[b] != hashes[b] && len(out) < limit {
+		if t.buckets[b] != hashes[b] && len(out) < maxBuckets {
 			out = append(out, uint32(b))
 		}
 	}
@@ -221,11 +219,11 @@
 	return 2*known < len(t.vmList)
 }
 
-// RecordsIn returns all records in the given parts, those of gone members included.
-func (t *Table) RecordsIn(parts []uint32) []Record {
+// RecordsIn returns all records in the given buckets, including those of gone members.
+func (t *Table) RecordsIn(buckets []uint32) []Record {
 	var out []Record
 	for id, m := range t.members {
-		if slices.Contains(parts, uint32(bucketOf(id))) {
+		if slices.Contains(buckets, uint32(bucketOf(id))) {
 			out = append(out, m.rec)
 		}
 	}
--- a/decision/gossip/record.go
+++ b/decision/gossip/record.go
@@ -7,11 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what is believed of a member.
+// State is the believed state of a member.
 type State uint8
 
-// The states in the order in which they follow each other while neither
-// Incarnation nor Refutation changes.
+// The states, in the order in which they supersede each other while neither Incarnation nor
+// Refutation changes.
 const (
 	Alive State = iota
 	Suspect
@@ -27,24 +27,23 @@
 	return [...]string{"alive", "suspect", "leaving", "gone"}[s]
 }
 
-// Record is one claim about a member, as it travels between daemons.
+// Record is one claim about a member, as exchanged between daemons.
 type Record struct {
 	ID         string
 	Zone       string
 	Region     string
 	CallerAddr string // address for callers
 	PeerAddr   string // address for other daemons
-	// Incarnation is the start of the process, unix nanoseconds. It names the
-	// process: a daemon that was taken for dead and is not keeps it.
+	// Incarnation is the start time of the process in Unix nanoseconds. It identifies the
+	// process: a daemon that was wrongly declared gone keeps it.
 	Incarnation uint64
-	// Refutation counts how often the member itself contradicted a claim.
+	// Refutation counts how often the member itself refuted a claim.
 	Refutation uint32
 	State      State
 }
 
-// Supersedes reports whether r replaces o. Only the member itself raises
-// Incarnation and Refutation, so its own word always wins in the end, and old
-// news that arrives late never does.
+// Supersedes reports whether r replaces o. Only the member itself raises Incarnation and
+// Refutation, so its own claims win in the end, and outdated claims that arrive late do not.
 func (r Record) Supersedes(o Record) bool {
 	if r.Incarnation != o.Incarnation {
 		return r.Incarnation > o.Incarnation
@@ -55,8 +54,8 @@
 	return r.State > o.State
 }
 
-// hash identifies the claim; claims that somebody is gone hash to nothing, so
-// that tables agree whether or not they still keep the tombstone.
+// hash identifies the claim. Claims in state Gone hash to zero, so that tables agree whether
+// or not they still keep the tombstone.
 func (r Record) hash() uint64 {
 	if r.State == Gone {
 		return 0
@@ -72,16 +71,16 @@
 	return d.Sum64()
 }
 
-// ListedVM is one entry VM of the platform's list.
+// ListedVM is one entry VM in the platform's VM list.
 type ListedVM struct {
 	ID, Zone, Region, PeerAddr string
 	Leaving                    bool
 }
 
-// Reason says why a belief changed.
+// Reason explains a change of a member's state.
 type Reason string
 
-// The reasons of changes.
+// The reasons.
 const (
 	ReasonJoined           Reason = "joined"
 	ReasonGossip           Reason = "news from another entry VM"
@@ -94,7 +93,7 @@
 	ReasonSuperseded       Reason = "another process runs under this VM id"
 )
 
-// Change is one change of belief.
+// Change is one change of a member's record.
 type Change struct {
 	Record Record
 	From   State // Gone for a member not known before
@@ -104,16 +103,16 @@
 // Config holds the thresholds; the package comment gives their reasons.
 type Config struct {
 	ProbeInterval    time.Duration // between two probes by one daemon
-	SuspicionTimeout time.Duration // a suspect's time to contradict
-	GoneRetention    time.Duration // how long a gone member's record is kept
+	SuspicionTimeout time.Duration // time in which a suspect can refute the suspicion
+	GoneRetention    time.Duration // how long the record of a gone member is kept
 	SyncInterval     time.Duration // between two repairs of differing tables
 	ZoneRings        int
 	GlobalRings      int
 	IndirectProbes   int // members asked to repeat a failed probe
-	Fanout           int // exchanges made at once for news
-	MaxUpdates       int // records carried by one exchange
-	ReconnectRounds  int // every how many rounds a VM not believed alive is tried
-	PauseRounds      int // rounds missed before a daemon concludes that it was paused itself
+	Fanout           int // members contacted at once with an update
+	MaxUpdates       int // records in one exchange
+	ReconnectRounds  int // rounds between attempts to reach a listed VM that is unknown or gone
+	PauseRounds      int // missed rounds after which a daemon concludes that it was paused itself
 }
 
 // DefaultConfig returns the values in use.
--- a/decision/gossip/table.go
+++ b/decision/gossip/table.go
@@ -10,27 +10,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Buckets is the number of parts in which two tables are compared: at 390
-// members a part holds twelve, about a kilobyte.
+// Buckets is the number of buckets in which two tables are compared: at 390 members a bucket
+// holds twelve records, about a kilobyte.
 const Buckets = 32
 
-// retransmitFactor scales how often an update is passed on: spread*log2(members) times.
-// The burst that follows news uses up about ten of them; those left let the
-// next regular exchanges reach whoever the burst missed, before the comparison
-// of tables has to.
+// retransmitFactor scales how often an update is passed on: retransmitFactor*log2(members)
+// times. The burst that follows an update uses about ten transmissions; with the rest, regular
+// exchanges reach the members that the burst missed before the comparison of tables has to.
 const retransmitFactor = 4
 
-// member is a record with what only this daemon knows of it.
+// member is a record and this daemon's own state about the member.
 type member struct {
 	rec               Record
 	suspicionDeadline time.Time // of a suspicion
 	goneAt            time.Time
-	sendsLeft         int // how often the record is still to be passed on
-	listedLeaving     bool
-	missedReads       int // reads of the list in a row without it
+	sendsLeft         int  // how often the record is still to be passed on
+	listedLeaving     bool // the VM list shows the VM as leaving
+	missedReads       int  // consecutive reads of the VM list without the VM
 }
 
-// Table is one daemon's belief. It is not safe for concurrent use.
+// Table is one daemon's view of the members. It is not safe for concurrent use.
 type Table struct {
 	cfg     Config
 	rng     *rand.Rand
@@ -40,7 +39,7 @@
 	buckets [Buckets]uint64
 	version uint64
 
-	neighbours        []string // neighbours, kept while ringsAt == version
+	neighbours        []string // valid while neighboursVersion == version
 	neighboursVersion uint64
 	neighbourIndex    int
 	round             int
@@ -57,10 +56,10 @@
 	return t
 }
 
-// Self returns what this daemon claims of itself.
+// Self returns this daemon's own record.
 func (t *Table) Self() Record { return t.self.rec }
 
-// Version grows with every change of belief.
+// Version grows with every change of the view.
 func (t *Table) Version() uint64 { return t.version }
 
 // Get returns the record of a member, also of one that is gone.
@@ -72,8 +71,8 @@
 	return m.rec, true
 }
 
-// Members returns all members but those gone, ordered by id. A member that
-// the VM list shows as leaving counts as leaving here.
+// Members returns all members that are not gone, ordered by id. A member that the VM list
+// shows as leaving has state Leaving here.
 func (t *Table) Members() []Record {
 	out := make([]Record, 0, len(t.members))
 	for _, m := range t.members {
@@ -92,7 +91,8 @@
 
 func byID(a, b Record) int { return strings.Compare(a.ID, b.ID) }
 
-// store stores a record, keeps the bucket's hash and queues the news.
+// store sets a member's record, updates the hash of its bucket and queues the record for
+// sending.
 func (t *Table) store(m *member, rec Record) {
 	b := bucketOf(rec.ID)
 	t.buckets[b] ^= m.rec.hash() ^ rec.hash()
@@ -103,7 +103,7 @@
 
 func bucketOf(id string) int { return int(xxhash.Sum64String(id) % Buckets) }
 
-// Merge takes records from another daemon and returns what changed here.
+// Merge applies records from another daemon and returns the resulting changes.
 func (t *Table) Merge(records []Record, now time.Time) []Change {
 	var changes []Change
 	for _, rec := range records {
@@ -124,7 +124,7 @@
 	m, known := t.members[rec.ID]
 	if !known {
 		if rec.State == Gone {
-			return Change{}, false // no need to learn of the dead
+			return Change{}, false // a gone member that is unknown here needs no record
 		}
 		m = &member{rec: Record{ID: rec.ID, State: Gone}}
 		t.members[rec.ID] = m
@@ -138,7 +138,7 @@
 	return t.applyRecord(m, rec, reason, now), true
 }
 
-// applyRecord changes a member's record and its deadlines.
+// applyRecord stores a member's new record and sets the deadlines of its state.
 func (t *Table) applyRecord(m *member, rec Record, reason Reason, now time.Time) Change {
 	from := m.rec.State
 	t.store(m, rec)
@@ -153,12 +153,11 @@
 
 // refute answers a claim about this daemon itself.
 //
-// The failure: a daemon was paused or cut off, others gave it up, and it comes
-// back. It shows as a daemon that serves callers but is missing from every
-// answer and view. A claim of the same incarnation is contradicted with a
-// higher refutation, which supersedes the claim wherever it has got to. A
-// claim of a newer incarnation means that the VM id now belongs to another
-// process: that one is right, and this one says no more.
+// After this daemon was paused or cut off, other members may have declared it gone; it would
+// then serve callers but be missing from every answer and view. A claim about the same
+// incarnation is refuted with a higher refutation number, which supersedes the claim wherever
+// it has spread. A claim about a newer incarnation means that another process now runs under
+// this VM id; that claim is right and is not refuted.
 func (t *Table) refute(claim Record) (Change, bool) {
 	own := t.self.rec
 	if claim.Incarnation > own.Incarnation {
@@ -172,16 +171,16 @@
 	return Change{Record: own, From: claim.State, Reason: ReasonRefuted}, true
 }
 
-// SetCallerAddr says where callers reach this daemon from now on.
-func (t *Table) SetCallerAddr(caller string) Change {
+// SetCallerAddr announces the address at which callers reach this daemon from now on.
+func (t *Table) SetCallerAddr(addr string) Change {
 	rec := t.self.rec
-	rec.CallerAddr = caller
-	rec.Refutation++ // newer than what others hold of this incarnation
+	rec.CallerAddr = addr
+	rec.Refutation++ // newer than what other members hold of this incarnation
 	t.store(t.self, rec)
 	return Change{Record: rec, From: rec.State, Reason: ReasonServing}
 }
 
-// Leave marks this daemon as leaving or, in the last message it sends, gone.
+// Leave marks this daemon as leaving or, in the last message that it sends, as gone.
 func (t *Table) Leave(state State) Change {
 	rec := t.self.rec
 	from := rec.State
@@ -190,9 +189,9 @@
 	return Change{Record: rec, From: from, Reason: ReasonLeaving}
 }
 
-// RecordProbeFailure records that neither this daemon nor its helpers reached id at
-// the incarnation and refutation of rec. A leaving member is given up at once:
-// it had said goodbye.
+// RecordProbeFailure records that neither this daemon nor the indirect probers reached the
+// member at the incarnation and refutation of rec. A leaving member is gone at once, because
+// it announced that it would stop.
 func (t *Table) RecordProbeFailure(rec Record, now time.Time) (Change, bool) {
 	m, ok := t.members[rec.ID]
 	if !ok || m == t.self || m.rec.Incarnation != rec.Incarnation || m.rec.Refutation != rec.Refutation {
@@ -210,12 +209,11 @@
 	return t.applyRecord(m, next, ReasonProbeFailed, now), true
 }
 
-// Tick advances the time and returns suspicions that became certain.
+// Tick advances the time and returns the suspects that are now gone.
 //
-// The failure it guards against: this daemon itself was paused. All its
-// deadlines passed meanwhile without its having listened, and it would give up
-// members whose contradictions wait in its sockets. After a gap of PauseAfter
-// rounds every suspicion therefore starts anew.
+// If this daemon itself was paused, all its suspicion deadlines may have passed while
+// refutations wait unread in its sockets. After a gap of PauseRounds intervals every suspicion
+// therefore starts anew.
 func (t *Table) Tick(now time.Time) []Change {
 	gap := now.Sub(t.lastTick)
 	paused := !t.lastTick.IsZero() && gap > time.Duration(t.cfg.PauseRounds)*t.cfg.ProbeInterval
@@ -237,6 +235,9 @@
 	return changes
 }
 
+// checkSuspicion declares a suspect gone once its suspicion has timed out, or once two
+// consecutive reads of the VM list lacked it. After a pause of this daemon it restarts the
+// suspicion instead.
 func (t *Table) checkSuspicion(m *member, paused bool, now time.Time) (Change, bool) {
 	if paused {
 		m.suspicionDeadline = now.Add(t.cfg.SuspicionTimeout)
@@ -253,9 +254,9 @@
 	return t.applyRecord(m, rec, reason, now), true
 }
 
-// SetVMList takes the entry VMs of the platform's list. The list lags both
-// ways, so it only adds: whom to try, who leaves, and, once two reads lack a
-// VM, that a suspect needs no more time.
+// SetVMList applies the entry VMs of the platform's list. The list lags both for new and for
+// removed VMs, so it only adds information: which VMs to contact, which are leaving, and, once
+// two consecutive reads lack a VM, that its suspicion need not run to its deadline.
 func (t *Table) SetVMList(rows []ListedVM) {
 	t.vmList = rows
 	byRow := make(map[string]ListedVM, len(rows))
--- a/decision/gossip/table_test.go
+++ b/decision/gossip/table_test.go
@@ -16,7 +16,7 @@
 	return Record{ID: fmt.Sprintf("vm%03d", i), Zone: fmt.Sprint("z", i%zones), PeerAddr: fmt.Sprint(i), Incarnation: 1}
 }
 
-// newFullTable returns the table of member i in a fleet that knows itself.
+// newFullTable returns the table of member i in a fleet of n members that all know each other.
 func newFullTable(i, n, zones int) *Table {
 	t := New(record(i, zones), DefaultConfig(), rand.New(rand.NewPCG(uint64(i), 1)))
 	for j := range n {
@@ -27,35 +27,35 @@
 	return t
 }
 
-// A member that nobody watches could die unseen. Each one must be watched by
-// three members of its own zone, and the load of watching be even.
+// A member that no other member watches could die undetected. Each member must be watched by
+// three members of its own zone, and the number of members that each one watches must be even.
 func TestEveryMemberIsWatched(t *testing.T) {
 	const zones = 7
 	for _, n := range []int{7, 30, 390} {
 		watched := make(map[string]int)
-		most := 0
+		maxWatching := 0
 		for i := range n {
 			neighbours := newFullTable(i, n, zones).Neighbours()
-			most = max(most, len(neighbours))
+			maxWatching = max(maxWatching, len(neighbours))
 			for _, id := range neighbours {
 				watched[id]++
 			}
 		}
-		least := n
+		minWatched := n
 		for i := range n {
-			least = min(least, watched[record(i, zones).ID])
+			minWatched = min(minWatched, watched[record(i, zones).ID])
 		}
-		t.Logf("%d daemons: watched by at least %d, watching at most %d", n, least, most)
-		must.LessEq(t, 5, most)
-		must.Positive(t, least)
+		t.Logf("%d daemons: watched by at least %d, watching at most %d", n, minWatched, maxWatching)
+		must.LessEq(t, 5, maxWatching)
+		must.Positive(t, minWatched)
 		if n == 390 {
-			must.GreaterEq(t, 3, least)
+			must.GreaterEq(t, 3, minWatched)
 		}
 	}
 }
 
-// A zone dies whole. Its members can't report each other, so members of other
-// zones must watch some of them, and all of them as those are given up.
+// A whole zone is lost. Its members cannot report each other, so members of other zones must
+// watch some of them, and eventually all of them as the watched ones are declared gone.
 func TestDeadZoneIsWatchedFromOutside(t *testing.T) {
 	const n, zones = 70, 7
 	tables := make(map[int]*Table)
@@ -81,35 +81,35 @@
 		}
 		left -= len(gone)
 	}
-	t.Logf("all seen after %d rounds", rounds)
+	t.Logf("all detected after %d rounds", rounds)
 }
 
-// Claims arrive in any order and more than once. Whoever has heard the same
-// claims must believe the same, and have the same hash.
+// Claims arrive in any order and more than once. Tables that received the same claims must
+// have the same view and the same hash.
 func TestMergeOrderDoesNotMatter(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		var news []Record
+		var claims []Record
 		for range 60 {
 			rec := record(1+rng.IntN(5), 2)
 			rec.Incarnation, rec.Refutation = 1+uint64(rng.IntN(2)), uint32(rng.IntN(3))
 			rec.State = State(rng.IntN(4))
-			news = append(news, rec)
+			claims = append(claims, rec)
 		}
-		for i := 1; i < 6; i++ { // everybody is known, as after a join
-			news = append(news, record(i, 2))
+		for i := 1; i < 6; i++ { // every member is known, as after a join
+			claims = append(claims, record(i, 2))
 		}
 		a, b := newFullTable(0, 6, 2), newFullTable(0, 6, 2)
-		a.Merge(news, epoch)
-		rng.Shuffle(len(news), func(i, j int) { news[i], news[j] = news[j], news[i] })
-		b.Merge(append(news, news...), epoch)
+		a.Merge(claims, epoch)
+		rng.Shuffle(len(claims), func(i, j int) { claims[i], claims[j] = claims[j], claims[i] })
+		b.Merge(append(claims, claims...), epoch)
 		must.Eq(t, a.Members(), b.Members(), must.Sprint("seed ", seed))
 		must.Eq(t, a.RootHash(), b.RootHash(), must.Sprint("seed ", seed))
 	}
 }
 
-// This daemon was paused for a minute with suspicions running. The suspects
-// answered meanwhile into sockets it did not read; it must not give them up.
+// This daemon was paused for a minute while suspicions were running. The suspects' refutations
+// wait unread in its sockets, so it must not declare the suspects gone.
 func TestOwnPauseRestartsSuspicions(t *testing.T) {
 	table := newFullTable(0, 3, 1)
 	now := epoch
@@ -129,8 +129,8 @@
 	must.Eq(t, ReasonSuspicionTimeout, changes[0].Reason)
 }
 
-// A claim that this daemon is gone is contradicted so that it loses wherever
-// it got to; a claim about a newer process under its id is not.
+// A claim that this daemon is gone must be refuted with a record that supersedes it
+// everywhere. A claim about a newer process under the same VM id must not be refuted.
 func TestRefutation(t *testing.T) {
 	table := newFullTable(0, 3, 1)
 	claim := record(0, 1)
@@ -148,7 +148,8 @@
 	must.Eq(t, before, table.Self())
 }
 
-// A suspect that two reads of the list in a row no longer show needs no more time.
+// A suspect that is missing from two consecutive reads of the VM list is gone before its
+// suspicion times out.
 func TestUnlistedSuspectIsGone(t *testing.T) {
 	table := newFullTable(0, 3, 1)
 	table.Tick(epoch)
