--- a/decision/health/health.go
+++ b/decision/health/health.go
@@ -1,14 +1,14 @@
-// Package health decides which backend servers are left out for a while.
+// Package health detects outliers among the backend servers and takes them out of use for a
+// while.
 //
-// Load it answers: one backend server that answers, but many times slower than
-// its peers, and one that fails every request at once.
+// It handles a backend server that answers, but many times slower than its peers, and one that
+// fails every request at once.
 //
-// Without it, a straggler holds its requests for minutes while its low count
-// of finished work keeps attracting more, and a server that fails fast attracts
-// everything because it always has room. Absolute thresholds do not help: under
-// saturation all servers are slow, and leaving any out makes the rest slower.
-// So a server is compared with its peers only, and never more than a share of
-// them is left out.
+// Without it, a straggler holds its requests for minutes while its low count of finished work
+// keeps attracting more, and a server that fails fast attracts all requests because it always
+// has room. Absolute thresholds do not help: under saturation all servers are slow, and
+// ejecting any of them makes the rest slower. Servers are therefore compared only with their
+// peers, and at most a fixed share of them is ejected at once.
 package health
 
 import (
@@ -17,36 +17,39 @@
 )
 
 const (
-	// ejectSlowRatio is how many times slower than the median of its peers a server
-	// is a straggler. A full batch is about half again as slow as a single
-	// stream, so uneven load alone stays well below.
+	// ejectSlowRatio is how many times slower than the median of its peers a server must be to
+	// be ejected. A full batch is about half again as slow as a single stream, so uneven load
+	// alone stays well below.
 	ejectSlowRatio = 2.0
-	// probationSlowRatio is how close to the median a server on trial must come.
+	// probationSlowRatio is the largest ratio to the median with which a server passes its
+	// probation.
 	probationSlowRatio = 1.5
-	// minSampleCount is how many gaps must be seen before a server is compared.
+	// minSampleCount is the number of token gaps that must be observed before a server is
+	// compared.
 	minSampleCount = 16
-	// maxConsecutiveFailures is how many failures in a row eject a server. One may be the
-	// caller's request, three in a row across requests are the server's.
+	// maxConsecutiveFailures is the number of consecutive failures that ejects a server. One
+	// failure may be caused by the request; three in a row across requests are caused by the
+	// server.
 	maxConsecutiveFailures = 3
-	// maxEjectedRatio is the largest share of peers left out at once. Beyond it the
-	// fault is common to them, and the rest could not carry the load.
+	// maxEjectedRatio is the largest share of the peers ejected at once. Beyond it the servers
+	// have a common fault, and the rest could not carry the load.
 	maxEjectedRatio = 0.2
-	// minPeerCount is the least number of peers with which a median means anything.
+	// minPeerCount is the least number of peers for a meaningful median.
 	minPeerCount = 3
-	// minEjectionTime and longestPause bound the time out; it doubles with each
-	// ejection that follows a trial that failed.
+	// minEjectionTime and maxEjectionTime bound the time of an ejection; it doubles with each
+	// ejection that follows a failed probation.
 	minEjectionTime = 5 * time.Second
 	maxEjectionTime = time.Minute
-	// slowStartTime is the slow start: after a return or a restart caches are cold
-	// and the first requests all prefill.
+	// slowStartTime is the duration of the slow start: after a return or a restart caches are
+	// cold and the first requests all need a prefill.
 	slowStartTime = 10 * time.Second
 	// slowStartMinRatio is the weight at the beginning of the slow start.
 	slowStartMinRatio = 0.1
-	// gapWindowCount is how many gaps the averages look back on.
+	// gapWindowCount is the number of token gaps over which the mean is smoothed.
 	gapWindowCount = 16
 )
 
-// State of a server as this daemon treats it.
+// State is a server's state as seen by this daemon.
 type State uint8
 
 // The states.
@@ -62,7 +65,7 @@
 	return [...]string{"healthy", "ejected", "trial", "warming"}[s]
 }
 
-// Reason says why a state changed.
+// Reason explains a change of state.
 type Reason string
 
 // The reasons.
@@ -76,67 +79,68 @@
 	ReasonWarm                Reason = "warm"
 )
 
-// Server is what one daemon knows of one server. The zero value is a healthy
-// server of which nothing is known. It is not safe for concurrent use.
+// Server is one daemon's knowledge of one backend server. The zero value is a healthy server
+// without observations. It is not safe for concurrent use.
 type Server struct {
 	state               State
 	stateSince          time.Time
-	ejectedUntil        time.Time // end of the ejection
-	ejectionTime        time.Duration
-	meanGapSeconds      float64 // seconds, decayed mean
+	ejectedUntil        time.Time
+	ejectionTime        time.Duration // of the current or last ejection; reset after a slow start
+	meanGapSeconds      float64       // decayed mean
 	sampleCount         int
-	consecutiveFailures int // in a row
+	consecutiveFailures int
 }
 
-// State returns the present state.
-func (p *Server) State() State { return p.state }
+// State returns the current state.
+func (s *Server) State() State { return s.state }
 
-// ObserveTokenGap records the time between two tokens, or per token of a plain answer.
-func (p *Server) ObserveTokenGap(gap time.Duration) {
+// ObserveTokenGap records the time between two tokens or, for an answer that is not streamed,
+// the time per token.
+func (s *Server) ObserveTokenGap(gap time.Duration) {
 	g := gap.Seconds()
-	if p.sampleCount == 0 {
-		p.meanGapSeconds = g
+	if s.sampleCount == 0 {
+		s.meanGapSeconds = g
 	}
-	p.sampleCount++
-	p.meanGapSeconds += (g - p.meanGapSeconds) / gapWindowCount
+	s.sampleCount++
+	s.meanGapSeconds += (g - s.meanGapSeconds) / gapWindowCount
 }
 
-// RecordSuccess records an attempt that ended well.
-func (p *Server) RecordSuccess() { p.consecutiveFailures = 0 }
+// RecordSuccess records an attempt that completed.
+func (s *Server) RecordSuccess() { s.consecutiveFailures = 0 }
 
-// RecordFailure records an attempt that the server did not finish.
-func (p *Server) RecordFailure() { p.consecutiveFailures++ }
+// RecordFailure records an attempt that the server did not complete.
+func (s *Server) RecordFailure() { s.consecutiveFailures++ }
 
-// RecordRestart begins a slow start, because the caches are cold.
-func (p *Server) RecordRestart(now time.Time) Transition {
-	p.sampleCount, p.consecutiveFailures = 0, 0
-	return p.transition(now, Warming, ReasonRestart)
+// RecordRestart begins a slow start, because the caches are cold after a restart.
+func (s *Server) RecordRestart(now time.Time) Transition {
+	s.sampleCount, s.consecutiveFailures = 0, 0
+	return s.transition(now, Warming, ReasonRestart)
 }
 
-// Weight is the share of its usual work the server gets now.
-func (p *Server) Weight(now time.Time) float64 {
-	switch p.state {
+// Weight returns the share of its usual work that the server gets now.
+func (s *Server) Weight(now time.Time) float64 {
+	switch s.state {
 	case Ejected:
 		return 0
 	case Probation:
 		return slowStartMinRatio
 	case Warming:
-		part := now.Sub(p.stateSince).Seconds() / slowStartTime.Seconds()
-		return min(1, slowStartMinRatio+(1-slowStartMinRatio)*part)
+		progress := now.Sub(s.stateSince).Seconds() / slowStartTime.Seconds()
+		return min(1, slowStartMinRatio+(1-slowStartMinRatio)*progress)
 	default:
 		return 1
 	}
 }
 
-// Limit is the number of requests that may be in flight out of limit.
-func (p *Server) Limit(now time.Time, limit int) int {
-	switch p.state {
+// Limit returns the number of requests that may be in flight now, given the usual limit.
+func (s *Server) Limit(now time.Time, limit int) int {
+	switch s.state {
 	case Ejected:
 		return 0
 	case Probation:
 		return min(1, limit)
 	case Warming:
-		return max(1, int(float64(limit)*p.Weight(now)+0.5))
+		return max(1, int(float64(limit)*s.Weight(now)+0.5))
 	default:
 		return limit
 	}
@@ -144,7 +148,7 @@
 
 // Transition is a change of state with its reason.
 type Transition struct {
-	Index  int // of the peer in the slice given to Evaluate
+	Index  int // of the server in the slice given to Evaluate
 	From   State
 	To     State
 	Reason Reason
@@ -152,105 +156,106 @@
 	Median time.Duration
 }
 
-func (p *Server) transition(now time.Time, to State, why Reason) Transition {
-	t := Transition{From: p.state, To: to, Reason: why}
-	p.state, p.stateSince = to, now
+func (s *Server) transition(now time.Time, to State, why Reason) Transition {
+	t := Transition{From: s.state, To: to, Reason: why}
+	s.state, s.stateSince = to, now
 	return t
 }
 
-// Evaluator compares the servers of one set. Its zero value is usable; it
-// keeps scratch space, so that the steady state allocates nothing.
+// Evaluator compares the servers of one set. Its zero value is usable. It reuses its buffers,
+// so that calls do not allocate in the steady state.
 type Evaluator struct {
 	gaps        []float64
 	transitions []Transition
 }
 
-// Evaluate moves each peer's state and returns what changed. The slice is
-// valid until the next call.
-func (e *Evaluator) Evaluate(now time.Time, peers []*Server) []Transition {
+// Evaluate updates the state of each server and returns the transitions. The slice is valid
+// until the next call.
+func (e *Evaluator) Evaluate(now time.Time, servers []*Server) []Transition {
 	e.transitions = e.transitions[:0]
-	median := e.median(peers)
-	out := 0
-	for _, p := range peers {
-		if p.state == Ejected || p.state == Probation {
-			out++
+	median := e.median(servers)
+	ejected := 0
+	for _, s := range servers {
+		if s.state == Ejected || s.state == Probation {
+			ejected++
 		}
 	}
-	for i, p := range peers {
-		t, changed := p.update(now, median, out < ejectionLimit(len(peers)))
+	for i, s := range servers {
+		t, changed := s.update(now, median, ejected < ejectionLimit(len(servers)))
 		if !changed {
 			continue
 		}
 		if t.To == Ejected && t.From != Probation {
-			out++
+			ejected++
 		}
 		t.Index = i
-		t.Gap, t.Median = toDuration(p.meanGapSeconds), toDuration(median)
+		t.Gap, t.Median = toDuration(s.meanGapSeconds), toDuration(median)
 		e.transitions = append(e.transitions, t)
 	}
 	return e.transitions
 }
 
-func ejectionLimit(peers int) int {
-	if peers < minPeerCount {
+func ejectionLimit(servers int) int {
+	if servers < minPeerCount {
 		return 0
 	}
-	return max(1, int(maxEjectedRatio*float64(peers)))
+	return max(1, int(maxEjectedRatio*float64(servers)))
 }
 
-func (p *Server) update(now time.Time, median float64, mayEject bool) (Transition, bool) {
-	switch p.state {
+func (s *Server) update(now time.Time, median float64, canEject bool) (Transition, bool) {
+	switch s.state {
 	case Ejected:
-		if now.Before(p.ejectedUntil) {
+		if now.Before(s.ejectedUntil) {
 			return Transition{}, false
 		}
-		p.sampleCount, p.consecutiveFailures = 0, 0
-		return p.transition(now, Probation, ReasonProbationDue), true
+		s.sampleCount, s.consecutiveFailures = 0, 0
+		return s.transition(now, Probation, ReasonProbationDue), true
 	case Probation:
-		return p.evaluateProbation(now, median)
+		return s.evaluateProbation(now, median)
 	case Warming:
-		if now.Sub(p.stateSince) >= slowStartTime {
-			p.ejectionTime = 0
-			return p.transition(now, Healthy, ReasonWarm), true
+		if now.Sub(s.stateSince) >= slowStartTime {
+			s.ejectionTime = 0
+			return s.transition(now, Healthy, ReasonWarm), true
 		}
 	}
 	switch {
-	case !mayEject:
+	case !canEject:
 		return Transition{}, false
-	case p.consecutiveFailures >= maxConsecutiveFailures:
-		return p.eject(now, ReasonConsecutiveFailures), true
-	case p.sampleCount >= minSampleCount && median > 0 && p.meanGapSeconds > ejectSlowRatio*median:
-		return p.eject(now, ReasonSlowerThanPeers), true
+	case s.consecutiveFailures >= maxConsecutiveFailures:
+		return s.eject(now, ReasonConsecutiveFailures), true
+	case s.sampleCount >= minSampleCount && median > 0 && s.meanGapSeconds > ejectSlowRatio*median:
+		return s.eject(now, ReasonSlowerThanPeers), true
 	}
 	return Transition{}, false
 }
 
-// evaluateProbation ends a trial once enough tokens were seen. A trial on which no
-// request falls stays open and costs nothing.
-func (p *Server) evaluateProbation(now time.Time, median float64) (Transition, bool) {
+// evaluateProbation ends a probation once enough token gaps were observed. While a server on
+// probation gets no requests it stays on probation, which costs nothing.
+func (s *Server) evaluateProbation(now time.Time, median float64) (Transition, bool) {
 	switch {
-	case p.consecutiveFailures > 0:
-		return p.eject(now, ReasonProbationFailed), true
-	case p.sampleCount < minSampleCount:
+	case s.consecutiveFailures > 0:
+		return s.eject(now, ReasonProbationFailed), true
+	case s.sampleCount < minSampleCount:
 		return Transition{}, false
-	case median > 0 && p.meanGapSeconds > probationSlowRatio*median:
-		return p.eject(now, ReasonProbationFailed), true
+	case median > 0 && s.meanGapSeconds > probationSlowRatio*median:
+		return s.eject(now, ReasonProbationFailed), true
 	}
-	return p.transition(now, Warming, ReasonProbationPassed), true
+	return s.transition(now, Warming, ReasonProbationPassed), true
 }
 
-func (p *Server) eject(now time.Time, why Reason) Transition {
-	p.ejectionTime = min(max(2*p.ejectionTime, minEjectionTime), maxEjectionTime)
-	p.ejectedUntil = now.Add(p.ejectionTime)
-	return p.transition(now, Ejected, why)
+func (s *Server) eject(now time.Time, why Reason) Transition {
+	s.ejectionTime = min(max(2*s.ejectionTime, minEjectionTime), maxEjectionTime)
+	s.ejectedUntil = now.Add(s.ejectionTime)
+	return s.transition(now, Ejected, why)
 }
 
-// median of the gaps of peers that serve normally and are known well enough.
-func (e *Evaluator) median(peers []*Server) float64 {
+// median returns the median of the mean gaps of the servers that are healthy or warming and
+// have enough samples, or 0 if fewer than minPeerCount servers do.
+func (e *Evaluator) median(servers []*Server) float64 {
 	e.gaps = e.gaps[:0]
-	for _, p := range peers {
-		if p.sampleCount >= minSampleCount && (p.state == Healthy || p.state == Warming) {
-			e.gaps = append(e.gaps, p.meanGapSeconds)
+	for _, s := range servers {
+		if s.sampleCount >= minSampleCount && (s.state == Healthy || s.state == Warming) {
+			e.gaps = append(e.gaps, s.meanGapSeconds)
 		}
 	}
 	if len(e.gaps) < minPeerCount {
--- a/decision/limit/account.go
+++ b/decision/limit/account.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// burstSeconds is how many seconds of an account's rate it may use ahead. A minute
-// carries the chance of several long requests in a row at one of several VMs;
-// with ten seconds an account that asks exactly its limit gets two thirds of it.
+// burstSeconds is how many seconds of its rate an account may use in advance. A minute covers
+// several long requests in a row that by chance reach the same VM; with ten seconds an account
+// that sends exactly its limit is granted two thirds of it.
 const burstSeconds = 60.0
 
-// TokenBucket is the token bucket of one account at one entry VM. The zero value
-// is a full bucket. It is not safe for concurrent use.
+// TokenBucket is the token bucket of one account at one entry VM. The zero value is a full
+// bucket. It is not safe for concurrent use.
 type TokenBucket struct {
-	debtTokens float64 // tokens taken and not yet refilled
+	debtTokens float64 // taken and not yet refilled
 	updated    time.Time
 }
 
-// AccountShare is this VM's part of an account's limit, with no message between VMs:
-// each of the VMs that the account is told gives an equal part, and a VM that
-// it was not told, or is told no longer, gives a tenth of such a part, because
-// answers are kept for a while. told is how many VMs the account is told.
-func AccountShare(told int, member bool) float64 {
-	share := 1 / float64(max(told, 1))
-	if !member {
+// AccountShare returns this VM's share of an account's limit without any message between VMs:
+// selected is the number of VMs selected for the account, and isSelected whether this VM is
+// one of them. Each selected VM grants an equal share. Any other VM grants a tenth of such a
+// share, because callers keep using an earlier selection for a while.
+func AccountShare(selected int, isSelected bool) float64 {
+	share := 1 / float64(max(selected, 1))
+	if !isSelected {
 		share /= 10
 	}
 	return share
 }
 
-// Take asks for cost tokens at rate tokens a second, and returns how long to
-// wait before it would be granted, or 0 when it is granted. A request is
-// granted while anything is left, and its whole cost is then owed: a part of a
-// limit is often smaller than one long request, and a bucket that had to hold
-// the whole cost would refuse half of what is within the limit.
-func (a *TokenBucket) Take(now time.Time, cost, rate float64) time.Duration {
-	a.refill(now, rate)
-	if over := a.debtTokens - burstSeconds*rate; over >= 0 && a.debtTokens > 0 {
-		return time.Duration((over + 1) / rate * float64(time.Second))
+// Take asks for cost tokens at a rate of tokens per second and returns how long to wait before
+// the request would be granted, or 0 if it is granted. A request is granted while any tokens
+// are left, and its whole cost then becomes debt: a VM's share of a limit is often smaller
+// than one long request, and a bucket that had to hold the whole cost would refuse half of the
+// work that is within the limit.
+func (b *TokenBucket) Take(now time.Time, cost, rate float64) time.Duration {
+	b.refill(now, rate)
+	if excess := b.debtTokens - burstSeconds*rate; excess >= 0 && b.debtTokens > 0 {
+		return time.Duration((excess + 1) / rate * float64(time.Second))
 	}
-	a.debtTokens += cost
+	b.debtTokens += cost
 	return 0
 }
 
-func (a *TokenBucket) refill(now time.Time, rate float64) {
-	if !a.updated.IsZero() {
-		a.debtTokens = max(0, a.debtTokens-rate*now.Sub(a.updated).Seconds())
+func (b *TokenBucket) refill(now time.Time, rate float64) {
+	if !b.updated.IsZero() {
+		b.debtTokens = max(0, b.debtTokens-rate*now.Sub(b.updated).Seconds())
 	}
-	a.updated = now
+	b.updated = now
 }
--- a/decision/limit/limit_test.go
+++ b/decision/limit/limit_test.go
@@ -10,84 +10,84 @@
 
 var epoch = time.Unix(1000, 0)
 
-// feedGaps shows s one gap for 30 s, which end at the returned time.
-func feedGaps(s *Concurrency, now time.Time, gap time.Duration, inFlight func() int) time.Time {
+// feedGaps feeds c token gaps of the given size for 30 s and returns the time at the end.
+func feedGaps(c *Concurrency, now time.Time, gap time.Duration, inFlight func() int) time.Time {
 	for range 120 {
 		for range gapWindowCount {
-			s.ObserveTokenGap(gap)
+			c.ObserveTokenGap(gap)
 		}
 		now = now.Add(adjustInterval)
-		s.Adjust(now, inFlight())
+		c.Adjust(now, inFlight())
 	}
 	return now
 }
 
 func TestLimitFallsWithTheGapAndRecovers(t *testing.T) {
-	s := NewConcurrency(32, 1, 0)
-	must.Eq(t, 32, s.Limit())
-	full := func() int { return s.Limit() }
-	now := feedGaps(&s, epoch, 20*time.Millisecond, full)
-	must.Eq(t, 32, s.Limit())
-	now = feedGaps(&s, now, 80*time.Millisecond, full)
-	test.LessEq(t, 4, s.Limit())
-	feedGaps(&s, now, 22*time.Millisecond, full)
-	test.GreaterEq(t, 30, s.Limit())
+	c := NewConcurrency(32, 1, 0)
+	must.Eq(t, 32, c.Limit())
+	full := func() int { return c.Limit() }
+	now := feedGaps(&c, epoch, 20*time.Millisecond, full)
+	must.Eq(t, 32, c.Limit())
+	now = feedGaps(&c, now, 80*time.Millisecond, full)
+	test.LessEq(t, 4, c.Limit())
+	feedGaps(&c, now, 22*time.Millisecond, full)
+	test.GreaterEq(t, 30, c.Limit())
 }
 
 func TestUnusedLimitDoesNotGrow(t *testing.T) {
-	s := NewConcurrency(32, 1, 0)
-	now := feedGaps(&s, epoch, 20*time.Millisecond, func() int { return 0 })
-	now = feedGaps(&s, now, 80*time.Millisecond, func() int { return s.Limit() })
-	low := s.Limit()
+	c := NewConcurrency(32, 1, 0)
+	now := feedGaps(&c, epoch, 20*time.Millisecond, func() int { return 0 })
+	now = feedGaps(&c, now, 80*time.Millisecond, func() int { return c.Limit() })
+	low := c.Limit()
 	must.Less(t, 32, low)
-	feedGaps(&s, now, 20*time.Millisecond, func() int { return 0 })
-	test.Eq(t, low, s.Limit())
+	feedGaps(&c, now, 20*time.Millisecond, func() int { return 0 })
+	test.Eq(t, low, c.Limit())
 }
 
-// Engines are overrun and idle in turn, with the period of the load reports.
-// Seven daemons read the same old report; each takes all that was free.
-// One that is alone must approach the slots without ever passing them; what
-// stays unused is less than one request for each daemon that might come.
+// Seven daemons read the same old report. If each takes all free slots, the engine alternates
+// between overload and idleness with the period of the reports. A single busy daemon must
+// approach the slots without ever exceeding them; what stays unused is less than one request
+// for each daemon that might send some.
 func TestDaemonsThatReadTheSameReportShareFreeSlots(t *testing.T) {
 	const slots, daemons = 20, 7
 	servers := make([]Concurrency, daemons)
 	for i := range servers {
 		servers[i] = NewConcurrency(slots, daemons, float64(i)/daemons)
 	}
-	own := make([]int, daemons)
-	own[0] = 2 // six others idle; daemon 0 wants all it may have
+	inFlight := make([]int, daemons)
+	inFlight[0] = 2 // the six other daemons are idle; daemon 0 uses all it may have
 	for k := range 30 {
 		running := 0
-		for _, n := range own {
+		for _, n := range inFlight {
 			running += n
 		}
 		for i := range servers {
 			servers[i].ApplyReport(Report{
 				TakenAt: epoch.Add(time.Duration(k) * time.Second), Running: running,
-				OwnInFlight: own[i], SharingDaemons: daemons, ReadingDaemons: daemons,
+				OwnInFlight: inFlight[i], SharingDaemons: daemons, ReadingDaemons: daemons,
 			}, slots)
 		}
 		servers[0].limit = slots
-		own[0] = servers[0].Limit()
-		must.LessEq(t, slots, own[0])
+		inFlight[0] = servers[0].Limit()
+		must.LessEq(t, slots, inFlight[0])
 	}
-	test.GreaterEq(t, slots-daemons, own[0])
+	test.GreaterEq(t, slots-daemons, inFlight[0])
 }
 
 func TestSharesOfAllDaemonsSumToTheSlots(t *testing.T) {
 	const slots, daemons = 20, 7
 	sum := 0
 	for i := range daemons {
-		s := NewConcurrency(slots, daemons, float64(i)/daemons)
-		sum += s.Limit()
+		c := NewConcurrency(slots, daemons, float64(i)/daemons)
+		sum += c.Limit()
 	}
 	test.Between(t, slots-1, sum, slots+1)
 }
 
 func TestEngineThatQueuesLowersTheLimit(t *testing.T) {
-	s := NewConcurrency(16, 1, 0)
-	s.ApplyReport(Report{TakenAt: epoch, Running: 16, Waiting: 4, OwnInFlight: 20, SharingDaemons: 1, ReadingDaemons: 1}, 16)
-	test.Less(t, 16, s.Limit())
+	c := NewConcurrency(16, 1, 0)
+	c.ApplyReport(Report{TakenAt: epoch, Running: 16, Waiting: 4, OwnInFlight: 20, SharingDaemons: 1, ReadingDaemons: 1}, 16)
+	test.Less(t, 16, c.Limit())
 }
 
 func TestAccountGetsItsRateForAnyRequestSize(t *testing.T) {
