--- a/decision/health/health.go
+++ b/decision/health/health.go
@@ -31,8 +31,8 @@
 	// failure may be caused by the request; three in a row across requests are caused by the
 	// server.
 	maxConsecutiveFailures = 3
-	// maxEjectedRatio is the largest share of the peers ejected at once. Beyond it the servers
-	// have a common fault, and the rest could not carry the load.
+	// maxEjectedRatio is the largest share of the peers that is ejected or on probation at
+	// once. Beyond it the servers have a common fault, and the rest could not carry the load.
 	maxEjectedRatio = 0.2
 	// minPeerCount is the least number of peers for a meaningful median.
 	minPeerCount = 3
@@ -174,19 +174,19 @@
 func (e *Evaluator) Evaluate(now time.Time, servers []*Server) []Transition {
 	e.transitions = e.transitions[:0]
 	median := e.median(servers)
-	ejected := 0
+	excluded := 0
 	for _, s := range servers {
 		if s.state == Ejected || s.state == Probation {
-			ejected++
+			excluded++
 		}
 	}
 	for i, s := range servers {
-		t, changed := s.update(now, median, ejected < ejectionLimit(len(servers)))
+		t, changed := s.update(now, median, excluded < ejectionLimit(len(servers)))
 		if !changed {
 			continue
 		}
 		if t.To == Ejected && t.From != Probation {
-			ejected++
+			excluded++
 		}
 		t.Index = i
 		t.Gap, t.Median = toDuration(s.meanGapSeconds), toDuration(median)
--- a/decision/health/health_test.go
+++ b/decision/health/health_test.go
@@ -89,14 +89,14 @@
 				observeGaps(s, 20, time.Duration(rapid.IntRange(1, 500).Draw(t, "gap"))*time.Millisecond)
 			}
 			e.Evaluate(now, servers)
-			ejected := 0
+			excluded := 0
 			for _, s := range servers {
 				if s.State() == Ejected || s.State() == Probation {
-					ejected++
+					excluded++
 				}
 			}
-			if ejected > ejectionLimit(len(servers)) {
-				t.Fatalf("%d of %d servers ejected", ejected, len(servers))
+			if excluded > ejectionLimit(len(servers)) {
+				t.Fatalf("%d of %d servers ejected", excluded, len(servers))
 			}
 		}
 	})
--- a/decision/limit/server.go
+++ b/decision/limit/server.go
@@ -46,8 +46,8 @@
 	roundingPhase    float64
 	limit            float64 // requests
 	ceiling          float64 // requests
-	bestGapSeconds   float64 // seconds
-	recentGapSeconds float64 // seconds
+	bestGapSeconds   float64
+	recentGapSeconds float64
 	gapCount         int
 	nextAdjust       time.Time
 	lastReport       time.Time // when the last applied report was taken
--- a/decision/lineage/lineage.go
+++ b/decision/lineage/lineage.go
@@ -1,12 +1,12 @@
-// Package lineage decides whether what a caller holds is a prefix of an answer.
+// Package lineage tracks the ownership epochs of a generation and decides whether the tokens
+// that a caller holds are a prefix of an answer.
 //
-// A generation has one owner at a time. When another entry VM adopts it, a new
-// epoch forks off at the length of the copy that was adopted; tokens that the
-// old owner released past that length, or releases later because it was only
-// paused, belong to another answer. A caller that moves between entry VMs
-// presents its Position, and only a position on the same line is continued.
-// Without this check a returning owner could extend text of its successor, and
-// the caller would hold two answers mixed into one.
+// A generation has one owner at a time. When another entry VM adopts it, a new epoch forks off
+// at the length of the adopted copy. Tokens that the previous owner released past that length,
+// or releases later because it was only paused, belong to a different answer. A caller that
+// moves between entry VMs presents its Position, and only a position in the answer's ownership
+// history is continued. Without this check a returning owner could extend text of its
+// successor, and the caller would hold two answers mixed into one.
 package lineage
 
 import (
@@ -16,12 +16,13 @@
 	"strings"
 )
 
-// ownerCountShift splits an Epoch into a counter and a random part.
+// ownerCountShift is the bit position that separates the owner count of an Epoch from its
+// random part.
 const ownerCountShift = 48
 
-// Epoch names one ownership of a generation. The upper 16 bits count
-// ownerships; the lower 48 bits are random, so that two entry VMs that adopt
-// the same generation from two copies never share an epoch.
+// Epoch identifies one ownership of a generation. The upper 16 bits count the owners; the
+// lower 48 bits are random, so that two entry VMs that adopt the same generation from two
+// copies do not share an epoch.
 type Epoch uint64
 
 // FirstEpoch returns the epoch of a generation's first owner.
@@ -33,13 +34,13 @@
 	return (e>>ownerCountShift+1)<<ownerCountShift | Epoch(random&mask)
 }
 
-// OwnerCount returns how many owners there were up to and including e.
+// OwnerCount returns the number of owners up to and including e.
 func (e Epoch) OwnerCount() int { return int(e >> ownerCountShift) }
 
-// Fork is the begin of an epoch at a token offset.
+// Fork is the start of an epoch at a token offset.
 type Fork struct {
 	Epoch      Epoch
-	FromOffset int    // tokens before From belong to earlier epochs
+	FromOffset int    // tokens before FromOffset belong to earlier epochs
 	Owner      string // VM id
 }
 
@@ -47,33 +48,33 @@
 type History []Fork
 
 // Epoch returns the newest epoch.
-func (l History) Epoch() Epoch { return l[len(l)-1].Epoch }
+func (h History) Epoch() Epoch { return h[len(h)-1].Epoch }
 
 // Owner returns the newest owner.
-func (l History) Owner() string { return l[len(l)-1].Owner }
+func (h History) Owner() string { return h[len(h)-1].Owner }
 
-// Extend returns a new line with one more fork; l is left alone.
-func (l History) Extend(f Fork) History {
-	out := make(History, 0, len(l)+1)
-	out = append(out, l...)
+// Extend returns a copy of the history with one more fork; the original is unchanged.
+func (h History) Extend(f Fork) History {
+	out := make(History, 0, len(h)+1)
+	out = append(out, h...)
 	return append(out, f)
 }
 
-// Position is what a caller holds: the first Offset tokens, the last of which
-// came from Epoch. The zero Position holds nothing.
+// Position is what a caller holds: the first Offset tokens, the last of which came from Epoch.
+// The zero Position holds nothing.
 type Position struct {
 	Epoch  Epoch
 	Offset int
 }
 
-// Relation says how a Position relates to an answer.
+// Relation is the result of comparing a Position with an answer.
 type Relation uint8
 
 const (
-	// Prefix means that the answer continues what the caller holds.
+	// Prefix means that the answer continues the tokens that the caller holds.
 	Prefix Relation = iota
-	// Behind means that this copy is on the caller's line but shorter than
-	// what the caller holds; a longer copy may exist elsewhere.
+	// Behind means that the caller's epoch is in this copy's history but the copy is shorter
+	// than what the caller holds; a longer copy may exist elsewhere.
 	Behind
 	// Superseded means that the caller has seen a newer epoch than this copy knows.
 	Superseded
@@ -86,16 +87,16 @@
 	return [...]string{"prefix", "behind", "superseded", "diverged"}[r]
 }
 
-// Compare compares p with an answer of length tokens on line l.
-func (l History) Compare(p Position, length int) Relation {
+// Compare returns the relation of p to an answer of length tokens with this history.
+func (h History) Compare(p Position, length int) Relation {
 	if p.Offset == 0 {
 		return Prefix
 	}
-	for i, f := range l {
+	for i, f := range h {
 		if f.Epoch != p.Epoch {
 			continue
 		}
-		if i+1 < len(l) && p.Offset > l[i+1].FromOffset {
+		if i+1 < len(h) && p.Offset > h[i+1].FromOffset {
 			return Diverged
 		}
 		if p.Offset > length {
@@ -103,16 +104,16 @@
 		}
 		return Prefix
 	}
-	if p.Epoch.OwnerCount() > l.Epoch().OwnerCount() {
+	if p.Epoch.OwnerCount() > h.Epoch().OwnerCount() {
 		return Superseded
 	}
 	return Diverged
 }
 
-// EpochAt returns the epoch that the token before offset came from.
-func (l History) EpochAt(offset int) Epoch {
-	e := l[0].Epoch
-	for _, f := range l {
+// EpochAt returns the epoch of the token before offset.
+func (h History) EpochAt(offset int) Epoch {
+	e := h[0].Epoch
+	for _, f := range h {
 		if f.FromOffset < offset {
 			e = f.Epoch
 		}
@@ -120,8 +121,8 @@
 	return e
 }
 
-// Cursor is the wire form of a position in a named generation: the id of every
-// server-sent event and the value of Last-Event-ID.
+// Cursor is the wire form of a position in a named generation: the id of every server-sent
+// event and the value of Last-Event-ID.
 type Cursor struct {
 	Generation string
 	Position   Position
@@ -135,10 +136,10 @@
 	return c.Generation + ":" + strconv.FormatUint(uint64(c.Position.Epoch), 16) + ":" + strconv.Itoa(c.Position.Offset)
 }
 
-// maxOffsetTokens bounds offsets read from callers; no answer is that long.
+// maxOffsetTokens bounds the offsets accepted from callers; no answer is that long.
 const maxOffsetTokens = 1 << 24
 
-// ParseCursor reads the form written by String.
+// ParseCursor parses the form written by String.
 func ParseCursor(s string) (Cursor, error) {
 	parts := strings.Split(s, ":")
 	if len(parts) != 3 || !IsValidID(parts[0]) {
@@ -155,10 +156,10 @@
 	return Cursor{Generation: parts[0], Position: Position{Epoch: Epoch(epoch), Offset: int(offset)}}, nil
 }
 
-// idHexDigitCount is the number of characters of a generation id after its first.
+// idHexDigitCount is the number of characters of a generation id after the first.
 const idHexDigitCount = 32
 
-// IsValidID reports whether s has the form of a generation id: g or k and 32
+// IsValidID reports whether s has the form of a generation id: g or k followed by 32
 // lower-case hexadecimal digits.
 func IsValidID(s string) bool {
 	if len(s) != idHexDigitCount+1 || (s[0] != 'g' && s[0] != 'k') {
--- a/decision/lineage/lineage_test.go
+++ b/decision/lineage/lineage_test.go
@@ -9,29 +9,29 @@
 func TestCompare(t *testing.T) {
 	first := FirstEpoch(1)
 	second := first.Next(2)
-	line := History{{Epoch: first, Owner: "a"}}.Extend(Fork{Epoch: second, FromOffset: 10, Owner: "b"})
+	history := History{{Epoch: first, Owner: "a"}}.Extend(Fork{Epoch: second, FromOffset: 10, Owner: "b"})
 	for _, c := range []struct {
-		name   string
-		at     Position
-		length int
-		want   Relation
+		name     string
+		position Position
+		length   int
+		want     Relation
 	}{
 		{"holds nothing", Position{}, 20, Prefix},
-		{"on the first owner's part", Position{first, 10}, 20, Prefix},
-		{"past the fork of its successor", Position{first, 11}, 20, Diverged},
-		{"on the second owner's part", Position{second, 20}, 20, Prefix},
+		{"within the first owner's tokens", Position{first, 10}, 20, Prefix},
+		{"past the successor's fork", Position{first, 11}, 20, Diverged},
+		{"within the second owner's tokens", Position{second, 20}, 20, Prefix},
 		{"longer than this copy", Position{second, 21}, 20, Behind},
-		{"of a rival successor", Position{first.Next(3), 15}, 20, Diverged},
+		{"of a competing successor", Position{first.Next(3), 15}, 20, Diverged},
 		{"of a later owner", Position{second.Next(4), 15}, 20, Superseded},
 	} {
-		must.Eq(t, c.want, line.Compare(c.at, c.length), must.Sprint(c.name))
+		must.Eq(t, c.want, history.Compare(c.position, c.length), must.Sprint(c.name))
 	}
-	must.Eq(t, first, line.EpochAt(10))
-	must.Eq(t, second, line.EpochAt(11))
-	must.Eq(t, "b", line.Owner())
+	must.Eq(t, first, history.EpochAt(10))
+	must.Eq(t, second, history.EpochAt(11))
+	must.Eq(t, "b", history.Owner())
 }
 
-// Any text that is read as a cursor writes back as one that reads the same.
+// A parsed cursor must be written as text that parses to the same cursor.
 func FuzzParseCursor(f *testing.F) {
 	id := "g0123456789abcdef0123456789abcdef"
 	for _, s := range []string{id + ":1000000000001:5", id + ":0:0", id + ":ffffffffffffffff:16777216", "", "::", id + ":+1:1", id + ":1:-1"} {
--- a/decision/verdict/verdict.go
+++ b/decision/verdict/verdict.go
@@ -1,5 +1,5 @@
-// Package verdict answers one question about a refused or failed request: may
-// it have run? Every error that reaches a caller carries a Verdict.
+// Package verdict classifies refused and failed requests by whether the request may have run.
+// Every error that reaches a caller carries a Verdict.
 package verdict
 
 import (
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Verdict says whether a request may have had an effect at a backend server.
-// The zero value is MayHaveRun, so an error built without thought is never
-// taken for a promise that nothing happened.
+// Verdict says whether a request may have had an effect at a backend server. The zero value is
+// MayHaveRun, so that an error without an explicit verdict never promises that nothing
+// happened.
 type Verdict uint8
 
 const (
@@ -34,7 +34,7 @@
 	}
 }
 
-// Parse reads the wire form written by String.
+// Parse parses the wire form written by String.
 func Parse(s string) (Verdict, error) {
 	for _, v := range []Verdict{MayHaveRun, NotRun, Ran} {
 		if v.String() == s {
@@ -73,8 +73,7 @@
 	CodePoison                Code = "ends_backend_servers"
 )
 
-// Error is a failure with its verdict. RetryAfter is zero where waiting does
-// not help.
+// Error is a failure with its verdict. RetryAfter is zero if waiting does not help.
 type Error struct {
 	Verdict    Verdict
 	Code       Code
@@ -112,8 +111,8 @@
 	return e
 }
 
-// FromError returns the Error inside err, or wraps err as MayHaveRun when there is
-// none: an unclassified failure promises nothing.
+// FromError returns the Error in the chain of err. If there is none, it wraps err with
+// MayHaveRun, because nothing is known about an unclassified failure.
 func FromError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
