--- a/decision/resume/decide.go
+++ b/decision/resume/decide.go
@@ -6,18 +6,18 @@
 	"mallowwind.dev/decision/silence"
 )
 
-// Action is what to do next about an answer.
+// Action is the next step for an answer.
 type Action uint8
 
 // The actions.
 const (
-	Wait         Action = iota // let the running attempts go on
+	Wait         Action = iota // let the running attempts continue
 	Reattach                   // read the leading attempt again on a fresh connection
 	StartAttempt               // start one more attempt
-	Fail                       // tell the caller that the answer stops here
+	Fail                       // tell the caller that the answer ends here
 )
 
-// Reason explains an Action, for logs and metrics.
+// Reason explains an Action in logs and metrics.
 type Reason string
 
 // The reasons.
@@ -34,101 +34,102 @@
 )
 
 const (
-	// maxAttempts bounds attempts in a row that an engine took and that
-	// delivered nothing. A request that brings down every engine it reaches
-	// shows like this; five covers two engine deaths and a rack switch in one resume.
+	// maxAttempts bounds the consecutive attempts that an engine accepted and that delivered
+	// nothing. A request that crashes every engine it reaches looks like this. Five covers two
+	// engine deaths and the failure of a rack switch in one resume.
 	maxAttempts = 5
-	// maxConcurrentAttempts bounds attempts that run at once. Two cover the usual loss; the
-	// third is for a takeover that lands on another engine of the same lost zone.
+	// maxConcurrentAttempts bounds the attempts that run at once. Two cover the usual loss;
+	// the third is for a takeover that lands on another engine in the same lost zone.
 	maxConcurrentAttempts = 3
 	// minDeadline is the least time without any token before an answer fails.
 	minDeadline = 60 * time.Second
-	// certainCeilingCount is how many ceilings of silence make an engine's loss
-	// certain for all practical ends: past it a takeover is owed, not speculative.
+	// certainCeilingCount is the silence, in multiples of the silence ceiling, after which the
+	// loss of an engine is treated as certain: from then on a takeover is required and not
+	// speculative.
 	certainCeilingCount = 2
 )
 
-// Policy bounds what is done for one answer.
+// Policy bounds the attempts made for one answer.
 type Policy struct {
-	// Silence says when an attempt is suspected.
+	// Silence configures when an attempt is suspected.
 	Silence silence.Config
-	// MaxAttempts bounds attempts in a row that delivered nothing.
+	// MaxAttempts bounds the consecutive attempts that delivered nothing.
 	MaxAttempts int
-	// MaxConcurrentAttempts bounds attempts that run at once. 1 means that a suspected
-	// attempt is given up before its successor starts.
+	// MaxConcurrentAttempts bounds the attempts that run at once. With 1 a suspected attempt
+	// is cancelled before its successor starts.
 	MaxConcurrentAttempts int
 	// Deadline bounds the time without any token before the answer fails.
 	Deadline time.Duration
-	// CertainAfter is the silence from which a takeover is no longer speculative.
+	// CertainAfter is the silence after which a takeover is no longer speculative.
 	CertainAfter time.Duration
 	// Reattach allows reading an attempt again on a fresh connection.
 	Reattach bool
-	// StandbyIntervalTokens is how many tokens apart another engine is made to read the
-	// answer so far, so that a takeover there needs no prefill; 0 means never.
+	// StandbyIntervalTokens is the number of tokens after which another engine reads the
+	// answer so far once more, so that a takeover there needs no prefill; 0 disables it.
 	StandbyIntervalTokens int
 }
 
-// PolicyForService returns the policy of a service by its weight of resume latency
-// against extra resources and the time it may wait for its first token.
+// PolicyForService returns the policy of a service, given its weight of resume latency against
+// extra resources and the time that it may wait for its first token.
 func PolicyForService(weight float64, deadline time.Duration) Policy {
 	s := silence.ConfigForWeight(weight)
 	return Policy{
 		Silence:               s,
 		MaxAttempts:           maxAttempts,
 		MaxConcurrentAttempts: maxConcurrentAttempts,
-		// A service that may wait long for its first token may also wait as long
-		// for a continuation: its answer is owed, and the engines may come back.
+		// A service that may wait long for its first token may wait as long for a
+		// continuation: its caller still needs the answer, and the engines may come back.
 		Deadline:     max(minDeadline, deadline),
 		CertainAfter: certainCeilingCount * s.Ceiling,
 		Reattach:     true,
 	}
 }
 
-// AnswerState is what is known about an answer when a decision is due. Silent and
-// Threshold are those of the attempt that is least suspicious, since as long as
-// one is healthy the answer goes on.
+// AnswerState describes an answer when a decision is due. SilentFor and SuspectAfter are those
+// of the least suspicious attempt, because the answer continues as long as one attempt is
+// healthy.
 type AnswerState struct {
-	RunningAttempts int           // attempts that may still win, those waiting for a backend server included
-	RacingAttempts  int           // those of them that do not merely read an engine again
-	SilentFor       time.Duration // since the attempt last delivered or was granted its engine
-	StalledFor      time.Duration // since the last accepted token or, before it, since the start
-	SuspectAfter    time.Duration // silence at which the attempt is suspected
-	FailedAttempts  int           // attempts since the last accepted token that an engine took and that failed
+	RunningAttempts int           // that can still win, including those that wait for a backend server
+	RacingAttempts  int           // running, without those that only read an engine's output again
+	SilentFor       time.Duration // since the attempt last delivered or was given its engine
+	StalledFor      time.Duration // since the last accepted token or, before the first one, since the start
+	SuspectAfter    time.Duration // silence after which the attempt is suspected
+	FailedAttempts  int           // accepted by an engine and failed, since the last accepted token
 	GlobalStall     bool
-	// CanReattach says that the leading attempt may still run at its engine
-	// and was not yet read again since it last delivered.
+	// CanReattach reports that the leading attempt may still run at its engine and has not
+	// been read again since it last delivered.
 	CanReattach bool
 }
 
-// Decide chooses the next action. Whether extra work is affordable is decided
-// in one place for all of it, where a backend server is asked for.
-func Decide(p Policy, v AnswerState) (Action, Reason) {
+// Decide chooses the next action. Whether extra work is affordable is not decided here but in
+// one place for all extra work, when a backend server is requested.
+func Decide(p Policy, s AnswerState) (Action, Reason) {
 	switch {
-	case v.StalledFor >= p.Deadline:
+	case s.StalledFor >= p.Deadline:
 		return Fail, ReasonDeadline
-	case v.RunningAttempts == 0 && v.FailedAttempts >= p.MaxAttempts:
+	case s.RunningAttempts == 0 && s.FailedAttempts >= p.MaxAttempts:
 		return Fail, ReasonAttemptsExhausted
-	case v.RunningAttempts == 0 && p.Reattach && v.CanReattach:
+	case s.RunningAttempts == 0 && p.Reattach && s.CanReattach:
 		return Reattach, ReasonNoAttemptRunning
-	case v.RunningAttempts == 0:
+	case s.RunningAttempts == 0:
 		return StartAttempt, ReasonNoAttemptRunning
-	case p.Reattach && v.CanReattach && v.SilentFor >= p.ProbeAfter(v.SuspectAfter) && v.SilentFor < v.SuspectAfter:
+	case p.Reattach && s.CanReattach && s.SilentFor >= p.ProbeAfter(s.SuspectAfter) && s.SilentFor < s.SuspectAfter:
 		return Reattach, ReasonProbe
-	case v.SilentFor < v.SuspectAfter:
+	case s.SilentFor < s.SuspectAfter:
 		return Wait, ReasonHealthy
-	case p.MaxConcurrentAttempts > 1 && v.RacingAttempts >= p.MaxConcurrentAttempts && v.SilentFor < p.CertainAfter:
+	case p.MaxConcurrentAttempts > 1 && s.RacingAttempts >= p.MaxConcurrentAttempts && s.SilentFor < p.CertainAfter:
 		return Wait, ReasonAlreadyRacing
-	case v.SilentFor >= p.CertainAfter && !v.GlobalStall:
+	case s.SilentFor >= p.CertainAfter && !s.GlobalStall:
 		return StartAttempt, ReasonSilentTooLong
-	case v.GlobalStall && v.SilentFor < p.CertainAfter:
+	case s.GlobalStall && s.SilentFor < p.CertainAfter:
 		return Wait, ReasonGlobalStall
 	default:
 		return StartAttempt, ReasonSuspected
 	}
 }
 
-// ProbeAfter is the silence after which the leading attempt is read again on a
-// fresh connection. That costs one message and no prefill, so half the
-// suspicion is enough; it mends connections that went silent while the engine
-// works on, and leaves the other half for a takeover when it does not.
+// ProbeAfter returns the silence after which the leading attempt is read again on a fresh
+// connection. Reading again costs one message and no prefill, so half the suspicion threshold
+// is enough. It recovers connections that went silent while the engine continues, and
+// otherwise leaves the other half of the threshold before a takeover.
 func (p Policy) ProbeAfter(threshold time.Duration) time.Duration { return threshold / 2 }
--- a/decision/resume/resume.go
+++ b/decision/resume/resume.go
@@ -1,25 +1,26 @@
-// Package resume decides what becomes of an answer whose engine is silent or
-// has failed, and which tokens of which attempt are accepted.
+// Package resume decides how to continue an answer whose engine is silent or has failed, and
+// which tokens of which attempt are accepted.
 //
-// The load pattern: an engine dies with many long streams, or all engines slow
-// down together. Waiting for certainty makes callers wait; starting over at
-// every silence doubles the work exactly when engines are busiest, and many
-// takeovers at once can keep a pool overloaded after the cause has gone. Takeovers
-// therefore race the suspected attempt, at most one at a time, and draw on a budget.
+// It handles an engine that dies with many long streams, and all engines slowing down
+// together.
+//
+// Without it, callers wait until the loss is certain, or each silence starts the generation
+// again, which doubles the work exactly when engines are busiest; and many takeovers at once
+// can keep a pool overloaded after the cause has gone. A takeover therefore races the
+// suspected attempt, takeovers start one at a time, and they are paid for by a budget.
 package resume
 
-// Race admits tokens of competing attempts into one answer.
+// Race merges the tokens of competing attempts into one answer.
 //
-// Invariant: the accepted tokens are the prefix given to the attempt that
-// delivered last, followed only by tokens of that attempt. So as soon as one
-// attempt extends the answer, every other attempt has lost: its tokens continue
-// a text that is no longer the answer. The zero value is an empty answer. It is
-// not safe for concurrent use.
+// Invariant: the accepted tokens are the prefix given to the attempt that delivered last,
+// followed only by tokens of that attempt. As soon as one attempt extends the answer, every
+// other attempt has therefore lost: its tokens continue a different text. The zero value is an
+// empty answer. It is not safe for concurrent use.
 type Race struct {
 	acceptedTokens int
 	finished       bool
-	leader         uint64 // attempt that delivered last, 0 if none
-	prefixTokens   map[uint64]int
+	leader         uint64         // attempt that delivered last, 0 if none
+	prefixTokens   map[uint64]int // length of the answer when the attempt was added, by attempt
 }
 
 // DropReason says why tokens were not accepted.
@@ -31,10 +32,10 @@
 	Superseded             // another attempt extended the answer first
 	Duplicate              // the whole chunk lies before the next offset
 	Gap                    // the chunk begins after the next offset
-	AfterFinish            // the answer is already whole
+	AfterFinish            // the answer is already complete
 )
 
-// String returns the lower-case name.
+// String returns the name used in logs and metrics.
 func (d DropReason) String() string {
 	return [...]string{"accepted", "outrun", "repeated", "gap", "after_finish"}[d]
 }
@@ -50,10 +51,10 @@
 // Leader returns the attempt that delivered last, 0 if none did.
 func (r *Race) Leader() uint64 { return r.leader }
 
-// IsFinished reports whether the answer is whole.
+// IsFinished reports whether the answer is complete.
 func (r *Race) IsFinished() bool { return r.finished }
 
-// AddAttempt enters an attempt whose prefix is the answer as it stands.
+// AddAttempt adds an attempt whose prefix is the current answer.
 func (r *Race) AddAttempt(attempt uint64) {
 	if r.prefixTokens == nil {
 		r.prefixTokens = make(map[uint64]int)
@@ -61,26 +62,27 @@
 	r.prefixTokens[attempt] = r.acceptedTokens
 }
 
-// AddReattached enters an attempt that produced the last accepted tokens itself.
+// AddReattached adds an attempt that produced the last accepted tokens itself.
 func (r *Race) AddReattached(attempt uint64) {
 	r.AddAttempt(attempt)
 	r.leader = attempt
 }
 
-// RemoveAttempt removes an attempt: it failed or was cancelled.
+// RemoveAttempt removes an attempt that failed or was cancelled.
 func (r *Race) RemoveAttempt(attempt uint64) { delete(r.prefixTokens, attempt) }
 
-// Running returns the number of attempts that may still win.
+// Running returns the number of attempts that can still win.
 func (r *Race) Running() int { return len(r.prefixTokens) }
 
-// Offer decides about a chunk of n tokens at offset, the last one if finish is
-// set. On Accepted, skip is the number of leading tokens already held.
+// Offer decides whether to accept a chunk of n tokens at offset; finish marks the last chunk.
+// If the result is Accepted, skip is the number of leading tokens of the chunk that the answer
+// already has.
 func (r *Race) Offer(attempt uint64, offset, n int, finish bool) (skip int, drop DropReason) {
-	base, running := r.prefixTokens[attempt]
+	prefix, running := r.prefixTokens[attempt]
 	switch {
 	case r.finished:
 		return 0, AfterFinish
-	case !running || (r.acceptedTokens > base && r.leader != attempt):
+	case !running || (r.acceptedTokens > prefix && r.leader != attempt):
 		return 0, Superseded
 	case offset > r.acceptedTokens:
 		return 0, Gap
@@ -99,8 +101,8 @@
 // Losers returns the attempts that can no longer win.
 func (r *Race) Losers() []uint64 {
 	var out []uint64
-	for a, base := range r.prefixTokens {
-		if a != r.leader && r.acceptedTokens > base {
+	for a, prefix := range r.prefixTokens {
+		if a != r.leader && r.acceptedTokens > prefix {
 			out = append(out, a)
 		}
 	}
--- a/decision/resume/resume_test.go
+++ b/decision/resume/resume_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Two attempts race. As soon as one extends the answer, the other's tokens
-// continue a text that is no longer the answer.
+// Two attempts race. As soon as one of them extends the answer, the tokens of the other
+// continue a different text and must be dropped.
 func TestRaceHasOneWinner(t *testing.T) {
 	var r Race
 	r.AddAttempt(1)
@@ -58,25 +58,25 @@
 	const threshold = 300 * time.Millisecond
 	for _, c := range []struct {
 		name   string
-		view   AnswerState
+		state  AnswerState
 		action Action
 		reason Reason
 	}{
 		{"healthy", AnswerState{RunningAttempts: 1, SilentFor: threshold / 3, SuspectAfter: threshold, CanReattach: true}, Wait, ReasonHealthy},
-		{"half the suspicion", AnswerState{RunningAttempts: 1, SilentFor: threshold / 2, SuspectAfter: threshold, CanReattach: true}, Reattach, ReasonProbe},
+		{"half the suspicion threshold", AnswerState{RunningAttempts: 1, SilentFor: threshold / 2, SuspectAfter: threshold, CanReattach: true}, Reattach, ReasonProbe},
 		{"suspected", AnswerState{RunningAttempts: 2, SilentFor: threshold, SuspectAfter: threshold}, StartAttempt, ReasonSuspected},
-		{"all stalled", AnswerState{RunningAttempts: 1, SilentFor: threshold, SuspectAfter: threshold, GlobalStall: true}, Wait, ReasonGlobalStall},
+		{"all engines stalled", AnswerState{RunningAttempts: 1, SilentFor: threshold, SuspectAfter: threshold, GlobalStall: true}, Wait, ReasonGlobalStall},
 		{"stalled for long", AnswerState{RunningAttempts: 1, SilentFor: p.CertainAfter, SuspectAfter: threshold, GlobalStall: true}, StartAttempt, ReasonSuspected},
 		{"silent for long", AnswerState{RunningAttempts: 1, SilentFor: p.CertainAfter, SuspectAfter: threshold}, StartAttempt, ReasonSilentTooLong},
 		{"three race", AnswerState{RunningAttempts: 3, RacingAttempts: 3, SilentFor: threshold, SuspectAfter: threshold}, Wait, ReasonAlreadyRacing},
-		{"two race and one reads again", AnswerState{RunningAttempts: 3, RacingAttempts: 2, SilentFor: threshold, SuspectAfter: threshold}, StartAttempt, ReasonSuspected},
+		{"two race and one is read again", AnswerState{RunningAttempts: 3, RacingAttempts: 2, SilentFor: threshold, SuspectAfter: threshold}, StartAttempt, ReasonSuspected},
 		{"three race for long", AnswerState{RunningAttempts: 3, RacingAttempts: 3, SilentFor: p.CertainAfter, SuspectAfter: threshold}, StartAttempt, ReasonSilentTooLong},
 		{"connection broke", AnswerState{CanReattach: true}, Reattach, ReasonNoAttemptRunning},
 		{"engine gone", AnswerState{}, StartAttempt, ReasonNoAttemptRunning},
-		{"every engine it meets dies", AnswerState{FailedAttempts: maxAttempts}, Fail, ReasonAttemptsExhausted},
-		{"nothing for too long", AnswerState{RunningAttempts: 1, StalledFor: p.Deadline}, Fail, ReasonDeadline},
+		{"every engine that takes the request dies", AnswerState{FailedAttempts: maxAttempts}, Fail, ReasonAttemptsExhausted},
+		{"no token for too long", AnswerState{RunningAttempts: 1, StalledFor: p.Deadline}, Fail, ReasonDeadline},
 	} {
-		action, reason := Decide(p, c.view)
+		action, reason := Decide(p, c.state)
 		must.Eq(t, c.action, action, must.Sprint(c.name))
 		must.Eq(t, c.reason, reason, must.Sprint(c.name))
 	}
--- a/decision/silence/silence.go
+++ b/decision/silence/silence.go
@@ -1,51 +1,53 @@
-// Package silence decides when a stream that delivers nothing is suspicious.
+// Package silence decides when a stream that delivers nothing is suspected to have lost its
+// engine.
 //
-// The load pattern: engines batch continuously, so the gap between two chunks
-// depends on the batch and differs between engines and hours. A dead engine
-// most often shows as silence, not as an error. A fixed timeout long enough for
-// the slowest engine makes every resume wait that long; one short enough for
-// the fastest starts needless takeovers whenever a batch grows. The threshold
-// is therefore learned from the gaps seen, as TCP learns its retransmission
-// timeout (Jacobson 1988): smoothed gap plus a multiple of its smoothed deviation.
+// It handles engines that batch continuously, so that the gap between two chunks depends on
+// the batch and differs between engines and over time. A dead engine most often shows as
+// silence and not as an error.
+//
+// A fixed timeout that is long enough for the slowest engine delays every resume by that time;
+// one that is short enough for the fastest starts needless takeovers whenever a batch grows.
+// The threshold is therefore learned from the observed gaps, as TCP learns its retransmission
+// timeout (Jacobson 1988): the smoothed gap plus a multiple of its smoothed deviation.
 package silence
 
 import "time"
 
 const (
-	// meanGainDivisor and gainDev are the smoothing gains of RFC 6298, 1/8 and 1/4.
+	// meanGainDivisor and devGainDivisor are the inverses of the smoothing gains of RFC 6298,
+	// 1/8 and 1/4.
 	meanGainDivisor = 8
 	devGainDivisor  = 4
-	// minSampleCount is how many gaps must have been seen before they are trusted.
+	// minSampleCount is the number of gaps that must be observed before the estimate is used.
 	minSampleCount = 8
 )
 
 // Config bounds the learned thresholds.
 type Config struct {
-	// Floor is the shortest silence ever suspected. It covers what no gap
-	// history foresees: a garbage collection pause or a lost packet's
-	// retransmission (200 ms at the least on common systems).
+	// Floor is the least threshold. It covers delays that the gap history does not predict: a
+	// garbage collection pause or the retransmission of a lost packet (at least 200 ms on
+	// common systems).
 	Floor time.Duration
-	// Ceiling is the longest silence tolerated, and the threshold before
-	// enough gaps were seen.
+	// Ceiling is the greatest threshold, and the threshold before enough gaps were observed.
 	Ceiling time.Duration
-	// FirstChunkFloor and FirstCeiling bound the wait for the first chunk of an
-	// attempt, which also covers queueing at the engine and the prompt's prefill.
+	// FirstChunkFloor and FirstChunkCeiling bound the wait for the first chunk of an attempt,
+	// which also includes queueing at the engine and the prompt's prefill.
 	FirstChunkFloor, FirstChunkCeiling time.Duration
-	// Deviations is how many smoothed deviations above the smoothed gap are normal.
+	// Deviations is the number of smoothed deviations above the smoothed gap that are normal.
 	Deviations int
-	// FirstChunkDeviations is the same for first chunks. A gap is judged at each of
-	// hundreds of chunks of an answer and must be wrong far more rarely than the
-	// wait for a first chunk, which is judged once an attempt.
+	// FirstChunkDeviations is the same for first chunks. Each of the hundreds of chunks of an
+	// answer is compared with the threshold, so false suspicions must be far rarer for them
+	// than for a first chunk, which is compared once per attempt.
 	FirstChunkDeviations int
-	// TakeoverDeviations is the same for the first chunk of a takeover. Its answer
-	// stands still already, and the engine it landed on may be lost like the
-	// first, in the same zone; one more prefill is worth less than that wait.
+	// TakeoverDeviations is the same for the first chunk of a takeover. The answer is already
+	// stalled, and the new engine may be lost like the first, in the same zone; one more
+	// prefill costs less than that wait.
 	TakeoverDeviations int
 }
 
-// ConfigForWeight returns the bounds for a service's weight of resume latency, from
-// 0 (spend no extra resources) to 1 (resume as soon as possible). A suspicion
-// that proves wrong costs a prefill, so services that weigh cost wait longer.
+// ConfigForWeight returns the bounds for a service's weight of resume latency, from 0 (spend
+// no extra resources) to 1 (resume as soon as possible). A false suspicion costs a prefill, so
+// services that weigh cost wait longer.
 func ConfigForWeight(weight float64) Config {
 	weight = min(max(weight, 0), 1)
 	between := func(cost, latency time.Duration) time.Duration {
@@ -63,11 +65,11 @@
 	}
 }
 
-// GapEstimator learns the gaps of one stream or one engine. The zero value knows
-// nothing. It is not safe for concurrent use.
+// GapEstimator learns the gaps of one stream or one engine. The zero value has no samples. It
+// is not safe for concurrent use.
 type GapEstimator struct {
 	sampleCount int
-	mean, dev   time.Duration
+	mean, dev   time.Duration // smoothed gap and smoothed deviation
 }
 
 // Observe adds one gap between two consecutive chunks.
@@ -89,13 +91,13 @@
 	g.sampleCount++
 }
 
-// HasEnoughSamples reports whether enough gaps were seen to trust them.
+// HasEnoughSamples reports whether enough gaps were observed to use the estimate.
 func (g *GapEstimator) HasEnoughSamples() bool { return g.sampleCount >= minSampleCount }
 
 // Mean returns the smoothed gap.
 func (g *GapEstimator) Mean() time.Duration { return g.mean }
 
-// threshold returns the learned limit, or ceiling while nothing is known.
+// threshold returns the learned threshold, or ceiling while there are not enough samples.
 func (g *GapEstimator) threshold(floor, ceiling time.Duration, deviations int) time.Duration {
 	if !g.HasEnoughSamples() {
 		return ceiling
@@ -103,10 +105,10 @@
 	return min(max(g.mean+time.Duration(deviations)*g.dev, floor), ceiling)
 }
 
-// Threshold returns how long a stream may be silent after its last chunk
-// before it is suspected. It combines what the stream itself showed with what
-// its engine showed on other streams: a stream alone is blind to a batch that
-// just grew, an engine alone to a stream that is always slow.
+// Threshold returns how long a stream may be silent after its last chunk before it is
+// suspected. It combines the gaps of the stream with those of its engine's other streams: the
+// stream alone does not show that the batch has just grown, and the engine alone does not show
+// that this stream is always slow.
 func Threshold(c Config, stream, engine *GapEstimator) time.Duration {
 	s := stream.threshold(c.Floor, c.Ceiling, c.Deviations)
 	if engine == nil || !engine.HasEnoughSamples() {
@@ -119,56 +121,57 @@
 	return max(s, e)
 }
 
-// prefillScaleTokens is how many tokens of prompt and prefix double the time to the
-// first chunk that is taken to be normal: an engine that reads some 10,000
-// tokens a second beside its batch needs 400 ms for as many.
+// prefillScaleTokens is the number of tokens of prompt and prefix that doubles the normal time
+// to the first chunk: an engine that reads some 10,000 tokens per second beside its batch
+// needs 400 ms for that many.
 const prefillScaleTokens = 4000
 
-// prefillRatio is how much longer than for an empty prompt the first chunk may take.
+// prefillRatio returns the expected time to the first chunk relative to that of an empty
+// prompt.
 func prefillRatio(tokens int) float64 { return 1 + float64(tokens)/prefillScaleTokens }
 
-// NormalizeFirstChunkWait reduces the time to a first chunk to that of an empty prompt, so
-// that the times of long and short prompts can be learned together.
+// NormalizeFirstChunkWait scales the time to a first chunk to that of an empty prompt, so that
+// one estimator can learn the times of long and short prompts.
 func NormalizeFirstChunkWait(wait time.Duration, tokens int) time.Duration {
 	return time.Duration(float64(wait) / prefillRatio(tokens))
 }
 
-// FirstChunkThreshold returns how long an attempt over tokens of prompt and prefix
-// may take to its first chunk, given the times seen at its engine, each reduced
-// by PerPrompt (nil where none are kept).
+// FirstChunkThreshold returns how long an attempt over tokens of prompt and prefix may take
+// until its first chunk. engine holds the times observed at its engine, each scaled by
+// NormalizeFirstChunkWait, or is nil if there are none.
 func FirstChunkThreshold(c Config, engine *GapEstimator, tokens int, takeover bool) time.Duration {
 	deviations := c.FirstChunkDeviations
 	if takeover {
 		deviations = c.TakeoverDeviations
 	}
-	limit := c.FirstChunkCeiling
+	threshold := c.FirstChunkCeiling
 	if engine != nil {
-		limit = engine.threshold(c.FirstChunkFloor, c.FirstChunkCeiling, deviations)
+		threshold = engine.threshold(c.FirstChunkFloor, c.FirstChunkCeiling, deviations)
 	}
-	return time.Duration(float64(limit) * prefillRatio(tokens))
+	return time.Duration(float64(threshold) * prefillRatio(tokens))
 }
 
-// maxTimerDelay is how much later than asked for a timer may fire before the
-// process itself is taken to have been paused.
+// maxTimerDelay is how late a timer may fire before the process itself is considered to have
+// been paused.
 const maxTimerDelay = 150 * time.Millisecond
 
-// WasPaused reports whether a process that meant to look at due and looks at
-// now was paused or starved itself. All streams seem silent to it then, while
-// their chunks wait in its own buffers; silence must be counted anew.
+// WasPaused reports whether this process, whose timer was due at due and fired at now, was
+// paused or starved itself. All streams then appear silent while their chunks wait in the
+// process's own buffers, so silence must be measured anew.
 func WasPaused(due, now time.Time) bool { return !due.IsZero() && now.Sub(due) > maxTimerDelay }
 
-// stallRatio is the share of streams silent at once above which the cause is
-// taken to lie outside single engines: here, or in the network near here. A
-// loss that takes a third of the engines is the largest one zone can cause.
+// stallRatio is the ratio of silent streams above which the cause is considered to lie outside
+// single engines: in this process or in the network near it. The largest loss that one zone
+// can cause takes a third of the engines.
 const stallRatio = 0.5
 
-// minStreamCount is the least number of streams for which a share means anything.
+// minStreamCount is the least number of streams for a meaningful ratio.
 const minStreamCount = 4
 
-// IsGlobalStall reports whether so many streams are silent at once that taking
-// over would only add load: many prompts read anew by engines that are all
-// slow. silent and total count streams on engines other than the one suspected,
-// so that the death of the one engine in use is not mistaken for a stall.
+// IsGlobalStall reports whether so many streams are silent at once that takeovers would only
+// add load, because many prompts would be read again by engines that are all slow. silent and
+// total count the streams on engines other than the suspected one, so that the death of the
+// only engine in use is not mistaken for a stall.
 func IsGlobalStall(silent, total int) bool {
 	return total >= minStreamCount && float64(silent) > stallRatio*float64(total)
 }
--- a/decision/silence/silence_test.go
+++ b/decision/silence/silence_test.go
@@ -17,8 +17,8 @@
 	return g
 }
 
-// The threshold follows the engine that is in use: neither a fixed one that is
-// long for the fast, nor one that suspects the slow.
+// A fixed threshold is either too long for a fast engine or suspects a slow one. The threshold
+// must adapt to the engine in use.
 func TestThresholdAdaptsToTheGaps(t *testing.T) {
 	c := ConfigForWeight(1)
 	fast := trainedEstimator(20*time.Millisecond, 30*time.Millisecond)
@@ -28,7 +28,7 @@
 	must.Greater(t, 300*time.Millisecond, Threshold(c, slow, nil))
 	must.LessEq(t, c.Ceiling, Threshold(c, slow, nil))
 	must.Eq(t, Threshold(c, slow, nil), Threshold(c, fast, slow), must.Sprint("an engine whose batch just grew"))
-	must.Eq(t, c.Floor, Threshold(c, &GapEstimator{}, fast), must.Sprint("a new stream trusts its engine"))
+	must.Eq(t, c.Floor, Threshold(c, &GapEstimator{}, fast), must.Sprint("a new stream uses its engine's gaps"))
 }
 
 func TestWeightShortensEveryBound(t *testing.T) {
@@ -40,9 +40,9 @@
 	must.Eq(t, latency, ConfigForWeight(7))
 }
 
-// A long contract takes seconds to read; a short question does not. Waits
-// learned from one serve the other.
-func TestFirstThresholdScalesWithThePrompt(t *testing.T) {
+// A long contract takes seconds to read and a short question does not. Waits learned from one
+// of them must be usable for the other.
+func TestFirstChunkThresholdScalesWithThePrompt(t *testing.T) {
 	c := ConfigForWeight(1)
 	engine := &GapEstimator{}
 	for range minSampleCount {
@@ -52,12 +52,12 @@
 	must.Eq(t, 2*short, long)
 	must.Greater(t, 2*time.Second, long)
 	must.Eq(t, 2*c.FirstChunkCeiling, FirstChunkThreshold(c, nil, prefillScaleTokens, false))
-	must.Less(t, short, FirstChunkThreshold(c, engine, 0, true), must.Sprint("an answer that stands still"))
+	must.Less(t, short, FirstChunkThreshold(c, engine, 0, true), must.Sprint("a takeover of a stalled answer"))
 }
 
 func TestIsGlobalStall(t *testing.T) {
-	must.False(t, IsGlobalStall(3, 3), must.Sprint("too few to tell"))
-	must.False(t, IsGlobalStall(4, 12), must.Sprint("a zone of three"))
+	must.False(t, IsGlobalStall(3, 3), must.Sprint("too few streams"))
+	must.False(t, IsGlobalStall(4, 12), must.Sprint("the loss of one zone of three"))
 	must.True(t, IsGlobalStall(7, 12))
 }
 
