--- a/decision/slot/plan.go
+++ b/decision/slot/plan.go
@@ -1,21 +1,21 @@
 package slot
 
-// Reason says why a slot changes hands.
+// Reason says why a slot's assignment changes.
 type Reason uint8
 
-// The reasons of moves, most urgent first.
+// The reasons, most urgent first.
 const (
-	// NeverAssigned slots were never assigned.
+	// NeverAssigned: the slot has no assignment yet.
 	NeverAssigned Reason = iota
 	// OwnerLost: the owner is gone or leaving; the witness takes over.
 	OwnerLost
 	// WitnessLost: the owner needs a new witness.
 	WitnessLost
-	// Sealed: a change began and did not end; the owner starts the next term.
+	// Sealed: a change was started and not completed; the owner starts the next term.
 	Sealed
-	// BothLost: neither of the pair is healthy.
+	// BothLost: neither the owner nor the witness is healthy.
 	BothLost
-	// Rebalance: the pair is healthy but not the one the members call for.
+	// Rebalance: owner and witness are healthy but are not the highest-ranked members.
 	Rebalance
 	reasonCount
 )
@@ -25,30 +25,30 @@
 	return [...]string{"fresh", "owner_lost", "witness_lost", "sealed", "both_lost", "rebalance"}[r]
 }
 
-// MemberStatus is a member of the view with its health.
+// MemberStatus is a member and whether it is leaving.
 type MemberStatus struct {
 	Member
 	Leaving bool
 }
 
-// Snapshot is what a daemon knows when it plans.
+// Snapshot is the input of Plan: what this daemon knows about the members and the slots.
 type Snapshot struct {
 	Self    Member
-	Leaving bool // this daemon leaves: it takes nothing
+	Leaving bool // this daemon is leaving and takes no slots
 	Members []MemberStatus
 	Slots   []Assignment // indexed by slot
-	// IsSealed marks slots owned by Self that refuse new keys.
+	// IsSealed reports whether a slot owned by Self refuses new keys.
 	IsSealed func(slot int) bool
-	// Rebalance asks for moves that can wait, too.
+	// Rebalance also asks for the moves that are not urgent.
 	Rebalance bool
-	// IsStable marks slots that did not change hands lately.
+	// IsStable reports whether a slot's assignment has not changed recently.
 	IsStable func(slot int) bool
-	// AvoidWitnesses holds ids of members that did not answer as witnesses lately.
+	// AvoidWitnesses holds the ids of members that recently failed to answer as witnesses.
 	AvoidWitnesses map[string]bool
 }
 
-// Move is one change that this daemon should make: to become (or stay) the
-// owner of a slot at the next term, with a witness.
+// Move is one change that this daemon should make: to become or remain the owner of a slot at
+// the next term, with the given witness.
 type Move struct {
 	From    Assignment
 	Witness Member
@@ -57,12 +57,12 @@
 
 // Plan returns the moves for s.Self, urgent ones first.
 //
-// Exactly one healthy daemon is responsible for each repair when views agree:
-// the healthy one of the old pair, which holds the slot's keys already, else
-// the highest in rendezvous order. Where views differ two may try; the store's
-// compare-and-swap lets one win. Rebalancing comes last, so that a restart wave
-// never delays a repair; slots that may have to wait for proof of a death come
-// after those that need only this daemon.
+// When the daemons' views agree, exactly one healthy daemon is responsible for each repair:
+// the healthy one of the old owner and witness, which already holds the slot's keys, or else
+// the highest-ranked member. When views differ, two daemons may try; the store's
+// compare-and-swap lets one of them win. Slots whose owner and witness are both lost may have
+// to wait for proof that the old ones are dead, so they come after the slots that need only
+// this daemon. Rebalancing comes last, so that a wave of restarts never delays a repair.
 func Plan(s Snapshot) []Move {
 	if s.Leaving {
 		return nil
@@ -105,7 +105,7 @@
 	return !m.IsNone() && p.healthy[m.ID].IsSameProcess(m)
 }
 
-// planSlot decides about one slot.
+// planSlot decides on the move for one slot.
 func (p *planner) planSlot(a Assignment) (Move, bool) {
 	owner, witness := p.isHealthy(a.Owner), p.isHealthy(a.Witness)
 	switch {
@@ -122,46 +122,47 @@
 	}
 }
 
-// moveIfResponsible makes the move if the responsible member is this daemon.
+// moveIfResponsible returns the move if this daemon is the responsible member.
 func (p *planner) moveIfResponsible(a Assignment, why Reason, responsible Member) (Move, bool) {
 	if !responsible.IsSameProcess(p.Self) {
 		return Move{}, false
 	}
-	w := p.ranker.witness(a.Slot, p.Self, p.AvoidWitnesses)
-	return Move{From: a, Witness: w, Reason: why}, true
+	newWitness := p.ranker.witness(a.Slot, p.Self, p.AvoidWitnesses)
+	return Move{From: a, Witness: newWitness, Reason: why}, true
 }
 
-// replaceWitness covers a witness that is gone, leaving or was never there.
+// replaceWitness plans a slot whose owner is healthy and whose witness is gone, leaving or was
+// never assigned.
 func (p *planner) replaceWitness(a Assignment) (Move, bool) {
 	if !a.Owner.IsSameProcess(p.Self) {
 		return Move{}, false
 	}
-	w := p.ranker.witness(a.Slot, p.Self, p.AvoidWitnesses)
-	if w.IsNone() && a.Witness.IsNone() && !p.IsSealed(a.Slot) {
+	newWitness := p.ranker.witness(a.Slot, p.Self, p.AvoidWitnesses)
+	if newWitness.IsNone() && a.Witness.IsNone() && !p.IsSealed(a.Slot) {
 		return Move{}, false
 	}
-	return Move{From: a, Witness: w, Reason: WitnessLost}, true
+	return Move{From: a, Witness: newWitness, Reason: WitnessLost}, true
 }
 
-// planHealthyPair covers slots whose pair is healthy.
+// planHealthyPair plans a slot whose owner and witness are healthy.
 func (p *planner) planHealthyPair(a Assignment) (Move, bool) {
-	own := a.Owner.IsSameProcess(p.Self)
-	if own && p.IsSealed(a.Slot) {
+	isOwner := a.Owner.IsSameProcess(p.Self)
+	if isOwner && p.IsSealed(a.Slot) {
 		return p.moveIfResponsible(a, Sealed, p.Self)
 	}
-	if own && p.AvoidWitnesses[a.Witness.ID] {
+	if isOwner && p.AvoidWitnesses[a.Witness.ID] {
 		return p.moveIfResponsible(a, WitnessLost, p.Self)
 	}
 	if !p.Rebalance || !p.IsStable(a.Slot) {
 		return Move{}, false
 	}
 	target := p.ranker.owner(a.Slot)
-	if !own {
+	if !isOwner {
 		return p.moveIfResponsible(a, Rebalance, target)
 	}
 	if !target.IsSameProcess(p.Self) {
 		return Move{}, false
 	}
-	w := p.ranker.witness(a.Slot, p.Self, p.AvoidWitnesses)
-	return Move{From: a, Witness: w, Reason: Rebalance}, !w.IsSameProcess(a.Witness)
+	newWitness := p.ranker.witness(a.Slot, p.Self, p.AvoidWitnesses)
+	return Move{From: a, Witness: newWitness, Reason: Rebalance}, !newWitness.IsSameProcess(a.Witness)
 }
--- a/decision/slot/plan_test.go
+++ b/decision/slot/plan_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// converge applies every daemon's moves to fresh slots until nobody moves.
+// converge applies every daemon's moves to the slots until no daemon plans a move.
 func converge(t *testing.T, all []MemberStatus, slots []Assignment) []Assignment {
 	slots = append([]Assignment(nil), slots...)
 	for range 5 {
@@ -40,7 +40,7 @@
 			return slots
 		}
 	}
-	t.Fatal("slots never settle")
+	t.Fatal("slots did not converge")
 	return nil
 }
 
@@ -65,8 +65,8 @@
 }
 
 func TestLossMovesOnlySlotsOfTheLostMember(t *testing.T) {
-	// One entry VM dies. Slots it had nothing to do with stay where they are,
-	// or their calls would stall for nothing.
+	// One entry VM dies. Slots that it neither owned nor witnessed must not move,
+	// or their calls would stall needlessly.
 	all := members(7)
 	before := converge(t, all, unassignedSlots())
 	s := snapshot(all[0], all[:6], before)
@@ -84,7 +84,7 @@
 }
 
 func TestEachRepairIsPlannedByExactlyOneDaemon(t *testing.T) {
-	// Two entry VMs die at once; every slot of theirs is repaired by one daemon.
+	// Two entry VMs die at once. Each of their slots must be repaired by one daemon.
 	all := members(7)
 	before := converge(t, all, unassignedSlots())
 	alive := all[2:]
@@ -117,8 +117,8 @@
 }
 
 func TestRestartedProcessIsAnotherMember(t *testing.T) {
-	// A VM restarts its daemon between two looks of the others. Its new process
-	// has none of the keys, so the slot counts as having lost it.
+	// A VM restarts its daemon between two plans of the other daemons. The new process
+	// has none of the keys, so its slots must be treated as having lost the member.
 	all := members(3)
 	slots := converge(t, all, unassignedSlots())
 	all[1].Incarnation++
@@ -164,7 +164,7 @@
 			s.Rebalance = rebalance
 			for b.Loop() {
 				if len(Plan(s)) != 0 {
-					b.Fatal("settled slots move")
+					b.Fatal("Plan returned moves for converged slots")
 				}
 			}
 		})
--- a/decision/slot/slot.go
+++ b/decision/slot/slot.go
@@ -1,15 +1,16 @@
-// Package slot decides which entry VM binds an idempotency key, and which one
-// repairs that choice when entry VMs come and go.
+// Package slot assigns idempotency keys to entry VMs and plans how the assignment is repaired
+// when entry VMs join, leave or fail.
 //
-// Load pattern: at full size 8,200 calls a second, any share of which may not
-// be repeated, with keys chosen freely by callers and copies of one key at
-// several entry VMs at once. Without a rule that leads every copy to the same
-// place each call would need its own write to the platform's store, which
-// takes a few hundred a second and nothing during an outage.
+// It handles 8,200 calls per second at full size, any share of which may not be repeated, with
+// keys chosen freely by callers and copies of one key at several entry VMs at once.
 //
-// Keys hash to Count slots. A slot has an owner, which alone dispatches its
-// keys, and a witness in another zone, without whose consent the owner
-// dispatches nothing. Only the pair of a slot is agreed through the store.
+// Without a rule that leads every copy of a key to the same place, each call would need its
+// own write to the platform's store, which takes a few hundred writes per second and none
+// during an outage.
+//
+// Keys hash to Count slots. A slot has an owner, which alone dispatches its keys, and a
+// witness in another zone, without whose consent the owner dispatches nothing. Only the owner
+// and witness of each slot are agreed through the store.
 package slot
 
 import (
@@ -19,18 +20,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Count is the number of slots. 1,024 give each of 390 daemons two or three to
-// own, and the value that lists them stays under a tenth of what the store
-// holds in one key. It can't change while any key is remembered.
+// Count is the number of slots. 1,024 slots give each of 390 daemons two or three to own, and
+// the value that lists them stays under a tenth of what the store holds in one key. Count must
+// not change while any key is remembered.
 const Count = 1024
 
-// Key identifies a call within the system: the first half of a SHA-256 over
-// account, service and the caller's key. 128 bits make an accidental collision
-// among the keys of a retention time negligible.
+// Key identifies a call within the system: the first half of a SHA-256 over account, service
+// and the caller's key. With 128 bits an accidental collision among the keys of a retention
+// time is negligible.
 type Key [16]byte
 
-// KeyOf returns the Key of a caller's idempotency key. Lengths are hashed too,
-// so that no two different triples give the same input.
+// KeyOf returns the Key of a caller's idempotency key. The lengths are hashed too, so that
+// different triples never give the same input.
 func KeyOf(account, service, key string) Key {
 	h := sha256.New()
 	for _, part := range [...]string{account, service, key} {
@@ -45,16 +46,15 @@
 // ForKey returns the slot of k, in [0, Count).
 func ForKey(k Key) int { return int(binary.BigEndian.Uint16(k[:]) % Count) }
 
-// Member is one incarnation of the daemon on an entry VM. The zero Member
-// stands for nobody.
+// Member is one incarnation of the daemon on an entry VM. The zero Member means no member.
 type Member struct {
 	ID          string `json:"id"`
 	Incarnation uint64 `json:"inc"`
 	Zone        string `json:"zone"`
-	PeerAddr    string `json:"peer"` // address other daemons connect to
+	PeerAddr    string `json:"peer"` // address for other daemons
 }
 
-// IsNone reports whether m stands for nobody.
+// IsNone reports whether m is the zero Member.
 func (m Member) IsNone() bool { return m.ID == "" }
 
 // IsSameProcess reports whether m and o are the same process.
@@ -62,25 +62,25 @@
 	return m.ID == o.ID && m.Incarnation == o.Incarnation
 }
 
-// Assignment says who serves a slot. Term grows by one with each change; term
-// 0 means that the slot was never assigned, so no key of it was ever bound.
+// Assignment is the owner and the witness of a slot. Term grows by one with each change; term
+// 0 means that the slot was never assigned, so none of its keys was ever bound.
 type Assignment struct {
 	Slot    int
 	Term    uint64
 	Owner   Member
 	Witness Member
-	// ChangeID is unique to the attempt that wrote the assignment, so that a
-	// writer whose confirmation was lost recognises its own write.
+	// ChangeID is unique to the attempt that wrote the assignment, so that a writer whose
+	// confirmation was lost recognises its own write.
 	ChangeID string
 }
 
-// Includes reports whether m is owner or witness.
+// Includes reports whether m is the owner or the witness.
 func (a Assignment) Includes(m Member) bool {
 	return a.Owner.IsSameProcess(m) || a.Witness.IsSameProcess(m)
 }
 
-// rendezvousWeight is the rendezvous weight of a member for a slot. It uses the VM id and
-// not the incarnation, so that a restarted daemon gets its slots back.
+// rendezvousWeight returns the rendezvous hashing weight of a member for a slot. It uses the
+// VM id and not the incarnation, so that a restarted daemon gets its slots back.
 func rendezvousWeight(idHash uint64, slot int) uint64 {
 	x := idHash ^ (uint64(slot)+1)*0x9e3779b97f4a7c15
 	x ^= x >> 31
@@ -90,7 +90,7 @@
 	return x ^ x>>31
 }
 
-// ranker picks owners and witnesses among healthy members.
+// ranker selects owners and witnesses among healthy members.
 type ranker struct {
 	members []Member
 	hashes  []uint64
@@ -104,25 +104,26 @@
 	return r
 }
 
-// owner returns the member with the highest weight, or nobody.
+// owner returns the member with the highest weight, or the zero Member if there are no
+// members.
 func (r *ranker) owner(slot int) Member {
 	var best Member
-	var most uint64
+	var highest uint64
 	for i, m := range r.members {
-		if w := rendezvousWeight(r.hashes[i], slot); best.IsNone() || w > most {
-			best, most = m, w
+		if w := rendezvousWeight(r.hashes[i], slot); best.IsNone() || w > highest {
+			best, highest = m, w
 		}
 	}
 	return best
 }
 
-// witness returns the best member other than owner, or nobody: first one that
-// is not to be avoided, then one in another zone, then the highest weight. When
-// all are to be avoided the best of them is tried rather than none.
+// witness returns the best member other than owner, or the zero Member if there is none.
+// Members that are not in avoid come first, then members in another zone, then those with the
+// highest weight. If all are in avoid, the best of them is used instead of none.
 func (r *ranker) witness(slot int, owner Member, avoid map[string]bool) Member {
 	var best Member
-	var most uint64
-	top := -1
+	var highest uint64
+	bestClass := -1
 	for i, m := range r.members {
 		if m.ID == owner.ID {
 			continue
@@ -134,14 +135,14 @@
 		if m.Zone != owner.Zone {
 			class++
 		}
-		if w := rendezvousWeight(r.hashes[i], slot); class > top || (class == top && w > most) {
-			best, most, top = m, w, class
+		if w := rendezvousWeight(r.hashes[i], slot); class > bestClass || (class == bestClass && w > highest) {
+			best, highest, bestClass = m, w, class
 		}
 	}
 	return best
 }
 
-// HighestRanked returns the n members of highest weight for a slot.
+// HighestRanked returns the n members with the highest weights for slot i.
 func HighestRanked(members []Member, i, n int) []Member {
 	r := newRanker(append([]Member(nil), members...))
 	var out []Member
