--- a/decision/admit/admit_test.go
+++ b/decision/admit/admit_test.go
@@ -16,14 +16,14 @@
 	return &Item{Account: account, Weight: 1, Class: class, Cost: cost, Deadline: epoch.Add(timeout)}
 }
 
-// trainedQueue returns a queue that has finished one request of every class, which held its
-// slot for held and cost that many tokens.
-func trainedQueue(held time.Duration, cost float64) *Queue {
+// trainedQueue returns a queue that has finished one request of every class, which cost that
+// many tokens and held its slot for slotTime.
+func trainedQueue(slotTime time.Duration, cost float64) *Queue {
 	q := NewQueue()
 	for _, c := range []Class{Resumed, Urgent, Normal, Long} {
 		it := item("t", c, cost, time.Hour)
 		q.RecordStart(it)
-		q.RecordFinish(c, cost, held)
+		q.RecordFinish(c, cost, slotTime)
 	}
 	return q
 }
--- a/decision/admit/predict.go
+++ b/decision/admit/predict.go
@@ -64,12 +64,12 @@
 	return d.byClass[c].arrivals.at(now) * d.byClass[c].meanSlotSeconds
 }
 
-func (d *loadStats) recordFinish(c Class, cost float64, held time.Duration) {
+func (d *loadStats) recordFinish(c Class, cost float64, slotTime time.Duration) {
 	r := &d.byClass[c]
 	if r.meanCostTokens == 0 {
-		r.meanSlotSeconds, r.meanCostTokens = held.Seconds(), cost
+		r.meanSlotSeconds, r.meanCostTokens = slotTime.Seconds(), cost
 	}
-	r.meanSlotSeconds += (held.Seconds() - r.meanSlotSeconds) / meanWindowCount
+	r.meanSlotSeconds += (slotTime.Seconds() - r.meanSlotSeconds) / meanWindowCount
 	r.meanCostTokens += (cost - r.meanCostTokens) / meanWindowCount
 }
 
--- a/decision/admit/queue.go
+++ b/decision/admit/queue.go
@@ -184,11 +184,11 @@
 	}
 }
 
-// RecordFinish records the end of a request that held a slot for held and cost that many
-// tokens.
-func (q *Queue) RecordFinish(class Class, cost float64, held time.Duration) {
+// RecordFinish records the end of a request that cost that many tokens and held a slot for
+// slotTime.
+func (q *Queue) RecordFinish(class Class, cost float64, slotTime time.Duration) {
 	q.running[class]--
-	q.stats.recordFinish(class, cost, held)
+	q.stats.recordFinish(class, cost, slotTime)
 }
 
 // Next calls try with the first waiting item of each class, in class order, until one is
