--- a/serve/forward/codec.go
+++ b/serve/forward/codec.go
@@ -80,10 +80,10 @@
 
 // load is what matters for placing one more prompt.
 func (r Report) load() prompts.Report {
-	load := prompts.Report{Unread: r.Waiting, Used: r.Used, Memory: r.Memory}
+	load := prompts.Report{PendingPrompts: r.Waiting, UsedTokens: r.Used, CapacityTokens: r.Memory}
 	for _, events := range r.Events {
 		if events == 0 {
-			load.Unread++
+			load.PendingPrompts++
 		} else {
 			load.Running++
 		}
--- a/serve/forward/engines.go
+++ b/serve/forward/engines.go
@@ -17,7 +17,7 @@
 	for i, s := range l.servers {
 		one := l.loads[i]
 		engines[i] = prompts.Engine{
-			Zone: s.Zone, Home: l.home[i], Reading: one.reading, Running: one.running, Copies: one.copies,
+			Zone: s.Zone, Preferred: l.home[i], Prefilling: one.reading, Running: one.running, Copies: one.copies,
 			Suspect: one.suspect(now), Excluded: slices.Contains(exclude, s.Life()),
 		}
 	}
@@ -31,7 +31,7 @@
 	p.in(view, service, func(l *layout) (choice, bool) {
 		engines := p.engines(now, l, exclude)
 		for i, home := range l.homesOf(part) {
-			engines[i].Home = home
+			engines[i].Preferred = home
 		}
 		for _, c := range p.readOpen(now, l, engines, n, false) {
 			one, _ := l.choose(c.Index, string(c.Reason))
@@ -51,12 +51,12 @@
 		engines := p.engines(now, l, exclude)
 		for i, s := range l.servers {
 			theirs, known := others[s.Life()]
-			engines[i].Reading += theirs.reading
+			engines[i].Prefilling += theirs.reading
 			engines[i].Running += theirs.running
 			engines[i].Excluded = engines[i].Excluded || among && !known
 		}
 		for _, best := range p.readOpen(now, l, engines, 1, true) {
-			unread = engines[best.Index].Reading
+			unread = engines[best.Index].Prefilling
 			l.loads[best.Index].reading++
 			return l.choose(best.Index, string(best.Reason))
 		}
@@ -72,7 +72,7 @@
 // those that may not be sent to now by the limits that they name.
 func (p *pool) readOpen(now time.Time, l *layout, engines []prompts.Engine, n int, known bool) []prompts.Choice {
 	for {
-		list := prompts.Read(engines, n, known, rand.Uint64())
+		list := prompts.ChoosePrefillEngines(engines, n, known, rand.Uint64())
 		closed := false
 		for _, c := range list {
 			if !p.limits.open(now, l.servers[c.Index]) {
@@ -92,21 +92,21 @@
 		prompt = xxhash.Sum64String(part)
 	}
 	p.in(view, service, func(l *layout) (choice, bool) {
-		servers = l.list(prompts.Window(prompt, l.seats))
+		servers = l.list(prompts.PlacementCandidates(prompt, l.seats))
 		return choice{}, false
 	})
 	return servers
 }
 
 // note is what this daemon has under way at one server, and for how long it suspects it.
-func (p *pool) note(now time.Time, life routing.Life) prompts.Note {
+func (p *pool) note(now time.Time, life routing.Life) prompts.DaemonLoad {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	one := p.loads[life]
 	if one == nil {
-		return prompts.Note{}
+		return prompts.DaemonLoad{}
 	}
-	return prompts.Note{Reading: one.reading, Running: one.running, Suspect: max(0, one.suspectUntil.Sub(now))}
+	return prompts.DaemonLoad{Prefilling: one.reading, Running: one.running, SuspectFor: max(0, one.suspectUntil.Sub(now))}
 }
 
 // work is what this daemon has under way at the engines of a service.
@@ -134,7 +134,7 @@
 func (p *pool) copyPlace(now time.Time, view *feed.View, at routing.Server, exclude []routing.Life) (choice, bool) {
 	return p.in(view, at.Service, func(l *layout) (choice, bool) {
 		engines := p.engines(now, l, append(slices.Clone(exclude), at.Life()))
-		return l.choose(prompts.Copy(engines, at.Zone, rand.Uint64()), "")
+		return l.choose(prompts.ChooseCopyEngine(engines, at.Zone, rand.Uint64()), "")
 	})
 }
 
@@ -153,7 +153,7 @@
 		if few = windowed(len(l.servers)); !few {
 			return choice{}, false
 		}
-		servers = l.list(prompts.LookedAt(xxhash.Sum64String(part), l.seats))
+		servers = l.list(prompts.LookupCandidates(xxhash.Sum64String(part), l.seats))
 		return choice{}, false
 	})
 	return servers, few
--- a/serve/forward/pool.go
+++ b/serve/forward/pool.go
@@ -51,7 +51,7 @@
 	successors map[routing.Life]routing.Life
 	// away are the servers that failed and have not been back since, by address.
 	away     map[string]gone
-	absences map[string]*absence.Absence // by service
+	absences map[string]*absence.Estimator // by service
 	// changed is told of servers at which this daemon's prompts, answers or suspicion are
 	// others than before. It is called without the lock.
 	changed func(routing.Server)
@@ -72,7 +72,7 @@
 		self: self, began: time.Now(), rule: rule, layouts: map[string]*layout{},
 		loads: map[routing.Life]*load{}, budgets: map[string]*repeats.Budget{},
 		successors: map[routing.Life]routing.Life{},
-		away:       map[string]gone{}, absences: map[string]*absence.Absence{},
+		away:       map[string]gone{}, absences: map[string]*absence.Estimator{},
 		changed: func(routing.Server) {}, versions: versions,
 	}
 }
--- a/serve/forward/pressure.go
+++ b/serve/forward/pressure.go
@@ -19,7 +19,7 @@
 
 // servicePressure is what was learned of one service.
 type servicePressure struct {
-	pace     prompts.Pace
+	pace     prompts.Estimator
 	throttle throttle.Throttle
 	refusing retryafter.Spell // of refusals by this daemon
 }
@@ -35,57 +35,57 @@
 // hopeless reports whether a prompt cannot be read in the time that is left.
 func (p *pressure) hopeless(service string, tokens int, left time.Duration) bool {
 	defer p.mu.Unlock()
-	return p.on(service).pace.Hopeless(tokens, left)
+	return p.on(service).pace.CannotPrefillWithin(tokens, left)
 }
 
 // unfinishable reports whether an answer cannot be whole in the time that is left, where
 // its prompt is still to be read or not.
 func (p *pressure) unfinishable(service string, c Call, unread bool, left time.Duration) bool {
 	defer p.mu.Unlock()
-	return p.on(service).pace.Unfinishable(c.PromptTokens, unread, c.After, left)
+	return p.on(service).pace.CannotFinishWithin(c.PromptTokens, unread, c.After, left)
 }
 
 // knows reports whether enough answers were seen to tell which cannot be whole in time.
 func (p *pressure) knows(service string) bool {
 	defer p.mu.Unlock()
-	return p.on(service).pace.Knows()
+	return p.on(service).pace.HasEnoughAnswers()
 }
 
 // learned is what was learned of the engines of a service, here and from others.
-func (p *pressure) learned(service string) prompts.Learned {
+func (p *pressure) learned(service string) prompts.Estimates {
 	defer p.mu.Unlock()
-	return p.on(service).pace.Learned()
+	return p.on(service).pace.Estimates()
 }
 
 // hear takes in what another daemon learned.
-func (p *pressure) hear(service string, l prompts.Learned) {
+func (p *pressure) hear(service string, l prompts.Estimates) {
 	defer p.mu.Unlock()
-	p.on(service).pace.Hear(l)
+	p.on(service).pace.Merge(l)
 }
 
 // made records a whole answer: the ids of its events from first to last are counted, and
 // the time that those after the first took.
 func (p *pressure) made(service string, events int64, took time.Duration) {
 	defer p.mu.Unlock()
-	p.on(service).pace.Made(events, took)
+	p.on(service).pace.ObserveAnswer(events, took)
 }
 
 // asked records that a prompt is to be read.
 func (p *pressure) asked(service string, tokens int) {
 	defer p.mu.Unlock()
-	p.on(service).pace.Asked(tokens)
+	p.on(service).pace.ObservePrompt(tokens)
 }
 
 // wasRead records the time that a prompt took to its first event.
 func (p *pressure) wasRead(service string, tokens int, took time.Duration) {
 	defer p.mu.Unlock()
-	p.on(service).pace.Observe(tokens, took)
+	p.on(service).pace.ObservePrefill(tokens, took)
 }
 
 // ended records how long an answer took.
 func (p *pressure) ended(service string, took time.Duration) {
 	defer p.mu.Unlock()
-	p.on(service).pace.Ended(took)
+	p.on(service).pace.ObserveAnswerTime(took)
 }
 
 // admit decides whether a prompt is sent to an engine that reports r.
@@ -97,7 +97,7 @@
 // due is how long the first event of a request may still take.
 func (p *pressure) due(service string, in *inbound, left time.Duration) time.Duration {
 	defer p.mu.Unlock()
-	return p.on(service).pace.Due(in.call.PromptTokens, in.route.Objective, in.route.Timeout, left)
+	return p.on(service).pace.FirstEventBudget(in.call.PromptTokens, in.route.Objective, in.route.Timeout, left)
 }
 
 // refused records that a prompt is refused for want of room. It returns for how long
@@ -105,7 +105,7 @@
 func (p *pressure) refused(now time.Time, service string) (lasted, answer time.Duration) {
 	defer p.mu.Unlock()
 	s := p.on(service)
-	return s.refusing.Seen(now), s.pace.Answer()
+	return s.refusing.Seen(now), s.pace.MeanAnswerTime()
 }
 
 // throttled reports whether a call is refused because the servers turn calls away,
--- a/serve/forward/trial.go
+++ b/serve/forward/trial.go
@@ -101,7 +101,7 @@
 	asked := r.h.questions()
 	defer asked.judge()
 	best, ok := r.quietest(asked.survey(ctx, list, 0))
-	if !ok || !best.report.Free(r.in.call.PromptTokens) || !r.permitted(ctx, best.choice) {
+	if !ok || !best.report.CanPrefillNow(r.in.call.PromptTokens) || !r.permitted(ctx, best.choice) {
 		return choice{}, false
 	}
 	if admission, _ := r.admission(best); admission != prompts.Admitted {
