--- a/decision/absence/absence.go
+++ b/decision/absence/absence.go
@@ -21,55 +21,55 @@
 )
 
 const (
-	// meanWeight is the weight of one absence in the mean, so that the last dozen count:
+	// ewmaWeight is the weight of one absence in the mean, so that the last dozen count:
 	// a zone that fails and returns shows as many.
-	meanWeight = 1.0 / 8
-	// margin is how much longer than usual a server may be away and be waited for. Absences
+	ewmaWeight = 1.0 / 8
+	// waitMarginRatio is how much longer than usual a server may be away and be waited for. Absences
 	// of one kind of failure differ by a tenth, and a server registers within half a second.
-	margin = 1.5
-	// objectiveShare is the part of the objective that a request waits at most: what is left
+	waitMarginRatio = 1.5
+	// maxObjectiveRatio is the part of the objective that a request waits at most: what is left
 	// is enough to be served in.
-	objectiveShare = 0.5
-	// unknownShare is the part that it waits where nothing is known.
-	unknownShare = 0.125
-	// shortest is the least time after which a caller comes back: a server that was lost is
+	maxObjectiveRatio = 0.5
+	// defaultObjectiveRatio is the part that it waits where nothing is known.
+	defaultObjectiveRatio = 0.125
+	// minRetryAfter is the least time after which a caller comes back: a server that was lost is
 	// replaced within about a second.
-	shortest = 500 * time.Millisecond
-	// longest is above what a restart takes, and a third of what callers of long answers wait
+	minRetryAfter = 500 * time.Millisecond
+	// maxObservedOutage is above what a restart takes, and a third of what callers of long answers wait
 	// (25 s), so that none is told to come back when it has given up. A server that is away
 	// for longer, or that failed once and was replaced much later, says nothing of when the
 	// next returns.
-	longest = 8 * time.Second
+	maxObservedOutage = 8 * time.Second
 )
 
 // Estimator is what one entry VM knows of one service. The zero value has seen nothing. It is
 // not safe for concurrent use.
 type Estimator struct {
-	mean float64 // nanoseconds
+	meanNs float64 // nanoseconds
 }
 
 // ObserveReturn records that a server is back that was away for so long.
 func (a *Estimator) ObserveReturn(away time.Duration) {
-	if away <= 0 || away > longest {
+	if away <= 0 || away > maxObservedOutage {
 		return
 	}
-	if a.mean == 0 {
-		a.mean = float64(away)
+	if a.meanNs == 0 {
+		a.meanNs = float64(away)
 		return
 	}
-	a.mean += meanWeight * (float64(away) - a.mean)
+	a.meanNs += ewmaWeight * (float64(away) - a.meanNs)
 }
 
 // MaxWait is how long a request waits for a server to return. objective is its route's.
 func (a *Estimator) MaxWait(objective time.Duration) time.Duration {
-	if a.mean == 0 {
-		return time.Duration(unknownShare * float64(objective))
+	if a.meanNs == 0 {
+		return time.Duration(defaultObjectiveRatio * float64(objective))
 	}
-	return min(time.Duration(margin*a.mean), time.Duration(objectiveShare*float64(objective)))
+	return min(time.Duration(waitMarginRatio*a.meanNs), time.Duration(maxObjectiveRatio*float64(objective)))
 }
 
 // RetryAfter is when a caller comes back that was refused after such a wait, or without one. draw
 // is in [0, 1).
 func (a *Estimator) RetryAfter(draw float64) time.Duration {
-	return retryafter.Spread(max(shortest, time.Duration(a.mean)), draw)
+	return retryafter.Spread(max(minRetryAfter, time.Duration(a.meanNs)), draw)
 }
--- a/decision/loading/loading.go
+++ b/decision/loading/loading.go
@@ -17,27 +17,27 @@
 
 import "time"
 
-// slack is how much earlier than the deadline the load must end. Estimates of
+// deadlineRatio is how much earlier than the deadline the load must end. Estimates of
 // loading come from the engines and run late when the weight store is shared;
 // a caller refused at once can go on, one refused at its deadline cannot.
-const slack = 0.8
+const deadlineRatio = 0.8
 
 // Reason says why; it goes into the log line.
 type Reason string
 
 // The reasons.
 const (
-	ReasonInTime  Reason = "loaded_in_time"
-	ReasonTooLate Reason = "loaded_too_late"
-	ReasonUnknown Reason = "time_unknown"
-	ReasonNowhere Reason = "nowhere"
+	ReasonInTime     Reason = "loaded_in_time"
+	ReasonTooLate    Reason = "loaded_too_late"
+	ReasonUnknown    Reason = "time_unknown"
+	ReasonNotLoading Reason = "nowhere"
 )
 
 // Input is what is known about one request that nothing ready can run.
 type Input struct {
-	Loading   bool          // some server loads the model
-	LoadRemaining time.Duration // until the first of them is ready, 0 if unknown
-	TimeToDeadline  time.Duration // until the request's deadline
+	Loading        bool          // some server loads the model
+	LoadRemaining  time.Duration // until the first of them is ready, 0 if unknown
+	TimeToDeadline time.Duration // until the request's deadline
 }
 
 // Decision is the choice with its reason.
@@ -52,10 +52,10 @@
 func Decide(in Input) Decision {
 	switch {
 	case !in.Loading:
-		return Decision{Reason: ReasonNowhere}
+		return Decision{Reason: ReasonNotLoading}
 	case in.LoadRemaining <= 0:
 		return Decision{Wait: true, Reason: ReasonUnknown}
-	case float64(in.LoadRemaining) <= slack*float64(in.TimeToDeadline):
+	case float64(in.LoadRemaining) <= deadlineRatio*float64(in.TimeToDeadline):
 		return Decision{Wait: true, Reason: ReasonInTime}
 	}
 	return Decision{Reason: ReasonTooLate, RetryAfter: in.LoadRemaining}
--- a/decision/loading/loading_test.go
+++ b/decision/loading/loading_test.go
@@ -12,7 +12,7 @@
 		in   Input
 		want Decision
 	}{
-		{Input{TimeToDeadline: time.Minute}, Decision{Reason: ReasonNowhere}},
+		{Input{TimeToDeadline: time.Minute}, Decision{Reason: ReasonNotLoading}},
 		{Input{Loading: true, TimeToDeadline: time.Minute}, Decision{Wait: true, Reason: ReasonUnknown}},
 		{Input{Loading: true, LoadRemaining: 40 * time.Second, TimeToDeadline: time.Minute}, Decision{Wait: true, Reason: ReasonInTime}},
 		{
--- a/decision/placement/plan_test.go
+++ b/decision/placement/plan_test.go
@@ -52,10 +52,10 @@
 		{
 			"dependency first",
 			Input{Services: []Service{service(v1, 1, 1, "s-d"), service(dp, 1, 1)}, Backends: with(engines(2), 0, ModelStatus{dp, Loading}), LoadBudget: 1},
-			Wait, ReasonComing,
+			Wait, ReasonReplicaPending,
 		},
 		{"new version beside old", Input{Services: []Service{service(v2, 2, 2)}, Backends: engines(2, ready(v1)), LoadBudget: 1}, Load, ReasonReplace},
-		{"room above floor", Input{Services: []Service{service(v2, 2, 1)}, Backends: full(engines(2, ready(v1))), LoadBudget: 1}, Unload, ReasonRoom},
+		{"room above floor", Input{Services: []Service{service(v2, 2, 1)}, Backends: full(engines(2, ready(v1))), LoadBudget: 1}, Unload, ReasonMakeRoom},
 		{"no room at floor", Input{Services: []Service{service(v2, 2, 2)}, Backends: full(engines(2, ready(v1))), LoadBudget: 1}, Wait, ReasonFloor},
 		{
 			"failed version stops",
@@ -69,8 +69,8 @@
 			},
 			Wait, ReasonLoadFailed,
 		},
-		{"unload taken back", Input{Services: []Service{service(v1, 2, 1)}, Backends: with(engines(2, ready(v1)), 0, ModelStatus{v1, Unloading})}, Load, ReasonKeep},
-		{"old beside new", Input{Services: []Service{service(v2, 2, 2)}, Backends: with(engines(2, ready(v2)), 0, ready(v1), ready(v2))}, Unload, ReasonOld},
+		{"unload taken back", Input{Services: []Service{service(v1, 2, 1)}, Backends: with(engines(2, ready(v1)), 0, ModelStatus{v1, Unloading})}, Load, ReasonUnloadCancelled},
+		{"old beside new", Input{Services: []Service{service(v2, 2, 2)}, Backends: with(engines(2, ready(v2)), 0, ready(v1), ready(v2))}, Unload, ReasonOldReplaced},
 		{"surplus", Input{Services: []Service{service(v1, 1, 1)}, Backends: engines(2, ready(v1))}, Unload, ReasonSurplus},
 		{"unwanted last", Input{Services: []Service{service(v1, 1, 1)}, Backends: with(engines(1, ready(v1)), 0, ready(v1), ready(dp))}, Unload, ReasonUnwanted},
 	}
@@ -87,7 +87,7 @@
 	b := engines(3, ModelStatus{v1, Ready})
 	b[0].Health = Suspect
 	in := Input{Services: []Service{service(v1, 3, 2)}, Backends: append(b, Backend{ID: "spare", Pool: "p"}), LoadBudget: 1}
-	must.Eq(t, ReasonComing, Plan(in).Reason)
+	must.Eq(t, ReasonReplicaPending, Plan(in).Reason)
 	in.Backends[0].Health = Lost
 	must.Eq(t, "spare", Plan(in).Backend)
 	for i := range 3 {
@@ -97,24 +97,24 @@
 	must.Eq(t, ReasonFloor, Plan(in).Reason)
 }
 
-// sim is a zone that does what it is told, slowly, and at times fails.
-type sim struct {
-	in    Input
-	rng   *rand.Rand
-	limit int // sets of weights an engine holds
+// zoneSim is a zone that does what it is told, slowly, and at times fails.
+type zoneSim struct {
+	in        Input
+	rng       *rand.Rand
+	maxModels int // sets of weights an engine holds
 }
 
-func (z *sim) serving(s Service) int {
-	n, full := 0, newZone(z.in)
+func (z *zoneSim) serving(s Service) int {
+	n, full := 0, newZoneState(z.in)
 	for i := range z.in.Backends {
-		if b := &z.in.Backends[i]; b.usable() && full.serves(b, &s) {
+		if b := &z.in.Backends[i]; b.canTakeWork() && full.serves(b, &s) {
 			n++
 		}
 	}
 	return n
 }
 
-func (z *sim) backend(id string) *Backend {
+func (z *zoneSim) backend(id string) *Backend {
 	for i := range z.in.Backends {
 		if z.in.Backends[i].ID == id {
 			return &z.in.Backends[i]
@@ -123,7 +123,7 @@
 	return nil
 }
 
-func (z *sim) carryOut(step Step) {
+func (z *zoneSim) apply(step Step) {
 	b := z.backend(step.Backend)
 	held := b.Models[:0:0]
 	had := false
@@ -143,7 +143,7 @@
 	}
 	b.Models = held
 	if step.Kind == Load && !had {
-		if len(b.Models) >= z.limit {
+		if len(b.Models) >= z.maxModels {
 			b.Full = true
 			return
 		}
@@ -151,8 +151,8 @@
 	}
 }
 
-// progress lets every engine finish something with some probability.
-func (z *sim) progress() {
+// advance lets every engine finish something with some probability.
+func (z *zoneSim) advance() {
 	for i := range z.in.Backends {
 		b := &z.in.Backends[i]
 		held := b.Models[:0:0]
@@ -177,7 +177,7 @@
 func TestRandomZones(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		z := &sim{rng: rng, limit: 1 + rng.IntN(3)}
+		z := &zoneSim{rng: rng, maxModels: 1 + rng.IntN(3)}
 		z.in = Input{Backends: engines(6), LoadBudget: 2}
 		for round := range 600 {
 			if round < 400 && rng.IntN(40) == 0 {
@@ -189,13 +189,13 @@
 				}
 			}
 			z.check(t, seed, Plan(z.in))
-			z.progress()
+			z.advance()
 		}
 		must.Eq(t, None, Plan(z.in).Kind, must.Sprint("seed ", seed, Plan(z.in), z.in))
 	}
 }
 
-func (z *sim) check(t *testing.T, seed uint64, step Step) {
+func (z *zoneSim) check(t *testing.T, seed uint64, step Step) {
 	t.Helper()
 	if step.Kind != Load && step.Kind != Unload {
 		return
@@ -203,11 +203,11 @@
 	var before []int
 	for _, s := range z.in.Services {
 		before = append(before, z.serving(s))
-		if s.Name == step.Service && step.Kind == Load && step.Reason != ReasonKeep {
-			must.True(t, newZone(z.in).dependenciesServe(&s), must.Sprint("seed ", seed, step))
+		if s.Name == step.Service && step.Kind == Load && step.Reason != ReasonUnloadCancelled {
+			must.True(t, newZoneState(z.in).dependenciesServe(&s), must.Sprint("seed ", seed, step))
 		}
 	}
-	z.carryOut(step)
+	z.apply(step)
 	for i, s := range z.in.Services {
 		if now := z.serving(s); now < before[i] {
 			must.GreaterEq(t, s.floor(), now, must.Sprint("seed ", seed, step, s))
--- a/decision/placement/types.go
+++ b/decision/placement/types.go
@@ -39,9 +39,9 @@
 
 // The healths of an engine.
 const (
-	Up       Health = iota
+	Up      Health = iota
 	Suspect        // has not answered for a short while
-	Lost            // has not answered for long, or is not listed
+	Lost           // has not answered for long, or is not listed
 )
 
 // Backend is one engine of the zone as observed.
@@ -50,7 +50,7 @@
 	Pool    string
 	Health  Health
 	Leaving bool
-	Models    []ModelStatus // the last known, also when Doubtful
+	Models  []ModelStatus // the last known, also when Doubtful
 	Running int
 	// Full says that the engine refused to hold more than it does now.
 	Full bool
@@ -75,7 +75,7 @@
 	Backends []Backend
 	// LoadBudget is how many more loads this zone may start now.
 	LoadBudget int
-	Now         time.Time
+	Now        time.Time
 }
 
 // Kind is what to do.
@@ -97,25 +97,25 @@
 
 // The reasons of steps.
 const (
-	ReasonConverged  Reason = "converged"
-	ReasonSpare      Reason = "replica_missing_spare_engine"
-	ReasonKeep       Reason = "replica_missing_unload_taken_back"
-	ReasonRetry      Reason = "replica_missing_load_retried"
-	ReasonBeside     Reason = "replica_missing_beside_others"
-	ReasonReplace    Reason = "new_version_beside_old"
-	ReasonRoom       Reason = "room_for_new_version_above_floor"
-	ReasonRoomOrphan Reason = "room_taken_from_unwanted"
-	ReasonOld        Reason = "old_version_replaced"
-	ReasonSurplus    Reason = "more_replicas_than_wanted"
-	ReasonUnwanted   Reason = "not_in_site_text"
-
-	ReasonDependency Reason = "dependency_not_ready"
-	ReasonBudget     Reason = "weight_store_busy"
-	ReasonProgress   Reason = "another_change_under_way"
-	ReasonFloor      Reason = "floor_leaves_no_room"
-	ReasonNoEngine   Reason = "no_engine_with_room"
-	ReasonLoadFailed Reason = "load_failed_elsewhere"
-	ReasonComing     Reason = "replica_on_its_way"
+	ReasonConverged        Reason = "converged"
+	ReasonSpare            Reason = "replica_missing_spare_engine"
+	ReasonUnloadCancelled  Reason = "replica_missing_unload_taken_back"
+	ReasonRetry            Reason = "replica_missing_load_retried"
+	ReasonBeside           Reason = "replica_missing_beside_others"
+	ReasonReplace          Reason = "new_version_beside_old"
+	ReasonMakeRoom         Reason = "room_for_new_version_above_floor"
+	ReasonMakeRoomUnwanted Reason = "room_taken_from_unwanted"
+	ReasonOldReplaced      Reason = "old_version_replaced"
+	ReasonSurplus          Reason = "more_replicas_than_wanted"
+	ReasonUnwanted         Reason = "not_in_site_text"
+
+	ReasonDependency       Reason = "dependency_not_ready"
+	ReasonBudget           Reason = "weight_store_busy"
+	ReasonChangeInProgress Reason = "another_change_under_way"
+	ReasonFloor            Reason = "floor_leaves_no_room"
+	ReasonNoEngine         Reason = "no_engine_with_room"
+	ReasonLoadFailed       Reason = "load_failed_elsewhere"
+	ReasonReplicaPending   Reason = "replica_on_its_way"
 )
 
 // Step is the decision. Service is the service it is for, empty for sets of
--- a/decision/prompts/admit.go
+++ b/decision/prompts/admit.go
@@ -20,10 +20,10 @@
 	return [...]string{"admitted", "too_late", "no_room"}[a]
 }
 
-// lateShare is the part of the time left by which the first event of an answer must
+// lateBudgetRatio is the part of the time left by which the first event of an answer must
 // come whose objective is missed in any case: an answer takes several times as long to
 // make as its prompt to read, and a late one is worth as much at any time.
-const lateShare = 0.5
+const lateBudgetRatio = 0.5
 
 // FirstEventBudget is how long the first event of an answer may still take. objective and timeout
 // are the route's, left is what the caller waits for yet: one that was refused and
@@ -31,10 +31,10 @@
 // case, as by a prompt that takes longer to read alone: refused for that, the largest
 // prompts would be turned away again and again beside idle engines.
 func (p *Estimator) FirstEventBudget(tokens int, objective, timeout, left time.Duration) time.Duration {
-	if onTime := objective - max(timeout-left, 0); onTime > p.Wait(0, tokens) {
+	if onTime := objective - max(timeout-left, 0); onTime > p.TimeToFirstEvent(0, tokens) {
 		return onTime
 	}
-	return time.Duration(lateShare * float64(left))
+	return time.Duration(lateBudgetRatio * float64(left))
 }
 
 // Admit decides about a prompt. r is the report of the best engine there is, due how
@@ -54,9 +54,9 @@
 // counted as the mean of all.
 func (p *Estimator) Admit(r Report, tokens int, due time.Duration) Admission {
 	switch {
-	case r.PendingPrompts > 0 && p.Wait(r.PendingPrompts, tokens) > due:
+	case r.PendingPrompts > 0 && p.TimeToFirstEvent(r.PendingPrompts, tokens) > due:
 		return TooLate
-	case r.CapacityTokens > 0 && r.UsedTokens+r.PendingPrompts*int(p.tokens)+tokens > r.CapacityTokens:
+	case r.CapacityTokens > 0 && r.UsedTokens+r.PendingPrompts*int(p.meanPromptTokens)+tokens > r.CapacityTokens:
 		return NoMemory
 	}
 	return Admitted
--- a/decision/prompts/asks.go
+++ b/decision/prompts/asks.go
@@ -1,8 +1,8 @@
 package prompts
 
-// maxAsked is the largest fleet whose daemons ask each other before each prompt: the questions
+// maxPolledFleetSize is the largest fleet whose daemons ask each other before each prompt: the questions
 // grow with its square.
-const maxAsked = 10
+const maxPolledFleetSize = 10
 
 // ShouldPollPeers reports whether a daemon asks the others of a fleet of so many daemons, itself
 // counted, what they have under way before it places a prompt.
@@ -14,4 +14,4 @@
 // Without it a daemon knows its own requests and the reports of the three engines that it
 // asked, a tenth of a second old: every third prompt meets another at its engine, and nine
 // of ten delay an answer.
-func ShouldPollPeers(daemons int) bool { return daemons > 1 && daemons <= maxAsked }
+func ShouldPollPeers(daemons int) bool { return daemons > 1 && daemons <= maxPolledFleetSize }
--- a/decision/prompts/ledger.go
+++ b/decision/prompts/ledger.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// noteKept is how long a note counts that no later one replaces: about as long as an
+	// loadTTL is how long a note counts that no later one replaces: about as long as an
 	// answer takes. A daemon that died tells no end of what it had under way.
-	noteKept = 10 * time.Second
-	// sweepEvery is how often engines are forgotten of which no note counts any more.
-	sweepEvery = 30 * time.Second
+	loadTTL = 10 * time.Second
+	// sweepInterval is how often engines are forgotten of which no note counts any more.
+	sweepInterval = 30 * time.Second
 )
 
 // Tracker returns the index of the daemon that keeps the notes on an engine, by rendezvous
@@ -42,8 +42,8 @@
 // DaemonLoad is what one daemon has under way at an engine: prompts without an event, and
 // answers that have begun. Sequence orders the notes of one process, Boot names it.
 type DaemonLoad struct {
-	Incarnation, Sequence   uint64
-	Prefilling, Running int
+	Incarnation, Sequence uint64
+	Prefilling, Running   int
 	// SuspectFor is for how long the daemon still suspects the engine, which failed it.
 	SuspectFor time.Duration
 }
@@ -51,41 +51,41 @@
 // LoadSum is what daemons have under way at an engine, and how many of them suspect it.
 type LoadSum struct{ Prefilling, Running, SuspectedBy int }
 
-// noted is a note with its time.
-type noted struct {
+// timedLoad is a note with its time.
+type timedLoad struct {
 	DaemonLoad
-	at time.Time
+	received time.Time
 }
 
 // LoadTable keeps the notes on engines, by a key of the engine's present life. The zero value
 // is empty. It is not safe for concurrent use.
 type LoadTable[K comparable] struct {
-	engines map[K]map[string]noted // by daemon
-	swept   time.Time
+	engines   map[K]map[string]timedLoad // by daemon
+	lastSweep time.Time
 }
 
 // Update records a note of a daemon, unless a later one of the same process is known.
 func (l *LoadTable[K]) Update(now time.Time, engine K, daemon string, n DaemonLoad) {
 	if l.engines == nil {
-		l.engines = map[K]map[string]noted{}
+		l.engines = map[K]map[string]timedLoad{}
 	}
 	l.sweep(now)
 	notes := l.engines[engine]
 	if notes == nil {
-		notes = map[string]noted{}
+		notes = map[string]timedLoad{}
 		l.engines[engine] = notes
 	}
 	if old, known := notes[daemon]; known && old.Incarnation == n.Incarnation && n.Sequence <= old.Sequence {
 		return
 	}
-	notes[daemon] = noted{DaemonLoad: n, at: now}
+	notes[daemon] = timedLoad{DaemonLoad: n, received: now}
 }
 
 // Sum is what all daemons but one have noted of an engine.
 func (l *LoadTable[K]) Sum(now time.Time, engine K, except string) (sum LoadSum) {
 	for daemon, n := range l.engines[engine] {
-		age := now.Sub(n.at)
-		if daemon == except || age >= noteKept {
+		age := now.Sub(n.received)
+		if daemon == except || age >= loadTTL {
 			continue
 		}
 		sum.Prefilling += n.Prefilling
@@ -99,13 +99,13 @@
 
 // sweep forgets what does not count any more.
 func (l *LoadTable[K]) sweep(now time.Time) {
-	if now.Sub(l.swept) < sweepEvery {
+	if now.Sub(l.lastSweep) < sweepInterval {
 		return
 	}
-	l.swept = now
+	l.lastSweep = now
 	for engine, notes := range l.engines {
 		for daemon, n := range notes {
-			if now.Sub(n.at) >= noteKept {
+			if now.Sub(n.received) >= loadTTL {
 				delete(notes, daemon)
 			}
 		}
--- a/decision/prompts/ledger_test.go
+++ b/decision/prompts/ledger_test.go
@@ -20,7 +20,7 @@
 	l.Update(now, "e", "a", DaemonLoad{Incarnation: 1, Sequence: 2, Prefilling: 1})
 	l.Update(now, "e", "b", DaemonLoad{Incarnation: 7, Sequence: 1, Running: 2})
 	must.Eq(t, [2]int{1, 2}, at("c"))
-	must.Eq(t, [2]int{0, 2}, at("a"))                             // who asks knows its own
+	must.Eq(t, [2]int{0, 2}, at("a"))                                               // who asks knows its own
 	l.Update(now, "e", "a", DaemonLoad{Incarnation: 1, Sequence: 1, Prefilling: 9}) // came late
 	must.Eq(t, [2]int{1, 2}, at(""))
 	l.Update(now, "e", "a", DaemonLoad{Incarnation: 1, Sequence: 3, Running: 1})
@@ -34,9 +34,9 @@
 	must.Zero(t, l.Sum(now, "e", "c").SuspectedBy)
 	must.Zero(t, l.Sum(now.Add(2*time.Second), "e", "a").SuspectedBy)
 
-	now = now.Add(noteKept) // daemon b died
+	now = now.Add(loadTTL) // daemon b died
 	must.Eq(t, [2]int{}, at(""))
-	now = now.Add(sweepEvery)
+	now = now.Add(sweepInterval)
 	l.Update(now, "f", "a", DaemonLoad{Incarnation: 2, Sequence: 2, Prefilling: 1})
 	must.MapLen(t, 1, l.engines)
 }
--- a/decision/prompts/pace.go
+++ b/decision/prompts/pace.go
@@ -3,22 +3,22 @@
 import "time"
 
 const (
-	// leastPart is the part of the shortest reading seen below which a prompt
+	// lowerBoundRatio is the part of the shortest reading seen below which a prompt
 	// certainly cannot be read: engines of one service differ by a third in speed.
-	leastPart = 0.7
-	// forget lets the shortest reading grow by a hundredth with each one seen, so
+	lowerBoundRatio = 0.7
+	// minGrowthFactor lets the shortest reading grow by a hundredth with each one seen, so
 	// that engines that became slower are believed after some seventy prompts.
-	forget = 1.01
-	// fewAnswers say little of how short answers may be.
-	fewAnswers = 5
-	// meanWeight is the weight of one request in the means, so that
+	minGrowthFactor = 1.01
+	// minAnswerCount say little of how short answers may be.
+	minAnswerCount = 5
+	// ewmaWeight is the weight of one request in the means, so that
 	// the last dozens count.
-	meanWeight = 1.0 / 16
-	// besideRuns is how much longer a prompt takes beside running answers than the
+	ewmaWeight = 1.0 / 16
+	// batchSlowdownRatio is how much longer a prompt takes beside running answers than the
 	// fastest one seen: a step of ten answers takes a quarter of a chunk's time.
-	besideRuns = 1.3
-	// halfRead is the part of the prompt being read that is behind it on average.
-	halfRead = 0.5
+	batchSlowdownRatio = 1.3
+	// meanPrefilledRatio is the part of the prompt being read that is behind it on average.
+	meanPrefilledRatio = 0.5
 )
 
 // Estimator learns how fast the engines of one service read prompts and make answers.
@@ -28,12 +28,12 @@
 // come when nobody waits, while the prompts behind them miss their time too.
 // The zero value knows nothing. It is not safe for concurrent use.
 type Estimator struct {
-	perToken float64 // nanoseconds, of the fastest reading
-	tokens   float64 // mean length of the prompts
-	answer   float64 // nanoseconds, mean time of the answers from arrival to end
-	perEvent float64 // nanoseconds, of the fastest whole answer
-	events   float64 // of the shortest whole answer
-	answers  int     // whole ones seen
+	minPrefillNsPerToken float64 // nanoseconds, of the fastest reading
+	meanPromptTokens     float64 // mean length of the prompts
+	meanAnswerNs         float64 // nanoseconds, mean time of the answers from arrival to end
+	minNsPerEvent        float64 // nanoseconds, of the fastest whole answer
+	minEvents            float64 // of the shortest whole answer
+	answerCount          int     // whole ones seen
 }
 
 // ObservePrompt records that a prompt of so many tokens is to be read; 0 means that its caller
@@ -42,28 +42,30 @@
 	if tokens <= 0 {
 		return
 	}
-	p.tokens = moved(p.tokens, float64(tokens))
+	p.meanPromptTokens = ewma(p.meanPromptTokens, float64(tokens))
 }
 
 // ObserveAnswerTime records that an answer took so long from its request to its end.
-func (p *Estimator) ObserveAnswerTime(took time.Duration) { p.answer = moved(p.answer, float64(took)) }
+func (p *Estimator) ObserveAnswerTime(took time.Duration) {
+	p.meanAnswerNs = ewma(p.meanAnswerNs, float64(took))
+}
 
 // MeanAnswerTime is how long answers take; 0 before the first.
-func (p *Estimator) MeanAnswerTime() time.Duration { return time.Duration(p.answer) }
+func (p *Estimator) MeanAnswerTime() time.Duration { return time.Duration(p.meanAnswerNs) }
 
-// moved is a mean with one more value; the first stands for itself.
-func moved(mean, value float64) float64 {
+// ewma is a mean with one more value; the first stands for itself.
+func ewma(mean, value float64) float64 {
 	if mean == 0 {
 		return value
 	}
-	return mean + meanWeight*(value-mean)
+	return mean + ewmaWeight*(value-mean)
 }
 
-// Wait is about how long the first event of a prompt takes at an engine that reads
+// TimeToFirstEvent is about how long the first event of a prompt takes at an engine that reads
 // unread others before it; 0 where no prompt was seen to be read yet.
-func (p *Estimator) Wait(unread, tokens int) time.Duration {
-	others := max(float64(unread)-halfRead, 0) * p.tokens
-	return time.Duration(besideRuns * p.perToken * (others + float64(tokens)))
+func (p *Estimator) TimeToFirstEvent(unread, tokens int) time.Duration {
+	others := max(float64(unread)-meanPrefilledRatio, 0) * p.meanPromptTokens
+	return time.Duration(batchSlowdownRatio * p.minPrefillNsPerToken * (others + float64(tokens)))
 }
 
 // ObservePrefill records that the first event of a prompt took so long.
@@ -71,16 +73,16 @@
 	if tokens <= 0 || took <= 0 {
 		return
 	}
-	p.perToken = least(p.perToken, float64(took)/float64(tokens))
+	p.minPrefillNsPerToken = decayingMin(p.minPrefillNsPerToken, float64(took)/float64(tokens))
 }
 
-// least is the smallest value seen with one more; it grows a little with each that is
+// decayingMin is the smallest value seen with one more; it grows a little with each that is
 // larger, so that what does not come any more is forgotten.
-func least(known, value float64) float64 {
+func decayingMin(known, value float64) float64 {
 	if known == 0 || value < known {
 		return value
 	}
-	return min(known*forget, value)
+	return min(known*minGrowthFactor, value)
 }
 
 // ObserveAnswer records that a whole answer had so many events, and that those after the first
@@ -89,14 +91,14 @@
 	if events < 2 || took <= 0 {
 		return
 	}
-	p.answers++
-	p.events = least(p.events, float64(events))
-	p.perEvent = least(p.perEvent, float64(took)/float64(events-1))
+	p.answerCount++
+	p.minEvents = decayingMin(p.minEvents, float64(events))
+	p.minNsPerEvent = decayingMin(p.minNsPerEvent, float64(took)/float64(events-1))
 }
 
 // CannotPrefillWithin reports whether a prompt certainly cannot be read in what is left.
 func (p *Estimator) CannotPrefillWithin(tokens int, left time.Duration) bool {
-	return float64(left) < leastPart*p.perToken*float64(tokens)
+	return float64(left) < lowerBoundRatio*p.minPrefillNsPerToken*float64(tokens)
 }
 
 // CannotFinishWithin reports whether an answer certainly cannot be whole in what is left: not
@@ -108,30 +110,30 @@
 // back seconds later. Without it engines read prompts and make answers of which nobody
 // gets the end, and the callers wait for that until their time is over.
 func (p *Estimator) CannotFinishWithin(tokens int, unread bool, have int64, left time.Duration) bool {
-	if p.answers < fewAnswers {
+	if p.answerCount < minAnswerCount {
 		return false
 	}
-	need := p.perEvent * max(leastPart*p.events-float64(have), 0)
+	need := p.minNsPerEvent * max(lowerBoundRatio*p.minEvents-float64(have), 0)
 	if unread {
-		need += leastPart * p.perToken * float64(tokens)
+		need += lowerBoundRatio * p.minPrefillNsPerToken * float64(tokens)
 	}
 	return float64(left) < need
 }
 
 // HasEnoughAnswers reports whether enough answers were seen to tell which cannot be whole in time.
-func (p *Estimator) HasEnoughAnswers() bool { return p.answers >= fewAnswers }
+func (p *Estimator) HasEnoughAnswers() bool { return p.answerCount >= minAnswerCount }
 
 // Estimates is what a daemon tells others of the engines of a service: of the fastest
 // reading and the fastest and shortest whole answers, and how many of those it saw.
 type Estimates struct {
 	PrefillNsPerToken, NsPerEvent float64 // nanoseconds
-	Events             float64
-	Answers            int
+	Events                        float64
+	Answers                       int
 }
 
 // Estimates returns what was seen here and heard from others.
 func (p *Estimator) Estimates() Estimates {
-	return Estimates{PrefillNsPerToken: p.perToken, NsPerEvent: p.perEvent, Events: p.events, Answers: p.answers}
+	return Estimates{PrefillNsPerToken: p.minPrefillNsPerToken, NsPerEvent: p.minNsPerEvent, Events: p.minEvents, Answers: p.answerCount}
 }
 
 // Merge takes in what another daemon learned. What makes no sense is left out.
@@ -143,10 +145,10 @@
 	if !(l.NsPerEvent > 0) || !(l.Events > 0) || l.Answers <= 0 {
 		return
 	}
-	p.answers += l.Answers
-	p.perEvent = least(p.perEvent, l.NsPerEvent)
-	p.events = least(p.events, l.Events)
+	p.answerCount += l.Answers
+	p.minNsPerEvent = decayingMin(p.minNsPerEvent, l.NsPerEvent)
+	p.minEvents = decayingMin(p.minEvents, l.Events)
 	if l.PrefillNsPerToken > 0 {
-		p.perToken = least(p.perToken, l.PrefillNsPerToken)
+		p.minPrefillNsPerToken = decayingMin(p.minPrefillNsPerToken, l.PrefillNsPerToken)
 	}
 }
--- a/decision/prompts/pace_test.go
+++ b/decision/prompts/pace_test.go
@@ -16,7 +16,7 @@
 	must.False(t, p.CannotFinishWithin(5000, true, 0, time.Millisecond)) // nothing is known
 	p.ObservePrefill(5000, time.Second)
 	p.ObserveAnswer(101, 3*time.Second)
-	for range fewAnswers - 1 {
+	for range minAnswerCount - 1 {
 		must.False(t, p.CannotFinishWithin(5000, true, 0, time.Millisecond))
 		p.ObserveAnswer(1, 0)                       // says nothing
 		p.ObserveAnswer(131, 4550*time.Millisecond) // slower, beside other prompts
@@ -63,7 +63,7 @@
 	}
 	must.False(t, here.HasEnoughAnswers())
 	here.Merge(there.Estimates())
-	here.Merge(Estimates{})                                 // knows nothing
+	here.Merge(Estimates{})                                   // knows nothing
 	here.Merge(Estimates{NsPerEvent: math.NaN(), Answers: 9}) // no sense
 	must.False(t, here.HasEnoughAnswers())
 	here.Merge(there.Estimates())
--- a/decision/prompts/prompts.go
+++ b/decision/prompts/prompts.go
@@ -50,11 +50,11 @@
 
 // The reasons.
 const (
-	ReasonKnown   Reason = "known_idle"
-	ReasonHome    Reason = "home_idle"
-	ReasonSpill   Reason = "spill_idle"
-	ReasonBusy    Reason = "all_reading"
-	ReasonSuspect Reason = "suspects_only"
+	ReasonKnown     Reason = "known_idle"
+	ReasonPreferred Reason = "home_idle"
+	ReasonSpill     Reason = "spill_idle"
+	ReasonBusy      Reason = "all_reading"
+	ReasonSuspect   Reason = "suspects_only"
 )
 
 // Choice is an engine by index.
@@ -65,32 +65,32 @@
 
 // rank orders candidates; smaller is better at every field in turn.
 type rank struct {
-	suspect bool
-	reading int
-	delayed int // answers that a prompt there would delay, as far as all of them are known
-	away    bool
-	load    int
-	draw    uint64
+	suspect        bool
+	prefilling     int
+	delayedAnswers int // answers that a prompt there would delay, as far as all of them are known
+	notPreferred   bool
+	load           int
+	tieBreak       uint64
 }
 
 func (a rank) before(b rank) bool {
 	switch {
 	case a.suspect != b.suspect:
 		return !a.suspect
-	case a.reading != b.reading:
-		return a.reading < b.reading
-	case a.delayed != b.delayed:
-		return a.delayed < b.delayed
-	case a.away != b.away:
-		return !a.away
+	case a.prefilling != b.prefilling:
+		return a.prefilling < b.prefilling
+	case a.delayedAnswers != b.delayedAnswers:
+		return a.delayedAnswers < b.delayedAnswers
+	case a.notPreferred != b.notPreferred:
+		return !a.notPreferred
 	case a.load != b.load:
 		return a.load < b.load
 	}
-	return a.draw < b.draw
+	return a.tieBreak < b.tieBreak
 }
 
-// ranked is a candidate with its rank.
-type ranked struct {
+// rankedEngine is a candidate with its rank.
+type rankedEngine struct {
 	rank
 	index int
 }
@@ -98,19 +98,19 @@
 // ChoosePrefillEngines returns the engines that may read a prompt, the best first and n at most. known
 // says that the counts are those of all daemons. draw breaks ties at random.
 func ChoosePrefillEngines(engines []Engine, n int, known bool, draw uint64) []Choice {
-	var best []ranked
+	var best []rankedEngine
 	for i, e := range engines {
 		if e.Excluded {
 			continue
 		}
 		r := rank{
-			suspect: e.Suspect, reading: e.Prefilling, away: !e.Preferred,
-			load: e.Running + e.Copies, draw: route.Mix(draw + uint64(i)),
+			suspect: e.Suspect, prefilling: e.Prefilling, notPreferred: !e.Preferred,
+			load: e.Running + e.Copies, tieBreak: route.Mix(draw + uint64(i)),
 		}
 		if known {
-			r.delayed = e.Running
+			r.delayedAnswers = e.Running
 		}
-		best = insert(best, n, ranked{index: i, rank: r})
+		best = insert(best, n, rankedEngine{index: i, rank: r})
 	}
 	choices := make([]Choice, len(best))
 	for i, r := range best {
@@ -120,8 +120,8 @@
 }
 
 // insert puts r into a list of the n best, which is in order.
-func insert(best []ranked, n int, r ranked) []ranked {
-	at, _ := slices.BinarySearchFunc(best, r, func(a, b ranked) int {
+func insert(best []rankedEngine, n int, r rankedEngine) []rankedEngine {
+	at, _ := slices.BinarySearchFunc(best, r, func(a, b rankedEngine) int {
 		if a.before(b.rank) {
 			return -1
 		}
@@ -138,14 +138,14 @@
 	switch {
 	case r.suspect:
 		return ReasonSuspect
-	case r.reading > 0:
+	case r.prefilling > 0:
 		return ReasonBusy
 	case known:
 		return ReasonKnown
-	case r.away:
+	case r.notPreferred:
 		return ReasonSpill
 	}
-	return ReasonHome
+	return ReasonPreferred
 }
 
 // ChooseCopyEngine chooses the engine that keeps the copy of a run in zone, -1 if none. It
@@ -158,7 +158,7 @@
 			continue
 		}
 		near := e.Zone == zone
-		r := rank{reading: e.Prefilling, away: !e.Preferred, load: e.Copies + e.Running, draw: route.Mix(draw + uint64(i))}
+		r := rank{prefilling: e.Prefilling, notPreferred: !e.Preferred, load: e.Copies + e.Running, tieBreak: route.Mix(draw + uint64(i))}
 		better := at < 0 || near != bestNear && !near || near == bestNear && r.before(best)
 		if better {
 			best, at, bestNear = r, i, near
@@ -179,20 +179,20 @@
 	UsedTokens, CapacityTokens int
 }
 
-// fullShare is the share of an engine's memory beyond which no copy is placed there,
+// maxFillRatio is the share of an engine's memory beyond which no copy is placed there,
 // and no prompt while another engine has room. Copies grow to their whole size only
 // after they were placed, answers grow by a tenth of their prompts, and reports lag.
-const fullShare = 0.75
+const maxFillRatio = 0.75
 
-// Fits reports whether the engine has room for so many more tokens. Without room
+// HasCapacity reports whether the engine has room for so many more tokens. Without room
 // it throws out the newest of the runs there, in the middle of its answer, and
 // reads that one's prompt again.
-func (r Report) Fits(tokens int) bool {
-	return r.CapacityTokens == 0 || float64(r.UsedTokens+tokens) <= fullShare*float64(r.CapacityTokens)
+func (r Report) HasCapacity(tokens int) bool {
+	return r.CapacityTokens == 0 || float64(r.UsedTokens+tokens) <= maxFillRatio*float64(r.CapacityTokens)
 }
 
 // CanPrefillNow reports whether a prompt of so many tokens would be read at once.
-func (r Report) CanPrefillNow(tokens int) bool { return r.PendingPrompts == 0 && r.Fits(tokens) }
+func (r Report) CanPrefillNow(tokens int) bool { return r.PendingPrompts == 0 && r.HasCapacity(tokens) }
 
 // LeastLoaded returns the index of the engine that has room for a prompt, where it
 // waits least, and among equals the one where reading it delays the fewest running
@@ -208,7 +208,7 @@
 }
 
 func (r Report) before(other Report, tokens int) bool {
-	if fits := r.Fits(tokens); fits != other.Fits(tokens) {
+	if fits := r.HasCapacity(tokens); fits != other.HasCapacity(tokens) {
 		return fits
 	}
 	if r.PendingPrompts != other.PendingPrompts {
--- a/decision/prompts/prompts_test.go
+++ b/decision/prompts/prompts_test.go
@@ -15,9 +15,9 @@
 		reason  Reason
 	}{
 		{"none", nil, false, -1, ""},
-		{"home before idle elsewhere", []Engine{{}, {Preferred: true}}, false, 1, ReasonHome},
+		{"home before idle elsewhere", []Engine{{}, {Preferred: true}}, false, 1, ReasonPreferred},
 		{"idle elsewhere before busy home", []Engine{{Preferred: true, Prefilling: 1}, {}}, false, 1, ReasonSpill},
-		{"fewest runs", []Engine{{Preferred: true, Running: 2}, {Preferred: true, Copies: 1}}, false, 1, ReasonHome},
+		{"fewest runs", []Engine{{Preferred: true, Running: 2}, {Preferred: true, Copies: 1}}, false, 1, ReasonPreferred},
 		{"fewest prompts when all read", []Engine{{Prefilling: 2}, {Prefilling: 1}}, false, 1, ReasonBusy},
 		{"suspect last", []Engine{{Preferred: true, Suspect: true}, {Prefilling: 3}}, false, 1, ReasonBusy},
 		{"suspect when nothing else", []Engine{{Excluded: true}, {Suspect: true}}, false, 1, ReasonSuspect},
@@ -88,8 +88,8 @@
 }
 
 func TestFits(t *testing.T) {
-	must.True(t, Report{}.Fits(8000))
-	must.True(t, Report{UsedTokens: 52000, CapacityTokens: 80000}.Fits(8000))
-	must.False(t, Report{UsedTokens: 52001, CapacityTokens: 80000}.Fits(8000))
+	must.True(t, Report{}.HasCapacity(8000))
+	must.True(t, Report{UsedTokens: 52000, CapacityTokens: 80000}.HasCapacity(8000))
+	must.False(t, Report{UsedTokens: 52001, CapacityTokens: 80000}.HasCapacity(8000))
 	must.False(t, Report{PendingPrompts: 1, CapacityTokens: 80000}.CanPrefillNow(8000))
 }
--- a/decision/prompts/window.go
+++ b/decision/prompts/window.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// windowEngines is about how many engines of all zones a prompt is placed among, as
+	// candidateCount is about how many engines of all zones a prompt is placed among, as
 	// long as one of them has room: three rounds of questions.
-	windowEngines = 10
-	// windowSpare is how many more of each zone are looked at for a prompt that was read:
+	candidateCount = 10
+	// lookupExtraPerZone is how many more of each zone are looked at for a prompt that was read:
 	// engines have joined and left since.
-	windowSpare = 1
+	lookupExtraPerZone = 1
 )
 
 // HashedEngine is an engine as a place for prompts: its zone, and the hash of the id that it has
@@ -33,18 +33,22 @@
 // Without it a daemon asks all engines what they hold, so that questions grow with the
 // product of both and the answers fill its link; or it asks none and each prompt is read
 // a second time.
-func PlacementCandidates(prompt uint64, seats []HashedEngine) []int { return window(prompt, seats, 0) }
+func PlacementCandidates(prompt uint64, seats []HashedEngine) []int {
+	return candidates(prompt, seats, 0)
+}
 
 // LookupCandidates returns the indices of the engines that may hold a prompt which another daemon
 // placed in its window.
-func LookupCandidates(prompt uint64, seats []HashedEngine) []int { return window(prompt, seats, windowSpare) }
+func LookupCandidates(prompt uint64, seats []HashedEngine) []int {
+	return candidates(prompt, seats, lookupExtraPerZone)
+}
 
-func window(prompt uint64, seats []HashedEngine, spare int) []int {
+func candidates(prompt uint64, seats []HashedEngine, spare int) []int {
 	zones := map[string][]int{}
 	for i, s := range seats {
 		zones[s.Zone] = append(zones[s.Zone], i)
 	}
-	each := spare + (windowEngines+len(zones)-1)/max(len(zones), 1)
+	each := spare + (candidateCount+len(zones)-1)/max(len(zones), 1)
 	var list []int
 	for _, members := range zones {
 		slices.SortFunc(members, func(a, b int) int {
--- a/decision/prompts/window_test.go
+++ b/decision/prompts/window_test.go
@@ -50,7 +50,7 @@
 			}
 		}
 		must.LessEq(t, living/20, missed)
-		must.LessEq(t, (windowEngines+2*c.zones)*prompts, looked)
+		must.LessEq(t, (candidateCount+2*c.zones)*prompts, looked)
 	}
 }
 
@@ -67,7 +67,7 @@
 		}
 		must.MapLen(t, 5, zones)
 		for _, n := range zones {
-			must.Eq(t, windowEngines/5, n)
+			must.Eq(t, candidateCount/5, n)
 		}
 	}
 	must.Between(t, 140, slices.Min(in), 200)
--- a/decision/rendezvous/rendezvous.go
+++ b/decision/rendezvous/rendezvous.go
@@ -17,7 +17,7 @@
 		return nil
 	}
 	if n == 1 {
-		return []int{nearest(key, members)}
+		return []int{lowest(key, members)}
 	}
 	order := make([]int, len(members))
 	for i := range order {
@@ -29,7 +29,7 @@
 	return order[:min(n, len(order))]
 }
 
-func nearest(key uint64, members []uint64) int {
+func lowest(key uint64, members []uint64) int {
 	best, at := uint64(0), -1
 	for i, m := range members {
 		if h := route.Mix(key ^ m); at < 0 || h < best {
--- a/decision/route/pick.go
+++ b/decision/route/pick.go
@@ -3,13 +3,13 @@
 import "sort"
 
 const (
-	// affinityBound is how far above the mean load of its rank a server may be
+	// affinityLoadRatio is how far above the mean load of its rank a server may be
 	// and still be chosen for its cached prefix. A prefill saved is worth about
 	// a quarter of a slot's residence; beyond it the wait costs more.
-	affinityBound = 1.25
-	// affinityWalk is how many servers along the ring are tried for a prefix.
+	affinityLoadRatio = 1.25
+	// affinityProbes is how many servers along the ring are tried for a prefix.
 	// Two give a popular prefix a second home and keep its cache warm there.
-	affinityWalk = 2
+	affinityProbes = 2
 )
 
 // Reason says why a candidate was chosen.
@@ -55,20 +55,20 @@
 
 // Pick chooses a candidate with room. It allocates nothing.
 func (t *Table) Pick(q *Query) Result {
-	if i, ok := t.index[q.Prefer]; q.Prefer != "" && ok && t.usable(i, q) {
+	if i, ok := t.index[q.Prefer]; q.Prefer != "" && ok && t.isUsable(i, q) {
 		return Result{i, ReasonPreferred}
 	}
-	if end := t.ends[SameRegion]; q.AllZones && end > 0 {
-		if res := t.spread(q, end); res.Index >= 0 {
+	if end := t.rankEnds[SameRegion]; q.AllZones && end > 0 {
+		if res := t.pickAllZones(q, end); res.Index >= 0 {
 			return res
 		}
 	}
 	start := 0
-	for r := SameZone; r < ranks; r++ {
-		end := t.ends[r]
+	for r := SameZone; r < rankCount; r++ {
+		end := t.rankEnds[r]
 		if end > start {
 			if res := t.pickRank(q, r, start, end); res.Index >= 0 {
-				if r > SameZone && t.ends[SameZone] > 0 {
+				if r > SameZone && t.rankEnds[SameZone] > 0 {
 					res.Reason = ReasonFarther
 				}
 				return res
@@ -79,43 +79,43 @@
 	return Result{-1, ReasonNone}
 }
 
-// spread chooses among the first end candidates, of all zones of the region.
-func (t *Table) spread(q *Query, end int) Result {
-	i, why := t.two(q, 0, end)
+// pickAllZones chooses among the first end candidates, of all zones of the region.
+func (t *Table) pickAllZones(q *Query, end int) Result {
+	i, why := t.twoChoices(q, 0, end)
 	if i < 0 {
 		return Result{i, why}
 	}
-	if j := t.warm(q, 0, end); j >= 0 && t.balanced(j, i) {
+	if j := t.cachedCandidate(q, 0, end); j >= 0 && t.isBalanced(j, i) {
 		return Result{j, ReasonCached}
 	}
 	return Result{i, why}
 }
 
 func (t *Table) pickRank(q *Query, r Rank, start, end int) Result {
-	i, why := t.two(q, start, end)
+	i, why := t.twoChoices(q, start, end)
 	if q.Prefix == 0 || i < 0 {
 		return Result{i, why}
 	}
-	if j := t.warm(q, start, end); j >= 0 && t.balanced(j, i) {
+	if j := t.cachedCandidate(q, start, end); j >= 0 && t.isBalanced(j, i) {
 		return Result{j, ReasonCached}
 	}
-	if j := t.affine(q, r, i); j >= 0 {
+	if j := t.affinityCandidate(q, r, i); j >= 0 {
 		return Result{j, ReasonPrefix}
 	}
 	return Result{i, why}
 }
 
-// two takes the less loaded of two random candidates, and searches for any
+// twoChoices takes the less loaded of two random candidates, and searches for any
 // with room when neither has. The search is the only step that grows with the
 // number of candidates, and only near saturation.
-func (t *Table) two(q *Query, start, end int) (int, Reason) {
+func (t *Table) twoChoices(q *Query, start, end int) (int, Reason) {
 	n := uint64(end - start)
 	a := start + int((q.Random&0xffffffff)*n>>32)
 	b := start + int((q.Random>>32)*n>>32)
 	if a == b && n > 1 {
 		b = start + (b-start+1)%int(n)
 	}
-	okA, okB := t.usable(a, q), t.usable(b, q)
+	okA, okB := t.isUsable(a, q), t.isUsable(b, q)
 	switch {
 	case okA && okB:
 		if t.score(b) < t.score(a) {
@@ -129,30 +129,30 @@
 	}
 	for k := range int(n) {
 		i := start + (a-start+k)%int(n)
-		if t.usable(i, q) {
+		if t.isUsable(i, q) {
 			return i, ReasonOnlyRoom
 		}
 	}
 	return -1, ReasonNone
 }
 
-// warm is the candidate that was last said to hold the prefix, if it is usable
+// cachedCandidate is the candidate that was last said to hold the prefix, if it is usable
 // and of this rank. The hint may be old or wrong; then only a prefill is lost.
-func (t *Table) warm(q *Query, start, end int) int {
+func (t *Table) cachedCandidate(q *Query, start, end int) int {
 	i, ok := t.index[q.Cached]
-	if q.Cached == "" || !ok || i < start || i >= end || !t.usable(i, q) {
+	if q.Cached == "" || !ok || i < start || i >= end || !t.isUsable(i, q) {
 		return -1
 	}
 	return i
 }
 
-// affine walks the ring from the prefix and takes the first usable candidate
+// affinityCandidate walks the ring from the prefix and takes the first usable candidate
 // that is not much more loaded than the one two choices gave.
-func (t *Table) affine(q *Query, r Rank, other int) int {
+func (t *Table) affinityCandidate(q *Query, r Rank, other int) int {
 	ring := t.rings[r]
 	at := sort.Search(len(ring), func(k int) bool { return ring[k].hash >= q.Prefix })
 	last := int32(-1)
-	for tried := 0; tried < affinityWalk && len(ring) > 0; at++ {
+	for tried := 0; tried < affinityProbes && len(ring) > 0; at++ {
 		p := ring[at%len(ring)]
 		if p.index == last {
 			tried++
@@ -160,19 +160,19 @@
 		}
 		last = p.index
 		tried++
-		if t.usable(int(p.index), q) && t.balanced(int(p.index), other) {
+		if t.isUsable(int(p.index), q) && t.isBalanced(int(p.index), other) {
 			return int(p.index)
 		}
 	}
 	return -1
 }
 
-// balanced bounds the imbalance that a cached prefix may cause: the server may
+// isBalanced bounds the imbalance that a cached prefix may cause: the server may
 // hold at most affinityBound times the load of a server found by two choices,
 // plus one request so that light load does not break affinity.
-func (t *Table) balanced(i, other int) bool {
+func (t *Table) isBalanced(i, other int) bool {
 	a, b := t.candidates[i].Load, t.candidates[other].Load
-	return float32(a.InFlight) <= affinityBound*float32(b.InFlight)+1
+	return float32(a.InFlight) <= affinityLoadRatio*float32(b.InFlight)+1
 }
 
 // score is the load of a candidate against what it can carry. Own requests
@@ -187,7 +187,7 @@
 	return (float32(l.InFlight) + 0.5*float32(l.OtherInFlight) + 1) / (float32(max(l.Limit, 1)) * weight)
 }
 
-func (t *Table) usable(i int, q *Query) bool {
+func (t *Table) isUsable(i int, q *Query) bool {
 	c := &t.candidates[i]
 	room := c.Load.HasCapacity()
 	if !room && q.Urgent {
--- a/decision/route/route.go
+++ b/decision/route/route.go
@@ -20,16 +20,16 @@
 	SameZone Rank = iota
 	SameRegion
 	Remote
-	ranks
+	rankCount
 )
 
 // Load is the state of one candidate that changes between two snapshots. The
 // owner of the picker writes it; it outlives snapshots.
 type Load struct {
-	InFlight int32 // requests of this daemon, exact
-	Limit    int32 // how many there may be; 0 while ejected
-	OtherInFlight   int32 // what others were last reported to run there, lagging
-	Slots    int32 // bound on the whole server
+	InFlight      int32 // requests of this daemon, exact
+	Limit         int32 // how many there may be; 0 while ejected
+	OtherInFlight int32 // what others were last reported to run there, lagging
+	Slots         int32 // bound on the whole server
 	// Weight falls below 1 while a server warms up; 0 counts as 1.
 	Weight float32
 }
@@ -57,14 +57,14 @@
 // Table is an immutable set of candidates, built off the hot path and swapped
 // whole.
 type Table struct {
-	candidates []Candidate    // by rank
-	ends       [ranks]int     // end of each rank in candidates
-	rings      [ranks][]point // for prefixes
-	index      map[string]int // by id
+	candidates []Candidate            // by rank
+	rankEnds   [rankCount]int         // end of each rank in candidates
+	rings      [rankCount][]ringPoint // for prefixes
+	index      map[string]int         // by id
 }
 
-// point is one position of a candidate on the ring of prefixes.
-type point struct {
+// ringPoint is one position of a candidate on the ring of prefixes.
+type ringPoint struct {
 	hash  uint64
 	index int32
 }
@@ -84,8 +84,8 @@
 	})
 	for i, c := range t.candidates {
 		t.index[c.ID] = i
-		for r := c.Rank; r < ranks; r++ {
-			t.ends[r] = i + 1
+		for r := c.Rank; r < rankCount; r++ {
+			t.rankEnds[r] = i + 1
 		}
 		t.addPoints(i, c)
 	}
@@ -100,7 +100,7 @@
 	h := c.Hash
 	for range pointsPerCandidate {
 		h = Mix(h)
-		t.rings[c.Rank] = append(t.rings[c.Rank], point{hash: h, index: int32(i)})
+		t.rings[c.Rank] = append(t.rings[c.Rank], ringPoint{hash: h, index: int32(i)})
 	}
 }
 
--- a/decision/watching/watching.go
+++ b/decision/watching/watching.go
@@ -26,9 +26,9 @@
 	// SmallFleetSize is the size of a fleet up to which all daemons watch: there is nothing
 	// to save.
 	SmallFleetSize = 8
-	// Watchers is how many daemons of a larger fleet watch: several zones can be lost
+	// MaxWatchers is how many daemons of a larger fleet watch: several zones can be lost
 	// and some are left.
-	Watchers = 5
+	MaxWatchers = 5
 	// ClientsPerRelay is how many daemons ask one relay. More fill the link of a small VM
 	// when a zone is lost and all its servers change at once.
 	ClientsPerRelay = 20
@@ -43,20 +43,20 @@
 
 // Plan is who watches and who asks whom. It is immutable.
 type Plan struct {
-	zones    map[string][]VM // by hash
-	zoneOf   map[string]string
-	watchers []string
-	watching map[string]bool
-	relays   map[string][]string // by zone; those that watch come first
+	zones      map[string][]VM // by hash
+	zoneOf     map[string]string
+	watchers   []string
+	watcherSet map[string]bool
+	relays     map[string][]string // by zone; those that watch come first
 }
 
 // New makes the plan of a fleet.
 func New(vms []VM) *Plan {
 	p := &Plan{
-		zones:    map[string][]VM{},
-		zoneOf:   make(map[string]string, len(vms)),
-		watching: map[string]bool{},
-		relays:   map[string][]string{},
+		zones:      map[string][]VM{},
+		zoneOf:     make(map[string]string, len(vms)),
+		watcherSet: map[string]bool{},
+		relays:     map[string][]string{},
 	}
 	for _, vm := range vms {
 		p.zones[vm.Zone] = append(p.zones[vm.Zone], vm)
@@ -73,7 +73,7 @@
 // chooseWatchers takes the first member of each zone in turn, then the second, so that
 // the loss of a zone takes as few as can be.
 func (p *Plan) chooseWatchers(size int) {
-	wanted := Watchers
+	wanted := MaxWatchers
 	if size <= SmallFleetSize {
 		wanted = size
 	}
@@ -82,7 +82,7 @@
 		for _, zone := range names {
 			if members := p.zones[zone]; place < len(members) && len(p.watchers) < wanted {
 				p.watchers = append(p.watchers, members[place].ID)
-				p.watching[members[place].ID] = true
+				p.watcherSet[members[place].ID] = true
 			}
 		}
 	}
@@ -105,7 +105,7 @@
 	for zone, members := range p.zones {
 		count := (len(members) + ClientsPerRelay - 1) / ClientsPerRelay
 		for place, vm := range members {
-			if place < count || p.watching[vm.ID] {
+			if place < count || p.watcherSet[vm.ID] {
 				p.relays[zone] = append(p.relays[zone], vm.ID)
 			}
 		}
@@ -113,7 +113,7 @@
 }
 
 // IsWatcher reports whether a daemon watches the store.
-func (p *Plan) IsWatcher(id string) bool { return p.watching[id] }
+func (p *Plan) IsWatcher(id string) bool { return p.watcherSet[id] }
 
 // Watchers returns the daemons that watch.
 func (p *Plan) Watchers() []string { return slices.Clone(p.watchers) }
@@ -152,7 +152,7 @@
 	if daemons <= SmallFleetSize {
 		return daemons
 	}
-	return Watchers
+	return MaxWatchers
 }
 
 // Relays returns the daemons of a zone that pass on what those that watch tell, the ones
--- a/serve/forward/spare.go
+++ b/serve/forward/spare.go
@@ -199,7 +199,7 @@
 			return choice{}, false
 		}
 		report, err := asked.ask(ctx, c.server, askLimit)
-		if err == nil && report.load().Fits(r.in.call.PromptTokens) {
+		if err == nil && report.load().HasCapacity(r.in.call.PromptTokens) {
 			return c, true
 		}
 		excluded = append(excluded, c.server.Life())
