--- a/decision/prompts/admit.go
+++ b/decision/prompts/admit.go
@@ -2,61 +2,61 @@
 
 import "time"
 
-// Admission says whether a prompt is sent to an engine.
+// Admission says whether a prompt is sent to an engine, or why it is refused.
 type Admission uint8
 
-// The admissions.
+// The admission results.
 const (
-	// Admitted prompts are sent.
+	// Admitted means that the prompt is sent.
 	Admitted Admission = iota
-	// TooLate means that other prompts are read for longer than the first event may take.
+	// TooLate means that the prefill of earlier prompts would delay the first event beyond its budget.
 	TooLate
-	// NoMemory means that the engine's memory is full once the prompts there are read.
+	// NoMemory means that the engine's memory would be full after the prefill of its pending prompts.
 	NoMemory
 )
 
-// String returns the word used in logs.
+// String returns the name used in logs and metrics.
 func (a Admission) String() string {
 	return [...]string{"admitted", "too_late", "no_room"}[a]
 }
 
-// lateBudgetRatio is the part of the time left by which the first event of an answer must
-// come whose objective is missed in any case: an answer takes several times as long to
-// make as its prompt to read, and a late one is worth as much at any time.
+// lateBudgetRatio is the share of the remaining time within which the first event of an answer
+// must come once the objective can't be met. Decoding an answer takes several times as long as
+// the prefill of its prompt, and an answer that misses its objective is worth the same whenever
+// it comes.
 const lateBudgetRatio = 0.5
 
-// FirstEventBudget is how long the first event of an answer may still take. objective and timeout
-// are the route's, left is what the caller waits for yet: one that was refused and
-// came back has less of it left. The objective does not count where it is missed in any
-// case, as by a prompt that takes longer to read alone: refused for that, the largest
-// prompts would be turned away again and again beside idle engines.
-func (p *Estimator) FirstEventBudget(tokens int, objective, timeout, left time.Duration) time.Duration {
-	if onTime := objective - max(timeout-left, 0); onTime > p.TimeToFirstEvent(0, tokens) {
+// FirstEventBudget returns how long the first event of an answer may still take. objective and
+// timeout are those of the route. remaining is how long the caller still waits; it is shorter
+// after a refusal and a retry. The objective is ignored if it can't be met, for example by a
+// prompt whose prefill alone takes longer: otherwise the largest prompts would be refused on
+// every retry although engines are idle.
+func (e *Estimator) FirstEventBudget(tokens int, objective, timeout, remaining time.Duration) time.Duration {
+	if onTime := objective - max(timeout-remaining, 0); onTime > e.TimeToFirstEvent(0, tokens) {
 		return onTime
 	}
-	return time.Duration(lateBudgetRatio * float64(left))
+	return time.Duration(lateBudgetRatio * float64(remaining))
 }
 
-// Admit decides about a prompt. r is the report of the best engine there is, due how
-// long the first event may take. A prompt of which somebody holds a part of the answer
-// is owed: the caller of Admit sends it also where there is no room.
+// Admit decides whether a prompt is sent. r is the report of the best engine available, budget is
+// how long the first event may take. If the client already holds a part of the answer, the caller
+// of Admit ignores NoMemory and sends the prompt.
 //
-// Load it answers: prompts that come faster than the engines of a service can read
-// them, or than their memory holds the runs, for some seconds.
+// Load pattern: for some seconds, prompts arrive faster than the engines of a service can prefill
+// them, or than their memory can hold the runs.
 //
-// Without it, all are sent. An engine reads one chunk between two steps of its batch,
-// so answers take three times as long beside prompts; runs fill the memory, no copies
-// of them fit, and each loss of a zone has all its prompts read again. The backlog
-// outlasts the burst, and callers wait for nothing until their time is over.
+// Without it, all prompts are sent. An engine prefills one chunk between two decode steps of its
+// batch, so answers take three times as long while prompts are prefilled. Runs fill the memory and
+// leave no space for copies of them, so that the loss of a zone repeats all of its prefills. The
+// backlog outlasts the burst, and callers wait until their timeout for answers that don't come.
 //
-// Thresholds: the objective itself, since an answer that misses it takes the place of
-// one that does not; and the whole memory, with the prompts that still wait there
-// counted as the mean of all.
-func (p *Estimator) Admit(r Report, tokens int, due time.Duration) Admission {
+// Thresholds: the objective itself, because an answer that misses it displaces one that would not;
+// and the whole memory, with each pending prompt counted at the mean prompt length.
+func (e *Estimator) Admit(r Report, tokens int, budget time.Duration) Admission {
 	switch {
-	case r.PendingPrompts > 0 && p.TimeToFirstEvent(r.PendingPrompts, tokens) > due:
+	case r.PendingPrompts > 0 && e.TimeToFirstEvent(r.PendingPrompts, tokens) > budget:
 		return TooLate
-	case r.CapacityTokens > 0 && r.UsedTokens+r.PendingPrompts*int(p.meanPromptTokens)+tokens > r.CapacityTokens:
+	case r.CapacityTokens > 0 && r.UsedTokens+r.PendingPrompts*int(e.meanPromptTokens)+tokens > r.CapacityTokens:
 		return NoMemory
 	}
 	return Admitted
--- a/decision/prompts/admit_test.go
+++ b/decision/prompts/admit_test.go
@@ -7,79 +7,79 @@
 	"github.com/shoenig/test/must"
 )
 
-// A prompt of 8,000 tokens takes a second alone and 1.3 s beside running answers.
-// Three others before it take 3.25 s more.
+// The prefill of a prompt of 8,000 tokens takes 1 s alone and 1.3 s beside running answers. Three
+// pending prompts before it add 3.25 s.
 func TestAdmit(t *testing.T) {
-	var p Estimator
-	p.ObservePrompt(8000)
-	p.ObservePrefill(8000, time.Second)
-	const memory = 80000
+	var e Estimator
+	e.ObservePrompt(8000)
+	e.ObservePrefill(8000, time.Second)
+	const capacity = 80000
 	cases := []struct {
 		name   string
 		report Report
-		due    time.Duration
+		budget time.Duration
 		want   Admission
 	}{
-		{"idle", Report{CapacityTokens: memory}, time.Second, Admitted},
-		{"idle, though it is late by itself", Report{CapacityTokens: memory}, time.Millisecond, Admitted},
-		{"read in time behind others", Report{PendingPrompts: 3, CapacityTokens: memory}, 4600 * time.Millisecond, Admitted},
-		{"not read in time behind others", Report{PendingPrompts: 3, CapacityTokens: memory}, 4500 * time.Millisecond, TooLate},
-		{"the last room", Report{UsedTokens: 72000, CapacityTokens: memory}, time.Minute, Admitted},
-		{"no room", Report{UsedTokens: 72001, CapacityTokens: memory}, time.Minute, NoMemory},
-		{"no room once those that wait are read", Report{PendingPrompts: 2, UsedTokens: 60000, CapacityTokens: memory}, time.Minute, NoMemory},
-		{"memory unknown", Report{UsedTokens: 1 << 30}, time.Minute, Admitted},
-		{"nothing known of a silent engine", Report{}, time.Millisecond, Admitted},
+		{"idle", Report{CapacityTokens: capacity}, time.Second, Admitted},
+		{"idle, objective missed anyway", Report{CapacityTokens: capacity}, time.Millisecond, Admitted},
+		{"in time behind others", Report{PendingPrompts: 3, CapacityTokens: capacity}, 4600 * time.Millisecond, Admitted},
+		{"too late behind others", Report{PendingPrompts: 3, CapacityTokens: capacity}, 4500 * time.Millisecond, TooLate},
+		{"memory just sufficient", Report{UsedTokens: 72000, CapacityTokens: capacity}, time.Minute, Admitted},
+		{"memory full", Report{UsedTokens: 72001, CapacityTokens: capacity}, time.Minute, NoMemory},
+		{"memory full after pending prompts", Report{PendingPrompts: 2, UsedTokens: 60000, CapacityTokens: capacity}, time.Minute, NoMemory},
+		{"capacity unknown", Report{UsedTokens: 1 << 30}, time.Minute, Admitted},
+		{"no report", Report{}, time.Millisecond, Admitted},
 	}
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { must.Eq(t, c.want, p.Admit(c.report, 8000, c.due)) })
+		t.Run(c.name, func(t *testing.T) { must.Eq(t, c.want, e.Admit(c.report, 8000, c.budget)) })
 	}
 }
 
-// Before any prompt was read nothing is refused for its time: the first callers after
-// a start would be turned away on a guess.
-func TestAdmitsBeforeAnythingIsKnown(t *testing.T) {
-	var p Estimator
-	p.ObservePrompt(8000)
-	must.Eq(t, Admitted, p.Admit(Report{PendingPrompts: 9}, 8000, time.Second))
+// While no prefill has been observed, no prompt is refused as too late. Otherwise the first callers
+// after a start would be refused without evidence.
+func TestAdmitWithoutObservations(t *testing.T) {
+	var e Estimator
+	e.ObservePrompt(8000)
+	must.Eq(t, Admitted, e.Admit(Report{PendingPrompts: 9}, 8000, time.Second))
 }
 
-func TestDue(t *testing.T) {
+func TestFirstEventBudget(t *testing.T) {
 	const objective, timeout = 4500 * time.Millisecond, 25 * time.Second
-	var p Estimator
-	due := func(tokens int, objective, left time.Duration) time.Duration {
-		return p.FirstEventBudget(tokens, objective, timeout, left)
+	var e Estimator
+	budget := func(tokens int, objective, remaining time.Duration) time.Duration {
+		return e.FirstEventBudget(tokens, objective, timeout, remaining)
 	}
-	must.Eq(t, objective, due(8000, objective, timeout)) // nothing is known of the engines
-	p.ObservePrompt(8000)
-	p.ObservePrefill(8000, time.Second)
-	must.Eq(t, objective, due(8000, objective, timeout))
-	must.Eq(t, 3500*time.Millisecond, due(8000, objective, 24*time.Second))
-	must.Eq(t, 8*time.Second, due(8000, objective, 16*time.Second)) // came back
-	must.Eq(t, objective, due(8000, objective, time.Minute))        // waits longer than the route lets it
-	must.Eq(t, 5*time.Second, due(8000, 0, 10*time.Second))         // the route has no objective
+	must.Eq(t, objective, budget(8000, objective, timeout)) // no observations
+	e.ObservePrompt(8000)
+	e.ObservePrefill(8000, time.Second)
+	must.Eq(t, objective, budget(8000, objective, timeout))
+	must.Eq(t, 3500*time.Millisecond, budget(8000, objective, 24*time.Second))
+	must.Eq(t, 8*time.Second, budget(8000, objective, 16*time.Second)) // a retry
+	must.Eq(t, objective, budget(8000, objective, time.Minute))        // longer than the route's timeout
+	must.Eq(t, 5*time.Second, budget(8000, 0, 10*time.Second))         // the route has no objective
 }
 
-// A prompt takes longer to read than the objective allows, also by an idle engine. With
-// one other prompt before it it would be refused each time its caller comes, although
-// it can be answered in the caller's time.
+// The prefill of a prompt takes longer than the objective even at an idle engine. With one pending
+// prompt before it, it would be refused on every retry, although it can be answered in the caller's
+// time.
 func TestLargePromptIsNotRefusedForItsSize(t *testing.T) {
-	var p Estimator
-	p.ObservePrompt(8000)
-	p.ObservePrefill(8000, 2*time.Second)
-	const large, left = 16000, 25 * time.Second
-	due := p.FirstEventBudget(large, 4500*time.Millisecond, left, left)
-	must.Eq(t, left/2, due)
-	must.Eq(t, Admitted, p.Admit(Report{PendingPrompts: 1}, large, due))
-	must.Eq(t, TooLate, p.Admit(Report{PendingPrompts: 9}, large, due))
+	var e Estimator
+	e.ObservePrompt(8000)
+	e.ObservePrefill(8000, 2*time.Second)
+	const large, remaining = 16000, 25 * time.Second
+	budget := e.FirstEventBudget(large, 4500*time.Millisecond, remaining, remaining)
+	must.Eq(t, remaining/2, budget)
+	must.Eq(t, Admitted, e.Admit(Report{PendingPrompts: 1}, large, budget))
+	must.Eq(t, TooLate, e.Admit(Report{PendingPrompts: 9}, large, budget))
 }
 
-func TestMeans(t *testing.T) {
-	var p Estimator
-	must.Eq(t, 0, p.MeanAnswerTime())
-	p.ObserveAnswerTime(4 * time.Second)
-	must.Eq(t, 4*time.Second, p.MeanAnswerTime())
+func TestMeanAnswerTime(t *testing.T) {
+	var e Estimator
+	must.Eq(t, 0, e.MeanAnswerTime())
+	e.ObserveAnswerTime(4 * time.Second)
+	must.Eq(t, 4*time.Second, e.MeanAnswerTime())
 	for range 100 {
-		p.ObserveAnswerTime(8 * time.Second)
+		e.ObserveAnswerTime(8 * time.Second)
 	}
-	must.Between(t, 7900*time.Millisecond, p.MeanAnswerTime(), 8*time.Second)
+	must.Between(t, 7900*time.Millisecond, e.MeanAnswerTime(), 8*time.Second)
 }
--- a/decision/prompts/candidates_test.go
+++ b/decision/prompts/candidates_test.go
@@ -10,7 +10,7 @@
 	"mallowwind.dev/decision/route"
 )
 
-func seats(size, zones int) []HashedEngine {
+func hashedEngines(size, zones int) []HashedEngine {
 	list := make([]HashedEngine, size)
 	for i := range list {
 		list[i] = HashedEngine{Zone: fmt.Sprintf("z%d", i%zones), Hash: route.Mix(uint64(i) + 1)}
@@ -18,51 +18,51 @@
 	return list
 }
 
-// Two daemons know the same engines in another order, and a zone has lost a fifth of its
-// engines since the prompt was placed: the engine that read it, if it lives, is looked at
-// all the same in 19 of 20 cases.
-func TestPromptIsLookedForWhereItWasPlaced(t *testing.T) {
+// Another daemon knows the same engines in another order, and a zone has replaced a fifth of its
+// engines since the prompt was placed. In 19 of 20 cases, the engine that prefilled the prompt is
+// still among the engines looked up if it has not been replaced.
+func TestLookupFindsPlacedPrompts(t *testing.T) {
 	const prompts = 500
 	for _, c := range []struct{ size, zones int }{{161, 3}, {260, 5}, {1900, 7}} {
-		then := seats(c.size, c.zones)
-		now := slices.Clone(then)
-		slices.Reverse(now)
-		for i := range now {
+		before := hashedEngines(c.size, c.zones)
+		after := slices.Clone(before)
+		slices.Reverse(after)
+		for i := range after {
 			if i%(5*c.zones) == 0 {
-				now[i].Hash = route.Mix(now[i].Hash) // it started anew
+				after[i].Hash = route.Mix(after[i].Hash) // restarted with a new id
 			}
 		}
-		missed, living, looked := 0, 0, 0
+		missed, alive, lookups := 0, 0, 0
 		for p := range uint64(prompts) {
-			at := map[uint64]bool{}
-			for _, i := range LookupCandidates(route.Mix(p), now) {
-				at[now[i].Hash] = true
-				looked++
+			found := map[uint64]bool{}
+			for _, i := range LookupCandidates(route.Mix(p), after) {
+				found[after[i].Hash] = true
+				lookups++
 			}
-			for _, i := range PlacementCandidates(route.Mix(p), then) {
-				if !slices.ContainsFunc(now, func(s HashedEngine) bool { return s.Hash == then[i].Hash }) {
+			for _, i := range PlacementCandidates(route.Mix(p), before) {
+				if !slices.ContainsFunc(after, func(e HashedEngine) bool { return e.Hash == before[i].Hash }) {
 					continue
 				}
-				living++
-				if !at[then[i].Hash] {
+				alive++
+				if !found[before[i].Hash] {
 					missed++
 				}
 			}
 		}
-		must.LessEq(t, living/20, missed)
-		must.LessEq(t, (candidateCount+2*c.zones)*prompts, looked)
+		must.LessEq(t, alive/20, missed)
+		must.LessEq(t, (candidateCount+2*c.zones)*prompts, lookups)
 	}
 }
 
-// Windows have as many engines of each zone, and no engine is in the windows of many more
+// Each prompt has equally many candidates in each zone, and no engine is a candidate of many more
 // prompts than another.
-func TestWindowsAreEven(t *testing.T) {
-	all := seats(260, 5)
-	in := make([]int, len(all))
+func TestPlacementCandidatesAreBalanced(t *testing.T) {
+	all := hashedEngines(260, 5)
+	promptsOf := make([]int, len(all))
 	for p := range uint64(5200) {
 		zones := map[string]int{}
 		for _, i := range PlacementCandidates(route.Mix(p), all) {
-			in[i]++
+			promptsOf[i]++
 			zones[all[i].Zone]++
 		}
 		must.MapLen(t, 5, zones)
@@ -70,7 +70,7 @@
 			must.Eq(t, candidateCount/5, n)
 		}
 	}
-	must.Between(t, 140, slices.Min(in), 200)
-	must.Between(t, 200, slices.Max(in), 260)
+	must.Between(t, 140, slices.Min(promptsOf), 200)
+	must.Between(t, 200, slices.Max(promptsOf), 260)
 	must.SliceEmpty(t, PlacementCandidates(1, nil))
 }
--- a/decision/prompts/estimator.go
+++ b/decision/prompts/estimator.go
@@ -3,57 +3,59 @@
 import "time"
 
 const (
-	// lowerBoundRatio is the part of the shortest reading seen below which a prompt
-	// certainly cannot be read: engines of one service differ by a third in speed.
+	// lowerBoundRatio scales the fastest prefill and the shortest answer observed down to a bound
+	// that no engine beats: the engines of one service differ by a third in speed.
 	lowerBoundRatio = 0.7
-	// minGrowthFactor lets the shortest reading grow by a hundredth with each one seen, so
-	// that engines that became slower are believed after some seventy prompts.
+	// minGrowthFactor raises an observed minimum by one percent with each larger observation, so
+	// that the estimate follows engines that became slower after about seventy prompts.
 	minGrowthFactor = 1.01
-	// minAnswerCount say little of how short answers may be.
+	// minAnswerCount is the number of complete answers below which their shortest length is not
+	// relied on.
 	minAnswerCount = 5
-	// ewmaWeight is the weight of one request in the means, so that
-	// the last dozens count.
+	// ewmaWeight is the weight of one request in the moving averages, which so cover the last few
+	// dozen requests.
 	ewmaWeight = 1.0 / 16
-	// batchSlowdownRatio is how much longer a prompt takes beside running answers than the
-	// fastest one seen: a step of ten answers takes a quarter of a chunk's time.
+	// batchSlowdownRatio is the prefill time beside running answers relative to the fastest prefill
+	// observed: a decode step of ten answers takes a quarter of the time of a prefill chunk.
 	batchSlowdownRatio = 1.3
-	// meanPrefilledRatio is the part of the prompt being read that is behind it on average.
+	// meanPrefilledRatio is the share of the prompt in prefill that is already done on average.
 	meanPrefilledRatio = 0.5
 )
 
-// Estimator learns how fast the engines of one service read prompts and make answers.
+// Estimator learns how fast the engines of one service prefill prompts and decode answers.
 //
-// Load it answers: callers that come back after an outage with little time
-// left. Without it their prompts are read for a second each and the answers
-// come when nobody waits, while the prompts behind them miss their time too.
-// The zero value knows nothing. It is not safe for concurrent use.
+// Load pattern: callers retry after an outage with little of their timeout left. Without the
+// estimates, engines spend a second of prefill on each of their prompts, the answers come after
+// the callers gave up, and the prompts queued behind them miss their deadlines too.
+//
+// The zero value has no observations. It is not safe for concurrent use.
 type Estimator struct {
-	minPrefillNsPerToken float64 // nanoseconds, of the fastest reading
-	meanPromptTokens     float64 // mean length of the prompts
-	meanAnswerNs         float64 // nanoseconds, mean time of the answers from arrival to end
-	minNsPerEvent        float64 // nanoseconds, of the fastest whole answer
-	minEvents            float64 // of the shortest whole answer
-	answerCount          int     // whole ones seen
+	minPrefillNsPerToken float64 // of the fastest prefill
+	meanPromptTokens     float64
+	meanAnswerNs         float64 // from arrival of the request to the end of the answer
+	minNsPerEvent        float64 // of the fastest complete answer
+	minEvents            float64 // of the shortest complete answer
+	answerCount          int     // complete answers observed
 }
 
-// ObservePrompt records that a prompt of so many tokens is to be read; 0 means that its caller
-// does not say.
-func (p *Estimator) ObservePrompt(tokens int) {
+// ObservePrompt records the length of a prompt to be prefilled; 0 means that the caller did not
+// state it.
+func (e *Estimator) ObservePrompt(tokens int) {
 	if tokens <= 0 {
 		return
 	}
-	p.meanPromptTokens = ewma(p.meanPromptTokens, float64(tokens))
+	e.meanPromptTokens = ewma(e.meanPromptTokens, float64(tokens))
 }
 
-// ObserveAnswerTime records that an answer took so long from its request to its end.
-func (p *Estimator) ObserveAnswerTime(took time.Duration) {
-	p.meanAnswerNs = ewma(p.meanAnswerNs, float64(took))
+// ObserveAnswerTime records the time of an answer from its request to its end.
+func (e *Estimator) ObserveAnswerTime(took time.Duration) {
+	e.meanAnswerNs = ewma(e.meanAnswerNs, float64(took))
 }
 
-// MeanAnswerTime is how long answers take; 0 before the first.
-func (p *Estimator) MeanAnswerTime() time.Duration { return time.Duration(p.meanAnswerNs) }
+// MeanAnswerTime returns the moving average of answer times; 0 before the first observation.
+func (e *Estimator) MeanAnswerTime() time.Duration { return time.Duration(e.meanAnswerNs) }
 
-// ewma is a mean with one more value; the first stands for itself.
+// ewma adds a value to an exponentially weighted moving average; the first value is the average.
 func ewma(mean, value float64) float64 {
 	if mean == 0 {
 		return value
@@ -61,23 +63,23 @@
 	return mean + ewmaWeight*(value-mean)
 }
 
-// TimeToFirstEvent is about how long the first event of a prompt takes at an engine that reads
-// unread others before it; 0 where no prompt was seen to be read yet.
-func (p *Estimator) TimeToFirstEvent(unread, tokens int) time.Duration {
-	others := max(float64(unread)-meanPrefilledRatio, 0) * p.meanPromptTokens
-	return time.Duration(batchSlowdownRatio * p.minPrefillNsPerToken * (others + float64(tokens)))
+// TimeToFirstEvent estimates the time to the first event of a prompt at an engine with so many
+// pending prompts before it; 0 while no prefill has been observed.
+func (e *Estimator) TimeToFirstEvent(pending, tokens int) time.Duration {
+	pendingTokens := max(float64(pending)-meanPrefilledRatio, 0) * e.meanPromptTokens
+	return time.Duration(batchSlowdownRatio * e.minPrefillNsPerToken * (pendingTokens + float64(tokens)))
 }
 
-// ObservePrefill records that the first event of a prompt took so long.
-func (p *Estimator) ObservePrefill(tokens int, took time.Duration) {
+// ObservePrefill records the time from sending a prompt to its first event.
+func (e *Estimator) ObservePrefill(tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
-	p.minPrefillNsPerToken = decayingMin(p.minPrefillNsPerToken, float64(took)/float64(tokens))
+	e.minPrefillNsPerToken = decayingMin(e.minPrefillNsPerToken, float64(took)/float64(tokens))
 }
 
-// decayingMin is the smallest value seen with one more; it grows a little with each that is
-// larger, so that what does not come any more is forgotten.
+// decayingMin adds a value to a running minimum. The minimum grows by minGrowthFactor with each
+// larger value, so that values that no longer occur are forgotten.
 func decayingMin(known, value float64) float64 {
 	if known == 0 || value < known {
 		return value
@@ -85,70 +87,71 @@
 	return min(known*minGrowthFactor, value)
 }
 
-// ObserveAnswer records that a whole answer had so many events, and that those after the first
-// took so long.
-func (p *Estimator) ObserveAnswer(events int64, took time.Duration) {
+// ObserveAnswer records the number of events of a complete answer, and the time of those after the
+// first.
+func (e *Estimator) ObserveAnswer(events int64, took time.Duration) {
 	if events < 2 || took <= 0 {
 		return
 	}
-	p.answerCount++
-	p.minEvents = decayingMin(p.minEvents, float64(events))
-	p.minNsPerEvent = decayingMin(p.minNsPerEvent, float64(took)/float64(events-1))
+	e.answerCount++
+	e.minEvents = decayingMin(e.minEvents, float64(events))
+	e.minNsPerEvent = decayingMin(e.minNsPerEvent, float64(took)/float64(events-1))
 }
 
-// CannotPrefillWithin reports whether a prompt certainly cannot be read in what is left.
-func (p *Estimator) CannotPrefillWithin(tokens int, left time.Duration) bool {
-	return float64(left) < lowerBoundRatio*p.minPrefillNsPerToken*float64(tokens)
+// CannotPrefillWithin reports whether no engine can prefill the prompt in the remaining time.
+func (e *Estimator) CannotPrefillWithin(tokens int, remaining time.Duration) bool {
+	return float64(remaining) < lowerBoundRatio*e.minPrefillNsPerToken*float64(tokens)
 }
 
-// CannotFinishWithin reports whether an answer certainly cannot be whole in what is left: not
-// if it were shorter by leastPart than the shortest seen lately and made as fast as the
-// fastest. have is how many of its events the caller holds; unread says that its prompt of
-// so many tokens has to be read first, as no engine is known to hold it.
+// CannotFinishWithin reports whether no engine can complete the answer in the remaining time, even
+// if the answer has only lowerBoundRatio times the events of the shortest recent one and is decoded
+// as fast as the fastest. received is how many of its events the caller holds. needsPrefill says
+// that no engine is known to hold the prompt, so that it has to be prefilled first.
 //
-// Load it answers: callers whose connections hung when a VM lost its power, and who come
-// back seconds later. Without it engines read prompts and make answers of which nobody
-// gets the end, and the callers wait for that until their time is over.
-func (p *Estimator) CannotFinishWithin(tokens int, unread bool, have int64, left time.Duration) bool {
-	if p.answerCount < minAnswerCount {
+// Load pattern: a VM loses power, its callers' connections hang, and the callers retry seconds
+// later. Without this check, engines prefill and decode for callers that time out before the end
+// of the answer, and these callers wait until then instead of being refused at once.
+func (e *Estimator) CannotFinishWithin(tokens int, needsPrefill bool, received int64, remaining time.Duration) bool {
+	if e.answerCount < minAnswerCount {
 		return false
 	}
-	need := p.minNsPerEvent * max(lowerBoundRatio*p.minEvents-float64(have), 0)
-	if unread {
-		need += lowerBoundRatio * p.minPrefillNsPerToken * float64(tokens)
+	need := e.minNsPerEvent * max(lowerBoundRatio*e.minEvents-float64(received), 0)
+	if needsPrefill {
+		need += lowerBoundRatio * e.minPrefillNsPerToken * float64(tokens)
 	}
-	return float64(left) < need
+	return float64(remaining) < need
 }
 
-// HasEnoughAnswers reports whether enough answers were seen to tell which cannot be whole in time.
-func (p *Estimator) HasEnoughAnswers() bool { return p.answerCount >= minAnswerCount }
+// HasEnoughAnswers reports whether enough complete answers were observed for CannotFinishWithin.
+func (e *Estimator) HasEnoughAnswers() bool { return e.answerCount >= minAnswerCount }
 
-// Estimates is what a daemon tells others of the engines of a service: of the fastest
-// reading and the fastest and shortest whole answers, and how many of those it saw.
+// Estimates is what a daemon reports to other daemons about the engines of a service: the fastest
+// prefill, the rate of the fastest and the length of the shortest complete answer, and the number
+// of complete answers observed.
 type Estimates struct {
-	PrefillNsPerToken, NsPerEvent float64 // nanoseconds
+	PrefillNsPerToken, NsPerEvent float64
 	Events                        float64
 	Answers                       int
 }
 
-// Estimates returns what was seen here and heard from others.
-func (p *Estimator) Estimates() Estimates {
-	return Estimates{PrefillNsPerToken: p.minPrefillNsPerToken, NsPerEvent: p.minNsPerEvent, Events: p.minEvents, Answers: p.answerCount}
+// Estimates returns the estimates from this daemon's observations and those merged from others.
+func (e *Estimator) Estimates() Estimates {
+	return Estimates{PrefillNsPerToken: e.minPrefillNsPerToken, NsPerEvent: e.minNsPerEvent, Events: e.minEvents, Answers: e.answerCount}
 }
 
-// Merge takes in what another daemon learned. What makes no sense is left out.
+// Merge adds the estimates of another daemon. Invalid values are ignored.
 //
-// Load it answers: hundreds of daemons that started at once. Each sees an answer in
-// several seconds, and would know nothing when callers come back with little time left,
-// although all together have seen hundreds.
-func (p *Estimator) Merge(l Estimates) {
-	if !(l.NsPerEvent > 0) || !(l.Events > 0) || l.Answers <= 0 {
+// Load pattern: hundreds of daemons start at once. Each observes one answer in several seconds, so
+// that none has enough when callers retry with little time left, although all daemons together
+// have observed hundreds.
+func (e *Estimator) Merge(other Estimates) {
+	if !(other.NsPerEvent > 0) || !(other.Events > 0) || other.Answers <= 0 {
 		return
 	}
-	p.answerCount += l.Answers
-	p.minNsPerEvent = decayingMin(p.minNsPerEvent, l.NsPerEvent)
-	p.minEvents = decayingMin(p.minEvents, l.Events)
-	if l.PrefillNsPerToken > 0 {
-		p.minPrefillNsPerToken = decayingMin(p.minPrefillNsPerToken, l.PrefillNsPerToken)
+	e.answerCount += other.Answers
+	e.minNsPerEvent = decayingMin(e.minNsPerEvent, other.NsPerEvent)
+	e.minEvents = decayingMin(e.minEvents, other.Events)
+	if other.PrefillNsPerToken > 0 {
+		e.minPrefillNsPerToken = decayingMin(e.minPrefillNsPerToken, other.PrefillNsPerToken)
 	}
 }
--- a/decision/prompts/prompts.go
+++ b/decision/prompts/prompts.go
@@ -1,27 +1,26 @@
-// Package prompts decides which model engine reads a long prompt, and which
-// one keeps a copy of the run's memory.
+// Package prompts decides which model engine prefills a long prompt, and which one keeps a copy of
+// the KV cache of the run.
 //
-// Load it answers: prompts that take an engine a second to read, arriving at
-// several entry VMs at once, while the engines of a whole zone may be lost.
+// Load pattern: prompts whose prefill takes a second arrive at several entry VMs at once, while the
+// engines of a whole zone may fail together.
 //
-// Without it, daemons that know only their own requests send two prompts to
-// one engine while others idle: both wait, every answer that runs there stalls
-// between the chunks, and twice as much is lost when the engine dies. A copy in
-// the same zone is lost together with the run.
+// Without it, daemons that know only their own requests send two prompts to one engine while others
+// are idle: both prompts wait, every answer running there stalls between the prefill chunks, and
+// twice as much work is lost if the engine fails. A copy in the same zone is lost together with the
+// run.
 //
-// How it decides: each daemon has home engines, a window of its own of each
-// zone's engines, so that daemons meet on an engine only when they spill over.
-// An engine that reads no prompt of this daemon goes before one that does, a
-// home engine before another, and then the one with the fewest runs. The first
-// few of this order are asked what they do, and the quietest of them is chosen:
-// with seventy daemons most prompts spill over, and each daemon knows one in
-// seventy of the prompts being read.
+// Decision: each daemon prefers its own subset of each zone's engines, so that two daemons choose
+// the same engine only when they spill over. Engines that prefill no prompt of this daemon come
+// before those that do, then preferred engines before others, then those with the fewest runs. The
+// first few engines in this order are queried for a report, and the least loaded of them is chosen:
+// with seventy daemons most prompts spill over, and each daemon knows of only one in seventy of the
+// prompts in prefill.
 //
-// A fleet of few daemons does better: each asks the others what they have under way
-// before it places a prompt (Asks), and then the engine that reads nothing and makes the
-// fewest answers goes first, home or not. In a larger fleet the keepers of the engines of the
-// prompt's window are asked instead (Keeper, Window). The first few engines by reports are
-// what is left where too few keepers answer.
+// In a small fleet, each daemon instead polls the others for their requests in flight before it
+// places a prompt (ShouldPollPeers). The engine that prefills nothing and runs the fewest answers
+// then comes first, preferred or not. In a larger fleet, the daemon queries the trackers of the
+// prompt's candidate engines instead (Tracker, PlacementCandidates). If too few trackers answer, it
+// falls back to the reports of the first few engines.
 package prompts
 
 import (
@@ -30,16 +29,16 @@
 	"mallowwind.dev/decision/route"
 )
 
-// Engine is one candidate as this daemon sees it.
+// Engine is one candidate as this daemon knows it.
 type Engine struct {
 	Zone string
-	// Preferred marks an engine of this daemon's own window.
+	// Preferred marks an engine of this daemon's subset, or a candidate for the prompt.
 	Preferred bool
-	// Reading, Running and Copies are the requests known there, this daemon's and what
-	// others told of theirs: before their first event, after it, and copies of runs
-	// elsewhere.
+	// Prefilling and Running count the requests in flight at the engine before and after their
+	// first event, and Copies the copies of runs elsewhere that it keeps. They include the requests
+	// of other daemons as far as those are known.
 	Prefilling, Running, Copies int
-	// Suspect marks an engine that failed a moment ago; it is a last resort.
+	// Suspect marks an engine that failed recently; it is a last resort.
 	Suspect bool
 	// Excluded engines are not chosen.
 	Excluded bool
@@ -57,17 +56,17 @@
 	ReasonSuspect   Reason = "suspects_only"
 )
 
-// Choice is an engine by index.
+// Choice is a chosen engine by its index.
 type Choice struct {
 	Index  int
 	Reason Reason
 }
 
-// rank orders candidates; smaller is better at every field in turn.
+// rank orders engines; smaller is better, and the first field that differs decides.
 type rank struct {
 	suspect        bool
 	prefilling     int
-	delayedAnswers int // answers that a prompt there would delay, as far as all of them are known
+	delayedAnswers int // answers that a prefill would delay; 0 unless those of all daemons are known
 	notPreferred   bool
 	load           int
 	tieBreak       uint64
@@ -89,15 +88,15 @@
 	return a.tieBreak < b.tieBreak
 }
 
-// rankedEngine is a candidate with its rank.
+// rankedEngine is the index of an engine with its rank.
 type rankedEngine struct {
 	rank
 	index int
 }
 
-// ChoosePrefillEngines returns the engines that may read a prompt, the best first and n at most. known
-// says that the counts are those of all daemons. draw breaks ties at random.
-func ChoosePrefillEngines(engines []Engine, n int, known bool, draw uint64) []Choice {
+// ChoosePrefillEngines returns at most n engines that may prefill a prompt, the best first. complete
+// says that the counts in engines include those of all daemons. seed breaks ties at random.
+func ChoosePrefillEngines(engines []Engine, n int, complete bool, seed uint64) []Choice {
 	var best []rankedEngine
 	for i, e := range engines {
 		if e.Excluded {
@@ -105,21 +104,21 @@
 		}
 		r := rank{
 			suspect: e.Suspect, prefilling: e.Prefilling, notPreferred: !e.Preferred,
-			load: e.Running + e.Copies, tieBreak: route.Mix(draw + uint64(i)),
+			load: e.Running + e.Copies, tieBreak: route.Mix(seed + uint64(i)),
 		}
-		if known {
+		if complete {
 			r.delayedAnswers = e.Running
 		}
 		best = insert(best, n, rankedEngine{index: i, rank: r})
 	}
 	choices := make([]Choice, len(best))
 	for i, r := range best {
-		choices[i] = Choice{Index: r.index, Reason: reason(r.rank, known)}
+		choices[i] = Choice{Index: r.index, Reason: reason(r.rank, complete)}
 	}
 	return choices
 }
 
-// insert puts r into a list of the n best, which is in order.
+// insert adds r to the sorted list of the n best engines.
 func insert(best []rankedEngine, n int, r rankedEngine) []rankedEngine {
 	at, _ := slices.BinarySearchFunc(best, r, func(a, b rankedEngine) int {
 		if a.before(b.rank) {
@@ -134,13 +133,13 @@
 	return best[:min(len(best), n)]
 }
 
-func reason(r rank, known bool) Reason {
+func reason(r rank, complete bool) Reason {
 	switch {
 	case r.suspect:
 		return ReasonSuspect
 	case r.prefilling > 0:
 		return ReasonBusy
-	case known:
+	case complete:
 		return ReasonKnown
 	case r.notPreferred:
 		return ReasonSpill
@@ -148,55 +147,55 @@
 	return ReasonPreferred
 }
 
-// ChooseCopyEngine chooses the engine that keeps the copy of a run in zone, -1 if none. It
-// is in another zone where there is one, since zones are lost whole, and reads
-// no prompt, since an answer that goes on there would wait between its chunks.
-func ChooseCopyEngine(engines []Engine, zone string, draw uint64) int {
-	best, at, bestNear := rank{}, -1, false
+// ChooseCopyEngine returns the index of the engine that keeps the copy of a run in the given zone,
+// -1 if there is none. Engines in other zones come first, because all engines of a zone may fail
+// together, then engines without a prefill, because an answer resumed there would stall between the
+// prefill chunks.
+func ChooseCopyEngine(engines []Engine, zone string, seed uint64) int {
+	best, at, bestInZone := rank{}, -1, false
 	for i, e := range engines {
 		if e.Excluded || e.Suspect {
 			continue
 		}
-		near := e.Zone == zone
-		r := rank{prefilling: e.Prefilling, notPreferred: !e.Preferred, load: e.Copies + e.Running, tieBreak: route.Mix(draw + uint64(i))}
-		better := at < 0 || near != bestNear && !near || near == bestNear && r.before(best)
+		inZone := e.Zone == zone
+		r := rank{prefilling: e.Prefilling, notPreferred: !e.Preferred, load: e.Copies + e.Running, tieBreak: route.Mix(seed + uint64(i))}
+		better := at < 0 || inZone != bestInZone && !inZone || inZone == bestInZone && r.before(best)
 		if better {
-			best, at, bestNear = r, i, near
+			best, at, bestInZone = r, i, inZone
 		}
 	}
 	return at
 }
 
-// Report is what an engine says of itself when it is asked, as of a fifth of a
-// second ago.
+// Report is the load that an engine reports when it is queried, as of a fifth of a second ago.
 type Report struct {
-	// PendingPrompts are the prompts that it reads or that wait there.
+	// PendingPrompts counts the prompts in prefill and those queued.
 	PendingPrompts int
-	// Running are the runs that make events.
+	// Running counts the runs that are decoding.
 	Running int
-	// UsedTokens and Memory are the tokens that it holds and cannot give up, and all that
-	// it can hold; Memory is 0 where it does not say.
+	// UsedTokens is the number of tokens in memory that the engine can't evict, CapacityTokens the
+	// number that fits in memory, or 0 if the engine doesn't report it.
 	UsedTokens, CapacityTokens int
 }
 
-// maxFillRatio is the share of an engine's memory beyond which no copy is placed there,
-// and no prompt while another engine has room. Copies grow to their whole size only
-// after they were placed, answers grow by a tenth of their prompts, and reports lag.
+// maxFillRatio is the share of an engine's memory above which it gets no copy, and no prompt while
+// another engine has capacity. Copies grow to their full size only after they were placed, answers
+// add a tenth of their prompts' size, and reports lag.
 const maxFillRatio = 0.75
 
-// HasCapacity reports whether the engine has room for so many more tokens. Without room
-// it throws out the newest of the runs there, in the middle of its answer, and
-// reads that one's prompt again.
+// HasCapacity reports whether the engine has memory for so many more tokens. An engine without it
+// preempts its newest run in the middle of the answer and repeats the prefill of that run's prompt.
 func (r Report) HasCapacity(tokens int) bool {
 	return r.CapacityTokens == 0 || float64(r.UsedTokens+tokens) <= maxFillRatio*float64(r.CapacityTokens)
 }
 
-// CanPrefillNow reports whether a prompt of so many tokens would be read at once.
+// CanPrefillNow reports whether the prefill of a prompt with so many tokens would start at once.
 func (r Report) CanPrefillNow(tokens int) bool { return r.PendingPrompts == 0 && r.HasCapacity(tokens) }
 
-// LeastLoaded returns the index of the engine that has room for a prompt, where it
-// waits least, and among equals the one where reading it delays the fewest running
-// answers; -1 without reports. The reports are in the order of preference.
+// LeastLoaded returns the index of the report of the best engine for a prompt, -1 without reports.
+// Engines with capacity come first, then those with the fewest pending prompts, then those where the
+// prefill delays the fewest running answers. Among equals, the first is taken: the reports are in
+// order of preference.
 func LeastLoaded(reports []Report, tokens int) int {
 	best := -1
 	for i, r := range reports {
@@ -208,8 +207,8 @@
 }
 
 func (r Report) before(other Report, tokens int) bool {
-	if fits := r.HasCapacity(tokens); fits != other.HasCapacity(tokens) {
-		return fits
+	if hasCapacity := r.HasCapacity(tokens); hasCapacity != other.HasCapacity(tokens) {
+		return hasCapacity
 	}
 	if r.PendingPrompts != other.PendingPrompts {
 		return r.PendingPrompts < other.PendingPrompts
--- a/decision/prompts/prompts_test.go
+++ b/decision/prompts/prompts_test.go
@@ -6,30 +6,30 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestReadOrder(t *testing.T) {
+func TestPrefillEngineOrder(t *testing.T) {
 	cases := []struct {
-		name    string
-		engines []Engine
-		known   bool
-		want    int
-		reason  Reason
+		name     string
+		engines  []Engine
+		complete bool
+		want     int
+		reason   Reason
 	}{
 		{"none", nil, false, -1, ""},
-		{"home before idle elsewhere", []Engine{{}, {Preferred: true}}, false, 1, ReasonPreferred},
-		{"idle elsewhere before busy home", []Engine{{Preferred: true, Prefilling: 1}, {}}, false, 1, ReasonSpill},
+		{"preferred before idle other", []Engine{{}, {Preferred: true}}, false, 1, ReasonPreferred},
+		{"idle other before busy preferred", []Engine{{Preferred: true, Prefilling: 1}, {}}, false, 1, ReasonSpill},
 		{"fewest runs", []Engine{{Preferred: true, Running: 2}, {Preferred: true, Copies: 1}}, false, 1, ReasonPreferred},
-		{"fewest prompts when all read", []Engine{{Prefilling: 2}, {Prefilling: 1}}, false, 1, ReasonBusy},
+		{"fewest prompts when all prefill", []Engine{{Prefilling: 2}, {Prefilling: 1}}, false, 1, ReasonBusy},
 		{"suspect last", []Engine{{Preferred: true, Suspect: true}, {Prefilling: 3}}, false, 1, ReasonBusy},
 		{"suspect when nothing else", []Engine{{Excluded: true}, {Suspect: true}}, false, 1, ReasonSuspect},
 		{"all excluded", []Engine{{Excluded: true}}, false, -1, ""},
-		{"fewest answers delayed before home", []Engine{{Preferred: true, Running: 1}, {Copies: 3}}, true, 1, ReasonKnown},
-		{"home among equals", []Engine{{Running: 1}, {Preferred: true, Running: 1, Copies: 2}}, true, 1, ReasonKnown},
-		{"no prompt before fewer answers", []Engine{{Prefilling: 1}, {Running: 4}}, true, 1, ReasonKnown},
-		{"suspect last of those known", []Engine{{Suspect: true}, {Prefilling: 1, Running: 2}}, true, 1, ReasonBusy},
+		{"fewest answers delayed before preferred", []Engine{{Preferred: true, Running: 1}, {Copies: 3}}, true, 1, ReasonKnown},
+		{"preferred among equals", []Engine{{Running: 1}, {Preferred: true, Running: 1, Copies: 2}}, true, 1, ReasonKnown},
+		{"no prefill before fewer answers", []Engine{{Prefilling: 1}, {Running: 4}}, true, 1, ReasonKnown},
+		{"suspect last with complete counts", []Engine{{Suspect: true}, {Prefilling: 1, Running: 2}}, true, 1, ReasonBusy},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got := ChoosePrefillEngines(c.engines, 1, c.known, 7)
+			got := ChoosePrefillEngines(c.engines, 1, c.complete, 7)
 			if c.want < 0 {
 				must.SliceEmpty(t, got)
 				return
@@ -39,17 +39,17 @@
 	}
 }
 
-func TestCopyOrder(t *testing.T) {
+func TestCopyEngineOrder(t *testing.T) {
 	cases := []struct {
 		name    string
 		engines []Engine
 		want    int
 	}{
 		{"none", nil, -1},
-		{"another zone before home", []Engine{{Zone: "a", Preferred: true}, {Zone: "b", Copies: 9}}, 1},
+		{"another zone before preferred", []Engine{{Zone: "a", Preferred: true}, {Zone: "b", Copies: 9}}, 1},
 		{"same zone when nothing else", []Engine{{Zone: "a"}, {Zone: "b", Suspect: true}}, 0},
-		{"not where a prompt is read", []Engine{{Zone: "b", Prefilling: 1}, {Zone: "c", Copies: 2}}, 1},
-		{"home first", []Engine{{Zone: "b"}, {Zone: "c", Preferred: true, Copies: 1}}, 1},
+		{"not beside a prefill", []Engine{{Zone: "b", Prefilling: 1}, {Zone: "c", Copies: 2}}, 1},
+		{"preferred first", []Engine{{Zone: "b"}, {Zone: "c", Preferred: true, Copies: 1}}, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestReadReturnsTheBestInOrder(t *testing.T) {
+func TestPrefillEnginesAreSorted(t *testing.T) {
 	engines := []Engine{{Suspect: true}, {Prefilling: 2}, {Preferred: true}, {Excluded: true}, {Prefilling: 1}, {}}
 	var order []int
 	for _, c := range ChoosePrefillEngines(engines, 4, false, 7) {
@@ -68,7 +68,7 @@
 	must.SliceLen(t, 5, ChoosePrefillEngines(engines, 9, false, 7))
 }
 
-func TestQuietest(t *testing.T) {
+func TestLeastLoaded(t *testing.T) {
 	cases := []struct {
 		name    string
 		reports []Report
@@ -76,18 +76,18 @@
 	}{
 		{"none", nil, -1},
 		{"the first of equals", []Report{{Running: 2}, {Running: 2}}, 0},
-		{"no prompt being read", []Report{{PendingPrompts: 1}, {Running: 9}}, 1},
+		{"no prefill", []Report{{PendingPrompts: 1}, {Running: 9}}, 1},
 		{"fewest answers delayed", []Report{{Running: 4}, {Running: 1}, {PendingPrompts: 1}}, 1},
-		{"room before all else", []Report{{UsedTokens: 70000, CapacityTokens: 80000}, {PendingPrompts: 2, UsedTokens: 30000, CapacityTokens: 80000}}, 1},
-		{"least full of full ones as any", []Report{{PendingPrompts: 1, UsedTokens: 79000, CapacityTokens: 80000}, {UsedTokens: 79000, CapacityTokens: 80000}}, 1},
-		{"fewest prompts ahead", []Report{{PendingPrompts: 3}, {PendingPrompts: 2, Running: 8}}, 1},
+		{"capacity before all else", []Report{{UsedTokens: 70000, CapacityTokens: 80000}, {PendingPrompts: 2, UsedTokens: 30000, CapacityTokens: 80000}}, 1},
+		{"least loaded if all are full", []Report{{PendingPrompts: 1, UsedTokens: 79000, CapacityTokens: 80000}, {UsedTokens: 79000, CapacityTokens: 80000}}, 1},
+		{"fewest pending prompts", []Report{{PendingPrompts: 3}, {PendingPrompts: 2, Running: 8}}, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) { must.Eq(t, c.want, LeastLoaded(c.reports, 8000)) })
 	}
 }
 
-func TestFits(t *testing.T) {
+func TestHasCapacity(t *testing.T) {
 	must.True(t, Report{}.HasCapacity(8000))
 	must.True(t, Report{UsedTokens: 52000, CapacityTokens: 80000}.HasCapacity(8000))
 	must.False(t, Report{UsedTokens: 52001, CapacityTokens: 80000}.HasCapacity(8000))
