--- a/decision/placement/count.go
+++ b/decision/placement/count.go
@@ -5,28 +5,28 @@
 	"slices"
 )
 
-// replicaCounts is how a service stands in the zone.
+// replicaCounts counts the engines of the zone by their state for one service.
 type replicaCounts struct {
-	ready   int // engines that serve exactly the wanted set
-	pending int // engines that will, or may again
-	serving int // engines that serve it in any version
-	failed  int // engines that failed to load the wanted set
+	ready   int // serve exactly the desired Ref
+	pending int // are loading the desired Ref, or are suspect and hold it
+	serving int // serve the service in any version
+	failed  int // failed to load the desired Ref
 }
 
-// missing returns how many replicas are neither ready nor coming.
+// missing returns how many replicas are neither ready nor pending.
 func (c replicaCounts) missing(s *Service) int { return s.Replicas - c.ready - c.pending }
 
-// floor returns the ready replicas that no planned change may go below.
+// floor returns the number of ready replicas below which no planned change may go.
 func (s *Service) floor() int { return min(s.Floor, s.Replicas) }
 
-// canTakeWork reports whether the engine takes new work.
+// canTakeWork reports whether the engine accepts new work.
 func (b *Backend) canTakeWork() bool { return b.Health == Up && !b.Leaving }
 
-// state is how far the engine is with ref; false where it holds nothing of it.
+// state returns the load state of ref on the engine; false if the engine doesn't hold it.
 func (b *Backend) state(ref Ref) (LoadState, bool) {
-	for _, h := range b.Models {
-		if h.Ref == ref {
-			return h.State, true
+	for _, m := range b.Models {
+		if m.Ref == ref {
+			return m.State, true
 		}
 	}
 	return 0, false
@@ -37,12 +37,12 @@
 	return ok && s == Ready
 }
 
-// zoneState is an Input with what Plan derives from it once.
+// zoneState is an Input with the values that Plan derives from it once.
 type zoneState struct {
 	Input
 	services []*Service // dependencies before dependents
 	counts   map[string]replicaCounts
-	// changeInProgress says that an order is under way that others must wait for.
+	// changeInProgress says that an order is in progress for which others must wait.
 	changeInProgress bool
 }
 
@@ -57,16 +57,16 @@
 	return z
 }
 
-// isChanging reports whether an order is under way on b that takes or gives
-// capacity. An unload beside something that serves does neither: the engine
-// only finishes the old version's running work, which may take minutes.
+// isChanging reports whether an order in progress on b takes or gives capacity. An unload on an
+// engine that also serves a ready model does neither: the engine only finishes the old version's
+// running work, which may take minutes.
 func (z *zoneState) isChanging(b *Backend) bool {
 	if b.Health == Lost || b.Leaving {
 		return false
 	}
 	unloading, ready := false, false
-	for _, h := range b.Models {
-		switch h.State {
+	for _, m := range b.Models {
+		switch m.State {
 		case Loading:
 			return true
 		case Unloading:
@@ -102,22 +102,22 @@
 	return c
 }
 
-// serves reports whether b has s ready in any version.
+// serves reports whether any version of s is ready on b.
 func (z *zoneState) serves(b *Backend, s *Service) bool {
 	if b.Pool != s.Pool {
 		return false
 	}
-	for _, h := range b.Models {
-		if h.State == Ready && (h.Ref == s.Ref || z.isOutdated(h.Ref, s)) {
+	for _, m := range b.Models {
+		if m.State == Ready && (m.Ref == s.Ref || z.isOutdated(m.Ref, s)) {
 			return true
 		}
 	}
 	return false
 }
 
-// isOutdated reports whether ref is another version of what s wants, rather than
-// what some service of the pool wants now: the same model and adapter, or the
-// same model where no other service of the pool uses it.
+// isOutdated reports whether ref is another version of what s uses that no service of the pool uses
+// now. It has the same model and the same adapter, or only the same model if no other service of
+// the pool uses that model.
 func (z *zoneState) isOutdated(ref Ref, s *Service) bool {
 	if ref == s.Ref || ref.Model != s.Ref.Model {
 		return false
@@ -134,7 +134,7 @@
 	return true
 }
 
-// isUnwanted reports whether no service of b's pool has to do with ref.
+// isUnwanted reports whether ref is neither used by a service of b's pool nor outdated for one.
 func (z *zoneState) isUnwanted(b *Backend, ref Ref) bool {
 	for _, s := range z.services {
 		if s.Pool == b.Pool && (s.Ref == ref || z.isOutdated(ref, s)) {
@@ -144,8 +144,7 @@
 	return true
 }
 
-// wantedReplicas returns the largest number of replicas that services of a pool want
-// of one set of weights.
+// wantedReplicas returns the largest number of replicas of ref that any service of the pool wants.
 func (z *zoneState) wantedReplicas(pool string, ref Ref) int {
 	n := 0
 	for _, s := range z.services {
@@ -156,8 +155,8 @@
 	return n
 }
 
-// dependenciesServe reports whether all that s depends on serves here. What is
-// not wanted in this zone, or has no engines, does not hold s up.
+// dependenciesServe reports whether all services that s depends on are serving in the zone. A
+// dependency with no replicas in this zone, or one that is not placed on engines, doesn't block s.
 func (z *zoneState) dependenciesServe(s *Service) bool {
 	for _, name := range s.DependsOn {
 		for _, d := range z.services {
@@ -169,8 +168,8 @@
 	return true
 }
 
-// dependencyOrder returns the services with dependencies before dependents, else by
-// name. The site text has no cycles; one would be cut at its first service.
+// dependencyOrder returns the services with dependencies before dependents, otherwise by name. The
+// site configuration has no cycles; a cycle would be broken at its first service by name.
 func dependencyOrder(services []Service) []*Service {
 	byName := make(map[string]*Service, len(services))
 	sorted := make([]*Service, len(services))
--- a/decision/placement/plan.go
+++ b/decision/placement/plan.go
@@ -1,17 +1,17 @@
 package placement
 
-// Plan returns the next step. See the package comment for the rules.
+// Plan returns the next step by the rules in the package comment.
 func Plan(in Input) Step {
 	z := newZoneState(in)
-	waits := Step{}
+	firstWait := Step{}
 	for _, s := range z.services {
 		step := z.addReplica(s)
 		switch step.Kind {
 		case Load, Unload:
 			return step
 		case Wait:
-			if waits.Kind == None {
-				waits = step
+			if firstWait.Kind == None {
+				firstWait = step
 			}
 		}
 	}
@@ -20,8 +20,8 @@
 			return step
 		}
 	}
-	if waits.Kind == Wait {
-		return waits
+	if firstWait.Kind == Wait {
+		return firstWait
 	}
 	if step := z.removeUnwanted(); step.Kind == Unload {
 		return step
@@ -29,8 +29,8 @@
 	return Step{Kind: None, Reason: ReasonConverged}
 }
 
-// addReplica returns the step towards one more replica of s, Wait with the reason
-// why there is none now, or None when all are ready.
+// addReplica returns the step towards one more replica of s, Wait with the reason if none is
+// possible now, or None if all replicas are ready.
 func (z *zoneState) addReplica(s *Service) Step {
 	c := z.counts[s.Name]
 	if c.missing(s) <= 0 {
@@ -60,15 +60,15 @@
 	return loadStep(s, best, rankReasons[rank])
 }
 
-// The ranks of engines for a further replica, best first.
+// The ranks of engines for one more replica, best first.
 const (
-	rankUnloading = iota // is unloading just that; no fetch needed
+	rankUnloading = iota // is unloading the same Ref; needs no new load
 	rankEmpty            // holds nothing
-	rankRetry            // holds nothing but a failed load of just that
-	rankUnwanted         // holds only what no service wants
+	rankRetry            // holds only the same Ref in a failed load
+	rankUnwanted         // holds only models that no service uses
 	rankOutdated         // holds another version of the service
-	rankShared           // holds other services
-	rankNone             // cannot take it
+	rankShared           // holds models of other services
+	rankNone             // can't load it
 )
 
 var rankReasons = [...]Reason{
@@ -76,8 +76,9 @@
 	rankUnwanted: ReasonBeside, rankOutdated: ReasonReplace, rankShared: ReasonBeside,
 }
 
-// chooseEngine returns the best engine for a further replica of s. Among equals the
-// one that holds least and runs least is taken, then the first by id.
+// chooseEngine returns the best engine for one more replica of s with its rank. Among engines of
+// equal rank, the one with the fewest models, then the fewest running requests, then the smallest id
+// is chosen.
 func (z *zoneState) chooseEngine(s *Service) (*Backend, int) {
 	var best *Backend
 	rank := rankNone
@@ -120,27 +121,27 @@
 	return z.rankBeside(b, s)
 }
 
-// rankBeside ranks an engine that holds something else.
+// rankBeside ranks an engine that holds other models.
 func (z *zoneState) rankBeside(b *Backend, s *Service) int {
 	rank := rankUnwanted
-	for _, h := range b.Models {
+	for _, m := range b.Models {
 		switch {
-		case z.isOutdated(h.Ref, s):
+		case z.isOutdated(m.Ref, s):
 			return rankOutdated
-		case h.Ref != s.Ref && !z.isUnwanted(b, h.Ref):
+		case m.Ref != s.Ref && !z.isUnwanted(b, m.Ref):
 			rank = rankShared
 		}
 	}
 	return rank
 }
 
-// freeCapacity returns the unload that lets some full engine take a replica of s.
+// freeCapacity returns the unload that allows some full engine to load a replica of s.
 func (z *zoneState) freeCapacity(s *Service) Step {
 	if z.changeInProgress {
 		return waitStep(s, ReasonChangeInProgress)
 	}
 	c := z.counts[s.Name]
-	old := false
+	hasOutdated := false
 	for i := range z.Backends {
 		b := &z.Backends[i]
 		if b.Pool != s.Pool || !b.canTakeWork() || !b.Full || z.Now.Before(b.NotBefore) {
@@ -149,18 +150,18 @@
 		if _, holds := b.state(s.Ref); holds {
 			continue
 		}
-		for _, h := range b.Models {
+		for _, m := range b.Models {
 			switch {
-			case h.State == Unloading:
-			case z.isUnwanted(b, h.Ref):
-				return Step{Kind: Unload, Backend: b.ID, Ref: h.Ref, Reason: ReasonMakeRoomUnwanted}
-			case z.isOutdated(h.Ref, s):
-				old = true
+			case m.State == Unloading:
+			case z.isUnwanted(b, m.Ref):
+				return Step{Kind: Unload, Backend: b.ID, Ref: m.Ref, Reason: ReasonMakeRoomUnwanted}
+			case z.isOutdated(m.Ref, s):
+				hasOutdated = true
 			}
 		}
 	}
 	switch {
-	case !old:
+	case !hasOutdated:
 		return waitStep(s, ReasonNoEngine)
 	case c.failed > 0:
 		return waitStep(s, ReasonLoadFailed)
@@ -170,7 +171,7 @@
 	return z.unloadOutdated(s)
 }
 
-// unloadOutdated unloads an older version from the full engine that runs least.
+// unloadOutdated unloads an older version from the least loaded full engine.
 func (z *zoneState) unloadOutdated(s *Service) Step {
 	var best *Backend
 	var ref Ref
@@ -179,17 +180,17 @@
 		if b.Pool != s.Pool || !b.canTakeWork() || !b.Full || z.Now.Before(b.NotBefore) || b.isReady(s.Ref) {
 			continue
 		}
-		for _, h := range b.Models {
-			if h.State != Unloading && z.isOutdated(h.Ref, s) && (best == nil || lessLoaded(b, best)) {
-				best, ref = b, h.Ref
+		for _, m := range b.Models {
+			if m.State != Unloading && z.isOutdated(m.Ref, s) && (best == nil || lessLoaded(b, best)) {
+				best, ref = b, m.Ref
 			}
 		}
 	}
 	return Step{Kind: Unload, Backend: best.ID, Service: s.Name, Ref: ref, Reason: ReasonMakeRoom, ReducesCapacity: true}
 }
 
-// removeReplica returns the unload of an older version that has been replaced, or of
-// a replica beyond those wanted.
+// removeReplica returns the unload of an outdated version that has been replaced, or of a surplus
+// replica.
 func (z *zoneState) removeReplica(s *Service) Step {
 	if step := z.removeOutdated(s); step.Kind == Unload {
 		return step
@@ -211,7 +212,7 @@
 	return Step{Kind: Unload, Backend: best.ID, Service: s.Name, Ref: s.Ref, Reason: ReasonSurplus, ReducesCapacity: true}
 }
 
-// betterToUnload prefers to unload from the engine that holds most and runs least.
+// betterToUnload reports whether a holds more models than b, or else runs fewer requests.
 func betterToUnload(a, b *Backend) bool {
 	if len(a.Models) != len(b.Models) {
 		return len(a.Models) > len(b.Models)
@@ -222,8 +223,8 @@
 	return a.ID > b.ID
 }
 
-// removeOutdated unloads an older version of s where the wanted one serves on the
-// same engine, or on enough others.
+// removeOutdated unloads an outdated version of s if the desired version is ready on the same
+// engine, or on enough other engines.
 func (z *zoneState) removeOutdated(s *Service) Step {
 	c := z.counts[s.Name]
 	for i := range z.Backends {
@@ -231,30 +232,30 @@
 		if b.Pool != s.Pool || !b.canTakeWork() || z.Now.Before(b.NotBefore) {
 			continue
 		}
-		for _, h := range b.Models {
-			if h.State == Unloading || h.State == Loading || !z.isOutdated(h.Ref, s) {
+		for _, m := range b.Models {
+			if m.State == Unloading || m.State == Loading || !z.isOutdated(m.Ref, s) {
 				continue
 			}
-			covered := b.isReady(s.Ref) || h.State == Failed
+			covered := b.isReady(s.Ref) || m.State == Failed
 			replaced := c.ready >= s.Replicas && !z.changeInProgress
 			if covered || replaced {
-				return Step{Kind: Unload, Backend: b.ID, Service: s.Name, Ref: h.Ref, Reason: ReasonOldReplaced, ReducesCapacity: !covered}
+				return Step{Kind: Unload, Backend: b.ID, Service: s.Name, Ref: m.Ref, Reason: ReasonOldReplaced, ReducesCapacity: !covered}
 			}
 		}
 	}
 	return Step{}
 }
 
-// removeUnwanted unloads what no service wants, once everything wanted is ready.
+// removeUnwanted unloads a model that no service uses. Plan calls it once everything desired is ready.
 func (z *zoneState) removeUnwanted() Step {
 	for i := range z.Backends {
 		b := &z.Backends[i]
 		if !b.canTakeWork() || z.Now.Before(b.NotBefore) {
 			continue
 		}
-		for _, h := range b.Models {
-			if h.State != Unloading && z.isUnwanted(b, h.Ref) {
-				return Step{Kind: Unload, Backend: b.ID, Ref: h.Ref, Reason: ReasonUnwanted}
+		for _, m := range b.Models {
+			if m.State != Unloading && z.isUnwanted(b, m.Ref) {
+				return Step{Kind: Unload, Backend: b.ID, Ref: m.Ref, Reason: ReasonUnwanted}
 			}
 		}
 	}
--- a/decision/placement/plan_test.go
+++ b/decision/placement/plan_test.go
@@ -15,10 +15,10 @@
 	dp = Ref{Model: "d", Version: "1"}
 )
 
-func engines(n int, held ...ModelStatus) []Backend {
+func engines(n int, models ...ModelStatus) []Backend {
 	out := make([]Backend, n)
 	for i := range out {
-		out[i] = Backend{ID: fmt.Sprintf("b%d", i), Pool: "p", Models: append([]ModelStatus(nil), held...)}
+		out[i] = Backend{ID: fmt.Sprintf("b%d", i), Pool: "p", Models: append([]ModelStatus(nil), models...)}
 	}
 	return out
 }
@@ -27,7 +27,7 @@
 	return Service{Name: "s-" + ref.Model, Pool: "p", Ref: ref, Replicas: replicas, Floor: floor, DependsOn: deps}
 }
 
-// The rules one by one: what Plan says first in a given zone.
+// Checks the rules one by one by the first step of Plan in a given zone.
 func TestFirstStep(t *testing.T) {
 	ready := func(r Ref) ModelStatus { return ModelStatus{r, Ready} }
 	full := func(bs []Backend) []Backend {
@@ -36,17 +36,17 @@
 		}
 		return bs
 	}
-	with := func(bs []Backend, i int, held ...ModelStatus) []Backend {
-		bs[i].Models = held
+	with := func(bs []Backend, i int, models ...ModelStatus) []Backend {
+		bs[i].Models = models
 		return bs
 	}
 	cases := []struct {
-		name string
-		in   Input
-		kind Kind
-		why  Reason
+		name   string
+		in     Input
+		kind   Kind
+		reason Reason
 	}{
-		{"as desired", Input{Services: []Service{service(v1, 2, 1)}, Backends: engines(2, ready(v1))}, None, ReasonConverged},
+		{"converged", Input{Services: []Service{service(v1, 2, 1)}, Backends: engines(2, ready(v1))}, None, ReasonConverged},
 		{"empty engine", Input{Services: []Service{service(v1, 2, 1)}, Backends: engines(2), LoadBudget: 1}, Load, ReasonSpare},
 		{"weight store busy", Input{Services: []Service{service(v1, 2, 1)}, Backends: engines(2)}, Wait, ReasonBudget},
 		{
@@ -55,10 +55,10 @@
 			Wait, ReasonReplicaPending,
 		},
 		{"new version beside old", Input{Services: []Service{service(v2, 2, 2)}, Backends: engines(2, ready(v1)), LoadBudget: 1}, Load, ReasonReplace},
-		{"room above floor", Input{Services: []Service{service(v2, 2, 1)}, Backends: full(engines(2, ready(v1))), LoadBudget: 1}, Unload, ReasonMakeRoom},
-		{"no room at floor", Input{Services: []Service{service(v2, 2, 2)}, Backends: full(engines(2, ready(v1))), LoadBudget: 1}, Wait, ReasonFloor},
+		{"unload above floor", Input{Services: []Service{service(v2, 2, 1)}, Backends: full(engines(2, ready(v1))), LoadBudget: 1}, Unload, ReasonMakeRoom},
+		{"no unload at floor", Input{Services: []Service{service(v2, 2, 2)}, Backends: full(engines(2, ready(v1))), LoadBudget: 1}, Wait, ReasonFloor},
 		{
-			"failed version stops",
+			"failed version is not rolled out",
 			Input{
 				Services: []Service{service(v2, 2, 0)}, LoadBudget: 1, Now: time.Unix(0, 0),
 				Backends: func() []Backend {
@@ -69,7 +69,7 @@
 			},
 			Wait, ReasonLoadFailed,
 		},
-		{"unload taken back", Input{Services: []Service{service(v1, 2, 1)}, Backends: with(engines(2, ready(v1)), 0, ModelStatus{v1, Unloading})}, Load, ReasonUnloadCancelled},
+		{"unload cancelled", Input{Services: []Service{service(v1, 2, 1)}, Backends: with(engines(2, ready(v1)), 0, ModelStatus{v1, Unloading})}, Load, ReasonUnloadCancelled},
 		{"old beside new", Input{Services: []Service{service(v2, 2, 2)}, Backends: with(engines(2, ready(v2)), 0, ready(v1), ready(v2))}, Unload, ReasonOldReplaced},
 		{"surplus", Input{Services: []Service{service(v1, 1, 1)}, Backends: engines(2, ready(v1))}, Unload, ReasonSurplus},
 		{"unwanted last", Input{Services: []Service{service(v1, 1, 1)}, Backends: with(engines(1, ready(v1)), 0, ready(v1), ready(dp))}, Unload, ReasonUnwanted},
@@ -77,13 +77,13 @@
 	for _, c := range cases {
 		step := Plan(c.in)
 		must.Eq(t, c.kind, step.Kind, must.Sprint(c.name, step))
-		must.Eq(t, c.why, step.Reason, must.Sprint(c.name, step))
+		must.Eq(t, c.reason, step.Reason, must.Sprint(c.name, step))
 	}
 }
 
-// An engine stops answering. Its replicas must not be replaced at the first
-// missed poll, nor counted as serving when another is to be unloaded.
-func TestDoubtfulEngine(t *testing.T) {
+// An engine stops answering. Its replicas must not be replaced after the first missed poll, nor
+// counted as serving when another replica is to be unloaded.
+func TestSuspectEngine(t *testing.T) {
 	b := engines(3, ModelStatus{v1, Ready})
 	b[0].Health = Suspect
 	in := Input{Services: []Service{service(v1, 3, 2)}, Backends: append(b, Backend{ID: "spare", Pool: "p"}), LoadBudget: 1}
@@ -97,17 +97,17 @@
 	must.Eq(t, ReasonFloor, Plan(in).Reason)
 }
 
-// zoneSim is a zone that does what it is told, slowly, and at times fails.
+// zoneSim simulates a zone whose engines carry out orders with delays and refuse loads when full.
 type zoneSim struct {
 	in        Input
 	rng       *rand.Rand
-	maxModels int // sets of weights an engine holds
+	maxModels int // that an engine can hold
 }
 
 func (z *zoneSim) serving(s Service) int {
-	n, full := 0, newZoneState(z.in)
+	n, state := 0, newZoneState(z.in)
 	for i := range z.in.Backends {
-		if b := &z.in.Backends[i]; b.canTakeWork() && full.serves(b, &s) {
+		if b := &z.in.Backends[i]; b.canTakeWork() && state.serves(b, &s) {
 			n++
 		}
 	}
@@ -125,24 +125,24 @@
 
 func (z *zoneSim) apply(step Step) {
 	b := z.backend(step.Backend)
-	held := b.Models[:0:0]
-	had := false
-	for _, h := range b.Models {
-		if h.Ref == step.Ref {
-			had = true
+	models := b.Models[:0:0]
+	found := false
+	for _, m := range b.Models {
+		if m.Ref == step.Ref {
+			found = true
 			switch {
 			case step.Kind == Unload:
-				h.State = Unloading
-			case h.State == Unloading:
-				h.State = Ready
-			case h.State == Failed:
-				h.State = Loading
+				m.State = Unloading
+			case m.State == Unloading:
+				m.State = Ready
+			case m.State == Failed:
+				m.State = Loading
 			}
 		}
-		held = append(held, h)
+		models = append(models, m)
 	}
-	b.Models = held
-	if step.Kind == Load && !had {
+	b.Models = models
+	if step.Kind == Load && !found {
 		if len(b.Models) >= z.maxModels {
 			b.Full = true
 			return
@@ -151,29 +151,28 @@
 	}
 }
 
-// advance lets every engine finish something with some probability.
+// advance completes each load and unload in progress with a probability of one third.
 func (z *zoneSim) advance() {
 	for i := range z.in.Backends {
 		b := &z.in.Backends[i]
-		held := b.Models[:0:0]
-		for _, h := range b.Models {
-			if z.rng.IntN(3) == 0 && h.State == Loading {
-				h.State = Ready
+		models := b.Models[:0:0]
+		for _, m := range b.Models {
+			if z.rng.IntN(3) == 0 && m.State == Loading {
+				m.State = Ready
 			}
-			if h.State == Unloading && z.rng.IntN(3) == 0 {
+			if m.State == Unloading && z.rng.IntN(3) == 0 {
 				b.Full = false
 				continue
 			}
-			held = append(held, h)
+			models = append(models, m)
 		}
-		b.Models = held
+		b.Models = models
 	}
 }
 
-// Operators change versions, replicas and services at random while engines
-// die and return. No order of ours may take a service below its floor, a
-// dependent may not load before its dependency serves, and when changes stop
-// the zone must come to what the text says.
+// Operators change versions, replicas and services at random while engines fail and return empty.
+// No order may take a service below its floor, a service may not load before its dependencies
+// serve, and the zone must converge to the desired state when the changes stop.
 func TestRandomZones(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -185,7 +184,7 @@
 			}
 			for i := range z.in.Backends {
 				if b := &z.in.Backends[i]; round < 400 && rng.IntN(100) == 0 {
-					b.Models, b.Full = nil, false // died and came back empty
+					b.Models, b.Full = nil, false // failed and returned empty
 				}
 			}
 			z.check(t, seed, Plan(z.in))
--- a/decision/placement/types.go
+++ b/decision/placement/types.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Ref names one servable set of weights.
+// Ref identifies a set of model weights that an engine can serve.
 type Ref struct{ Model, Adapter, Version string }
 
 // String returns model[+adapter][@version].
@@ -17,7 +17,7 @@
 	return s
 }
 
-// LoadState says how far an engine is with a set of weights.
+// LoadState is the state of a set of weights on an engine.
 type LoadState uint8
 
 // The load states.
@@ -28,63 +28,63 @@
 	Failed
 )
 
-// ModelStatus is one set of weights on an engine.
+// ModelStatus is a set of weights on an engine with its state.
 type ModelStatus struct {
 	Ref   Ref
 	State LoadState
 }
 
-// Health says whether an engine answers.
+// Health says whether an engine answers status polls.
 type Health uint8
 
-// The healths of an engine.
+// The health states of an engine.
 const (
 	Up      Health = iota
-	Suspect        // has not answered for a short while
-	Lost           // has not answered for long, or is not listed
+	Suspect        // has not answered for a short time
+	Lost           // has not answered for a long time, or is not listed
 )
 
-// Backend is one engine of the zone as observed.
+// Backend is one engine of the zone as last observed.
 type Backend struct {
 	ID      string
 	Pool    string
 	Health  Health
 	Leaving bool
-	Models  []ModelStatus // the last known, also when Doubtful
-	Running int
-	// Full says that the engine refused to hold more than it does now.
+	Models  []ModelStatus // as last reported, also while Suspect
+	Running int           // requests that it runs
+	// Full says that the engine refused to load more than it holds now.
 	Full bool
-	// NotBefore is when it may be given orders again after one failed.
+	// NotBefore is the earliest time of the next order, for example after a failed one.
 	NotBefore time.Time
 }
 
-// Service is one service as desired in the zone.
+// Service is the desired state of a service in the zone.
 type Service struct {
 	Name      string
 	Pool      string
 	Ref       Ref
 	Replicas  int
-	Floor     int
+	Floor     int // ready replicas below which no planned change may go
 	DependsOn []string
 }
 
-// Input is what Plan decides on.
+// Input is the desired and the observed state on which Plan decides.
 type Input struct {
 	Services []Service
-	// Backends are the engines of the zone in pools of the site text.
+	// Backends are the engines of the zone whose pools are in the site configuration.
 	Backends []Backend
-	// LoadBudget is how many more loads this zone may start now.
+	// LoadBudget is the number of further loads that this zone may start now.
 	LoadBudget int
 	Now        time.Time
 }
 
-// Kind is what to do.
+// Kind is the kind of a step.
 type Kind uint8
 
 // The kinds of steps.
 const (
-	None   Kind = iota // the zone is as desired
-	Wait               // it is not, and nothing may be done now
+	None   Kind = iota // the zone is in the desired state
+	Wait               // it is not, but no order may be given now
 	Load               // order Backend to load Ref
 	Unload             // order Backend to unload Ref
 )
@@ -92,7 +92,7 @@
 // String returns the lower-case name.
 func (k Kind) String() string { return [...]string{"none", "wait", "load", "unload"}[k] }
 
-// Reason says why.
+// Reason says why a step was chosen.
 type Reason string
 
 // The reasons of steps.
@@ -118,15 +118,15 @@
 	ReasonReplicaPending   Reason = "replica_on_its_way"
 )
 
-// Step is the decision. Service is the service it is for, empty for sets of
-// weights that no service wants.
+// Step is a decision of Plan. Service is the service for which it was made, empty for models that no
+// service uses.
 type Step struct {
 	Kind    Kind
 	Backend string
 	Service string
 	Ref     Ref
 	Reason  Reason
-	// ReducesCapacity says that the step takes serving capacity away; the observation
-	// it rests on must be fresh.
+	// ReducesCapacity says that the step takes away serving capacity, so that it must be based on a
+	// fresh observation.
 	ReducesCapacity bool
 }
--- a/decision/prompts/admit.go
+++ b/decision/prompts/admit.go
@@ -39,8 +39,8 @@
 }
 
 // Admit decides whether a prompt is sent. r is the report of the best engine available, budget is
-// how long the first event may take. If the client already holds a part of the answer, the caller
-// of Admit ignores NoMemory and sends the prompt.
+// how long the first event may take. A request of which some client already holds a part of the
+// answer is sent in spite of NoMemory; that is up to the code that calls Admit.
 //
 // Load pattern: for some seconds, prompts arrive faster than the engines of a service can prefill
 // them, or than their memory can hold the runs.
