--- a/decision/loading/loading.go
+++ b/decision/loading/loading.go
@@ -1,28 +1,27 @@
-// Package loading decides what becomes of work whose model no backend server
-// has ready.
+// Package loading decides whether a request whose model no backend server has ready waits for a
+// load in progress or is refused.
 //
-// Load it answers: a version change or a replaced VM takes the ready servers of
-// a model away for a minute while others are loading it.
+// Load pattern: a version change or a replaced VM leaves a model without ready servers for a minute
+// while others load it.
 //
-// Without it, every request of that minute is refused although it could have
-// been answered in time, or all of them wait for a load that takes longer than
-// their callers' patience and are refused only then.
+// Without it, either every request of that minute is refused although it could have been answered in
+// time, or all requests wait for a load that ends after their deadlines and are refused only then.
 //
-// Where some servers are ready nothing is decided here: one queue stands before
-// the ready and the loading servers alike, and whichever has room first takes
-// the next request. Rules that send a request to one or the other on arrival,
-// that of Online-DRL among them, do no better; see
+// If some servers are ready, nothing is decided here: the ready and the loading servers share one
+// queue, and the first with capacity takes the next request. Rules that assign a request to one or
+// the other on arrival, such as that of Online-DRL, do no better; see
 // docs/design/34-load-loading.md.
 package loading
 
 import "time"
 
-// deadlineRatio is how much earlier than the deadline the load must end. Estimates of
-// loading come from the engines and run late when the weight store is shared;
-// a caller refused at once can go on, one refused at its deadline cannot.
+// deadlineRatio is the share of the time to the deadline within which a load must end for a request
+// to wait for it. The engines estimate load times, and loads end later than estimated when the
+// weight store is shared. A caller refused at once can try elsewhere, one refused at its deadline
+// can't.
 const deadlineRatio = 0.8
 
-// Reason says why; it goes into the log line.
+// Reason says why a request waits or is refused. It is written to the log and counted in a metric.
 type Reason string
 
 // The reasons.
@@ -33,22 +32,23 @@
 	ReasonNotLoading Reason = "nowhere"
 )
 
-// Input is what is known about one request that nothing ready can run.
+// Input describes a request that no ready server can run.
 type Input struct {
-	Loading        bool          // some server loads the model
-	LoadRemaining  time.Duration // until the first of them is ready, 0 if unknown
-	TimeToDeadline time.Duration // until the request's deadline
+	Loading        bool          // some server is loading the model
+	LoadRemaining  time.Duration // until the first of these loads ends, 0 if unknown
+	TimeToDeadline time.Duration // until the deadline of the request
 }
 
-// Decision is the choice with its reason.
+// Decision says whether the request waits or is refused.
 type Decision struct {
 	Wait   bool
 	Reason Reason
-	// RetryAfter is when the model should be ready, 0 if unknown.
+	// RetryAfter is the time until the model should be ready, 0 if unknown.
 	RetryAfter time.Duration
 }
 
-// Decide lets a request wait for a load that should end well before its deadline.
+// Decide lets a request wait if a load of its model should end well before its deadline, or if the
+// time of the load's end is unknown.
 func Decide(in Input) Decision {
 	switch {
 	case !in.Loading:
--- a/decision/rendezvous/rendezvous.go
+++ b/decision/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous says which of several members concern themselves with a key, the same
-// at every daemon that knows the same members. A member more or less changes that only for
-// the keys that are, or were, its own.
+// Package rendezvous assigns keys to members by rendezvous hashing. Every daemon that knows the same
+// members computes the same assignment, and a member that joins or leaves changes the assignment of
+// only those keys that it takes over or gives up.
 package rendezvous
 
 import (
@@ -10,8 +10,8 @@
 	"mallowwind.dev/decision/route"
 )
 
-// Select returns the indices of the n members nearest to a key, the nearest first, by
-// rendezvous hashing; fewer where there are fewer.
+// Select returns the indices of the n members whose hashes combined with the key are lowest, in
+// ascending order, or of all members if there are fewer than n.
 func Select(key uint64, members []uint64, n int) []int {
 	if n <= 0 || len(members) == 0 {
 		return nil
@@ -29,11 +29,12 @@
 	return order[:min(n, len(order))]
 }
 
+// lowest returns the index of the member whose hash combined with the key is lowest.
 func lowest(key uint64, members []uint64) int {
-	best, at := uint64(0), -1
+	minHash, at := uint64(0), -1
 	for i, m := range members {
-		if h := route.Mix(key ^ m); at < 0 || h < best {
-			best, at = h, i
+		if h := route.Mix(key ^ m); at < 0 || h < minHash {
+			minHash, at = h, i
 		}
 	}
 	return at
--- a/decision/rendezvous/rendezvous_test.go
+++ b/decision/rendezvous/rendezvous_test.go
@@ -16,21 +16,21 @@
 	return m
 }
 
-func TestNearestWithoutMembers(t *testing.T) {
+func TestSelectSize(t *testing.T) {
 	must.SliceEmpty(t, Select(1, nil, 2))
 	must.SliceEmpty(t, Select(1, members(3), 0))
 	must.SliceLen(t, 3, Select(1, members(3), 5))
 }
 
-func TestFirstOfSeveralIsTheNearest(t *testing.T) {
+func TestSelectOneEqualsFirstOfSeveral(t *testing.T) {
 	all := members(40)
 	for key := range uint64(200) {
 		must.Eq(t, Select(key, all, 1)[0], Select(key, all, 3)[0])
 	}
 }
 
-// A member that leaves changes the keys that were its own and no others.
-func TestMemberThatLeavesMovesItsOwnKeysOnly(t *testing.T) {
+// A member that leaves changes only the assignment of its own keys.
+func TestLeavingMemberMovesOnlyItsKeys(t *testing.T) {
 	all := members(40)
 	for key := range uint64(500) {
 		before, after := Select(key, all, 2), Select(key, all[:39], 2)
--- a/decision/route/pick.go
+++ b/decision/route/pick.go
@@ -3,16 +3,16 @@
 import "sort"
 
 const (
-	// affinityLoadRatio is how far above the mean load of its rank a server may be
-	// and still be chosen for its cached prefix. A prefill saved is worth about
-	// a quarter of a slot's residence; beyond it the wait costs more.
+	// affinityLoadRatio is how far the load of a server may exceed that of the server found by two
+	// random choices for it to be chosen for its cached prefix. The saved prefill is worth about a
+	// quarter of the time that a request holds a slot; above this ratio, waiting costs more.
 	affinityLoadRatio = 1.25
-	// affinityProbes is how many servers along the ring are tried for a prefix.
-	// Two give a popular prefix a second home and keep its cache warm there.
+	// affinityProbes is how many servers along the hash ring are tried for a prefix. With two, a
+	// popular prefix has a second server whose cache stays warm.
 	affinityProbes = 2
 )
 
-// Reason says why a candidate was chosen.
+// Reason says reason a candidate was chosen.
 type Reason string
 
 // The reasons.
@@ -26,34 +26,34 @@
 	ReasonNone       Reason = "none"
 )
 
-// Query asks for a backend server.
+// Query describes a request for which a backend server is to be picked.
 type Query struct {
 	Prefix uint64 // hash of the leading block of the prompt, 0 if none
-	// Cached names the candidate that was last said to hold the prefix, "" if none.
+	// Cached is the id of the candidate last reported to hold the prefix, "" if none.
 	Cached  string
-	Prefer  string
-	Exclude []string
-	// Random is two independent 32-bit draws.
+	Prefer  string   // id of the candidate to pick if it is usable, "" if none
+	Exclude []string // ids of candidates not to pick
+	// Random holds two independent 32-bit random numbers.
 	Random uint64
-	// Urgent lets a request use room that the server reported beyond the limit.
+	// Urgent allows use of the server's free slots beyond this daemon's limit.
 	Urgent bool
-	// Overshoot lets a continuation go beyond the limit by an eighth.
+	// Overshoot allows a resumed request to exceed the limit by an eighth.
 	Overshoot bool
-	// AllZones looks at all zones of the region at once, and at the candidate that
-	// holds the prefix, but not where prefixes are sent by default. The work
-	// of a lost server comes from one zone mostly: kept there, its prefills meet
-	// on the few servers left and each waits for the others, which costs far
-	// more than a millisecond between zones.
+	// AllZones considers the candidates of all zones of the region together. The candidate that
+	// holds the prefix is considered, but not those to which the prefix is hashed. The requests of a
+	// failed server come mostly from one zone. If they were resumed there, their prefills would
+	// queue behind each other on the few servers left, which costs far more than a millisecond
+	// between zones.
 	AllZones bool
 }
 
-// Result is the choice; Index is -1 when none has room.
+// Result is the choice; Index is -1 if no candidate is usable.
 type Result struct {
 	Index  int
 	Reason Reason
 }
 
-// Pick chooses a candidate with room. It allocates nothing.
+// Pick chooses a usable candidate. It doesn't allocate.
 func (t *Table) Pick(q *Query) Result {
 	if i, ok := t.index[q.Prefer]; q.Prefer != "" && ok && t.isUsable(i, q) {
 		return Result{i, ReasonPreferred}
@@ -79,22 +79,22 @@
 	return Result{-1, ReasonNone}
 }
 
-// pickAllZones chooses among the first end candidates, of all zones of the region.
+// pickAllZones chooses among the first end candidates, which are those of all zones of the region.
 func (t *Table) pickAllZones(q *Query, end int) Result {
-	i, why := t.twoChoices(q, 0, end)
+	i, reason := t.twoChoices(q, 0, end)
 	if i < 0 {
-		return Result{i, why}
+		return Result{i, reason}
 	}
 	if j := t.cachedCandidate(q, 0, end); j >= 0 && t.isBalanced(j, i) {
 		return Result{j, ReasonCached}
 	}
-	return Result{i, why}
+	return Result{i, reason}
 }
 
 func (t *Table) pickRank(q *Query, r Rank, start, end int) Result {
-	i, why := t.twoChoices(q, start, end)
+	i, reason := t.twoChoices(q, start, end)
 	if q.Prefix == 0 || i < 0 {
-		return Result{i, why}
+		return Result{i, reason}
 	}
 	if j := t.cachedCandidate(q, start, end); j >= 0 && t.isBalanced(j, i) {
 		return Result{j, ReasonCached}
@@ -102,12 +102,12 @@
 	if j := t.affinityCandidate(q, r, i); j >= 0 {
 		return Result{j, ReasonPrefix}
 	}
-	return Result{i, why}
+	return Result{i, reason}
 }
 
-// twoChoices takes the less loaded of two random candidates, and searches for any
-// with room when neither has. The search is the only step that grows with the
-// number of candidates, and only near saturation.
+// twoChoices returns the less loaded of two random candidates. If neither is usable, it searches
+// for any that is. The search is the only step whose cost grows with the number of candidates, and
+// it is needed only near saturation.
 func (t *Table) twoChoices(q *Query, start, end int) (int, Reason) {
 	n := uint64(end - start)
 	a := start + int((q.Random&0xffffffff)*n>>32)
@@ -136,8 +136,9 @@
 	return -1, ReasonNone
 }
 
-// cachedCandidate is the candidate that was last said to hold the prefix, if it is usable
-// and of this rank. The hint may be old or wrong; then only a prefill is lost.
+// cachedCandidate returns the candidate last reported to hold the prefix if it is usable and lies
+// between start and end, otherwise -1. The report may be outdated or wrong, which costs no more than
+// a prefill.
 func (t *Table) cachedCandidate(q *Query, start, end int) int {
 	i, ok := t.index[q.Cached]
 	if q.Cached == "" || !ok || i < start || i >= end || !t.isUsable(i, q) {
@@ -146,8 +147,9 @@
 	return i
 }
 
-// affinityCandidate walks the ring from the prefix and takes the first usable candidate
-// that is not much more loaded than the one two choices gave.
+// affinityCandidate walks the ring from the hash of the prefix and returns the first usable
+// candidate that is not much more loaded than other, the one found by two random choices; -1 if
+// there is none.
 func (t *Table) affinityCandidate(q *Query, r Rank, other int) int {
 	ring := t.rings[r]
 	at := sort.Search(len(ring), func(k int) bool { return ring[k].hash >= q.Prefix })
@@ -167,17 +169,17 @@
 	return -1
 }
 
-// isBalanced bounds the imbalance that a cached prefix may cause: the server may
-// hold at most affinityBound times the load of a server found by two choices,
-// plus one request so that light load does not break affinity.
+// isBalanced bounds the imbalance that a cached prefix may cause. The load of candidate i may be at
+// most affinityLoadRatio times that of other, which was found by two random choices, plus one
+// request, so that affinity holds under light load.
 func (t *Table) isBalanced(i, other int) bool {
 	a, b := t.candidates[i].Load, t.candidates[other].Load
 	return float32(a.InFlight) <= affinityLoadRatio*float32(b.InFlight)+1
 }
 
-// score is the load of a candidate against what it can carry. Own requests
-// count fully. Reported load of others lags, so it counts for half: enough to
-// see a busy server, too little for all daemons to rush to an idle one.
+// score returns the load of a candidate relative to its capacity. This daemon's requests count
+// fully. The reported load of other daemons lags, so it counts half: enough to avoid a busy server,
+// too little for all daemons to choose the same idle one.
 func (t *Table) score(i int) float32 {
 	l := t.candidates[i].Load
 	weight := l.Weight
@@ -189,14 +191,14 @@
 
 func (t *Table) isUsable(i int, q *Query) bool {
 	c := &t.candidates[i]
-	room := c.Load.HasCapacity()
-	if !room && q.Urgent {
-		room = c.Load.Limit > 0 && c.Load.InFlight+c.Load.OtherInFlight < c.Load.Slots
+	hasCapacity := c.Load.HasCapacity()
+	if !hasCapacity && q.Urgent {
+		hasCapacity = c.Load.Limit > 0 && c.Load.InFlight+c.Load.OtherInFlight < c.Load.Slots
 	}
-	if !room && q.Overshoot && c.Load.Limit > 0 {
-		room = c.Load.InFlight < c.Load.Limit+1+c.Load.Limit/8
+	if !hasCapacity && q.Overshoot && c.Load.Limit > 0 {
+		hasCapacity = c.Load.InFlight < c.Load.Limit+1+c.Load.Limit/8
 	}
-	if !room {
+	if !hasCapacity {
 		return false
 	}
 	for _, id := range q.Exclude {
--- a/decision/route/route.go
+++ b/decision/route/route.go
@@ -1,13 +1,12 @@
 // Package route decides which backend server gets a request.
 //
-// Load it answers: many short requests beside long ones on servers of uneven
-// speed, prompts that share long prefixes, one prefix that takes most of the
-// load, and thousands of servers before which hundreds of daemons stand.
+// Load pattern: many short requests run beside long ones on servers of uneven speed; prompts share
+// long prefixes, and one prefix may receive most of the load; hundreds of daemons use thousands of
+// servers.
 //
-// Without it, random choice leaves some servers with several times the mean
-// load; always taking the least loaded by a lagging report sends every daemon
-// to the same server; following the prefix alone overruns the server of a
-// popular prefix; and every daemon connects to every server.
+// Without it, random choice leaves some servers with several times the mean load; choosing the least
+// loaded server by reports that lag makes every daemon choose the same one; choosing by prefix alone
+// overloads the server of a popular prefix; and every daemon connects to every server.
 package route
 
 import "sort"
@@ -23,22 +22,22 @@
 	rankCount
 )
 
-// Load is the state of one candidate that changes between two snapshots. The
-// owner of the picker writes it; it outlives snapshots.
+// Load is the changing state of one candidate. The owner of the Table updates it, and it outlives
+// the Table.
 type Load struct {
-	InFlight      int32 // requests of this daemon, exact
-	Limit         int32 // how many there may be; 0 while ejected
-	OtherInFlight int32 // what others were last reported to run there, lagging
-	Slots         int32 // bound on the whole server
+	InFlight      int32 // this daemon's requests, exact
+	Limit         int32 // on InFlight; 0 while the server is ejected
+	OtherInFlight int32 // requests of other daemons, as last reported by the server
+	Slots         int32 // limit on the requests of all daemons
 	// Weight falls below 1 while a server warms up; 0 counts as 1.
 	Weight float32
 }
 
-// HasCapacity reports whether one more request may be sent.
+// HasCapacity reports whether one more request may be sent within the limit.
 func (l *Load) HasCapacity() bool { return l.InFlight < l.Limit }
 
-// UrgentCapacity is how many more urgent requests the server had room for by its last
-// report, beyond this daemon's limit there.
+// UrgentCapacity returns the number of slots that are free by the server's last report beyond this
+// daemon's limit, and that urgent requests may use.
 func (l *Load) UrgentCapacity() int32 {
 	if l.Limit == 0 {
 		return 0
@@ -46,34 +45,33 @@
 	return max(0, l.Slots-l.OtherInFlight-max(l.InFlight, l.Limit))
 }
 
-// Candidate is one backend server that can run the work.
+// Candidate is a backend server that can run the request.
 type Candidate struct {
 	ID   string
-	Hash uint64 // of ID, spreads prefixes
+	Hash uint64 // of ID; places the candidate on the hash ring
 	Rank Rank
 	Load *Load
 }
 
-// Table is an immutable set of candidates, built off the hot path and swapped
-// whole.
+// Table is an immutable set of candidates. It is built off the hot path and replaced as a whole.
 type Table struct {
-	candidates []Candidate            // by rank
-	rankEnds   [rankCount]int         // end of each rank in candidates
-	rings      [rankCount][]ringPoint // for prefixes
+	candidates []Candidate            // sorted by rank
+	rankEnds   [rankCount]int         // index after the last candidate of each rank
+	rings      [rankCount][]ringPoint // hash ring of prefixes for each rank
 	index      map[string]int         // by id
 }
 
-// ringPoint is one position of a candidate on the ring of prefixes.
+// ringPoint is a position of a candidate on a hash ring.
 type ringPoint struct {
 	hash  uint64
 	index int32
 }
 
-// pointsPerCandidate evens out the arcs of the ring; the bound on imbalance
-// takes care of what remains.
+// pointsPerCandidate evens out the arcs of the hash ring. What imbalance remains is bounded by
+// isBalanced.
 const pointsPerCandidate = 8
 
-// NewTable builds a table.
+// NewTable returns a table of the candidates, which it copies.
 func NewTable(candidates []Candidate) *Table {
 	t := &Table{
 		candidates: append([]Candidate(nil), candidates...),
@@ -104,13 +102,13 @@
 	}
 }
 
-// Len is the number of candidates.
+// Len returns the number of candidates.
 func (t *Table) Len() int { return len(t.candidates) }
 
 // At returns candidate i.
 func (t *Table) At(i int) *Candidate { return &t.candidates[i] }
 
-// Mix spreads the bits of x; it is a bijection (the finaliser of splitmix64).
+// Mix spreads the bits of x. It is a bijection, the finalizer of splitmix64.
 func Mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/decision/route/route_test.go
+++ b/decision/route/route_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// candidates are n servers in three zones; the first third is near.
+// candidates returns n servers, the first third in the same zone and the others in the same region.
 func candidates(n int, limit int32) []Candidate {
 	cs := make([]Candidate, n)
 	for i := range cs {
@@ -24,7 +24,7 @@
 	return cs
 }
 
-func TestNearServersFirstThenFarther(t *testing.T) {
+func TestSameZoneFirst(t *testing.T) {
 	cs := candidates(6, 1)
 	table := NewTable(cs)
 	random := rand.New(rand.NewPCG(1, 1))
@@ -39,10 +39,9 @@
 	test.Eq(t, Result{-1, ReasonNone}, table.Pick(&Query{Random: random.Uint64()}))
 }
 
-// One popular prompt overruns the server that holds its prefix.
-// All requests share one prefix; affinity alone sends each to the same server.
-// The bound on imbalance must spread them although the prefix is cached there.
-func TestPopularPrefixDoesNotOverrunItsServer(t *testing.T) {
+// All requests share one prefix, so that affinity alone would send all of them to the server that
+// holds it and overload it. The bound on imbalance must spread them over the other servers.
+func TestPopularPrefixDoesNotOverloadItsServer(t *testing.T) {
 	cs := candidates(12, 100)
 	for i := range cs {
 		cs[i].Rank = SameZone
@@ -74,23 +73,23 @@
 func TestPickProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cs := candidates(rapid.IntRange(1, 40).Draw(t, "n"), 0)
-		room := 0
+		withCapacity := 0
 		exclude := []string{cs[0].ID}
 		for i := range cs {
 			cs[i].Load.Limit = int32(rapid.IntRange(0, 3).Draw(t, "limit"))
 			cs[i].Load.InFlight = int32(rapid.IntRange(0, 3).Draw(t, "inflight"))
 			if i > 0 && cs[i].Load.HasCapacity() {
-				room++
+				withCapacity++
 			}
 		}
 		table := NewTable(cs)
 		q := Query{Random: rapid.Uint64().Draw(t, "random"), Prefix: rapid.Uint64().Draw(t, "prefix"), Exclude: exclude}
 		r := table.Pick(&q)
-		if (r.Index >= 0) != (room > 0) {
-			t.Fatalf("picked %d with %d servers that have room", r.Index, room)
+		if (r.Index >= 0) != (withCapacity > 0) {
+			t.Fatalf("picked index %d with %d servers that have capacity", r.Index, withCapacity)
 		}
 		if r.Index >= 0 && (!table.At(r.Index).Load.HasCapacity() || table.At(r.Index).ID == exclude[0]) {
-			t.Fatalf("picked %v", table.At(r.Index))
+			t.Fatalf("picked an excluded or full server: %v", table.At(r.Index))
 		}
 	})
 }
@@ -99,9 +98,9 @@
 	daemons, backends := hashes("d", 56), hashes("b", 271)
 	count := make([]int, len(backends))
 	for _, d := range daemons {
-		window := Subset(d, daemons, backends, SubsetSize)
-		must.SliceLen(t, SubsetSize, window)
-		for _, i := range window {
+		subset := Subset(d, daemons, backends, SubsetSize)
+		must.SliceLen(t, SubsetSize, subset)
+		for _, i := range subset {
 			count[i]++
 		}
 	}
@@ -119,7 +118,7 @@
 	return out
 }
 
-// BenchmarkPick measures one decision: light load, and nine of ten servers full.
+// BenchmarkPick benchmarks Pick under light load and with nine of ten servers full.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{10, 100, 2000} {
 		for _, full := range []bool{false, true} {
@@ -136,7 +135,7 @@
 				for b.Loop() {
 					q := Query{Random: random.Uint64(), Prefix: random.Uint64()}
 					if table.Pick(&q).Index < 0 {
-						b.Fatal("nothing picked")
+						b.Fatal("no server picked")
 					}
 				}
 			})
@@ -144,7 +143,7 @@
 	}
 }
 
-// BenchmarkNewTable measures what is done off the hot path.
+// BenchmarkNewTable benchmarks building a table, which is off the hot path.
 func BenchmarkNewTable(b *testing.B) {
 	for _, n := range []int{10, 100, 2000} {
 		cs := candidates(n, 10)
@@ -157,11 +156,11 @@
 	}
 }
 
-// An engine dies with the answers of its zone. Their continuations go to the
-// engines of all zones alike, not to the few that are left beside it, except
-// where one is known to hold the prompt.
-func TestContinuationsSpreadOverZones(t *testing.T) {
-	table := NewTable(candidates(9, 32)) // three of them near
+// An engine fails together with its answers, most of whose requests come from one zone. The resumed
+// requests must be spread evenly over the engines of all zones instead of the few left in that zone,
+// except for the engine known to hold the prompt.
+func TestResumedRequestsSpreadOverZones(t *testing.T) {
+	table := NewTable(candidates(9, 32)) // three of them in the same zone
 	random := rand.New(rand.NewPCG(5, 5))
 	counts := map[int]int{}
 	for range 900 {
--- a/decision/route/subset.go
+++ b/decision/route/subset.go
@@ -2,22 +2,20 @@
 
 import "sort"
 
-// SubsetSize is how many candidates of one zone a daemon uses at most. With
-// fewer than about twenty two choices no longer even out the load; each more
-// costs a connection and a poll per daemon. The value is the smallest in the
-// measurement of docs/design/31-load-routing.md that keeps the most loaded
-// backend server within a tenth of the mean.
+// SubsetSize is the maximum number of candidates of one zone that a daemon uses. With fewer than
+// about twenty, two random choices no longer even out the load. Each further one costs a connection
+// and a status poll per daemon. 24 is the smallest size that keeps the most loaded backend server
+// within a tenth of the mean (docs/design/31-load-routing.md).
 const SubsetSize = 24
 
-// Subset returns the indices of the backends that the daemon self uses, at
-// most size of them, the same wherever it is computed from the same two lists.
+// Subset returns the indices of the at most size backends that the daemon self uses. Every daemon
+// computes the same subset from the same two lists.
 //
-// Backends and daemons are each put in the order of the hash of their ids.
-// Daemon i of n takes a window of the ring of backends that begins at i/n of
-// its length. All backends are then in as many windows, give or take one,
-// where independent draws (rendezvous hashing) leave some with half again the
-// mean. A daemon or backend more or less moves each window by at most one
-// part in n, so few connections change.
+// Backends and daemons are each sorted by the hash of their ids. The sorted backends form a ring,
+// and daemon i of n uses the consecutive backends that begin at i/n of its length. All backends are
+// then in equally many subsets, give or take one, whereas independent choices by rendezvous hashing
+// leave some backends in one and a half times the mean. A daemon or backend that joins or leaves
+// shifts each subset by at most one n-th of the ring, so that few connections change.
 func Subset(self uint64, daemons, backends []uint64, size int) []int {
 	order := make([]int, len(backends))
 	for i := range order {
@@ -41,9 +39,9 @@
 		}
 	}
 	start := rank * len(order) / n
-	window := make([]int, 0, size)
+	subset := make([]int, 0, size)
 	for k := range size {
-		window = append(window, order[(start+k)%len(order)])
+		subset = append(subset, order[(start+k)%len(order)])
 	}
-	return window
+	return subset
 }
