--- a/decision/absence/absence.go
+++ b/decision/absence/absence.go
@@ -1,17 +1,17 @@
-// Package absence decides what becomes of a request while no server of its service takes
-// any: whether it waits for one to return, and when its caller comes back if none does.
+// Package absence decides how long a request waits while no server of its service is available, and
+// after how long its caller retries if it is refused.
 //
-// Load it answers: all servers of a service lost at once, for about as long as a restart
-// takes, with every answer that was under way there.
+// Load pattern: all servers of a service fail at once, with all answers in progress there, and are
+// unavailable for about as long as a restart takes.
 //
-// Without it each of these requests is refused at once and told to come back after half a
-// second, as are those that arrive. Most callers repeat once: they come within the absence
-// and are refused for good, though the servers are back a second later.
+// Without it, each interrupted and each arriving request is refused at once and told to retry after
+// half a second. Most callers retry only once: their retry falls within the same outage and fails,
+// although the servers are back a second later.
 //
-// How it decides: by how long servers of the service have been away before. A request waits
-// for about as long, if its objective leaves time for that, and a caller that is refused
-// comes back after as long again. Nothing is known at first: then a request waits for a
-// moment only.
+// Decision: the mean length of earlier outages of the service's servers is taken as the expected
+// length. A request waits for about as long, if its objective leaves enough time, and a refused
+// caller is told to retry after the same time. Before the first observed outage, a request waits
+// only for a short default time.
 package absence
 
 import (
@@ -21,55 +21,56 @@
 )
 
 const (
-	// ewmaWeight is the weight of one absence in the mean, so that the last dozen count:
-	// a zone that fails and returns shows as many.
+	// ewmaWeight is the weight of one outage in the moving average, which so covers about the last
+	// dozen. A single failure of a zone produces that many.
 	ewmaWeight = 1.0 / 8
-	// waitMarginRatio is how much longer than usual a server may be away and be waited for. Absences
-	// of one kind of failure differ by a tenth, and a server registers within half a second.
+	// waitMarginRatio is the longest wait relative to the mean outage. The outages of one kind of
+	// failure differ by a tenth, and a server registers within half a second of its start.
 	waitMarginRatio = 1.5
-	// maxObjectiveRatio is the part of the objective that a request waits at most: what is left
-	// is enough to be served in.
+	// maxObjectiveRatio is the largest share of the objective that a request may wait. The rest is
+	// enough to serve it.
 	maxObjectiveRatio = 0.5
-	// defaultObjectiveRatio is the part that it waits where nothing is known.
+	// defaultObjectiveRatio is the share that it waits before any outage was observed.
 	defaultObjectiveRatio = 0.125
-	// minRetryAfter is the least time after which a caller comes back: a server that was lost is
-	// replaced within about a second.
+	// minRetryAfter is the shortest mean time to a retry: a failed server is replaced within about a
+	// second.
 	minRetryAfter = 500 * time.Millisecond
-	// maxObservedOutage is above what a restart takes, and a third of what callers of long answers wait
-	// (25 s), so that none is told to come back when it has given up. A server that is away
-	// for longer, or that failed once and was replaced much later, says nothing of when the
-	// next returns.
+	// maxObservedOutage is the longest outage that is counted. It is longer than a restart, and a
+	// third of the 25 s that callers of long answers wait, so that no caller is told to retry after
+	// it has given up. A longer outage, or a server that failed once and was replaced much later,
+	// doesn't predict when the next server returns.
 	maxObservedOutage = 8 * time.Second
 )
 
-// Estimator is what one entry VM knows of one service. The zero value has seen nothing. It is
-// not safe for concurrent use.
+// Estimator estimates the outages of one service's servers as seen by one entry VM. The zero value
+// has no observations. It is not safe for concurrent use.
 type Estimator struct {
-	meanNs float64 // nanoseconds
+	meanNs float64
 }
 
-// ObserveReturn records that a server is back that was away for so long.
-func (a *Estimator) ObserveReturn(away time.Duration) {
-	if away <= 0 || away > maxObservedOutage {
+// ObserveReturn records that a server has returned after an outage.
+func (e *Estimator) ObserveReturn(outage time.Duration) {
+	if outage <= 0 || outage > maxObservedOutage {
 		return
 	}
-	if a.meanNs == 0 {
-		a.meanNs = float64(away)
+	if e.meanNs == 0 {
+		e.meanNs = float64(outage)
 		return
 	}
-	a.meanNs += ewmaWeight * (float64(away) - a.meanNs)
+	e.meanNs += ewmaWeight * (float64(outage) - e.meanNs)
 }
 
-// MaxWait is how long a request waits for a server to return. objective is its route's.
-func (a *Estimator) MaxWait(objective time.Duration) time.Duration {
-	if a.meanNs == 0 {
+// MaxWait returns how long a request may wait for a server to return. objective is that of the
+// request's route.
+func (e *Estimator) MaxWait(objective time.Duration) time.Duration {
+	if e.meanNs == 0 {
 		return time.Duration(defaultObjectiveRatio * float64(objective))
 	}
-	return min(time.Duration(waitMarginRatio*a.meanNs), time.Duration(maxObjectiveRatio*float64(objective)))
+	return min(time.Duration(waitMarginRatio*e.meanNs), time.Duration(maxObjectiveRatio*float64(objective)))
 }
 
-// RetryAfter is when a caller comes back that was refused after such a wait, or without one. draw
-// is in [0, 1).
-func (a *Estimator) RetryAfter(draw float64) time.Duration {
-	return retryafter.Spread(max(minRetryAfter, time.Duration(a.meanNs)), draw)
+// RetryAfter returns the time after which a caller retries that was refused after MaxWait or at
+// once. random is in [0, 1) and spreads the retries.
+func (e *Estimator) RetryAfter(random float64) time.Duration {
+	return retryafter.Spread(max(minRetryAfter, time.Duration(e.meanNs)), random)
 }
--- a/decision/absence/absence_test.go
+++ b/decision/absence/absence_test.go
@@ -9,47 +9,47 @@
 
 const objective = 4500 * time.Millisecond
 
-// All servers are gone and nothing is known of how long that lasts: a request waits for a
-// moment, and its caller comes back when a restart may be over.
-func TestNothingKnown(t *testing.T) {
-	var a Estimator
-	must.Eq(t, objective/8, a.MaxWait(objective))
-	must.Between(t, 375*time.Millisecond, a.RetryAfter(0), 375*time.Millisecond)
-	must.Between(t, 600*time.Millisecond, a.RetryAfter(0.99), 625*time.Millisecond)
-	a.ObserveReturn(0)
-	a.ObserveReturn(9 * time.Second) // says nothing
-	must.Eq(t, objective/8, a.MaxWait(objective))
+// All servers are unavailable and no outage was observed before. A request waits for the default
+// time, and its caller retries when a restart may have completed.
+func TestNoObservations(t *testing.T) {
+	var e Estimator
+	must.Eq(t, objective/8, e.MaxWait(objective))
+	must.Between(t, 375*time.Millisecond, e.RetryAfter(0), 375*time.Millisecond)
+	must.Between(t, 600*time.Millisecond, e.RetryAfter(0.99), 625*time.Millisecond)
+	e.ObserveReturn(0)
+	e.ObserveReturn(9 * time.Second) // too long to be counted
+	must.Eq(t, objective/8, e.MaxWait(objective))
 }
 
-func TestWaitAndBack(t *testing.T) {
+func TestMaxWaitAndRetryAfter(t *testing.T) {
 	cases := []struct {
-		name      string
-		away      []time.Duration
-		wait      time.Duration
-		backLeast time.Duration
+		name       string
+		outages    []time.Duration
+		maxWait    time.Duration
+		retryAfter time.Duration // without random spread, the shortest
 	}{
-		{"a usual absence and half as much", []time.Duration{time.Second, time.Second}, 1500 * time.Millisecond, 750 * time.Millisecond},
-		{"never more than half of the objective", []time.Duration{8 * time.Second}, 2250 * time.Millisecond, 6 * time.Second},
-		{"short ones do not bring callers back sooner", []time.Duration{100 * time.Millisecond}, 150 * time.Millisecond, 375 * time.Millisecond},
+		{"one and a half times the mean outage", []time.Duration{time.Second, time.Second}, 1500 * time.Millisecond, 750 * time.Millisecond},
+		{"at most half of the objective", []time.Duration{8 * time.Second}, 2250 * time.Millisecond, 6 * time.Second},
+		{"short outages don't lower the minimum", []time.Duration{100 * time.Millisecond}, 150 * time.Millisecond, 375 * time.Millisecond},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var a Estimator
-			for _, d := range c.away {
-				a.ObserveReturn(d)
+			var e Estimator
+			for _, d := range c.outages {
+				e.ObserveReturn(d)
 			}
-			must.Eq(t, c.wait, a.MaxWait(objective))
-			must.Eq(t, c.backLeast, a.RetryAfter(0))
+			must.Eq(t, c.maxWait, e.MaxWait(objective))
+			must.Eq(t, c.retryAfter, e.RetryAfter(0))
 		})
 	}
 }
 
-// Servers that took long to return take short now: a dozen of them are believed.
-func TestAbsencesThatBecomeShorter(t *testing.T) {
-	var a Estimator
-	a.ObserveReturn(8 * time.Second)
+// Outages become shorter. The wait must follow within two dozen of them.
+func TestOutagesBecomeShorter(t *testing.T) {
+	var e Estimator
+	e.ObserveReturn(8 * time.Second)
 	for range 24 {
-		a.ObserveReturn(time.Second)
+		e.ObserveReturn(time.Second)
 	}
-	must.Less(t, 2*time.Second, a.MaxWait(objective))
+	must.Less(t, 2*time.Second, e.MaxWait(objective))
 }
--- a/decision/watching/watching.go
+++ b/decision/watching/watching.go
@@ -1,20 +1,19 @@
-// Package watching decides which daemons of a fleet watch the store, and whom the
-// others ask for what it tells.
+// Package watching decides which daemons of a fleet watch the store, and which daemons the others
+// query for its changes.
 //
-// Load it answers: a store that counts and charges each call, before hundreds of
-// daemons that all have to know each change within a second or two. A watch costs a
-// call for each change and one a second while nothing changes.
+// Load pattern: hundreds of daemons all have to learn of each change within a second or two, from a
+// store that counts and charges each call. A watch costs a call for each change, and one call a
+// second while nothing changes.
 //
-// Without it, the store takes as many calls for each change as there are daemons; and
-// with a few that watch and no one between, those that watch send each change to the
-// whole fleet over their own links, so that it is late where links are narrow.
+// Without it, the store receives as many calls for each change as there are daemons. If only a few
+// daemons watched and there were no relays, these would send each change to the whole fleet over
+// their own links, which delays it on narrow links.
 //
-// How it decides: a few daemons watch, as many whatever the size of the fleet. In each
-// zone some relays pass on what they hear, one for so many daemons, so that one daemon
-// tells about a score of others, and all but the relays ask within their zone. Every
-// daemon computes the same plan from the same VMs, so nothing has to be agreed on. A
-// plan holds no state that could be lost: where those that watch are lost, whoever
-// finds nobody that can tell watches the store itself.
+// Decision: a small number of daemons watch, independent of the size of the fleet. In each zone, a
+// number of relays proportional to its size pass on the changes, so that each relay serves about
+// twenty daemons, and all daemons except the relays query within their zone. Every daemon computes
+// the same plan from the same VMs, which needs no agreement. A plan has no state that could be lost:
+// if the watchers fail, a daemon that finds no other to query watches the store itself.
 package watching
 
 import (
@@ -23,34 +22,34 @@
 )
 
 const (
-	// SmallFleetSize is the size of a fleet up to which all daemons watch: there is nothing
-	// to save.
+	// SmallFleetSize is the largest fleet of which all daemons watch, because there are no calls to
+	// save.
 	SmallFleetSize = 8
-	// MaxWatchers is how many daemons of a larger fleet watch: several zones can be lost
-	// and some are left.
+	// MaxWatchers is the number of watchers of a larger fleet. Some are left after the loss of
+	// several zones.
 	MaxWatchers = 5
-	// ClientsPerRelay is how many daemons ask one relay. More fill the link of a small VM
-	// when a zone is lost and all its servers change at once.
+	// ClientsPerRelay is how many daemons query one relay. More would saturate the link of a small
+	// VM when a zone is lost and all its servers change at once.
 	ClientsPerRelay = 20
 )
 
-// VM is one daemon that serves.
+// VM is a daemon that serves, by the VM on which it runs.
 type VM struct {
 	ID   string
 	Hash uint64 // of ID
 	Zone string
 }
 
-// Plan is who watches and who asks whom. It is immutable.
+// Plan says which daemons watch the store and which daemons each one queries. It is immutable.
 type Plan struct {
-	zones      map[string][]VM // by hash
+	zones      map[string][]VM // by zone, each sorted by hash
 	zoneOf     map[string]string
 	watchers   []string
 	watcherSet map[string]bool
-	relays     map[string][]string // by zone; those that watch come first
+	relays     map[string][]string // by zone, watchers first
 }
 
-// New makes the plan of a fleet.
+// New returns the plan of a fleet.
 func New(vms []VM) *Plan {
 	p := &Plan{
 		zones:      map[string][]VM{},
@@ -70,26 +69,26 @@
 	return p
 }
 
-// chooseWatchers takes the first member of each zone in turn, then the second, so that
-// the loss of a zone takes as few as can be.
+// chooseWatchers chooses the first member of each zone in turn, then the second, and so on, so that
+// the loss of a zone affects as few watchers as possible.
 func (p *Plan) chooseWatchers(size int) {
 	wanted := MaxWatchers
 	if size <= SmallFleetSize {
 		wanted = size
 	}
 	names := p.zoneNames()
-	for place := 0; len(p.watchers) < wanted; place++ {
+	for i := 0; len(p.watchers) < wanted; i++ {
 		for _, zone := range names {
-			if members := p.zones[zone]; place < len(members) && len(p.watchers) < wanted {
-				p.watchers = append(p.watchers, members[place].ID)
-				p.watcherSet[members[place].ID] = true
+			if members := p.zones[zone]; i < len(members) && len(p.watchers) < wanted {
+				p.watchers = append(p.watchers, members[i].ID)
+				p.watcherSet[members[i].ID] = true
 			}
 		}
 	}
 }
 
-// zoneNames returns the zones in the order of their first members' hashes, so that no
-// zone comes first for its name.
+// zoneNames returns the zones sorted by the hash of their first member, so that the order doesn't
+// depend on the names.
 func (p *Plan) zoneNames() []string {
 	names := make([]string, 0, len(p.zones))
 	for name := range p.zones {
@@ -104,8 +103,8 @@
 func (p *Plan) chooseRelays() {
 	for zone, members := range p.zones {
 		count := (len(members) + ClientsPerRelay - 1) / ClientsPerRelay
-		for place, vm := range members {
-			if place < count || p.watcherSet[vm.ID] {
+		for i, vm := range members {
+			if i < count || p.watcherSet[vm.ID] {
 				p.relays[zone] = append(p.relays[zone], vm.ID)
 			}
 		}
@@ -115,39 +114,40 @@
 // IsWatcher reports whether a daemon watches the store.
 func (p *Plan) IsWatcher(id string) bool { return p.watcherSet[id] }
 
-// Watchers returns the daemons that watch.
+// Watchers returns the ids of the daemons that watch the store.
 func (p *Plan) Watchers() []string { return slices.Clone(p.watchers) }
 
-// Sources returns whom a daemon asks, without itself: those of its own zone that tell it,
-// and the others that watch. A daemon of no known zone asks those that watch. turn
+// Sources returns the daemons that a daemon queries, without itself. The local ones are the relays of
+// its zone or, if it is a relay itself, the watchers of its zone. The remote ones are the watchers of
+// other zones, or all watchers if the zone of the daemon is unknown. offset rotates both lists, which
 // spreads the daemons of a zone over its relays.
-func (p *Plan) Sources(id string, turn uint64) (near, others []string) {
+func (p *Plan) Sources(id string, offset uint64) (local, remote []string) {
 	zone, known := p.zoneOf[id]
 	for _, w := range p.watchers {
 		switch {
 		case w == id:
 		case known && p.zoneOf[w] == zone:
-			near = append(near, w)
+			local = append(local, w)
 		default:
-			others = append(others, w)
+			remote = append(remote, w)
 		}
 	}
 	if relays := p.relays[zone]; known && !slices.Contains(relays, id) {
-		near = relays
+		local = relays
 	}
-	return rotate(near, turn), rotate(others, turn)
+	return rotate(local, offset), rotate(remote, offset)
 }
 
-// rotate returns list beginning at place turn.
-func rotate(list []string, turn uint64) []string {
+// rotate returns a copy of list rotated to begin at index offset modulo its length.
+func rotate(list []string, offset uint64) []string {
 	if len(list) == 0 {
 		return nil
 	}
-	k := int(turn % uint64(len(list)))
+	k := int(offset % uint64(len(list)))
 	return append(slices.Clone(list[k:]), list[:k]...)
 }
 
-// CountWatchers is how many daemons of a fleet watch.
+// CountWatchers returns the number of watchers in a fleet of so many daemons.
 func CountWatchers(daemons int) int {
 	if daemons <= SmallFleetSize {
 		return daemons
@@ -155,6 +155,6 @@
 	return MaxWatchers
 }
 
-// Relays returns the daemons of a zone that pass on what those that watch tell, the ones
-// that watch among them.
+// Relays returns the relays of a zone: the daemons that pass on changes to others, including the
+// watchers of the zone.
 func (p *Plan) Relays(zone string) []string { return slices.Clone(p.relays[zone]) }
--- a/decision/watching/watching_test.go
+++ b/decision/watching/watching_test.go
@@ -19,13 +19,13 @@
 	return vms
 }
 
-// sources is everybody that a daemon asks, the best first.
+// sources returns all daemons that a daemon queries, in order.
 func sources(p *Plan, vm VM) []string {
-	near, others := p.Sources(vm.ID, vm.Hash)
-	return append(near, others...)
+	local, remote := p.Sources(vm.ID, vm.Hash)
+	return append(local, remote...)
 }
 
-func TestHowManyWatch(t *testing.T) {
+func TestWatcherCount(t *testing.T) {
 	for _, c := range []struct{ size, zones, want int }{
 		{0, 1, 0}, {1, 1, 1}, {6, 3, 6}, {8, 3, 8}, {9, 3, 5}, {87, 3, 5}, {295, 5, 5}, {390, 7, 5}, {1000, 3, 5},
 	} {
@@ -38,48 +38,47 @@
 	}
 }
 
-// A zone is lost with all its daemons. Those that watch lie in all zones as evenly as
-// can be, so most are left.
-func TestWatchersLieInAllZones(t *testing.T) {
+// A zone is lost with all its daemons. The watchers are spread over the zones as evenly as possible,
+// so that most of them are left.
+func TestWatchersAreSpreadOverZones(t *testing.T) {
 	for _, c := range []struct{ size, zones, most int }{{88, 4, 2}, {87, 3, 2}, {295, 5, 1}, {390, 7, 1}} {
 		p := New(fleet(c.size, c.zones))
-		in := map[string]int{}
+		count := map[string]int{}
 		for _, id := range p.Watchers() {
-			in[p.zoneOf[id]]++
-			must.LessEq(t, c.most, in[p.zoneOf[id]])
+			count[p.zoneOf[id]]++
+			must.LessEq(t, c.most, count[p.zoneOf[id]])
 		}
 	}
 }
 
-// Each change is sent to every daemon that asks. One that tells too many fills its
-// link and tells late: nobody tells many more than its part, in a zone of its own but
-// for the few relays of zones where nobody watches.
-func TestNobodyTellsTooMany(t *testing.T) {
+// Each change is sent to every daemon that queries. A relay with too many clients saturates its link
+// and delays changes. No relay may have many more clients than its share, and only the few relays of
+// zones without a watcher may query across zones.
+func TestClientsPerRelay(t *testing.T) {
 	for _, c := range []struct{ size, zones int }{{9, 3}, {40, 1}, {88, 4}, {295, 5}, {390, 7}, {1000, 3}} {
 		vms := fleet(c.size, c.zones)
 		p := New(vms)
-		askers, across := map[string]int{}, 0
+		clients, acrossZones := map[string]int{}, 0
 		for _, vm := range vms {
 			if p.IsWatcher(vm.ID) {
 				continue
 			}
 			first := sources(p, vm)[0]
-			askers[first]++
+			clients[first]++
 			if p.zoneOf[first] != vm.Zone {
-				across++
+				acrossZones++
 			}
 		}
-		for id, n := range askers {
+		for id, n := range clients {
 			must.LessEq(t, 2*ClientsPerRelay, n, must.Sprintf("%s of %d daemons", id, c.size))
 		}
-		must.LessEq(t, c.size/ClientsPerRelay+c.zones, across)
+		must.LessEq(t, c.size/ClientsPerRelay+c.zones, acrossZones)
 	}
 }
 
-// Whoever those are that are lost, what is told reaches everybody: following the first
-// sources from any daemon leads to one that watches, without a circle, and every list
-// of sources goes on to all that watch.
-func TestEverySourceLeadsToTheStore(t *testing.T) {
+// Changes must reach every daemon whichever daemons are lost. Following the first source from any
+// daemon leads to a watcher without a cycle, and every list of sources contains all watchers.
+func TestEverySourceLeadsToAWatcher(t *testing.T) {
 	for _, size := range []int{9, 40, 88, 295, 1000} {
 		vms := fleet(size, 5)
 		p := New(vms)
@@ -100,9 +99,9 @@
 	}
 }
 
-func TestDaemonThatIsNotKnownAsksThoseThatWatch(t *testing.T) {
+func TestUnknownDaemonQueriesWatchers(t *testing.T) {
 	p := New(fleet(40, 2))
-	stranger := VM{ID: "stranger", Hash: 3}
-	must.SliceContainsAll(t, sources(p, stranger), p.Watchers())
-	must.SliceEmpty(t, sources(New(nil), stranger))
+	unknown := VM{ID: "unknown", Hash: 3}
+	must.SliceContainsAll(t, sources(p, unknown), p.Watchers())
+	must.SliceEmpty(t, sources(New(nil), unknown))
 }
