--- a/decision/route/pick.go
+++ b/decision/route/pick.go
@@ -12,7 +12,7 @@
 	affinityProbes = 2
 )
 
-// Reason says reason a candidate was chosen.
+// Reason says why a candidate was chosen.
 type Reason string
 
 // The reasons.
