--- a/decision/watching/watching.go
+++ b/decision/watching/watching.go
@@ -6,8 +6,8 @@
 // second while nothing changes.
 //
 // Without it, the store receives as many calls for each change as there are daemons. If only a few
-// daemons watched and there were no relays, these would send each change to the whole fleet over
-// their own links, which delays it on narrow links.
+// daemons watched and there were no relays, the watchers would send each change to the whole fleet
+// over their own links, which delays it on narrow links.
 //
 // Decision: a small number of daemons watch, independent of the size of the fleet. In each zone, a
 // number of relays proportional to its size pass on the changes, so that each relay serves about
