--- a/control/feed/departures.go
+++ b/control/feed/departures.go
@@ -6,50 +6,50 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// rememberDeparted is how long a server that left is remembered: longer than
+// departedRetention is how long a server that left is remembered: longer than
 // the longest answer during which its id may still turn up.
-const rememberDeparted = time.Minute
+const departedRetention = time.Minute
 
 const (
-	// reregister is how long after its return the store lacks the entries whose
+	// reregisterWindow is how long after its return the store lacks the entries whose
 	// leases ran out during an outage: their owners write them again within two
 	// seconds. The rest is what a watch takes to tell.
-	reregister = 2500 * time.Millisecond
-	// outageMin is the silence of the store after which removals may come from
+	reregisterWindow = 2500 * time.Millisecond
+	// minOutage is the silence of the store after which removals may come from
 	// leases that ran out: it is shorter than the shortest lease.
-	outageMin = time.Second
-	// doubtCheck is how often the servers in doubt are looked at.
-	doubtCheck = 50 * time.Millisecond
-	// doubtTime is how long a server stays usable whose entry vanished around an
+	minOutage = time.Second
+	// graceCheckInterval is how often the servers in doubt are looked at.
+	graceCheckInterval = 50 * time.Millisecond
+	// serverGracePeriod is how long a server stays usable whose entry vanished around an
 	// outage. It is below the two seconds within which a server that left
 	// has to be left alone.
-	doubtTime = time.Second
+	serverGracePeriod = time.Second
 )
 
-// reached records an answer of the store.
-func (t *table) reached(asked, now time.Duration) {
-	if t.lastReached != 0 && asked-t.lastReached > outageMin {
-		t.doubtUntil = now + reregister
+// recordAnswer records an answer of the store.
+func (t *table) recordAnswer(sentAt, now time.Duration) {
+	if t.lastAnsweredAt != 0 && sentAt-t.lastAnsweredAt > minOutage {
+		t.recoveryUntil = now + reregisterWindow
 	}
-	t.lastReached = now
+	t.lastAnsweredAt = now
 }
 
 // remove takes an entry away by the given revision. What it named goes at once, or stays
 // for a while where its lease may have run out in an outage.
 func (t *table) remove(now time.Duration, key string, revision int64) {
 	t.entries.remove(key, revision)
-	delete(t.refusals, key)
-	delete(t.barred, key)
+	delete(t.rejections, key)
+	delete(t.refusedRequests, key)
 	t.removeRollout(key)
 	t.dirty = true
 	if id, ok := t.schema.ServerID(key); ok {
 		t.removeServer(now, id)
 		return
 	}
-	if vm, ok := t.vms[key]; ok && !vm.Leaving && now < t.doubtUntil {
+	if vm, ok := t.vms[key]; ok && !vm.Leaving && now < t.recoveryUntil {
 		// Daemons that register again must not seem gone meanwhile: each would take
 		// the whole budget of repeats and all engines for its own.
-		t.doubtfulVMs[key] = now + reregister
+		t.vmGraceEnds[key] = now + reregisterWindow
 		return
 	}
 	t.removeVM(key)
@@ -70,60 +70,60 @@
 	if !ok {
 		return
 	}
-	if now < t.doubtUntil && !s.Leaving {
-		if _, kept := t.doubtful[id]; !kept {
-			t.doubtful[id] = now + doubtTime
-			t.log.Emit(event.ServerGone, id, s.Service, doubtTime)
+	if now < t.recoveryUntil && !s.Leaving {
+		if _, kept := t.serverGraceEnds[id]; !kept {
+			t.serverGraceEnds[id] = now + serverGracePeriod
+			t.log.Emit(event.ServerGone, id, s.Service, serverGracePeriod)
 		}
 		return
 	}
-	t.forget(id)
+	t.dropServer(id)
 	t.log.Emit(event.ServerGone, id, s.Service, time.Duration(0))
 }
 
-// note remembers whether a server departs.
-func (t *table) note(id string, departs bool) {
-	if !departs {
+// setDeparted remembers whether a server departs.
+func (t *table) setDeparted(id string, departed bool) {
+	if !departed {
 		delete(t.departed, id)
 		return
 	}
 	if _, known := t.departed[id]; !known {
-		t.departed[id] = t.lastReached
+		t.departed[id] = t.lastAnsweredAt
 	}
 }
 
-// forget drops a server and remembers that it departed.
-func (t *table) forget(id string) {
-	t.note(id, true)
+// dropServer drops a server and remembers that it departed.
+func (t *table) dropServer(id string) {
+	t.setDeparted(id, true)
 	delete(t.servers, id)
-	delete(t.written, id)
-	delete(t.doubtful, id)
-	delete(t.refusals, id)
+	delete(t.firstRevisions, id)
+	delete(t.serverGraceEnds, id)
+	delete(t.rejections, id)
 	t.dirty = true
-	t.changes++
+	t.changeCount++
 }
 
 // expire drops the servers whose time in doubt is over.
 func (t *table) expire(now time.Duration) bool {
-	gone := false
-	for id, until := range t.doubtful {
+	expired := false
+	for id, until := range t.serverGraceEnds {
 		if now >= until {
-			t.forget(id)
-			gone = true
+			t.dropServer(id)
+			expired = true
 		}
 	}
-	for key, until := range t.doubtfulVMs {
+	for key, until := range t.vmGraceEnds {
 		if now >= until {
-			delete(t.doubtfulVMs, key)
+			delete(t.vmGraceEnds, key)
 			t.removeVM(key)
-			gone = true
+			expired = true
 		}
 	}
 	for id, since := range t.departed {
-		if _, here := t.servers[id]; !here && now-since > rememberDeparted {
+		if _, listed := t.servers[id]; !listed && now-since > departedRetention {
 			delete(t.departed, id)
-			delete(t.born, id)
+			delete(t.incarnations, id)
 		}
 	}
-	return gone
+	return expired
 }
--- a/control/feed/feed.go
+++ b/control/feed/feed.go
@@ -49,8 +49,8 @@
 	PublishedAt time.Time
 	// departed are the servers that leave or are gone.
 	departed map[string]time.Duration
-	// plan says which of VMs watch the store and who asks whom; nil before the first.
-	plan *watching.Plan
+	// watchPlan says which of VMs watch the store and who asks whom; nil before the first.
+	watchPlan *watching.Plan
 }
 
 // HasDeparted reports whether a server is known to leave or to be gone.
@@ -80,38 +80,38 @@
 type Manager struct {
 	opts Options
 	view atomic.Pointer[View]
-	// confirmed is the Clock when the question was sent whose answer showed the
+	// confirmedAt is the Clock when the question was sent whose answer showed the
 	// configuration, or that there is none; 0 before the first.
-	confirmed atomic.Int64
-	seeds     atomic.Pointer[[]string]
-	known     chan struct{} // closed with the first configuration
-	once      sync.Once     // closes known
-	reached   atomic.Bool   // the last call to the store succeeded
-	outage    atomic.Bool   // the last daemon asked was as long without the store
-	bridged   atomic.Bool   // another daemon ended a gap since the store last answered
-	aloneTill atomic.Int64  // Clock until when this daemon watches the store itself
-	turn      atomic.Uint64 // which of the daemons that tell this one is asked first
-	roused    chan struct{} // holds an item when this daemon has to watch by itself
-	listed    chan struct{} // closed once own is known
-	own       store.KV      // this daemon's entry when it started, if any
-
-	calls *prometheus.CounterVec
-
-	mu       sync.Mutex // guards table, news and changes of revision
-	table    *table
-	expiring bool          // endDoubt is due
-	news     chan struct{} // closed when what this daemon can tell has changed
-	revision atomic.Int64  // of the store, where the watch goes on; 0 means that everything is read
+	confirmedAt     atomic.Int64
+	seeds           atomic.Pointer[[]string]
+	configReady     chan struct{} // closed with the first configuration
+	configReadyOnce sync.Once     // closes known
+	storeReachable  atomic.Bool   // the last call to the store succeeded
+	peerAlsoStale   atomic.Bool   // the last daemon asked was as long without the store
+	confirmedByPeer atomic.Bool   // another daemon ended a gap since the store last answered
+	noSourceUntil   atomic.Int64  // Clock until when this daemon watches the store itself
+	sourceTurn      atomic.Uint64 // which of the daemons that tell this one is asked first
+	watchWakeup     chan struct{} // holds an item when this daemon has to watch by itself
+	ownEntryRead    chan struct{} // closed once own is known
+	ownEntry        store.KV      // this daemon's entry when it started, if any
+
+	storeCalls *prometheus.CounterVec
+
+	mu              sync.Mutex // guards table, news and changes of revision
+	table           *table
+	expiryScheduled bool          // endDoubt is due
+	updated         chan struct{} // closed when what this daemon can tell has changed
+	revision        atomic.Int64  // of the store, where the watch goes on; 0 means that everything is read
 }
 
 // New returns a manager; Run starts it.
 func New(o Options) *Manager {
-	m := &Manager{opts: o, table: newTable(o.Schema, o.Log), known: make(chan struct{}), calls: newCalls()}
-	m.roused, m.listed, m.news = make(chan struct{}, 1), make(chan struct{}), make(chan struct{})
-	m.turn.Store(rand.Uint64())
+	m := &Manager{opts: o, table: newTable(o.Schema, o.Log), configReady: make(chan struct{}), storeCalls: newStoreCallsCounter()}
+	m.watchWakeup, m.ownEntryRead, m.updated = make(chan struct{}, 1), make(chan struct{}), make(chan struct{})
+	m.sourceTurn.Store(rand.Uint64())
 	m.view.Store(&View{})
 	m.SetSeeds(o.Seeds)
-	m.register(o.Registerer)
+	m.registerMetrics(o.Registerer)
 	return m
 }
 
@@ -124,15 +124,15 @@
 // ConfigAge is how long ago the configuration in the view was certainly the newest;
 // ok is false where none was ever seen.
 func (m *Manager) ConfigAge() (age time.Duration, ok bool) {
-	age, ok = m.storeAge()
+	age, ok = m.confirmationAge()
 	return age, ok && m.View().Config != nil
 }
 
-// storeAge is how long ago this daemon certainly knew which configuration is the newest,
+// confirmationAge is how long ago this daemon certainly knew which configuration is the newest,
 // or that there is none yet; ok is false before the first answer of the store, or of
 // another daemon.
-func (m *Manager) storeAge() (age time.Duration, ok bool) {
-	at := m.confirmed.Load()
+func (m *Manager) confirmationAge() (age time.Duration, ok bool) {
+	at := m.confirmedAt.Load()
 	if at == 0 {
 		return 0, false
 	}
@@ -142,21 +142,21 @@
 // apply changes the table to a revision of the store, unless a later one is
 // already there: an answer that was long on its way must not undo it. The
 // configuration was the newest at asked.
-func (m *Manager) apply(asked time.Duration, revision int64, change func()) {
+func (m *Manager) apply(confirmedAt time.Duration, revision int64, update func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if revision < m.revision.Load() {
 		return
 	}
-	change()
+	update()
 	m.revision.Store(revision)
 	m.publish()
-	defer m.announce()
-	if int64(asked) > m.confirmed.Load() {
-		m.confirmed.Store(int64(asked))
+	defer m.notifyWaiters()
+	if int64(confirmedAt) > m.confirmedAt.Load() {
+		m.confirmedAt.Store(int64(confirmedAt))
 	}
 	if m.table.config != nil {
-		m.once.Do(func() { close(m.known) })
+		m.configReadyOnce.Do(func() { close(m.configReady) })
 	}
 }
 
@@ -164,51 +164,51 @@
 func (m *Manager) publish() {
 	if m.table.expire(m.opts.Clock()) || m.table.dirty {
 		view := m.table.view()
-		view.PublishedAt, view.PreviousConfirmedAt = time.Now(), time.Duration(m.confirmed.Load())
+		view.PublishedAt, view.PreviousConfirmedAt = time.Now(), time.Duration(m.confirmedAt.Load())
 		m.view.Store(view)
 		m.table.dirty = false
 	}
-	if len(m.table.doubtful)+len(m.table.doubtfulVMs) > 0 && !m.expiring {
-		m.expiring = true
-		time.AfterFunc(doubtCheck, m.endDoubt)
+	if len(m.table.serverGraceEnds)+len(m.table.vmGraceEnds) > 0 && !m.expiryScheduled {
+		m.expiryScheduled = true
+		time.AfterFunc(graceCheckInterval, m.expireGracePeriods)
 	}
 }
 
-// announce wakes those that wait for news. It is called under the lock.
-func (m *Manager) announce() {
-	close(m.news)
-	m.news = make(chan struct{})
+// notifyWaiters wakes those that wait for news. It is called under the lock.
+func (m *Manager) notifyWaiters() {
+	close(m.updated)
+	m.updated = make(chan struct{})
 }
 
-// endDoubt looks at the servers in doubt without waiting for the store, whose
+// expireGracePeriods looks at the servers in doubt without waiting for the store, whose
 // next answer may be a second away.
-func (m *Manager) endDoubt() {
+func (m *Manager) expireGracePeriods() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.expiring = false
+	m.expiryScheduled = false
 	m.publish()
 }
 
 // ConfigReady is closed once a configuration is in force.
-func (m *Manager) ConfigReady() <-chan struct{} { return m.known }
+func (m *Manager) ConfigReady() <-chan struct{} { return m.configReady }
 
-// lost notes that the store does not answer. Servers kept in doubt still end.
-func (m *Manager) lost(err error) {
-	if m.reached.Swap(false) {
+// recordFailure notes that the store does not answer. Servers kept in doubt still end.
+func (m *Manager) recordFailure(err error) {
+	if m.storeReachable.Swap(false) {
 		m.opts.Log.Emit(event.StoreLost, err)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.publish()
-	m.announce()
+	m.notifyWaiters()
 }
 
-func (m *Manager) regained(asked time.Duration) {
-	if !m.reached.Swap(true) {
+func (m *Manager) recordAnswer(sentAt time.Duration) {
+	if !m.storeReachable.Swap(true) {
 		m.opts.Log.Emit(event.StoreReached, m.revision.Load())
 	}
-	m.bridged.Store(false)
+	m.confirmedByPeer.Store(false)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.table.reached(asked, m.opts.Clock())
+	m.table.recordAnswer(sentAt, m.opts.Clock())
 }
--- a/control/feed/fleet_test.go
+++ b/control/feed/fleet_test.go
@@ -25,16 +25,16 @@
 // fleet is a few feeds before one store, each with its own way to it, in
 // virtual time.
 type fleet struct {
-	t     *testing.T
-	began time.Time
-	store *store.Memory
-	ways  []*store.Faulty
-	feeds []*Manager
-	cut   sync.Map        // of daemons that answer no other, by number
-	ended sync.Map        // of daemons that are not running, by number
-	mu    sync.Mutex      // guards ways and feeds where daemons start again
-	ctx   context.Context // of the daemons
-	done  sync.WaitGroup
+	t            *testing.T
+	startedAt    time.Time
+	store        *store.Memory
+	faultyStores []*store.Faulty
+	feeds        []*Manager
+	unresponsive sync.Map        // of daemons that answer no other, by number
+	notRunning   sync.Map        // of daemons that are not running, by number
+	mu           sync.Mutex      // guards ways and feeds where daemons start again
+	ctx          context.Context // of the daemons
+	wg           sync.WaitGroup
 }
 
 // RoundTrip implements http.RoundTripper: daemon n has the address "n:1".
@@ -43,11 +43,11 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "address")
 	}
-	if _, cut := f.cut.Load(n); cut {
+	if _, cut := f.unresponsive.Load(n); cut {
 		<-r.Context().Done()
 		return nil, r.Context().Err()
 	}
-	if _, ended := f.ended.Load(n); ended {
+	if _, ended := f.notRunning.Load(n); ended {
 		return nil, errors.Errorf("connection to %d refused", n)
 	}
 	f.mu.Lock()
@@ -60,32 +60,32 @@
 
 func inFleet(t *testing.T, size int, test func(*fleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{t: t, store: store.NewMemory(), began: time.Now()}
+		f := &fleet{t: t, store: store.NewMemory(), startedAt: time.Now()}
 		ctx, stop := context.WithCancel(t.Context())
 		f.ctx = ctx
 		for n := range size {
-			way := store.NewFaulty(f.store)
+			faulty := store.NewFaulty(f.store)
 			m := New(Options{
-				Store: storesim.Confirming{Store: way, Hold: time.Second}, Schema: lineSchema{}, Log: event.Discard(),
+				Store: storesim.Confirming{Store: faulty, Hold: time.Second}, Schema: textSchema{}, Log: event.Discard(),
 				Clock: f.clock, Self: strconv.Itoa(n), Seeds: []string{"0:1"}, Dialer: link.NewDialerWith(f.client()),
 			})
-			f.ways, f.feeds = append(f.ways, way), append(f.feeds, m)
+			f.faultyStores, f.feeds = append(f.faultyStores, faulty), append(f.feeds, m)
 		}
 		f.put("config", "v")
 		test(f)
 		stop()
-		f.done.Wait()
+		f.wg.Wait()
 	})
 }
 
 // clock is the daemons' clock, which reads an hour at the start.
-func (f *fleet) clock() time.Duration { return time.Since(f.began) + time.Hour }
+func (f *fleet) clock() time.Duration { return time.Since(f.startedAt) + time.Hour }
 
 // client is what daemons call each other with.
 func (f *fleet) client() *http.Client { return &http.Client{Transport: f} }
 
 func (f *fleet) start(n int) {
-	f.done.Go(func() { f.feeds[n].Run(f.ctx) })
+	f.wg.Go(func() { f.feeds[n].Run(f.ctx) })
 }
 
 // startRegistered starts all daemons, with their entries in the store.
@@ -97,9 +97,9 @@
 	}
 }
 
-// record has daemon n, which is not started yet, write a log that is read back.
-func (f *fleet) record(n int) *lines {
-	out, log := recorded()
+// recordLog has daemon n, which is not started yet, write a log that is read back.
+func (f *fleet) recordLog(n int) *logRecorder {
+	out, log := newRecordedLog()
 	f.feeds[n].opts.Log, f.feeds[n].table.log = log, log
 	return out
 }
@@ -130,7 +130,7 @@
 		f.start(0)
 		f.start(1)
 		time.Sleep(2 * time.Second)
-		f.ways[1].SetDown(true)
+		f.faultyStores[1].SetDown(true)
 		time.Sleep(time.Second)
 		f.put("config", "vv")
 		f.put("server/1", "a:1")
@@ -140,7 +140,7 @@
 		age, known := f.feeds[1].ConfigAge()
 		must.True(t, known)
 		must.Less(t, 3*time.Second, age)
-		f.ways[1].SetDown(false)
+		f.faultyStores[1].SetDown(false)
 		f.put("config", "vvv")
 		time.Sleep(2 * time.Second)
 		must.Eq(t, int64(3), f.version(1))
@@ -157,15 +157,15 @@
 		f.start(1)
 		time.Sleep(2 * time.Second)
 		must.SliceLen(t, 2, f.feeds[1].View().Servers["s"])
-		f.ways[1].SetDown(true)
-		f.cut.Store(0, true)
+		f.faultyStores[1].SetDown(true)
+		f.unresponsive.Store(0, true)
 		time.Sleep(5 * time.Second)
 		kv, err := f.store.Get(f.t.Context(), "server/1")
 		must.NoError(t, err)
 		must.NoError(t, f.store.Delete(f.t.Context(), "server/1", kv.Version))
 		f.start(0)
-		f.cut.Delete(0)
-		time.Sleep(2*time.Second + doubtTime)
+		f.unresponsive.Delete(0)
+		time.Sleep(2*time.Second + serverGracePeriod)
 		must.SliceLen(t, 1, f.feeds[1].View().Servers["s"])
 		must.Eq(t, "2", f.feeds[1].View().Servers["s"][0].ID)
 	})
@@ -176,7 +176,7 @@
 	inFleet(t, 2, func(f *fleet) {
 		f.start(0)
 		time.Sleep(time.Second)
-		f.ways[1].SetDown(true)
+		f.faultyStores[1].SetDown(true)
 		f.start(1)
 		time.Sleep(2 * time.Second)
 		must.Eq(t, int64(1), f.version(1))
@@ -192,8 +192,8 @@
 			f.start(n)
 		}
 		time.Sleep(2 * time.Second)
-		for _, way := range f.ways {
-			way.SetDown(true)
+		for _, faulty := range f.faultyStores {
+			faulty.SetDown(true)
 		}
 		time.Sleep(10 * time.Second)
 		for _, m := range f.feeds {
@@ -202,7 +202,7 @@
 			must.GreaterEq(t, 10*time.Second, age)
 			must.True(t, m.IsStoreDown())
 		}
-		f.ways[0].SetDown(false)
+		f.faultyStores[0].SetDown(false)
 		time.Sleep(3 * time.Second)
 		for _, m := range f.feeds {
 			must.False(t, m.IsStoreDown())
@@ -219,16 +219,16 @@
 		f.start(0)
 		f.put("server/1", "a:1")
 		time.Sleep(2 * time.Second)
-		f.ways[0].SetDown(true)
+		f.faultyStores[0].SetDown(true)
 		time.Sleep(3 * time.Second)
-		f.ways[0].SetDown(false)
+		f.faultyStores[0].SetDown(false)
 		time.Sleep(1500 * time.Millisecond)
 		f.put("server/2", "b:1") // the next question is sent a batch later
 		time.Sleep(batchPause + time.Millisecond)
 		kv, err := f.store.Get(f.t.Context(), "server/1")
 		must.NoError(t, err)
 		must.NoError(t, f.store.Delete(f.t.Context(), "server/1", kv.Version))
-		time.Sleep(doubtTime - 100*time.Millisecond)
+		time.Sleep(serverGracePeriod - 100*time.Millisecond)
 		must.SliceLen(t, 2, f.feeds[0].View().Servers["s"])
 		f.put("server/3", "c:1")
 		time.Sleep(200 * time.Millisecond)
@@ -248,8 +248,8 @@
 		f.put("server/1", "a:1")
 		time.Sleep(10 * time.Second)
 		calls := func() (n int64) {
-			for _, way := range f.ways {
-				n += way.Counts().Reads()
+			for _, faulty := range f.faultyStores {
+				n += faulty.Counts().Reads()
 			}
 			return n
 		}
@@ -267,10 +267,10 @@
 		}
 		time.Sleep(9 * time.Second)
 		must.LessEq(t, watching.Everyone, int(calls()-before)) // no watch was opened anew
-		for _, id := range f.feeds[0].View().plan.Watchers() {
+		for _, id := range f.feeds[0].View().watchPlan.Watchers() {
 			n, err := strconv.Atoi(id)
 			must.NoError(t, err)
-			f.ways[n].SetDown(true)
+			f.faultyStores[n].SetDown(true)
 		}
 		for range 10 {
 			time.Sleep(500 * time.Millisecond)
@@ -293,8 +293,8 @@
 		lose   func(f *fleet, n int)
 		within time.Duration
 	}{
-		"cut off": {func(f *fleet, n int) { f.cut.Store(n, true) }, 1500 * time.Millisecond},
-		"refused": {func(f *fleet, n int) { f.ways[n].SetDown(true) }, 1500 * time.Millisecond},
+		"cut off": {func(f *fleet, n int) { f.unresponsive.Store(n, true) }, 1500 * time.Millisecond},
+		"refused": {func(f *fleet, n int) { f.faultyStores[n].SetDown(true) }, 1500 * time.Millisecond},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -302,7 +302,7 @@
 				f.startRegistered()
 				time.Sleep(10 * time.Second)
 				lost := map[int]bool{}
-				for _, id := range f.feeds[0].View().plan.Watchers() {
+				for _, id := range f.feeds[0].View().watchPlan.Watchers() {
 					n, err := strconv.Atoi(id)
 					must.NoError(f.t, err)
 					lost[n] = true
@@ -333,17 +333,17 @@
 		view.VMs = append(view.VMs, vm)
 		zone[vm.Peer] = vm.Zone
 	}
-	view.plan = planOf(view.VMs)
+	view.watchPlan = newWatchPlan(view.VMs)
 	asked := map[string]int{}
 	for _, vm := range view.VMs {
 		m := New(Options{Self: vm.ID, Log: event.Discard(), Dialer: link.NewDialerWith(nil), Clock: func() time.Duration { return time.Hour }})
 		m.view.Store(view)
-		m.confirmed.Store(int64(time.Hour))
+		m.confirmedAt.Store(int64(time.Hour))
 		for turn := range 5 {
-			m.turn.Store(uint64(turn))
+			m.sourceTurn.Store(uint64(turn))
 			near, _ := m.sources()
 			if len(near) == 0 {
-				must.True(t, m.watches()) // it asks nobody
+				must.True(t, m.shouldWatch()) // it asks nobody
 				continue
 			}
 			must.Eq(t, vm.Zone, zone[near[0]])
@@ -366,20 +366,20 @@
 		f.startRegistered()
 		time.Sleep(10 * time.Second)
 		calls := func() (n int64) {
-			for _, way := range f.ways {
-				n += way.Counts().Reads()
+			for _, faulty := range f.faultyStores {
+				n += faulty.Counts().Reads()
 			}
 			return n
 		}
-		for _, way := range f.ways {
-			way.SetDown(true)
+		for _, faulty := range f.faultyStores {
+			faulty.SetDown(true)
 		}
 		time.Sleep(4 * time.Second) // until all know that it is down for all
 		before := calls()
 		time.Sleep(outage - 4*time.Second)
 		must.Less(t, 250, int(calls()-before)) // 625 if all ask four times a second
-		for _, way := range f.ways {
-			way.SetDown(false)
+		for _, faulty := range f.faultyStores {
+			faulty.SetDown(false)
 		}
 		f.put("config", "vv")
 		time.Sleep(2 * time.Second)
@@ -394,8 +394,8 @@
 func TestLateAnswerUndoesNothing(t *testing.T) {
 	inFleet(t, 1, func(f *fleet) {
 		m := f.feeds[0]
-		m.apply(time.Hour, 9, func() { m.table.change(0, []store.Event{put("server/1", "leaving a:1", 9)}) })
-		m.apply(time.Hour, 5, func() { m.table.change(0, []store.Event{put("server/1", "a:1", 5)}) })
+		m.apply(time.Hour, 9, func() { m.table.applyEvents(0, []store.Event{putEvent("server/1", "leaving a:1", 9)}) })
+		m.apply(time.Hour, 5, func() { m.table.applyEvents(0, []store.Event{putEvent("server/1", "a:1", 5)}) })
 		must.True(t, m.View().Servers["s"][0].Leaving)
 	})
 }
@@ -404,9 +404,9 @@
 func TestRegistrationReturns(t *testing.T) {
 	inFleet(t, 1, func(f *fleet) {
 		f.start(0)
-		r := &Registrar{Store: f.ways[0], VM: routing.VM{ID: "vm-7", Address: "x:2", Peer: "x:1"}, Log: event.Discard()}
+		r := &Registrar{Store: f.faultyStores[0], VM: routing.VM{ID: "vm-7", Address: "x:2", Peer: "x:1"}, Log: event.Discard()}
 		ctx, cancel := context.WithCancel(f.t.Context())
-		f.done.Go(func() { r.Run(ctx) })
+		f.wg.Go(func() { r.Run(ctx) })
 		registered := func() bool {
 			var names []string
 			for _, vm := range f.feeds[0].View().VMs {
@@ -416,9 +416,9 @@
 		}
 		time.Sleep(2 * time.Second)
 		must.True(t, registered())
-		f.ways[0].SetDown(true)
+		f.faultyStores[0].SetDown(true)
 		time.Sleep(10 * time.Second)
-		f.ways[0].SetDown(false)
+		f.faultyStores[0].SetDown(false)
 		time.Sleep(3 * time.Second)
 		must.True(t, registered())
 		cancel()
@@ -432,15 +432,15 @@
 	inFleet(t, 2, func(f *fleet) {
 		f.startRegistered()
 		time.Sleep(3 * time.Second)
-		for _, way := range f.ways {
-			way.SetDown(true)
+		for _, faulty := range f.faultyStores {
+			faulty.SetDown(true)
 		}
 		time.Sleep(3 * time.Second)
 		f.put("config", "vv")
 		written := time.Now()
 		time.Sleep(time.Second)
-		f.ways[0].SetDelay(time.Second)
-		f.ways[0].SetDown(false)
+		f.faultyStores[0].SetDelay(time.Second)
+		f.faultyStores[0].SetDown(false)
 		for time.Since(written) < 8*time.Second {
 			time.Sleep(time.Millisecond)
 			if age, known := f.feeds[1].ConfigAge(); known && f.version(1) < 2 {
--- a/control/feed/lines_test.go
+++ b/control/feed/log_test.go
@@ -17,28 +17,28 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// lines is a log that is read back.
-type lines struct {
+// logRecorder is a log that is read back.
+type logRecorder struct {
 	mu  sync.Mutex
 	out bytes.Buffer
 }
 
-func (l *lines) Write(line []byte) (int, error) {
+func (l *logRecorder) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.out.Write(line)
 }
 
-func recorded() (*lines, *event.Log) {
-	l := &lines{}
+func newRecordedLog() (*logRecorder, *event.Log) {
+	l := &logRecorder{}
 	logger := logrus.New()
 	logger.SetOutput(l)
 	logger.SetFormatter(&logrus.JSONFormatter{})
 	return l, event.New(logger, "vm-1", "a")
 }
 
-// take returns the lines of an event since the last call, and forgets all others.
-func (l *lines) take(t *testing.T, d event.Def) (taken []map[string]any) {
+// takeEvents returns the lines of an event since the last call, and forgets all others.
+func (l *logRecorder) takeEvents(t *testing.T, d event.Def) (taken []map[string]any) {
 	t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,30 +56,30 @@
 	return taken
 }
 
-func kv(key, value string, version int64) store.KV { return put(key, value, version).KV }
+func testEntry(key, value string, version int64) store.KV { return putEvent(key, value, version).KV }
 
 // A daemon of a large site starts and reads a hundred servers at once. With a line for
 // each, restarts push out of the kept part of the log what a failure is found by. The first
 // read is one line; what a later one finds changed has a line for each server.
 func TestFirstReadIsOneLine(t *testing.T) {
-	out, log := recorded()
-	tab := newTable(lineSchema{}, log)
+	out, log := newRecordedLog()
+	tab := newTable(textSchema{}, log)
 	all := []store.KV{
-		kv("config", "v", 1), kv("server/1", "a:1", 1), kv("server/2", "leaving b:1", 2),
-		kv("server/3", "c:1", 3), kv("server/4", "other d:1", 4),
+		testEntry("config", "v", 1), testEntry("server/1", "a:1", 1), testEntry("server/2", "leaving b:1", 2),
+		testEntry("server/3", "c:1", 3), testEntry("server/4", "other d:1", 4),
 	}
-	tab.replace(0, 7, all)
-	first := out.take(t, event.StoreRead)
+	tab.replaceAll(0, 7, all)
+	first := out.takeEvents(t, event.StoreRead)
 	must.SliceLen(t, 1, first)
 	must.Eq(t, map[string]any{"s": 3.0, "unknown": 1.0}, first[0]["servers"].(map[string]any))
 	must.Eq(t, 1.0, first[0]["leaving"].(float64))
 	must.Eq(t, 7.0, first[0]["revision"].(float64))
 
-	tab.replace(0, 9, append(all, kv("server/1", "leaving a:1", 8), kv("server/5", "e:1", 9)))
+	tab.replaceAll(0, 9, append(all, testEntry("server/1", "leaving a:1", 8), testEntry("server/5", "e:1", 9)))
 	out.mu.Lock()
 	must.StrNotContains(t, out.out.String(), event.StoreRead.Name)
 	out.mu.Unlock()
-	seen := out.take(t, event.ServerSeen)
+	seen := out.takeEvents(t, event.ServerSeen)
 	must.SliceLen(t, 2, seen)
 	must.Eq(t, "1", seen[0]["backend"].(string))
 	must.True(t, seen[0]["leaving"].(bool))
@@ -89,13 +89,13 @@
 // The first read names no server a line, but an entry that cannot be used has its own.
 func TestFirstReadKeepsOtherLines(t *testing.T) {
 	for _, d := range []event.Def{event.EntryRefused, event.RoutingInForce} {
-		out, log := recorded()
-		newTable(lineSchema{}, log).replace(0, 3, []store.KV{kv("config", "v", 1), kv("server/1", "bad", 2), kv("server/2", "a:1", 3)})
-		must.SliceLen(t, 1, out.take(t, d), must.Sprint(d.Name))
+		out, log := newRecordedLog()
+		newTable(textSchema{}, log).replaceAll(0, 3, []store.KV{testEntry("config", "v", 1), testEntry("server/1", "bad", 2), testEntry("server/2", "a:1", 3)})
+		must.SliceLen(t, 1, out.takeEvents(t, d), must.Sprint(d.Name))
 	}
-	out, log := recorded()
-	newTable(lineSchema{}, log).replace(0, 3, []store.KV{kv("config", "v", 1), kv("server/2", "a:1", 3)})
-	must.SliceEmpty(t, out.take(t, event.ServerSeen))
+	out, log := newRecordedLog()
+	newTable(textSchema{}, log).replaceAll(0, 3, []store.KV{testEntry("config", "v", 1), testEntry("server/2", "a:1", 3)})
+	must.SliceEmpty(t, out.takeEvents(t, event.ServerSeen))
 }
 
 // Servers write their entries anew with each heartbeat, and daemons that restart write
@@ -104,17 +104,17 @@
 func TestLearnedIsLoggedWhereItChangesSomething(t *testing.T) {
 	const size = watching.Everyone + 4
 	inFleet(t, size, func(f *fleet) {
-		logs := make([]*lines, size)
+		logs := make([]*logRecorder, size)
 		for n := range f.feeds {
-			logs[n] = f.record(n)
+			logs[n] = f.recordLog(n)
 		}
 		f.startRegistered()
 		f.put("server/1", "a:1")
 		time.Sleep(10 * time.Second)
-		asker := slices.IndexFunc(f.feeds, func(m *Manager) bool { return !m.watches() })
+		asker := slices.IndexFunc(f.feeds, func(m *Manager) bool { return !m.shouldWatch() })
 		must.NonNegative(t, asker)
 		out := logs[asker]
-		out.take(t, event.FeedLearned)
+		out.takeEvents(t, event.FeedLearned)
 
 		before := f.feeds[asker].revision.Load()
 		for n := range 10 {
@@ -123,21 +123,21 @@
 			time.Sleep(time.Second)
 		}
 		must.GreaterEq(t, before+10, f.feeds[asker].revision.Load())
-		must.SliceEmpty(t, out.take(t, event.FeedLearned))
+		must.SliceEmpty(t, out.takeEvents(t, event.FeedLearned))
 
 		f.put("server/2", "b:1")
 		time.Sleep(2 * time.Second)
-		learned := out.take(t, event.FeedLearned)
+		learned := out.takeEvents(t, event.FeedLearned)
 		must.SliceLen(t, 1, learned)
 		must.Eq(t, float64(f.feeds[asker].revision.Load()), learned[0]["revision"].(float64))
 		f.put("config", "vv")
 		time.Sleep(2 * time.Second)
-		must.SliceLen(t, 1, out.take(t, event.FeedLearned))
+		must.SliceLen(t, 1, out.takeEvents(t, event.FeedLearned))
 		entry, err := f.store.Get(t.Context(), "server/2")
 		must.NoError(t, err)
 		must.NoError(t, f.store.Delete(t.Context(), "server/2", entry.Version))
 		time.Sleep(2 * time.Second)
-		must.SliceLen(t, 1, out.take(t, event.FeedLearned))
+		must.SliceLen(t, 1, out.takeEvents(t, event.FeedLearned))
 	})
 }
 
@@ -146,25 +146,25 @@
 // again or the neighbour is late as well, which confirms nothing and has no line.
 func TestLearnedIsLoggedWhereItEndsAGap(t *testing.T) {
 	inFleet(t, 2, func(f *fleet) {
-		out := f.record(1)
+		out := f.recordLog(1)
 		f.start(0)
 		f.start(1)
 		time.Sleep(5 * time.Second)
-		must.SliceEmpty(t, out.take(t, event.FeedLearned))
-		f.ways[1].SetDown(true)
+		must.SliceEmpty(t, out.takeEvents(t, event.FeedLearned))
+		f.faultyStores[1].SetDown(true)
 		time.Sleep(20 * time.Second)
-		must.SliceLen(t, 1, out.take(t, event.FeedLearned))
-		f.ways[0].SetDown(true)
+		must.SliceLen(t, 1, out.takeEvents(t, event.FeedLearned))
+		f.faultyStores[0].SetDown(true)
 		time.Sleep(20 * time.Second)
-		must.SliceEmpty(t, out.take(t, event.FeedLearned))
-		f.ways[0].SetDown(false)
+		must.SliceEmpty(t, out.takeEvents(t, event.FeedLearned))
+		f.faultyStores[0].SetDown(false)
 		time.Sleep(20 * time.Second)
-		must.SliceLen(t, 1, out.take(t, event.FeedLearned))
-		f.ways[1].SetDown(false)
+		must.SliceLen(t, 1, out.takeEvents(t, event.FeedLearned))
+		f.faultyStores[1].SetDown(false)
 		time.Sleep(20 * time.Second)
-		must.SliceEmpty(t, out.take(t, event.FeedLearned))
-		f.ways[1].SetDown(true)
+		must.SliceEmpty(t, out.takeEvents(t, event.FeedLearned))
+		f.faultyStores[1].SetDown(true)
 		time.Sleep(20 * time.Second)
-		must.SliceLen(t, 1, out.take(t, event.FeedLearned))
+		must.SliceLen(t, 1, out.takeEvents(t, event.FeedLearned))
 	})
 }
--- a/control/feed/metrics.go
+++ b/control/feed/metrics.go
@@ -8,16 +8,16 @@
 	"mallowwind.dev/telemetry/metric"
 )
 
-// newRefused counts the entries of the store that cannot be used.
-func newRefused() prometheus.Counter {
+// newRejectedCounter counts the entries of the store that cannot be used.
+func newRejectedCounter() prometheus.Counter {
 	return prometheus.NewCounter(prometheus.CounterOpts{
 		Namespace: metric.Namespace, Subsystem: "feed", Name: "entries_refused_total",
 		Help: "Entries of the store that cannot be used, counted anew when the reason changes.",
 	})
 }
 
-// newCalls counts the calls to the store.
-func newCalls() *prometheus.CounterVec {
+// newStoreCallsCounter counts the calls to the store.
+func newStoreCallsCounter() *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: metric.Namespace, Subsystem: "feed", Name: "store_calls_total",
 		Help: "Calls to the store by why they were made and how they ended.",
@@ -26,19 +26,19 @@
 
 // ObserveCall counts a call to the store and logs it. It is a store.Observer.
 func (m *Manager) ObserveCall(c store.Call) {
-	m.calls.WithLabelValues(string(c.Purpose), c.Result()).Inc()
+	m.storeCalls.WithLabelValues(string(c.Purpose), c.Result()).Inc()
 	m.opts.Log.Emit(event.StoreCall, c.Purpose, c.Path, c.Result(), c.Took)
 }
 
-func (m *Manager) register(r prometheus.Registerer) {
+func (m *Manager) registerMetrics(r prometheus.Registerer) {
 	gauge := func(name, help string, value func() float64) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Namespace: metric.Namespace, Subsystem: "feed", Name: name, Help: help,
 		}, value)
 	}
 	metric.Register(r,
-		m.table.refused,
-		m.calls,
+		m.table.rejectedTotal,
+		m.storeCalls,
 		gauge("config_version", "Version of the forwarding configuration in force; 0 while none is known.", func() float64 {
 			if c := m.View().Config; c != nil {
 				return float64(c.Version)
--- a/control/feed/refused.go
+++ b/control/feed/refused.go
@@ -38,9 +38,9 @@
 // the refusal.
 func RefusedKey(digest string) string { return refusedPrefix + digest }
 
-// readRefused reads the entry of a refused request, of which the key alone decides. What
+// decodeRefused reads the entry of a refused request, of which the key alone decides. What
 // cannot be read leaves it without details.
-func readRefused(kv store.KV) RefusedRequest {
+func decodeRefused(kv store.KV) RefusedRequest {
 	var r RefusedRequest
 	if err := json.Unmarshal(kv.Value, &r); err != nil {
 		r = RefusedRequest{}
@@ -84,7 +84,7 @@
 	}
 	list := make([]RefusedRequest, len(kvs))
 	for i, kv := range kvs {
-		list[i] = readRefused(kv)
+		list[i] = decodeRefused(kv)
 	}
 	return list, nil
 }
--- a/control/feed/refused_test.go
+++ b/control/feed/refused_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestRefusedRequestsAreInTheView(t *testing.T) {
-	tab := newTable(lineSchema{}, event.Discard())
+	tab := newTable(textSchema{}, event.Discard())
 	tab.put(store.KV{Key: RefusedKey("abc"), Value: []byte(`{"route":"r","servers":["s-1"]}`), Version: 1})
 	tab.put(store.KV{Key: RefusedKey("def"), Value: []byte("no object"), Version: 2})
 	refused := tab.view().Refused
--- a/control/feed/register.go
+++ b/control/feed/register.go
@@ -19,24 +19,24 @@
 	// an address that fails them at once, so this only bounds how long new ones meet it.
 	// It is longer than a daemon takes to start again, which then goes on with the lease.
 	leaseTTL = 6 * time.Second
-	// renewals is how many times a lease is renewed in its time: one that is lost leaves
+	// renewalsPerTTL is how many times a lease is renewed in its time: one that is lost leaves
 	// room for two more attempts.
-	renewals = 2
-	// listedTimeout bounds the wait for the feed's first read, which shows the entry of
+	renewalsPerTTL = 2
+	// ownEntryTimeout bounds the wait for the feed's first read, which shows the entry of
 	// the process before.
-	listedTimeout = time.Second
-	// writtenTime is how long the feed may take to show what was written.
-	writtenTime = 3 * time.Second
-	// firstRegisterPause is the mean wait after a failed attempt. The store charges a
+	ownEntryTimeout = time.Second
+	// writePropagationTime is how long the feed may take to show what was written.
+	writePropagationTime = 3 * time.Second
+	// minRegisterBackoff is the mean wait after a failed attempt. The store charges a
 	// renewal that it refuses as a whole call, and a lease outlasts a few of them.
-	firstRegisterPause = 750 * time.Millisecond
-	// maxRegisterPause bounds the wait after failed attempts, which doubles with each:
+	minRegisterBackoff = 750 * time.Millisecond
+	// maxRegisterBackoff bounds the wait after failed attempts, which doubles with each:
 	// an entry is back within two seconds of the store's return.
-	maxRegisterPause = 2 * time.Second
-	// outageRegisterPause bounds the wait while the store is out of reach for all.
-	outageRegisterPause = 30 * time.Second
-	// outageCheck is how often it is seen whether that has ended.
-	outageCheck = 250 * time.Millisecond
+	maxRegisterBackoff = 2 * time.Second
+	// maxOutageWait bounds the wait while the store is out of reach for all.
+	maxOutageWait = 30 * time.Second
+	// outageCheckInterval is how often it is seen whether that has ended.
+	outageCheckInterval = 250 * time.Millisecond
 	// registerTimeout bounds one attempt to write or remove the entry.
 	registerTimeout = 2 * time.Second
 )
@@ -52,46 +52,46 @@
 	// still there. It may be nil.
 	Feed *Manager
 
-	lease   store.LeaseID // 0 where the entry has to be written
-	version int64         // of the entry, 0 where there is none
-	written time.Time
+	lease     store.LeaseID // 0 where the entry has to be written
+	version   int64         // of the entry, 0 where there is none
+	writtenAt time.Time
 }
 
 // Run registers the daemon until ctx ends, and then removes the entry.
 func (r *Registrar) Run(ctx context.Context) {
-	r.adopt(ctx)
-	failed := firstRegisterPause
+	r.adoptLease(ctx)
+	backoff := minRegisterBackoff
 	for ctx.Err() == nil {
-		err := r.keep(ctx)
-		wait := r.ttl() / renewals
+		err := r.renewOrRegister(ctx)
+		wait := r.ttl() / renewalsPerTTL
 		switch {
 		case err == nil:
-			failed = firstRegisterPause
+			backoff = minRegisterBackoff
 		case ctx.Err() == nil:
 			r.Log.Emit(event.RegistrationFailed, err)
-			wait, failed = failed, min(2*failed, maxRegisterPause)
+			wait, backoff = backoff, min(2*backoff, maxRegisterBackoff)
 		}
 		pause.For(ctx, wait*3/4+rand.N(wait/2))
 		if err != nil {
-			r.awaitStore(ctx)
+			r.awaitRecovery(ctx)
 		}
 	}
-	r.remove()
+	r.deregister()
 }
 
-// awaitStore waits while the store is out of reach for all daemons: the few that watch it
+// awaitRecovery waits while the store is out of reach for all daemons: the few that watch it
 // find its return.
 //
 // Load it answers: a store that refuses everybody for long and charges for each refusal.
 // Without it, hundreds of daemons try to renew their leases every two seconds, and all
 // meet the store in the second in which it returns.
-func (r *Registrar) awaitStore(ctx context.Context) {
+func (r *Registrar) awaitRecovery(ctx context.Context) {
 	if r.Feed == nil {
 		return
 	}
-	began := r.Feed.opts.Clock()
-	for r.Feed.IsStoreDown() && r.Feed.opts.Clock()-began < outageRegisterPause {
-		if !pause.For(ctx, outageCheck/2+rand.N(outageCheck)) {
+	start := r.Feed.opts.Clock()
+	for r.Feed.IsStoreDown() && r.Feed.opts.Clock()-start < maxOutageWait {
+		if !pause.For(ctx, outageCheckInterval/2+rand.N(outageCheckInterval)) {
 			return
 		}
 	}
@@ -100,28 +100,28 @@
 // ttl is how long the entry outlives its last renewal.
 func (r *Registrar) ttl() time.Duration { return max(leaseTTL, r.MinLeaseTTL) }
 
-// adopt goes on with the entry and the lease that the process before left, if they say
+// adoptLease goes on with the entry and the lease that the process before left, if they say
 // what is to be said. Without it a fleet whose daemons all start again writes all entries
 // anew, three calls each, at the moment at which callers wait for it.
-func (r *Registrar) adopt(ctx context.Context) {
+func (r *Registrar) adoptLease(ctx context.Context) {
 	if r.Feed == nil {
 		return
 	}
-	own := r.Feed.ownEntry(ctx)
+	own := r.Feed.awaitOwnEntry(ctx)
 	r.version = own.Version
 	if vm, err := decodeVM(r.VM.ID, own.Value); err == nil && vm == r.VM {
 		r.lease = own.Lease
 	}
 }
 
-// keep renews the lease, or registers under a new one.
-func (r *Registrar) keep(ctx context.Context) error {
+// renewOrRegister renews the lease, or registers under a new one.
+func (r *Registrar) renewOrRegister(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
 	if r.lease != 0 {
 		_, err := r.Store.KeepAlive(store.WithPurpose(ctx, store.PurposeRenew), r.lease)
 		switch {
-		case err == nil && !r.overwritten():
+		case err == nil && !r.isOverwritten():
 			return nil
 		case err != nil && !errors.Is(err, store.ErrLeaseGone):
 			return err
@@ -133,7 +133,7 @@
 		return err
 	}
 	if r.lease != 0 {
-		r.lease, r.version = 0, r.known()
+		r.lease, r.version = 0, r.feedVersion()
 	}
 	if err := r.write(ctx, r.VM, lease); err != nil {
 		return err
@@ -142,18 +142,18 @@
 	return nil
 }
 
-// overwritten reports whether the feed shows another entry than the one that was written,
+// isOverwritten reports whether the feed shows another entry than the one that was written,
 // or none: a write whose answer was lost may have come later, and a lease may hold no
 // entry any more.
-func (r *Registrar) overwritten() bool {
-	if r.Feed == nil || !r.Feed.fresh() || time.Since(r.written) < writtenTime {
+func (r *Registrar) isOverwritten() bool {
+	if r.Feed == nil || !r.Feed.isFresh() || time.Since(r.writtenAt) < writePropagationTime {
 		return false
 	}
-	return r.known() != r.version
+	return r.feedVersion() != r.version
 }
 
-// known is the version of the entry as the feed shows it; 0 if there is none, or no feed.
-func (r *Registrar) known() int64 {
+// feedVersion is the version of the entry as the feed shows it; 0 if there is none, or no feed.
+func (r *Registrar) feedVersion() int64 {
 	if r.Feed == nil {
 		return 0
 	}
@@ -169,7 +169,7 @@
 	key := vmPrefix + r.VM.ID
 	version, err := r.Store.CompareAndSwap(ctx, key, r.version, value, lease)
 	if errors.Is(err, store.ErrConflict) {
-		if version, err = r.presentVersion(ctx, key); err != nil {
+		if version, err = r.storedVersion(ctx, key); err != nil {
 			return err
 		}
 		version, err = r.Store.CompareAndSwap(ctx, key, version, value, lease)
@@ -177,12 +177,12 @@
 	if err != nil {
 		return err
 	}
-	r.version, r.written = version, time.Now()
+	r.version, r.writtenAt = version, time.Now()
 	return nil
 }
 
-// presentVersion is the version of a key, 0 if there is none.
-func (r *Registrar) presentVersion(ctx context.Context, key string) (int64, error) {
+// storedVersion is the version of a key, 0 if there is none.
+func (r *Registrar) storedVersion(ctx context.Context, key string) (int64, error) {
 	old, err := r.Store.Get(ctx, key)
 	if errors.Is(err, store.ErrNotFound) {
 		return 0, nil
@@ -190,10 +190,10 @@
 	return old.Version, err
 }
 
-// remove takes the daemon out of the address answers of the others. The entry says
+// deregister takes the daemon out of the address answers of the others. The entry says
 // first that the daemon leaves: an entry that only vanishes may be one whose lease
 // ran out in an outage, and is believed for a while.
-func (r *Registrar) remove() {
+func (r *Registrar) deregister() {
 	if r.lease == 0 {
 		return
 	}
@@ -210,15 +210,15 @@
 	}
 }
 
-// ownEntry is the entry of this daemon that its first read of the store showed, if any.
+// awaitOwnEntry is the entry of this daemon that its first read of the store showed, if any.
 // It waits for that read for a time.
-func (m *Manager) ownEntry(ctx context.Context) store.KV {
-	limit := time.NewTimer(listedTimeout)
-	defer limit.Stop()
+func (m *Manager) awaitOwnEntry(ctx context.Context) store.KV {
+	timeout := time.NewTimer(ownEntryTimeout)
+	defer timeout.Stop()
 	select {
-	case <-m.listed:
-		return m.own
-	case <-limit.C:
+	case <-m.ownEntryRead:
+		return m.ownEntry
+	case <-timeout.C:
 	case <-ctx.Done():
 	}
 	return store.KV{}
--- a/control/feed/register_test.go
+++ b/control/feed/register_test.go
@@ -16,39 +16,39 @@
 // registration is one daemon's entry, written by one process after the other.
 type registration struct {
 	*fleet
-	vm   routing.VM
-	kill context.CancelFunc
+	vm     routing.VM
+	cancel context.CancelFunc
 }
 
 func inRegistration(t *testing.T, test func(*registration)) {
 	inFleet(t, 2, func(f *fleet) {
 		r := &registration{fleet: f, vm: routing.VM{ID: "1", Zone: "z", Address: "x:2", Peer: "1:1"}}
 		f.start(0)
-		r.run()
+		r.startProcess()
 		test(r)
-		r.kill()
+		r.cancel()
 	})
 }
 
-// run starts a process of daemon 1.
-func (r *registration) run() {
-	r.ways[1] = store.NewFaulty(r.store)
+// startProcess starts a process of daemon 1.
+func (r *registration) startProcess() {
+	r.faultyStores[1] = store.NewFaulty(r.store)
 	o := r.feeds[1].opts
-	o.Store = storesim.Confirming{Store: r.ways[1], Hold: time.Second}
+	o.Store = storesim.Confirming{Store: r.faultyStores[1], Hold: time.Second}
 	r.feeds[1] = New(o)
-	life, kill := context.WithCancel(r.ctx)
-	r.kill = kill
-	feed, way := r.feeds[1], o.Store
-	r.done.Go(func() { feed.Run(life) })
-	r.done.Go(func() {
-		(&Registrar{Store: way, VM: r.vm, Log: event.Discard(), Feed: feed}).Run(life)
+	process, cancel := context.WithCancel(r.ctx)
+	r.cancel = cancel
+	feed, confirming := r.feeds[1], o.Store
+	r.wg.Go(func() { feed.Run(process) })
+	r.wg.Go(func() {
+		(&Registrar{Store: confirming, VM: r.vm, Log: event.Discard(), Feed: feed}).Run(process)
 	})
 }
 
-// crash ends the process, so that nothing of it reaches the store any more.
-func (r *registration) crash() {
-	r.ways[1].SetDown(true)
-	r.kill()
+// crashProcess ends the process, so that nothing of it reaches the store any more.
+func (r *registration) crashProcess() {
+	r.faultyStores[1].SetDown(true)
+	r.cancel()
 }
 
 // entry is what the store holds of the daemon.
@@ -66,14 +66,14 @@
 		time.Sleep(5 * time.Second)
 		before, ok := r.entry()
 		must.True(t, ok)
-		r.crash()
+		r.crashProcess()
 		time.Sleep(1600 * time.Millisecond)
-		r.run()
+		r.startProcess()
 		time.Sleep(4 * leaseTTL)
 		after, ok := r.entry()
 		must.True(t, ok)
 		must.Eq(t, before, after)
-		counts := r.ways[1].Counts()
+		counts := r.faultyStores[1].Counts()
 		must.Zero(t, counts.Grant+counts.CompareAndSwap)
 	})
 }
@@ -83,13 +83,13 @@
 func TestEntryThatSaysLeavingIsWrittenAnew(t *testing.T) {
 	inRegistration(t, func(r *registration) {
 		time.Sleep(5 * time.Second)
-		r.crash()
+		r.crashProcess()
 		leaving, ok := r.entry()
 		must.True(t, ok)
 		_, err := r.store.CompareAndSwap(t.Context(), leaving.Key, leaving.Version,
 			[]byte(`{"id":"1","zone":"z","address":"x:2","peer":"1:1","leaving":true}`), leaving.Lease)
 		must.NoError(t, err)
-		r.run()
+		r.startProcess()
 		time.Sleep(4 * leaseTTL)
 		must.Eq(t, []routing.VM{r.vm}, r.feeds[0].View().VMs)
 	})
@@ -99,11 +99,11 @@
 func TestLeaseThatRanOutIsNotKept(t *testing.T) {
 	inRegistration(t, func(r *registration) {
 		time.Sleep(5 * time.Second)
-		r.crash()
+		r.crashProcess()
 		time.Sleep(2 * leaseTTL)
 		_, ok := r.entry()
 		must.False(t, ok)
-		r.run()
+		r.startProcess()
 		time.Sleep(time.Second)
 		_, ok = r.entry()
 		must.True(t, ok)
--- a/control/feed/rollouts.go
+++ b/control/feed/rollouts.go
@@ -42,37 +42,37 @@
 // putRollout takes in an entry of a roll-out, if it is one.
 func (t *table) putRollout(kv store.KV) bool {
 	if service, ok := t.schema.RolloutOrderService(kv.Key); ok {
-		one := t.rollouts[service]
+		rollout := t.rollouts[service]
 		order, err := t.schema.DecodeRolloutOrder(service, kv.Value)
 		if err == nil {
 			err = order.Check()
 		}
 		if err != nil {
-			t.refuse(kv.Key, err)
-			one.Order, one.OrderErr = nil, err
+			t.reject(kv.Key, err)
+			rollout.Order, rollout.OrderErr = nil, err
 		} else {
-			delete(t.refusals, kv.Key)
+			delete(t.rejections, kv.Key)
 			order.Revision = kv.Version
-			one.Order, one.OrderErr = &order, nil
+			rollout.Order, rollout.OrderErr = &order, nil
 		}
-		t.rollouts[service] = one
-		t.changes++
+		t.rollouts[service] = rollout
+		t.changeCount++
 		return true
 	}
 	service, ok := t.schema.RolloutStatusService(kv.Key)
 	if !ok {
 		return false
 	}
-	one := t.rollouts[service]
-	one.StatusRevision, one.Status = kv.Version, nil
+	rollout := t.rollouts[service]
+	rollout.StatusRevision, rollout.Status = kv.Version, nil
 	if status, err := t.schema.DecodeRolloutStatus(kv.Value); err != nil {
-		t.refuse(kv.Key, err)
+		t.reject(kv.Key, err)
 	} else {
-		delete(t.refusals, kv.Key)
-		one.Status = &status
+		delete(t.rejections, kv.Key)
+		rollout.Status = &status
 	}
-	t.rollouts[service] = one
-	t.changes++
+	t.rollouts[service] = rollout
+	t.changeCount++
 	return true
 }
 
@@ -101,25 +101,25 @@
 		return errors.Wrap(err, "roll-out")
 	}
 	key := OwnRolloutOrderKey(o.Service)
-	before, err := s.Get(ctx, key)
+	previous, err := s.Get(ctx, key)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return err
 	}
-	_, err = s.CompareAndSwap(ctx, key, before.Version, raw, 0)
+	_, err = s.CompareAndSwap(ctx, key, previous.Version, raw, 0)
 	return err
 }
 
 // removeRollout takes away an entry of a roll-out.
 func (t *table) removeRollout(key string) {
 	if service, ok := t.schema.RolloutOrderService(key); ok {
-		one := t.rollouts[service]
-		one.Order, one.OrderErr = nil, nil
-		t.rollouts[service] = one
+		rollout := t.rollouts[service]
+		rollout.Order, rollout.OrderErr = nil, nil
+		t.rollouts[service] = rollout
 	}
 	if service, ok := t.schema.RolloutStatusService(key); ok {
-		one := t.rollouts[service]
-		one.Status, one.StatusRevision = nil, 0
-		t.rollouts[service] = one
+		rollout := t.rollouts[service]
+		rollout.Status, rollout.StatusRevision = nil, 0
+		t.rollouts[service] = rollout
 	}
 }
 
@@ -129,8 +129,8 @@
 	ownStatusPrefix = OwnPrefix + "rollout/status/"
 )
 
-// ownOrder is an order in a store that is ours to lay out.
-type ownOrder struct {
+// ownRolloutOrder is an order in a store that is ours to lay out.
+type ownRolloutOrder struct {
 	Target string `json:"target"`
 	Period string `json:"period"` // as time.Duration prints itself
 }
@@ -148,7 +148,7 @@
 
 // DecodeRolloutOrder implements RolloutSchema.
 func (OwnRollouts) DecodeRolloutOrder(service string, raw []byte) (routing.RolloutOrder, error) {
-	var m ownOrder
+	var m ownRolloutOrder
 	if err := json.Unmarshal(raw, &m); err != nil {
 		return routing.RolloutOrder{}, errors.Wrap(err, "roll-out")
 	}
@@ -158,7 +158,7 @@
 
 // EncodeRolloutOrder writes what DecodeRolloutOrder reads.
 func EncodeRolloutOrder(o routing.RolloutOrder) ([]byte, error) {
-	return json.Marshal(ownOrder{Target: o.Target, Period: o.Period.String()})
+	return json.Marshal(ownRolloutOrder{Target: o.Target, Period: o.Period.String()})
 }
 
 // OwnRolloutOrderKey is the key of the order of a service's roll-out.
@@ -188,14 +188,14 @@
 
 // WriteRolloutStatus writes the status of a service's roll-out over the one of a revision.
 // store.ErrConflict means that another was written meanwhile.
-func (m *Manager) WriteRolloutStatus(ctx context.Context, service string, s routing.RolloutStatus, over int64) error {
+func (m *Manager) WriteRolloutStatus(ctx context.Context, service string, s routing.RolloutStatus, oldRevision int64) error {
 	raw, err := m.opts.Schema.EncodeRolloutStatus(s)
 	if err != nil {
 		return errors.Wrap(err, "status of a roll-out")
 	}
 	ctx = store.WithPurpose(ctx, store.PurposeRollout)
 	key := m.opts.Schema.RolloutStatusKey(service)
-	version, err := m.opts.Store.CompareAndSwap(ctx, key, over, raw, 0)
+	version, err := m.opts.Store.CompareAndSwap(ctx, key, oldRevision, raw, 0)
 	if err != nil {
 		return err
 	}
--- a/control/feed/table.go
+++ b/control/feed/table.go
@@ -21,64 +21,64 @@
 	log     *event.Log
 	config  *routing.Config
 	servers map[string]routing.Server
-	// born is the latest life known of each server, of one that is gone as long as
+	// incarnations is the latest life known of each server, of one that is gone as long as
 	// departed remembers it.
-	born map[string]int64
-	// refusals holds why the entry of a key is not used, by key.
-	refusals map[string]string
-	refused  prometheus.Counter
-	// written is the store's revision of the first entry seen here of each server's
+	incarnations map[string]int64
+	// rejections holds why the entry of a key is not used, by key.
+	rejections    map[string]string
+	rejectedTotal prometheus.Counter
+	// firstRevisions is the store's revision of the first entry seen here of each server's
 	// present life.
-	written map[string]int64
-	vms     map[string]routing.VM
-	// barred are the refused requests, by key.
-	barred map[string]RefusedRequest
+	firstRevisions map[string]int64
+	vms            map[string]routing.VM
+	// refusedRequests are the refused requests, by key.
+	refusedRequests map[string]RefusedRequest
 	// rollouts are those of which something lies in the store, by service.
 	rollouts map[string]Rollout
-	// doubtful holds when servers cease to be usable whose entries vanished
+	// serverGraceEnds holds when servers cease to be usable whose entries vanished
 	// around an outage.
-	doubtful map[string]time.Duration
-	// doubtfulVMs holds when entry VMs cease to count whose entries vanished
+	serverGraceEnds map[string]time.Duration
+	// vmGraceEnds holds when entry VMs cease to count whose entries vanished
 	// around an outage.
-	doubtfulVMs map[string]time.Duration
+	vmGraceEnds map[string]time.Duration
 	// departed holds when each server was first known to leave or be gone.
 	departed map[string]time.Duration
-	// lastReached is when the store last answered; doubtUntil is until when a
+	// lastAnsweredAt is when the store last answered; doubtUntil is until when a
 	// removal may come from a lease that ran out during an outage.
-	lastReached, doubtUntil time.Duration
-	dirty                   bool
-	// changes counts what became of the configuration and the servers; it does not
+	lastAnsweredAt, recoveryUntil time.Duration
+	dirty                         bool
+	// changeCount counts what became of the configuration and the servers; it does not
 	// count an entry that was written anew as it was.
-	changes int
-	// read says that everything in the store was taken in once; reading, that it is
+	changeCount int
+	// initialized says that everything in the store was taken in once; reading, that it is
 	// being taken in for the first time.
-	read, reading bool
+	initialized, initializing bool
 }
 
 func newTable(schema Schema, log *event.Log) *table {
 	return &table{
 		schema: schema, log: log, dirty: true,
-		entries:  newEntries(),
-		servers:  map[string]routing.Server{},
-		born:     map[string]int64{},
-		refusals: map[string]string{},
-		refused:  newRefused(),
-		written:  map[string]int64{},
-		vms:      map[string]routing.VM{},
-		barred:   map[string]RefusedRequest{},
-		rollouts: map[string]Rollout{},
-		doubtful: map[string]time.Duration{},
-		departed: map[string]time.Duration{},
+		entries:         newEntries(),
+		servers:         map[string]routing.Server{},
+		incarnations:    map[string]int64{},
+		rejections:      map[string]string{},
+		rejectedTotal:   newRejectedCounter(),
+		firstRevisions:  map[string]int64{},
+		vms:             map[string]routing.VM{},
+		refusedRequests: map[string]RefusedRequest{},
+		rollouts:        map[string]Rollout{},
+		serverGraceEnds: map[string]time.Duration{},
+		departed:        map[string]time.Duration{},
 
-		doubtfulVMs: map[string]time.Duration{},
+		vmGraceEnds: map[string]time.Duration{},
 	}
 }
 
-// replace takes in everything that the store holds at a revision. The first time the
+// replaceAll takes in everything that the store holds at a revision. The first time the
 // log has one line for all servers: at a large site a line for each, at each start of a
 // daemon, fills the log with what nobody looks for.
-func (t *table) replace(now time.Duration, revision int64, items []store.KV) {
-	t.reading = !t.read
+func (t *table) replaceAll(now time.Duration, revision int64, items []store.KV) {
+	t.initializing = !t.initialized
 	present := make(map[string]bool, len(items))
 	for _, kv := range items {
 		present[kv.Key] = true
@@ -89,15 +89,15 @@
 			t.remove(now, key, revision)
 		}
 	}
-	if t.reading {
-		t.entries.floor = revision
-		t.logServers(revision)
+	if t.initializing {
+		t.entries.removalFloor = revision
+		t.logInitialRead(revision)
 	}
-	t.read, t.reading = true, false
+	t.initialized, t.initializing = true, false
 }
 
-// logServers writes how many servers are known.
-func (t *table) logServers(revision int64) {
+// logInitialRead writes how many servers are known.
+func (t *table) logInitialRead(revision int64) {
 	services, leaving := map[string]int{}, 0
 	for _, s := range t.servers {
 		services[s.Service]++
@@ -108,8 +108,8 @@
 	t.log.Emit(event.StoreRead, services, leaving, revision)
 }
 
-// change takes in what was written and removed since the revision before.
-func (t *table) change(now time.Duration, events []store.Event) {
+// applyEvents takes in what was written and removed since the revision before.
+func (t *table) applyEvents(now time.Duration, events []store.Event) {
 	for _, e := range events {
 		if e.Kind == store.Deleted {
 			t.remove(now, e.KV.Key, e.KV.Version)
@@ -135,7 +135,7 @@
 	case strings.HasPrefix(kv.Key, vmPrefix):
 		t.putVM(kv)
 	case strings.HasPrefix(kv.Key, refusedPrefix):
-		t.barred[kv.Key] = readRefused(kv)
+		t.refusedRequests[kv.Key] = decodeRefused(kv)
 	}
 }
 
@@ -143,27 +143,27 @@
 func (t *table) putConfig(raw []byte) {
 	c, err := t.schema.DecodeConfig(raw)
 	if err != nil {
-		t.refuse(t.schema.ConfigKey(), err)
+		t.reject(t.schema.ConfigKey(), err)
 		return
 	}
-	delete(t.refusals, t.schema.ConfigKey())
+	delete(t.rejections, t.schema.ConfigKey())
 	if t.config != nil && c.Version <= t.config.Version {
 		return
 	}
 	t.config = c
 	t.dirty = true
-	t.changes++
+	t.changeCount++
 	t.log.Emit(event.RoutingInForce, c.Version)
 }
 
-// refuse records that the entry of a key cannot be used, once for each reason: a server
+// reject records that the entry of a key cannot be used, once for each reason: a server
 // writes its entry anew with each heartbeat.
-func (t *table) refuse(key string, err error) {
-	if t.refusals[key] == err.Error() {
+func (t *table) reject(key string, err error) {
+	if t.rejections[key] == err.Error() {
 		return
 	}
-	t.refusals[key] = err.Error()
-	t.refused.Inc()
+	t.rejections[key] = err.Error()
+	t.rejectedTotal.Inc()
 	t.log.Emit(event.EntryRefused, key, err)
 }
 
@@ -176,28 +176,28 @@
 func (t *table) putServer(id string, kv store.KV) {
 	s, err := t.schema.DecodeServer(id, kv.Value)
 	if err != nil {
-		t.refuse(kv.Key, err)
+		t.reject(kv.Key, err)
 		if _, known := t.servers[id]; known {
-			t.forget(id)
+			t.dropServer(id)
 		}
 		return
 	}
-	delete(t.refusals, kv.Key)
-	if known := t.born[id]; s.Life().Before(routing.Life{ID: id, Born: known}) {
+	delete(t.rejections, kv.Key)
+	if known := t.incarnations[id]; s.Life().Before(routing.Life{ID: id, Born: known}) {
 		t.log.Emit(event.EntryOutdated, id, s.Born, known)
 		return
 	}
-	delete(t.doubtful, id)
-	t.note(id, s.Leaving)
-	if _, known := t.written[id]; !known || t.born[id] != s.Born {
-		t.written[id] = kv.Version
+	delete(t.serverGraceEnds, id)
+	t.setDeparted(id, s.Leaving)
+	if _, known := t.firstRevisions[id]; !known || t.incarnations[id] != s.Born {
+		t.firstRevisions[id] = kv.Version
 	}
-	t.born[id] = s.Born
+	t.incarnations[id] = s.Born
 	if t.servers[id] != s {
 		t.servers[id] = s
 		t.dirty = true
-		t.changes++
-		if !t.reading {
+		t.changeCount++
+		if !t.initializing {
 			t.log.Emit(event.ServerSeen, id, s.Service, s.Zone, s.Address, s.Leaving, kv.Version)
 		}
 	}
@@ -206,12 +206,12 @@
 func (t *table) putVM(kv store.KV) {
 	vm, err := decodeVM(strings.TrimPrefix(kv.Key, vmPrefix), kv.Value)
 	if err != nil {
-		t.refuse(kv.Key, err)
+		t.reject(kv.Key, err)
 		t.removeVM(kv.Key)
 		return
 	}
-	delete(t.refusals, kv.Key)
-	delete(t.doubtfulVMs, kv.Key)
+	delete(t.rejections, kv.Key)
+	delete(t.vmGraceEnds, kv.Key)
 	if t.vms[kv.Key] != vm {
 		t.vms[kv.Key] = vm
 		t.dirty = true
--- a/control/feed/usable.go
+++ b/control/feed/view.go
@@ -14,15 +14,15 @@
 func (t *table) view() *View {
 	v := &View{Config: t.config, Servers: map[string][]routing.Server{}}
 	v.departed = maps.Clone(t.departed)
-	holders := t.holders()
+	byAddress := t.serversByAddress()
 	for _, id := range slices.Sorted(maps.Keys(t.servers)) {
 		s := t.servers[id]
-		if !t.named(s.Service) {
-			t.refuse(id, errors.Errorf("field service is %q, which the configuration does not name", s.Service))
+		if !t.isConfigured(s.Service) {
+			t.reject(id, errors.Errorf("field service is %q, which the configuration does not name", s.Service))
 			continue
 		}
-		delete(t.refusals, id)
-		if holders[s.Address] != id {
+		delete(t.rejections, id)
+		if byAddress[s.Address] != id {
 			continue
 		}
 		v.Servers[s.Service] = append(v.Servers[s.Service], s)
@@ -30,34 +30,34 @@
 	for _, key := range slices.Sorted(maps.Keys(t.vms)) {
 		v.VMs = append(v.VMs, t.vms[key])
 	}
-	v.Refused = make(map[string]RefusedRequest, len(t.barred))
-	for _, r := range t.barred {
+	v.Refused = make(map[string]RefusedRequest, len(t.refusedRequests))
+	for _, r := range t.refusedRequests {
 		v.Refused[r.Digest] = r
 	}
 	v.Rollouts = maps.Clone(t.rollouts)
-	v.plan = planOf(v.VMs)
+	v.watchPlan = newWatchPlan(v.VMs)
 	return v
 }
 
-// named reports whether the configuration knows a service; before the first all are.
-func (t *table) named(service string) bool {
+// isConfigured reports whether the configuration knows a service; before the first all are.
+func (t *table) isConfigured(service string) bool {
 	return t.config == nil || t.config.Service(service) != nil
 }
 
-// holders returns the newest server at each address. The entry of one that
+// serversByAddress returns the newest server at each address. The entry of one that
 // crashed stays for seconds after its successor wrote its own; what is sent
 // there by the old entry is turned away. An entry of a service that nobody has
 // configured takes no address from a server that is in use.
-func (t *table) holders() map[string]string {
-	holders := make(map[string]string, len(t.servers))
+func (t *table) serversByAddress() map[string]string {
+	byAddress := make(map[string]string, len(t.servers))
 	for id, s := range t.servers {
-		if !t.named(s.Service) {
+		if !t.isConfigured(s.Service) {
 			continue
 		}
-		other, taken := holders[s.Address]
-		if !taken || t.written[id] > t.written[other] {
-			holders[s.Address] = id
+		other, taken := byAddress[s.Address]
+		if !taken || t.firstRevisions[id] > t.firstRevisions[other] {
+			byAddress[s.Address] = id
 		}
 	}
-	return holders
+	return byAddress
 }
--- a/control/feed/follow.go
+++ b/control/feed/watch.go
@@ -21,31 +21,31 @@
 	// changes a dozen keys within it, and each batch costs one call. It is an
 	// eighth of the time in which a change has to be in force.
 	batchPause = 250 * time.Millisecond
-	// retryPause is the mean wait after a failed call of a daemon that watches the
+	// retryDelay is the mean wait after a failed call of a daemon that watches the
 	// store for others, or that may be the only one which cannot reach it.
-	retryPause = 250 * time.Millisecond
-	// outagePause is the shortest mean wait of the other daemons while the store is
+	retryDelay = 250 * time.Millisecond
+	// outageRetryDelay is the shortest mean wait of the other daemons while the store is
 	// out of reach for their neighbours too.
-	outagePause = 2 * time.Second
-	// unknownPause bounds the mean wait of a daemon that knows nothing yet, which doubles
+	outageRetryDelay = 2 * time.Second
+	// maxStartupRetryDelay bounds the mean wait of a daemon that knows nothing yet, which doubles
 	// with each failure: a fleet that starts in an outage would ask as often as it has
 	// daemons otherwise.
-	unknownPause = time.Second
-	// outageTries is how many times a second all other daemons together try the store
+	maxStartupRetryDelay = time.Second
+	// outageRetriesPerSecond is how many times a second all other daemons together try the store
 	// then. They hear of its return from the few that watch; should it refuse just
 	// those, one of the others soon finds out and tells the rest. Without the bound, the
 	// calls of an outage grow with the fleet, and all meet the store at its return.
-	outageTries = 4.0
-	// watcherPause is the mean wait of one that watches for a larger fleet after some
+	outageRetriesPerSecond = 4.0
+	// watchingRetryDelay is the mean wait of one that watches for a larger fleet after some
 	// failures: a few such daemons find the store's return sooner than any of them.
-	watcherPause = 500 * time.Millisecond
-	// someFailures in a row are no lost answer any more.
-	someFailures = 3
-	// settleTime is how long a daemon that was not registered waits before it watches
+	watchingRetryDelay = 500 * time.Millisecond
+	// longFailureStreak in a row are no lost answer any more.
+	longFailureStreak = 3
+	// registrationSettleTime is how long a daemon that was not registered waits before it watches
 	// the store: where a whole fleet starts, most others are registered by then, and
 	// only a few of them have to watch. Without it, each watches until it has seen the
 	// others register, one call for each batch of them.
-	settleTime = 500 * time.Millisecond
+	registrationSettleTime = 500 * time.Millisecond
 )
 
 // MaxBatchesPerSecond is how many batches of changes a daemon that watches takes a second at most.
@@ -56,78 +56,78 @@
 func (m *Manager) Run(ctx context.Context) {
 	var peers sync.WaitGroup
 	defer peers.Wait()
-	peers.Go(func() { m.askPeers(ctx) })
+	peers.Go(func() { m.pollPeers(ctx) })
 	for failures := 0; ctx.Err() == nil; {
-		if !m.watches() {
-			m.idle(ctx, askEvery)
+		if !m.shouldWatch() {
+			m.awaitWakeup(ctx, pollInterval)
 			continue
 		}
-		err := m.follow(ctx)
+		err := m.watchStore(ctx)
 		if ctx.Err() != nil || err == nil {
 			failures = 0
 			continue
 		}
-		m.lost(err)
-		m.waitAfterFailure(ctx, failures)
+		m.recordFailure(err)
+		m.backOff(ctx, failures)
 		failures++
 	}
 }
 
-// idle waits until d has passed or this daemon has to watch by itself.
-func (m *Manager) idle(ctx context.Context, d time.Duration) {
+// awaitWakeup waits until d has passed or this daemon has to watch by itself.
+func (m *Manager) awaitWakeup(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-m.roused:
+	case <-m.watchWakeup:
 	case <-ctx.Done():
 	}
 }
 
-// waitAfterFailure waits before the store is tried again. What the pause depends on may
+// backOff waits before the store is tried again. What the pause depends on may
 // change meanwhile: those that watch may be lost, or the store may be back for others.
-func (m *Manager) waitAfterFailure(ctx context.Context, failures int) {
-	failed, share := m.opts.Clock(), 0.5+rand.Float64()
+func (m *Manager) backOff(ctx context.Context, failures int) {
+	failedAt, jitter := m.opts.Clock(), 0.5+rand.Float64()
 	for ctx.Err() == nil {
-		until := failed + time.Duration(share*float64(m.failurePause(failures)))
+		until := failedAt + time.Duration(jitter*float64(m.meanRetryDelay(failures)))
 		left := until - m.opts.Clock()
-		if left <= 0 || !m.watches() {
+		if left <= 0 || !m.shouldWatch() {
 			return
 		}
-		pause.For(ctx, min(left, askEvery))
+		pause.For(ctx, min(left, pollInterval))
 	}
 }
 
-// failurePause is the mean wait after a failed call to the store, the failures before
+// meanRetryDelay is the mean wait after a failed call to the store, the failures before
 // it in a row given. A daemon that watches because others have lost the store shares
 // their trouble if its own call fails.
-func (m *Manager) failurePause(failures int) time.Duration {
+func (m *Manager) meanRetryDelay(failures int) time.Duration {
 	view := m.View()
-	all := float64(len(view.VMs))
-	_, known := m.storeAge()
+	fleetSize := float64(len(view.VMs))
+	_, known := m.confirmationAge()
 	switch {
 	case !known:
-		return min(retryPause<<min(failures, 8), unknownPause)
+		return min(retryDelay<<min(failures, 8), maxStartupRetryDelay)
 	case len(view.VMs) <= watching.Everyone:
-		return retryPause
-	case view.plan.Watches(m.opts.Self) && failures >= someFailures:
-		return watcherPause
-	case view.plan.Watches(m.opts.Self):
-		return retryPause
+		return retryDelay
+	case view.watchPlan.Watches(m.opts.Self) && failures >= longFailureStreak:
+		return watchingRetryDelay
+	case view.watchPlan.Watches(m.opts.Self):
+		return retryDelay
 	case m.IsStoreDown():
-		return max(outagePause, time.Duration(all/outageTries*float64(time.Second)))
-	case m.alone():
-		return outagePause
+		return max(outageRetryDelay, time.Duration(fleetSize/outageRetriesPerSecond*float64(time.Second)))
+	case m.hasNoSource():
+		return outageRetryDelay
 	}
-	return retryPause
+	return retryDelay
 }
 
-// follow watches the store until that fails, or is left to other daemons.
-func (m *Manager) follow(ctx context.Context) error {
+// watchStore watches the store until that fails, or is left to other daemons.
+func (m *Manager) watchStore(ctx context.Context) error {
 	if err := m.catchUp(ctx); err != nil {
 		return err
 	}
-	if !m.watches() {
+	if !m.shouldWatch() {
 		return nil
 	}
 	w, err := m.opts.Store.Watch(ctx, m.opts.Prefix, m.revision.Load())
@@ -136,7 +136,7 @@
 	}
 	defer w.Close()
 	ctx = store.WithPurpose(ctx, store.PurposeWatch)
-	for m.watches() {
+	for m.shouldWatch() {
 		if err := m.readChanges(ctx, w); err != nil {
 			return err
 		}
@@ -147,22 +147,22 @@
 // catchUp makes a revision known from which a watch goes on, and confirms the
 // configuration: a watch that has nothing to tell confirms nothing for a second.
 func (m *Manager) catchUp(ctx context.Context) error {
-	_, known := m.storeAge()
+	_, known := m.confirmationAge()
 	switch {
 	case m.revision.Load() == 0 && known:
 		return m.readAll(store.WithPurpose(ctx, store.PurposeReread))
 	case m.revision.Load() == 0:
-		return m.begin(store.WithPurpose(ctx, store.PurposeStart))
-	case !m.fresh():
-		return m.confirm(store.WithPurpose(ctx, store.PurposeReread))
+		return m.readInitial(store.WithPurpose(ctx, store.PurposeStart))
+	case !m.isFresh():
+		return m.confirmConfig(store.WithPurpose(ctx, store.PurposeReread))
 	}
 	return nil
 }
 
-// begin reads the store for the first time, with all that costs little: a list that may
+// readInitial reads the store for the first time, with all that costs little: a list that may
 // be seconds old, and the configuration as it is. The watch, or the daemon that is
 // asked next, tells what has changed since that list.
-func (m *Manager) begin(ctx context.Context) error {
+func (m *Manager) readInitial(ctx context.Context) error {
 	var work errgroup.Group
 	var items []store.KV
 	var revision int64
@@ -170,7 +170,7 @@
 		items, revision, err = m.opts.Store.ListStale(ctx, m.opts.Prefix)
 		return err
 	})
-	asked := m.opts.Clock()
+	sentAt := m.opts.Clock()
 	config, found, err := m.readConfig(ctx)
 	if failed := work.Wait(); err == nil {
 		err = failed
@@ -178,37 +178,37 @@
 	if err != nil {
 		return err
 	}
-	m.noteOwn(items)
+	m.recordOwnEntry(items)
 	items = slices.DeleteFunc(items, func(kv store.KV) bool { return kv.Key == config.Key })
 	if found {
 		items = append(items, config)
 	}
-	m.regained(asked)
-	m.apply(asked, revision, func() { m.table.replace(asked, revision, items) })
-	if m.own.Key == "" {
-		return m.settle(ctx)
+	m.recordAnswer(sentAt)
+	m.apply(sentAt, revision, func() { m.table.replaceAll(sentAt, revision, items) })
+	if m.ownEntry.Key == "" {
+		return m.awaitRegistrations(ctx)
 	}
 	return nil
 }
 
-// noteOwn keeps this daemon's own entry among items and lets the registration begin.
-func (m *Manager) noteOwn(items []store.KV) {
+// recordOwnEntry keeps this daemon's own entry among items and lets the registration begin.
+func (m *Manager) recordOwnEntry(items []store.KV) {
 	select {
-	case <-m.listed:
+	case <-m.ownEntryRead:
 		return
 	default:
 	}
 	for _, kv := range items {
 		if kv.Key == vmPrefix+m.opts.Self {
-			m.own = kv
+			m.ownEntry = kv
 		}
 	}
-	close(m.listed)
+	close(m.ownEntryRead)
 }
 
-// settle waits while the fleet registers and reads who did.
-func (m *Manager) settle(ctx context.Context) error {
-	pause.For(ctx, settleTime)
+// awaitRegistrations waits while the fleet registers and reads who did.
+func (m *Manager) awaitRegistrations(ctx context.Context) error {
+	pause.For(ctx, registrationSettleTime)
 	items, _, err := m.opts.Store.ListStale(ctx, m.opts.Prefix+vmPrefix)
 	if err != nil {
 		return err
@@ -235,16 +235,16 @@
 	return kv, err == nil, err
 }
 
-// confirm reads the configuration after a gap, in which nothing of it may have reached
+// confirmConfig reads the configuration after a gap, in which nothing of it may have reached
 // this daemon. All other changes come with the watch.
-func (m *Manager) confirm(ctx context.Context) error {
-	asked := m.opts.Clock()
+func (m *Manager) confirmConfig(ctx context.Context) error {
+	sentAt := m.opts.Clock()
 	config, found, err := m.readConfig(ctx)
 	if err != nil {
 		return err
 	}
-	m.regained(asked)
-	m.apply(asked, m.revision.Load(), func() {
+	m.recordAnswer(sentAt)
+	m.apply(sentAt, m.revision.Load(), func() {
 		if found && config.Version > m.table.entries.kvs[config.Key].Version {
 			m.table.put(config)
 		}
@@ -254,20 +254,20 @@
 
 // readAll reads the store anew where the history since the last revision is gone.
 func (m *Manager) readAll(ctx context.Context) error {
-	asked := m.opts.Clock()
+	sentAt := m.opts.Clock()
 	items, revision, err := m.opts.Store.List(ctx, m.opts.Prefix)
 	if err != nil {
 		return err
 	}
-	m.regained(asked)
-	m.apply(asked, revision, func() { m.table.replace(asked, revision, items) })
+	m.recordAnswer(sentAt)
+	m.apply(sentAt, revision, func() { m.table.replaceAll(sentAt, revision, items) })
 	return nil
 }
 
 // readChanges waits for one batch. Its answer leaves out nothing that was
 // acknowledged before the question was sent.
 func (m *Manager) readChanges(ctx context.Context, w store.Watcher) error {
-	asked := m.opts.Clock()
+	sentAt := m.opts.Clock()
 	events, err := w.Next(ctx)
 	if err != nil {
 		if errors.Is(err, store.ErrCompacted) {
@@ -275,8 +275,8 @@
 		}
 		return err
 	}
-	m.regained(asked)
-	m.apply(asked, w.Revision(), func() { m.table.change(asked, events) })
+	m.recordAnswer(sentAt)
+	m.apply(sentAt, w.Revision(), func() { m.table.applyEvents(sentAt, events) })
 	if len(events) > 0 {
 		pause.For(ctx, batchPause)
 	}
