--- a/control/feed/feed.go
+++ b/control/feed/feed.go
@@ -1,6 +1,10 @@
-// Package feed keeps what a gateway believes of the world in step with the
-// platform's store: the configuration in force, the backend servers and the
-// entry VMs. It publishes immutable snapshots.
+// Package feed keeps a gateway daemon's copy of the platform's store up to date: the configuration
+// in force, the backend servers, the entry VMs, the refused requests and the roll-outs. It
+// publishes immutable snapshots.
+//
+// The store charges for each call and may refuse some or all daemons. In a fleet of more than a few
+// daemons, a few watch the store and the others poll those; a daemon that cannot reach the store
+// gets changes from its peers.
 package feed
 
 import (
@@ -18,57 +22,60 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// Schema is the layout of what others write to the store.
+// Schema is the layout of the store's keys and values.
 type Schema interface {
-	// ConfigKey is the key of the configuration.
+	// ConfigKey returns the key of the configuration.
 	ConfigKey() string
 	DecodeConfig(raw []byte) (*routing.Config, error)
-	// ServerID returns the id of the backend server whose entry key is, if any.
+	// ServerID returns the id of the backend server that key describes; ok is false for other keys.
 	ServerID(key string) (string, bool)
 	DecodeServer(id string, raw []byte) (routing.Server, error)
 	RolloutSchema
 }
 
-// Clock is monotonic and goes on while the machine is suspended.
+// Clock returns a monotonic time that also advances while the machine is suspended.
 type Clock func() time.Duration
 
-// View is what is believed at one moment. It is immutable.
+// View is an immutable snapshot of the state read from the store.
 type View struct {
-	Config *routing.Config // nil while none is known
-	// Servers are the backend servers by service, in the order of their ids.
+	Config *routing.Config // nil before the first one is read
+	// Servers holds the usable backend servers by service, sorted by id.
 	Servers map[string][]routing.Server
-	// VMs are the entry VMs that serve.
+	// VMs holds the registered entry VMs, including those that are leaving.
 	VMs []routing.VM
-	// Refused are the requests that are sent to no server, by digest.
+	// Refused holds the requests that must not be sent to any server, by digest.
 	Refused map[string]RefusedRequest
-	// Rollouts are those of which something lies in the store, by service.
+	// Rollouts holds the orders and statuses of roll-outs, by service.
 	Rollouts map[string]Rollout
-	// PreviousConfirmedAt is the Clock when all before this view was last confirmed; 0 before the first.
+	// PreviousConfirmedAt is the Clock time at which the state before this view was last confirmed
+	// as current; 0 if it never was.
 	PreviousConfirmedAt time.Duration
-	// PublishedAt is when this became the view; zero before the first.
+	// PublishedAt is the time at which this view was published; zero for the empty view before the
+	// first update.
 	PublishedAt time.Time
-	// departed are the servers that leave or are gone.
+	// departed holds the servers that are leaving or gone.
 	departed map[string]time.Duration
-	// watchPlan says which of VMs watch the store and who asks whom; nil before the first.
+	// watchPlan decides which of VMs watch the store and which daemons the others poll; nil in the
+	// empty view.
 	watchPlan *watching.Plan
 }
 
-// HasDeparted reports whether a server is known to leave or to be gone.
+// HasDeparted reports whether a server is known to be leaving or gone.
 func (v *View) HasDeparted(id string) bool {
 	_, ok := v.departed[id]
 	return ok
 }
 
-// Options configure a Manager.
+// Options configures a Manager.
 type Options struct {
 	Store store.Store
-	// Prefix begins the keys that are followed; "" follows all.
+	// Prefix limits the watch to keys that begin with it; "" selects all keys.
 	Prefix string
 	Schema Schema
 	Clock  Clock
 	Log    *event.Log
-	// Self is this daemon's VM id, and Seeds are addresses of daemons to ask
-	// before any is known. Dialer may be nil: then no other daemon is asked.
+	// Self is this daemon's VM id. Seeds are the addresses of daemons to poll before any peer is
+	// known. If Dialer is nil, no peer is polled.
 	Self   string
 	Seeds  []string
 	Dialer *link.Dialer
@@ -76,35 +83,36 @@
 	Registerer prometheus.Registerer
 }
 
-// Manager follows the store.
+// Manager keeps the state read from the store up to date, from the store itself and from peers.
 type Manager struct {
 	opts Options
 	view atomic.Pointer[View]
-	// confirmedAt is the Clock when the question was sent whose answer showed the
-	// configuration, or that there is none; 0 before the first.
+	// confirmedAt is the Clock time at which the configuration in the view, or its absence, was
+	// last known to be current: the time at which the request that showed it was sent. 0 before the
+	// first answer.
 	confirmedAt     atomic.Int64
 	seeds           atomic.Pointer[[]string]
-	configReady     chan struct{} // closed with the first configuration
-	configReadyOnce sync.Once     // closes known
+	configReady     chan struct{} // closed when the first configuration is in force
+	configReadyOnce sync.Once     // closes configReady
 	storeReachable  atomic.Bool   // the last call to the store succeeded
-	peerAlsoStale   atomic.Bool   // the last daemon asked was as long without the store
-	confirmedByPeer atomic.Bool   // another daemon ended a gap since the store last answered
-	noSourceUntil   atomic.Int64  // Clock until when this daemon watches the store itself
-	sourceTurn      atomic.Uint64 // which of the daemons that tell this one is asked first
-	watchWakeup     chan struct{} // holds an item when this daemon has to watch by itself
-	ownEntryRead    chan struct{} // closed once own is known
-	ownEntry        store.KV      // this daemon's entry when it started, if any
+	peerAlsoStale   atomic.Bool   // the last peer polled had no recent confirmation either
+	confirmedByPeer atomic.Bool   // a peer has ended an overdue confirmation since the store last answered
+	noSourceUntil   atomic.Int64  // Clock time until which this daemon watches the store because no source could answer
+	sourceTurn      atomic.Uint64 // selects the source that is polled first
+	watchWakeup     chan struct{} // holds an item when this daemon has to start watching the store
+	ownEntryRead    chan struct{} // closed once ownEntry is set
+	ownEntry        store.KV      // this daemon's entry at its start; empty if there was none
 
 	storeCalls *prometheus.CounterVec
 
-	mu              sync.Mutex // guards table, news and changes of revision
+	mu              sync.Mutex // guards table, updated and changes of revision
 	table           *table
-	expiryScheduled bool          // endDoubt is due
-	updated         chan struct{} // closed when what this daemon can tell has changed
-	revision        atomic.Int64  // of the store, where the watch goes on; 0 means that everything is read
+	expiryScheduled bool          // a call of expireGracePeriods is scheduled
+	updated         chan struct{} // closed and replaced when this daemon has something new to return to peers
+	revision        atomic.Int64  // store revision from which the watch continues; 0 forces a full read
 }
 
-// New returns a manager; Run starts it.
+// New returns a Manager; Run starts it.
 func New(o Options) *Manager {
 	m := &Manager{opts: o, table: newTable(o.Schema, o.Log), configReady: make(chan struct{}), storeCalls: newStoreCallsCounter()}
 	m.watchWakeup, m.ownEntryRead, m.updated = make(chan struct{}, 1), make(chan struct{}), make(chan struct{})
@@ -115,22 +123,21 @@
 	return m
 }
 
-// SetSeeds changes the daemons that are asked before any is known.
+// SetSeeds replaces the addresses of the daemons that are polled before any peer is known.
 func (m *Manager) SetSeeds(seeds []string) { m.seeds.Store(&seeds) }
 
-// View returns the present view.
+// View returns the current view.
 func (m *Manager) View() *View { return m.view.Load() }
 
-// ConfigAge is how long ago the configuration in the view was certainly the newest;
-// ok is false where none was ever seen.
+// ConfigAge returns the time since the configuration in the view was last known to be current; ok
+// is false if no configuration has been read yet.
 func (m *Manager) ConfigAge() (age time.Duration, ok bool) {
 	age, ok = m.confirmationAge()
 	return age, ok && m.View().Config != nil
 }
 
-// confirmationAge is how long ago this daemon certainly knew which configuration is the newest,
-// or that there is none yet; ok is false before the first answer of the store, or of
-// another daemon.
+// confirmationAge returns the time since the configuration held here, or its absence, was last
+// known to be current; ok is false before the first answer of the store or of a peer.
 func (m *Manager) confirmationAge() (age time.Duration, ok bool) {
 	at := m.confirmedAt.Load()
 	if at == 0 {
@@ -139,9 +146,9 @@
 	return m.opts.Clock() - time.Duration(at), true
 }
 
-// apply changes the table to a revision of the store, unless a later one is
-// already there: an answer that was long on its way must not undo it. The
-// configuration was the newest at asked.
+// apply updates the table to a store revision. It does nothing if the table is at a later revision
+// already, so that a delayed answer does not undo newer changes. confirmedAt is the time at which
+// the configuration was known to be current.
 func (m *Manager) apply(confirmedAt time.Duration, revision int64, update func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -160,7 +167,8 @@
 	}
 }
 
-// publish swaps the view where something changed. It is called under the lock.
+// publish replaces the view if the state has changed, and schedules the end of grace periods. The
+// caller holds m.mu.
 func (m *Manager) publish() {
 	if m.table.expire(m.opts.Clock()) || m.table.dirty {
 		view := m.table.view()
@@ -174,14 +182,14 @@
 	}
 }
 
-// notifyWaiters wakes those that wait for news. It is called under the lock.
+// notifyWaiters wakes the snapshot requests that wait for an update. The caller holds m.mu.
 func (m *Manager) notifyWaiters() {
 	close(m.updated)
 	m.updated = make(chan struct{})
 }
 
-// expireGracePeriods looks at the servers in doubt without waiting for the store, whose
-// next answer may be a second away.
+// expireGracePeriods drops entries whose grace period has ended. It runs on a timer because the
+// next answer of the store may be a second away.
 func (m *Manager) expireGracePeriods() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -189,10 +197,11 @@
 	m.publish()
 }
 
-// ConfigReady is closed once a configuration is in force.
+// ConfigReady returns a channel that is closed once a configuration is in force.
 func (m *Manager) ConfigReady() <-chan struct{} { return m.configReady }
 
-// recordFailure notes that the store does not answer. Servers kept in doubt still end.
+// recordFailure records that a call to the store failed. It publishes the view because grace
+// periods also end while the store is unreachable.
 func (m *Manager) recordFailure(err error) {
 	if m.storeReachable.Swap(false) {
 		m.opts.Log.Emit(event.StoreLost, err)
--- a/control/feed/watch.go
+++ b/control/feed/watch.go
@@ -17,42 +17,45 @@
 )
 
 const (
-	// batchPause follows a batch of changes: a zone that fails or returns
-	// changes a dozen keys within it, and each batch costs one call. It is an
-	// eighth of the time in which a change has to be in force.
+	// batchPause is the pause after a batch of changes. A zone that fails or returns changes a
+	// dozen keys within it, and each batch costs one call. It is an eighth of the time within which
+	// a change has to be in force.
 	batchPause = 250 * time.Millisecond
-	// retryDelay is the mean wait after a failed call of a daemon that watches the
-	// store for others, or that may be the only one which cannot reach it.
+	// retryDelay is the mean delay after a failed call of a daemon that the plan selects to watch
+	// the store, or that may be the only one that cannot reach it.
 	retryDelay = 250 * time.Millisecond
-	// outageRetryDelay is the shortest mean wait of the other daemons while the store is
-	// out of reach for their neighbours too.
+	// outageRetryDelay is the shortest mean delay of the other daemons while their peers cannot
+	// reach the store either.
 	outageRetryDelay = 2 * time.Second
-	// maxStartupRetryDelay bounds the mean wait of a daemon that knows nothing yet, which doubles
-	// with each failure: a fleet that starts in an outage would ask as often as it has
-	// daemons otherwise.
+	// maxStartupRetryDelay bounds the mean delay of a daemon that has no state yet, which doubles
+	// with each failure. At a constant short delay, a fleet that starts during an outage would send
+	// calls in proportion to its size.
 	maxStartupRetryDelay = time.Second
-	// outageRetriesPerSecond is how many times a second all other daemons together try the store
-	// then. They hear of its return from the few that watch; should it refuse just
-	// those, one of the others soon finds out and tells the rest. Without the bound, the
-	// calls of an outage grow with the fleet, and all meet the store at its return.
+	// outageRetriesPerSecond bounds the rate at which all daemons that the plan does not select
+	// together try the store during an outage. They learn of its return from the few that watch it; if the store
+	// refuses just those, one of the others soon reaches it and the rest learn from that one.
+	// Without the bound, the number of calls during an outage grows with the fleet, and all daemons
+	// call the store at once when it returns.
 	outageRetriesPerSecond = 4.0
-	// watchingRetryDelay is the mean wait of one that watches for a larger fleet after some
-	// failures: a few such daemons find the store's return sooner than any of them.
+	// watchingRetryDelay is the mean delay of a daemon that watches on behalf of a larger fleet,
+	// after longFailureStreak failures. Several such daemons retry independently, so together they
+	// detect the store's return sooner than any one of them.
 	watchingRetryDelay = 500 * time.Millisecond
-	// longFailureStreak in a row are no lost answer any more.
+	// longFailureStreak is the number of consecutive failures that are no longer taken for a single
+	// lost answer.
 	longFailureStreak = 3
 	// registrationSettleTime is how long a daemon that was not registered waits before it watches
-	// the store: where a whole fleet starts, most others are registered by then, and
-	// only a few of them have to watch. Without it, each watches until it has seen the
-	// others register, one call for each batch of them.
+	// the store. When a whole fleet starts, most other daemons are registered by then, and only a
+	// few of them have to watch. Without the wait, each daemon watches until it has seen the others
+	// register, at one call for each batch of registrations.
 	registrationSettleTime = 500 * time.Millisecond
 )
 
-// MaxBatchesPerSecond is how many batches of changes a daemon that watches takes a second at most.
+// MaxBatchesPerSecond is the maximum rate at which a watching daemon reads batches of changes.
 const MaxBatchesPerSecond = float64(time.Second) / float64(batchPause)
 
-// Run follows the store, and other daemons while the store is out of reach,
-// until ctx ends.
+// Run follows the store, and polls peers while the store is unreachable or watched by others, until
+// ctx ends.
 func (m *Manager) Run(ctx context.Context) {
 	var peers sync.WaitGroup
 	defer peers.Wait()
@@ -73,7 +76,7 @@
 	}
 }
 
-// awaitWakeup waits until d has passed or this daemon has to watch by itself.
+// awaitWakeup waits until d has passed or this daemon has to start watching the store.
 func (m *Manager) awaitWakeup(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -84,8 +87,8 @@
 	}
 }
 
-// backOff waits before the store is tried again. What the pause depends on may
-// change meanwhile: those that watch may be lost, or the store may be back for others.
+// backOff waits before the next attempt to reach the store. It recomputes the delay while it waits,
+// because the plan may select this daemon or a peer may reach the store meanwhile.
 func (m *Manager) backOff(ctx context.Context, failures int) {
 	failedAt, jitter := m.opts.Clock(), 0.5+rand.Float64()
 	for ctx.Err() == nil {
@@ -98,9 +101,9 @@
 	}
 }
 
-// meanRetryDelay is the mean wait after a failed call to the store, the failures before
-// it in a row given. A daemon that watches because others have lost the store shares
-// their trouble if its own call fails.
+// meanRetryDelay returns the mean delay after a failed call to the store. failures counts the
+// consecutive failures before that call. A daemon that watches because its sources have lost the
+// store backs off like the rest of the fleet if its own call fails too.
 func (m *Manager) meanRetryDelay(failures int) time.Duration {
 	view := m.View()
 	fleetSize := float64(len(view.VMs))
@@ -122,7 +125,7 @@
 	return retryDelay
 }
 
-// watchStore watches the store until that fails, or is left to other daemons.
+// watchStore watches the store until a call fails or the plan leaves the watch to other daemons.
 func (m *Manager) watchStore(ctx context.Context) error {
 	if err := m.catchUp(ctx); err != nil {
 		return err
@@ -144,8 +147,8 @@
 	return nil
 }
 
-// catchUp makes a revision known from which a watch goes on, and confirms the
-// configuration: a watch that has nothing to tell confirms nothing for a second.
+// catchUp determines the revision from which the watch continues and confirms the configuration.
+// The read is needed because a watch without changes confirms nothing for a second.
 func (m *Manager) catchUp(ctx context.Context) error {
 	_, known := m.confirmationAge()
 	switch {
@@ -159,9 +162,9 @@
 	return nil
 }
 
-// readInitial reads the store for the first time, with all that costs little: a list that may
-// be seconds old, and the configuration as it is. The watch, or the daemon that is
-// asked next, tells what has changed since that list.
+// readInitial reads the store for the first time at low cost: a list that may be seconds old, and a
+// current read of the configuration. Changes since that list arrive with the watch or from the next
+// peer polled.
 func (m *Manager) readInitial(ctx context.Context) error {
 	var work errgroup.Group
 	var items []store.KV
@@ -191,7 +194,7 @@
 	return nil
 }
 
-// recordOwnEntry keeps this daemon's own entry among items and lets the registration begin.
+// recordOwnEntry stores this daemon's own entry, if items holds it, and unblocks the registration.
 func (m *Manager) recordOwnEntry(items []store.KV) {
 	select {
 	case <-m.ownEntryRead:
@@ -206,7 +209,7 @@
 	close(m.ownEntryRead)
 }
 
-// awaitRegistrations waits while the fleet registers and reads who did.
+// awaitRegistrations waits while the fleet registers, then reads the registered entry VMs.
 func (m *Manager) awaitRegistrations(ctx context.Context) error {
 	pause.For(ctx, registrationSettleTime)
 	items, _, err := m.opts.Store.ListStale(ctx, m.opts.Prefix+vmPrefix)
@@ -224,8 +227,8 @@
 	return nil
 }
 
-// readConfig reads the configuration as it is; found is false where there is none. The
-// entry has its key in either case.
+// readConfig reads the current configuration; found is false if there is none. The returned entry
+// has its key in either case.
 func (m *Manager) readConfig(ctx context.Context) (kv store.KV, found bool, err error) {
 	key := m.opts.Schema.ConfigKey()
 	kv, err = m.opts.Store.Get(ctx, key)
@@ -235,8 +238,8 @@
 	return kv, err == nil, err
 }
 
-// confirmConfig reads the configuration after a gap, in which nothing of it may have reached
-// this daemon. All other changes come with the watch.
+// confirmConfig reads the configuration after a time without confirmation, in which a change of it
+// may have been missed. All other changes arrive with the watch.
 func (m *Manager) confirmConfig(ctx context.Context) error {
 	sentAt := m.opts.Clock()
 	config, found, err := m.readConfig(ctx)
@@ -252,7 +255,8 @@
 	return nil
 }
 
-// readAll reads the store anew where the history since the last revision is gone.
+// readAll reads the whole store again when the watch cannot continue from the last revision because
+// its history was compacted.
 func (m *Manager) readAll(ctx context.Context) error {
 	sentAt := m.opts.Clock()
 	items, revision, err := m.opts.Store.List(ctx, m.opts.Prefix)
@@ -264,8 +268,8 @@
 	return nil
 }
 
-// readChanges waits for one batch. Its answer leaves out nothing that was
-// acknowledged before the question was sent.
+// readChanges waits for one batch of changes. The batch includes every write that was acknowledged
+// before the request was sent.
 func (m *Manager) readChanges(ctx context.Context, w store.Watcher) error {
 	sentAt := m.opts.Clock()
 	events, err := w.Next(ctx)
