--- a/control/feed/departures.go
+++ b/control/feed/departures.go
@@ -6,27 +6,28 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// departedRetention is how long a server that left is remembered: longer than
-// the longest answer during which its id may still turn up.
+// departedRetention is how long a server that left is remembered. It is longer than the longest
+// answer during which the server's id may still occur.
 const departedRetention = time.Minute
 
 const (
-	// reregisterWindow is how long after its return the store lacks the entries whose
-	// leases ran out during an outage: their owners write them again within two
-	// seconds. The rest is what a watch takes to tell.
+	// reregisterWindow is how long after its return the store may lack entries whose leases expired
+	// during an outage. Their owners write them again within two seconds; the rest of the time
+	// covers the delivery by the watch.
 	reregisterWindow = 2500 * time.Millisecond
-	// minOutage is the silence of the store after which removals may come from
-	// leases that ran out: it is shorter than the shortest lease.
+	// minOutage is the time without an answer of the store after which removals may be due to
+	// expired leases. It is shorter than the shortest lease.
 	minOutage = time.Second
-	// graceCheckInterval is how often the servers in doubt are looked at.
+	// graceCheckInterval is the interval at which ended grace periods are looked for.
 	graceCheckInterval = 50 * time.Millisecond
-	// serverGracePeriod is how long a server stays usable whose entry vanished around an
-	// outage. It is below the two seconds within which a server that left
-	// has to be left alone.
+	// serverGracePeriod is how long a server stays usable after its entry vanished around an
+	// outage. It is below the two seconds within which a server that left must get no more
+	// requests.
 	serverGracePeriod = time.Second
 )
 
-// recordAnswer records an answer of the store.
+// recordAnswer records an answer of the store to a request sent at sentAt. An answer after an
+// outage opens the window in which removals may be due to expired leases.
 func (t *table) recordAnswer(sentAt, now time.Duration) {
 	if t.lastAnsweredAt != 0 && sentAt-t.lastAnsweredAt > minOutage {
 		t.recoveryUntil = now + reregisterWindow
@@ -34,8 +35,8 @@
 	t.lastAnsweredAt = now
 }
 
-// remove takes an entry away by the given revision. What it named goes at once, or stays
-// for a while where its lease may have run out in an outage.
+// remove removes an entry as of the given revision. The server or VM that it described is dropped
+// at once, or after a grace period if its lease may have expired during an outage.
 func (t *table) remove(now time.Duration, key string, revision int64) {
 	t.entries.remove(key, revision)
 	delete(t.rejections, key)
@@ -47,8 +48,8 @@
 		return
 	}
 	if vm, ok := t.vms[key]; ok && !vm.Leaving && now < t.recoveryUntil {
-		// Daemons that register again must not seem gone meanwhile: each would take
-		// the whole budget of repeats and all engines for its own.
+		// Daemons that are about to register again must not seem to be gone meanwhile: each
+		// remaining daemon would take the whole retry budget and all engines for itself.
 		t.vmGraceEnds[key] = now + reregisterWindow
 		return
 	}
@@ -62,9 +63,9 @@
 	}
 }
 
-// removeServer drops a server, or keeps it for a while where the store was
-// away: its lease may have run out although it lives. Without that, a daemon
-// that reaches the store first after an outage has nowhere to send requests.
+// removeServer drops a server. If its lease may have expired during an outage, the server may still
+// be alive and is kept for a grace period. Without the grace period, a daemon that reaches the
+// store first after an outage has no servers to send requests to.
 func (t *table) removeServer(now time.Duration, id string) {
 	s, ok := t.servers[id]
 	if !ok {
@@ -81,7 +82,7 @@
 	t.log.Emit(event.ServerGone, id, s.Service, time.Duration(0))
 }
 
-// setDeparted remembers whether a server departs.
+// setDeparted records whether a server is departing, and since when.
 func (t *table) setDeparted(id string, departed bool) {
 	if !departed {
 		delete(t.departed, id)
@@ -92,7 +93,7 @@
 	}
 }
 
-// dropServer drops a server and remembers that it departed.
+// dropServer drops a server and records that it departed.
 func (t *table) dropServer(id string) {
 	t.setDeparted(id, true)
 	delete(t.servers, id)
@@ -103,7 +104,8 @@
 	t.changeCount++
 }
 
-// expire drops the servers whose time in doubt is over.
+// expire drops the servers and entry VMs whose grace period has ended, and forgets servers that
+// departed long ago. It reports whether it dropped any server or VM.
 func (t *table) expire(now time.Duration) bool {
 	expired := false
 	for id, until := range t.serverGraceEnds {
--- a/control/feed/entries.go
+++ b/control/feed/entries.go
@@ -7,20 +7,19 @@
 	"mallowwind.dev/external/store"
 )
 
-// maxRemovedKeys bounds how many removed keys are remembered, so that another
-// daemon can be told what changed since it last asked. A zone that fails and
-// returns removes some dozens; a daemon that asks every half second is never
-// that far behind.
+// maxRemovedKeys bounds how many removed keys are remembered to answer peers that ask for changes
+// since a revision. A zone that fails and returns removes some dozens of keys; a peer that polls
+// every half second is never that far behind.
 const maxRemovedKeys = 512
 
-// entries are the keys of the store as they were read, and which were removed.
+// entries holds the keys of the store as they were read, and the keys that were removed.
 type entries struct {
 	kvs     map[string]store.KV
-	removed map[string]int64 // revision of the removal
-	// newestVersion is the latest version of a key: one that was read by itself is ahead of the
-	// revision up to which everything is known.
+	removed map[string]int64 // revision of each removal, by key
+	// newestVersion is the highest version of any key. It can exceed the revision up to which the
+	// whole store is known, because a key can be read on its own.
 	newestVersion int64
-	// removalFloor is the revision from which removals are remembered.
+	// removalFloor is the revision after which every removal is remembered.
 	removalFloor int64
 }
 
@@ -34,7 +33,7 @@
 	delete(e.removed, kv.Key)
 }
 
-// remove notes that a key was removed by the given revision.
+// remove records that a key was removed as of the given revision.
 func (e *entries) remove(key string, revision int64) {
 	if _, ok := e.kvs[key]; !ok {
 		return
@@ -57,18 +56,19 @@
 	e.removalFloor = max(e.removalFloor, at)
 }
 
-// delta is what changed after a revision.
+// delta holds the changes after a revision.
 type delta struct {
 	puts []store.KV
-	// removedKeys are the keys that were removed since, unless present is set.
+	// removedKeys holds the keys removed since; it is unused if presentKeys is set.
 	removedKeys []string
-	// presentKeys are all keys that there are: what was removed since is not known any more.
+	// presentKeys holds all existing keys. It replaces removedKeys if the removals since the
+	// revision are no longer known.
 	presentKeys []string
-	// full says that puts are everything there is.
+	// full reports that puts holds every entry, not only the changed ones.
 	full bool
 }
 
-// since returns what changed after a revision.
+// since returns the changes after a revision; revision 0 selects every entry.
 func (e *entries) since(revision int64) delta {
 	d := delta{full: revision == 0}
 	for _, kv := range e.kvs {
@@ -90,7 +90,7 @@
 	return d
 }
 
-// absent returns the keys that are not among those present.
+// absent returns the known keys that are not among the present ones.
 func (e *entries) absent(present []string) (keys []string) {
 	isPresent := make(map[string]bool, len(present))
 	for _, key := range present {
--- a/control/feed/metrics.go
+++ b/control/feed/metrics.go
@@ -8,7 +8,7 @@
 	"mallowwind.dev/telemetry/metric"
 )
 
-// newRejectedCounter counts the entries of the store that cannot be used.
+// newRejectedCounter returns the counter of store entries that cannot be used.
 func newRejectedCounter() prometheus.Counter {
 	return prometheus.NewCounter(prometheus.CounterOpts{
 		Namespace: metric.Namespace, Subsystem: "feed", Name: "entries_refused_total",
@@ -16,7 +16,7 @@
 	})
 }
 
-// newStoreCallsCounter counts the calls to the store.
+// newStoreCallsCounter returns the counter of calls to the store.
 func newStoreCallsCounter() *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: metric.Namespace, Subsystem: "feed", Name: "store_calls_total",
--- a/control/feed/peers.go
+++ b/control/feed/peers.go
@@ -17,55 +17,56 @@
 )
 
 const (
-	// selfWatchAge is the age from which a daemon that asks others watches itself. It
-	// is above what a watch, and those that pass on what it told, add up to.
+	// selfWatchAge is the age of the last confirmation from which a daemon that polls others
+	// watches the store itself. It exceeds the delays of a watch and of the daemons that relay its
+	// changes together.
 	selfWatchAge = 3200 * time.Millisecond
-	// noSourceTime is how long a daemon does without those that watch for it after none of
-	// them could tell, unless one tells again. It is about as long as daemons are cut off
-	// at least.
+	// noSourceTime is how long a daemon watches the store itself after none of its sources could
+	// answer, unless one answers meanwhile. It is about as long as the shortest partition of a
+	// daemon.
 	noSourceTime = 3 * time.Second
-	// maxFreshAge is the age of the configuration from which other daemons are asked.
-	// A watch returns every second and confirms what held when it was sent, so the
-	// age reaches two seconds while all is well.
+	// maxFreshAge is the age of the last confirmation from which peers are polled. A watch returns
+	// every second and confirms what held when its request was sent, so the age reaches two seconds
+	// in normal operation.
 	maxFreshAge = 2500 * time.Millisecond
-	// pollInterval is the mean pause between rounds of questions where nobody could tell.
+	// pollInterval is the mean pause between rounds of polls if no source could answer.
 	pollInterval = 400 * time.Millisecond
-	// pollHold is how long the daemon that is asked holds the question while it has
-	// nothing to tell. Its silence for longer shows that it is lost.
+	// pollHold is how long the polled daemon holds the request while it has nothing new. A daemon
+	// that stays silent for longer is taken for lost.
 	pollHold = 500 * time.Millisecond
-	// longPollPause is the mean pause between questions that are held: changes that come one
-	// after the other are told at once.
+	// longPollPause is the mean pause between held requests. It is short so that successive changes
+	// arrive without delay.
 	longPollPause = 100 * time.Millisecond
-	// pollTimeout is many round trips; a daemon that does not answer within it, and the
-	// time for which it holds the question, is taken to be lost.
+	// pollTimeout is many round trips. A daemon that does not answer within it, after the time for
+	// which it holds the request, is taken for lost.
 	pollTimeout = 300 * time.Millisecond
-	// maxPolledPeers is how many daemons are asked in one round.
+	// maxPolledPeers is how many daemons are polled in one round.
 	maxPolledPeers = 4
-	// sourceFailoverTime is how long a round goes on after the first that could not tell.
+	// sourceFailoverTime is how long a round continues with further daemons after the first one
+	// could not answer.
 	sourceFailoverTime = 250 * time.Millisecond
 )
 
-// isFresh reports whether the configuration was confirmed as lately as it is while
-// all is well.
+// isFresh reports whether the last confirmation is as recent as in normal operation.
 func (m *Manager) isFresh() bool {
 	age, known := m.confirmationAge()
 	return known && age < maxFreshAge
 }
 
-// isConfirmationOverdue reports whether the configuration was not confirmed as lately as it is while all is
-// well. One that other daemons confirm in place of the store comes near that again and
-// again, which is one gap until the store answers or they are late too.
+// isConfirmationOverdue reports whether the last confirmation is older than in normal operation.
+// While peers confirm the configuration in place of the store, the age exceeds maxFreshAge again
+// and again; that counts as one overdue period until the store answers or the peers are late too.
 func (m *Manager) isConfirmationOverdue() bool {
 	age, known := m.confirmationAge()
 	return !known || age > selfWatchAge || age >= maxFreshAge && !m.confirmedByPeer.Load()
 }
 
-// shouldWatch reports whether this daemon watches the store itself: where the plan of the
-// fleet says so, and where nobody tells it.
+// shouldWatch reports whether this daemon watches the store itself, because the plan of the fleet
+// selects it or because no other daemon passes changes on to it.
 //
-// The failure that watching by itself guards against: those that watch for a daemon are
-// cut off from it, or the store refuses just them. Until its configuration was 2.5 s old
-// it would go on asking them, and answer by routes that the operator had taken away two
+// The second condition guards against the loss of the watching daemons: a partition separates them
+// from this daemon, or the store refuses just them. Without it, this daemon would go on polling
+// them until its configuration is 2.5 s old, and answer by routes that the operator removed two
 // seconds before.
 func (m *Manager) shouldWatch() bool {
 	view := m.View()
@@ -78,10 +79,10 @@
 	return view.watchPlan.Watches(m.opts.Self)
 }
 
-// hasNoSource reports whether none of those that watch for this daemon could tell lately.
+// hasNoSource reports whether none of this daemon's sources could answer lately.
 func (m *Manager) hasNoSource() bool { return int64(m.opts.Clock()) < m.noSourceUntil.Load() }
 
-// newWatchPlan is who watches among the daemons that serve.
+// newWatchPlan returns the plan of which of the VMs that are not leaving watch the store.
 func newWatchPlan(vms []routing.VM) *watching.Plan {
 	list := make([]watching.VM, 0, len(vms))
 	for _, vm := range vms {
@@ -92,17 +93,17 @@
 	return watching.New(list)
 }
 
-// pollPeers learns from the daemons that watch the store, and from any while the
-// store is out of reach.
+// pollPeers gets changes from the daemons that watch the store, and from any daemon while this one
+// cannot reach the store.
 //
-// The failure it answers: the store refuses some machines and serves the
-// others. Without it the refused ones trust no account key after a few seconds
-// and turn every caller away, although a neighbour has the newest configuration.
+// It covers a store that refuses some machines and serves the others. Without it, a refused daemon
+// trusts no account key after a few seconds and rejects every caller, although a peer has the
+// newest configuration.
 func (m *Manager) pollPeers(ctx context.Context) {
 	if m.opts.Dialer == nil {
 		return
 	}
-	mean := longPollPause // a daemon that starts reads the store first
+	mean := longPollPause // a starting daemon reads the store first
 	for pause.For(ctx, mean*3/4+rand.N(mean/2)) {
 		mean = pollInterval
 		if own := m.isFresh() && m.shouldWatch() && !m.hasNoSource(); !own && m.pollSources(ctx) {
@@ -111,8 +112,8 @@
 	}
 }
 
-// pollSources asks one daemon after the other until one can tell, and reports whether one
-// could. If none can this daemon is on its own.
+// pollSources polls one daemon after the other until one can answer, and reports whether one could.
+// If none can, this daemon starts to watch the store itself.
 func (m *Manager) pollSources(ctx context.Context) bool {
 	near, others := m.sources()
 	var until time.Duration
@@ -140,9 +141,9 @@
 	return false
 }
 
-// sources returns the addresses of the daemons to ask: those near that tell this one, and
-// the others, each with the best first. While the configuration is old any daemon may
-// know more.
+// sources returns the addresses of the daemons to poll, each list in order of preference: those
+// near, which relay changes to this daemon, and the others. While the last confirmation is old,
+// others starts with a random peer, because any daemon may have newer state.
 func (m *Manager) sources() (near, others []string) {
 	view := m.View()
 	peers := map[string]string{}
@@ -173,8 +174,8 @@
 	return addresses
 }
 
-// pollPeer learns from one daemon, which may hold the question for a time, and reports whether
-// that daemon hears of changes.
+// pollPeer gets the changes from one daemon, which may hold the request for the given time. It
+// reports whether that daemon is a usable source, that is, whether it receives changes itself.
 func (m *Manager) pollPeer(ctx context.Context, address string, hold time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, hold+pollTimeout)
 	defer cancel()
@@ -185,7 +186,7 @@
 		Have: m.revision.Load(), WaitMs: hold.Milliseconds(), AgeMs: age.Milliseconds(),
 	})
 	if err != nil {
-		m.peerAlsoStale.Store(false) // this daemon may be the one that is cut off
+		m.peerAlsoStale.Store(false) // this daemon may be the one that is partitioned
 		m.opts.Log.Emit(event.FeedPeerFailed, address, err)
 		m.opts.Dialer.DropIdle()
 		return false
@@ -196,17 +197,17 @@
 	return !reply.GetLost() && !old && reply.GetRevision() != 0
 }
 
-// IsStoreDown reports whether the store seems to be out of reach for every daemon: a
-// daemon that was asked has waited for it as long as this one.
+// IsStoreDown reports whether the store seems to be unreachable for every daemon: the last
+// confirmation is overdue both here and at the peer polled last.
 func (m *Manager) IsStoreDown() bool {
 	age, known := m.confirmationAge()
 	return m.peerAlsoStale.Load() && (!known || age >= maxFreshAge)
 }
 
-// applyReply takes over what another daemon believes if it is newer. The age is
-// counted back from when the question was sent, which makes it older than it is.
+// applyReply applies the state of a peer if it is newer. The confirmation time is computed from the
+// time at which the request was sent, so that it is never later than the true one.
 //
-// The revision alone is no news: every heartbeat of a server raises it.
+// A higher revision alone is not logged because every heartbeat of a server raises it.
 func (m *Manager) applyReply(sentAt time.Duration, address string, reply *peerpb.SnapshotReply) {
 	if reply.GetRevision() == 0 {
 		return
@@ -221,7 +222,7 @@
 		before := m.table.changeCount
 		defer func() { changed = m.table.changeCount != before }()
 		if m.opts.Clock()-confirmedAt < maxFreshAge {
-			m.table.lastAnsweredAt = sentAt // by way of another daemon
+			m.table.lastAnsweredAt = sentAt // the store answered a peer
 		}
 		m.table.recoveryUntil = max(m.table.recoveryUntil, sentAt+time.Duration(reply.GetDoubtMs())*time.Millisecond)
 		if reply.GetWhole() {
--- a/control/feed/refused.go
+++ b/control/feed/refused.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	// refusedPrefix begins the keys of requests that are sent to no server.
+	// refusedPrefix begins the keys of refused requests.
 	refusedPrefix = OwnPrefix + "refused/"
-	// maxRefused bounds the requests that are refused by entries in the store. No entry
-	// makes room for another: what was refused stays so until an operator lifts it.
+	// maxRefused bounds the number of refused requests in the store. A new entry replaces no older
+	// one: a request stays refused until an operator lifts the refusal.
 	maxRefused = 1000
 	// refuseTimeout bounds one attempt to write an entry.
 	refuseTimeout = 2 * time.Second
 )
 
-// RefusedRequest is a request that is sent to no server, because it ends those that run it.
+// RefusedRequest is a request that is sent to no server because it crashes the servers that run it.
 type RefusedRequest struct {
-	// Digest names the request in all its attempts; it is the end of the key.
+	// Digest identifies the request across all its attempts; it is the end of the key.
 	Digest  string `json:"digest"`
 	Account string `json:"account,omitempty"`
 	Route   string `json:"route"`
-	// Servers are the ids of those that ended under it.
+	// Servers holds the ids of the servers that crashed while they ran it.
 	Servers []string `json:"servers"`
-	// By is the daemon that wrote the entry, At when.
+	// By is the id of the daemon that wrote the entry, and At the time of the write.
 	By string    `json:"by"`
 	At time.Time `json:"at"`
 }
 
-// RefusedKey is the key of a refused request in the store. An operator who removes it lifts
-// the refusal.
+// RefusedKey returns the store key of a refused request. An operator lifts the refusal by removing
+// the key.
 func RefusedKey(digest string) string { return refusedPrefix + digest }
 
-// decodeRefused reads the entry of a refused request, of which the key alone decides. What
-// cannot be read leaves it without details.
+// decodeRefused decodes the entry of a refused request. The key alone decides that the request is
+// refused; if the value cannot be decoded, only the details are missing.
 func decodeRefused(kv store.KV) RefusedRequest {
 	var r RefusedRequest
 	if err := json.Unmarshal(kv.Value, &r); err != nil {
@@ -49,10 +49,10 @@
 	return r
 }
 
-// ErrTooManyRefused means that as many requests are refused as the store is to hold.
+// ErrTooManyRefused means that the store already holds the maximum number of refused requests.
 var ErrTooManyRefused = errors.New("feed: too many refused requests")
 
-// AddRefused writes the entry of a request that is to be refused, unless there is one.
+// AddRefused writes the entry of a request that is to be refused, unless an entry exists.
 func (m *Manager) AddRefused(ctx context.Context, r RefusedRequest) error {
 	refused := m.View().Refused
 	if _, known := refused[r.Digest]; known {
@@ -70,13 +70,13 @@
 	defer cancel()
 	_, err = m.opts.Store.CompareAndSwap(ctx, RefusedKey(r.Digest), 0, raw, 0)
 	if errors.Is(err, store.ErrConflict) {
-		return nil // another daemon was first
+		return nil // another daemon wrote the entry first
 	}
 	return err
 }
 
-// ListRefused returns the requests that are refused by entries in a store, in the order of
-// their digests. An entry that cannot be read has nothing but its digest.
+// ListRefused returns the refused requests in a store, sorted by digest. An entry whose value
+// cannot be decoded has only its digest.
 func ListRefused(ctx context.Context, s store.Store) ([]RefusedRequest, error) {
 	kvs, _, err := s.List(ctx, refusedPrefix)
 	if err != nil {
@@ -89,7 +89,8 @@
 	return list, nil
 }
 
-// DeleteRefused removes the entry of a refused request; store.ErrNotFound means that there is none.
+// DeleteRefused removes the entry of a refused request. It returns store.ErrNotFound if there is
+// none.
 func DeleteRefused(ctx context.Context, s store.Store, digest string) error {
 	kv, err := s.Get(ctx, RefusedKey(digest))
 	if err != nil {
--- a/control/feed/register.go
+++ b/control/feed/register.go
@@ -15,45 +15,45 @@
 )
 
 const (
-	// leaseTTL is how long a daemon that died stays registered. Callers leave
-	// an address that fails them at once, so this only bounds how long new ones meet it.
-	// It is longer than a daemon takes to start again, which then goes on with the lease.
+	// leaseTTL is how long a daemon that crashed stays registered. Callers leave an address that
+	// fails at once, so it only bounds how long new callers are sent there. It is longer than a
+	// daemon takes to restart, so that the restarted daemon can renew the same lease.
 	leaseTTL = 6 * time.Second
-	// renewalsPerTTL is how many times a lease is renewed in its time: one that is lost leaves
-	// room for two more attempts.
+	// renewalsPerTTL is the number of renewals within the lifetime of a lease. After a lost renewal
+	// there is time for two more attempts.
 	renewalsPerTTL = 2
-	// ownEntryTimeout bounds the wait for the feed's first read, which shows the entry of
-	// the process before.
+	// ownEntryTimeout bounds the wait for the feed's first read, which shows the entry of the
+	// previous process.
 	ownEntryTimeout = time.Second
-	// writePropagationTime is how long the feed may take to show what was written.
+	// writePropagationTime is how long the feed may take to show an entry that was written.
 	writePropagationTime = 3 * time.Second
-	// minRegisterBackoff is the mean wait after a failed attempt. The store charges a
-	// renewal that it refuses as a whole call, and a lease outlasts a few of them.
+	// minRegisterBackoff is the mean wait after the first failed attempt. The store charges a
+	// refused renewal as a whole call, and a lease outlasts a few such waits.
 	minRegisterBackoff = 750 * time.Millisecond
-	// maxRegisterBackoff bounds the wait after failed attempts, which doubles with each:
-	// an entry is back within two seconds of the store's return.
+	// maxRegisterBackoff bounds the wait after failed attempts, which doubles with each. It makes
+	// the entry return within two seconds of the store's return.
 	maxRegisterBackoff = 2 * time.Second
-	// maxOutageWait bounds the wait while the store is out of reach for all.
+	// maxOutageWait bounds the wait while no daemon can reach the store.
 	maxOutageWait = 30 * time.Second
-	// outageCheckInterval is how often it is seen whether that has ended.
+	// outageCheckInterval is the mean interval at which the end of an outage is checked for.
 	outageCheckInterval = 250 * time.Millisecond
 	// registerTimeout bounds one attempt to write or remove the entry.
 	registerTimeout = 2 * time.Second
 )
 
-// Registrar keeps this daemon's entry in the store while it serves.
+// Registrar keeps this daemon's entry in the store while the daemon serves.
 type Registrar struct {
 	Store store.Store
 	VM    routing.VM
 	Log   *event.Log
 	// MinLeaseTTL is the shortest lease that the store grants.
 	MinLeaseTTL time.Duration
-	// Feed knows the entry that the process before left, and whether the present one is
-	// still there. It may be nil.
+	// Feed provides the entry of the previous process and the current version of the entry. It may
+	// be nil.
 	Feed *Manager
 
-	lease     store.LeaseID // 0 where the entry has to be written
-	version   int64         // of the entry, 0 where there is none
+	lease     store.LeaseID // 0 if the entry has to be written
+	version   int64         // of the entry; 0 if there is none
 	writtenAt time.Time
 }
 
@@ -79,12 +79,12 @@
 	r.deregister()
 }
 
-// awaitRecovery waits while the store is out of reach for all daemons: the few that watch it
-// find its return.
+// awaitRecovery waits while no daemon can reach the store. The few that watch the store detect its
+// return.
 //
-// Load it answers: a store that refuses everybody for long and charges for each refusal.
-// Without it, hundreds of daemons try to renew their leases every two seconds, and all
-// meet the store in the second in which it returns.
+// It protects a store that refuses every daemon for long and charges for each refusal. Without it,
+// hundreds of daemons try to renew their leases every two seconds, and all call the store in the
+// second in which it returns.
 func (r *Registrar) awaitRecovery(ctx context.Context) {
 	if r.Feed == nil {
 		return
@@ -97,12 +97,12 @@
 	}
 }
 
-// ttl is how long the entry outlives its last renewal.
+// ttl returns how long the entry outlives the last renewal of its lease.
 func (r *Registrar) ttl() time.Duration { return max(leaseTTL, r.MinLeaseTTL) }
 
-// adoptLease goes on with the entry and the lease that the process before left, if they say
-// what is to be said. Without it a fleet whose daemons all start again writes all entries
-// anew, three calls each, at the moment at which callers wait for it.
+// adoptLease takes over the entry and the lease of the previous process if the entry is still
+// correct. Without it, a fleet whose daemons all restart writes all entries again, at three calls
+// each, while callers wait for the fleet.
 func (r *Registrar) adoptLease(ctx context.Context) {
 	if r.Feed == nil {
 		return
@@ -114,7 +114,7 @@
 	}
 }
 
-// renewOrRegister renews the lease, or registers under a new one.
+// renewOrRegister renews the lease, or writes the entry under a new lease.
 func (r *Registrar) renewOrRegister(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
@@ -142,9 +142,9 @@
 	return nil
 }
 
-// isOverwritten reports whether the feed shows another entry than the one that was written,
-// or none: a write whose answer was lost may have come later, and a lease may hold no
-// entry any more.
+// isOverwritten reports whether the feed shows a different version of the entry than the one
+// written, or no entry. A write whose answer was lost may have taken effect later, and a lease may
+// no longer hold any entry.
 func (r *Registrar) isOverwritten() bool {
 	if r.Feed == nil || !r.Feed.isFresh() || time.Since(r.writtenAt) < writePropagationTime {
 		return false
@@ -152,7 +152,8 @@
 	return r.feedVersion() != r.version
 }
 
-// feedVersion is the version of the entry as the feed shows it; 0 if there is none, or no feed.
+// feedVersion returns the version of the entry that the feed shows; 0 if there is no entry or no
+// feed.
 func (r *Registrar) feedVersion() int64 {
 	if r.Feed == nil {
 		return 0
@@ -160,7 +161,7 @@
 	return r.Feed.entryVersion(vmPrefix + r.VM.ID)
 }
 
-// write replaces whatever an earlier process of this VM left.
+// write writes the entry, over whatever an earlier process of this VM left.
 func (r *Registrar) write(ctx context.Context, vm routing.VM, lease store.LeaseID) error {
 	value, err := json.Marshal(vm)
 	if err != nil {
@@ -181,7 +182,7 @@
 	return nil
 }
 
-// storedVersion is the version of a key, 0 if there is none.
+// storedVersion reads the version of a key from the store; 0 if the key does not exist.
 func (r *Registrar) storedVersion(ctx context.Context, key string) (int64, error) {
 	old, err := r.Store.Get(ctx, key)
 	if errors.Is(err, store.ErrNotFound) {
@@ -190,9 +191,9 @@
 	return old.Version, err
 }
 
-// deregister takes the daemon out of the address answers of the others. The entry says
-// first that the daemon leaves: an entry that only vanishes may be one whose lease
-// ran out in an outage, and is believed for a while.
+// deregister removes this daemon's entry, so that other daemons no longer send callers to it. It
+// first marks the entry as leaving: an entry that only vanishes may have expired during an outage,
+// and other daemons keep it for a grace period.
 func (r *Registrar) deregister() {
 	if r.lease == 0 {
 		return
@@ -210,8 +211,8 @@
 	}
 }
 
-// awaitOwnEntry is the entry of this daemon that its first read of the store showed, if any.
-// It waits for that read for a time.
+// awaitOwnEntry waits for the first read of the store and returns this daemon's entry from it. It
+// returns an empty entry if there was none or the read takes longer than ownEntryTimeout.
 func (m *Manager) awaitOwnEntry(ctx context.Context) store.KV {
 	timeout := time.NewTimer(ownEntryTimeout)
 	defer timeout.Stop()
@@ -224,7 +225,7 @@
 	return store.KV{}
 }
 
-// entryVersion is the version of a key as it is known here, 0 if there is none.
+// entryVersion returns the version of a key as last read; 0 if there is none.
 func (m *Manager) entryVersion(key string) int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/control/feed/rollouts.go
+++ b/control/feed/rollouts.go
@@ -13,33 +13,33 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// RolloutSchema is how roll-outs lie in the store.
+// RolloutSchema is the layout of roll-outs in the store.
 type RolloutSchema interface {
-	// RolloutPrefixes begin all keys that concern roll-outs.
+	// RolloutPrefixes returns the prefixes of all keys that concern roll-outs.
 	RolloutPrefixes() []string
-	// RolloutOrderService returns the service whose roll-out the entry of a key orders, if any.
+	// RolloutOrderService returns the service if key holds the order of a service's roll-out.
 	RolloutOrderService(key string) (service string, ok bool)
 	DecodeRolloutOrder(service string, raw []byte) (routing.RolloutOrder, error)
-	// RolloutStatusService returns the service of whose roll-out a key holds the status, if any, and
-	// RolloutStatusKey the key.
+	// RolloutStatusService returns the service if key holds the status of a service's roll-out.
+	// RolloutStatusKey is its inverse.
 	RolloutStatusService(key string) (service string, ok bool)
 	RolloutStatusKey(service string) string
 	DecodeRolloutStatus(raw []byte) (routing.RolloutStatus, error)
 	EncodeRolloutStatus(routing.RolloutStatus) ([]byte, error)
 }
 
-// Rollout is what lies in the store of a service's roll-out.
+// Rollout holds the order and the status of a service's roll-out as read from the store.
 type Rollout struct {
-	// Order is nil where there is none that can be read; Refused says why.
+	// Order is nil if there is no valid order. OrderErr is the reason if there is an invalid one.
 	Order    *routing.RolloutOrder
 	OrderErr error
-	// Status is nil where there is none that can be read. StatusRevision is that of its entry all
-	// the same.
+	// Status is nil if there is no valid status. StatusRevision is the revision of the status entry
+	// even if its value is invalid.
 	Status         *routing.RolloutStatus
 	StatusRevision int64
 }
 
-// putRollout takes in an entry of a roll-out, if it is one.
+// putRollout stores an order or a status of a roll-out. It reports whether the key holds one.
 func (t *table) putRollout(kv store.KV) bool {
 	if service, ok := t.schema.RolloutOrderService(kv.Key); ok {
 		rollout := t.rollouts[service]
@@ -76,7 +76,7 @@
 	return true
 }
 
-// ListRollouts returns what lies in a store of roll-outs, by service.
+// ListRollouts reads the orders and statuses of all roll-outs from a store, by service.
 func ListRollouts(ctx context.Context, s store.Store, schema Schema) (map[string]Rollout, error) {
 	t := newTable(schema, event.Discard())
 	for _, prefix := range schema.RolloutPrefixes() {
@@ -91,7 +91,7 @@
 	return t.rollouts, nil
 }
 
-// OrderRollout writes an order to a store that is ours to lay out, over the one before.
+// OrderRollout writes an order, in the layout of OwnRollouts, over the previous one.
 func OrderRollout(ctx context.Context, s store.Store, o routing.RolloutOrder) error {
 	if err := o.Check(); err != nil {
 		return err
@@ -109,7 +109,7 @@
 	return err
 }
 
-// removeRollout takes away an entry of a roll-out.
+// removeRollout removes the order or the status that key holds, if any.
 func (t *table) removeRollout(key string) {
 	if service, ok := t.schema.RolloutOrderService(key); ok {
 		rollout := t.rollouts[service]
@@ -123,16 +123,16 @@
 	}
 }
 
-// Keys of OwnRollouts.
+// Prefixes of the keys of OwnRollouts.
 const (
 	ownOrderPrefix  = OwnPrefix + "rollout/order/"
 	ownStatusPrefix = OwnPrefix + "rollout/status/"
 )
 
-// ownRolloutOrder is an order in a store that is ours to lay out.
+// ownRolloutOrder is the JSON form of an order in the layout of OwnRollouts.
 type ownRolloutOrder struct {
 	Target string `json:"target"`
-	Period string `json:"period"` // as time.Duration prints itself
+	Period string `json:"period"` // in the format of time.Duration.String
 }
 
 // OwnRollouts implements RolloutSchema for OwnSchema.
@@ -156,12 +156,12 @@
 	return routing.RolloutOrder{Service: service, Target: m.Target, Period: period}, errors.Wrap(err, "roll-out: period")
 }
 
-// EncodeRolloutOrder writes what DecodeRolloutOrder reads.
+// EncodeRolloutOrder encodes an order in the form that DecodeRolloutOrder reads.
 func EncodeRolloutOrder(o routing.RolloutOrder) ([]byte, error) {
 	return json.Marshal(ownRolloutOrder{Target: o.Target, Period: o.Period.String()})
 }
 
-// OwnRolloutOrderKey is the key of the order of a service's roll-out.
+// OwnRolloutOrderKey returns the key of the order of a service's roll-out.
 func OwnRolloutOrderKey(service string) string { return ownOrderPrefix + service }
 
 // RolloutStatusService implements RolloutSchema.
@@ -186,8 +186,8 @@
 	return json.Marshal(s.Record())
 }
 
-// WriteRolloutStatus writes the status of a service's roll-out over the one of a revision.
-// store.ErrConflict means that another was written meanwhile.
+// WriteRolloutStatus replaces the status of a service's roll-out at oldRevision. It returns
+// store.ErrConflict if another status was written meanwhile.
 func (m *Manager) WriteRolloutStatus(ctx context.Context, service string, s routing.RolloutStatus, oldRevision int64) error {
 	raw, err := m.opts.Schema.EncodeRolloutStatus(s)
 	if err != nil {
--- a/control/feed/schema.go
+++ b/control/feed/schema.go
@@ -11,15 +11,16 @@
 	"mallowwind.dev/control/routing"
 )
 
-// Keys of OwnSchema, under OwnPrefix like those by which entry VMs register.
+// Keys of OwnSchema. They share OwnPrefix with the keys under which entry VMs register.
 const (
 	OwnPrefix       = "mallowwind/"
 	OwnConfigKey    = OwnPrefix + "config"
 	OwnServerPrefix = OwnPrefix + "server/"
 )
 
-// OwnSchema is the layout of a store that is ours to lay out: the configuration
-// as routing.Decode reads it, and each backend server as routing.Server in JSON.
+// OwnSchema is the layout that this project defines for stores whose layout is not prescribed: the
+// configuration in the form that routing.Decode reads, and each backend server as routing.Server in
+// JSON.
 type OwnSchema struct{ OwnRollouts }
 
 // ConfigKey implements Schema.
@@ -38,10 +39,10 @@
 		return s, errors.Wrap(err, "server")
 	}
 	if s.Service == "" || s.Address == "" {
-		return s, errors.New("server: no service or address")
+		return s, errors.New("server: service or address is missing")
 	}
 	if id == "" || s.Born < 0 || s.Slots < 0 {
-		return s, errors.Errorf("server: id %q, born %d, %d slots", id, s.Born, s.Slots)
+		return s, errors.Errorf("server: invalid id %q, born %d or slots %d", id, s.Born, s.Slots)
 	}
 	if err := checkAddress(s.Address); err != nil {
 		return s, errors.Wrap(err, "server")
@@ -50,33 +51,33 @@
 	return s, nil
 }
 
-// decodeVM reads the entry of an entry VM. Its address is told to callers, so one that is
-// none would send them nowhere.
+// decodeVM decodes the entry of an entry VM. It rejects invalid addresses because callers are sent
+// to the address.
 func decodeVM(id string, raw []byte) (routing.VM, error) {
 	var vm routing.VM
 	if err := json.Unmarshal(raw, &vm); err != nil {
 		return vm, errors.Wrap(err, "entry VM")
 	}
 	if id == "" || vm.ID != id {
-		return vm, errors.Errorf("entry VM: id %q under the key of %q", vm.ID, id)
+		return vm, errors.Errorf("entry VM: id %q does not match the key of VM %q", vm.ID, id)
 	}
 	if err := checkAddress(vm.Address); err != nil {
 		return vm, errors.Wrap(err, "entry VM")
 	}
 	if vm.Peer == "" {
-		return vm, nil // it answers no other daemon
+		return vm, nil // it serves no peers
 	}
 	return vm, errors.Wrap(checkAddress(vm.Peer), "entry VM: peer")
 }
 
-// checkAddress returns an error for what is no host with a port.
+// checkAddress returns an error unless address is a host with a port.
 func checkAddress(address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return err
 	}
 	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 || host == "" {
-		return errors.Errorf("%q is no address with a port", address)
+		return errors.Errorf("%q is not a host:port address", address)
 	}
 	return nil
 }
--- a/control/feed/snapshot.go
+++ b/control/feed/snapshot.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// maxSnapshotHold bounds how long a question of another daemon is held.
+	// maxSnapshotHold bounds how long the request of a peer is held.
 	maxSnapshotHold = time.Second
-	// minAgeGain is how much later a configuration must have been confirmed to be worth
-	// telling by itself.
+	// minAgeGain is how much more recent the confirmation of the configuration must be to be worth
+	// an answer without other changes.
 	minAgeGain = 200 * time.Millisecond
 )
 
-// Handler returns the twirp service that other daemons call, and its path prefix.
+// Handler returns the twirp service that peers call, and its path prefix.
 func (m *Manager) Handler() (prefix string, h http.Handler) {
 	s := peerpb.NewFeedServer(feedService{m})
 	return s.PathPrefix(), s
@@ -25,8 +25,8 @@
 // feedService implements peerpb.Feed.
 type feedService struct{ m *Manager }
 
-// Snapshot returns what this daemon believes, with its age. It waits as long as the
-// caller asks while it knows nothing newer.
+// Snapshot returns the state held by this daemon, with its age. While this daemon has nothing newer
+// than the caller, Snapshot waits for the time that the caller asks for.
 func (s feedService) Snapshot(ctx context.Context, q *peerpb.SnapshotRequest) (*peerpb.SnapshotReply, error) {
 	s.m.awaitUpdate(ctx, q)
 	s.m.mu.Lock()
@@ -35,7 +35,7 @@
 	if !known {
 		return &peerpb.SnapshotReply{}, nil
 	}
-	// The age is rounded up: it must never be told younger than it is.
+	// The age is rounded up because it must never be reported as less than it is.
 	reply := &peerpb.SnapshotReply{
 		Revision: s.m.revision.Load(), AgeMs: age.Milliseconds() + 1, Lost: s.m.hasLostStore(),
 	}
@@ -53,12 +53,11 @@
 	return reply, nil
 }
 
-// hasLostStore reports whether this daemon should hear of changes from the store itself and
-// does not.
+// hasLostStore reports whether this daemon should watch the store but its last call failed.
 func (m *Manager) hasLostStore() bool { return m.shouldWatch() && !m.storeReachable.Load() }
 
-// awaitUpdate returns once this daemon can tell more than the caller of q knows, or has lost
-// the store, and after the time that q asks for.
+// awaitUpdate waits until this daemon has newer state than the caller of q, has lost the store, or
+// the time that q asks for has passed.
 func (m *Manager) awaitUpdate(ctx context.Context, q *peerpb.SnapshotRequest) {
 	hold := min(time.Duration(q.GetWaitMs())*time.Millisecond, maxSnapshotHold)
 	if hold <= 0 {
--- a/control/feed/table.go
+++ b/control/feed/table.go
@@ -11,47 +11,48 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// vmPrefix begins the keys under which entry VMs register themselves.
+// vmPrefix begins the keys under which entry VMs register.
 const vmPrefix = "mallowwind/vm/"
 
-// table is the mutable state behind the views. It is used by one goroutine.
+// table is the mutable state from which views are built. It is not safe for concurrent use;
+// Manager.mu guards it.
 type table struct {
 	schema  Schema
-	entries *entries // as the store holds them
+	entries *entries // raw entries as read from the store
 	log     *event.Log
 	config  *routing.Config
 	servers map[string]routing.Server
-	// incarnations is the latest life known of each server, of one that is gone as long as
-	// departed remembers it.
+	// incarnations holds the start of each server's latest known incarnation. It keeps that of a
+	// server that is gone for as long as departed holds the server.
 	incarnations map[string]int64
-	// rejections holds why the entry of a key is not used, by key.
+	// rejections holds the reason why an entry is not used, by key.
 	rejections    map[string]string
 	rejectedTotal prometheus.Counter
-	// firstRevisions is the store's revision of the first entry seen here of each server's
-	// present life.
+	// firstRevisions holds, for each server, the store revision of the first entry seen of its
+	// current incarnation.
 	firstRevisions map[string]int64
 	vms            map[string]routing.VM
-	// refusedRequests are the refused requests, by key.
+	// refusedRequests holds the refused requests by store key.
 	refusedRequests map[string]RefusedRequest
-	// rollouts are those of which something lies in the store, by service.
+	// rollouts holds the orders and statuses of roll-outs, by service.
 	rollouts map[string]Rollout
-	// serverGraceEnds holds when servers cease to be usable whose entries vanished
-	// around an outage.
+	// serverGraceEnds holds the end of the grace period of each server whose entry vanished around
+	// an outage. The server stays usable until then.
 	serverGraceEnds map[string]time.Duration
-	// vmGraceEnds holds when entry VMs cease to count whose entries vanished
-	// around an outage.
+	// vmGraceEnds holds the end of the grace period of each entry VM whose entry vanished around an
+	// outage, by store key. The VM counts as registered until then.
 	vmGraceEnds map[string]time.Duration
-	// departed holds when each server was first known to leave or be gone.
+	// departed holds the time at which each server was first known to be leaving or gone.
 	departed map[string]time.Duration
-	// lastAnsweredAt is when the store last answered; doubtUntil is until when a
-	// removal may come from a lease that ran out during an outage.
+	// lastAnsweredAt is the time of the store's last answer. Until recoveryUntil, a removal may be
+	// due to a lease that expired during an outage.
 	lastAnsweredAt, recoveryUntil time.Duration
 	dirty                         bool
-	// changeCount counts what became of the configuration and the servers; it does not
-	// count an entry that was written anew as it was.
+	// changeCount counts the changes of the configuration, the servers and the roll-outs. An entry
+	// that is rewritten with the same value does not count for the configuration and the servers.
 	changeCount int
-	// initialized says that everything in the store was taken in once; reading, that it is
-	// being taken in for the first time.
+	// initialized is set once the whole store has been read; initializing is set during that first
+	// read.
 	initialized, initializing bool
 }
 
@@ -74,9 +75,9 @@
 	}
 }
 
-// replaceAll takes in everything that the store holds at a revision. The first time the
-// log has one line for all servers: at a large site a line for each, at each start of a
-// daemon, fills the log with what nobody looks for.
+// replaceAll replaces the state by everything that the store holds at a revision. The first read
+// logs one line for all servers. At a large site, a line for each server at each start of a daemon
+// fills the log with entries that nobody looks for.
 func (t *table) replaceAll(now time.Duration, revision int64, items []store.KV) {
 	t.initializing = !t.initialized
 	present := make(map[string]bool, len(items))
@@ -96,7 +97,7 @@
 	t.initialized, t.initializing = true, false
 }
 
-// logInitialRead writes how many servers are known.
+// logInitialRead logs the number of known servers.
 func (t *table) logInitialRead(revision int64) {
 	services, leaving := map[string]int{}, 0
 	for _, s := range t.servers {
@@ -108,7 +109,7 @@
 	t.log.Emit(event.StoreRead, services, leaving, revision)
 }
 
-// applyEvents takes in what was written and removed since the revision before.
+// applyEvents applies the writes and removals of a batch of changes.
 func (t *table) applyEvents(now time.Duration, events []store.Event) {
 	for _, e := range events {
 		if e.Kind == store.Deleted {
@@ -139,7 +140,8 @@
 	}
 }
 
-// putConfig never goes back: an answer that was delayed must not undo a newer one.
+// putConfig ignores a version that is not newer than the one in force, so that a delayed answer
+// does not undo a newer configuration.
 func (t *table) putConfig(raw []byte) {
 	c, err := t.schema.DecodeConfig(raw)
 	if err != nil {
@@ -156,8 +158,8 @@
 	t.log.Emit(event.RoutingInForce, c.Version)
 }
 
-// reject records that the entry of a key cannot be used, once for each reason: a server
-// writes its entry anew with each heartbeat.
+// reject records that the entry of a key cannot be used. It logs each reason only once because a
+// server rewrites its entry with each heartbeat.
 func (t *table) reject(key string, err error) {
 	if t.rejections[key] == err.Error() {
 		return
@@ -167,12 +169,13 @@
 	t.log.Emit(event.EntryRefused, key, err)
 }
 
-// putServer takes in the entry of a server. One that cannot be used names no server, also
-// where the entry before it did: nobody knows any more whether that one leaves.
+// putServer stores the entry of a server. An invalid entry drops the server, even if the previous
+// entry was valid, because it is unknown whether the server is leaving.
 //
-// The failure that the order of lives guards against: a server restarts under its id, and
-// a write of the life before arrives after the first of the new one. It would mark the
-// new life as leaving, or take it for the old one with its runs and copies.
+// Entries of earlier incarnations are ignored. When a server restarts under its id, a write of the
+// previous incarnation may arrive after the first one of the new incarnation. Without the check, it
+// would mark the new incarnation as leaving, or the new one would be taken for the old one, with
+// its runs and copies of the KV cache.
 func (t *table) putServer(id string, kv store.KV) {
 	s, err := t.schema.DecodeServer(id, kv.Value)
 	if err != nil {
--- a/control/feed/view.go
+++ b/control/feed/view.go
@@ -9,8 +9,8 @@
 	"mallowwind.dev/control/routing"
 )
 
-// view returns what may be used of the table: servers of services that the configuration
-// names, one at each address, and the entry VMs.
+// view builds a View of the usable state: the servers of configured services, one at each address,
+// the entry VMs, the refused requests and the roll-outs.
 func (t *table) view() *View {
 	v := &View{Config: t.config, Servers: map[string][]routing.Server{}}
 	v.departed = maps.Clone(t.departed)
@@ -39,15 +39,16 @@
 	return v
 }
 
-// isConfigured reports whether the configuration knows a service; before the first all are.
+// isConfigured reports whether the configuration contains a service. Before the first
+// configuration, every service counts as configured.
 func (t *table) isConfigured(service string) bool {
 	return t.config == nil || t.config.Service(service) != nil
 }
 
-// serversByAddress returns the newest server at each address. The entry of one that
-// crashed stays for seconds after its successor wrote its own; what is sent
-// there by the old entry is turned away. An entry of a service that nobody has
-// configured takes no address from a server that is in use.
+// serversByAddress returns the id of the newest server at each address. The entry of a crashed
+// server remains for seconds after its successor wrote its own, and the successor rejects requests
+// that are sent by the old entry. Servers of services that are not configured are skipped, so that
+// they take no address from a server in use.
 func (t *table) serversByAddress() map[string]string {
 	byAddress := make(map[string]string, len(t.servers))
 	for id, s := range t.servers {
