--- a/control/feed/calls_test.go
+++ b/control/feed/calls_test.go
@@ -24,12 +24,12 @@
 const (
 	// pageItems is how many items the platform's store lists in one call.
 	pageItems = 500
-	// cheapCallCost is the price of a renewal that succeeds and of a page that may be old, in
-	// calls.
+	// cheapCallCost is the price, in calls, of a successful renewal and of a page that may be
+	// stale.
 	cheapCallCost = 0.1
 )
 
-// costMeter adds up what calls cost by why they are made, refused ones too.
+// costMeter adds up the cost of calls by purpose, including refused calls.
 type costMeter struct {
 	mu   sync.Mutex
 	cost map[store.Purpose]float64
@@ -64,15 +64,16 @@
 	return result
 }
 
-// meteredStore is a daemon's way to the store, on which each call is charged while it lives.
+// meteredStore is one daemon's access to the store. It charges each call while the daemon's process
+// runs.
 type meteredStore struct {
 	store.Store
-	process context.Context
-	meter   *costMeter
+	processCtx context.Context
+	meter      *costMeter
 }
 
 func (s meteredStore) charge(ctx context.Context, cost float64) {
-	if s.process.Err() == nil {
+	if s.processCtx.Err() == nil {
 		s.meter.charge(ctx, cost)
 	}
 }
@@ -114,7 +115,7 @@
 func (s meteredStore) KeepAlive(ctx context.Context, id store.LeaseID) (time.Duration, error) {
 	left, err := s.Store.KeepAlive(ctx, id)
 	cost := cheapCallCost
-	if errors.Is(err, store.ErrUnavailable) { // refused: the platform takes a whole call
+	if errors.Is(err, store.ErrUnavailable) { // the platform charges a refused renewal as a whole call
 		cost = 1
 	}
 	s.charge(ctx, cost)
@@ -139,7 +140,7 @@
 	return w.Watcher.Next(ctx)
 }
 
-// restartableFleet is a fleet whose daemons register themselves, are killed and start again.
+// restartableFleet is a fleet whose daemons register themselves, are killed and restart.
 type restartableFleet struct {
 	*fleet
 	meter  *costMeter
@@ -183,8 +184,8 @@
 	vm := routing.VM{ID: id, Zone: fmt.Sprintf("z%d", n%c.zones), Address: id + ":2", Peer: id + ":1"}
 	faulty := store.NewFaulty(c.store)
 	faulty.SetDelay(4 * time.Millisecond)
-	process, cancel := context.WithCancel(c.ctx)
-	metered := meteredStore{storesim.Confirming{Store: faulty, Hold: time.Second}, process, c.meter}
+	processCtx, cancel := context.WithCancel(c.ctx)
+	metered := meteredStore{storesim.Confirming{Store: faulty, Hold: time.Second}, processCtx, c.meter}
 	feed := New(Options{
 		Store: metered, Schema: textSchema{}, Log: event.Discard(), Clock: c.clock,
 		Self: id, Seeds: []string{"0:1", "1:1", "2:1"}, Dialer: link.NewDialerWith(c.client()),
@@ -193,22 +194,22 @@
 	c.faultyStores[n], c.feeds[n], c.cancel[n] = faulty, feed, cancel
 	c.mu.Unlock()
 	c.notRunning.Delete(n)
-	c.wg.Go(func() { feed.Run(process) })
+	c.wg.Go(func() { feed.Run(processCtx) })
 	c.wg.Go(func() {
 		r := Registrar{Store: metered, VM: vm, Log: event.Discard(), Feed: feed}
-		r.Run(process)
+		r.Run(processCtx)
 	})
 }
 
-// killProcess kills daemon n: nothing that it still sends reaches the store, nor is it charged.
+// killProcess kills daemon n. Calls that it still sends neither reach the store nor are charged.
 func (c *restartableFleet) killProcess(n int) {
 	c.notRunning.Store(n, true)
 	c.faultyStores[n].SetDown(true)
 	c.cancel[n]()
 }
 
-// countCurrent counts the daemons that have a configuration confirmed lately, all VMs and the
-// newest version.
+// countCurrent counts the daemons that have a recent confirmation, the given version of the
+// configuration, and all VMs.
 func (c *restartableFleet) countCurrent(version int64) (n int) {
 	for i, m := range c.feeds {
 		if m.isFresh() && c.version(i) == version && len(m.View().VMs) == len(c.feeds) {
@@ -218,8 +219,8 @@
 	return n
 }
 
-// changeServers writes and removes the servers of one zone after the other, as zones that fail
-// and return do, for a time.
+// changeServers changes the servers of one zone after the other for a time, as zones that fail and
+// return do.
 func (c *restartableFleet) changeServers(during time.Duration) {
 	const servers, every = 20, time.Second
 	for round := 0; during > 0; round, during = round+1, during-every {
@@ -230,22 +231,22 @@
 	}
 }
 
-// A fleet of hundreds of daemons costs its operators a multiple of what the store costs
-// a small one, and a burst of calls meets the store whenever all start. Order: all start,
-// the first configuration is written, servers come and go for half a minute, the store refuses a third of the daemons for
-// nine seconds, all lose power and start again. Cause: each daemon reads and registers
-// with calls of the full price, watches the store until it knows that others do, and
-// watches it by itself for seconds once one that watches for it is lost.
+// A fleet of hundreds of daemons must not cost its operators a multiple of what a small one costs,
+// nor call the store in a burst when all daemons start. Here all start, the first configuration is
+// written, servers change for half a minute while the store refuses a third of the daemons for nine
+// seconds, then all daemons lose power and restart. The cost is too high if each daemon reads and
+// registers with calls of the full price, watches the store until it knows that others do, and
+// watches it itself for seconds after the loss of a source.
 //
-// The bound on the calls is the operators': as many as a fleet of 87 made before.
-func TestCallsOfADayOfHundredsOfDaemons(t *testing.T) {
+// The operators set the bound: the number of calls that a fleet of 87 made before.
+func TestStoreCallsOfLargeFleet(t *testing.T) {
 	const size, maxCalls = 295, 4000
 	inRestartableFleet(t, size, 5, func(c *restartableFleet) {
 		time.Sleep(4 * time.Second)
-		c.put("config", "v") // the operators write the first when the fleet stands
+		c.put("config", "v") // the operators write the first configuration once the fleet runs
 		time.Sleep(10 * time.Second)
 		must.Eq(t, size, c.countCurrent(1))
-		t.Logf("after the start: %s", c.meter)
+		t.Logf("calls until all daemons have started: %s", c.meter)
 		c.changeServers(3 * time.Second)
 		for n := 0; n < size; n += 3 {
 			c.faultyStores[n].SetDown(true)
@@ -255,7 +256,7 @@
 			c.faultyStores[n].SetDown(false)
 		}
 		c.changeServers(22 * time.Second)
-		t.Logf("before all are killed: %s", c.meter)
+		t.Logf("calls until all daemons are killed: %s", c.meter)
 		for n := range c.feeds {
 			c.killProcess(n)
 		}
@@ -263,27 +264,27 @@
 		c.startAll()
 		time.Sleep(3 * time.Second)
 		must.Eq(t, size, c.countCurrent(1))
-		t.Logf("after all started again: %s", c.meter)
+		t.Logf("calls until all daemons have restarted: %s", c.meter)
 		time.Sleep(27 * time.Second)
-		t.Logf("in all %.0f: %s", c.meter.total(), c.meter)
+		t.Logf("%.0f calls in total: %s", c.meter.total(), c.meter)
 		must.LessEq(t, maxCalls, c.meter.total())
 	})
 }
 
-// In a fleet of hundreds most daemons hear of a change by way of two others. Those are
-// lost, cut off or killed, and a moment later the operator takes a route away: callers at
-// the daemons that are left must see that within two seconds, whoever was lost.
-func TestChangeWhileWhoeverTellsIsLost(t *testing.T) {
+// In a fleet of hundreds most daemons receive a change by way of two others. Those are partitioned,
+// killed or refused by the store, and a moment later the operator removes a route. Callers of the
+// remaining daemons must see that within two seconds, whichever daemons were lost.
+func TestChangeArrivesWhileSourcesAreLost(t *testing.T) {
 	const size, zones, within = 130, 3, 2 * time.Second
 	groups := map[string]func(plan *watching.Plan) []string{
-		"all that watch": func(plan *watching.Plan) []string { return plan.Watchers() },
-		"all that pass on": func(plan *watching.Plan) (ids []string) {
+		"watching daemons": func(plan *watching.Plan) []string { return plan.Watchers() },
+		"relays": func(plan *watching.Plan) (ids []string) {
 			for n := range zones {
 				ids = append(ids, plan.Relays(fmt.Sprintf("z%d", n))...)
 			}
 			return ids
 		},
-		"two thirds of all": func(*watching.Plan) (ids []string) {
+		"two thirds of the fleet": func(*watching.Plan) (ids []string) {
 			for n := range size {
 				if n%3 != 0 {
 					ids = append(ids, strconv.Itoa(n))
@@ -293,9 +294,9 @@
 		},
 	}
 	failures := map[string]func(c *restartableFleet, n int){
-		"cut off": func(c *restartableFleet, n int) { c.unresponsive.Store(n, true) },
-		"killed":  func(c *restartableFleet, n int) { c.killProcess(n) },
-		"refused": func(c *restartableFleet, n int) { c.faultyStores[n].SetDown(true) },
+		"partitioned":          func(c *restartableFleet, n int) { c.unresponsive.Store(n, true) },
+		"killed":               func(c *restartableFleet, n int) { c.killProcess(n) },
+		"refused by the store": func(c *restartableFleet, n int) { c.faultyStores[n].SetDown(true) },
 	}
 	for name, ids := range groups {
 		for failure, fail := range failures {
@@ -325,11 +326,11 @@
 	}
 }
 
-// The store refuses every daemon of a large fleet for half a minute, and is charged for by
-// the call, refused ones too. Each daemon on its own would try to renew its lease and to
-// read every two seconds. A few find the return of the store; then all are registered again
-// within three seconds, and know the newest configuration within two.
-func TestCallsOfALongOutage(t *testing.T) {
+// The store refuses every daemon of a large fleet for half a minute and charges for each call,
+// including refused ones. Each daemon on its own would try to renew its lease and to read every two
+// seconds. Instead, a few daemons detect the return of the store. After it, all daemons have the
+// newest configuration within two seconds and are registered again within three.
+func TestStoreCallsDuringLongOutage(t *testing.T) {
 	const size, outage = 295, 30 * time.Second
 	inRestartableFleet(t, size, 5, func(c *restartableFleet) {
 		c.put("config", "v")
@@ -337,11 +338,11 @@
 		for _, faulty := range c.faultyStores {
 			faulty.SetDown(true)
 		}
-		time.Sleep(6 * time.Second) // until all know that it is out of reach for all
+		time.Sleep(6 * time.Second) // until all daemons know that no daemon reaches the store
 		before := c.meter.total()
 		time.Sleep(outage - 6*time.Second)
 		calls := c.meter.total() - before
-		t.Logf("%.0f calls in %s of the outage", calls, outage-6*time.Second)
+		t.Logf("%.0f calls within %s of the outage", calls, outage-6*time.Second)
 		must.Less(t, 25*(outage-6*time.Second).Seconds(), calls)
 		for _, faulty := range c.faultyStores {
 			faulty.SetDown(false)
--- a/control/feed/fleet_test.go
+++ b/control/feed/fleet_test.go
@@ -22,7 +22,7 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// fleet is a few feeds before one store, each with its own way to it, in
+// fleet is a number of Managers that share one store, each through its own faulty access to it, in
 // virtual time.
 type fleet struct {
 	t            *testing.T
@@ -30,10 +30,10 @@
 	store        *store.Memory
 	faultyStores []*store.Faulty
 	feeds        []*Manager
-	unresponsive sync.Map        // of daemons that answer no other, by number
-	notRunning   sync.Map        // of daemons that are not running, by number
-	mu           sync.Mutex      // guards ways and feeds where daemons start again
-	ctx          context.Context // of the daemons
+	unresponsive sync.Map        // numbers of the daemons that answer no peer
+	notRunning   sync.Map        // numbers of the daemons whose process is not running
+	mu           sync.Mutex      // guards faultyStores and feeds in tests that restart daemons
+	ctx          context.Context // context of the daemons
 	wg           sync.WaitGroup
 }
 
@@ -78,17 +78,17 @@
 	})
 }
 
-// clock is the daemons' clock, which reads an hour at the start.
+// clock is the daemons' clock, which reads one hour at the start.
 func (f *fleet) clock() time.Duration { return time.Since(f.startedAt) + time.Hour }
 
-// client is what daemons call each other with.
+// client returns the client with which daemons call each other.
 func (f *fleet) client() *http.Client { return &http.Client{Transport: f} }
 
 func (f *fleet) start(n int) {
 	f.wg.Go(func() { f.feeds[n].Run(f.ctx) })
 }
 
-// startRegistered starts all daemons, with their entries in the store.
+// startRegistered starts all daemons, with their entries already in the store.
 func (f *fleet) startRegistered() {
 	for n := range f.feeds {
 		id := strconv.Itoa(n)
@@ -97,7 +97,7 @@
 	}
 }
 
-// recordLog has daemon n, which is not started yet, write a log that is read back.
+// recordLog makes daemon n, which must not be started yet, log to a buffer that the test reads.
 func (f *fleet) recordLog(n int) *logRecorder {
 	out, log := newRecordedLog()
 	f.feeds[n].opts.Log, f.feeds[n].table.log = log, log
@@ -114,7 +114,7 @@
 	must.NoError(f.t, err)
 }
 
-// version is the configuration in force at daemon n, 0 if none.
+// version returns the version of the configuration in force at daemon n; 0 if there is none.
 func (f *fleet) version(n int) int64 {
 	if c := f.feeds[n].View().Config; c != nil {
 		return c.Version
@@ -122,10 +122,10 @@
 	return 0
 }
 
-// The store refuses one daemon and serves another. A key is taken away. The
-// refused daemon must neither go on with the old configuration as if it were
-// confirmed, nor turn its callers away: it learns from its neighbour.
-func TestRefusedDaemonLearnsFromItsNeighbour(t *testing.T) {
+// The store refuses one daemon and serves another, and an account key is removed. The refused
+// daemon must neither treat the old configuration as confirmed nor reject its callers: it gets the
+// new one from its peer.
+func TestDaemonRefusedByStoreGetsChangesFromPeer(t *testing.T) {
 	inFleet(t, 2, func(f *fleet) {
 		f.start(0)
 		f.start(1)
@@ -147,10 +147,10 @@
 	})
 }
 
-// A server leaves while a daemon is cut off, and the neighbour that the daemon hears from
-// first has started since: it never knew of the server, so it cannot name it among what was
-// removed. The daemon must not go on sending requests there.
-func TestRemovalBeforeTheNeighbourStarted(t *testing.T) {
+// A server leaves while a daemon is partitioned, and the first peer that the daemon reaches again
+// started after that. The peer never knew of the server and cannot list it among the removed keys.
+// The daemon must not go on sending requests to the server.
+func TestRemovalBeforePeerStarted(t *testing.T) {
 	inFleet(t, 2, func(f *fleet) {
 		f.put("server/1", "a:1")
 		f.put("server/2", "b:1")
@@ -171,8 +171,8 @@
 	})
 }
 
-// A daemon starts while the store refuses it and knows nobody but the seeds.
-func TestDaemonThatStartsWithoutTheStore(t *testing.T) {
+// A daemon starts while the store refuses it, and knows only the seeds.
+func TestDaemonStartsWithoutStore(t *testing.T) {
 	inFleet(t, 2, func(f *fleet) {
 		f.start(0)
 		time.Sleep(time.Second)
@@ -183,10 +183,9 @@
 	})
 }
 
-// The store is down for everybody. Daemons ask each other, and what they hear
-// is as old as what they know: the age must grow, or keys that were taken away
-// meanwhile would be trusted for ever.
-func TestAgeGrowsWhenNobodyReachesTheStore(t *testing.T) {
+// The store is down for all daemons. They poll each other, but no peer has a newer confirmation.
+// The age must grow; otherwise keys that were removed meanwhile would be trusted for ever.
+func TestConfigAgeGrowsDuringOutage(t *testing.T) {
 	inFleet(t, 3, func(f *fleet) {
 		for n := range f.feeds {
 			f.start(n)
@@ -210,11 +209,11 @@
 	})
 }
 
-// A daemon was cut off from the store and is back. Then a server leaves by
-// removing its entry, which may also be a lease that ran out meanwhile, so it
-// stays in use for a moment. A change elsewhere keeps the watch busy; the server
-// must be out of use in time all the same.
-func TestDoubtEndsInTime(t *testing.T) {
+// A daemon reaches the store again after an outage. Then a server leaves by removing its entry. The
+// removal may also be due to a lease that expired during the outage, so the server stays usable for
+// the grace period. It must be dropped at the end of that period even while other changes keep the
+// watch busy.
+func TestGracePeriodEndsInTime(t *testing.T) {
 	inFleet(t, 1, func(f *fleet) {
 		f.start(0)
 		f.put("server/1", "a:1")
@@ -223,7 +222,7 @@
 		time.Sleep(3 * time.Second)
 		f.faultyStores[0].SetDown(false)
 		time.Sleep(1500 * time.Millisecond)
-		f.put("server/2", "b:1") // the next question is sent a batch later
+		f.put("server/2", "b:1") // the next watch request is sent after the batch pause
 		time.Sleep(batchPause + time.Millisecond)
 		kv, err := f.store.Get(f.t.Context(), "server/1")
 		must.NoError(t, err)
@@ -237,10 +236,9 @@
 	})
 }
 
-// Forty daemons stand before the store, which counts each call. A few watch it
-// and the others ask those; a change is in force everywhere within a second, and
-// a removal too. Then all that watch are lost: the others must notice by
-// themselves, well before they cease to trust keys.
+// The store charges each call of forty daemons. A few daemons watch it and the others poll those; a
+// write or a removal is in force everywhere within a second. Then the store refuses all daemons
+// that watch it: the others must notice that themselves, well before they cease to trust keys.
 func TestLargeFleetSharesFewWatches(t *testing.T) {
 	const size = 40
 	inFleet(t, size, func(f *fleet) {
@@ -266,7 +264,7 @@
 			must.Eq(t, "2", m.View().Servers["s"][0].ID)
 		}
 		time.Sleep(9 * time.Second)
-		must.LessEq(t, watching.Everyone, int(calls()-before)) // no watch was opened anew
+		must.LessEq(t, watching.Everyone, int(calls()-before)) // no watch was reopened
 		for _, id := range f.feeds[0].View().watchPlan.Watchers() {
 			n, err := strconv.Atoi(id)
 			must.NoError(t, err)
@@ -283,18 +281,18 @@
 	})
 }
 
-// The few daemons that watch the store for the others are lost to them: they are cut off,
-// or the store refuses them alone. The operator takes a route away or adds one, and callers
-// at the others must see that within two seconds: nobody must go on asking daemons that
-// cannot know, until the configuration is old enough to be doubted.
-func TestChangeWhileThoseThatWatchAreLost(t *testing.T) {
+// The few daemons that watch the store for the others are lost: they are partitioned, or the store
+// refuses just them. The operator changes the routes, and callers of the other daemons must see
+// that within two seconds. The failure is a daemon that goes on polling the lost ones until its
+// configuration counts as stale.
+func TestChangeArrivesWhileWatchingDaemonsAreLost(t *testing.T) {
 	const size = 40
 	cases := map[string]struct {
 		lose   func(f *fleet, n int)
 		within time.Duration
 	}{
-		"cut off": {func(f *fleet, n int) { f.unresponsive.Store(n, true) }, 1500 * time.Millisecond},
-		"refused": {func(f *fleet, n int) { f.faultyStores[n].SetDown(true) }, 1500 * time.Millisecond},
+		"partitioned":          {func(f *fleet, n int) { f.unresponsive.Store(n, true) }, 1500 * time.Millisecond},
+		"refused by the store": {func(f *fleet, n int) { f.faultyStores[n].SetDown(true) }, 1500 * time.Millisecond},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -321,10 +319,11 @@
 	}
 }
 
-// Hundreds of daemons are told of each change by the few that watch the store. Told
-// from anywhere, two thirds of it passes between zones, which is paid for, and eight
-// that watch fill their links: a change is late. Each zone has its own that watch.
-func TestDaemonsAskWithinTheirZone(t *testing.T) {
+// The few daemons that watch the store pass each change on to hundreds of others. If daemons polled
+// any of them, two thirds of that traffic would cross zones, which is charged for, and eight
+// watching daemons would fill their links and deliver changes late. Therefore daemons poll relays
+// in their own zone.
+func TestDaemonsPollWithinTheirZone(t *testing.T) {
 	const size = 300
 	view := &View{Config: &routing.Config{}}
 	zone := map[string]string{}
@@ -343,7 +342,7 @@
 			m.sourceTurn.Store(uint64(turn))
 			near, _ := m.sources()
 			if len(near) == 0 {
-				must.True(t, m.shouldWatch()) // it asks nobody
+				must.True(t, m.shouldWatch()) // it polls no daemon in its zone
 				continue
 			}
 			must.Eq(t, vm.Zone, zone[near[0]])
@@ -356,11 +355,11 @@
 	}
 }
 
-// The store is down for every daemon of a large fleet. If all of them try it again
-// four times a second, they make hundreds of calls a second, each of which is paid
-// for, and meet it together when it returns. Few try; after its return all know
-// the newest within two seconds.
-func TestLargeFleetWaitsForTheStore(t *testing.T) {
+// The store is down for every daemon of a large fleet. If all of them retry four times a second,
+// they make hundreds of calls a second, each of which is charged for, and call the store at once
+// when it returns. Only a few may retry, and after the return all daemons must have the newest
+// configuration within two seconds.
+func TestLargeFleetBacksOffDuringOutage(t *testing.T) {
 	const size, outage = 40, 8 * time.Second
 	inFleet(t, size, func(f *fleet) {
 		f.startRegistered()
@@ -374,10 +373,10 @@
 		for _, faulty := range f.faultyStores {
 			faulty.SetDown(true)
 		}
-		time.Sleep(4 * time.Second) // until all know that it is down for all
+		time.Sleep(4 * time.Second) // until all daemons know that it is down for all
 		before := calls()
 		time.Sleep(outage - 4*time.Second)
-		must.Less(t, 250, int(calls()-before)) // 625 if all ask four times a second
+		must.Less(t, 250, int(calls()-before)) // 625 if all daemons retry four times a second
 		for _, faulty := range f.faultyStores {
 			faulty.SetDown(false)
 		}
@@ -389,9 +388,9 @@
 	})
 }
 
-// A watch answers late with changes that another daemon has long told. The view
-// must not go back to them.
-func TestLateAnswerUndoesNothing(t *testing.T) {
+// A watch delivers changes late, after a peer has already passed on newer ones. The view must not
+// go back to the older ones.
+func TestLateWatchAnswerIsIgnored(t *testing.T) {
 	inFleet(t, 1, func(f *fleet) {
 		m := f.feeds[0]
 		m.apply(time.Hour, 9, func() { m.table.applyEvents(0, []store.Event{putEvent("server/1", "leaving a:1", 9)}) })
@@ -400,8 +399,8 @@
 	})
 }
 
-// The registration is written again when its lease has run out in an outage.
-func TestRegistrationReturns(t *testing.T) {
+// The entry is written again after its lease expired during an outage.
+func TestRegistrationIsRestoredAfterOutage(t *testing.T) {
 	inFleet(t, 1, func(f *fleet) {
 		f.start(0)
 		r := &Registrar{Store: f.faultyStores[0], VM: routing.VM{ID: "vm-7", Address: "x:2", Peer: "x:1"}, Log: event.Discard()}
@@ -427,8 +426,9 @@
 	})
 }
 
-// A neighbour that read the configuration alone must not confirm an older one to who asks it.
-func TestNeighbourThatKnowsTheConfigurationAloneConfirmsNoOlderOne(t *testing.T) {
+// A peer that has read the new configuration on its own, but nothing else of that revision, must
+// not confirm an older configuration to the daemon that polls it.
+func TestPeerWithNewerConfigDoesNotConfirmOlderOne(t *testing.T) {
 	inFleet(t, 2, func(f *fleet) {
 		f.startRegistered()
 		time.Sleep(3 * time.Second)
--- a/control/feed/log_test.go
+++ b/control/feed/log_test.go
@@ -17,7 +17,7 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// logRecorder is a log that is read back.
+// logRecorder is a log output that the test reads.
 type logRecorder struct {
 	mu  sync.Mutex
 	out bytes.Buffer
@@ -37,7 +37,7 @@
 	return l, event.New(logger, "vm-1", "a")
 }
 
-// takeEvents returns the lines of an event since the last call, and forgets all others.
+// takeEvents returns the lines of an event since the last call and discards all other lines.
 func (l *logRecorder) takeEvents(t *testing.T, d event.Def) (taken []map[string]any) {
 	t.Helper()
 	l.mu.Lock()
@@ -58,10 +58,10 @@
 
 func testEntry(key, value string, version int64) store.KV { return putEvent(key, value, version).KV }
 
-// A daemon of a large site starts and reads a hundred servers at once. With a line for
-// each, restarts push out of the kept part of the log what a failure is found by. The first
-// read is one line; what a later one finds changed has a line for each server.
-func TestFirstReadIsOneLine(t *testing.T) {
+// A daemon of a large site reads a hundred servers at once when it starts. With a line for each,
+// restarts would push the lines needed to diagnose a failure out of the retained log. The first
+// read logs one line; a later read logs a line for each server that changed.
+func TestInitialReadLogsOneLine(t *testing.T) {
 	out, log := newRecordedLog()
 	tab := newTable(textSchema{}, log)
 	all := []store.KV{
@@ -86,8 +86,8 @@
 	must.Eq(t, "5", seen[1]["backend"].(string))
 }
 
-// The first read names no server a line, but an entry that cannot be used has its own.
-func TestFirstReadKeepsOtherLines(t *testing.T) {
+// The first read logs no line for each server, but an invalid entry still has its own line.
+func TestInitialReadLogsOtherEvents(t *testing.T) {
 	for _, d := range []event.Def{event.EntryRefused, event.RoutingInForce} {
 		out, log := newRecordedLog()
 		newTable(textSchema{}, log).replaceAll(0, 3, []store.KV{testEntry("config", "v", 1), testEntry("server/1", "bad", 2), testEntry("server/2", "a:1", 3)})
@@ -98,10 +98,10 @@
 	must.SliceEmpty(t, out.takeEvents(t, event.ServerSeen))
 }
 
-// Servers write their entries anew with each heartbeat, and daemons that restart write
-// theirs: a daemon that asks others hears of a later revision each time. Only what changes
-// servers or configuration is worth a line.
-func TestLearnedIsLoggedWhereItChangesSomething(t *testing.T) {
+// Servers rewrite their entries with each heartbeat, and restarted daemons rewrite theirs, so a
+// daemon that polls others gets a later revision each time. Only changes of servers or of the
+// configuration are logged.
+func TestPeerChangesAreLoggedOnlyIfRelevant(t *testing.T) {
 	const size = watching.Everyone + 4
 	inFleet(t, size, func(f *fleet) {
 		logs := make([]*logRecorder, size)
@@ -141,10 +141,10 @@
 	})
 }
 
-// The store refuses one daemon while nothing changes in it. That a neighbour confirmed the
-// configuration is what the log is asked for then. It has one line until the store answers
-// again or the neighbour is late as well, which confirms nothing and has no line.
-func TestLearnedIsLoggedWhereItEndsAGap(t *testing.T) {
+// The store refuses one daemon while nothing changes in it. The log must show that a peer confirmed
+// the configuration: one line until the store answers again or the peer's confirmation is overdue
+// as well. A peer whose confirmation is overdue confirms nothing and causes no line.
+func TestPeerConfirmationIsLoggedOnceWhenOverdue(t *testing.T) {
 	inFleet(t, 2, func(f *fleet) {
 		out := f.recordLog(1)
 		f.start(0)
--- a/control/feed/refused_test.go
+++ b/control/feed/refused_test.go
@@ -10,19 +10,19 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-func TestRefusedRequestsAreInTheView(t *testing.T) {
+func TestViewHoldsRefusedRequests(t *testing.T) {
 	tab := newTable(textSchema{}, event.Discard())
 	tab.put(store.KV{Key: RefusedKey("abc"), Value: []byte(`{"route":"r","servers":["s-1"]}`), Version: 1})
 	tab.put(store.KV{Key: RefusedKey("def"), Value: []byte("no object"), Version: 2})
 	refused := tab.view().Refused
 	must.MapLen(t, 2, refused)
 	must.Eq(t, []string{"s-1"}, refused["abc"].Servers)
-	must.Eq(t, "def", refused["def"].Digest) // what cannot be read refuses all the same
+	must.Eq(t, "def", refused["def"].Digest) // an invalid value still refuses the request
 	tab.remove(time.Second, RefusedKey("abc"), 3)
 	must.MapNotContainsKey(t, tab.view().Refused, "abc")
 }
 
-func TestRefusalIsWrittenOnceAndReachesAll(t *testing.T) {
+func TestRefusedRequestIsWrittenOnceAndReachesAll(t *testing.T) {
 	inFleet(t, 3, func(f *fleet) {
 		f.startRegistered()
 		time.Sleep(3 * time.Second)
@@ -36,7 +36,7 @@
 	})
 }
 
-func TestRefusalIsListedAndLifted(t *testing.T) {
+func TestRefusedRequestsAreListedAndDeleted(t *testing.T) {
 	s := store.NewMemory()
 	for _, digest := range []string{"b", "a"} {
 		_, err := s.CompareAndSwap(t.Context(), RefusedKey(digest), 0, []byte(`{"account":"mill","route":"r","servers":["s-1"]}`), 0)
--- a/control/feed/register.go
+++ b/control/feed/register.go
@@ -165,7 +165,7 @@
 func (r *Registrar) write(ctx context.Context, vm routing.VM, lease store.LeaseID) error {
 	value, err := json.Marshal(vm)
 	if err != nil {
-		return errors.Wrap(err, "register")
+		return errors.Wrap(err, "encode entry VM")
 	}
 	key := vmPrefix + r.VM.ID
 	version, err := r.Store.CompareAndSwap(ctx, key, r.version, value, lease)
--- a/control/feed/register_test.go
+++ b/control/feed/register_test.go
@@ -13,7 +13,7 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// registration is one daemon's entry, written by one process after the other.
+// registration is the entry of daemon 1, written by successive processes.
 type registration struct {
 	*fleet
 	vm     routing.VM
@@ -36,31 +36,31 @@
 	o := r.feeds[1].opts
 	o.Store = storesim.Confirming{Store: r.faultyStores[1], Hold: time.Second}
 	r.feeds[1] = New(o)
-	process, cancel := context.WithCancel(r.ctx)
+	processCtx, cancel := context.WithCancel(r.ctx)
 	r.cancel = cancel
 	feed, confirming := r.feeds[1], o.Store
-	r.wg.Go(func() { feed.Run(process) })
+	r.wg.Go(func() { feed.Run(processCtx) })
 	r.wg.Go(func() {
-		(&Registrar{Store: confirming, VM: r.vm, Log: event.Discard(), Feed: feed}).Run(process)
+		(&Registrar{Store: confirming, VM: r.vm, Log: event.Discard(), Feed: feed}).Run(processCtx)
 	})
 }
 
-// crashProcess ends the process, so that nothing of it reaches the store any more.
+// crashProcess ends the process so that none of its calls reaches the store any more.
 func (r *registration) crashProcess() {
 	r.faultyStores[1].SetDown(true)
 	r.cancel()
 }
 
-// entry is what the store holds of the daemon.
+// entry returns the daemon's entry in the store.
 func (r *registration) entry() (store.KV, bool) {
 	kv, err := r.store.Get(r.t.Context(), vmPrefix+r.vm.ID)
 	return kv, err == nil
 }
 
-// All daemons of a large fleet are killed at once and start again. If each asks for a new
-// lease and writes its entry anew, hundreds of calls meet the store as callers wait for
-// the first configuration. The process before left the same entry under a lease that
-// still runs: a renewal is enough.
+// All daemons of a large fleet are killed at once and restart. If each requested a new lease and
+// rewrote its entry, hundreds of calls would reach the store while callers wait for the first
+// configuration. The previous process left the same entry under a lease that is still valid, so a
+// renewal is enough.
 func TestRestartedDaemonKeepsItsLease(t *testing.T) {
 	inRegistration(t, func(r *registration) {
 		time.Sleep(5 * time.Second)
@@ -78,9 +78,9 @@
 	})
 }
 
-// A daemon is stopped, and starts again while its entry still says that it leaves. The
-// others must not go on believing that.
-func TestEntryThatSaysLeavingIsWrittenAnew(t *testing.T) {
+// A daemon is stopped, and restarts while its entry still says that it is leaving. The other
+// daemons must not treat it as leaving any longer.
+func TestLeavingEntryIsRewrittenAtRestart(t *testing.T) {
 	inRegistration(t, func(r *registration) {
 		time.Sleep(5 * time.Second)
 		r.crashProcess()
@@ -95,8 +95,8 @@
 	})
 }
 
-// A daemon starts again after its lease has run out.
-func TestLeaseThatRanOutIsNotKept(t *testing.T) {
+// A daemon restarts after its lease has expired.
+func TestExpiredLeaseIsNotAdopted(t *testing.T) {
 	inRegistration(t, func(r *registration) {
 		time.Sleep(5 * time.Second)
 		r.crashProcess()
@@ -110,10 +110,10 @@
 	})
 }
 
-// The entry vanishes although the lease is renewed: a write of the process before
-// arrived late and put it under another lease. Callers would never be told the daemon
-// again.
-func TestEntryThatVanishedIsWrittenAnew(t *testing.T) {
+// The entry vanishes although the lease is renewed: a late write of the previous process put it
+// under another lease. If the entry were not written again, callers would never be sent to the
+// daemon.
+func TestVanishedEntryIsRewritten(t *testing.T) {
 	inRegistration(t, func(r *registration) {
 		time.Sleep(5 * time.Second)
 		kv, ok := r.entry()
@@ -125,9 +125,9 @@
 	})
 }
 
-// The platform grants no lease as short as the daemon asks for: one that is renewed by the
-// shorter time would be renewed too often, one that is refused never registered.
-func TestLeaseIsNoShorterThanTheStoreGrants(t *testing.T) {
+// The store's shortest lease may be longer than leaseTTL. With the shorter time, the daemon would
+// renew too often, or never register if the store rejects the lease.
+func TestLeaseIsAtLeastStoreMinimum(t *testing.T) {
 	for least, want := range map[time.Duration]time.Duration{0: leaseTTL, time.Second: leaseTTL, time.Minute: time.Minute} {
 		must.Eq(t, want, (&Registrar{MinLeaseTTL: least}).ttl())
 	}
--- a/control/feed/table_test.go
+++ b/control/feed/table_test.go
@@ -16,9 +16,10 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// textSchema stores a server as its address, with "leaving " before it, its start as
-// "@N " before that, and "other " before all that for a service that is not configured;
-// "bad" cannot be read. A configuration is its version in letters.
+// textSchema encodes a server as its address. The address may be preceded by "leaving ", before
+// that by the start of the incarnation as "@N ", and before that by "other " for a service that is
+// not configured. "bad" cannot be decoded. The version of a configuration is the length of its
+// value.
 type textSchema struct{ OwnRollouts }
 
 func (textSchema) ConfigKey() string { return "config" }
@@ -63,24 +64,24 @@
 	return strings.Join(list, " ")
 }
 
-// A server crashes and starts again at its address a second later. Its old
-// entry stays for three heartbeats: every request sent by it would be turned
-// away by the new server, and the attempt counted.
+// A server crashes and restarts at the same address a second later. Its old entry remains for three
+// heartbeats. The new server would reject every request sent by the old entry, and each would count
+// as an attempt.
 func TestRestartedServerSupersedesItsOldEntry(t *testing.T) {
 	tab := newTable(textSchema{}, event.Discard())
 	tab.applyEvents(0, []store.Event{putEvent("server/old", "a:1", 1), putEvent("server/other", "b:1", 2)})
 	tab.applyEvents(0, []store.Event{putEvent("server/new", "a:1", 3)})
 	must.Eq(t, "new other", serverIDs(tab))
-	tab.applyEvents(0, []store.Event{putEvent("server/old", "a:1", 4)}) // a heartbeat that was late
+	tab.applyEvents(0, []store.Event{putEvent("server/old", "a:1", 4)}) // a delayed heartbeat
 	must.Eq(t, "new other", serverIDs(tab))
 	tab.applyEvents(0, []store.Event{deleteEvent("server/new")})
 	must.Eq(t, "old other", serverIDs(tab))
 }
 
-// The store is away for longer than leases last. At its return all entries are
-// gone for a moment although the servers live; a server that left before, and
-// one that does not write again, must not be used on.
-func TestEntriesThatLapsedInAnOutage(t *testing.T) {
+// The store is unreachable for longer than the leases last. When it returns, all entries are
+// missing for a moment although the servers are alive. A server that was leaving before, and one
+// that does not register again, must not stay in use.
+func TestServerEntriesExpiredDuringOutage(t *testing.T) {
 	tab := newTable(textSchema{}, event.Discard())
 	second := time.Second
 	tab.recordAnswer(10*second, 10*second)
@@ -93,9 +94,9 @@
 	must.Eq(t, "1", serverIDs(tab))
 }
 
-// The leases of all daemons ran out in an outage. Until they have registered
-// again each daemon still counts them, and after that only those that did.
-func TestDaemonsThatLapsedInAnOutage(t *testing.T) {
+// The leases of all daemons expire during an outage. Each daemon still counts the others until they
+// have had time to register again, and after that only those that did.
+func TestVMEntriesExpiredDuringOutage(t *testing.T) {
 	tab := newTable(textSchema{}, event.Discard())
 	second := time.Second
 	tab.recordAnswer(10*second, 10*second)
@@ -110,8 +111,8 @@
 	must.Eq(t, "1", tab.view().VMs[0].ID)
 }
 
-// Without an outage a removal counts at once.
-func TestRemovalCountsAtOnce(t *testing.T) {
+// Without an outage a removal takes effect at once.
+func TestRemovalTakesEffectAtOnce(t *testing.T) {
 	tab := newTable(textSchema{}, event.Discard())
 	for s := time.Second; s < 5*time.Second; s += time.Second / 2 {
 		tab.recordAnswer(s, s)
@@ -120,18 +121,18 @@
 	must.Eq(t, "", serverIDs(tab))
 }
 
-// A delayed answer brings an older configuration; the newer one stays.
-func TestConfigurationNeverGoesBack(t *testing.T) {
+// A delayed answer holds an older configuration; the newer one stays in force.
+func TestOlderConfigIsIgnored(t *testing.T) {
 	tab := newTable(textSchema{}, event.Discard())
 	tab.applyEvents(0, []store.Event{putEvent("config", "vvv", 1)})
 	tab.applyEvents(0, []store.Event{putEvent("config", "vv", 2)})
 	must.Eq(t, int64(3), tab.view().Config.Version)
 }
 
-// A server restarts under its id. Callers whose answers it had must not be told that it
-// still has them, so the entry shows the later life; and a write of the life before that
-// was long on its way, "leaving" or not, must not undo that.
-func TestLaterLifeStays(t *testing.T) {
+// A server restarts under its id. The view must show the later incarnation, so that callers are not
+// told that the server still has their answers. A delayed write of the previous incarnation,
+// leaving or not, must not undo that.
+func TestLateWriteOfEarlierIncarnationIsIgnored(t *testing.T) {
 	tab := newTable(textSchema{}, event.Discard())
 	tab.applyEvents(0, []store.Event{putEvent("server/1", "@10 a:1", 1)})
 	tab.applyEvents(0, []store.Event{putEvent("server/1", "@20 a:1", 2)})
@@ -144,9 +145,9 @@
 	}
 }
 
-// A server leaves, and starts again under its id once it is gone. The new life is used;
-// the old one's last write, which arrives when the key has already been removed, is not.
-func TestServerThatLeftReturnsUnderItsID(t *testing.T) {
+// A server leaves and restarts under its id after its entry was removed. The new incarnation is
+// used. The last write of the old one, which arrives after the key was removed, is not.
+func TestServerRestartsUnderItsIDAfterRemoval(t *testing.T) {
 	tab := newTable(textSchema{}, event.Discard())
 	tab.recordAnswer(time.Second, time.Second)
 	tab.applyEvents(time.Second, []store.Event{putEvent("server/1", "@10 leaving a:1", 1), deleteEvent("server/1")})
@@ -158,10 +159,10 @@
 	must.Eq(t, "", serverIDs(tab))
 }
 
-// A server takes the address of one that crashed, and then that one returns there under
-// its id while the entry of the first still stays. Requests by the first entry would be
-// turned away by whoever answers there.
-func TestLaterLifeTakesItsAddressBack(t *testing.T) {
+// A server takes the address of one that crashed, and then the crashed one restarts there under its
+// id while the other entry remains. The server at the address would reject requests sent by that
+// other entry.
+func TestLaterIncarnationReclaimsAddress(t *testing.T) {
 	tab := newTable(textSchema{}, event.Discard())
 	tab.applyEvents(0, []store.Event{putEvent("server/1", "@10 a:1", 1), putEvent("server/2", "@15 a:1", 2)})
 	must.Eq(t, "2", serverIDs(tab))
@@ -169,11 +170,10 @@
 	must.Eq(t, "1", serverIDs(tab))
 }
 
-// Something else writes into the store: an entry that cannot be read takes the place of a
-// server's, another appears beside it. Neither names a server, the others are used on, and
-// the log says so once, however often the entry is written. The server's next heartbeat
-// has it back.
-func TestEntriesOfAnotherWriter(t *testing.T) {
+// Another program writes to the store: an invalid entry replaces that of a server, and another one
+// appears next to it. Neither describes a server, the other servers stay in use, and each is logged
+// once however often it is rewritten. The server's next heartbeat restores the server.
+func TestInvalidServerEntries(t *testing.T) {
 	var out bytes.Buffer
 	lines := logrus.New()
 	lines.SetOutput(&out)
@@ -190,19 +190,19 @@
 	must.False(t, tab.view().HasDeparted("1"))
 }
 
-// An entry claims the address of a server for a service that the configuration does not
-// name. The server goes on; were the newest entry at an address always believed, callers
-// of its service would have one server less for as long as the entry stays.
-func TestUnknownServiceTakesNoAddress(t *testing.T) {
+// An entry of a service that is not configured claims the address of a server in use. The server
+// must stay in use; if the newest entry at an address always won, callers of the server's service
+// would have one server fewer for as long as the other entry exists.
+func TestUnconfiguredServiceTakesNoAddress(t *testing.T) {
 	tab := newTable(textSchema{}, event.Discard())
 	tab.applyEvents(0, []store.Event{putEvent("config", "v", 1), putEvent("server/1", "a:1", 1), putEvent("server/2", "other a:1", 2)})
 	must.Eq(t, "1", serverIDs(tab))
 	must.MapNotContainsKey(t, tab.view().Servers, "unknown")
 }
 
-// An entry VM's entry names no address. Callers must not be sent there, and the daemon
-// that was named before counts no more.
-func TestEntryVMsOfAnotherWriter(t *testing.T) {
+// The entry of an entry VM holds no valid id or address. Callers must not be sent there, and the
+// VM's previous entry no longer counts.
+func TestInvalidVMEntries(t *testing.T) {
 	for _, bad := range []string{
 		`{}`, `{"id":"1"}`, `{"id":"2","address":"a:1"}`, `{"id":"1","address":"a"}`, `{"id":"1","address":"a:0"}`,
 		`{"id":"1","address":"a:1","peer":"x"}`, `{"id":1,"address":"a:1"}`, `[]`, "\xff",
