--- a/control/feed/fleet_test.go
+++ b/control/feed/fleet_test.go
@@ -333,7 +333,7 @@
 		zone[vm.Peer] = vm.Zone
 	}
 	view.watchPlan = newWatchPlan(view.VMs)
-	asked := map[string]int{}
+	polls := map[string]int{}
 	for _, vm := range view.VMs {
 		m := New(Options{Self: vm.ID, Log: event.Discard(), Dialer: link.NewDialerWith(nil), Clock: func() time.Duration { return time.Hour }})
 		m.view.Store(view)
@@ -346,11 +346,11 @@
 				continue
 			}
 			must.Eq(t, vm.Zone, zone[near[0]])
-			asked[near[0]]++
+			polls[near[0]]++
 		}
 	}
-	must.MapLen(t, size/watching.AskersEach, asked)
-	for _, n := range asked {
+	must.MapLen(t, size/watching.AskersEach, polls)
+	for _, n := range polls {
 		must.LessEq(t, 5*watching.AskersEach*3/2, n)
 	}
 }
--- a/control/feed/peers.go
+++ b/control/feed/peers.go
@@ -103,11 +103,11 @@
 	if m.opts.Dialer == nil {
 		return
 	}
-	mean := longPollPause // a starting daemon reads the store first
-	for pause.For(ctx, mean*3/4+rand.N(mean/2)) {
-		mean = pollInterval
-		if own := m.isFresh() && m.shouldWatch() && !m.hasNoSource(); !own && m.pollSources(ctx) {
-			mean = longPollPause
+	meanPause := longPollPause // a starting daemon reads the store first
+	for pause.For(ctx, meanPause*3/4+rand.N(meanPause/2)) {
+		meanPause = pollInterval
+		if watchWorks := m.isFresh() && m.shouldWatch() && !m.hasNoSource(); !watchWorks && m.pollSources(ctx) {
+			meanPause = longPollPause
 		}
 	}
 }
@@ -191,10 +191,10 @@
 		m.opts.Dialer.DropIdle()
 		return false
 	}
-	old := time.Duration(reply.GetAgeMs())*time.Millisecond > maxFreshAge
-	m.peerAlsoStale.Store(old)
+	stale := time.Duration(reply.GetAgeMs())*time.Millisecond > maxFreshAge
+	m.peerAlsoStale.Store(stale)
 	m.applyReply(sentAt, address, reply)
-	return !reply.GetLost() && !old && reply.GetRevision() != 0
+	return !reply.GetLost() && !stale && reply.GetRevision() != 0
 }
 
 // IsStoreDown reports whether the store seems to be unreachable for every daemon: the last
--- a/control/feed/register.go
+++ b/control/feed/register.go
@@ -107,10 +107,10 @@
 	if r.Feed == nil {
 		return
 	}
-	own := r.Feed.awaitOwnEntry(ctx)
-	r.version = own.Version
-	if vm, err := decodeVM(r.VM.ID, own.Value); err == nil && vm == r.VM {
-		r.lease = own.Lease
+	entry := r.Feed.awaitOwnEntry(ctx)
+	r.version = entry.Version
+	if vm, err := decodeVM(r.VM.ID, entry.Value); err == nil && vm == r.VM {
+		r.lease = entry.Lease
 	}
 }
 
