--- a/control/feed/entries.go
+++ b/control/feed/entries.go
@@ -68,21 +68,21 @@
 	full bool
 }
 
-// since returns the changes after a revision; revision 0 selects every entry.
-func (e *entries) since(revision int64) delta {
-	d := delta{full: revision == 0}
+// since returns the changes after a revision; 0 selects every entry.
+func (e *entries) since(after int64) delta {
+	d := delta{full: after == 0}
 	for _, kv := range e.kvs {
-		if d.full || kv.Version > revision {
+		if d.full || kv.Version > after {
 			d.puts = append(d.puts, kv)
 		}
 	}
 	switch {
 	case d.full:
-	case revision < e.removalFloor:
+	case after < e.removalFloor:
 		d.presentKeys = slices.Collect(maps.Keys(e.kvs))
 	default:
 		for key, revision := range e.removed {
-			if revision > revision {
+			if revision > after {
 				d.removedKeys = append(d.removedKeys, key)
 			}
 		}
--- a/control/feed/feed.go
+++ b/control/feed/feed.go
@@ -97,7 +97,7 @@
 	storeReachable  atomic.Bool   // the last call to the store succeeded
 	peerAlsoStale   atomic.Bool   // the last peer polled had no recent confirmation either
 	confirmedByPeer atomic.Bool   // a peer has ended an overdue confirmation since the store last answered
-	noSourceUntil   atomic.Int64  // Clock time until which this daemon watches the store because no source could answer
+	noSourceUntil   atomic.Int64  // Clock time until which no source counts as available
 	sourceTurn      atomic.Uint64 // selects the source that is polled first
 	watchWakeup     chan struct{} // holds an item when this daemon has to start watching the store
 	ownEntryRead    chan struct{} // closed once ownEntry is set
--- a/control/feed/fleet_test.go
+++ b/control/feed/fleet_test.go
@@ -283,7 +283,7 @@
 
 // The few daemons that watch the store for the others are lost: they are partitioned, or the store
 // refuses just them. The operator changes the routes, and callers of the other daemons must see
-// that within two seconds. The failure is a daemon that goes on polling the lost ones until its
+// that within two seconds. The failure is a daemon that keeps polling the lost ones until its
 // configuration counts as stale.
 func TestChangeArrivesWhileWatchingDaemonsAreLost(t *testing.T) {
 	const size = 40
--- a/control/feed/log_test.go
+++ b/control/feed/log_test.go
@@ -111,25 +111,25 @@
 		f.startRegistered()
 		f.put("server/1", "a:1")
 		time.Sleep(10 * time.Second)
-		asker := slices.IndexFunc(f.feeds, func(m *Manager) bool { return !m.shouldWatch() })
-		must.NonNegative(t, asker)
-		out := logs[asker]
+		poller := slices.IndexFunc(f.feeds, func(m *Manager) bool { return !m.shouldWatch() })
+		must.NonNegative(t, poller)
+		out := logs[poller]
 		out.takeEvents(t, event.FeedLearned)
 
-		before := f.feeds[asker].revision.Load()
+		before := f.feeds[poller].revision.Load()
 		for n := range 10 {
 			f.put("server/1", "a:1")
 			f.put(vmPrefix+"x", fmt.Sprintf(`{"id":"x","address":"x:%d"}`, n+1))
 			time.Sleep(time.Second)
 		}
-		must.GreaterEq(t, before+10, f.feeds[asker].revision.Load())
+		must.GreaterEq(t, before+10, f.feeds[poller].revision.Load())
 		must.SliceEmpty(t, out.takeEvents(t, event.FeedLearned))
 
 		f.put("server/2", "b:1")
 		time.Sleep(2 * time.Second)
 		learned := out.takeEvents(t, event.FeedLearned)
 		must.SliceLen(t, 1, learned)
-		must.Eq(t, float64(f.feeds[asker].revision.Load()), learned[0]["revision"].(float64))
+		must.Eq(t, float64(f.feeds[poller].revision.Load()), learned[0]["revision"].(float64))
 		f.put("config", "vv")
 		time.Sleep(2 * time.Second)
 		must.SliceLen(t, 1, out.takeEvents(t, event.FeedLearned))
--- a/control/feed/watch.go
+++ b/control/feed/watch.go
@@ -32,10 +32,10 @@
 	// calls in proportion to its size.
 	maxStartupRetryDelay = time.Second
 	// outageRetriesPerSecond bounds the rate at which all daemons that the plan does not select
-	// together try the store during an outage. They learn of its return from the few that watch it; if the store
-	// refuses just those, one of the others soon reaches it and the rest learn from that one.
-	// Without the bound, the number of calls during an outage grows with the fleet, and all daemons
-	// call the store at once when it returns.
+	// together try the store during an outage. They learn of its return from the few that watch it;
+	// if the store refuses just those, one of the others soon reaches it and the rest learn from
+	// that one. Without the bound, the number of calls during an outage grows with the fleet, and
+	// all daemons call the store at once when it returns.
 	outageRetriesPerSecond = 4.0
 	// watchingRetryDelay is the mean delay of a daemon that watches on behalf of a larger fleet,
 	// after longFailureStreak failures. Several such daemons retry independently, so together they
