--- a/control/feed/calls_test.go
+++ b/control/feed/calls_test.go
@@ -115,7 +115,7 @@
 func (s meteredStore) KeepAlive(ctx context.Context, id store.LeaseID) (time.Duration, error) {
 	left, err := s.Store.KeepAlive(ctx, id)
 	cost := cheapCallCost
-	if errors.Is(err, store.ErrUnavailable) { // the platform charges a refused renewal as a whole call
+	if errors.Is(err, store.ErrUnavailable) { // charged as a whole call
 		cost = 1
 	}
 	s.charge(ctx, cost)
