--- a/control/feed/log_test.go
+++ b/control/feed/log_test.go
@@ -102,7 +102,7 @@
 // daemon that polls others gets a later revision each time. Only changes of servers or of the
 // configuration are logged.
 func TestPeerChangesAreLoggedOnlyIfRelevant(t *testing.T) {
-	const size = watching.Everyone + 4
+	const size = watching.SmallFleetSize + 4
 	inFleet(t, size, func(f *fleet) {
 		logs := make([]*logRecorder, size)
 		for n := range f.feeds {
--- a/control/feed/peers.go
+++ b/control/feed/peers.go
@@ -70,13 +70,13 @@
 // seconds before.
 func (m *Manager) shouldWatch() bool {
 	view := m.View()
-	if m.opts.Dialer == nil || len(view.VMs) <= watching.Everyone || m.hasNoSource() {
+	if m.opts.Dialer == nil || len(view.VMs) <= watching.SmallFleetSize || m.hasNoSource() {
 		return true
 	}
 	if age, known := m.confirmationAge(); !known || age > selfWatchAge {
 		return true
 	}
-	return view.watchPlan.Watches(m.opts.Self)
+	return view.watchPlan.IsWatcher(m.opts.Self)
 }
 
 // hasNoSource reports whether none of this daemon's sources could answer lately.
--- a/control/feed/watch.go
+++ b/control/feed/watch.go
@@ -111,11 +111,11 @@
 	switch {
 	case !known:
 		return min(retryDelay<<min(failures, 8), maxStartupRetryDelay)
-	case len(view.VMs) <= watching.Everyone:
+	case len(view.VMs) <= watching.SmallFleetSize:
 		return retryDelay
-	case view.watchPlan.Watches(m.opts.Self) && failures >= longFailureStreak:
+	case view.watchPlan.IsWatcher(m.opts.Self) && failures >= longFailureStreak:
 		return watchingRetryDelay
-	case view.watchPlan.Watches(m.opts.Self):
+	case view.watchPlan.IsWatcher(m.opts.Self):
 		return retryDelay
 	case m.IsStoreDown():
 		return max(outageRetryDelay, time.Duration(fleetSize/outageRetriesPerSecond*float64(time.Second)))
