--- a/control/feed/departures.go
+++ b/control/feed/departures.go
@@ -6,50 +6,51 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// rememberDeparted is how long a server that left is remembered: longer than
-// the longest answer during which its id may still turn up.
-const rememberDeparted = time.Minute
+// departedRetention is how long a server that left is remembered. It is longer than the longest
+// answer during which the server's id may still occur.
+const departedRetention = time.Minute
 
 const (
-	// reregister is how long after its return the store lacks the entries whose
-	// leases ran out during an outage: their owners write them again within two
-	// seconds. The rest is what a watch takes to tell.
-	reregister = 2500 * time.Millisecond
-	// outageMin is the silence of the store after which removals may come from
-	// leases that ran out: it is shorter than the shortest lease.
-	outageMin = time.Second
-	// doubtCheck is how often the servers in doubt are looked at.
-	doubtCheck = 50 * time.Millisecond
-	// doubtTime is how long a server stays usable whose entry vanished around an
-	// outage. It is below the two seconds within which a server that left
-	// has to be left alone.
-	doubtTime = time.Second
+	// reregisterWindow is how long after its return the store may lack entries whose leases expired
+	// during an outage. Their owners write them again within two seconds; the rest of the time
+	// covers the delivery by the watch.
+	reregisterWindow = 2500 * time.Millisecond
+	// minOutage is the time without an answer of the store after which removals may be due to
+	// expired leases. It is shorter than the shortest lease.
+	minOutage = time.Second
+	// graceCheckInterval is the interval at which ended grace periods are looked for.
+	graceCheckInterval = 50 * time.Millisecond
+	// serverGracePeriod is how long a server stays usable after its entry vanished around an
+	// outage. It is below the two seconds within which a server that left must get no more
+	// requests.
+	serverGracePeriod = time.Second
 )
 
-// reached records an answer of the store.
-func (t *table) reached(asked, now time.Duration) {
-	if t.lastReached != 0 && asked-t.lastReached > outageMin {
-		t.doubtUntil = now + reregister
+// recordAnswer records an answer of the store to a request sent at sentAt. An answer after an
+// outage opens the window in which removals may be due to expired leases.
+func (t *table) recordAnswer(sentAt, now time.Duration) {
+	if t.lastAnsweredAt != 0 && sentAt-t.lastAnsweredAt > minOutage {
+		t.recoveryUntil = now + reregisterWindow
 	}
-	t.lastReached = now
+	t.lastAnsweredAt = now
 }
 
-// remove takes an entry away by the given revision. What it named goes at once, or stays
-// for a while where its lease may have run out in an outage.
+// remove removes an entry as of the given revision. The server or VM that it described is dropped
+// at once, or after a grace period if its lease may have expired during an outage.
 func (t *table) remove(now time.Duration, key string, revision int64) {
 	t.entries.remove(key, revision)
-	delete(t.refusals, key)
-	delete(t.barred, key)
+	delete(t.rejections, key)
+	delete(t.refusedRequests, key)
 	t.removeRollout(key)
 	t.dirty = true
 	if id, ok := t.schema.ServerID(key); ok {
 		t.removeServer(now, id)
 		return
 	}
-	if vm, ok := t.vms[key]; ok && !vm.Leaving && now < t.doubtUntil {
-		// Daemons that register again must not seem gone meanwhile: each would take
-		// the whole budget of repeats and all engines for its own.
-		t.doubtfulVMs[key] = now + reregister
+	if vm, ok := t.vms[key]; ok && !vm.Leaving && now < t.recoveryUntil {
+		// Daemons that are about to register again must not seem to be gone meanwhile: each
+		// remaining daemon would take the whole retry budget and all engines for itself.
+		t.vmGraceEnds[key] = now + reregisterWindow
 		return
 	}
 	t.removeVM(key)
@@ -62,68 +63,69 @@
 	}
 }
 
-// removeServer drops a server, or keeps it for a while where the store was
-// away: its lease may have run out although it lives. Without that, a daemon
-// that reaches the store first after an outage has nowhere to send requests.
+// removeServer drops a server. If its lease may have expired during an outage, the server may still
+// be alive and is kept for a grace period. Without the grace period, a daemon that reaches the
+// store first after an outage has no servers to send requests to.
 func (t *table) removeServer(now time.Duration, id string) {
 	s, ok := t.servers[id]
 	if !ok {
 		return
 	}
-	if now < t.doubtUntil && !s.Leaving {
-		if _, kept := t.doubtful[id]; !kept {
-			t.doubtful[id] = now + doubtTime
-			t.log.Emit(event.ServerGone, id, s.Service, doubtTime)
+	if now < t.recoveryUntil && !s.Leaving {
+		if _, kept := t.serverGraceEnds[id]; !kept {
+			t.serverGraceEnds[id] = now + serverGracePeriod
+			t.log.Emit(event.ServerGone, id, s.Service, serverGracePeriod)
 		}
 		return
 	}
-	t.forget(id)
+	t.dropServer(id)
 	t.log.Emit(event.ServerGone, id, s.Service, time.Duration(0))
 }
 
-// note remembers whether a server departs.
-func (t *table) note(id string, departs bool) {
-	if !departs {
+// setDeparted records whether a server is departing, and since when.
+func (t *table) setDeparted(id string, departed bool) {
+	if !departed {
 		delete(t.departed, id)
 		return
 	}
 	if _, known := t.departed[id]; !known {
-		t.departed[id] = t.lastReached
+		t.departed[id] = t.lastAnsweredAt
 	}
 }
 
-// forget drops a server and remembers that it departed.
-func (t *table) forget(id string) {
-	t.note(id, true)
+// dropServer drops a server and records that it departed.
+func (t *table) dropServer(id string) {
+	t.setDeparted(id, true)
 	delete(t.servers, id)
-	delete(t.written, id)
-	delete(t.doubtful, id)
-	delete(t.refusals, id)
+	delete(t.firstRevisions, id)
+	delete(t.serverGraceEnds, id)
+	delete(t.rejections, id)
 	t.dirty = true
-	t.changes++
+	t.changeCount++
 }
 
-// expire drops the servers whose time in doubt is over.
+// expire drops the servers and entry VMs whose grace period has ended, and forgets servers that
+// departed long ago. It reports whether it dropped any server or VM.
 func (t *table) expire(now time.Duration) bool {
-	gone := false
-	for id, until := range t.doubtful {
+	expired := false
+	for id, until := range t.serverGraceEnds {
 		if now >= until {
-			t.forget(id)
-			gone = true
+			t.dropServer(id)
+			expired = true
 		}
 	}
-	for key, until := range t.doubtfulVMs {
+	for key, until := range t.vmGraceEnds {
 		if now >= until {
-			delete(t.doubtfulVMs, key)
+			delete(t.vmGraceEnds, key)
 			t.removeVM(key)
-			gone = true
+			expired = true
 		}
 	}
 	for id, since := range t.departed {
-		if _, here := t.servers[id]; !here && now-since > rememberDeparted {
+		if _, listed := t.servers[id]; !listed && now-since > departedRetention {
 			delete(t.departed, id)
-			delete(t.born, id)
+			delete(t.incarnations, id)
 		}
 	}
-	return gone
+	return expired
 }
--- a/control/feed/entries.go
+++ b/control/feed/entries.go
@@ -7,97 +7,97 @@
 	"mallowwind.dev/external/store"
 )
 
-// rememberGone bounds how many removed keys are remembered, so that another
-// daemon can be told what changed since it last asked. A zone that fails and
-// returns removes some dozens; a daemon that asks every half second is never
-// that far behind.
-const rememberGone = 512
+// maxRemovedKeys bounds how many removed keys are remembered to answer peers that ask for changes
+// since a revision. A zone that fails and returns removes some dozens of keys; a peer that polls
+// every half second is never that far behind.
+const maxRemovedKeys = 512
 
-// entries are the keys of the store as they were read, and which were removed.
+// entries holds the keys of the store as they were read, and the keys that were removed.
 type entries struct {
-	kvs  map[string]store.KV
-	gone map[string]int64 // revision of the removal
-	// newest is the latest version of a key: one that was read by itself is ahead of the
-	// revision up to which everything is known.
-	newest int64
-	// floor is the revision from which removals are remembered.
-	floor int64
+	kvs     map[string]store.KV
+	removed map[string]int64 // revision of each removal, by key
+	// newestVersion is the highest version of any key. It can exceed the revision up to which the
+	// whole store is known, because a key can be read on its own.
+	newestVersion int64
+	// removalFloor is the revision after which every removal is remembered.
+	removalFloor int64
 }
 
 func newEntries() *entries {
-	return &entries{kvs: map[string]store.KV{}, gone: map[string]int64{}}
+	return &entries{kvs: map[string]store.KV{}, removed: map[string]int64{}}
 }
 
 func (e *entries) put(kv store.KV) {
 	e.kvs[kv.Key] = kv
-	e.newest = max(e.newest, kv.Version)
-	delete(e.gone, kv.Key)
+	e.newestVersion = max(e.newestVersion, kv.Version)
+	delete(e.removed, kv.Key)
 }
 
-// remove notes that a key was removed by the given revision.
+// remove records that a key was removed as of the given revision.
 func (e *entries) remove(key string, revision int64) {
 	if _, ok := e.kvs[key]; !ok {
 		return
 	}
 	delete(e.kvs, key)
-	e.gone[key] = revision
-	if len(e.gone) > rememberGone {
-		e.forgetOldest()
+	e.removed[key] = revision
+	if len(e.removed) > maxRemovedKeys {
+		e.evictOldestRemoval()
 	}
 }
 
-func (e *entries) forgetOldest() {
+func (e *entries) evictOldestRemoval() {
 	oldest, at := "", int64(0)
-	for key, revision := range e.gone {
+	for key, revision := range e.removed {
 		if oldest == "" || revision < at {
 			oldest, at = key, revision
 		}
 	}
-	delete(e.gone, oldest)
-	e.floor = max(e.floor, at)
+	delete(e.removed, oldest)
+	e.removalFloor = max(e.removalFloor, at)
 }
 
-// delta is what changed after a revision.
+// delta holds the changes after a revision.
 type delta struct {
 	puts []store.KV
-	// removed are the keys that were removed since, unless present is set.
-	removed []string
-	// present are all keys that there are: what was removed since is not known any more.
-	present []string
-	// whole says that puts are everything there is.
-	whole bool
+	// removedKeys holds the keys removed since; it is unused if presentKeys is set.
+	removedKeys []string
+	// presentKeys holds all existing keys. It replaces removedKeys if the removals since the
+	// revision are no longer known.
+	presentKeys []string
+	// full reports that puts holds every entry, not only the changed ones.
+	full bool
 }
 
-// since returns what changed after a revision.
-func (e *entries) since(have int64) delta {
-	d := delta{whole: have == 0}
+// since returns the changes after a revision; 0 selects every entry.
+func (e *entries) since(after int64) delta {
+	d := delta{full: after == 0}
 	for _, kv := range e.kvs {
-		if d.whole || kv.Version > have {
+		if d.full || kv.Version > after {
 			d.puts = append(d.puts, kv)
 		}
 	}
 	switch {
-	case d.whole:
-	case have < e.floor:
-		d.present = slices.Collect(maps.Keys(e.kvs))
+	case d.full:
+	case after < e.removalFloor:
+		d.presentKeys = slices.Collect(maps.Keys(e.kvs))
 	default:
-		for key, revision := range e.gone {
-			if revision > have {
-				d.removed = append(d.removed, key)
+		for key, revision := range e.removed {
+			if revision > after {
+				d.removedKeys = append(d.removedKeys, key)
 			}
 		}
 	}
 	return d
 }
 
-// absent returns the keys that are not among those present.
+// absent returns the known keys that are not among the present ones.
 func (e *entries) absent(present []string) (keys []string) {
-	here := make(map[string]bool, len(present))
+	isPresent := make(map[string]bool, len(present))
 	for _, key := range present {
-		here[key] = true
+		isPresent[key] = true
 	}
 	for key := range e.kvs {
-		if !here[key] {
+		if !isPresent[key] {
 			keys = append(keys, key)
 		}
 	}
--- a/control/feed/fleet_test.go
+++ b/control/feed/fleet_test.go
@@ -22,19 +22,19 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// fleet is a few feeds before one store, each with its own way to it, in
+// fleet is a number of Managers that share one store, each through its own faulty access to it, in
 // virtual time.
 type fleet struct {
-	t     *testing.T
-	began time.Time
-	store *store.Memory
-	ways  []*store.Faulty
-	feeds []*Manager
-	cut   sync.Map        // of daemons that answer no other, by number
-	ended sync.Map        // of daemons that are not running, by number
-	mu    sync.Mutex      // guards ways and feeds where daemons start again
-	ctx   context.Context // of the daemons
-	done  sync.WaitGroup
+	t            *testing.T
+	startedAt    time.Time
+	store        *store.Memory
+	faultyStores []*store.Faulty
+	feeds        []*Manager
+	unresponsive sync.Map        // numbers of the daemons that answer no peer
+	notRunning   sync.Map        // numbers of the daemons whose process is not running
+	mu           sync.Mutex      // guards faultyStores and feeds in tests that restart daemons
+	ctx          context.Context // context of the daemons
+	wg           sync.WaitGroup
 }
 
 // RoundTrip implements http.RoundTripper: daemon n has the address "n:1".
@@ -43,11 +43,11 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "address")
 	}
-	if _, cut := f.cut.Load(n); cut {
+	if _, cut := f.unresponsive.Load(n); cut {
 		<-r.Context().Done()
 		return nil, r.Context().Err()
 	}
-	if _, ended := f.ended.Load(n); ended {
+	if _, ended := f.notRunning.Load(n); ended {
 		return nil, errors.Errorf("connection to %d refused", n)
 	}
 	f.mu.Lock()
@@ -60,35 +60,35 @@
 
 func inFleet(t *testing.T, size int, test func(*fleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{t: t, store: store.NewMemory(), began: time.Now()}
+		f := &fleet{t: t, store: store.NewMemory(), startedAt: time.Now()}
 		ctx, stop := context.WithCancel(t.Context())
 		f.ctx = ctx
 		for n := range size {
-			way := store.NewFaulty(f.store)
+			faulty := store.NewFaulty(f.store)
 			m := New(Options{
-				Store: storesim.Confirming{Store: way, Hold: time.Second}, Schema: lineSchema{}, Log: event.Discard(),
+				Store: storesim.Confirming{Store: faulty, Hold: time.Second}, Schema: textSchema{}, Log: event.Discard(),
 				Clock: f.clock, Self: strconv.Itoa(n), Seeds: []string{"0:1"}, Dialer: link.NewDialerWith(f.client()),
 			})
-			f.ways, f.feeds = append(f.ways, way), append(f.feeds, m)
+			f.faultyStores, f.feeds = append(f.faultyStores, faulty), append(f.feeds, m)
 		}
 		f.put("config", "v")
 		test(f)
 		stop()
-		f.done.Wait()
+		f.wg.Wait()
 	})
 }
 
-// clock is the daemons' clock, which reads an hour at the start.
-func (f *fleet) clock() time.Duration { return time.Since(f.began) + time.Hour }
+// clock is the daemons' clock, which reads one hour at the start.
+func (f *fleet) clock() time.Duration { return time.Since(f.startedAt) + time.Hour }
 
-// client is what daemons call each other with.
+// client returns the client with which daemons call each other.
 func (f *fleet) client() *http.Client { return &http.Client{Transport: f} }
 
 func (f *fleet) start(n int) {
-	f.done.Go(func() { f.feeds[n].Run(f.ctx) })
+	f.wg.Go(func() { f.feeds[n].Run(f.ctx) })
 }
 
-// startRegistered starts all daemons, with their entries in the store.
+// startRegistered starts all daemons, with their entries already in the store.
 func (f *fleet) startRegistered() {
 	for n := range f.feeds {
 		id := strconv.Itoa(n)
@@ -97,9 +97,9 @@
 	}
 }
 
-// record has daemon n, which is not started yet, write a log that is read back.
-func (f *fleet) record(n int) *lines {
-	out, log := recorded()
+// recordLog makes daemon n, which must not be started yet, log to a buffer that the test reads.
+func (f *fleet) recordLog(n int) *logRecorder {
+	out, log := newRecordedLog()
 	f.feeds[n].opts.Log, f.feeds[n].table.log = log, log
 	return out
 }
@@ -114,7 +114,7 @@
 	must.NoError(f.t, err)
 }
 
-// version is the configuration in force at daemon n, 0 if none.
+// version returns the version of the configuration in force at daemon n; 0 if there is none.
 func (f *fleet) version(n int) int64 {
 	if c := f.feeds[n].View().Config; c != nil {
 		return c.Version
@@ -122,15 +122,15 @@
 	return 0
 }
 
-// The store refuses one daemon and serves another. A key is taken away. The
-// refused daemon must neither go on with the old configuration as if it were
-// confirmed, nor turn its callers away: it learns from its neighbour.
-func TestRefusedDaemonLearnsFromItsNeighbour(t *testing.T) {
+// The store refuses one daemon and serves another, and an account key is removed. The refused
+// daemon must neither treat the old configuration as confirmed nor reject its callers: it gets the
+// new one from its peer.
+func TestDaemonRefusedByStoreGetsChangesFromPeer(t *testing.T) {
 	inFleet(t, 2, func(f *fleet) {
 		f.start(0)
 		f.start(1)
 		time.Sleep(2 * time.Second)
-		f.ways[1].SetDown(true)
+		f.faultyStores[1].SetDown(true)
 		time.Sleep(time.Second)
 		f.put("config", "vv")
 		f.put("server/1", "a:1")
@@ -140,60 +140,59 @@
 		age, known := f.feeds[1].ConfigAge()
 		must.True(t, known)
 		must.Less(t, 3*time.Second, age)
-		f.ways[1].SetDown(false)
+		f.faultyStores[1].SetDown(false)
 		f.put("config", "vvv")
 		time.Sleep(2 * time.Second)
 		must.Eq(t, int64(3), f.version(1))
 	})
 }
 
-// A server leaves while a daemon is cut off, and the neighbour that the daemon hears from
-// first has started since: it never knew of the server, so it cannot name it among what was
-// removed. The daemon must not go on sending requests there.
-func TestRemovalBeforeTheNeighbourStarted(t *testing.T) {
+// A server leaves while a daemon is partitioned, and the first peer that the daemon reaches again
+// started after that. The peer never knew of the server and cannot list it among the removed keys.
+// The daemon must not go on sending requests to the server.
+func TestRemovalBeforePeerStarted(t *testing.T) {
 	inFleet(t, 2, func(f *fleet) {
 		f.put("server/1", "a:1")
 		f.put("server/2", "b:1")
 		f.start(1)
 		time.Sleep(2 * time.Second)
 		must.SliceLen(t, 2, f.feeds[1].View().Servers["s"])
-		f.ways[1].SetDown(true)
-		f.cut.Store(0, true)
+		f.faultyStores[1].SetDown(true)
+		f.unresponsive.Store(0, true)
 		time.Sleep(5 * time.Second)
 		kv, err := f.store.Get(f.t.Context(), "server/1")
 		must.NoError(t, err)
 		must.NoError(t, f.store.Delete(f.t.Context(), "server/1", kv.Version))
 		f.start(0)
-		f.cut.Delete(0)
-		time.Sleep(2*time.Second + doubtTime)
+		f.unresponsive.Delete(0)
+		time.Sleep(2*time.Second + serverGracePeriod)
 		must.SliceLen(t, 1, f.feeds[1].View().Servers["s"])
 		must.Eq(t, "2", f.feeds[1].View().Servers["s"][0].ID)
 	})
 }
 
-// A daemon starts while the store refuses it and knows nobody but the seeds.
-func TestDaemonThatStartsWithoutTheStore(t *testing.T) {
+// A daemon starts while the store refuses it, and knows only the seeds.
+func TestDaemonStartsWithoutStore(t *testing.T) {
 	inFleet(t, 2, func(f *fleet) {
 		f.start(0)
 		time.Sleep(time.Second)
-		f.ways[1].SetDown(true)
+		f.faultyStores[1].SetDown(true)
 		f.start(1)
 		time.Sleep(2 * time.Second)
 		must.Eq(t, int64(1), f.version(1))
 	})
 }
 
-// The store is down for everybody. Daemons ask each other, and what they hear
-// is as old as what they know: the age must grow, or keys that were taken away
-// meanwhile would be trusted for ever.
-func TestAgeGrowsWhenNobodyReachesTheStore(t *testing.T) {
+// The store is down for all daemons. They poll each other, but no peer has a newer confirmation.
+// The age must grow; otherwise keys that were removed meanwhile would be trusted for ever.
+func TestConfigAgeGrowsDuringOutage(t *testing.T) {
 	inFleet(t, 3, func(f *fleet) {
 		for n := range f.feeds {
 			f.start(n)
 		}
 		time.Sleep(2 * time.Second)
-		for _, way := range f.ways {
-			way.SetDown(true)
+		for _, faulty := range f.faultyStores {
+			faulty.SetDown(true)
 		}
 		time.Sleep(10 * time.Second)
 		for _, m := range f.feeds {
@@ -202,7 +201,7 @@
 			must.GreaterEq(t, 10*time.Second, age)
 			must.True(t, m.IsStoreDown())
 		}
-		f.ways[0].SetDown(false)
+		f.faultyStores[0].SetDown(false)
 		time.Sleep(3 * time.Second)
 		for _, m := range f.feeds {
 			must.False(t, m.IsStoreDown())
@@ -210,25 +209,25 @@
 	})
 }
 
-// A daemon was cut off from the store and is back. Then a server leaves by
-// removing its entry, which may also be a lease that ran out meanwhile, so it
-// stays in use for a moment. A change elsewhere keeps the watch busy; the server
-// must be out of use in time all the same.
-func TestDoubtEndsInTime(t *testing.T) {
+// A daemon reaches the store again after an outage. Then a server leaves by removing its entry. The
+// removal may also be due to a lease that expired during the outage, so the server stays usable for
+// the grace period. It must be dropped at the end of that period even while other changes keep the
+// watch busy.
+func TestGracePeriodEndsInTime(t *testing.T) {
 	inFleet(t, 1, func(f *fleet) {
 		f.start(0)
 		f.put("server/1", "a:1")
 		time.Sleep(2 * time.Second)
-		f.ways[0].SetDown(true)
+		f.faultyStores[0].SetDown(true)
 		time.Sleep(3 * time.Second)
-		f.ways[0].SetDown(false)
+		f.faultyStores[0].SetDown(false)
 		time.Sleep(1500 * time.Millisecond)
-		f.put("server/2", "b:1") // the next question is sent a batch later
+		f.put("server/2", "b:1") // the next watch request is sent after the batch pause
 		time.Sleep(batchPause + time.Millisecond)
 		kv, err := f.store.Get(f.t.Context(), "server/1")
 		must.NoError(t, err)
 		must.NoError(t, f.store.Delete(f.t.Context(), "server/1", kv.Version))
-		time.Sleep(doubtTime - 100*time.Millisecond)
+		time.Sleep(serverGracePeriod - 100*time.Millisecond)
 		must.SliceLen(t, 2, f.feeds[0].View().Servers["s"])
 		f.put("server/3", "c:1")
 		time.Sleep(200 * time.Millisecond)
@@ -237,10 +236,9 @@
 	})
 }
 
-// Forty daemons stand before the store, which counts each call. A few watch it
-// and the others ask those; a change is in force everywhere within a second, and
-// a removal too. Then all that watch are lost: the others must notice by
-// themselves, well before they cease to trust keys.
+// The store charges each call of forty daemons. A few daemons watch it and the others poll those; a
+// write or a removal is in force everywhere within a second. Then the store refuses all daemons
+// that watch it: the others must notice that themselves, well before they cease to trust keys.
 func TestLargeFleetSharesFewWatches(t *testing.T) {
 	const size = 40
 	inFleet(t, size, func(f *fleet) {
@@ -248,8 +246,8 @@
 		f.put("server/1", "a:1")
 		time.Sleep(10 * time.Second)
 		calls := func() (n int64) {
-			for _, way := range f.ways {
-				n += way.Counts().Reads()
+			for _, faulty := range f.faultyStores {
+				n += faulty.Counts().Reads()
 			}
 			return n
 		}
@@ -266,11 +264,11 @@
 			must.Eq(t, "2", m.View().Servers["s"][0].ID)
 		}
 		time.Sleep(9 * time.Second)
-		must.LessEq(t, watching.SmallFleetSize, int(calls()-before)) // no watch was opened anew
-		for _, id := range f.feeds[0].View().plan.Watchers() {
+		must.LessEq(t, watching.SmallFleetSize, int(calls()-before)) // no watch was reopened
+		for _, id := range f.feeds[0].View().watchPlan.Watchers() {
 			n, err := strconv.Atoi(id)
 			must.NoError(t, err)
-			f.ways[n].SetDown(true)
+			f.faultyStores[n].SetDown(true)
 		}
 		for range 10 {
 			time.Sleep(500 * time.Millisecond)
@@ -283,18 +281,18 @@
 	})
 }
 
-// The few daemons that watch the store for the others are lost to them: they are cut off,
-// or the store refuses them alone. The operator takes a route away or adds one, and callers
-// at the others must see that within two seconds: nobody must go on asking daemons that
-// cannot know, until the configuration is old enough to be doubted.
-func TestChangeWhileThoseThatWatchAreLost(t *testing.T) {
+// The few daemons that watch the store for the others are lost: they are partitioned, or the store
+// refuses just them. The operator changes the routes, and callers of the other daemons must see
+// that within two seconds. The failure is a daemon that keeps polling the lost ones until its
+// configuration counts as stale.
+func TestChangeArrivesWhileWatchingDaemonsAreLost(t *testing.T) {
 	const size = 40
 	cases := map[string]struct {
 		lose   func(f *fleet, n int)
 		within time.Duration
 	}{
-		"cut off": {func(f *fleet, n int) { f.cut.Store(n, true) }, 1500 * time.Millisecond},
-		"refused": {func(f *fleet, n int) { f.ways[n].SetDown(true) }, 1500 * time.Millisecond},
+		"partitioned":          {func(f *fleet, n int) { f.unresponsive.Store(n, true) }, 1500 * time.Millisecond},
+		"refused by the store": {func(f *fleet, n int) { f.faultyStores[n].SetDown(true) }, 1500 * time.Millisecond},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -302,7 +300,7 @@
 				f.startRegistered()
 				time.Sleep(10 * time.Second)
 				lost := map[int]bool{}
-				for _, id := range f.feeds[0].View().plan.Watchers() {
+				for _, id := range f.feeds[0].View().watchPlan.Watchers() {
 					n, err := strconv.Atoi(id)
 					must.NoError(f.t, err)
 					lost[n] = true
@@ -321,10 +319,11 @@
 	}
 }
 
-// Hundreds of daemons are told of each change by the few that watch the store. Told
-// from anywhere, two thirds of it passes between zones, which is paid for, and eight
-// that watch fill their links: a change is late. Each zone has its own that watch.
-func TestDaemonsAskWithinTheirZone(t *testing.T) {
+// The few daemons that watch the store pass each change on to hundreds of others. If daemons polled
+// any of them, two thirds of that traffic would cross zones, which is charged for, and eight
+// watching daemons would fill their links and deliver changes late. Therefore daemons poll relays
+// in their own zone.
+func TestDaemonsPollWithinTheirZone(t *testing.T) {
 	const size = 300
 	view := &View{Config: &routing.Config{}}
 	zone := map[string]string{}
@@ -333,53 +332,53 @@
 		view.VMs = append(view.VMs, vm)
 		zone[vm.Peer] = vm.Zone
 	}
-	view.plan = planOf(view.VMs)
-	asked := map[string]int{}
+	view.watchPlan = newWatchPlan(view.VMs)
+	polls := map[string]int{}
 	for _, vm := range view.VMs {
 		m := New(Options{Self: vm.ID, Log: event.Discard(), Dialer: link.NewDialerWith(nil), Clock: func() time.Duration { return time.Hour }})
 		m.view.Store(view)
-		m.confirmed.Store(int64(time.Hour))
+		m.confirmedAt.Store(int64(time.Hour))
 		for turn := range 5 {
-			m.turn.Store(uint64(turn))
+			m.sourceTurn.Store(uint64(turn))
 			near, _ := m.sources()
 			if len(near) == 0 {
-				must.True(t, m.watches()) // it asks nobody
+				must.True(t, m.shouldWatch()) // it polls no daemon in its zone
 				continue
 			}
 			must.Eq(t, vm.Zone, zone[near[0]])
-			asked[near[0]]++
+			polls[near[0]]++
 		}
 	}
-	must.MapLen(t, size/watching.ClientsPerRelay, asked)
-	for _, n := range asked {
+	must.MapLen(t, size/watching.ClientsPerRelay, polls)
+	for _, n := range polls {
 		must.LessEq(t, 5*watching.ClientsPerRelay*3/2, n)
 	}
 }
 
-// The store is down for every daemon of a large fleet. If all of them try it again
-// four times a second, they make hundreds of calls a second, each of which is paid
-// for, and meet it together when it returns. Few try; after its return all know
-// the newest within two seconds.
-func TestLargeFleetWaitsForTheStore(t *testing.T) {
+// The store is down for every daemon of a large fleet. If all of them retry four times a second,
+// they make hundreds of calls a second, each of which is charged for, and call the store at once
+// when it returns. Only a few may retry, and after the return all daemons must have the newest
+// configuration within two seconds.
+func TestLargeFleetBacksOffDuringOutage(t *testing.T) {
 	const size, outage = 40, 8 * time.Second
 	inFleet(t, size, func(f *fleet) {
 		f.startRegistered()
 		time.Sleep(10 * time.Second)
 		calls := func() (n int64) {
-			for _, way := range f.ways {
-				n += way.Counts().Reads()
+			for _, faulty := range f.faultyStores {
+				n += faulty.Counts().Reads()
 			}
 			return n
 		}
-		for _, way := range f.ways {
-			way.SetDown(true)
+		for _, faulty := range f.faultyStores {
+			faulty.SetDown(true)
 		}
-		time.Sleep(4 * time.Second) // until all know that it is down for all
+		time.Sleep(4 * time.Second) // until all daemons know that it is down for all
 		before := calls()
 		time.Sleep(outage - 4*time.Second)
-		must.Less(t, 250, int(calls()-before)) // 625 if all ask four times a second
-		for _, way := range f.ways {
-			way.SetDown(false)
+		must.Less(t, 250, int(calls()-before)) // 625 if all daemons retry four times a second
+		for _, faulty := range f.faultyStores {
+			faulty.SetDown(false)
 		}
 		f.put("config", "vv")
 		time.Sleep(2 * time.Second)
@@ -389,24 +388,24 @@
 	})
 }
 
-// A watch answers late with changes that another daemon has long told. The view
-// must not go back to them.
-func TestLateAnswerUndoesNothing(t *testing.T) {
+// A watch delivers changes late, after a peer has already passed on newer ones. The view must not
+// go back to the older ones.
+func TestLateWatchAnswerIsIgnored(t *testing.T) {
 	inFleet(t, 1, func(f *fleet) {
 		m := f.feeds[0]
-		m.apply(time.Hour, 9, func() { m.table.change(0, []store.Event{put("server/1", "leaving a:1", 9)}) })
-		m.apply(time.Hour, 5, func() { m.table.change(0, []store.Event{put("server/1", "a:1", 5)}) })
+		m.apply(time.Hour, 9, func() { m.table.applyEvents(0, []store.Event{putEvent("server/1", "leaving a:1", 9)}) })
+		m.apply(time.Hour, 5, func() { m.table.applyEvents(0, []store.Event{putEvent("server/1", "a:1", 5)}) })
 		must.True(t, m.View().Servers["s"][0].Leaving)
 	})
 }
 
-// The registration is written again when its lease has run out in an outage.
-func TestRegistrationReturns(t *testing.T) {
+// The entry is written again after its lease expired during an outage.
+func TestRegistrationIsRestoredAfterOutage(t *testing.T) {
 	inFleet(t, 1, func(f *fleet) {
 		f.start(0)
-		r := &Registrar{Store: f.ways[0], VM: routing.VM{ID: "vm-7", Address: "x:2", Peer: "x:1"}, Log: event.Discard()}
+		r := &Registrar{Store: f.faultyStores[0], VM: routing.VM{ID: "vm-7", Address: "x:2", Peer: "x:1"}, Log: event.Discard()}
 		ctx, cancel := context.WithCancel(f.t.Context())
-		f.done.Go(func() { r.Run(ctx) })
+		f.wg.Go(func() { r.Run(ctx) })
 		registered := func() bool {
 			var names []string
 			for _, vm := range f.feeds[0].View().VMs {
@@ -416,9 +415,9 @@
 		}
 		time.Sleep(2 * time.Second)
 		must.True(t, registered())
-		f.ways[0].SetDown(true)
+		f.faultyStores[0].SetDown(true)
 		time.Sleep(10 * time.Second)
-		f.ways[0].SetDown(false)
+		f.faultyStores[0].SetDown(false)
 		time.Sleep(3 * time.Second)
 		must.True(t, registered())
 		cancel()
@@ -427,20 +426,21 @@
 	})
 }
 
-// A neighbour that read the configuration alone must not confirm an older one to who asks it.
-func TestNeighbourThatKnowsTheConfigurationAloneConfirmsNoOlderOne(t *testing.T) {
+// A peer that has read the new configuration on its own, but nothing else of that revision, must
+// not confirm an older configuration to the daemon that polls it.
+func TestPeerWithNewerConfigDoesNotConfirmOlderOne(t *testing.T) {
 	inFleet(t, 2, func(f *fleet) {
 		f.startRegistered()
 		time.Sleep(3 * time.Second)
-		for _, way := range f.ways {
-			way.SetDown(true)
+		for _, faulty := range f.faultyStores {
+			faulty.SetDown(true)
 		}
 		time.Sleep(3 * time.Second)
 		f.put("config", "vv")
 		written := time.Now()
 		time.Sleep(time.Second)
-		f.ways[0].SetDelay(time.Second)
-		f.ways[0].SetDown(false)
+		f.faultyStores[0].SetDelay(time.Second)
+		f.faultyStores[0].SetDown(false)
 		for time.Since(written) < 8*time.Second {
 			time.Sleep(time.Millisecond)
 			if age, known := f.feeds[1].ConfigAge(); known && f.version(1) < 2 {
--- a/control/feed/register_test.go
+++ b/control/feed/register_test.go
@@ -13,107 +13,107 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// registration is one daemon's entry, written by one process after the other.
+// registration is the entry of daemon 1, written by successive processes.
 type registration struct {
 	*fleet
-	vm   routing.VM
-	kill context.CancelFunc
+	vm     routing.VM
+	cancel context.CancelFunc
 }
 
 func inRegistration(t *testing.T, test func(*registration)) {
 	inFleet(t, 2, func(f *fleet) {
 		r := &registration{fleet: f, vm: routing.VM{ID: "1", Zone: "z", Address: "x:2", Peer: "1:1"}}
 		f.start(0)
-		r.run()
+		r.startProcess()
 		test(r)
-		r.kill()
+		r.cancel()
 	})
 }
 
-// run starts a process of daemon 1.
-func (r *registration) run() {
-	r.ways[1] = store.NewFaulty(r.store)
+// startProcess starts a process of daemon 1.
+func (r *registration) startProcess() {
+	r.faultyStores[1] = store.NewFaulty(r.store)
 	o := r.feeds[1].opts
-	o.Store = storesim.Confirming{Store: r.ways[1], Hold: time.Second}
+	o.Store = storesim.Confirming{Store: r.faultyStores[1], Hold: time.Second}
 	r.feeds[1] = New(o)
-	life, kill := context.WithCancel(r.ctx)
-	r.kill = kill
-	feed, way := r.feeds[1], o.Store
-	r.done.Go(func() { feed.Run(life) })
-	r.done.Go(func() {
-		(&Registrar{Store: way, VM: r.vm, Log: event.Discard(), Feed: feed}).Run(life)
+	processCtx, cancel := context.WithCancel(r.ctx)
+	r.cancel = cancel
+	feed, confirming := r.feeds[1], o.Store
+	r.wg.Go(func() { feed.Run(processCtx) })
+	r.wg.Go(func() {
+		(&Registrar{Store: confirming, VM: r.vm, Log: event.Discard(), Feed: feed}).Run(processCtx)
 	})
 }
 
-// crash ends the process, so that nothing of it reaches the store any more.
-func (r *registration) crash() {
-	r.ways[1].SetDown(true)
-	r.kill()
+// crashProcess ends the process so that none of its calls reaches the store any more.
+func (r *registration) crashProcess() {
+	r.faultyStores[1].SetDown(true)
+	r.cancel()
 }
 
-// entry is what the store holds of the daemon.
+// entry returns the daemon's entry in the store.
 func (r *registration) entry() (store.KV, bool) {
 	kv, err := r.store.Get(r.t.Context(), vmPrefix+r.vm.ID)
 	return kv, err == nil
 }
 
-// All daemons of a large fleet are killed at once and start again. If each asks for a new
-// lease and writes its entry anew, hundreds of calls meet the store as callers wait for
-// the first configuration. The process before left the same entry under a lease that
-// still runs: a renewal is enough.
+// All daemons of a large fleet are killed at once and restart. If each requested a new lease and
+// rewrote its entry, hundreds of calls would reach the store while callers wait for the first
+// configuration. The previous process left the same entry under a lease that is still valid, so a
+// renewal is enough.
 func TestRestartedDaemonKeepsItsLease(t *testing.T) {
 	inRegistration(t, func(r *registration) {
 		time.Sleep(5 * time.Second)
 		before, ok := r.entry()
 		must.True(t, ok)
-		r.crash()
+		r.crashProcess()
 		time.Sleep(1600 * time.Millisecond)
-		r.run()
+		r.startProcess()
 		time.Sleep(4 * leaseTTL)
 		after, ok := r.entry()
 		must.True(t, ok)
 		must.Eq(t, before, after)
-		counts := r.ways[1].Counts()
+		counts := r.faultyStores[1].Counts()
 		must.Zero(t, counts.Grant+counts.CompareAndSwap)
 	})
 }
 
-// A daemon is stopped, and starts again while its entry still says that it leaves. The
-// others must not go on believing that.
-func TestEntryThatSaysLeavingIsWrittenAnew(t *testing.T) {
+// A daemon is stopped, and restarts while its entry still says that it is leaving. The other
+// daemons must not treat it as leaving any longer.
+func TestLeavingEntryIsRewrittenAtRestart(t *testing.T) {
 	inRegistration(t, func(r *registration) {
 		time.Sleep(5 * time.Second)
-		r.crash()
+		r.crashProcess()
 		leaving, ok := r.entry()
 		must.True(t, ok)
 		_, err := r.store.CompareAndSwap(t.Context(), leaving.Key, leaving.Version,
 			[]byte(`{"id":"1","zone":"z","address":"x:2","peer":"1:1","leaving":true}`), leaving.Lease)
 		must.NoError(t, err)
-		r.run()
+		r.startProcess()
 		time.Sleep(4 * leaseTTL)
 		must.Eq(t, []routing.VM{r.vm}, r.feeds[0].View().VMs)
 	})
 }
 
-// A daemon starts again after its lease has run out.
-func TestLeaseThatRanOutIsNotKept(t *testing.T) {
+// A daemon restarts after its lease has expired.
+func TestExpiredLeaseIsNotAdopted(t *testing.T) {
 	inRegistration(t, func(r *registration) {
 		time.Sleep(5 * time.Second)
-		r.crash()
+		r.crashProcess()
 		time.Sleep(2 * leaseTTL)
 		_, ok := r.entry()
 		must.False(t, ok)
-		r.run()
+		r.startProcess()
 		time.Sleep(time.Second)
 		_, ok = r.entry()
 		must.True(t, ok)
 	})
 }
 
-// The entry vanishes although the lease is renewed: a write of the process before
-// arrived late and put it under another lease. Callers would never be told the daemon
-// again.
-func TestEntryThatVanishedIsWrittenAnew(t *testing.T) {
+// The entry vanishes although the lease is renewed: a late write of the previous process put it
+// under another lease. If the entry were not written again, callers would never be sent to the
+// daemon.
+func TestVanishedEntryIsRewritten(t *testing.T) {
 	inRegistration(t, func(r *registration) {
 		time.Sleep(5 * time.Second)
 		kv, ok := r.entry()
@@ -125,9 +125,9 @@
 	})
 }
 
-// The platform grants no lease as short as the daemon asks for: one that is renewed by the
-// shorter time would be renewed too often, one that is refused never registered.
-func TestLeaseIsNoShorterThanTheStoreGrants(t *testing.T) {
+// The store's shortest lease may be longer than leaseTTL. With the shorter time, the daemon would
+// renew too often, or never register if the store rejects the lease.
+func TestLeaseIsAtLeastStoreMinimum(t *testing.T) {
 	for least, want := range map[time.Duration]time.Duration{0: leaseTTL, time.Second: leaseTTL, time.Minute: time.Minute} {
 		must.Eq(t, want, (&Registrar{MinLeaseTTL: least}).ttl())
 	}
--- a/control/feed/table.go
+++ b/control/feed/table.go
@@ -11,74 +11,75 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// vmPrefix begins the keys under which entry VMs register themselves.
+// vmPrefix begins the keys under which entry VMs register.
 const vmPrefix = "mallowwind/vm/"
 
-// table is the mutable state behind the views. It is used by one goroutine.
+// table is the mutable state from which views are built. It is not safe for concurrent use;
+// Manager.mu guards it.
 type table struct {
 	schema  Schema
-	entries *entries // as the store holds them
+	entries *entries // raw entries as read from the store
 	log     *event.Log
 	config  *routing.Config
 	servers map[string]routing.Server
-	// born is the latest life known of each server, of one that is gone as long as
-	// departed remembers it.
-	born map[string]int64
-	// refusals holds why the entry of a key is not used, by key.
-	refusals map[string]string
-	refused  prometheus.Counter
-	// written is the store's revision of the first entry seen here of each server's
-	// present life.
-	written map[string]int64
-	vms     map[string]routing.VM
-	// barred are the refused requests, by key.
-	barred map[string]RefusedRequest
-	// rollouts are those of which something lies in the store, by service.
+	// incarnations holds the start of each server's latest known incarnation. It keeps that of a
+	// server that is gone for as long as departed holds the server.
+	incarnations map[string]int64
+	// rejections holds the reason why an entry is not used, by key.
+	rejections    map[string]string
+	rejectedTotal prometheus.Counter
+	// firstRevisions holds, for each server, the store revision of the first entry seen of its
+	// current incarnation.
+	firstRevisions map[string]int64
+	vms            map[string]routing.VM
+	// refusedRequests holds the refused requests by store key.
+	refusedRequests map[string]RefusedRequest
+	// rollouts holds the orders and statuses of roll-outs, by service.
 	rollouts map[string]Rollout
-	// doubtful holds when servers cease to be usable whose entries vanished
-	// around an outage.
-	doubtful map[string]time.Duration
-	// doubtfulVMs holds when entry VMs cease to count whose entries vanished
-	// around an outage.
-	doubtfulVMs map[string]time.Duration
-	// departed holds when each server was first known to leave or be gone.
+	// serverGraceEnds holds the end of the grace period of each server whose entry vanished around
+	// an outage. The server stays usable until then.
+	serverGraceEnds map[string]time.Duration
+	// vmGraceEnds holds the end of the grace period of each entry VM whose entry vanished around an
+	// outage, by store key. The VM counts as registered until then.
+	vmGraceEnds map[string]time.Duration
+	// departed holds the time at which each server was first known to be leaving or gone.
 	departed map[string]time.Duration
-	// lastReached is when the store last answered; doubtUntil is until when a
-	// removal may come from a lease that ran out during an outage.
-	lastReached, doubtUntil time.Duration
-	dirty                   bool
-	// changes counts what became of the configuration and the servers; it does not
-	// count an entry that was written anew as it was.
-	changes int
-	// read says that everything in the store was taken in once; reading, that it is
-	// being taken in for the first time.
-	read, reading bool
+	// lastAnsweredAt is the time of the store's last answer. Until recoveryUntil, a removal may be
+	// due to a lease that expired during an outage.
+	lastAnsweredAt, recoveryUntil time.Duration
+	dirty                         bool
+	// changeCount counts the changes of the configuration, the servers and the roll-outs. An entry
+	// that is rewritten with the same value does not count for the configuration and the servers.
+	changeCount int
+	// initialized is set once the whole store has been read; initializing is set during that first
+	// read.
+	initialized, initializing bool
 }
 
 func newTable(schema Schema, log *event.Log) *table {
 	return &table{
 		schema: schema, log: log, dirty: true,
-		entries:  newEntries(),
-		servers:  map[string]routing.Server{},
-		born:     map[string]int64{},
-		refusals: map[string]string{},
-		refused:  newRefused(),
-		written:  map[string]int64{},
-		vms:      map[string]routing.VM{},
-		barred:   map[string]RefusedRequest{},
-		rollouts: map[string]Rollout{},
-		doubtful: map[string]time.Duration{},
-		departed: map[string]time.Duration{},
+		entries:         newEntries(),
+		servers:         map[string]routing.Server{},
+		incarnations:    map[string]int64{},
+		rejections:      map[string]string{},
+		rejectedTotal:   newRejectedCounter(),
+		firstRevisions:  map[string]int64{},
+		vms:             map[string]routing.VM{},
+		refusedRequests: map[string]RefusedRequest{},
+		rollouts:        map[string]Rollout{},
+		serverGraceEnds: map[string]time.Duration{},
+		departed:        map[string]time.Duration{},
 
-		doubtfulVMs: map[string]time.Duration{},
+		vmGraceEnds: map[string]time.Duration{},
 	}
 }
 
-// replace takes in everything that the store holds at a revision. The first time the
-// log has one line for all servers: at a large site a line for each, at each start of a
-// daemon, fills the log with what nobody looks for.
-func (t *table) replace(now time.Duration, revision int64, items []store.KV) {
-	t.reading = !t.read
+// replaceAll replaces the state by everything that the store holds at a revision. The first read
+// logs one line for all servers. At a large site, a line for each server at each start of a daemon
+// fills the log with entries that nobody looks for.
+func (t *table) replaceAll(now time.Duration, revision int64, items []store.KV) {
+	t.initializing = !t.initialized
 	present := make(map[string]bool, len(items))
 	for _, kv := range items {
 		present[kv.Key] = true
@@ -89,15 +90,15 @@
 			t.remove(now, key, revision)
 		}
 	}
-	if t.reading {
-		t.entries.floor = revision
-		t.logServers(revision)
+	if t.initializing {
+		t.entries.removalFloor = revision
+		t.logInitialRead(revision)
 	}
-	t.read, t.reading = true, false
+	t.initialized, t.initializing = true, false
 }
 
-// logServers writes how many servers are known.
-func (t *table) logServers(revision int64) {
+// logInitialRead logs the number of known servers.
+func (t *table) logInitialRead(revision int64) {
 	services, leaving := map[string]int{}, 0
 	for _, s := range t.servers {
 		services[s.Service]++
@@ -108,8 +109,8 @@
 	t.log.Emit(event.StoreRead, services, leaving, revision)
 }
 
-// change takes in what was written and removed since the revision before.
-func (t *table) change(now time.Duration, events []store.Event) {
+// applyEvents applies the writes and removals of a batch of changes.
+func (t *table) applyEvents(now time.Duration, events []store.Event) {
 	for _, e := range events {
 		if e.Kind == store.Deleted {
 			t.remove(now, e.KV.Key, e.KV.Version)
@@ -135,69 +136,71 @@
 	case strings.HasPrefix(kv.Key, vmPrefix):
 		t.putVM(kv)
 	case strings.HasPrefix(kv.Key, refusedPrefix):
-		t.barred[kv.Key] = readRefused(kv)
+		t.refusedRequests[kv.Key] = decodeRefused(kv)
 	}
 }
 
-// putConfig never goes back: an answer that was delayed must not undo a newer one.
+// putConfig ignores a version that is not newer than the one in force, so that a delayed answer
+// does not undo a newer configuration.
 func (t *table) putConfig(raw []byte) {
 	c, err := t.schema.DecodeConfig(raw)
 	if err != nil {
-		t.refuse(t.schema.ConfigKey(), err)
+		t.reject(t.schema.ConfigKey(), err)
 		return
 	}
-	delete(t.refusals, t.schema.ConfigKey())
+	delete(t.rejections, t.schema.ConfigKey())
 	if t.config != nil && c.Version <= t.config.Version {
 		return
 	}
 	t.config = c
 	t.dirty = true
-	t.changes++
+	t.changeCount++
 	t.log.Emit(event.RoutingInForce, c.Version)
 }
 
-// refuse records that the entry of a key cannot be used, once for each reason: a server
-// writes its entry anew with each heartbeat.
-func (t *table) refuse(key string, err error) {
-	if t.refusals[key] == err.Error() {
+// reject records that the entry of a key cannot be used. It logs each reason only once because a
+// server rewrites its entry with each heartbeat.
+func (t *table) reject(key string, err error) {
+	if t.rejections[key] == err.Error() {
 		return
 	}
-	t.refusals[key] = err.Error()
-	t.refused.Inc()
+	t.rejections[key] = err.Error()
+	t.rejectedTotal.Inc()
 	t.log.Emit(event.EntryRefused, key, err)
 }
 
-// putServer takes in the entry of a server. One that cannot be used names no server, also
-// where the entry before it did: nobody knows any more whether that one leaves.
+// putServer stores the entry of a server. An invalid entry drops the server, even if the previous
+// entry was valid, because it is unknown whether the server is leaving.
 //
-// The failure that the order of lives guards against: a server restarts under its id, and
-// a write of the life before arrives after the first of the new one. It would mark the
-// new life as leaving, or take it for the old one with its runs and copies.
+// Entries of earlier incarnations are ignored. When a server restarts under its id, a write of the
+// previous incarnation may arrive after the first one of the new incarnation. Without the check, it
+// would mark the new incarnation as leaving, or the new one would be taken for the old one, with
+// its runs and copies of the KV cache.
 func (t *table) putServer(id string, kv store.KV) {
 	s, err := t.schema.DecodeServer(id, kv.Value)
 	if err != nil {
-		t.refuse(kv.Key, err)
+		t.reject(kv.Key, err)
 		if _, known := t.servers[id]; known {
-			t.forget(id)
+			t.dropServer(id)
 		}
 		return
 	}
-	delete(t.refusals, kv.Key)
-	if known := t.born[id]; s.Life().Before(routing.Life{ID: id, Born: known}) {
+	delete(t.rejections, kv.Key)
+	if known := t.incarnations[id]; s.Life().Before(routing.Life{ID: id, Born: known}) {
 		t.log.Emit(event.EntryOutdated, id, s.Born, known)
 		return
 	}
-	delete(t.doubtful, id)
-	t.note(id, s.Leaving)
-	if _, known := t.written[id]; !known || t.born[id] != s.Born {
-		t.written[id] = kv.Version
+	delete(t.serverGraceEnds, id)
+	t.setDeparted(id, s.Leaving)
+	if _, known := t.firstRevisions[id]; !known || t.incarnations[id] != s.Born {
+		t.firstRevisions[id] = kv.Version
 	}
-	t.born[id] = s.Born
+	t.incarnations[id] = s.Born
 	if t.servers[id] != s {
 		t.servers[id] = s
 		t.dirty = true
-		t.changes++
-		if !t.reading {
+		t.changeCount++
+		if !t.initializing {
 			t.log.Emit(event.ServerSeen, id, s.Service, s.Zone, s.Address, s.Leaving, kv.Version)
 		}
 	}
@@ -206,12 +209,12 @@
 func (t *table) putVM(kv store.KV) {
 	vm, err := decodeVM(strings.TrimPrefix(kv.Key, vmPrefix), kv.Value)
 	if err != nil {
-		t.refuse(kv.Key, err)
+		t.reject(kv.Key, err)
 		t.removeVM(kv.Key)
 		return
 	}
-	delete(t.refusals, kv.Key)
-	delete(t.doubtfulVMs, kv.Key)
+	delete(t.rejections, kv.Key)
+	delete(t.vmGraceEnds, kv.Key)
 	if t.vms[kv.Key] != vm {
 		t.vms[kv.Key] = vm
 		t.dirty = true
--- /dev/null
+++ b/control/feed/watch.go
@@ -0,0 +1,288 @@
+package feed
+
+import (
+	"context"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/pkg/errors"
+	"golang.org/x/sync/errgroup"
+
+	"mallowwind.dev/control/pause"
+	"mallowwind.dev/decision/watching"
+	"mallowwind.dev/external/store"
+)
+
+const (
+	// batchPause is the pause after a batch of changes. A zone that fails or returns changes a
+	// dozen keys within it, and each batch costs one call. It is an eighth of the time within which
+	// a change has to be in force.
+	batchPause = 250 * time.Millisecond
+	// retryDelay is the mean delay after a failed call of a daemon that the plan selects to watch
+	// the store, or that may be the only one that cannot reach it.
+	retryDelay = 250 * time.Millisecond
+	// outageRetryDelay is the shortest mean delay of the other daemons while their peers cannot
+	// reach the store either.
+	outageRetryDelay = 2 * time.Second
+	// maxStartupRetryDelay bounds the mean delay of a daemon that has no state yet, which doubles
+	// with each failure. At a constant short delay, a fleet that starts during an outage would send
+	// calls in proportion to its size.
+	maxStartupRetryDelay = time.Second
+	// outageRetriesPerSecond bounds the rate at which all daemons that the plan does not select
+	// together try the store during an outage. They learn of its return from the few that watch it;
+	// if the store refuses just those, one of the others soon reaches it and the rest learn from
+	// that one. Without the bound, the number of calls during an outage grows with the fleet, and
+	// all daemons call the store at once when it returns.
+	outageRetriesPerSecond = 4.0
+	// watchingRetryDelay is the mean delay of a daemon that watches on behalf of a larger fleet,
+	// after longFailureStreak failures. Several such daemons retry independently, so together they
+	// detect the store's return sooner than any one of them.
+	watchingRetryDelay = 500 * time.Millisecond
+	// longFailureStreak is the number of consecutive failures that are no longer taken for a single
+	// lost answer.
+	longFailureStreak = 3
+	// registrationSettleTime is how long a daemon that was not registered waits before it watches
+	// the store. When a whole fleet starts, most other daemons are registered by then, and only a
+	// few of them have to watch. Without the wait, each daemon watches until it has seen the others
+	// register, at one call for each batch of registrations.
+	registrationSettleTime = 500 * time.Millisecond
+)
+
+// MaxBatchesPerSecond is the maximum rate at which a watching daemon reads batches of changes.
+const MaxBatchesPerSecond = float64(time.Second) / float64(batchPause)
+
+// Run follows the store, and polls peers while the store is unreachable or watched by others, until
+// ctx ends.
+func (m *Manager) Run(ctx context.Context) {
+	var peers sync.WaitGroup
+	defer peers.Wait()
+	peers.Go(func() { m.pollPeers(ctx) })
+	for failures := 0; ctx.Err() == nil; {
+		if !m.shouldWatch() {
+			m.awaitWakeup(ctx, pollInterval)
+			continue
+		}
+		err := m.watchStore(ctx)
+		if ctx.Err() != nil || err == nil {
+			failures = 0
+			continue
+		}
+		m.recordFailure(err)
+		m.backOff(ctx, failures)
+		failures++
+	}
+}
+
+// awaitWakeup waits until d has passed or this daemon has to start watching the store.
+func (m *Manager) awaitWakeup(ctx context.Context, d time.Duration) {
+	t := time.NewTimer(d)
+	defer t.Stop()
+	select {
+	case <-t.C:
+	case <-m.watchWakeup:
+	case <-ctx.Done():
+	}
+}
+
+// backOff waits before the next attempt to reach the store. It recomputes the delay while it waits,
+// because the plan may select this daemon or a peer may reach the store meanwhile.
+func (m *Manager) backOff(ctx context.Context, failures int) {
+	failedAt, jitter := m.opts.Clock(), 0.5+rand.Float64()
+	for ctx.Err() == nil {
+		until := failedAt + time.Duration(jitter*float64(m.meanRetryDelay(failures)))
+		left := until - m.opts.Clock()
+		if left <= 0 || !m.shouldWatch() {
+			return
+		}
+		pause.For(ctx, min(left, pollInterval))
+	}
+}
+
+// meanRetryDelay returns the mean delay after a failed call to the store. failures counts the
+// consecutive failures before that call. A daemon that watches because its sources have lost the
+// store backs off like the rest of the fleet if its own call fails too.
+func (m *Manager) meanRetryDelay(failures int) time.Duration {
+	view := m.View()
+	fleetSize := float64(len(view.VMs))
+	_, known := m.confirmationAge()
+	switch {
+	case !known:
+		return min(retryDelay<<min(failures, 8), maxStartupRetryDelay)
+	case len(view.VMs) <= watching.SmallFleetSize:
+		return retryDelay
+	case view.watchPlan.IsWatcher(m.opts.Self) && failures >= longFailureStreak:
+		return watchingRetryDelay
+	case view.watchPlan.IsWatcher(m.opts.Self):
+		return retryDelay
+	case m.IsStoreDown():
+		return max(outageRetryDelay, time.Duration(fleetSize/outageRetriesPerSecond*float64(time.Second)))
+	case m.hasNoSource():
+		return outageRetryDelay
+	}
+	return retryDelay
+}
+
+// watchStore watches the store until a call fails or the plan leaves the watch to other daemons.
+func (m *Manager) watchStore(ctx context.Context) error {
+	if err := m.catchUp(ctx); err != nil {
+		return err
+	}
+	if !m.shouldWatch() {
+		return nil
+	}
+	w, err := m.opts.Store.Watch(ctx, m.opts.Prefix, m.revision.Load())
+	if err != nil {
+		return err
+	}
+	defer w.Close()
+	ctx = store.WithPurpose(ctx, store.PurposeWatch)
+	for m.shouldWatch() {
+		if err := m.readChanges(ctx, w); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// catchUp determines the revision from which the watch continues and confirms the configuration.
+// The read is needed because a watch without changes confirms nothing for a second.
+func (m *Manager) catchUp(ctx context.Context) error {
+	_, known := m.confirmationAge()
+	switch {
+	case m.revision.Load() == 0 && known:
+		return m.readAll(store.WithPurpose(ctx, store.PurposeReread))
+	case m.revision.Load() == 0:
+		return m.readInitial(store.WithPurpose(ctx, store.PurposeStart))
+	case !m.isFresh():
+		return m.confirmConfig(store.WithPurpose(ctx, store.PurposeReread))
+	}
+	return nil
+}
+
+// readInitial reads the store for the first time at low cost: a list that may be seconds old, and a
+// current read of the configuration. Changes since that list arrive with the watch or from the next
+// peer polled.
+func (m *Manager) readInitial(ctx context.Context) error {
+	var work errgroup.Group
+	var items []store.KV
+	var revision int64
+	work.Go(func() (err error) {
+		items, revision, err = m.opts.Store.ListStale(ctx, m.opts.Prefix)
+		return err
+	})
+	sentAt := m.opts.Clock()
+	config, found, err := m.readConfig(ctx)
+	if failed := work.Wait(); err == nil {
+		err = failed
+	}
+	if err != nil {
+		return err
+	}
+	m.recordOwnEntry(items)
+	items = slices.DeleteFunc(items, func(kv store.KV) bool { return kv.Key == config.Key })
+	if found {
+		items = append(items, config)
+	}
+	m.recordAnswer(sentAt)
+	m.apply(sentAt, revision, func() { m.table.replaceAll(sentAt, revision, items) })
+	if m.ownEntry.Key == "" {
+		return m.awaitRegistrations(ctx)
+	}
+	return nil
+}
+
+// recordOwnEntry stores this daemon's own entry, if items holds it, and unblocks the registration.
+func (m *Manager) recordOwnEntry(items []store.KV) {
+	select {
+	case <-m.ownEntryRead:
+		return
+	default:
+	}
+	for _, kv := range items {
+		if kv.Key == vmPrefix+m.opts.Self {
+			m.ownEntry = kv
+		}
+	}
+	close(m.ownEntryRead)
+}
+
+// awaitRegistrations waits while the fleet registers, then reads the registered entry VMs.
+func (m *Manager) awaitRegistrations(ctx context.Context) error {
+	pause.For(ctx, registrationSettleTime)
+	items, _, err := m.opts.Store.ListStale(ctx, m.opts.Prefix+vmPrefix)
+	if err != nil {
+		return err
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, kv := range items {
+		if m.table.entries.kvs[kv.Key].Version < kv.Version && strings.HasPrefix(kv.Key, vmPrefix) {
+			m.table.put(kv)
+		}
+	}
+	m.publish()
+	return nil
+}
+
+// readConfig reads the current configuration; found is false if there is none. The returned entry
+// has its key in either case.
+func (m *Manager) readConfig(ctx context.Context) (kv store.KV, found bool, err error) {
+	key := m.opts.Schema.ConfigKey()
+	kv, err = m.opts.Store.Get(ctx, key)
+	if errors.Is(err, store.ErrNotFound) {
+		return store.KV{Key: key}, false, nil
+	}
+	return kv, err == nil, err
+}
+
+// confirmConfig reads the configuration after a time without confirmation, in which a change of it
+// may have been missed. All other changes arrive with the watch.
+func (m *Manager) confirmConfig(ctx context.Context) error {
+	sentAt := m.opts.Clock()
+	config, found, err := m.readConfig(ctx)
+	if err != nil {
+		return err
+	}
+	m.recordAnswer(sentAt)
+	m.apply(sentAt, m.revision.Load(), func() {
+		if found && config.Version > m.table.entries.kvs[config.Key].Version {
+			m.table.put(config)
+		}
+	})
+	return nil
+}
+
+// readAll reads the whole store again when the watch cannot continue from the last revision because
+// its history was compacted.
+func (m *Manager) readAll(ctx context.Context) error {
+	sentAt := m.opts.Clock()
+	items, revision, err := m.opts.Store.List(ctx, m.opts.Prefix)
+	if err != nil {
+		return err
+	}
+	m.recordAnswer(sentAt)
+	m.apply(sentAt, revision, func() { m.table.replaceAll(sentAt, revision, items) })
+	return nil
+}
+
+// readChanges waits for one batch of changes. The batch includes every write that was acknowledged
+// before the request was sent.
+func (m *Manager) readChanges(ctx context.Context, w store.Watcher) error {
+	sentAt := m.opts.Clock()
+	events, err := w.Next(ctx)
+	if err != nil {
+		if errors.Is(err, store.ErrCompacted) {
+			m.revision.Store(0)
+		}
+		return err
+	}
+	m.recordAnswer(sentAt)
+	m.apply(sentAt, w.Revision(), func() { m.table.applyEvents(sentAt, events) })
+	if len(events) > 0 {
+		pause.For(ctx, batchPause)
+	}
+	return nil
+}
