--- a/control/feed/calls_test.go
+++ b/control/feed/calls_test.go
@@ -181,7 +181,7 @@
 // startProcess starts daemon n as a new process.
 func (c *restartableFleet) startProcess(n int) {
 	id := strconv.Itoa(n)
-	vm := routing.VM{ID: id, Zone: fmt.Sprintf("z%d", n%c.zones), Address: id + ":2", Peer: id + ":1"}
+	vm := routing.VM{ID: id, Zone: fmt.Sprintf("z%d", n%c.zones), Address: id + ":2", PeerAddress: id + ":1"}
 	faulty := store.NewFaulty(c.store)
 	faulty.SetDelay(4 * time.Millisecond)
 	processCtx, cancel := context.WithCancel(c.ctx)
--- a/control/feed/departures.go
+++ b/control/feed/departures.go
@@ -47,7 +47,7 @@
 		t.removeServer(now, id)
 		return
 	}
-	if vm, ok := t.vms[key]; ok && !vm.Leaving && now < t.recoveryUntil {
+	if vm, ok := t.vms[key]; ok && !vm.Draining && now < t.recoveryUntil {
 		// Daemons that are about to register again must not seem to be gone meanwhile: each
 		// remaining daemon would take the whole retry budget and all engines for itself.
 		t.vmGraceEnds[key] = now + reregisterWindow
@@ -71,7 +71,7 @@
 	if !ok {
 		return
 	}
-	if now < t.recoveryUntil && !s.Leaving {
+	if now < t.recoveryUntil && !s.Draining {
 		if _, kept := t.serverGraceEnds[id]; !kept {
 			t.serverGraceEnds[id] = now + serverGracePeriod
 			t.log.Emit(event.ServerGone, id, s.Service, serverGracePeriod)
--- a/control/feed/fleet_test.go
+++ b/control/feed/fleet_test.go
@@ -328,9 +328,9 @@
 	view := &View{Config: &routing.Config{}}
 	zone := map[string]string{}
 	for n := range size {
-		vm := routing.VM{ID: "vm-" + strconv.Itoa(n), Zone: string(rune('a' + n%3)), Peer: strconv.Itoa(n) + ":1"}
+		vm := routing.VM{ID: "vm-" + strconv.Itoa(n), Zone: string(rune('a' + n%3)), PeerAddress: strconv.Itoa(n) + ":1"}
 		view.VMs = append(view.VMs, vm)
-		zone[vm.Peer] = vm.Zone
+		zone[vm.PeerAddress] = vm.Zone
 	}
 	view.watchPlan = newWatchPlan(view.VMs)
 	polls := map[string]int{}
@@ -395,7 +395,7 @@
 		m := f.feeds[0]
 		m.apply(time.Hour, 9, func() { m.table.applyEvents(0, []store.Event{putEvent("server/1", "leaving a:1", 9)}) })
 		m.apply(time.Hour, 5, func() { m.table.applyEvents(0, []store.Event{putEvent("server/1", "a:1", 5)}) })
-		must.True(t, m.View().Servers["s"][0].Leaving)
+		must.True(t, m.View().Servers["s"][0].Draining)
 	})
 }
 
@@ -403,7 +403,7 @@
 func TestRegistrationIsRestoredAfterOutage(t *testing.T) {
 	inFleet(t, 1, func(f *fleet) {
 		f.start(0)
-		r := &Registrar{Store: f.faultyStores[0], VM: routing.VM{ID: "vm-7", Address: "x:2", Peer: "x:1"}, Log: event.Discard()}
+		r := &Registrar{Store: f.faultyStores[0], VM: routing.VM{ID: "vm-7", Address: "x:2", PeerAddress: "x:1"}, Log: event.Discard()}
 		ctx, cancel := context.WithCancel(f.t.Context())
 		f.wg.Go(func() { r.Run(ctx) })
 		registered := func() bool {
--- a/control/feed/peers.go
+++ b/control/feed/peers.go
@@ -86,7 +86,7 @@
 func newWatchPlan(vms []routing.VM) *watching.Plan {
 	list := make([]watching.VM, 0, len(vms))
 	for _, vm := range vms {
-		if !vm.Leaving {
+		if !vm.Draining {
 			list = append(list, watching.VM{ID: vm.ID, Hash: xxhash.Sum64String(vm.ID), Zone: vm.Zone})
 		}
 	}
@@ -149,14 +149,14 @@
 	peers := map[string]string{}
 	list := routing.Peers(view.VMs, m.opts.Self)
 	for _, vm := range list {
-		peers[vm.ID] = vm.Peer
+		peers[vm.ID] = vm.PeerAddress
 	}
 	if view.watchPlan != nil {
 		nearIDs, otherIDs := view.watchPlan.Sources(m.opts.Self, m.sourceTurn.Load())
 		near, others = peerAddresses(peers, nearIDs), peerAddresses(peers, otherIDs)
 	}
 	if !m.isFresh() && len(list) > 0 {
-		others = slices.Insert(others, 0, list[rand.N(len(list))].Peer)
+		others = slices.Insert(others, 0, list[rand.N(len(list))].PeerAddress)
 		near = near[:min(len(near), 1)]
 	}
 	if len(near)+len(others) == 0 {
--- a/control/feed/schema.go
+++ b/control/feed/schema.go
@@ -41,8 +41,8 @@
 	if s.Service == "" || s.Address == "" {
 		return s, errors.New("server: service or address is missing")
 	}
-	if id == "" || s.Born < 0 || s.Slots < 0 {
-		return s, errors.Errorf("server: invalid id %q, born %d or slots %d", id, s.Born, s.Slots)
+	if id == "" || s.StartedAtMS < 0 || s.Slots < 0 {
+		return s, errors.Errorf("server: invalid id %q, born %d or slots %d", id, s.StartedAtMS, s.Slots)
 	}
 	if err := checkAddress(s.Address); err != nil {
 		return s, errors.Wrap(err, "server")
@@ -64,10 +64,10 @@
 	if err := checkAddress(vm.Address); err != nil {
 		return vm, errors.Wrap(err, "entry VM")
 	}
-	if vm.Peer == "" {
+	if vm.PeerAddress == "" {
 		return vm, nil // it serves no peers
 	}
-	return vm, errors.Wrap(checkAddress(vm.Peer), "entry VM: peer")
+	return vm, errors.Wrap(checkAddress(vm.PeerAddress), "entry VM: peer")
 }
 
 // checkAddress returns an error unless address is a host with a port.
--- a/control/feed/table.go
+++ b/control/feed/table.go
@@ -102,7 +102,7 @@
 	services, leaving := map[string]int{}, 0
 	for _, s := range t.servers {
 		services[s.Service]++
-		if s.Leaving {
+		if s.Draining {
 			leaving++
 		}
 	}
@@ -186,22 +186,22 @@
 		return
 	}
 	delete(t.rejections, kv.Key)
-	if known := t.incarnations[id]; s.Life().Before(routing.Life{ID: id, Born: known}) {
-		t.log.Emit(event.EntryOutdated, id, s.Born, known)
+	if known := t.incarnations[id]; s.Incarnation().Before(routing.Incarnation{ID: id, StartedAtMS: known}) {
+		t.log.Emit(event.EntryOutdated, id, s.StartedAtMS, known)
 		return
 	}
 	delete(t.serverGraceEnds, id)
-	t.setDeparted(id, s.Leaving)
-	if _, known := t.firstRevisions[id]; !known || t.incarnations[id] != s.Born {
+	t.setDeparted(id, s.Draining)
+	if _, known := t.firstRevisions[id]; !known || t.incarnations[id] != s.StartedAtMS {
 		t.firstRevisions[id] = kv.Version
 	}
-	t.incarnations[id] = s.Born
+	t.incarnations[id] = s.StartedAtMS
 	if t.servers[id] != s {
 		t.servers[id] = s
 		t.dirty = true
 		t.changeCount++
 		if !t.initializing {
-			t.log.Emit(event.ServerSeen, id, s.Service, s.Zone, s.Address, s.Leaving, kv.Version)
+			t.log.Emit(event.ServerSeen, id, s.Service, s.Zone, s.Address, s.Draining, kv.Version)
 		}
 	}
 }
