--- a/cmd/mallowctl/rollout.go
+++ b/cmd/mallowctl/rollout.go
@@ -60,7 +60,7 @@
 		switch {
 		case r.Status != nil:
 			fmt.Fprintf(out, "%s  %s  from %s to %s  share %.3f  due %s\n", service, r.Status.Stage, r.Status.Base, r.Status.Target,
-				r.Status.Share, time.UnixMilli(r.Status.DeadlineMillis).UTC().Format(time.RFC3339))
+				r.Status.Share, time.UnixMilli(r.Status.DeadlineMS).UTC().Format(time.RFC3339))
 		case r.Order != nil:
 			fmt.Fprintf(out, "%s  ordered  to %s  in %v\n", service, r.Order.Target, r.Order.Period)
 		case r.Refused != nil:
--- a/control/feed/schema.go
+++ b/control/feed/schema.go
@@ -40,8 +40,8 @@
 	if s.Service == "" || s.Address == "" {
 		return s, errors.New("server: no service or address")
 	}
-	if id == "" || s.StartedAtMillis < 0 || s.Slots < 0 {
-		return s, errors.Errorf("server: id %q, born %d, %d slots", id, s.StartedAtMillis, s.Slots)
+	if id == "" || s.StartedAtMS < 0 || s.Slots < 0 {
+		return s, errors.Errorf("server: id %q, born %d, %d slots", id, s.StartedAtMS, s.Slots)
 	}
 	if err := checkAddress(s.Address); err != nil {
 		return s, errors.Wrap(err, "server")
--- a/control/feed/table.go
+++ b/control/feed/table.go
@@ -183,16 +183,16 @@
 		return
 	}
 	delete(t.refusals, kv.Key)
-	if known := t.born[id]; s.Incarnation().Before(routing.Incarnation{ID: id, StartedAtMillis: known}) {
-		t.log.Emit(event.EntryOutdated, id, s.StartedAtMillis, known)
+	if known := t.born[id]; s.Incarnation().Before(routing.Incarnation{ID: id, StartedAtMS: known}) {
+		t.log.Emit(event.EntryOutdated, id, s.StartedAtMS, known)
 		return
 	}
 	delete(t.doubtful, id)
 	t.note(id, s.Draining)
-	if _, known := t.written[id]; !known || t.born[id] != s.StartedAtMillis {
+	if _, known := t.written[id]; !known || t.born[id] != s.StartedAtMS {
 		t.written[id] = kv.Version
 	}
-	t.born[id] = s.StartedAtMillis
+	t.born[id] = s.StartedAtMS
 	if t.servers[id] != s {
 		t.servers[id] = s
 		t.dirty = true
--- a/control/inforce/adopt.go
+++ b/control/inforce/adopt.go
@@ -16,10 +16,10 @@
 	// sourceStore names the store as where a text came from; peers are named by VM id.
 	sourceStore = "store"
 
-	// keptTexts is how many texts back a peer may be and still be served a
+	// maxRecentTexts is how many texts back a peer may be and still be served a
 	// difference. At 5,200 changes a day one comes every 17 s, so this covers
 	// two minutes; a peer further back is served the whole text.
-	keptTexts = 8
+	maxRecentTexts = 8
 )
 
 // Rejection is a text that was not taken over.
@@ -30,18 +30,18 @@
 	RejectedAt time.Time `json:"when"`
 }
 
-// offer takes over what the store says is accepted. A record that continues
+// adoptFromStore takes over what the store says is accepted. A record that continues
 // the text in force brings the difference; otherwise the body is read.
-func (m *Manager) offer(ctx context.Context, r *record.Record) error {
-	if !m.newer(r.Revision, r.SHA256, sourceStore) {
+func (m *Manager) adoptFromStore(ctx context.Context, r *record.Record) error {
+	if !m.isNewer(r.Revision, r.SHA256, sourceStore) {
 		return nil
 	}
-	text, err := m.patched(r)
+	text, err := m.applyPatch(r)
 	if err != nil {
 		text, err = m.readBody(ctx, r)
 	}
 	if errors.Is(err, store.ErrNotFound) || errors.Is(err, record.ErrCorrupt) {
-		m.refuse(r, sourceStore, err)
+		m.reject(r, sourceStore, err)
 	}
 	if err != nil {
 		return err
@@ -49,8 +49,8 @@
 	return m.adopt(r, text, sourceStore)
 }
 
-// patched applies the difference that r carries to the text in force.
-func (m *Manager) patched(r *record.Record) (string, error) {
+// applyPatch applies the difference that r carries to the text in force.
+func (m *Manager) applyPatch(r *record.Record) (string, error) {
 	s := m.current.Load()
 	if s == nil || r.Patch == nil || s.record.Revision != r.BaseRevision {
 		return "", errors.New("no base for the difference")
@@ -62,13 +62,13 @@
 	return text, r.Verify(text)
 }
 
-// newer reports whether revision is above the one in force.
+// isNewer reports whether revision is above the one in force.
 //
 // A stale read, a store restored from an older copy or a peer that lags would
 // otherwise bring back what operators have replaced: users would see replicas,
 // accounts and limits of an hour ago return. A daemon compares with what it
 // has itself, so no other party can lower it.
-func (m *Manager) newer(revision int64, hash, source string) bool {
+func (m *Manager) isNewer(revision int64, hash, source string) bool {
 	s := m.current.Load()
 	if s == nil || revision > s.record.Revision {
 		return true
@@ -77,8 +77,8 @@
 		return false
 	}
 	m.mu.Lock()
-	known := m.offered == revision
-	m.offered = revision
+	known := m.lastLowerLogged == revision
+	m.lastLowerLogged = revision
 	m.mu.Unlock()
 	if !known {
 		m.cfg.Log.Emit(event.ConfigLower, revision, s.record.Revision, source)
@@ -90,10 +90,10 @@
 func (m *Manager) adopt(r *record.Record, text, source string) error {
 	parsed, err := m.parse(r, text)
 	if err != nil {
-		m.refuse(r, source, err)
+		m.reject(r, source, err)
 		return err
 	}
-	next := &state{site: parsed, record: r, source: source, since: time.Now()}
+	next := &snapshot{site: parsed, record: r, source: source, since: time.Now()}
 	m.mu.Lock()
 	previous := m.revision()
 	if r.Revision <= previous {
@@ -101,12 +101,12 @@
 		return nil
 	}
 	m.current.Store(next)
-	m.recent = append(m.recent, kept{r.Revision, text})
-	if len(m.recent) > keptTexts {
+	m.recent = append(m.recent, recentText{r.Revision, text})
+	if len(m.recent) > maxRecentTexts {
 		m.recent = append(m.recent[:0:0], m.recent[1:]...)
 	}
 	m.mu.Unlock()
-	m.cost.adopted(source)
+	m.counters.countAdoption(source)
 	m.cfg.Log.Emit(event.ConfigInForce, r.Revision, previous, source, r.Author, r.Comment, next.since.Sub(r.AppliedAt).String())
 	m.announce()
 	return nil
@@ -137,20 +137,20 @@
 	return parsed, nil
 }
 
-// refuse notes a text that cannot be in force: mallowctl checks before it
+// reject notes a text that cannot be in force: mallowctl checks before it
 // applies, so this is a text written by other means or a damaged one.
-func (m *Manager) refuse(r *record.Record, source string, err error) {
+func (m *Manager) reject(r *record.Record, source string, err error) {
 	m.mu.Lock()
-	known := m.refused != nil && m.refused.Revision == r.Revision
-	m.refused = &Rejection{Revision: r.Revision, Source: source, Error: err.Error(), RejectedAt: time.Now()}
+	known := m.rejected != nil && m.rejected.Revision == r.Revision
+	m.rejected = &Rejection{Revision: r.Revision, Source: source, Error: err.Error(), RejectedAt: time.Now()}
 	m.mu.Unlock()
 	if !known {
 		m.cfg.Log.Emit(event.ConfigRefused, r.Revision, source, err.Error())
 	}
 }
 
-// base returns the text that was in force at revision, if it is still kept.
-func (m *Manager) base(revision int64) (string, bool) {
+// recentText returns the text that was in force at revision, if it is still kept.
+func (m *Manager) recentText(revision int64) (string, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, k := range m.recent {
--- a/control/inforce/inforce.go
+++ b/control/inforce/inforce.go
@@ -50,17 +50,17 @@
 	cfg  Config
 	keys record.Keys
 
-	current atomic.Pointer[state]
-	wake    chan struct{} // the fetcher: someone has a newer revision
-	cost    cost
-
-	mu      sync.Mutex // guards what follows and every change of current
-	recent  []kept     // texts lately in force, the newest last, bases of patches
-	seen    map[string]ObservedRevision
-	offered int64 // last lower revision logged
-	refused *Rejection
-	watch   watchState
-	outage  outage
+	current   atomic.Pointer[snapshot]
+	fetchWake chan struct{} // the fetcher: someone has a newer revision
+	counters  counters
+
+	mu              sync.Mutex   // guards what follows and every change of current
+	recent          []recentText // texts lately in force, the newest last, bases of patches
+	peerRevisions   map[string]ObservedRevision
+	lastLowerLogged int64 // last lower revision logged
+	rejected        *Rejection
+	watch           watchState
+	outage          outage
 
 	announceMu sync.Mutex // makes announcements follow the order of revisions
 
@@ -68,16 +68,16 @@
 	rng   *rand.Rand
 }
 
-// state is one text in force. It is immutable.
-type state struct {
+// snapshot is one text in force. It is immutable.
+type snapshot struct {
 	site   *site.Site
 	record *record.Record
 	source string
 	since  time.Time
 }
 
-// kept is a text without its parsed form, which takes several times the memory.
-type kept struct {
+// recentText is a text without its parsed form, which takes several times the memory.
+type recentText struct {
 	revision int64
 	text     string
 }
@@ -87,14 +87,14 @@
 // New returns a Manager that has no text until Run finds one.
 func New(cfg Config) *Manager {
 	m := &Manager{
-		cfg:  cfg,
-		keys: record.KeysOf(cfg.Site),
-		wake: make(chan struct{}, 1),
-		seen: map[string]ObservedRevision{},
-		rng:  rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
+		cfg:           cfg,
+		keys:          record.KeysOf(cfg.Site),
+		fetchWake:     make(chan struct{}, 1),
+		peerRevisions: map[string]ObservedRevision{},
+		rng:           rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
 	}
 	if cfg.Metrics != nil {
-		m.register(cfg.Metrics)
+		m.registerMetrics(cfg.Metrics)
 	}
 	return m
 }
@@ -146,8 +146,8 @@
 	m.rng.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 }
 
-// signal leaves one token in c, which is enough to wake its reader.
-func signal(c chan struct{}) {
+// notify leaves one token in c, which is enough to wake its reader.
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
--- a/control/inforce/inforce_test.go
+++ b/control/inforce/inforce_test.go
@@ -111,7 +111,7 @@
 		}
 		f.run(5 * time.Second)
 		f.change()
-		f.run(2 * pollEvery)
+		f.run(2 * pollInterval)
 		f.converged()
 		must.StrContains(t, f.log.String(), "config_watch_stale")
 	})
@@ -221,7 +221,7 @@
 			}
 			f.heal()
 			f.change()
-			f.run(2 * pollEvery)
+			f.run(2 * pollInterval)
 			f.converged()
 		})
 	}
--- a/control/inforce/patch/patch.go
+++ b/control/inforce/patch/patch.go
@@ -35,30 +35,30 @@
 	for i := len(from) - 1; i >= 0; i-- {
 		at[from[i]] = i
 	}
-	m := maker{from: from, at: at}
+	m := builder{oldLines: from, firstIndex: at}
 	for _, line := range strings.SplitAfter(new, "\n") {
-		m.line(line)
+		m.addLine(line)
 	}
 	return m.patch
 }
 
-type maker struct {
-	from  []string
-	at    map[string]int
-	patch Patch
+type builder struct {
+	oldLines   []string
+	firstIndex map[string]int
+	patch      Patch
 }
 
-func (m *maker) line(line string) {
+func (m *builder) addLine(line string) {
 	if n := len(m.patch); n > 0 {
 		last := &m.patch[n-1]
 		next := int(last.From + last.Lines)
-		if last.Insert == "" && next < len(m.from) && m.from[next] == line {
+		if last.Insert == "" && next < len(m.oldLines) && m.oldLines[next] == line {
 			last.Lines++
 			return
 		}
 	}
-	if i, ok := m.at[line]; ok {
-		m.patch = append(m.patch, Op{From: uint32(m.resume(i, line)), Lines: 1})
+	if i, ok := m.firstIndex[line]; ok {
+		m.patch = append(m.patch, Op{From: uint32(m.findSourceLine(i, line)), Lines: 1})
 		return
 	}
 	if len(m.patch) == 0 {
@@ -67,26 +67,26 @@
 	m.patch[len(m.patch)-1].Insert += line
 }
 
-// resume prefers the line after a replaced one: repeated lines, such as
+// findSourceLine prefers the line after a replaced one: repeated lines, such as
 // "share = 1", would otherwise point back to their first occurrence and break
 // one long copy into many.
-func (m *maker) resume(first int, line string) int {
+func (m *builder) findSourceLine(first int, line string) int {
 	if len(m.patch) == 0 {
 		return first
 	}
 	last := m.patch[len(m.patch)-1]
 	next := int(last.From + last.Lines)
-	for i := next; i < min(next+resumeWindow, len(m.from)); i++ {
-		if m.from[i] == line {
+	for i := next; i < min(next+maxSkippedLines, len(m.oldLines)); i++ {
+		if m.oldLines[i] == line {
 			return i
 		}
 	}
 	return first
 }
 
-// resumeWindow is how many removed or replaced lines are skipped in search of
+// maxSkippedLines is how many removed or replaced lines are skipped in search of
 // the place where the old text goes on; an account has some ten lines.
-const resumeWindow = 64
+const maxSkippedLines = 64
 
 // Apply returns the text that p makes of old.
 func (p Patch) Apply(old string) (string, error) {
--- a/control/inforce/report.go
+++ b/control/inforce/report.go
@@ -37,10 +37,10 @@
 	defer m.mu.Unlock()
 	r := Report{
 		Watching: m.watch.cancel != nil, StoreDownSince: m.outage.since, StoreError: errorText(m.outage.err),
-		Rejected: m.refused, MemberRevisions: map[string]ObservedRevision{m.cfg.VM: {m.revision(), time.Now()}},
+		Rejected: m.rejected, MemberRevisions: map[string]ObservedRevision{m.cfg.VM: {m.revision(), time.Now()}},
 	}
 	for _, member := range m.cfg.Members.Current().Members {
-		if heard, ok := m.seen[member.ID]; ok {
+		if heard, ok := m.peerRevisions[member.ID]; ok {
 			r.MemberRevisions[member.ID] = heard
 		}
 	}
@@ -58,52 +58,52 @@
 	AdoptedFromStore, AdoptedFromPeers int64 // texts put in force
 }
 
-type cost struct {
-	storeCalls, storeRead, peerCalls, peerBytes, fromStore, fromPeers atomic.Int64
+type counters struct {
+	storeCalls, storeBytes, peerCalls, peerBytes, adoptedFromStore, adoptedFromPeers atomic.Int64
 }
 
 // Stats returns the counts since the start.
 func (m *Manager) Stats() Stats {
 	return Stats{
-		StoreCalls: m.cost.storeCalls.Load(), StoreBytes: m.cost.storeRead.Load(),
-		PeerCalls: m.cost.peerCalls.Load(), PeerBytes: m.cost.peerBytes.Load(),
-		AdoptedFromStore: m.cost.fromStore.Load(), AdoptedFromPeers: m.cost.fromPeers.Load(),
+		StoreCalls: m.counters.storeCalls.Load(), StoreBytes: m.counters.storeBytes.Load(),
+		PeerCalls: m.counters.peerCalls.Load(), PeerBytes: m.counters.peerBytes.Load(),
+		AdoptedFromStore: m.counters.adoptedFromStore.Load(), AdoptedFromPeers: m.counters.adoptedFromPeers.Load(),
 	}
 }
 
-func (c *cost) storeCall(bytes int) {
+func (c *counters) countStoreCall(bytes int) {
 	c.storeCalls.Add(1)
-	c.storeBytes(bytes)
+	c.countStoreBytes(bytes)
 }
 
-func (c *cost) storeBytes(n int) { c.storeRead.Add(int64(n)) }
+func (c *counters) countStoreBytes(n int) { c.storeBytes.Add(int64(n)) }
 
-func (c *cost) peerCall(message proto.Message) {
+func (c *counters) countPeerCall(message proto.Message) {
 	c.peerCalls.Add(1)
 	c.peerBytes.Add(int64(proto.Size(message)))
 }
 
-func (c *cost) adopted(source string) {
+func (c *counters) countAdoption(source string) {
 	if source == sourceStore {
-		c.fromStore.Add(1)
+		c.adoptedFromStore.Add(1)
 		return
 	}
-	c.fromPeers.Add(1)
+	c.adoptedFromPeers.Add(1)
 }
 
-// register exposes the counts; docs/metrics.md explains each.
-func (m *Manager) register(r prometheus.Registerer) {
+// registerMetrics exposes the counts; docs/metrics.md explains each.
+func (m *Manager) registerMetrics(r prometheus.Registerer) {
 	counter := func(name, help string, value *atomic.Int64) {
 		r.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Namespace: "mallowwind", Subsystem: "config", Name: name, Help: help,
 		}, func() float64 { return float64(value.Load()) }))
 	}
-	counter("store_calls_total", "Calls to the store for the site text.", &m.cost.storeCalls)
-	counter("store_bytes_total", "Bytes of values read from the store for the site text.", &m.cost.storeRead)
-	counter("peer_calls_total", "Calls to other entry VMs for the site text.", &m.cost.peerCalls)
-	counter("peer_bytes_total", "Bytes of messages of these calls.", &m.cost.peerBytes)
-	counter("from_store_total", "Texts put in force that came from the store.", &m.cost.fromStore)
-	counter("from_peers_total", "Texts put in force that came from another entry VM.", &m.cost.fromPeers)
+	counter("store_calls_total", "Calls to the store for the site text.", &m.counters.storeCalls)
+	counter("store_bytes_total", "Bytes of values read from the store for the site text.", &m.counters.storeBytes)
+	counter("peer_calls_total", "Calls to other entry VMs for the site text.", &m.counters.peerCalls)
+	counter("peer_bytes_total", "Bytes of messages of these calls.", &m.counters.peerBytes)
+	counter("from_store_total", "Texts put in force that came from the store.", &m.counters.adoptedFromStore)
+	counter("from_peers_total", "Texts put in force that came from another entry VM.", &m.counters.adoptedFromPeers)
 	r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Namespace: "mallowwind", Subsystem: "config", Name: "revision", Help: "Revision of the site text in force.",
 	}, func() float64 { return float64(m.revision()) }))
--- a/control/inforce/service.go
+++ b/control/inforce/service.go
@@ -31,7 +31,7 @@
 	bare := *current.record
 	bare.Patch = nil // the reply carries its own
 	reply.Record = bare.Encode()
-	if base, ok := s.m.base(int64(request.GetHave())); ok {
+	if base, ok := s.m.recentText(int64(request.GetHave())); ok {
 		if p := patch.Make(base, current.site.Text); p.Size() < len(current.site.Text) {
 			reply.Base, reply.Patch = request.GetHave(), toProto(p)
 			return reply, nil
--- a/control/inforce/spread.go
+++ b/control/inforce/spread.go
@@ -17,9 +17,9 @@
 	// peerTimeout bounds one call to a peer. A round trip between regions and
 	// a whole text take a fraction of it; a silent connection costs no more.
 	peerTimeout = time.Second
-	// fetchTries is how many peers are tried for one newer revision before
+	// maxFetchAttempts is how many peers are tried for one newer revision before
 	// the next hint.
-	fetchTries = 3
+	maxFetchAttempts = 3
 )
 
 // ObserveRevision notes that member has revision in force, as gossip says. When that is
@@ -29,10 +29,10 @@
 		return
 	}
 	m.mu.Lock()
-	m.seen[member] = ObservedRevision{Revision: int64(revision), ObservedAt: time.Now()}
+	m.peerRevisions[member] = ObservedRevision{Revision: int64(revision), ObservedAt: time.Now()}
 	m.mu.Unlock()
 	if int64(revision) > m.revision() {
-		signal(m.wake)
+		notify(m.fetchWake)
 	}
 }
 
@@ -42,10 +42,10 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.wake:
+		case <-m.fetchWake:
 		}
-		for tries := 0; tries < fetchTries; tries++ {
-			peer, ok := m.ahead(tries)
+		for tries := 0; tries < maxFetchAttempts; tries++ {
+			peer, ok := m.newerPeer(tries)
 			if !ok || ctx.Err() != nil {
 				break
 			}
@@ -54,15 +54,15 @@
 	}
 }
 
-// ahead returns a peer known to have a newer revision, the nth by preference:
+// newerPeer returns a peer known to have a newer revision, the nth by preference:
 // the newest, in the own zone first because its link is the shortest.
-func (m *Manager) ahead(n int) (membership.Member, bool) {
+func (m *Manager) newerPeer(n int) (membership.Member, bool) {
 	current := m.revision()
 	var near, far []membership.Member
 	m.mu.Lock()
 	for _, peer := range m.cfg.Members.Current().Members {
 		switch {
-		case m.seen[peer.ID].Revision <= current || peer.ID == m.cfg.VM:
+		case m.peerRevisions[peer.ID].Revision <= current || peer.ID == m.cfg.VM:
 		case peer.Zone == m.cfg.Zone:
 			near = append(near, peer)
 		default:
@@ -85,17 +85,17 @@
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	reply, err := m.client(peer).Fetch(ctx, &peerpb.FetchConfigRequest{Have: m.Digest()})
-	m.cost.peerCall(reply)
+	m.counters.countPeerCall(reply)
 	if err == nil {
-		err = m.take(reply, peer.ID)
+		err = m.adoptReply(reply, peer.ID)
 	}
 	if err == nil {
 		return
 	}
 	m.mu.Lock()
-	wanted := m.seen[peer.ID].Revision
+	wanted := m.peerRevisions[peer.ID].Revision
 	// Forgotten until it is heard of again, so that the next try goes elsewhere.
-	delete(m.seen, peer.ID)
+	delete(m.peerRevisions, peer.ID)
 	m.mu.Unlock()
 	if ctx.Err() != nil {
 		m.cfg.Dialer.DropIdle()
@@ -103,11 +103,11 @@
 	m.cfg.Log.Emit(event.ConfigFetchFailed, peer.ID, wanted, err.Error())
 }
 
-// take verifies a fetched text and puts it in force.
-func (m *Manager) take(reply *peerpb.FetchConfigReply, from string) error {
+// adoptReply verifies a fetched text and puts it in force.
+func (m *Manager) adoptReply(reply *peerpb.FetchConfigReply, from string) error {
 	revision := int64(reply.GetRevision())
 	m.mu.Lock()
-	m.seen[from] = ObservedRevision{Revision: revision, ObservedAt: time.Now()}
+	m.peerRevisions[from] = ObservedRevision{Revision: revision, ObservedAt: time.Now()}
 	m.mu.Unlock()
 	if revision <= m.revision() {
 		return nil
@@ -118,7 +118,7 @@
 	}
 	text := reply.GetText()
 	if reply.GetBase() > 0 {
-		base, _ := m.base(int64(reply.GetBase()))
+		base, _ := m.recentText(int64(reply.GetBase()))
 		if text, err = fromProto(reply.GetPatch()).Apply(base); err != nil {
 			return err
 		}
@@ -130,8 +130,8 @@
 	return peerpb.NewConfigProtobufClient(m.cfg.Dialer.URL(peer.Peer), m.cfg.Dialer.Client)
 }
 
-// others returns up to n living members in random order, without this daemon.
-func (m *Manager) others(n int) []membership.Member {
+// randomPeers returns up to n living members in random order, without this daemon.
+func (m *Manager) randomPeers(n int) []membership.Member {
 	var list []membership.Member
 	for _, peer := range m.cfg.Members.Current().Members {
 		if peer.ID != m.cfg.VM && peer.State != membership.Gone && peer.Peer != "" {
--- a/control/inforce/watch.go
+++ b/control/inforce/watch.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// pollEvery is the mean time between reads of the record by every daemon,
+	// pollInterval is the mean time between reads of the record by every daemon,
 	// watchers too. It finds a watch that went silent and a daemon that no
 	// peer reaches. 390 daemons make 6.5 reads a second of about 500 bytes.
-	pollEvery = time.Minute
-	// roleEvery is how often a daemon looks whether it is a watcher.
-	roleEvery = 5 * time.Second
+	pollInterval = time.Minute
+	// roleCheckInterval is how often a daemon looks whether it is a watcher.
+	roleCheckInterval = 5 * time.Second
 	// callTimeout bounds one read of the store, which answers in milliseconds.
 	callTimeout = 2 * time.Second
-	// firstBackoff and lastBackoff bound the wait of a watcher, or of a daemon
+	// minBackoff and lastBackoff bound the wait of a watcher, or of a daemon
 	// without any text, after a failed call. Only these retry; the others wait
 	// for their next poll, so that the end of an outage brings no stampede.
-	firstBackoff = 200 * time.Millisecond
-	lastBackoff  = 5 * time.Second
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 5 * time.Second
 )
 
 // watchState is the life of this daemon's watch, guarded by Manager.mu.
@@ -42,20 +42,20 @@
 
 // watchLoop keeps a watch open while this daemon is a watcher of its zone.
 func (m *Manager) watchLoop(ctx context.Context) {
-	backoff := firstBackoff
+	backoff := minBackoff
 	for ctx.Err() == nil {
 		if !m.shouldWatch() {
-			pause.For(ctx, m.jitter(roleEvery))
+			pause.For(ctx, m.jitter(roleCheckInterval))
 			continue
 		}
 		began := time.Now()
 		err := m.watchOnce(ctx)
-		m.sawStore(err)
-		if time.Since(began) > lastBackoff {
-			backoff = firstBackoff
+		m.recordStoreResult(err)
+		if time.Since(began) > maxBackoff {
+			backoff = minBackoff
 		}
 		pause.For(ctx, m.jitter(backoff))
-		backoff = min(2*backoff, lastBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
@@ -64,11 +64,11 @@
 func (m *Manager) watchOnce(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	from, err := m.list(ctx)
+	from, err := m.loadHead(ctx)
 	if err != nil {
 		return err
 	}
-	m.cost.storeCall(0)
+	m.counters.countStoreCall(0)
 	w, err := m.cfg.Store.Watch(ctx, m.keys.Head(), from)
 	if err != nil {
 		return err
@@ -76,61 +76,61 @@
 	defer w.Close()
 	m.setWatch(cancel)
 	defer m.setWatch(nil)
-	m.sawStore(nil)
+	m.recordStoreResult(nil)
 	for {
 		events, err := w.Next(ctx)
 		if err != nil {
 			return err
 		}
-		if err := m.follow(ctx, events); err != nil {
+		if err := m.handleEvents(ctx, events); err != nil {
 			return err
 		}
 	}
 }
 
-// list reads the record and returns the store revision to watch from.
-func (m *Manager) list(ctx context.Context) (int64, error) {
+// loadHead reads the record and returns the store revision to watch from.
+func (m *Manager) loadHead(ctx context.Context) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	kvs, from, err := m.cfg.Store.List(ctx, m.keys.Head())
-	m.cost.storeCall(0)
+	m.counters.countStoreCall(0)
 	if err != nil {
 		return 0, err
 	}
 	for _, kv := range kvs {
-		if err := m.stored(ctx, kv); err != nil {
+		if err := m.handleValue(ctx, kv); err != nil {
 			return 0, err
 		}
 	}
 	return from, nil
 }
 
-func (m *Manager) follow(ctx context.Context, events []store.Event) error {
+func (m *Manager) handleEvents(ctx context.Context, events []store.Event) error {
 	for _, e := range events {
 		if e.Kind == store.Deleted {
-			m.newer(0, "", sourceStore) // logged, never followed
+			m.isNewer(0, "", sourceStore) // logged, never followed
 			continue
 		}
-		if err := m.stored(ctx, e.KV); err != nil {
+		if err := m.handleValue(ctx, e.KV); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// stored looks at one value of the record's key. An error means that the
+// handleValue looks at one value of the record's key. An error means that the
 // store failed on the way; a text that is refused is no such error.
-func (m *Manager) stored(ctx context.Context, kv store.KV) error {
-	m.cost.storeBytes(len(kv.Value))
+func (m *Manager) handleValue(ctx context.Context, kv store.KV) error {
+	m.counters.countStoreBytes(len(kv.Value))
 	if kv.Key != m.keys.Head() {
 		return nil
 	}
 	a, err := record.FromKV(kv)
 	if err != nil {
-		m.refuse(&record.Record{}, sourceStore, err)
+		m.reject(&record.Record{}, sourceStore, err)
 		return nil
 	}
-	err = m.offer(ctx, a.Record)
+	err = m.adoptFromStore(ctx, a.Record)
 	if errors.Is(err, store.ErrUnavailable) || errors.Is(err, context.DeadlineExceeded) {
 		return err
 	}
@@ -141,7 +141,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	text, err := record.ReadText(ctx, m.cfg.Store, m.keys, r)
-	m.cost.storeCall(len(text))
+	m.counters.countStoreCall(len(text))
 	return text, err
 }
 
@@ -150,14 +150,14 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	kv, err := m.cfg.Store.Get(ctx, m.keys.Head())
-	m.cost.storeCall(0)
+	m.counters.countStoreCall(0)
 	if err == nil {
-		err = m.stored(ctx, kv)
+		err = m.handleValue(ctx, kv)
 	}
 	if errors.Is(err, store.ErrNotFound) {
-		m.newer(0, "", sourceStore)
+		m.isNewer(0, "", sourceStore)
 	}
-	m.sawStore(err)
+	m.recordStoreResult(err)
 	return err
 }
 
@@ -168,7 +168,7 @@
 // shows it, and the watch is replaced on a fresh connection.
 func (m *Manager) pollLoop(ctx context.Context) {
 	for {
-		pause.For(ctx, m.jitter(pollEvery))
+		pause.For(ctx, m.jitter(pollInterval))
 		if ctx.Err() != nil {
 			return
 		}
@@ -196,11 +196,11 @@
 // members that are gone.
 func (m *Manager) roleLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause.For(ctx, m.jitter(roleEvery))
+		pause.For(ctx, m.jitter(roleCheckInterval))
 		view := m.cfg.Members.Current()
 		m.mu.Lock()
 		cancel := m.watch.cancel
-		maps.DeleteFunc(m.seen, func(id string, _ ObservedRevision) bool {
+		maps.DeleteFunc(m.peerRevisions, func(id string, _ ObservedRevision) bool {
 			_, known := view.Find(id)
 			return !known
 		})
@@ -218,8 +218,8 @@
 	m.cfg.Log.Emit(event.ConfigWatching, cancel != nil)
 }
 
-// sawStore notes whether the store answers, for logs and status.
-func (m *Manager) sawStore(err error) {
+// recordStoreResult notes whether the store answers, for logs and status.
+func (m *Manager) recordStoreResult(err error) {
 	if errors.Is(err, context.Canceled) {
 		return
 	}
--- a/control/routing/rollout.go
+++ b/control/routing/rollout.go
@@ -39,25 +39,25 @@
 // RolloutStatus is what is written of a roll-out for operators, and for daemons that start.
 type RolloutStatus struct {
 	rollout.State
-	// DeadlineMillis is when the period ends, in Unix milliseconds.
-	DeadlineMillis int64
+	// DeadlineMS is when the period ends, in Unix milliseconds.
+	DeadlineMS int64
 }
 
 // RolloutRecord is a status as daemons write it for each other, in JSON.
 type RolloutRecord struct {
-	Stage          string  `json:"stage"` // as rollout.Stage prints itself
-	Target         string  `json:"target"`
-	Baseline       string  `json:"base"`
-	OrderRevision  int64   `json:"order"`
-	Share          float64 `json:"share"`
-	CommonRoutes   string  `json:"common,omitempty"`
-	DeadlineMillis int64   `json:"due"`
+	Stage         string  `json:"stage"` // as rollout.Stage prints itself
+	Target        string  `json:"target"`
+	Baseline      string  `json:"base"`
+	OrderRevision int64   `json:"order"`
+	Share         float64 `json:"share"`
+	CommonRoutes  string  `json:"common,omitempty"`
+	DeadlineMS    int64   `json:"due"`
 }
 
 // Record is what is written of a status.
 func (s RolloutStatus) Record() RolloutRecord {
 	return RolloutRecord{
-		Stage: s.Stage.String(), Target: s.Target, Baseline: s.Base, OrderRevision: s.Order, Share: s.Share, CommonRoutes: s.Common, DeadlineMillis: s.DeadlineMillis,
+		Stage: s.Stage.String(), Target: s.Target, Baseline: s.Base, OrderRevision: s.Order, Share: s.Share, CommonRoutes: s.Common, DeadlineMS: s.DeadlineMS,
 	}
 }
 
@@ -68,6 +68,6 @@
 		return RolloutStatus{}, errors.Errorf("status of a roll-out: unknown stage %q", r.Stage)
 	}
 	return RolloutStatus{
-		State: rollout.State{Order: r.OrderRevision, Base: r.Baseline, Target: r.Target, Stage: stage, Share: r.Share, Common: r.CommonRoutes}, DeadlineMillis: r.DeadlineMillis,
+		State: rollout.State{Order: r.OrderRevision, Base: r.Baseline, Target: r.Target, Stage: stage, Share: r.Share, Common: r.CommonRoutes}, DeadlineMS: r.DeadlineMS,
 	}, nil
 }
--- a/control/routing/routing.go
+++ b/control/routing/routing.go
@@ -126,7 +126,7 @@
 
 // Match returns the route of host with the longest prefix of path, or nil.
 func (c *Config) Match(host, path string) *Route {
-	for _, r := range c.routes[hostOnly(host)] {
+	for _, r := range c.routes[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// hostOnly drops a port and the case of a Host header.
-func hostOnly(host string) string {
+// normalizeHost drops a port and the case of a Host header.
+func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
@@ -221,25 +221,25 @@
 // one before.
 type Incarnation struct {
 	ID string
-	// StartedAtMillis is when the process started, in Unix milliseconds of the server's own clock;
+	// StartedAtMS is when the process started, in Unix milliseconds of the server's own clock;
 	// 0 where the server does not say. Only lives of one id compare by it.
-	StartedAtMillis int64
+	StartedAtMS int64
 }
 
 // Before reports whether l ended before other began, as far as both are known.
 func (l Incarnation) Before(other Incarnation) bool {
-	return l.ID == other.ID && l.StartedAtMillis > 0 && l.StartedAtMillis < other.StartedAtMillis
+	return l.ID == other.ID && l.StartedAtMS > 0 && l.StartedAtMS < other.StartedAtMS
 }
 
 // Server is one backend server as it registered itself. An address may be used again
 // by another, and an id by a later life of the same.
 type Server struct {
-	ID              string `json:"id"`
-	StartedAtMillis int64  `json:"born,omitempty"` // as Life.Born
-	Service         string `json:"service"`
-	Address         string `json:"address"` // IP:port
-	Zone            string `json:"zone"`
-	Slots           int    `json:"slots"`
+	ID          string `json:"id"`
+	StartedAtMS int64  `json:"born,omitempty"` // as Life.Born
+	Service     string `json:"service"`
+	Address     string `json:"address"` // IP:port
+	Zone        string `json:"zone"`
+	Slots       int    `json:"slots"`
 	// Version is that of the server's software; "" where it does not say.
 	Version string `json:"version,omitempty"`
 	// Draining says that it takes no new work.
@@ -247,9 +247,7 @@
 }
 
 // Incarnation is the present run of the server's process.
-func (s Server) Incarnation() Incarnation {
-	return Incarnation{ID: s.ID, StartedAtMillis: s.StartedAtMillis}
-}
+func (s Server) Incarnation() Incarnation { return Incarnation{ID: s.ID, StartedAtMS: s.StartedAtMS} }
 
 // VM is one entry VM as it registered itself.
 type VM struct {
--- a/serve/forward/cluster_test.go
+++ b/serve/forward/cluster_test.go
@@ -224,10 +224,10 @@
 
 // bornPrefix returns the server's start time as the test codec reads it; "" if it reports none.
 func (s *fakeServer) bornPrefix() string {
-	if s.server.StartedAtMillis == 0 {
+	if s.server.StartedAtMS == 0 {
 		return ""
 	}
-	return fmt.Sprintf("@%d ", s.server.StartedAtMillis)
+	return fmt.Sprintf("@%d ", s.server.StartedAtMS)
 }
 
 // serveCopyCall answers the calls that make and free a replica on demand. It reports whether r is
@@ -453,7 +453,7 @@
 // id. If silently is set, connections to the old incarnation stay open without any traffic.
 func (w *testCluster) restartInPlace(old *fakeServer, silently bool) *fakeServer {
 	server := old.server
-	server.StartedAtMillis++
+	server.StartedAtMS++
 	if silently {
 		old.listener.Silence()
 		w.mu.Lock()
--- a/serve/forward/incarnations.go
+++ b/serve/forward/incarnations.go
@@ -30,7 +30,7 @@
 // silent. The new incarnation answers every probe, so a stream whose prefill was lost would wait
 // until its caller leaves, and replicas would be assumed to be there.
 func (h *Handler) observeIncarnation(s routing.Server, born int64) incarnationOrder {
-	incarnation := routing.Incarnation{ID: s.ID, StartedAtMillis: born}
+	incarnation := routing.Incarnation{ID: s.ID, StartedAtMS: born}
 	switch {
 	case incarnation.Before(s.Incarnation()):
 		return incarnationOlder
@@ -38,7 +38,7 @@
 		return incarnationSame
 	}
 	if h.pool.recordRestart(h.opts.Feed.View(), s.Incarnation(), incarnation) {
-		h.opts.Log.Emit(event.BackendSucceeded, "", s.ID, incarnation.ID, incarnation.StartedAtMillis)
+		h.opts.Log.Emit(event.BackendSucceeded, "", s.ID, incarnation.ID, incarnation.StartedAtMS)
 	}
 	return incarnationNewer
 }
--- a/serve/forward/incarnations_test.go
+++ b/serve/forward/incarnations_test.go
@@ -17,7 +17,7 @@
 // addWithBorn starts an engine that reports its start time and waits until the handler knows it.
 func (w *testCluster) addWithBorn(id, zone string, handle http.HandlerFunc) *fakeServer {
 	w.t.Helper()
-	s := w.start(routing.Server{ID: id, Service: "llm", Zone: zone, Address: id + ":80", Slots: 4, StartedAtMillis: firstBorn}, handle)
+	s := w.start(routing.Server{ID: id, Service: "llm", Zone: zone, Address: id + ":80", Slots: 4, StartedAtMS: firstBorn}, handle)
 	w.register(s)
 	time.Sleep(time.Second)
 	return s
@@ -91,7 +91,7 @@
 		must.False(t, ok)
 		at, ok := r.findCopyHolder(w.feed.View(), replica{at: c})
 		must.True(t, ok) // a replica that grows with its run is sent to the new incarnation too
-		must.Eq(t, int64(firstBorn+1), at.server.StartedAtMillis)
+		must.Eq(t, int64(firstBorn+1), at.server.StartedAtMS)
 	})
 }
 
@@ -132,7 +132,7 @@
 		must.MapContainsKey(t, report.Events, "run-2")
 
 		third := list[0].server
-		third.StartedAtMillis++ // a third incarnation, known before the second one's answer arrives
+		third.StartedAtMS++ // a third incarnation, known before the second one's answer arrives
 		must.True(t, w.handler.pool.recordRestart(w.feed.View(), list[0].server.Incarnation(), third.Incarnation()))
 		report, err = w.handler.probe(w.t.Context(), third, time.Second)
 		must.NoError(t, err)
@@ -154,7 +154,7 @@
 		must.Eq(t, []string{"p7"}, parts)
 		must.Eq(t, s.server.Incarnation(), incarnation)
 		known := s.server
-		known.StartedAtMillis += 5
+		known.StartedAtMS += 5
 		_, parts, err = w.handler.cachedParts(w.t.Context(), known)
 		must.NoError(t, err)
 		must.SliceEmpty(t, parts)
--- a/serve/forward/limits.go
+++ b/serve/forward/limits.go
@@ -121,7 +121,7 @@
 // message returns the limit as other daemons are told of it. The caller holds the lock.
 func (s *serverLimit) message() *peerpb.Limit {
 	rate, named := s.limit.Rate()
-	return &peerpb.Limit{Server: s.server.ID, Born: s.server.StartedAtMillis, Named: named, Rate: rate}
+	return &peerpb.Limit{Server: s.server.ID, Born: s.server.StartedAtMS, Named: named, Rate: rate}
 }
 
 // broadcast tells all other daemons of a limit. A daemon that misses the message learns the limit
@@ -136,7 +136,7 @@
 
 // observePeer records a limit reported by another daemon.
 func (l *rateLimits) observePeer(m *peerpb.Limit) {
-	s, ok := l.h.findServer(routing.Incarnation{ID: m.GetServer(), StartedAtMillis: m.GetBorn()})
+	s, ok := l.h.findServer(routing.Incarnation{ID: m.GetServer(), StartedAtMS: m.GetBorn()})
 	if !ok {
 		return // its registration has not arrived here; its own answers will tell
 	}
--- a/serve/forward/locate.go
+++ b/serve/forward/locate.go
@@ -239,7 +239,7 @@
 	case incarnationOlder:
 		return incarnation, nil, len(body), nil
 	case incarnationNewer:
-		incarnation.StartedAtMillis = cache.Born
+		incarnation.StartedAtMS = cache.Born
 	}
 	return incarnation, cache.PromptKeys, len(body), nil
 }
--- a/serve/forward/peers.go
+++ b/serve/forward/peers.go
@@ -161,7 +161,7 @@
 
 func (w workloads) add(reply *peerpb.WorkReply) {
 	for _, s := range reply.GetServers() {
-		incarnation := routing.Incarnation{ID: s.GetId(), StartedAtMillis: s.GetBorn()}
+		incarnation := routing.Incarnation{ID: s.GetId(), StartedAtMS: s.GetBorn()}
 		sum := w[incarnation]
 		sum.prefilling += int(max(s.GetReading(), 0))
 		sum.running += int(max(s.GetRunning(), 0))
--- a/serve/forward/permits.go
+++ b/serve/forward/permits.go
@@ -128,7 +128,7 @@
 // Permit implements peerpb.Quota.
 func (r quotaService) Permit(_ context.Context, q *peerpb.PermitRequest) (*peerpb.PermitReply, error) {
 	m := q.GetLimit()
-	s, ok := r.limits.h.findServer(routing.Incarnation{ID: m.GetServer(), StartedAtMillis: m.GetBorn()})
+	s, ok := r.limits.h.findServer(routing.Incarnation{ID: m.GetServer(), StartedAtMS: m.GetBorn()})
 	if !ok {
 		return &peerpb.PermitReply{WaitMs: unknownServerRetry.Milliseconds()}, nil
 	}
--- a/serve/forward/segment.go
+++ b/serve/forward/segment.go
@@ -224,7 +224,7 @@
 	switch {
 	case succeeded && l.resumeFrom != "":
 		r.misdirectedLife = l.target.server.Incarnation()
-		l.target.server.ID, l.target.server.StartedAtMillis = next.ID, next.StartedAtMillis
+		l.target.server.ID, l.target.server.StartedAtMS = next.ID, next.StartedAtMS
 		r.heldCopy = replica{at: l.target, name: l.resumeFrom}
 	case !succeeded && l.resumeFrom == "":
 		r.exclude(l)
@@ -246,9 +246,9 @@
 	if err != nil {
 		return routing.Incarnation{}, false
 	}
-	next := routing.Incarnation{ID: instance, StartedAtMillis: report.Born}
+	next := routing.Incarnation{ID: instance, StartedAtMS: report.Born}
 	r.h.pool.recordSuccessor(view, old.Incarnation(), next)
-	r.h.opts.Log.Emit(event.BackendSucceeded, r.in.call.ID, old.ID, next.ID, next.StartedAtMillis)
+	r.h.opts.Log.Emit(event.BackendSucceeded, r.in.call.ID, old.ID, next.ID, next.StartedAtMS)
 	return next, true
 }
 
--- a/serve/forward/serverset.go
+++ b/serve/forward/serverset.go
@@ -72,7 +72,7 @@
 		if p.view.Departed(next.ID) {
 			return s, nil, false // the view lists an earlier incarnation
 		}
-		s.ID, s.StartedAtMillis = next.ID, next.StartedAtMillis
+		s.ID, s.StartedAtMS = next.ID, next.StartedAtMS
 	}
 	if load = used[s.Incarnation()]; load == nil {
 		if load = p.loads[s.Incarnation()]; load == nil {
--- a/serve/forward/successors.go
+++ b/serve/forward/successors.go
@@ -39,12 +39,12 @@
 	defer p.mu.Unlock()
 	p.updateView(view, snapshot)
 	listed := p.listedIncarnation(old)
-	if known, ok := p.successors[listed]; ok && known.ID == next.ID && known.StartedAtMillis >= next.StartedAtMillis {
+	if known, ok := p.successors[listed]; ok && known.ID == next.ID && known.StartedAtMS >= next.StartedAtMS {
 		return false
 	}
 	for _, servers := range view.Servers {
 		for _, s := range servers {
-			if s.ID == next.ID && s.StartedAtMillis >= next.StartedAtMillis {
+			if s.ID == next.ID && s.StartedAtMS >= next.StartedAtMS {
 				return false // the view already lists it
 			}
 		}
--- a/serve/forward/worktracker.go
+++ b/serve/forward/worktracker.go
@@ -91,7 +91,7 @@
 	t.h.neighbours.sendReport(context.Background(), vms[i], &peerpb.NoteRequest{
 		Daemon: self, Boot: report.Boot, Sequence: report.Sequence,
 		Work: &peerpb.ServerWork{
-			Id: s.ID, Born: s.StartedAtMillis, Reading: int32(report.Reading), Running: int32(report.Running),
+			Id: s.ID, Born: s.StartedAtMS, Reading: int32(report.Reading), Running: int32(report.Running),
 			SuspectMs: report.Suspect.Milliseconds(),
 		},
 	})
@@ -168,7 +168,7 @@
 		return nil
 	}
 	for _, s := range reply.GetServers() {
-		work[routing.Incarnation{ID: s.GetId(), StartedAtMillis: s.GetBorn()}] = workloadOf(prompts.Noted{
+		work[routing.Incarnation{ID: s.GetId(), StartedAtMS: s.GetBorn()}] = workloadOf(prompts.Noted{
 			Reading: int(max(s.GetReading(), 0)), Running: int(max(s.GetRunning(), 0)), Suspects: int(max(s.GetSuspects(), 0)),
 		})
 	}
@@ -176,13 +176,13 @@
 }
 
 func serverWork(incarnation routing.Incarnation, w workload) *peerpb.ServerWork {
-	return &peerpb.ServerWork{Id: incarnation.ID, Born: incarnation.StartedAtMillis, Reading: int32(w.prefilling), Running: int32(w.running)}
+	return &peerpb.ServerWork{Id: incarnation.ID, Born: incarnation.StartedAtMS, Reading: int32(w.prefilling), Running: int32(w.running)}
 }
 
 // Note implements peerpb.Work.
 func (t workService) Note(_ context.Context, q *peerpb.NoteRequest) (*peerpb.NoteReply, error) {
 	w := q.GetWork()
-	t.h.keepers.record(routing.Incarnation{ID: w.GetId(), StartedAtMillis: w.GetBorn()}, q.GetDaemon(), prompts.Note{
+	t.h.keepers.record(routing.Incarnation{ID: w.GetId(), StartedAtMS: w.GetBorn()}, q.GetDaemon(), prompts.Note{
 		Boot: q.GetBoot(), Sequence: q.GetSequence(),
 		Reading: int(max(w.GetReading(), 0)), Running: int(max(w.GetRunning(), 0)),
 		Suspect: time.Duration(w.GetSuspectMs()) * time.Millisecond,
@@ -194,10 +194,10 @@
 func (t workService) Noted(_ context.Context, q *peerpb.NotedRequest) (*peerpb.WorkReply, error) {
 	reply := &peerpb.WorkReply{}
 	for _, s := range q.GetServers() {
-		incarnation := routing.Incarnation{ID: s.GetId(), StartedAtMillis: s.GetBorn()}
+		incarnation := routing.Incarnation{ID: s.GetId(), StartedAtMS: s.GetBorn()}
 		n := t.h.keepers.tracked(incarnation, q.GetDaemon())
 		reply.Servers = append(reply.Servers, &peerpb.ServerWork{
-			Id: incarnation.ID, Born: incarnation.StartedAtMillis, Reading: int32(n.Reading), Running: int32(n.Running), Suspects: int32(n.Suspects),
+			Id: incarnation.ID, Born: incarnation.StartedAtMS, Reading: int32(n.Reading), Running: int32(n.Running), Suspects: int32(n.Suspects),
 		})
 	}
 	return reply, nil
--- a/serve/versions/decide.go
+++ b/serve/versions/decide.go
@@ -60,7 +60,7 @@
 	due := time.Now().Add(s.began + s.period - now).UnixMilli()
 	s.retry = now + writeAgain
 	m.mu.Unlock()
-	err := m.write(ctx, view, s, routing.RolloutStatus{State: step.State, DeadlineMillis: due})
+	err := m.write(ctx, view, s, routing.RolloutStatus{State: step.State, DeadlineMS: due})
 	if err != nil {
 		return
 	}
