--- a/control/inforce/adopt.go
+++ b/control/inforce/adopt.go
@@ -101,7 +101,7 @@
 		return nil
 	}
 	m.current.Store(next)
-	m.recent = append(m.recent, recentText{r.Revision, text})
+	m.recent = append(m.recent, revisionText{r.Revision, text})
 	if len(m.recent) > maxRecentTexts {
 		m.recent = append(m.recent[:0:0], m.recent[1:]...)
 	}
--- a/control/inforce/fleet_test.go
+++ b/control/inforce/fleet_test.go
@@ -27,30 +27,30 @@
 // fleet is some daemons' configuration over an in-memory network, with gossip
 // reduced to what this package needs of it: random pairs compare revisions.
 type fleet struct {
-	t      *testing.T
-	store  *store.Memory
-	view   *membership.View
-	nodes  []*node
-	rng    *rand.Rand
-	log    bytes.Buffer
-	logger *logrus.Logger
-	number int64 // of texts accepted
+	t            *testing.T
+	store        *store.Memory
+	view         *membership.View
+	nodes        []*node
+	rng          *rand.Rand
+	log          bytes.Buffer
+	logger       *logrus.Logger
+	lastAccepted int64 // of texts accepted
 
-	mu  sync.Mutex
-	cut map[string]bool // zones without links to the others
+	mu       sync.Mutex
+	isolated map[string]bool // zones without links to the others
 }
 
 type node struct {
 	*Manager
-	member membership.Member
-	store  *store.Faulty
-	stale  *staleStore
-	stop   context.CancelFunc
-	floor  int64 // highest revision seen in force in this life
+	member          membership.Member
+	store           *store.Faulty
+	staleReads      *staleStore
+	stop            context.CancelFunc
+	highestRevision int64 // highest revision seen in force in this life
 }
 
 func newFleet(t *testing.T, zones, perZone int, seed uint64) *fleet {
-	f := &fleet{t: t, store: store.NewMemory(), view: &membership.View{}, cut: map[string]bool{}}
+	f := &fleet{t: t, store: store.NewMemory(), view: &membership.View{}, isolated: map[string]bool{}}
 	f.rng = rand.New(rand.NewPCG(seed, 1))
 	f.logger = logrus.New()
 	f.logger.SetOutput(&f.log)
@@ -60,8 +60,8 @@
 		})
 	}
 	for _, m := range f.view.Members {
-		n := &node{member: m, stale: &staleStore{Store: f.store}}
-		n.store = store.NewFaulty(n.stale)
+		n := &node{member: m, staleReads: &staleStore{Store: f.store}}
+		n.store = store.NewFaulty(n.staleReads)
 		f.nodes = append(f.nodes, n)
 	}
 	for _, n := range f.nodes {
@@ -102,18 +102,18 @@
 }
 
 // start gives n a new life without memory.
-func (f *fleet) start(n *node) { f.startOn(n, n.store) }
+func (f *fleet) start(n *node) { f.startWithStore(n, n.store) }
 
-func (f *fleet) startOn(n *node, s store.Store) {
+func (f *fleet) startWithStore(n *node, s store.Store) {
 	if n.stop != nil {
 		n.stop()
 		synctest.Wait()
 	}
-	n.floor = 0
+	n.highestRevision = 0
 	m := New(Config{
 		Site: "yard", VM: n.member.ID, Zone: n.member.Zone, Store: s,
 		Members: membership.Static{View: f.view}, Log: event.New(f.logger, n.member.ID, n.member.Zone),
-		Dialer: link.NewDialerWith(&http.Client{Transport: wire{f, n}}), Seed: f.rng.Uint64(),
+		Dialer: link.NewDialerWith(&http.Client{Transport: transport{f, n}}), Seed: f.rng.Uint64(),
 	})
 	f.mu.Lock()
 	n.Manager = m
@@ -123,15 +123,15 @@
 	go func() { _ = m.Run(ctx) }()
 }
 
-func (f *fleet) linked(a, b string) bool {
+func (f *fleet) areConnected(a, b string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return a == b || !f.cut[a] && !f.cut[b]
+	return a == b || !f.isolated[a] && !f.isolated[b]
 }
 
-func (f *fleet) setCut(zone string, cut bool) {
+func (f *fleet) setIsolated(zone string, cut bool) {
 	f.mu.Lock()
-	f.cut[zone] = cut
+	f.isolated[zone] = cut
 	f.mu.Unlock()
 	for _, n := range f.nodes {
 		if n.member.Zone == zone {
@@ -141,18 +141,18 @@
 	synctest.Wait()
 }
 
-// wire carries calls between daemons; across a cut they hang in silence.
-type wire struct {
+// transport carries calls between daemons; across a cut they hang in silence.
+type transport struct {
 	*fleet
 	from *node
 }
 
-func (w wire) RoundTrip(r *http.Request) (*http.Response, error) {
+func (w transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	for _, n := range w.nodes {
 		if n.member.Peer != r.URL.Host {
 			continue
 		}
-		if !w.linked(w.from.member.Zone, n.member.Zone) {
+		if !w.areConnected(w.from.member.Zone, n.member.Zone) {
 			<-r.Context().Done()
 			return nil, r.Context().Err()
 		}
@@ -170,31 +170,31 @@
 	return nil, errors.New("connection refused")
 }
 
-// run lets time pass with gossip, and checks that no revision falls.
-func (f *fleet) run(d time.Duration) {
+// runGossip lets time pass with gossip, and checks that no revision falls.
+func (f *fleet) runGossip(d time.Duration) {
 	const round = 200 * time.Millisecond
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(round) {
 		for _, n := range f.nodes {
 			peer := f.nodes[f.rng.IntN(len(f.nodes))]
-			if f.linked(n.member.Zone, peer.member.Zone) {
+			if f.areConnected(n.member.Zone, peer.member.Zone) {
 				n.ObserveRevision(peer.member.ID, peer.Digest())
 				peer.ObserveRevision(n.member.ID, n.Digest())
 			}
 		}
-		f.check()
+		f.checkRevisions()
 	}
 }
 
-func (f *fleet) check() {
+func (f *fleet) checkRevisions() {
 	for _, n := range f.nodes {
 		revision := int64(n.Digest())
-		must.GreaterEq(f.t, n.floor, revision, must.Sprintf("revision of %s fell", n.member.ID))
-		must.LessEq(f.t, f.number, revision, must.Sprintf("%s has a text that was never accepted", n.member.ID))
-		n.floor = revision
+		must.GreaterEq(f.t, n.highestRevision, revision, must.Sprintf("revision of %s fell", n.member.ID))
+		must.LessEq(f.t, f.lastAccepted, revision, must.Sprintf("%s has a text that was never accepted", n.member.ID))
+		n.highestRevision = revision
 	}
 }
 
-func text(n int64) string {
+func siteText(n int64) string {
 	return fmt.Sprintf("[site]\nname = yard\nzones = A\n[limits]\nbody_bytes = %d\n", n)
 }
 
@@ -202,7 +202,7 @@
 func (f *fleet) accept(text string) {
 	keys := record.KeysOf("yard")
 	r := &record.Record{
-		Revision: f.number + 1, ID: fmt.Sprint("change-", f.number+1), BaseRevision: f.number,
+		Revision: f.lastAccepted + 1, ID: fmt.Sprint("change-", f.lastAccepted+1), BaseRevision: f.lastAccepted,
 		SHA256: record.Hash(text), Author: "night", AppliedAt: time.Now(),
 	}
 	ctx := f.t.Context()
@@ -216,35 +216,35 @@
 	must.NoError(f.t, err)
 	_, err = f.store.CompareAndSwap(ctx, keys.Head(), head.Version, r.Encode(), 0)
 	must.NoError(f.t, err)
-	f.number++
+	f.lastAccepted++
 }
 
-func (f *fleet) change() { f.accept(text(f.number + 1)) }
+func (f *fleet) acceptNext() { f.accept(siteText(f.lastAccepted + 1)) }
 
-func (f *fleet) storeDown(down bool) {
+func (f *fleet) setStoreDown(down bool) {
 	for _, n := range f.nodes {
 		n.store.SetDown(down)
 	}
 }
 
-// converged asserts that every daemon has the newest text.
-func (f *fleet) converged() {
+// assertConverged asserts that every daemon has the newest text.
+func (f *fleet) assertConverged() {
 	f.t.Helper()
 	for _, n := range f.nodes {
-		must.Eq(f.t, f.number, int64(n.Digest()), must.Sprint(n.member.ID))
-		must.Eq(f.t, f.number, n.Current().Limits.BodyBytes, must.Sprint(n.member.ID))
+		must.Eq(f.t, f.lastAccepted, int64(n.Digest()), must.Sprint(n.member.ID))
+		must.Eq(f.t, f.lastAccepted, n.Current().Limits.BodyBytes, must.Sprint(n.member.ID))
 	}
 }
 
-func (f *fleet) watches() (open int64) {
+func (f *fleet) openWatches() (open int64) {
 	for _, n := range f.nodes {
 		open += n.store.Counts().Waiting
 	}
 	return open
 }
 
-// play runs one test in virtual time and ends its daemons with it.
-func play(t *testing.T, zones, perZone int, seed uint64, story func(*fleet)) {
+// withFleet runs one test in virtual time and ends its daemons with it.
+func withFleet(t *testing.T, zones, perZone int, seed uint64, story func(*fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, zones, perZone, seed)
 		story(f)
--- a/control/inforce/inforce.go
+++ b/control/inforce/inforce.go
@@ -54,8 +54,8 @@
 	fetchWake chan struct{} // the fetcher: someone has a newer revision
 	counters  counters
 
-	mu              sync.Mutex   // guards what follows and every change of current
-	recent          []recentText // texts lately in force, the newest last, bases of patches
+	mu              sync.Mutex     // guards what follows and every change of current
+	recent          []revisionText // texts lately in force, the newest last, bases of patches
 	peerRevisions   map[string]ObservedRevision
 	lastLowerLogged int64 // last lower revision logged
 	rejected        *Rejection
@@ -76,8 +76,8 @@
 	since  time.Time
 }
 
-// recentText is a text without its parsed form, which takes several times the memory.
-type recentText struct {
+// revisionText is a text without its parsed form, which takes several times the memory.
+type revisionText struct {
 	revision int64
 	text     string
 }
--- a/control/routing/encoding_test.go
+++ b/control/routing/encoding_test.go
@@ -7,14 +7,14 @@
 	"github.com/shoenig/test/must"
 )
 
-const text = `{"version":3,"limits":{"body_bytes":1000,"idle_timeout":"15s"},
+const configJSON = `{"version":3,"limits":{"body_bytes":1000,"idle_timeout":"15s"},
 "services":[{"name":"desk"},{"name":"llm","engine":{"slots":4,"copies":true}}],
 "routes":[{"name":"r","host":"desk.example","prefix":"/a/","kind":"idempotent","timeout":"600ms","attempts":2,
  "targets":[{"service":"desk","weight":3},{"service":"llm","weight":1}]}],
 "accounts":[{"name":"mill","keys":["k1"],"priority":2},{"name":"depot","keys":["k2"]}]}`
 
 func TestDecode(t *testing.T) {
-	c, err := Decode([]byte(text))
+	c, err := Decode([]byte(configJSON))
 	must.NoError(t, err)
 	must.Eq(t, int64(3), c.Version)
 	must.Eq(t, 15*time.Second, c.Limits.IdleTimeout)
@@ -45,7 +45,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(text))
+	f.Add([]byte(configJSON))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		c, err := Decode(raw)
 		if err == nil {
