--- a/control/inforce/adopt.go
+++ b/control/inforce/adopt.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// sourceStore names the store as where a text came from; peers are named by VM id.
+	// sourceStore is the source of a text that came from the store; a peer is named by its VM ID.
 	sourceStore = "store"
 
-	// maxRecentTexts is how many texts back a peer may be and still be served a
-	// difference. At 5,200 changes a day one comes every 17 s, so this covers
-	// two minutes; a peer further back is served the whole text.
+	// maxRecentTexts is the number of recent texts kept to make patches against. At 5,200 changes a
+	// day there is one every 17 s, so this covers two minutes; a peer that is further behind is sent
+	// the whole text.
 	maxRecentTexts = 8
 )
 
-// Rejection is a text that was not taken over.
+// Rejection is a text that was not adopted, with the reason.
 type Rejection struct {
 	Revision   int64     `json:"revision"`
 	Source     string    `json:"source"`
@@ -30,8 +30,8 @@
 	RejectedAt time.Time `json:"when"`
 }
 
-// adoptFromStore takes over what the store says is accepted. A record that continues
-// the text in force brings the difference; otherwise the body is read.
+// adoptFromStore adopts the text of a record read from the store. If the record was made against the
+// active revision, the text comes from its patch; otherwise the body is read.
 func (m *Manager) adoptFromStore(ctx context.Context, r *record.Record) error {
 	if !m.isNewer(r.Revision, r.SHA256, sourceStore) {
 		return nil
@@ -49,11 +49,11 @@
 	return m.adopt(r, text, sourceStore)
 }
 
-// applyPatch applies the difference that r carries to the text in force.
+// applyPatch applies the patch in r to the active text and verifies the result.
 func (m *Manager) applyPatch(r *record.Record) (string, error) {
 	s := m.current.Load()
 	if s == nil || r.Patch == nil || s.record.Revision != r.BaseRevision {
-		return "", errors.New("no base for the difference")
+		return "", errors.New("record has no patch against the active revision")
 	}
 	text, err := r.Patch.Apply(s.site.Text)
 	if err != nil {
@@ -62,12 +62,12 @@
 	return text, r.Verify(text)
 }
 
-// isNewer reports whether revision is above the one in force.
+// isNewer reports whether revision is above the active one. It logs a lower revision, and the active
+// revision with a different hash, once in a row.
 //
-// A stale read, a store restored from an older copy or a peer that lags would
-// otherwise bring back what operators have replaced: users would see replicas,
-// accounts and limits of an hour ago return. A daemon compares with what it
-// has itself, so no other party can lower it.
+// Without this check a stale read, a store restored from an older backup or a peer that lags behind
+// would bring back a text that operators have replaced, with its replicas, accounts and limits. A
+// daemon compares with its own active revision, so no other party can lower it.
 func (m *Manager) isNewer(revision int64, hash, source string) bool {
 	s := m.current.Load()
 	if s == nil || revision > s.record.Revision {
@@ -77,16 +77,16 @@
 		return false
 	}
 	m.mu.Lock()
-	known := m.lastLowerLogged == revision
+	logged := m.lastLowerLogged == revision
 	m.lastLowerLogged = revision
 	m.mu.Unlock()
-	if !known {
+	if !logged {
 		m.cfg.Log.Emit(event.ConfigLower, revision, s.record.Revision, source)
 	}
 	return false
 }
 
-// adopt puts an accepted text in force unless a newer one is already.
+// adopt makes an accepted text active unless the active one is as new or newer.
 func (m *Manager) adopt(r *record.Record, text, source string) error {
 	parsed, err := m.parse(r, text)
 	if err != nil {
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// announce tells gossip the revision in force. It reads the revision under the
-// lock: of two texts adopted together the older would otherwise be told last.
+// announce publishes the active revision through gossip. It reads the revision under announceMu: if
+// two texts are adopted concurrently, the older revision could otherwise be announced last.
 func (m *Manager) announce() {
 	m.announceMu.Lock()
 	defer m.announceMu.Unlock()
@@ -122,6 +122,7 @@
 	}
 }
 
+// parse verifies and parses a text and checks that it belongs to the site of this daemon.
 func (m *Manager) parse(r *record.Record, text string) (*site.Site, error) {
 	if err := r.Verify(text); err != nil {
 		return nil, err
@@ -131,25 +132,25 @@
 		return nil, err
 	}
 	if parsed.Name != m.cfg.Site {
-		return nil, errors.Errorf("the text is of site %q, this daemon follows %q", parsed.Name, m.cfg.Site)
+		return nil, errors.Errorf("text belongs to site %q, but this daemon serves site %q", parsed.Name, m.cfg.Site)
 	}
 	parsed.Revision = r.Revision
 	return parsed, nil
 }
 
-// reject notes a text that cannot be in force: mallowctl checks before it
-// applies, so this is a text written by other means or a damaged one.
+// reject records and logs a text that cannot become active. mallowctl validates a text before it
+// applies it, so such a text was written by other means or is corrupt.
 func (m *Manager) reject(r *record.Record, source string, err error) {
 	m.mu.Lock()
-	known := m.rejected != nil && m.rejected.Revision == r.Revision
+	logged := m.rejected != nil && m.rejected.Revision == r.Revision
 	m.rejected = &Rejection{Revision: r.Revision, Source: source, Error: err.Error(), RejectedAt: time.Now()}
 	m.mu.Unlock()
-	if !known {
+	if !logged {
 		m.cfg.Log.Emit(event.ConfigRefused, r.Revision, source, err.Error())
 	}
 }
 
-// recentText returns the text that was in force at revision, if it is still kept.
+// recentText returns the text of a revision that was active recently, if it is still kept.
 func (m *Manager) recentText(revision int64) (string, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/control/inforce/boot.go
+++ b/control/inforce/boot.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// peersPerBootRound is how many peers are asked in one round of a boot.
+	// peersPerBootRound is the number of peers that a booting daemon asks between two reads of the store.
 	peersPerBootRound = 3
-	// unavailableLogInterval is how often a daemon without any text repeats that in its log.
+	// unavailableLogInterval is how often a daemon logs that it has no text.
 	unavailableLogInterval = time.Minute
 )
 
-// bootLoop finds a first text: in the store, or at a peer while the store is
-// down. It returns once a text is in force.
+// bootLoop obtains the first text: from the store, or from a peer while the store is unavailable. It
+// returns once a text is active.
 func (m *Manager) bootLoop(ctx context.Context) {
 	backoff := minBackoff
-	var said time.Time
+	var loggedAt time.Time
 	for ctx.Err() == nil && m.Current() == nil {
 		storeErr := m.poll(ctx)
 		asked := 0
@@ -29,8 +29,8 @@
 		if m.Current() != nil || ctx.Err() != nil {
 			return
 		}
-		if time.Since(said) >= unavailableLogInterval {
-			said = time.Now()
+		if time.Since(loggedAt) >= unavailableLogInterval {
+			loggedAt = time.Now()
 			m.cfg.Log.Emit(event.ConfigUnavailable, errorText(storeErr), asked)
 		}
 		pause.For(ctx, m.jitter(backoff))
@@ -38,7 +38,8 @@
 	}
 }
 
-// fetchFromPeers asks some peers for whatever they have and returns how many it asked.
+// fetchFromPeers asks random peers for their text until one has one. It returns the number of peers
+// asked.
 func (m *Manager) fetchFromPeers(ctx context.Context) int {
 	asked := 0
 	for _, peer := range m.randomPeers(peersPerBootRound) {
--- a/control/inforce/fetch.go
+++ b/control/inforce/fetch.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// DigestName is the name under which gossip carries the revision in force.
+	// DigestName is the name under which gossip carries the active revision.
 	DigestName = "config"
-	// peerTimeout bounds one call to a peer. A round trip between regions and
-	// a whole text take a fraction of it; a silent connection costs no more.
+	// peerTimeout bounds one call to a peer. A round trip between regions with a whole text takes a
+	// fraction of it, and a connection that no longer responds delays the fetch by no more than this.
 	peerTimeout = time.Second
-	// maxFetchAttempts is how many peers are tried for one newer revision before
-	// the next hint.
+	// maxFetchAttempts is the number of peers that are tried after one notification of a newer
+	// revision.
 	maxFetchAttempts = 3
 )
 
-// ObserveRevision notes that member has revision in force, as gossip says. When that is
-// newer the text is fetched from there soon; Learn itself does not wait.
+// ObserveRevision records the active revision of a member, as reported by gossip. If it is newer than
+// the own one, the text is fetched in the background.
 func (m *Manager) ObserveRevision(member string, revision uint64) {
 	if _, known := m.cfg.Members.Current().Find(member); !known || member == m.cfg.VM {
 		return
@@ -36,7 +36,7 @@
 	}
 }
 
-// fetchLoop fetches newer texts from the peers that have them.
+// fetchLoop fetches newer texts from the peers that have them, whenever it is notified.
 func (m *Manager) fetchLoop(ctx context.Context) {
 	for {
 		select {
@@ -44,8 +44,8 @@
 			return
 		case <-m.fetchWake:
 		}
-		for tries := 0; tries < maxFetchAttempts; tries++ {
-			peer, ok := m.newerPeer(tries)
+		for attempt := 0; attempt < maxFetchAttempts; attempt++ {
+			peer, ok := m.newerPeer(attempt)
 			if !ok || ctx.Err() != nil {
 				break
 			}
@@ -54,33 +54,33 @@
 	}
 }
 
-// newerPeer returns a peer known to have a newer revision, the nth by preference:
-// the newest, in the own zone first because its link is the shortest.
+// newerPeer returns the nth peer, modulo their number, of those known to have a newer revision: in
+// random order, but peers in the own zone first because the network path to them is the shortest.
 func (m *Manager) newerPeer(n int) (membership.Member, bool) {
 	current := m.revision()
-	var near, far []membership.Member
+	var sameZone, otherZones []membership.Member
 	m.mu.Lock()
 	for _, peer := range m.cfg.Members.Current().Members {
 		switch {
 		case m.peerRevisions[peer.ID].Revision <= current || peer.ID == m.cfg.VM:
 		case peer.Zone == m.cfg.Zone:
-			near = append(near, peer)
+			sameZone = append(sameZone, peer)
 		default:
-			far = append(far, peer)
+			otherZones = append(otherZones, peer)
 		}
 	}
 	m.mu.Unlock()
-	m.shuffle(near)
-	m.shuffle(far)
-	list := append(near, far...)
+	m.shuffle(sameZone)
+	m.shuffle(otherZones)
+	list := append(sameZone, otherZones...)
 	if len(list) == 0 {
 		return membership.Member{}, false
 	}
 	return list[n%len(list)], true
 }
 
-// fetch asks peer for what is newer than the text in force and takes it over.
-// Failures are logged: the next hint, poll or boot round tries again.
+// fetch requests the text of peer if it is newer than the active one, and adopts it. Errors are
+// logged; the next notification, poll or boot round tries again.
 func (m *Manager) fetch(ctx context.Context, peer membership.Member) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -93,17 +93,18 @@
 		return
 	}
 	m.mu.Lock()
-	wanted := m.peerRevisions[peer.ID].Revision
-	// Forgotten until it is heard of again, so that the next try goes elsewhere.
+	expected := m.peerRevisions[peer.ID].Revision
+	// newerPeer skips this peer until its revision is reported again, so the next attempt goes to
+	// another peer.
 	delete(m.peerRevisions, peer.ID)
 	m.mu.Unlock()
 	if ctx.Err() != nil {
 		m.cfg.Dialer.DropIdle()
 	}
-	m.cfg.Log.Emit(event.ConfigFetchFailed, peer.ID, wanted, err.Error())
+	m.cfg.Log.Emit(event.ConfigFetchFailed, peer.ID, expected, err.Error())
 }
 
-// adoptReply verifies a fetched text and puts it in force.
+// adoptReply adopts the text in a reply, applying its patch if it carries one.
 func (m *Manager) adoptReply(reply *peerpb.FetchConfigReply, from string) error {
 	revision := int64(reply.GetRevision())
 	m.mu.Lock()
@@ -130,7 +131,7 @@
 	return peerpb.NewConfigProtobufClient(m.cfg.Dialer.URL(peer.Peer), m.cfg.Dialer.Client)
 }
 
-// randomPeers returns up to n living members in random order, without this daemon.
+// randomPeers returns up to n other members that are not gone, in random order.
 func (m *Manager) randomPeers(n int) []membership.Member {
 	var list []membership.Member
 	for _, peer := range m.cfg.Members.Current().Members {
--- a/control/inforce/fleet_test.go
+++ b/control/inforce/fleet_test.go
@@ -24,8 +24,8 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// fleet is some daemons' configuration over an in-memory network, with gossip
-// reduced to what this package needs of it: random pairs compare revisions.
+// fleet is a set of Managers on an in-memory network and store. Gossip is reduced to what this
+// package needs: random pairs of daemons exchange their revisions.
 type fleet struct {
 	t            *testing.T
 	store        *store.Memory
@@ -34,10 +34,10 @@
 	rng          *rand.Rand
 	log          bytes.Buffer
 	logger       *logrus.Logger
-	lastAccepted int64 // of texts accepted
+	lastAccepted int64 // revision of the last accepted text
 
 	mu       sync.Mutex
-	isolated map[string]bool // zones without links to the others
+	isolated map[string]bool // zones partitioned from the others
 }
 
 type node struct {
@@ -46,7 +46,7 @@
 	store           *store.Faulty
 	staleReads      *staleStore
 	stop            context.CancelFunc
-	highestRevision int64 // highest revision seen in force in this life
+	highestRevision int64 // highest active revision since the last start
 }
 
 func newFleet(t *testing.T, zones, perZone int, seed uint64) *fleet {
@@ -70,7 +70,8 @@
 	return f
 }
 
-// staleStore answers reads of single keys from a copy taken when it was frozen.
+// staleStore is a store that, while frozen, answers reads of single keys from a copy taken when it
+// was frozen.
 type staleStore struct {
 	store.Store
 	mu     sync.Mutex
@@ -101,7 +102,7 @@
 	return s.Store.Get(ctx, key)
 }
 
-// start gives n a new life without memory.
+// start restarts n without any state.
 func (f *fleet) start(n *node) { f.startWithStore(n, n.store) }
 
 func (f *fleet) startWithStore(n *node, s store.Store) {
@@ -141,7 +142,8 @@
 	synctest.Wait()
 }
 
-// transport carries calls between daemons; across a cut they hang in silence.
+// transport carries calls between daemons; a call into or out of an isolated zone hangs until its
+// context ends.
 type transport struct {
 	*fleet
 	from *node
@@ -170,7 +172,7 @@
 	return nil, errors.New("connection refused")
 }
 
-// runGossip lets time pass with gossip, and checks that no revision falls.
+// runGossip lets d pass while daemons gossip, and checks the invariants on the way.
 func (f *fleet) runGossip(d time.Duration) {
 	const round = 200 * time.Millisecond
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(round) {
@@ -185,10 +187,11 @@
 	}
 }
 
+// checkRevisions asserts that no daemon's revision decreased and that none was never accepted.
 func (f *fleet) checkRevisions() {
 	for _, n := range f.nodes {
 		revision := int64(n.Digest())
-		must.GreaterEq(f.t, n.highestRevision, revision, must.Sprintf("revision of %s fell", n.member.ID))
+		must.GreaterEq(f.t, n.highestRevision, revision, must.Sprintf("active revision of %s decreased", n.member.ID))
 		must.LessEq(f.t, f.lastAccepted, revision, must.Sprintf("%s has a text that was never accepted", n.member.ID))
 		n.highestRevision = revision
 	}
@@ -198,7 +201,7 @@
 	return fmt.Sprintf("[site]\nname = yard\nzones = A\n[limits]\nbody_bytes = %d\n", n)
 }
 
-// accept writes text as the next revision the way mallowctl does.
+// accept writes text to the store as the next revision, the way mallowctl does.
 func (f *fleet) accept(text string) {
 	keys := record.KeysOf("yard")
 	r := &record.Record{
@@ -219,6 +222,7 @@
 	f.lastAccepted++
 }
 
+// acceptNext accepts a text that differs from the last one.
 func (f *fleet) acceptNext() { f.accept(siteText(f.lastAccepted + 1)) }
 
 func (f *fleet) setStoreDown(down bool) {
@@ -227,7 +231,7 @@
 	}
 }
 
-// assertConverged asserts that every daemon has the newest text.
+// assertConverged asserts that the newest text is active at every daemon.
 func (f *fleet) assertConverged() {
 	f.t.Helper()
 	for _, n := range f.nodes {
@@ -243,11 +247,11 @@
 	return open
 }
 
-// withFleet runs one test in virtual time and ends its daemons with it.
-func withFleet(t *testing.T, zones, perZone int, seed uint64, story func(*fleet)) {
+// withFleet runs one test in virtual time and stops its daemons afterwards.
+func withFleet(t *testing.T, zones, perZone int, seed uint64, test func(*fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, zones, perZone, seed)
-		story(f)
+		test(f)
 		for _, n := range f.nodes {
 			n.stop()
 		}
--- a/control/inforce/inforce.go
+++ b/control/inforce/inforce.go
@@ -1,13 +1,14 @@
-// Package inforce keeps the newest accepted site text in force at a daemon.
+// Package inforce keeps the newest accepted site text, the configuration that operators write for a
+// site, active at a daemon.
 //
-// A text is accepted when the platform's store holds it. Some daemons of each
-// zone watch the store; the others hear of a revision by membership gossip and
-// fetch the text from whoever has it. So the store sees a constant number of watches, a
-// text that reached one daemon reaches all of them while the store is down,
-// and a daemon that boots in an outage is served by its peers.
+// A text is accepted once the platform's store holds it. A few daemons of each zone watch the store;
+// the others learn of a new revision through membership gossip and fetch the text from a peer that
+// has it. So the number of watches at the store does not grow with the number of daemons, a text that
+// has reached one daemon reaches all others even while the store is unavailable, and a daemon that
+// starts during a store outage gets the text from its peers.
 //
-// What holds always: the revision in force at a daemon never falls, whatever
-// the store or a peer says, and a daemon passes on only what was accepted.
+// Invariants: the active revision of a daemon never decreases, whatever the store or a peer reports,
+// and a daemon passes on only accepted texts.
 package inforce
 
 import (
@@ -31,44 +32,45 @@
 
 // Config holds what a Manager depends on.
 type Config struct {
-	Site    string // name of the site in settings; a text of another is refused
+	Site    string // name of the site in the settings; the text of another site is rejected
 	VM      string
 	Zone    string
 	Store   store.Store
 	Members membership.Source
 	Dialer  *link.Dialer
-	// Announce makes a new revision known to others, usually by
-	// membership.Manager.SetDigest; nil for none. Whoever hears of it calls Learn.
+	// Announce publishes a new revision to the other daemons, usually through
+	// membership.Manager.SetDigest; nil for none. A daemon that receives the revision calls
+	// ObserveRevision.
 	Announce func(name string, revision uint64)
 	Log      *event.Log
 	Metrics  prometheus.Registerer // nil for none
-	Seed     uint64                // of jitter and of the choice of peers
+	Seed     uint64                // for jitter and the selection of peers
 }
 
-// Manager keeps the text in force. It implements site.Source.
+// Manager holds the active text. It implements site.Source.
 type Manager struct {
 	cfg  Config
 	keys record.Keys
 
 	current   atomic.Pointer[snapshot]
-	fetchWake chan struct{} // the fetcher: someone has a newer revision
+	fetchWake chan struct{} // wakes fetchLoop: a peer has a newer revision
 	counters  counters
 
-	mu              sync.Mutex     // guards what follows and every change of current
-	recent          []revisionText // texts lately in force, the newest last, bases of patches
+	mu              sync.Mutex     // guards the fields below and every change of current
+	recent          []revisionText // last active texts, newest last; patches for peers are made against them
 	peerRevisions   map[string]ObservedRevision
-	lastLowerLogged int64 // last lower revision logged
+	lastLowerLogged int64 // last lower revision that was logged
 	rejected        *Rejection
 	watch           watchState
 	outage          outage
 
-	announceMu sync.Mutex // makes announcements follow the order of revisions
+	announceMu sync.Mutex // keeps announcements in the order of revisions
 
 	rngMu sync.Mutex
 	rng   *rand.Rand
 }
 
-// snapshot is one text in force. It is immutable.
+// snapshot is an active text with its origin. It is immutable.
 type snapshot struct {
 	site   *site.Site
 	record *record.Record
@@ -76,7 +78,7 @@
 	since  time.Time
 }
 
-// revisionText is a text without its parsed form, which takes several times the memory.
+// revisionText is a text without its parsed form, which takes several times as much memory.
 type revisionText struct {
 	revision int64
 	text     string
@@ -84,7 +86,7 @@
 
 var _ site.Source = (*Manager)(nil)
 
-// New returns a Manager that has no text until Run finds one.
+// New returns a Manager that has no text until Run obtains one.
 func New(cfg Config) *Manager {
 	m := &Manager{
 		cfg:           cfg,
@@ -99,7 +101,7 @@
 	return m
 }
 
-// Current returns the site in force, or nil before any text is known.
+// Current returns the active site, or nil before the first text.
 func (m *Manager) Current() *site.Site {
 	if s := m.current.Load(); s != nil {
 		return s.site
@@ -107,7 +109,7 @@
 	return nil
 }
 
-// Digest returns the revision in force, 0 for none.
+// Digest returns the active revision as gossip carries it, 0 for none.
 func (m *Manager) Digest() uint64 { return uint64(m.revision()) }
 
 func (m *Manager) revision() int64 {
@@ -117,7 +119,7 @@
 	return 0
 }
 
-// Run finds a first text and then keeps it the newest until ctx ends.
+// Run obtains a first text and then follows newer revisions until ctx ends.
 func (m *Manager) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for _, loop := range []func(context.Context){m.bootLoop, m.watchLoop, m.roleLoop, m.pollLoop, m.fetchLoop} {
@@ -127,13 +129,13 @@
 		})
 	}
 	if err := g.Wait(); err != nil {
-		return errors.Wrap(err, "configuration in force")
+		return errors.Wrap(err, "site text manager")
 	}
 	return ctx.Err()
 }
 
-// jitter spreads d evenly between half and one and a half of itself, so that
-// daemons which began to wait together do not go on together.
+// jitter returns a random duration between 0.5 and 1.5 times d, so that daemons that start to wait
+// at the same time do not continue at the same time.
 func (m *Manager) jitter(d time.Duration) time.Duration {
 	m.rngMu.Lock()
 	defer m.rngMu.Unlock()
@@ -146,7 +148,8 @@
 	m.rng.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 }
 
-// notify leaves one token in c, which is enough to wake its reader.
+// notify wakes the reader of c without blocking. c has a buffer of one, so that a notification is not
+// lost while the reader is busy.
 func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/control/inforce/inforce_test.go
+++ b/control/inforce/inforce_test.go
@@ -13,10 +13,9 @@
 	"mallowwind.dev/external/store"
 )
 
-// A text is accepted, and before anything else happens the store goes down for
-// hours. One daemon's watch had delivered the change. Its word must reach
-// every zone, and VMs that are replaced during the outage must come up with
-// the same text.
+// The store fails for hours right after a text was accepted, when the watch of only one daemon has
+// delivered the change. The text must still reach every zone through the peers, and VMs that are
+// replaced during the outage must start with it.
 func TestStoreFailsRightAfterAcceptance(t *testing.T) {
 	withFleet(t, 3, 3, 1, func(f *fleet) {
 		f.acceptNext()
@@ -38,9 +37,8 @@
 	})
 }
 
-// A whole deployment restarts while the store is down: nobody has a text, and
-// every daemon must say so in its log instead of serving a guess. When the
-// store returns all take the text up, without a rush of calls.
+// All daemons restart while the store is unavailable, so that none of them has a text. Each must log
+// this and not make any text active. When the store returns, all must obtain the text.
 func TestBootWithoutAnyText(t *testing.T) {
 	withFleet(t, 3, 30, 2, func(f *fleet) {
 		f.setStoreDown(true)
@@ -58,10 +56,10 @@
 	})
 }
 
-// The store is restored from a copy of last week and then serves that, also to
-// fresh reads. Daemons must not bring last week's accounts back; only one that
-// boots with no peer to ask could be fooled.
-func TestOlderStoreIsNotFollowed(t *testing.T) {
+// The store is restored from an older backup, so that even consistent reads return an old record, and
+// later the record is deleted. Daemons must keep the newer text that they have. Only a daemon that
+// boots without a peer to ask would adopt the old one.
+func TestOlderRevisionInStoreIsIgnored(t *testing.T) {
 	withFleet(t, 1, 3, 3, func(f *fleet) {
 		f.acceptNext()
 		f.acceptNext()
@@ -82,8 +80,8 @@
 	})
 }
 
-// silentStore is a store whose watches stay open and never deliver, as over a
-// connection that something in between has forgotten.
+// silentStore is a store whose watches stay open but never deliver an event, as over a connection
+// whose state a middlebox has dropped.
 type silentStore struct{ store.Store }
 
 type silentWatch struct{}
@@ -99,10 +97,9 @@
 	return silentWatch{}, nil
 }
 
-// All watches went silent although their connections look open, so nobody is
-// told of a change. The slow reads find it, and each watch that missed it is
-// replaced by a fresh one.
-func TestSilentWatchIsFound(t *testing.T) {
+// All watches stop delivering events although their connections look open. The periodic polls must
+// find the change, and each watch that missed it must be replaced.
+func TestSilentWatchIsReplaced(t *testing.T) {
 	withFleet(t, 1, 2, 4, func(f *fleet) {
 		f.acceptNext()
 		f.runGossip(10 * time.Second)
@@ -117,9 +114,9 @@
 	})
 }
 
-// A zone loses its links to the others and to the store for an hour while the
-// text changes twice. It serves on with the text it had, and has the newest
-// within seconds of the links' return.
+// A zone is partitioned from the other zones and the store for an hour while the text changes twice.
+// Its daemons must keep the text that they had, and have the newest within seconds after the
+// partition heals.
 func TestZonePartition(t *testing.T) {
 	withFleet(t, 3, 4, 5, func(f *fleet) {
 		f.acceptNext()
@@ -141,9 +138,9 @@
 	})
 }
 
-// Someone writes a text past mallowctl's checks, or the value is damaged. The
-// daemons refuse it, say so, keep the text before, and take the next good one.
-func TestBadTextIsRefused(t *testing.T) {
+// An invalid text is written without mallowctl's checks, then one for another site. The daemons must
+// reject and report them, keep the previous text, and adopt the next valid one.
+func TestInvalidTextIsRejected(t *testing.T) {
 	withFleet(t, 1, 3, 6, func(f *fleet) {
 		f.acceptNext()
 		f.runGossip(5 * time.Second)
@@ -160,20 +157,20 @@
 	})
 }
 
-// The store counts each waiting watch, and its rates do not grow with the
-// fleet. Whatever the number of daemons, no more than two a zone may watch, the
-// others ask rarely, and a change still reaches all within seconds.
-func TestCostToTheStore(t *testing.T) {
+// The store counts each open watch and limits its call rate whatever the size of the fleet. Whatever
+// the number of daemons, no more than two per zone may watch and the others may poll only rarely, and
+// a change must still reach all of them within seconds.
+func TestStoreLoad(t *testing.T) {
 	const (
-		changes = 6
-		every   = 16 * time.Second // 5,200 a day
+		changes  = 6
+		interval = 16 * time.Second // 5,200 a day
 	)
 	for _, size := range []struct {
 		zones, perZone int
 		watches        int64
 		callsPerS      float64
 	}{
-		{3, 2, 6, 0.2}, // in a small fleet all watch
+		{3, 2, 6, 0.2}, // in a small fleet all daemons watch
 		{7, 56, 14, 8},
 	} {
 		withFleet(t, size.zones, size.perZone, 7, func(f *fleet) {
@@ -186,14 +183,14 @@
 				f.acceptNext()
 				f.runGossip(9 * time.Second)
 				f.assertConverged()
-				f.runGossip(every - 9*time.Second)
+				f.runGossip(interval - 9*time.Second)
 			}
-			used, seconds := f.totalStats(), (changes * every).Seconds()
-			calls := float64(used.StoreCalls-before.StoreCalls) / seconds
+			after, seconds := f.totalStats(), (changes * interval).Seconds()
+			calls := float64(after.StoreCalls-before.StoreCalls) / seconds
 			must.Less(t, size.callsPerS, calls)
-			t.Logf("%d daemons, 5,200 changes a day: %.2f calls/s of all, %.1f B/s of values a daemon, %d of %d texts from peers",
-				len(f.nodes), calls, float64(used.StoreBytes-before.StoreBytes)/seconds/float64(len(f.nodes)),
-				used.AdoptedFromPeers-before.AdoptedFromPeers, used.AdoptedFromPeers+used.AdoptedFromStore-before.AdoptedFromPeers-before.AdoptedFromStore)
+			t.Logf("%d daemons, 5,200 changes a day: %.2f store calls/s in total, %.1f B/s of values per daemon, %d of %d texts from peers",
+				len(f.nodes), calls, float64(after.StoreBytes-before.StoreBytes)/seconds/float64(len(f.nodes)),
+				after.AdoptedFromPeers-before.AdoptedFromPeers, after.AdoptedFromPeers+after.AdoptedFromStore-before.AdoptedFromPeers-before.AdoptedFromStore)
 		})
 	}
 }
@@ -209,9 +206,9 @@
 	return sum
 }
 
-// Whatever happens together and twice - changes, outages, slow and stale reads,
-// partitions, lost VMs - no daemon's revision falls, none has a text that was not accepted,
-// and all agree soon after the faults end.
+// Under random sequences of changes, store outages, slow and stale reads, partitions and VM restarts,
+// no daemon's revision may decrease and none may have a text that was not accepted. All must converge
+// soon after the faults end.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(20) {
 		withFleet(t, 3, 3, seed, func(f *fleet) {
@@ -261,7 +258,8 @@
 	}
 }
 
-func TestErrorsOfTheStoreAreTold(t *testing.T) {
+// The report shows a store outage while it lasts.
+func TestReportShowsStoreOutage(t *testing.T) {
 	withFleet(t, 1, 2, 8, func(f *fleet) {
 		f.setStoreDown(true)
 		f.runGossip(5 * time.Second)
--- a/control/inforce/record/record.go
+++ b/control/inforce/record/record.go
@@ -1,18 +1,18 @@
-// Package record is how an accepted site text lies in the platform's store.
+// Package record defines how accepted site texts are stored in the platform's store.
 //
-// Three kinds of keys under /mallowwind/SITE/:
+// There are three kinds of keys under /mallowwind/SITE/:
 //
-//	text               the newest record; accepting is one compare-and-swap on it
-//	body/ID            the text that record ID names, written before the record
-//	history/REVISION   records that were replaced, bounded
+//	text               the newest record; one compare-and-swap on it accepts a text
+//	body/ID            the text of the record with that ID, written before the record
+//	history/REVISION   records that were replaced; their number is bounded
 //
-// The revision is a counter of the record's own, not the store's: a record is
-// only ever replaced by a compare-and-swap, so the counter names one text, and
-// it goes on rising when the store itself was restored from an older copy.
+// The revision is a counter in the record and not the store's revision. A record is only replaced
+// by compare-and-swap, so a revision identifies one text, and the counter keeps rising after the
+// store is restored from an older backup.
 //
-// The record is small and the text is not (about 100 KB with 810 accounts).
-// Watchers receive the record, which carries the difference to the text
-// before; only a daemon that lacks that one reads the body.
+// The record is small and the text is not (about 100 KB with 810 accounts). Watchers receive the
+// record, which carries a patch against the previous text; only a daemon that doesn't have the
+// previous text reads the body.
 package record
 
 import (
@@ -31,24 +31,24 @@
 	"mallowwind.dev/external/store"
 )
 
-// MaxPatchBytes is the largest difference that a record carries, in bytes. A larger
-// one costs more at every watcher than one read of the body.
+// MaxPatchBytes is the size of the largest patch that a record carries. A larger patch costs every
+// watcher more than one read of the body.
 const MaxPatchBytes = 16 << 10
 
-// Record describes one accepted text.
+// Record describes one accepted site text.
 type Record struct {
-	ID               string      `json:"id"`       // unique for each apply
+	ID               string      `json:"id"`       // unique for each change
 	Revision         int64       `json:"revision"` // counts accepted texts from 1
-	BaseRevision     int64       `json:"previous"` // revision it was planned against, 0 for the first
+	BaseRevision     int64       `json:"previous"` // revision that the change was planned against, 0 for the first
 	SHA256           string      `json:"sha256"`   // of the text, lower-case hex
 	Author           string      `json:"who"`
 	AppliedAt        time.Time   `json:"when"`
 	Comment          string      `json:"comment,omitempty"`
-	RestoredRevision int64       `json:"restores,omitempty"` // revision whose text a rollback brings back
-	Patch            patch.Patch `json:"patch,omitempty"`    // from the text of Previous
+	RestoredRevision int64       `json:"restores,omitempty"` // revision whose text a rollback restores
+	Patch            patch.Patch `json:"patch,omitempty"`    // against the text of BaseRevision
 }
 
-// ErrCorrupt means that a text is not the one that its record names.
+// ErrCorrupt means that a text does not match the hash in its record.
 var ErrCorrupt = errors.New("text does not match its accepted hash")
 
 // Hash returns the lower-case hex SHA-256 of text.
@@ -57,7 +57,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Verify returns ErrCorrupt unless text is the one that r names.
+// Verify returns ErrCorrupt unless the hash of text is the one in r.
 func (r *Record) Verify(text string) error {
 	if Hash(text) != r.SHA256 {
 		return ErrCorrupt
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// Encode returns the value to store.
+// Encode returns the JSON form of r that is stored.
 func (r *Record) Encode() []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
@@ -74,49 +74,48 @@
 	return b
 }
 
-// Decode reads a stored value.
+// Decode parses a stored record.
 func Decode(value []byte) (*Record, error) {
 	var r Record
 	if err := json.Unmarshal(value, &r); err != nil {
-		return nil, errors.Wrap(err, "record of the site text")
+		return nil, errors.Wrap(err, "site text record")
 	}
 	return &r, nil
 }
 
-// Keys are the store keys of one site.
+// Keys builds the store keys of one site.
 type Keys struct{ prefix string }
 
-// KeysOf returns the keys of the site called name.
+// KeysOf returns the keys of the site with the given name.
 func KeysOf(name string) Keys { return Keys{prefix: "/mallowwind/" + name + "/"} }
 
-// Head is the key of the newest record.
+// Head returns the key of the newest record.
 func (k Keys) Head() string { return k.prefix + "text" }
 
-// Body is the key of the text that record id names.
+// Body returns the key of the text of the record with the given ID.
 func (k Keys) Body(id string) string { return k.prefix + "body/" + id }
 
-// History is the prefix of replaced records.
+// History returns the key prefix of replaced records.
 func (k Keys) History() string { return k.prefix + "history/" }
 
-// HistoryEntry is the key of the record that was accepted at revision. The number
-// is padded so that keys sort as numbers do.
+// HistoryEntry returns the key of the replaced record with the given revision. The number is
+// zero-padded so that the keys sort numerically.
 func (k Keys) HistoryEntry(revision int64) string {
 	return fmt.Sprintf("%s%020d", k.History(), revision)
 }
 
-// HistoryRevision returns the revision in a key made by Replaced.
+// HistoryRevision returns the revision in a key made by HistoryEntry.
 func (k Keys) HistoryRevision(key string) (int64, error) {
 	return strconv.ParseInt(strings.TrimPrefix(key, k.History()), 10, 64)
 }
 
-// Accepted is a record that the store holds, with the version that a
-// compare-and-swap needs.
+// Accepted is a stored record with the version of its key, which a compare-and-swap needs.
 type Accepted struct {
 	*Record
 	Version int64
 }
 
-// ReadHead reads the record in force. It returns store.ErrNotFound before the first.
+// ReadHead reads the newest record. It returns store.ErrNotFound before the first text is accepted.
 func ReadHead(ctx context.Context, s store.Store, k Keys) (Accepted, error) {
 	kv, err := s.Get(ctx, k.Head())
 	if err != nil {
@@ -125,17 +124,17 @@
 	return FromKV(kv)
 }
 
-// FromKV decodes the value of the key Text.
+// FromKV decodes the value of a key that holds a record.
 func FromKV(kv store.KV) (Accepted, error) {
 	r, err := Decode(kv.Value)
 	return Accepted{Record: r, Version: kv.Version}, err
 }
 
-// ReadText reads the text that r names and verifies it.
+// ReadText reads the text of r and verifies its hash.
 func ReadText(ctx context.Context, s store.Store, k Keys, r *Record) (string, error) {
 	kv, err := s.Get(ctx, k.Body(r.ID))
 	if err != nil {
-		return "", errors.Wrap(err, "body of the site text")
+		return "", errors.Wrap(err, "site text body")
 	}
 	return string(kv.Value), r.Verify(string(kv.Value))
 }
--- a/control/inforce/report.go
+++ b/control/inforce/report.go
@@ -10,28 +10,28 @@
 	"mallowwind.dev/control/inforce/record"
 )
 
-// Report is what a daemon knows of the configuration, for operators.
+// Report is the state of the site text at a daemon, for operators.
 type Report struct {
 	Revision    int64
-	Record      *record.Record // nil before any text
-	Source      string         // "store" or the VM id of a peer
+	Record      *record.Record // nil before the first text
+	Source      string         // "store" or the VM ID of a peer
 	ActiveSince time.Time
-	Watching    bool
-	// StoreDownSince is since when the store has not answered, zero while it does.
+	Watching    bool // this daemon has a watch open at the store
+	// StoreDownSince is when the store stopped answering; zero while it answers.
 	StoreDownSince time.Time
 	StoreError     string
 	Rejected       *Rejection
-	// MemberRevisions holds what was last heard of each member, this daemon included.
+	// MemberRevisions is the last known revision of each member, including this daemon.
 	MemberRevisions map[string]ObservedRevision
 }
 
-// ObservedRevision is the revision that a member said it has in force.
+// ObservedRevision is the active revision that a member reported.
 type ObservedRevision struct {
 	Revision   int64
 	ObservedAt time.Time
 }
 
-// Report returns a copy of what is known now.
+// Report returns the current state.
 func (m *Manager) Report() Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -40,8 +40,8 @@
 		Rejected: m.rejected, MemberRevisions: map[string]ObservedRevision{m.cfg.VM: {m.revision(), time.Now()}},
 	}
 	for _, member := range m.cfg.Members.Current().Members {
-		if heard, ok := m.peerRevisions[member.ID]; ok {
-			r.MemberRevisions[member.ID] = heard
+		if observed, ok := m.peerRevisions[member.ID]; ok {
+			r.MemberRevisions[member.ID] = observed
 		}
 	}
 	if s := m.current.Load(); s != nil {
@@ -50,19 +50,20 @@
 	return r
 }
 
-// Stats counts what keeping the configuration takes. Bytes are those of values
-// and messages, without the framing of HTTP.
+// Stats counts the calls and bytes that keeping the text up to date takes. Bytes are those of values
+// and messages, without HTTP framing.
 type Stats struct {
 	StoreCalls, StoreBytes             int64
 	PeerCalls, PeerBytes               int64
-	AdoptedFromStore, AdoptedFromPeers int64 // texts put in force
+	AdoptedFromStore, AdoptedFromPeers int64 // texts adopted
 }
 
+// counters are the live values of Stats.
 type counters struct {
 	storeCalls, storeBytes, peerCalls, peerBytes, adoptedFromStore, adoptedFromPeers atomic.Int64
 }
 
-// Stats returns the counts since the start.
+// Stats returns the counts since the daemon started.
 func (m *Manager) Stats() Stats {
 	return Stats{
 		StoreCalls: m.counters.storeCalls.Load(), StoreBytes: m.counters.storeBytes.Load(),
@@ -91,7 +92,8 @@
 	c.adoptedFromPeers.Add(1)
 }
 
-// registerMetrics exposes the counts; docs/metrics.md explains each.
+// registerMetrics exposes the counters and the active revision as Prometheus metrics; docs/metrics.md
+// describes each.
 func (m *Manager) registerMetrics(r prometheus.Registerer) {
 	counter := func(name, help string, value *atomic.Int64) {
 		r.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
--- a/control/inforce/watch.go
+++ b/control/inforce/watch.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	// pollInterval is the mean time between reads of the record by every daemon,
-	// watchers too. It finds a watch that went silent and a daemon that no
-	// peer reaches. 390 daemons make 6.5 reads a second of about 500 bytes.
+	// pollInterval is the mean time between two reads of the record by each daemon, including
+	// watchers. Polling detects a watch that no longer delivers events, and updates a daemon that no
+	// peer reaches. 390 daemons make 6.5 reads per second of about 500 bytes each.
 	pollInterval = time.Minute
-	// roleCheckInterval is how often a daemon looks whether it is a watcher.
+	// roleCheckInterval is how often a daemon checks whether it is a watcher.
 	roleCheckInterval = 5 * time.Second
-	// callTimeout bounds one read of the store, which answers in milliseconds.
+	// callTimeout bounds one read of the store, which normally answers within milliseconds.
 	callTimeout = 2 * time.Second
-	// minBackoff and lastBackoff bound the wait of a watcher, or of a daemon
-	// without any text, after a failed call. Only these retry; the others wait
-	// for their next poll, so that the end of an outage brings no stampede.
+	// minBackoff and maxBackoff bound the time that a watcher, or a daemon without a text, waits
+	// before it retries a failed call. Other daemons do not retry but wait for their next poll, so
+	// that the end of a store outage causes no thundering herd.
 	minBackoff = 200 * time.Millisecond
 	maxBackoff = 5 * time.Second
 )
 
-// watchState is the life of this daemon's watch, guarded by Manager.mu.
+// watchState is the state of this daemon's watch, guarded by Manager.mu.
 type watchState struct {
-	cancel context.CancelFunc // nil while none is open
+	cancel context.CancelFunc // nil while no watch is open
 }
 
-// outage is what this daemon sees of the store, guarded by Manager.mu.
+// outage is the current outage of the store as this daemon sees it, guarded by Manager.mu.
 type outage struct {
 	since time.Time // zero while the store answers
 	err   error
@@ -48,10 +48,10 @@
 			pause.For(ctx, m.jitter(roleCheckInterval))
 			continue
 		}
-		began := time.Now()
+		start := time.Now()
 		err := m.watchOnce(ctx)
 		m.recordStoreResult(err)
-		if time.Since(began) > maxBackoff {
+		if time.Since(start) > maxBackoff {
 			backoff = minBackoff
 		}
 		pause.For(ctx, m.jitter(backoff))
@@ -59,8 +59,7 @@
 	}
 }
 
-// watchOnce reads the record and follows its changes until the watch dies or
-// is replaced.
+// watchOnce reads the record and follows its changes until the watch fails or is replaced.
 func (m *Manager) watchOnce(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -88,7 +87,7 @@
 	}
 }
 
-// loadHead reads the record and returns the store revision to watch from.
+// loadHead reads the record, adopts its text if newer and returns the store revision to watch from.
 func (m *Manager) loadHead(ctx context.Context) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -105,10 +104,11 @@
 	return from, nil
 }
 
+// handleEvents processes events of the watch.
 func (m *Manager) handleEvents(ctx context.Context, events []store.Event) error {
 	for _, e := range events {
 		if e.Kind == store.Deleted {
-			m.isNewer(0, "", sourceStore) // logged, never followed
+			m.isNewer(0, "", sourceStore) // a deletion is logged and otherwise ignored
 			continue
 		}
 		if err := m.handleValue(ctx, e.KV); err != nil {
@@ -118,25 +118,26 @@
 	return nil
 }
 
-// handleValue looks at one value of the record's key. An error means that the
-// store failed on the way; a text that is refused is no such error.
+// handleValue processes one value read from the store and adopts its text if the value is a newer
+// record. It returns an error only if the store fails, not if the text is rejected.
 func (m *Manager) handleValue(ctx context.Context, kv store.KV) error {
 	m.counters.countStoreBytes(len(kv.Value))
 	if kv.Key != m.keys.Head() {
 		return nil
 	}
-	a, err := record.FromKV(kv)
+	accepted, err := record.FromKV(kv)
 	if err != nil {
 		m.reject(&record.Record{}, sourceStore, err)
 		return nil
 	}
-	err = m.adoptFromStore(ctx, a.Record)
+	err = m.adoptFromStore(ctx, accepted.Record)
 	if errors.Is(err, store.ErrUnavailable) || errors.Is(err, context.DeadlineExceeded) {
 		return err
 	}
 	return nil
 }
 
+// readBody reads the text of r from the store and verifies it.
 func (m *Manager) readBody(ctx context.Context, r *record.Record) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -145,7 +146,7 @@
 	return text, err
 }
 
-// poll reads the record once.
+// poll reads the record once and adopts its text if newer.
 func (m *Manager) poll(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -161,11 +162,11 @@
 	return err
 }
 
-// pollLoop reads the record now and then.
+// pollLoop polls the record periodically.
 //
-// A watch can go silent for good although its connection looks open: the zone
-// would miss every change. A read that finds more than the watch delivered
-// shows it, and the watch is replaced on a fresh connection.
+// A watch can stop delivering events while its connection still looks open, and the zone would then
+// miss every change. A poll that finds a revision that the watch did not deliver reveals this, and
+// the watch is replaced on a new connection.
 func (m *Manager) pollLoop(ctx context.Context) {
 	for {
 		pause.For(ctx, m.jitter(pollInterval))
@@ -182,6 +183,7 @@
 	}
 }
 
+// replaceWatch cancels a watch that missed revision; watchLoop opens another.
 func (m *Manager) replaceWatch(revision int64) {
 	m.mu.Lock()
 	cancel := m.watch.cancel
@@ -192,8 +194,8 @@
 	}
 }
 
-// roleLoop closes the watch when other daemons have taken it over, and forgets
-// members that are gone.
+// roleLoop closes the watch once this daemon is no longer a watcher of its zone, and removes the
+// revisions of former members.
 func (m *Manager) roleLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause.For(ctx, m.jitter(roleCheckInterval))
@@ -211,6 +213,7 @@
 	}
 }
 
+// setWatch records and logs that a watch was opened (cancel ends it) or closed (nil).
 func (m *Manager) setWatch(cancel context.CancelFunc) {
 	m.mu.Lock()
 	m.watch.cancel = cancel
@@ -218,7 +221,8 @@
 	m.cfg.Log.Emit(event.ConfigWatching, cancel != nil)
 }
 
-// recordStoreResult notes whether the store answers, for logs and status.
+// recordStoreResult tracks from the result of a call whether the store is available, for the log and
+// the report. A missing key or a compacted revision is an answer; a canceled call says nothing.
 func (m *Manager) recordStoreResult(err error) {
 	if errors.Is(err, context.Canceled) {
 		return
@@ -227,20 +231,20 @@
 		err = nil
 	}
 	m.mu.Lock()
-	was := m.outage
+	previous := m.outage
 	switch {
 	case err == nil:
 		m.outage = outage{}
-	case was.since.IsZero():
+	case previous.since.IsZero():
 		m.outage = outage{since: time.Now(), err: err}
 	default:
 		m.outage.err = err
 	}
 	m.mu.Unlock()
-	if err != nil && was.since.IsZero() {
+	if err != nil && previous.since.IsZero() {
 		m.cfg.Log.Emit(event.ConfigStoreLost, err.Error())
 	}
-	if err == nil && !was.since.IsZero() {
-		m.cfg.Log.Emit(event.ConfigStoreBack, time.Since(was.since).String())
+	if err == nil && !previous.since.IsZero() {
+		m.cfg.Log.Emit(event.ConfigStoreBack, time.Since(previous.since).String())
 	}
 }
--- a/control/inforce/watchers.go
+++ b/control/inforce/watchers.go
@@ -9,16 +9,15 @@
 	"mallowwind.dev/control/membership"
 )
 
-// watchersPerZone is how many daemons of a zone watch the store. Two, so that
-// the death of one leaves no gap; the store counts each waiting watch as a
-// call, so that 390 watches are not a plan.
+// watchersPerZone is the number of daemons of a zone that watch the store. With two, the failure of
+// one leaves no gap. The store counts each open watch as a pending call, so one watch from each of
+// 390 daemons would be too many.
 const watchersPerZone = 2
 
-// Watchers returns the ids of the members that watch the store for zone: those
-// with the lowest rendezvous hash among the living. Every daemon computes it
-// from its own view without a message. Where views differ for a moment one
-// watch more or less is open, which harms nothing; where a member joins or
-// leaves, at most one watch moves.
+// Watchers returns the ids of the members that watch the store for zone: the alive members with the
+// lowest rendezvous hashes. Every daemon computes them from its own membership view, without
+// messages. While views differ, a zone may briefly have one watch too many or too few, which does no
+// harm. When a member joins or leaves, at most one watch moves.
 func Watchers(view *membership.View, zone string) []string {
 	type candidate struct {
 		id    string
@@ -40,6 +39,7 @@
 	return ids
 }
 
+// shouldWatch reports whether this daemon is one of the watchers of its zone.
 func (m *Manager) shouldWatch() bool {
 	return slices.Contains(Watchers(m.cfg.Members.Current(), m.cfg.Zone), m.cfg.VM)
 }
--- a/control/routing/encoding.go
+++ b/control/routing/encoding.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// document is a configuration as it lies in a store of ours.
+// document is the JSON form of a configuration in the store.
 type document struct {
 	Version int64 `json:"version"`
 	Limits  struct {
@@ -22,7 +22,7 @@
 		Engine *Engine `json:"engine"`
 	} `json:"services"`
 	Routes []documentRoute `json:"routes"`
-	// Accounts are absent where no route asks for a key.
+	// Accounts is nil if no route requires an account key.
 	Accounts *[]struct {
 		Name     string   `json:"name"`
 		Priority *int     `json:"priority"`
@@ -45,7 +45,7 @@
 	Targets   []Target `json:"targets"`
 }
 
-// duration is written as time.Duration prints itself, such as 1.5s.
+// duration is encoded as a string in the format of time.Duration, such as 1.5s.
 type duration time.Duration
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -56,13 +56,13 @@
 	}
 	parsed, err := time.ParseDuration(text)
 	if err != nil || parsed < 0 {
-		return errors.Errorf("duration: %q is none", text)
+		return errors.Errorf("duration: %q is not a valid non-negative duration", text)
 	}
 	*d = duration(parsed)
 	return nil
 }
 
-// Decode reads a configuration. Errors say which part cannot be used.
+// Decode parses and validates a configuration. The error names the part that is invalid.
 func Decode(raw []byte) (*Config, error) {
 	var d document
 	if err := json.Unmarshal(raw, &d); err != nil {
@@ -72,14 +72,14 @@
 		return nil, errors.Errorf("configuration: version %d is not above 0", d.Version)
 	}
 	var services []*Service
-	known := map[string]bool{}
+	serviceNames := map[string]bool{}
 	for _, s := range d.Services {
-		known[s.Name] = true
+		serviceNames[s.Name] = true
 		services = append(services, &Service{Name: s.Name, Engine: s.Engine})
 	}
 	var routes []*Route
 	for _, r := range d.Routes {
-		route, err := r.route(known)
+		route, err := r.route(serviceNames)
 		if err != nil {
 			return nil, errors.Wrapf(err, "configuration: route %s", r.Name)
 		}
@@ -92,7 +92,7 @@
 	return New(d.Version, limits, services, routes, d.accounts()), nil
 }
 
-func (r documentRoute) route(services map[string]bool) (*Route, error) {
+func (r documentRoute) route(serviceNames map[string]bool) (*Route, error) {
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		return nil, errors.Errorf("prefix %q does not begin and end with a slash", r.Prefix)
 	}
@@ -104,7 +104,7 @@
 		return nil, errors.New("no target")
 	}
 	for _, t := range r.Targets {
-		if !services[t.Service] {
+		if !serviceNames[t.Service] {
 			return nil, errors.Errorf("unknown service %q", t.Service)
 		}
 	}
@@ -122,7 +122,7 @@
 			return k, nil
 		}
 	}
-	return AtMostOnce, errors.Errorf("kind %q is none of at_most_once, idempotent, stream", text)
+	return AtMostOnce, errors.Errorf("kind %q is not one of at_most_once, idempotent, stream", text)
 }
 
 func (d *document) accounts() map[string]*Account {
--- a/control/routing/encoding_test.go
+++ b/control/routing/encoding_test.go
@@ -28,8 +28,8 @@
 	must.Eq(t, "llm", c.SoleEngineService())
 }
 
-// A configuration that cannot be used says which part is wrong.
-func TestDecodeRefuses(t *testing.T) {
+// The error for an invalid configuration names the part that is invalid.
+func TestDecodeRejectsInvalid(t *testing.T) {
 	for text, want := range map[string]string{
 		`x`:             "configuration",
 		`{"version":0}`: "version 0",
--- a/control/routing/rollout.go
+++ b/control/routing/rollout.go
@@ -8,44 +8,44 @@
 	"mallowwind.dev/decision/rollout"
 )
 
-// RolloutOrder is an operator's order to move a service to another version of its servers.
+// RolloutOrder is an operator's order to roll out another version of a service's backend servers.
 type RolloutOrder struct {
 	Service string
 	Target  string
-	// Period is the time within which the roll-out is to be over.
+	// Period is the time within which the rollout must complete.
 	Period time.Duration
-	// Revision is the store's of the order.
+	// Revision is the store revision of the order.
 	Revision int64
 }
 
-// Bounds of the period of a roll-out: a shorter one leaves no time to compare the versions, and a
-// longer one is taken for a mistake.
+// Limits of the period of a rollout: a shorter period leaves no time to compare the versions, and a
+// longer one is assumed to be a mistake.
 const (
 	MinRolloutPeriod = 3 * time.Second
 	MaxRolloutPeriod = 30 * time.Minute
 )
 
-// Validate returns an error for an order that cannot be carried out.
+// Validate returns an error if the order cannot be carried out.
 func (o RolloutOrder) Validate() error {
 	switch {
 	case o.Target == "":
-		return errors.New("it names no target version")
+		return errors.New("no target version")
 	case o.Period < MinRolloutPeriod || o.Period > MaxRolloutPeriod:
-		return errors.Errorf("the period %v is not between %v and %v", o.Period, MinRolloutPeriod, MaxRolloutPeriod)
+		return errors.Errorf("period %v is not between %v and %v", o.Period, MinRolloutPeriod, MaxRolloutPeriod)
 	}
 	return nil
 }
 
-// RolloutStatus is what is written of a roll-out for operators, and for daemons that start.
+// RolloutStatus is the progress of a rollout as stored for operators and for daemons that start.
 type RolloutStatus struct {
 	rollout.State
-	// DeadlineMS is when the period ends, in Unix milliseconds.
+	// DeadlineMS is when the period of the rollout ends, in Unix milliseconds.
 	DeadlineMS int64
 }
 
-// RolloutRecord is a status as daemons write it for each other, in JSON.
+// RolloutRecord is the JSON form of a RolloutStatus in the store.
 type RolloutRecord struct {
-	Stage         string  `json:"stage"` // as rollout.Stage prints itself
+	Stage         string  `json:"stage"` // as formatted by rollout.Stage.String
 	Target        string  `json:"target"`
 	Baseline      string  `json:"base"`
 	OrderRevision int64   `json:"order"`
@@ -54,18 +54,18 @@
 	DeadlineMS    int64   `json:"due"`
 }
 
-// Record is what is written of a status.
+// Record returns the stored form of the status.
 func (s RolloutStatus) Record() RolloutRecord {
 	return RolloutRecord{
 		Stage: s.Stage.String(), Target: s.Target, Baseline: s.Base, OrderRevision: s.Order, Share: s.Share, CommonRoutes: s.Common, DeadlineMS: s.DeadlineMS,
 	}
 }
 
-// Status is what a record says; a stage that nobody knows is an error.
+// Status returns the status that the record holds. An unknown stage is an error.
 func (r RolloutRecord) Status() (RolloutStatus, error) {
 	stage, ok := rollout.ParseStage(r.Stage)
 	if !ok {
-		return RolloutStatus{}, errors.Errorf("status of a roll-out: unknown stage %q", r.Stage)
+		return RolloutStatus{}, errors.Errorf("rollout status: unknown stage %q", r.Stage)
 	}
 	return RolloutStatus{
 		State: rollout.State{Order: r.OrderRevision, Base: r.Baseline, Target: r.Target, Stage: stage, Share: r.Share, Common: r.CommonRoutes}, DeadlineMS: r.DeadlineMS,
--- a/control/routing/routing.go
+++ b/control/routing/routing.go
@@ -1,7 +1,6 @@
-// Package routing holds the configuration by which requests are forwarded
-// without being understood: routes by host and path prefix, the services they
-// lead to, client accounts and the limits on callers. A Config is immutable and
-// swapped whole.
+// Package routing holds the configuration of the forwarding proxy, which routes requests without
+// interpreting their content: routes by host and path prefix, the services they lead to, client
+// accounts and the limits on callers. A Config is immutable; a new version replaces it as a whole.
 package routing
 
 import (
@@ -13,73 +12,73 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind says what may be repeated on a route.
+// Kind is the execution semantics of a route: whether and how its requests may be retried.
 type Kind uint8
 
 const (
-	// AtMostOnce is the zero value, so that a kind nobody knows is never repeated.
+	// AtMostOnce requests are never retried once they may have run. It is the zero value, so that
+	// requests of an unknown kind are not retried.
 	AtMostOnce Kind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
-	// Stream answers are a series of events with increasing ids.
+	// Stream responses are a series of events with increasing ids.
 	Stream
 )
 
-// String returns the lower-case name used in logs.
+// String returns the lower-case name used in logs and in the configuration.
 func (k Kind) String() string {
 	return [...]string{"at_most_once", "idempotent", "stream"}[k]
 }
 
-// Route leads the requests of one host and path prefix to a service.
+// Route directs the requests of one host and path prefix to one or more services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string // begins and ends with a slash
 	Kind   Kind
-	// Timeout is the longest a caller is kept waiting.
+	// Timeout is the longest time that a caller waits for a response.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or the first event of a
-	// stream, is on time.
+	// Objective is the target latency of a response, or of the first event of a stream.
 	Objective time.Duration
-	// GapTarget is the longest pause between events of a stream.
+	// GapTarget is the longest acceptable interval between events of a stream.
 	GapTarget time.Duration
-	// MaxAttempts bounds the backend servers that may run one request.
+	// MaxAttempts is the number of backend servers that may run one request.
 	MaxAttempts int
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
 	// Public routes need no account key.
 	Public bool
-	// Resumable streams may go on at another backend server.
+	// Resumable streams may continue at another backend server.
 	Resumable bool
 	Targets   []Target
 }
 
-// Target is one service of a route with its share of the requests.
+// Target is one service of a route with its weight in the distribution of requests.
 type Target struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"weight"`
 }
 
-// Service is a set of equal backend servers.
+// Service is a set of interchangeable backend servers.
 type Service struct {
 	Name string
-	// Engine is nil for plain services.
+	// Engine is nil if the backend servers are not model engines.
 	Engine *Engine
 }
 
-// Engine describes the model engines of a service.
+// Engine describes the capabilities of the model engines of a service.
 type Engine struct {
-	Slots int `json:"slots"` // requests processed at once
-	// CanReplicate says that an engine can send the memory of a run to another while it grows.
+	Slots int `json:"slots"` // requests processed concurrently
+	// CanReplicate is set if an engine can stream a run's KV cache to another engine as it grows.
 	CanReplicate bool `json:"copies"`
-	// CanCopy says that an engine can be asked to copy the memory of a run once.
+	// CanCopy is set if an engine can copy a run's KV cache to another engine once, on request.
 	CanCopy bool `json:"moves"`
-	// ReplicaTTL is how long a copy is kept of which nothing more arrives.
+	// ReplicaTTL is how long an engine keeps a replica that receives no more updates; 0 if unknown.
 	ReplicaTTL time.Duration `json:"-"`
 }
 
-// Limits bound what a caller may send and how long it may take. Zero fields
-// set no bound.
+// Limits bound the size of a caller's request and the time it may take to send it. A zero field
+// sets no limit.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -90,7 +89,7 @@
 // Account is a client account.
 type Account struct {
 	Name string
-	// Priority takes precedence over a route's; negative means none.
+	// Priority overrides the priority of the route; a negative value means that it does not.
 	Priority int
 }
 
@@ -103,8 +102,8 @@
 	accounts map[string]*Account // by key
 }
 
-// New returns a configuration. It takes over its arguments. accounts is by key;
-// a nil map means that no route asks for one.
+// New returns a configuration. It takes ownership of its arguments. accounts is keyed by account
+// key; a nil map means that no route requires a key.
 func New(version int64, limits Limits, services []*Service, routes []*Route, accounts map[string]*Account) *Config {
 	c := &Config{
 		Version: version, Limits: limits, accounts: accounts,
@@ -124,7 +123,7 @@
 	return c
 }
 
-// Match returns the route of host with the longest prefix of path, or nil.
+// Match returns the route of host whose prefix is the longest that matches path, or nil.
 func (c *Config) Match(host, path string) *Route {
 	for _, r := range c.routes[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -134,7 +133,7 @@
 	return nil
 }
 
-// normalizeHost drops a port and the case of a Host header.
+// normalizeHost removes the port from a Host header and converts it to lower case.
 func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -142,7 +141,7 @@
 	return strings.ToLower(host)
 }
 
-// RequiresKey reports whether requests on r must name an account.
+// RequiresKey reports whether requests on r must carry an account key.
 func (c *Config) RequiresKey(r *Route) bool { return c.accounts != nil && !r.Public }
 
 // Account returns the account that holds key, or nil.
@@ -151,8 +150,8 @@
 // Service returns the named service, or nil.
 func (c *Config) Service(name string) *Service { return c.services[name] }
 
-// Engine says what the model engines of a service can do; nil where its servers
-// are none.
+// Engine returns the capabilities of the model engines of a service, or nil if its backend servers
+// are not model engines.
 func (c *Config) Engine(service string) *Engine {
 	if s := c.services[service]; s != nil {
 		return s.Engine
@@ -160,8 +159,9 @@
 	return nil
 }
 
-// MedianObjective is the objective that half of the routes to a service do not exceed; 0 where a route
-// to it is a stream, whose objective says nothing of its end, or where there is none.
+// MedianObjective returns the (lower) median objective of the routes to a service. It returns 0 if
+// there is no such route or if one of them is a stream, whose objective covers only the first event
+// and not the whole response.
 func (c *Config) MedianObjective(service string) time.Duration {
 	var objectives []time.Duration
 	for _, routes := range c.routes {
@@ -182,31 +182,31 @@
 	return objectives[(len(objectives)-1)/2]
 }
 
-// SoleEngineService is the name of the one service that has model engines; "" where
-// none or several have.
+// SoleEngineService returns the name of the only service that has model engines, or "" if none or
+// several have.
 func (c *Config) SoleEngineService() string {
-	only := ""
+	sole := ""
 	for name, s := range c.services {
 		if s.Engine == nil {
 			continue
 		}
-		if only != "" {
+		if sole != "" {
 			return ""
 		}
-		only = name
+		sole = name
 	}
-	return only
+	return sole
 }
 
-// PickService picks a service of r; draw is in [0, 1).
+// PickService selects a service of r in proportion to the weights; draw is in [0, 1).
 func (r *Route) PickService(draw float64) string {
 	total := 0.0
 	for _, t := range r.Targets {
 		total += max(t.Weight, 0)
 	}
-	at := draw * total
+	rest := draw * total
 	for _, t := range r.Targets {
-		if at -= max(t.Weight, 0); at < 0 {
+		if rest -= max(t.Weight, 0); rest < 0 {
 			return t.Service
 		}
 	}
@@ -216,37 +216,37 @@
 	return r.Targets[0].Service
 }
 
-// Incarnation is one run of a backend server's process, from its start to its end. A server
-// may start again under the id that it had; the new life holds and knows nothing of the
-// one before.
+// Incarnation identifies one run of a backend server's process, from its start to its end. A server
+// may restart under the same id; the new incarnation has none of the state of the previous one.
 type Incarnation struct {
 	ID string
 	// StartedAtMS is when the process started, in Unix milliseconds of the server's own clock;
-	// 0 where the server does not say. Only lives of one id compare by it.
+	// 0 if the server does not report it. It is comparable only between incarnations of one id.
 	StartedAtMS int64
 }
 
-// Before reports whether l ended before other began, as far as both are known.
-func (l Incarnation) Before(other Incarnation) bool {
-	return l.ID == other.ID && l.StartedAtMS > 0 && l.StartedAtMS < other.StartedAtMS
+// Before reports whether i is an earlier incarnation of the same server than other. It is false if
+// either start time is unknown.
+func (i Incarnation) Before(other Incarnation) bool {
+	return i.ID == other.ID && i.StartedAtMS > 0 && i.StartedAtMS < other.StartedAtMS
 }
 
-// Server is one backend server as it registered itself. An address may be used again
-// by another, and an id by a later life of the same.
+// Server is one backend server as it registered itself. Another server may reuse its address, and a
+// later incarnation of the same server its id.
 type Server struct {
 	ID          string `json:"id"`
-	StartedAtMS int64  `json:"born,omitempty"` // as Life.Born
+	StartedAtMS int64  `json:"born,omitempty"` // as Incarnation.StartedAtMS
 	Service     string `json:"service"`
 	Address     string `json:"address"` // IP:port
 	Zone        string `json:"zone"`
 	Slots       int    `json:"slots"`
-	// Version is that of the server's software; "" where it does not say.
+	// Version is the version of the server's software; "" if the server does not report it.
 	Version string `json:"version,omitempty"`
-	// Draining says that it takes no new work.
+	// Draining is set if the server accepts no new requests.
 	Draining bool `json:"leaving,omitempty"`
 }
 
-// Incarnation is the present run of the server's process.
+// Incarnation returns the incarnation of the server that is registered.
 func (s Server) Incarnation() Incarnation { return Incarnation{ID: s.ID, StartedAtMS: s.StartedAtMS} }
 
 // VM is one entry VM as it registered itself.
@@ -258,7 +258,8 @@
 	Draining    bool   `json:"leaving,omitempty"`
 }
 
-// Serving returns the entry VMs that do not leave, with the hashes of their ids.
+// Serving returns the entry VMs that are not draining, and the hashes of their ids for rendezvous
+// hashing.
 func Serving(vms []VM) (serving []VM, hashes []uint64) {
 	for _, vm := range vms {
 		if !vm.Draining {
@@ -269,7 +270,7 @@
 	return serving, hashes
 }
 
-// Peers returns the entry VMs other than self that other daemons can ask.
+// Peers returns the entry VMs other than self that have an address for calls between daemons.
 func Peers(vms []VM, self string) []VM {
 	var peers []VM
 	for _, vm := range vms {
