--- a/control/inforce/adopt.go
+++ b/control/inforce/adopt.go
@@ -62,8 +62,8 @@
 	return text, r.Verify(text)
 }
 
-// isNewer reports whether revision is above the active one. It logs a lower revision, and the active
-// revision with a different hash, once in a row.
+// isNewer reports whether revision is above the active one. It logs a lower revision, or the active
+// revision with a different hash; repetitions of the last logged revision are not logged.
 //
 // Without this check a stale read, a store restored from an older backup or a peer that lags behind
 // would bring back a text that operators have replaced, with its replicas, accounts and limits. A
@@ -154,9 +154,9 @@
 func (m *Manager) recentText(revision int64) (string, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, k := range m.recent {
-		if k.revision == revision {
-			return k.text, true
+	for _, r := range m.recent {
+		if r.revision == revision {
+			return r.text, true
 		}
 	}
 	return "", false
--- a/control/inforce/fetch.go
+++ b/control/inforce/fetch.go
@@ -23,9 +23,9 @@
 )
 
 // ObserveRevision records the active revision of a member, as reported by gossip. If it is newer than
-// the own one, the text is fetched in the background.
+// the active one here, fetchLoop fetches the text in the background.
 func (m *Manager) ObserveRevision(member string, revision uint64) {
-	if _, known := m.cfg.Members.Current().Find(member); !known || member == m.cfg.VM {
+	if _, isMember := m.cfg.Members.Current().Find(member); !isMember || member == m.cfg.VM {
 		return
 	}
 	m.mu.Lock()
--- a/control/inforce/fleet_test.go
+++ b/control/inforce/fleet_test.go
@@ -40,6 +40,7 @@
 	isolated map[string]bool // zones partitioned from the others
 }
 
+// node is one daemon of a fleet.
 type node struct {
 	*Manager
 	member          membership.Member
@@ -102,7 +103,7 @@
 	return s.Store.Get(ctx, key)
 }
 
-// start restarts n without any state.
+// start starts n, or restarts it without any state.
 func (f *fleet) start(n *node) { f.startWithStore(n, n.store) }
 
 func (f *fleet) startWithStore(n *node, s store.Store) {
@@ -130,13 +131,14 @@
 	return a == b || !f.isolated[a] && !f.isolated[b]
 }
 
-func (f *fleet) setIsolated(zone string, cut bool) {
+// setIsolated cuts the links of a zone to the other zones and to the store, or restores them.
+func (f *fleet) setIsolated(zone string, isolated bool) {
 	f.mu.Lock()
-	f.isolated[zone] = cut
+	f.isolated[zone] = isolated
 	f.mu.Unlock()
 	for _, n := range f.nodes {
 		if n.member.Zone == zone {
-			n.store.SetDown(cut)
+			n.store.SetDown(isolated)
 		}
 	}
 	synctest.Wait()
@@ -149,25 +151,25 @@
 	from *node
 }
 
-func (w transport) RoundTrip(r *http.Request) (*http.Response, error) {
-	for _, n := range w.nodes {
+func (t transport) RoundTrip(r *http.Request) (*http.Response, error) {
+	for _, n := range t.nodes {
 		if n.member.Peer != r.URL.Host {
 			continue
 		}
-		if !w.areConnected(w.from.member.Zone, n.member.Zone) {
+		if !t.areConnected(t.from.member.Zone, n.member.Zone) {
 			<-r.Context().Done()
 			return nil, r.Context().Err()
 		}
-		w.mu.Lock()
+		t.mu.Lock()
 		m := n.Manager
-		w.mu.Unlock()
+		t.mu.Unlock()
 		if m == nil {
 			break
 		}
 		_, h := m.Handler()
-		answer := httptest.NewRecorder()
-		h.ServeHTTP(answer, r)
-		return answer.Result(), nil
+		response := httptest.NewRecorder()
+		h.ServeHTTP(response, r)
+		return response.Result(), nil
 	}
 	return nil, errors.New("connection refused")
 }
@@ -187,7 +189,7 @@
 	}
 }
 
-// checkRevisions asserts that no daemon's revision decreased and that none was never accepted.
+// checkRevisions asserts that no daemon's revision has decreased and that each was accepted.
 func (f *fleet) checkRevisions() {
 	for _, n := range f.nodes {
 		revision := int64(n.Digest())
--- a/control/inforce/inforce.go
+++ b/control/inforce/inforce.go
@@ -30,7 +30,7 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// Config holds what a Manager depends on.
+// Config holds the settings and dependencies of a Manager.
 type Config struct {
 	Site    string // name of the site in the settings; the text of another site is rejected
 	VM      string
--- a/control/inforce/patch/patch_test.go
+++ b/control/inforce/patch/patch_test.go
@@ -37,7 +37,7 @@
 	must.Less(t, 300, p.Size())
 }
 
-func TestApplyRefusesOtherText(t *testing.T) {
+func TestApplyRejectsOtherText(t *testing.T) {
 	_, err := Make("a\nb\nc\n", "a\nb\nc\nd\n").Apply("a\n")
 	must.ErrorIs(t, err, ErrMismatch)
 	_, err = Patch{{From: 1 << 31, Lines: 1 << 31}}.Apply("a\n")
--- a/control/inforce/watch.go
+++ b/control/inforce/watch.go
@@ -108,7 +108,7 @@
 func (m *Manager) handleEvents(ctx context.Context, events []store.Event) error {
 	for _, e := range events {
 		if e.Kind == store.Deleted {
-			m.isNewer(0, "", sourceStore) // a deletion is logged and otherwise ignored
+			m.isNewer(0, "", sourceStore) // a deletion does not change the active text
 			continue
 		}
 		if err := m.handleValue(ctx, e.KV); err != nil {
@@ -203,8 +203,8 @@
 		m.mu.Lock()
 		cancel := m.watch.cancel
 		maps.DeleteFunc(m.peerRevisions, func(id string, _ ObservedRevision) bool {
-			_, known := view.Find(id)
-			return !known
+			_, isMember := view.Find(id)
+			return !isMember
 		})
 		m.mu.Unlock()
 		if cancel != nil && !m.shouldWatch() {
