--- a/control/inforce/adopt.go
+++ b/control/inforce/adopt.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// sourceStore names the store as where a text came from; peers are named by VM id.
+	// sourceStore is the source of a text that came from the store; a peer is named by its VM ID.
 	sourceStore = "store"
 
-	// keptTexts is how many texts back a peer may be and still be served a
-	// difference. At 5,200 changes a day one comes every 17 s, so this covers
-	// two minutes; a peer further back is served the whole text.
-	keptTexts = 8
+	// maxRecentTexts is the number of recent texts kept to make patches against. At 5,200 changes a
+	// day there is one every 17 s, so this covers two minutes; a peer that is further behind is sent
+	// the whole text.
+	maxRecentTexts = 8
 )
 
-// Rejection is a text that was not taken over.
+// Rejection is a text that was not adopted, with the reason.
 type Rejection struct {
 	Revision   int64     `json:"revision"`
 	Source     string    `json:"source"`
@@ -30,18 +30,18 @@
 	RejectedAt time.Time `json:"when"`
 }
 
-// offer takes over what the store says is accepted. A record that continues
-// the text in force brings the difference; otherwise the body is read.
-func (m *Manager) offer(ctx context.Context, r *record.Record) error {
-	if !m.newer(r.Revision, r.SHA256, sourceStore) {
+// adoptFromStore adopts the text of a record read from the store. If the record was made against the
+// active revision, the text comes from its patch; otherwise the body is read.
+func (m *Manager) adoptFromStore(ctx context.Context, r *record.Record) error {
+	if !m.isNewer(r.Revision, r.SHA256, sourceStore) {
 		return nil
 	}
-	text, err := m.patched(r)
+	text, err := m.applyPatch(r)
 	if err != nil {
 		text, err = m.readBody(ctx, r)
 	}
 	if errors.Is(err, store.ErrNotFound) || errors.Is(err, record.ErrCorrupt) {
-		m.refuse(r, sourceStore, err)
+		m.reject(r, sourceStore, err)
 	}
 	if err != nil {
 		return err
@@ -49,11 +49,11 @@
 	return m.adopt(r, text, sourceStore)
 }
 
-// patched applies the difference that r carries to the text in force.
-func (m *Manager) patched(r *record.Record) (string, error) {
+// applyPatch applies the patch in r to the active text and verifies the result.
+func (m *Manager) applyPatch(r *record.Record) (string, error) {
 	s := m.current.Load()
 	if s == nil || r.Patch == nil || s.record.Revision != r.BaseRevision {
-		return "", errors.New("no base for the difference")
+		return "", errors.New("record has no patch against the active revision")
 	}
 	text, err := r.Patch.Apply(s.site.Text)
 	if err != nil {
@@ -62,13 +62,13 @@
 	return text, r.Verify(text)
 }
 
-// newer reports whether revision is above the one in force.
+// isNewer reports whether revision is above the active one. It logs a lower revision, or the active
+// revision with a different hash; repetitions of the last logged revision are not logged.
 //
-// A stale read, a store restored from an older copy or a peer that lags would
-// otherwise bring back what operators have replaced: users would see replicas,
-// accounts and limits of an hour ago return. A daemon compares with what it
-// has itself, so no other party can lower it.
-func (m *Manager) newer(revision int64, hash, source string) bool {
+// Without this check a stale read, a store restored from an older backup or a peer that lags behind
+// would bring back a text that operators have replaced, with its replicas, accounts and limits. A
+// daemon compares with its own active revision, so no other party can lower it.
+func (m *Manager) isNewer(revision int64, hash, source string) bool {
 	s := m.current.Load()
 	if s == nil || revision > s.record.Revision {
 		return true
@@ -77,23 +77,23 @@
 		return false
 	}
 	m.mu.Lock()
-	known := m.offered == revision
-	m.offered = revision
+	logged := m.lastLowerLogged == revision
+	m.lastLowerLogged = revision
 	m.mu.Unlock()
-	if !known {
+	if !logged {
 		m.cfg.Log.Emit(event.ConfigLower, revision, s.record.Revision, source)
 	}
 	return false
 }
 
-// adopt puts an accepted text in force unless a newer one is already.
+// adopt makes an accepted text active unless the active one is as new or newer.
 func (m *Manager) adopt(r *record.Record, text, source string) error {
 	parsed, err := m.parse(r, text)
 	if err != nil {
-		m.refuse(r, source, err)
+		m.reject(r, source, err)
 		return err
 	}
-	next := &state{site: parsed, record: r, source: source, since: time.Now()}
+	next := &snapshot{site: parsed, record: r, source: source, since: time.Now()}
 	m.mu.Lock()
 	previous := m.revision()
 	if r.Revision <= previous {
@@ -101,19 +101,19 @@
 		return nil
 	}
 	m.current.Store(next)
-	m.recent = append(m.recent, kept{r.Revision, text})
-	if len(m.recent) > keptTexts {
+	m.recent = append(m.recent, revisionText{r.Revision, text})
+	if len(m.recent) > maxRecentTexts {
 		m.recent = append(m.recent[:0:0], m.recent[1:]...)
 	}
 	m.mu.Unlock()
-	m.cost.adopted(source)
+	m.counters.countAdoption(source)
 	m.cfg.Log.Emit(event.ConfigInForce, r.Revision, previous, source, r.Author, r.Comment, next.since.Sub(r.AppliedAt).String())
 	m.announce()
 	return nil
 }
 
-// announce tells gossip the revision in force. It reads the revision under the
-// lock: of two texts adopted together the older would otherwise be told last.
+// announce publishes the active revision through gossip. It reads the revision under announceMu: if
+// two texts are adopted concurrently, the older revision could otherwise be announced last.
 func (m *Manager) announce() {
 	m.announceMu.Lock()
 	defer m.announceMu.Unlock()
@@ -122,6 +122,7 @@
 	}
 }
 
+// parse verifies and parses a text and checks that it belongs to the site of this daemon.
 func (m *Manager) parse(r *record.Record, text string) (*site.Site, error) {
 	if err := r.Verify(text); err != nil {
 		return nil, err
@@ -131,31 +132,31 @@
 		return nil, err
 	}
 	if parsed.Name != m.cfg.Site {
-		return nil, errors.Errorf("the text is of site %q, this daemon follows %q", parsed.Name, m.cfg.Site)
+		return nil, errors.Errorf("text belongs to site %q, but this daemon serves site %q", parsed.Name, m.cfg.Site)
 	}
 	parsed.Revision = r.Revision
 	return parsed, nil
 }
 
-// refuse notes a text that cannot be in force: mallowctl checks before it
-// applies, so this is a text written by other means or a damaged one.
-func (m *Manager) refuse(r *record.Record, source string, err error) {
+// reject records and logs a text that cannot become active. mallowctl validates a text before it
+// applies it, so such a text was written by other means or is corrupt.
+func (m *Manager) reject(r *record.Record, source string, err error) {
 	m.mu.Lock()
-	known := m.refused != nil && m.refused.Revision == r.Revision
-	m.refused = &Rejection{Revision: r.Revision, Source: source, Error: err.Error(), RejectedAt: time.Now()}
+	logged := m.rejected != nil && m.rejected.Revision == r.Revision
+	m.rejected = &Rejection{Revision: r.Revision, Source: source, Error: err.Error(), RejectedAt: time.Now()}
 	m.mu.Unlock()
-	if !known {
+	if !logged {
 		m.cfg.Log.Emit(event.ConfigRefused, r.Revision, source, err.Error())
 	}
 }
 
-// base returns the text that was in force at revision, if it is still kept.
-func (m *Manager) base(revision int64) (string, bool) {
+// recentText returns the text of a revision that was active recently, if it is still kept.
+func (m *Manager) recentText(revision int64) (string, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, k := range m.recent {
-		if k.revision == revision {
-			return k.text, true
+	for _, r := range m.recent {
+		if r.revision == revision {
+			return r.text, true
 		}
 	}
 	return "", false
--- a/control/inforce/report.go
+++ b/control/inforce/report.go
@@ -10,38 +10,38 @@
 	"mallowwind.dev/control/inforce/record"
 )
 
-// Report is what a daemon knows of the configuration, for operators.
+// Report is the state of the site text at a daemon, for operators.
 type Report struct {
 	Revision    int64
-	Record      *record.Record // nil before any text
-	Source      string         // "store" or the VM id of a peer
+	Record      *record.Record // nil before the first text
+	Source      string         // "store" or the VM ID of a peer
 	ActiveSince time.Time
-	Watching    bool
-	// StoreDownSince is since when the store has not answered, zero while it does.
+	Watching    bool // this daemon has a watch open at the store
+	// StoreDownSince is when the store stopped answering; zero while it answers.
 	StoreDownSince time.Time
 	StoreError     string
 	Rejected       *Rejection
-	// MemberRevisions holds what was last heard of each member, this daemon included.
+	// MemberRevisions is the last known revision of each member, including this daemon.
 	MemberRevisions map[string]ObservedRevision
 }
 
-// ObservedRevision is the revision that a member said it has in force.
+// ObservedRevision is the active revision that a member reported.
 type ObservedRevision struct {
 	Revision   int64
 	ObservedAt time.Time
 }
 
-// Report returns a copy of what is known now.
+// Report returns the current state.
 func (m *Manager) Report() Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r := Report{
 		Watching: m.watch.cancel != nil, StoreDownSince: m.outage.since, StoreError: errorText(m.outage.err),
-		Rejected: m.refused, MemberRevisions: map[string]ObservedRevision{m.cfg.VM: {m.revision(), time.Now()}},
+		Rejected: m.rejected, MemberRevisions: map[string]ObservedRevision{m.cfg.VM: {m.revision(), time.Now()}},
 	}
 	for _, member := range m.cfg.Members.Current().Members {
-		if heard, ok := m.seen[member.ID]; ok {
-			r.MemberRevisions[member.ID] = heard
+		if observed, ok := m.peerRevisions[member.ID]; ok {
+			r.MemberRevisions[member.ID] = observed
 		}
 	}
 	if s := m.current.Load(); s != nil {
@@ -50,60 +50,62 @@
 	return r
 }
 
-// Stats counts what keeping the configuration takes. Bytes are those of values
-// and messages, without the framing of HTTP.
+// Stats counts the calls and bytes that keeping the text up to date takes. Bytes are those of values
+// and messages, without HTTP framing.
 type Stats struct {
 	StoreCalls, StoreBytes             int64
 	PeerCalls, PeerBytes               int64
-	AdoptedFromStore, AdoptedFromPeers int64 // texts put in force
+	AdoptedFromStore, AdoptedFromPeers int64 // texts adopted
 }
 
-type cost struct {
-	storeCalls, storeRead, peerCalls, peerBytes, fromStore, fromPeers atomic.Int64
+// counters are the live values of Stats.
+type counters struct {
+	storeCalls, storeBytes, peerCalls, peerBytes, adoptedFromStore, adoptedFromPeers atomic.Int64
 }
 
-// Stats returns the counts since the start.
+// Stats returns the counts since the daemon started.
 func (m *Manager) Stats() Stats {
 	return Stats{
-		StoreCalls: m.cost.storeCalls.Load(), StoreBytes: m.cost.storeRead.Load(),
-		PeerCalls: m.cost.peerCalls.Load(), PeerBytes: m.cost.peerBytes.Load(),
-		AdoptedFromStore: m.cost.fromStore.Load(), AdoptedFromPeers: m.cost.fromPeers.Load(),
+		StoreCalls: m.counters.storeCalls.Load(), StoreBytes: m.counters.storeBytes.Load(),
+		PeerCalls: m.counters.peerCalls.Load(), PeerBytes: m.counters.peerBytes.Load(),
+		AdoptedFromStore: m.counters.adoptedFromStore.Load(), AdoptedFromPeers: m.counters.adoptedFromPeers.Load(),
 	}
 }
 
-func (c *cost) storeCall(bytes int) {
+func (c *counters) countStoreCall(bytes int) {
 	c.storeCalls.Add(1)
-	c.storeBytes(bytes)
+	c.countStoreBytes(bytes)
 }
 
-func (c *cost) storeBytes(n int) { c.storeRead.Add(int64(n)) }
+func (c *counters) countStoreBytes(n int) { c.storeBytes.Add(int64(n)) }
 
-func (c *cost) peerCall(message proto.Message) {
+func (c *counters) countPeerCall(message proto.Message) {
 	c.peerCalls.Add(1)
 	c.peerBytes.Add(int64(proto.Size(message)))
 }
 
-func (c *cost) adopted(source string) {
+func (c *counters) countAdoption(source string) {
 	if source == sourceStore {
-		c.fromStore.Add(1)
+		c.adoptedFromStore.Add(1)
 		return
 	}
-	c.fromPeers.Add(1)
+	c.adoptedFromPeers.Add(1)
 }
 
-// register exposes the counts; docs/metrics.md explains each.
-func (m *Manager) register(r prometheus.Registerer) {
+// registerMetrics exposes the counters and the active revision as Prometheus metrics; docs/metrics.md
+// describes each.
+func (m *Manager) registerMetrics(r prometheus.Registerer) {
 	counter := func(name, help string, value *atomic.Int64) {
 		r.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Namespace: "mallowwind", Subsystem: "config", Name: name, Help: help,
 		}, func() float64 { return float64(value.Load()) }))
 	}
-	counter("store_calls_total", "Calls to the store for the site text.", &m.cost.storeCalls)
-	counter("store_bytes_total", "Bytes of values read from the store for the site text.", &m.cost.storeRead)
-	counter("peer_calls_total", "Calls to other entry VMs for the site text.", &m.cost.peerCalls)
-	counter("peer_bytes_total", "Bytes of messages of these calls.", &m.cost.peerBytes)
-	counter("from_store_total", "Texts put in force that came from the store.", &m.cost.fromStore)
-	counter("from_peers_total", "Texts put in force that came from another entry VM.", &m.cost.fromPeers)
+	counter("store_calls_total", "Calls to the store for the site text.", &m.counters.storeCalls)
+	counter("store_bytes_total", "Bytes of values read from the store for the site text.", &m.counters.storeBytes)
+	counter("peer_calls_total", "Calls to other entry VMs for the site text.", &m.counters.peerCalls)
+	counter("peer_bytes_total", "Bytes of messages of these calls.", &m.counters.peerBytes)
+	counter("from_store_total", "Texts put in force that came from the store.", &m.counters.adoptedFromStore)
+	counter("from_peers_total", "Texts put in force that came from another entry VM.", &m.counters.adoptedFromPeers)
 	r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Namespace: "mallowwind", Subsystem: "config", Name: "revision", Help: "Revision of the site text in force.",
 	}, func() float64 { return float64(m.revision()) }))
--- a/control/inforce/watch.go
+++ b/control/inforce/watch.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	// pollEvery is the mean time between reads of the record by every daemon,
-	// watchers too. It finds a watch that went silent and a daemon that no
-	// peer reaches. 390 daemons make 6.5 reads a second of about 500 bytes.
-	pollEvery = time.Minute
-	// roleEvery is how often a daemon looks whether it is a watcher.
-	roleEvery = 5 * time.Second
-	// callTimeout bounds one read of the store, which answers in milliseconds.
+	// pollInterval is the mean time between two reads of the record by each daemon, including
+	// watchers. Polling detects a watch that no longer delivers events, and updates a daemon that no
+	// peer reaches. 390 daemons make 6.5 reads per second of about 500 bytes each.
+	pollInterval = time.Minute
+	// roleCheckInterval is how often a daemon checks whether it is a watcher.
+	roleCheckInterval = 5 * time.Second
+	// callTimeout bounds one read of the store, which normally answers within milliseconds.
 	callTimeout = 2 * time.Second
-	// firstBackoff and lastBackoff bound the wait of a watcher, or of a daemon
-	// without any text, after a failed call. Only these retry; the others wait
-	// for their next poll, so that the end of an outage brings no stampede.
-	firstBackoff = 200 * time.Millisecond
-	lastBackoff  = 5 * time.Second
+	// minBackoff and maxBackoff bound the time that a watcher, or a daemon without a text, waits
+	// before it retries a failed call. Other daemons do not retry but wait for their next poll, so
+	// that the end of a store outage causes no thundering herd.
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 5 * time.Second
 )
 
-// watchState is the life of this daemon's watch, guarded by Manager.mu.
+// watchState is the state of this daemon's watch, guarded by Manager.mu.
 type watchState struct {
-	cancel context.CancelFunc // nil while none is open
+	cancel context.CancelFunc // nil while no watch is open
 }
 
-// outage is what this daemon sees of the store, guarded by Manager.mu.
+// outage is the current outage of the store as this daemon sees it, guarded by Manager.mu.
 type outage struct {
 	since time.Time // zero while the store answers
 	err   error
@@ -42,33 +42,32 @@
 
 // watchLoop keeps a watch open while this daemon is a watcher of its zone.
 func (m *Manager) watchLoop(ctx context.Context) {
-	backoff := firstBackoff
+	backoff := minBackoff
 	for ctx.Err() == nil {
 		if !m.shouldWatch() {
-			pause.For(ctx, m.jitter(roleEvery))
+			pause.For(ctx, m.jitter(roleCheckInterval))
 			continue
 		}
-		began := time.Now()
+		start := time.Now()
 		err := m.watchOnce(ctx)
-		m.sawStore(err)
-		if time.Since(began) > lastBackoff {
-			backoff = firstBackoff
+		m.recordStoreResult(err)
+		if time.Since(start) > maxBackoff {
+			backoff = minBackoff
 		}
 		pause.For(ctx, m.jitter(backoff))
-		backoff = min(2*backoff, lastBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// watchOnce reads the record and follows its changes until the watch dies or
-// is replaced.
+// watchOnce reads the record and follows its changes until the watch fails or is replaced.
 func (m *Manager) watchOnce(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	from, err := m.list(ctx)
+	from, err := m.loadHead(ctx)
 	if err != nil {
 		return err
 	}
-	m.cost.storeCall(0)
+	m.counters.countStoreCall(0)
 	w, err := m.cfg.Store.Watch(ctx, m.keys.Head(), from)
 	if err != nil {
 		return err
@@ -76,99 +75,101 @@
 	defer w.Close()
 	m.setWatch(cancel)
 	defer m.setWatch(nil)
-	m.sawStore(nil)
+	m.recordStoreResult(nil)
 	for {
 		events, err := w.Next(ctx)
 		if err != nil {
 			return err
 		}
-		if err := m.follow(ctx, events); err != nil {
+		if err := m.handleEvents(ctx, events); err != nil {
 			return err
 		}
 	}
 }
 
-// list reads the record and returns the store revision to watch from.
-func (m *Manager) list(ctx context.Context) (int64, error) {
+// loadHead reads the record, adopts its text if newer and returns the store revision to watch from.
+func (m *Manager) loadHead(ctx context.Context) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	kvs, from, err := m.cfg.Store.List(ctx, m.keys.Head())
-	m.cost.storeCall(0)
+	m.counters.countStoreCall(0)
 	if err != nil {
 		return 0, err
 	}
 	for _, kv := range kvs {
-		if err := m.stored(ctx, kv); err != nil {
+		if err := m.handleValue(ctx, kv); err != nil {
 			return 0, err
 		}
 	}
 	return from, nil
 }
 
-func (m *Manager) follow(ctx context.Context, events []store.Event) error {
+// handleEvents processes events of the watch.
+func (m *Manager) handleEvents(ctx context.Context, events []store.Event) error {
 	for _, e := range events {
 		if e.Kind == store.Deleted {
-			m.newer(0, "", sourceStore) // logged, never followed
+			m.isNewer(0, "", sourceStore) // a deletion does not change the active text
 			continue
 		}
-		if err := m.stored(ctx, e.KV); err != nil {
+		if err := m.handleValue(ctx, e.KV); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// stored looks at one value of the record's key. An error means that the
-// store failed on the way; a text that is refused is no such error.
-func (m *Manager) stored(ctx context.Context, kv store.KV) error {
-	m.cost.storeBytes(len(kv.Value))
+// handleValue processes one value read from the store and adopts its text if the value is a newer
+// record. It returns an error only if the store fails, not if the text is rejected.
+func (m *Manager) handleValue(ctx context.Context, kv store.KV) error {
+	m.counters.countStoreBytes(len(kv.Value))
 	if kv.Key != m.keys.Head() {
 		return nil
 	}
-	a, err := record.FromKV(kv)
+	accepted, err := record.FromKV(kv)
 	if err != nil {
-		m.refuse(&record.Record{}, sourceStore, err)
+		m.reject(&record.Record{}, sourceStore, err)
 		return nil
 	}
-	err = m.offer(ctx, a.Record)
+	err = m.adoptFromStore(ctx, accepted.Record)
 	if errors.Is(err, store.ErrUnavailable) || errors.Is(err, context.DeadlineExceeded) {
 		return err
 	}
 	return nil
 }
 
+// readBody reads the text of r from the store and verifies it.
 func (m *Manager) readBody(ctx context.Context, r *record.Record) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	text, err := record.ReadText(ctx, m.cfg.Store, m.keys, r)
-	m.cost.storeCall(len(text))
+	m.counters.countStoreCall(len(text))
 	return text, err
 }
 
-// poll reads the record once.
+// poll reads the record once and adopts its text if newer.
 func (m *Manager) poll(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	kv, err := m.cfg.Store.Get(ctx, m.keys.Head())
-	m.cost.storeCall(0)
+	m.counters.countStoreCall(0)
 	if err == nil {
-		err = m.stored(ctx, kv)
+		err = m.handleValue(ctx, kv)
 	}
 	if errors.Is(err, store.ErrNotFound) {
-		m.newer(0, "", sourceStore)
+		m.isNewer(0, "", sourceStore)
 	}
-	m.sawStore(err)
+	m.recordStoreResult(err)
 	return err
 }
 
-// pollLoop reads the record now and then.
+// pollLoop polls the record periodically.
 //
-// A watch can go silent for good although its connection looks open: the zone
-// would miss every change. A read that finds more than the watch delivered
-// shows it, and the watch is replaced on a fresh connection.
+// A watch can stop delivering events while its connection still looks open, and the zone would then
+// miss every change. A poll that finds a revision that the watch did not deliver reveals this, and
+// the watch is replaced on a new connection.
 func (m *Manager) pollLoop(ctx context.Context) {
 	for {
-		pause.For(ctx, m.jitter(pollEvery))
+		pause.For(ctx, m.jitter(pollInterval))
 		if ctx.Err() != nil {
 			return
 		}
@@ -182,6 +183,7 @@
 	}
 }
 
+// replaceWatch cancels a watch that missed revision; watchLoop opens another.
 func (m *Manager) replaceWatch(revision int64) {
 	m.mu.Lock()
 	cancel := m.watch.cancel
@@ -192,17 +194,17 @@
 	}
 }
 
-// roleLoop closes the watch when other daemons have taken it over, and forgets
-// members that are gone.
+// roleLoop closes the watch once this daemon is no longer a watcher of its zone, and removes the
+// revisions of former members.
 func (m *Manager) roleLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause.For(ctx, m.jitter(roleEvery))
+		pause.For(ctx, m.jitter(roleCheckInterval))
 		view := m.cfg.Members.Current()
 		m.mu.Lock()
 		cancel := m.watch.cancel
-		maps.DeleteFunc(m.seen, func(id string, _ ObservedRevision) bool {
-			_, known := view.Find(id)
-			return !known
+		maps.DeleteFunc(m.peerRevisions, func(id string, _ ObservedRevision) bool {
+			_, isMember := view.Find(id)
+			return !isMember
 		})
 		m.mu.Unlock()
 		if cancel != nil && !m.shouldWatch() {
@@ -211,6 +213,7 @@
 	}
 }
 
+// setWatch records and logs that a watch was opened (cancel ends it) or closed (nil).
 func (m *Manager) setWatch(cancel context.CancelFunc) {
 	m.mu.Lock()
 	m.watch.cancel = cancel
@@ -218,8 +221,9 @@
 	m.cfg.Log.Emit(event.ConfigWatching, cancel != nil)
 }
 
-// sawStore notes whether the store answers, for logs and status.
-func (m *Manager) sawStore(err error) {
+// recordStoreResult tracks from the result of a call whether the store is available, for the log and
+// the report. A missing key or a compacted revision is an answer; a canceled call says nothing.
+func (m *Manager) recordStoreResult(err error) {
 	if errors.Is(err, context.Canceled) {
 		return
 	}
@@ -227,20 +231,20 @@
 		err = nil
 	}
 	m.mu.Lock()
-	was := m.outage
+	previous := m.outage
 	switch {
 	case err == nil:
 		m.outage = outage{}
-	case was.since.IsZero():
+	case previous.since.IsZero():
 		m.outage = outage{since: time.Now(), err: err}
 	default:
 		m.outage.err = err
 	}
 	m.mu.Unlock()
-	if err != nil && was.since.IsZero() {
+	if err != nil && previous.since.IsZero() {
 		m.cfg.Log.Emit(event.ConfigStoreLost, err.Error())
 	}
-	if err == nil && !was.since.IsZero() {
-		m.cfg.Log.Emit(event.ConfigStoreBack, time.Since(was.since).String())
+	if err == nil && !previous.since.IsZero() {
+		m.cfg.Log.Emit(event.ConfigStoreBack, time.Since(previous.since).String())
 	}
 }
