--- a/control/inforce/adopt.go
+++ b/control/inforce/adopt.go
@@ -81,7 +81,7 @@
 	m.lastLowerLogged = revision
 	m.mu.Unlock()
 	if !logged {
-		m.cfg.Log.Emit(event.ConfigLower, revision, s.record.Revision, source)
+		m.cfg.Log.Emit(event.StaleConfigOffered, revision, s.record.Revision, source)
 	}
 	return false
 }
--- a/control/inforce/watch.go
+++ b/control/inforce/watch.go
@@ -245,6 +245,6 @@
 		m.cfg.Log.Emit(event.ConfigStoreLost, err.Error())
 	}
 	if err == nil && !previous.since.IsZero() {
-		m.cfg.Log.Emit(event.ConfigStoreBack, time.Since(previous.since).String())
+		m.cfg.Log.Emit(event.ConfigStoreRecovered, time.Since(previous.since).String())
 	}
 }
