--- a/serve/forward/crashes.go
+++ b/serve/forward/crashes.go
@@ -96,7 +96,7 @@
 		crash.Asked, crash.Down = h.countExitedNearby(e.at.server)
 	}
 	finding := crash.Judge()
-	h.opts.Log.Emit(event.BackendBroke, e.in.call.ID, e.in.digests, e.in.call.PromptKey, e.in.accountName(),
+	h.opts.Log.Emit(event.BackendConnectionBroken, e.in.call.ID, e.in.digests, e.in.call.PromptKey, e.in.accountName(),
 		e.at.server.ID, e.at.server.Zone, string(found), finding.String(), crash.Asked, crash.Down, now.Sub(e.sentAt), running, e.fromReplica, e.err)
 	if found == processExited && finding == poison.Counts {
 		h.poisoned.recordCrash(context.Background(), e.in, e.at.server.Life())
--- a/serve/forward/incarnations.go
+++ b/serve/forward/incarnations.go
@@ -38,7 +38,7 @@
 		return incarnationSame
 	}
 	if h.pool.recordRestart(h.opts.Feed.View(), s.Life(), incarnation) {
-		h.opts.Log.Emit(event.BackendSucceeded, "", s.ID, incarnation.ID, incarnation.Born)
+		h.opts.Log.Emit(event.BackendIncarnationChanged, "", s.ID, incarnation.ID, incarnation.Born)
 	}
 	return incarnationNewer
 }
@@ -62,5 +62,5 @@
 // recordUnreadable records that an engine's message cannot be decoded.
 func (h *Handler) recordUnreadable(s routing.Server, err error) {
 	h.metrics.unreadableMessages.Inc()
-	h.opts.Log.Emit(event.MessageRefused, s.ID, s.Address, err)
+	h.opts.Log.Emit(event.BackendMessageInvalid, s.ID, s.Address, err)
 }
--- a/serve/forward/peers.go
+++ b/serve/forward/peers.go
@@ -155,7 +155,7 @@
 		return nil
 	}
 	c.backoffUntil[vm.ID] = time.Now().Add(peerBackoff)
-	c.log.Emit(event.NeighbourSilent, vm.Peer, err)
+	c.log.Emit(event.PeerSilent, vm.Peer, err)
 	return err
 }
 
--- a/serve/forward/poison.go
+++ b/serve/forward/poison.go
@@ -203,7 +203,7 @@
 		return
 	}
 	p.details[digest] = details
-	p.h.opts.Log.Emit(event.PoisonTold, digest, details.GetAccount(), details.GetRoute(), mark.String(), details.GetServers())
+	p.h.opts.Log.Emit(event.PoisonMarkReceived, digest, details.GetAccount(), details.GetRoute(), mark.String(), details.GetServers())
 }
 
 // recordCompletion clears a request that got a complete answer: other requests in progress crashed
--- a/serve/forward/refuse.go
+++ b/serve/forward/refuse.go
@@ -46,7 +46,7 @@
 func (h *Handler) refuse(w http.ResponseWriter, in *inbound, err error) {
 	if errors.Is(err, errTruncated) {
 		h.metrics.countAnswer(in, statusTruncated, sourceDaemon)
-		h.opts.Log.Emit(event.AnswerCut, in.call.ID, in.call.PromptKey, in.routeName(), in.accountName(), in.configVersion, err, time.Since(in.arrived))
+		h.opts.Log.Emit(event.AnswerTruncated, in.call.ID, in.call.PromptKey, in.routeName(), in.accountName(), in.configVersion, err, time.Since(in.arrived))
 		panic(http.ErrAbortHandler) // closes the connection, so that the response does not look complete
 	}
 	e := verdict.FromError(err)
--- a/serve/forward/segment.go
+++ b/serve/forward/segment.go
@@ -248,7 +248,7 @@
 	}
 	next := routing.Life{ID: instance, Born: report.Born}
 	r.h.pool.recordSuccessor(view, old.Life(), next)
-	r.h.opts.Log.Emit(event.BackendSucceeded, r.in.call.ID, old.ID, next.ID, next.Born)
+	r.h.opts.Log.Emit(event.BackendIncarnationChanged, r.in.call.ID, old.ID, next.ID, next.Born)
 	return next, true
 }
 
@@ -298,6 +298,6 @@
 func (r *relay) logSegment(a *attempt, end segmentEnd, err error) {
 	l := a.segment
 	r.h.metrics.segments.WithLabelValues(l.target.reason, end.String()).Inc()
-	r.h.opts.Log.Emit(event.StreamLeg, r.in.call.ID, r.in.call.PromptKey, r.in.route.Name, r.in.accountName(), r.in.configVersion, l.target.server.ID, l.target.server.Zone, l.target.reason,
+	r.h.opts.Log.Emit(event.StreamSegmentEnded, r.in.call.ID, r.in.call.PromptKey, r.in.route.Name, r.in.accountName(), r.in.configVersion, l.target.server.ID, l.target.server.Zone, l.target.reason,
 		l.copyTo.server.ID, end.String(), r.lastEventID, r.timeToFirstEvent, r.longestGap, time.Since(r.lastEventAt), time.Since(r.in.arrived), a.rateLimit, err)
 }
