--- a/telemetry/event/event_test.go
+++ b/telemetry/event/event_test.go
@@ -25,7 +25,7 @@
 		test.MapNotContainsKey(t, numbers, d.Number, test.Sprintf("%d is both %s and %s", d.Number, numbers[d.Number], d.Name))
 		test.MapNotContainsKey(t, names, d.Name, test.Sprintf("%s is both %d and %d", d.Name, names[d.Name], d.Number))
 		numbers[d.Number], names[d.Name] = d.Name, d.Number
-		test.MapContainsKey(t, concerns, d.Number/numbersPerConcern, test.Sprintf("%s has no range", d.Name))
+		test.MapContainsKey(t, categories, d.Number/numbersPerCategory, test.Sprintf("%s has no range", d.Name))
 		test.NotEq(t, "", d.Help)
 	}
 }
--- a/telemetry/event/page.go
+++ b/telemetry/event/page.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// numbersPerConcern is the size of one range of event numbers.
-const numbersPerConcern = 100
+// numbersPerCategory is the size of one range of event numbers.
+const numbersPerCategory = 100
 
-// concerns names each range of numbers, by its first digit.
-var concerns = map[int]string{
+// categories names each range of numbers, by its first digit.
+var categories = map[int]string{
 	1: "Daemon",
 	2: "Admission and routing",
 	3: "Generations",
@@ -34,9 +34,9 @@
 		"Every line has the fields `event` (the number), `name`, `vm` and `zone`\nbeside those listed here.\n")
 	concern := 0
 	for _, d := range defs {
-		if c := d.Number / numbersPerConcern; c != concern {
+		if c := d.Number / numbersPerCategory; c != concern {
 			concern = c
-			fmt.Fprintf(&b, "\n## %s\n\n| number | name | level | fields | meaning |\n|--:|---|---|---|---|\n", concerns[c])
+			fmt.Fprintf(&b, "\n## %s\n\n| number | name | level | fields | meaning |\n|--:|---|---|---|---|\n", categories[c])
 		}
 		fields := "`" + strings.Join(d.Fields, "`, `") + "`"
 		if len(d.Fields) == 0 {
--- a/telemetry/event/writer.go
+++ b/telemetry/event/writer.go
@@ -5,26 +5,26 @@
 	"sync/atomic"
 )
 
-// queuedLines bounds the lines that wait for a slow output: at 250 bytes a line
+// maxQueuedLines bounds the lines that wait for a slow output: at 250 bytes a line
 // a quarter of a megabyte, and some seconds of a busy daemon's log.
-const queuedLines = 1024
+const maxQueuedLines = 1024
 
 // Writer hands lines to an output in a goroutine of its own, so that a decision
 // never waits for whoever reads the log. Lines beyond the bound are dropped and
 // counted; the output is told how many as soon as it takes lines again.
 type Writer struct {
-	lines   chan []byte
-	quit    chan struct{}
-	done    chan struct{}
-	dropped atomic.Uint64
-	total   atomic.Uint64 // dropped since the start
-	onDrop  func(n uint64)
+	lines      chan []byte
+	quit       chan struct{}
+	done       chan struct{}
+	unreported atomic.Uint64
+	dropped    atomic.Uint64 // dropped since the start
+	onDrop     func(n uint64)
 }
 
 // NewWriter starts a writer to out. onDrop is called in the writer's goroutine
 // after lines were dropped; it may be nil.
 func NewWriter(out io.Writer, onDrop func(n uint64)) *Writer {
-	w := &Writer{lines: make(chan []byte, queuedLines), quit: make(chan struct{}), done: make(chan struct{}), onDrop: onDrop}
+	w := &Writer{lines: make(chan []byte, maxQueuedLines), quit: make(chan struct{}), done: make(chan struct{}), onDrop: onDrop}
 	go w.run(out)
 	return w
 }
@@ -42,12 +42,12 @@
 
 // drop counts lines that are not written.
 func (w *Writer) drop(n uint64) {
+	w.unreported.Add(n)
 	w.dropped.Add(n)
-	w.total.Add(n)
 }
 
 // Dropped is the number of lines dropped since the start.
-func (w *Writer) Dropped() uint64 { return w.total.Load() }
+func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
 // Close writes what is queued and ends the goroutine. Lines that come later are
 // lost: a request that outlives its daemon must not crash over its log line.
@@ -61,7 +61,7 @@
 	for {
 		select {
 		case line := <-w.lines:
-			w.put(out, line)
+			w.writeLine(out, line)
 		case <-w.quit:
 			w.flush(out)
 			return
@@ -73,20 +73,20 @@
 	for {
 		select {
 		case line := <-w.lines:
-			w.put(out, line)
+			w.writeLine(out, line)
 		default:
 			return
 		}
 	}
 }
 
-func (w *Writer) put(out io.Writer, line []byte) {
+func (w *Writer) writeLine(out io.Writer, line []byte) {
 	// A log that cannot be written has nowhere to say so but the count.
 	if _, err := out.Write(line); err != nil {
 		w.drop(1)
 		return
 	}
-	if n := w.dropped.Swap(0); n > 0 && w.onDrop != nil {
+	if n := w.unreported.Swap(0); n > 0 && w.onDrop != nil {
 		w.onDrop(n)
 	}
 }
--- a/telemetry/event/writer_test.go
+++ b/telemetry/event/writer_test.go
@@ -9,14 +9,14 @@
 	"github.com/sirupsen/logrus"
 )
 
-// stalled is an output that takes nothing until it is released.
-type stalled struct {
+// stalledOutput is an output that takes nothing until it is released.
+type stalledOutput struct {
 	release chan struct{}
 	mu      sync.Mutex
 	text    strings.Builder
 }
 
-func (s *stalled) Write(p []byte) (int, error) {
+func (s *stalledOutput) Write(p []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -26,7 +26,7 @@
 // Whoever reads the log stops reading. Ten thousand decisions go on without
 // waiting; once the reader is back, the log says how many lines it lacks.
 func TestStalledOutputHoldsNobodyUp(t *testing.T) {
-	out := &stalled{release: make(chan struct{})}
+	out := &stalledOutput{release: make(chan struct{})}
 	var told uint64
 	w := NewWriter(out, func(n uint64) { told += n })
 	l := logrus.New()
--- a/telemetry/metric/catalogue.go
+++ b/telemetry/metric/catalogue.go
@@ -89,9 +89,9 @@
 	return b.Bytes()
 }
 
-// descText picks the parts out of a Desc's text: client_golang offers no other
+// descPattern picks the parts out of a Desc's text: client_golang offers no other
 // way to the name of a vector that has no children yet.
-var descText = regexp.MustCompile(
+var descPattern = regexp.MustCompile(
 	`fqName: ("(?:[^"\\]|\\.)*"), help: ("(?:[^"\\]|\\.)*").* variableLabels: \{(.*)\}\}$`)
 
 func describe(c prometheus.Collector) []Info {
@@ -102,7 +102,7 @@
 	}()
 	var out []Info
 	for d := range descs {
-		m := descText.FindStringSubmatch(d.String())
+		m := descPattern.FindStringSubmatch(d.String())
 		if m == nil {
 			continue
 		}
@@ -112,15 +112,15 @@
 		if m[3] != "" {
 			i.Labels = strings.Split(m[3], ",")
 		}
-		i.Kind = kind(c, i.Name)
+		i.Kind = collectorKind(c, i.Name)
 		out = append(out, i)
 	}
 	return out
 }
 
-// kind tells the kind of a collector; a collector of another package is a
+// collectorKind tells the kind of a collector; a collector of another package is a
 // counter if its name ends as counters' names do.
-func kind(c prometheus.Collector, name string) string {
+func collectorKind(c prometheus.Collector, name string) string {
 	switch v := c.(type) {
 	case *prometheus.CounterVec:
 		return "counter"
@@ -131,7 +131,7 @@
 	case *prometheus.SummaryVec:
 		return "summary"
 	case prometheus.Metric:
-		return kindOfMetric(v)
+		return metricKind(v)
 	}
 	if strings.HasSuffix(name, "_total") {
 		return "counter"
@@ -139,7 +139,7 @@
 	return "gauge"
 }
 
-func kindOfMetric(m prometheus.Metric) string {
+func metricKind(m prometheus.Metric) string {
 	var out dto.Metric
 	if m.Write(&out) != nil {
 		return "untyped"
--- a/telemetry/story/story.go
+++ b/telemetry/story/story.go
@@ -16,54 +16,54 @@
 	"github.com/pkg/errors"
 )
 
-// maxLine bounds a line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds a line of a log, in bytes.
+const maxLineBytes = 1 << 20
 
 // Line is one event of a log.
 type Line struct {
-	When   time.Time // by the daemon's clock, corrected
-	VM     string
-	Event  int
-	Name   string
-	Text   string
-	Fields map[string]any // what the event has beside the common fields
-	// Stepped says that the daemon's clock went back before this line.
-	Stepped bool
+	Time    time.Time // by the daemon's clock, corrected
+	VM      string
+	Event   int
+	Name    string
+	Message string
+	Fields  map[string]any // what the event has beside the common fields
+	// ClockSteppedBack says that the daemon's clock went back before this line.
+	ClockSteppedBack bool
 }
 
-// Clocks says how far a daemon's clock is ahead of the others', by VM.
-type Clocks map[string]time.Duration
+// ClockOffsets says how far a daemon's clock is ahead of the others', by VM.
+type ClockOffsets map[string]time.Duration
 
-// common are the fields that every line has.
-var common = []string{"event", "name", "msg", "level", "time", "vm", "zone"}
+// commonFields are the fields that every line has.
+var commonFields = []string{"event", "name", "msg", "level", "time", "vm", "zone"}
 
 // Read returns the lines of a log that name id, in a field or as part of one.
 // Lines that are no events are passed over, since other programs may write to
 // the same output. The order of the log is kept where the clock stepped back.
-func Read(r io.Reader, id string, clocks Clocks) ([]Line, error) {
+func Read(r io.Reader, id string, clocks ClockOffsets) ([]Line, error) {
 	var lines []Line
 	latest := map[string]time.Time{}
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		if !strings.Contains(scanner.Text(), id) {
 			continue
 		}
 		line, ok := parse(scanner.Text(), clocks)
-		if !ok || !line.names(id) {
+		if !ok || !line.mentions(id) {
 			continue
 		}
-		if last := latest[line.VM]; line.When.Before(last) {
-			line.When, line.Stepped = last, true
+		if last := latest[line.VM]; line.Time.Before(last) {
+			line.Time, line.ClockSteppedBack = last, true
 		}
-		latest[line.VM] = line.When
+		latest[line.VM] = line.Time
 		lines = append(lines, line)
 	}
 	return lines, errors.Wrap(scanner.Err(), "read log")
 }
 
 // parse reads a line, which may have something else before the event.
-func parse(text string, clocks Clocks) (Line, bool) {
+func parse(text string, clocks ClockOffsets) (Line, bool) {
 	begin := strings.IndexByte(text, '{')
 	if begin < 0 {
 		return Line{}, false
@@ -75,7 +75,7 @@
 	line := Line{Fields: fields}
 	line.VM, _ = fields["vm"].(string)
 	line.Name, _ = fields["name"].(string)
-	line.Text, _ = fields["msg"].(string)
+	line.Message, _ = fields["msg"].(string)
 	if n, ok := fields["event"].(float64); ok {
 		line.Event = int(n)
 	}
@@ -84,14 +84,14 @@
 	if err != nil || line.Event == 0 {
 		return Line{}, false
 	}
-	line.When = when.Add(-clocks[line.VM])
-	for _, name := range common {
+	line.Time = when.Add(-clocks[line.VM])
+	for _, name := range commonFields {
 		delete(fields, name)
 	}
 	return line, true
 }
 
-func (l *Line) names(id string) bool {
+func (l *Line) mentions(id string) bool {
 	for _, v := range l.Fields {
 		if s, ok := v.(string); ok && s == id {
 			return true
@@ -102,7 +102,7 @@
 
 // Sort orders lines by time and leaves those of one moment in the order given.
 func Sort(lines []Line) {
-	slices.SortStableFunc(lines, func(a, b Line) int { return a.When.Compare(b.When) })
+	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
 // Write prints lines, one event a paragraph, with the time since the first.
@@ -110,17 +110,17 @@
 	if len(lines) == 0 {
 		return errors.New("no line names that id")
 	}
-	start := lines[0].When
+	start := lines[0].Time
 	if _, err := fmt.Fprintf(w, "from %s\n", start.Format(time.RFC3339Nano)); err != nil {
 		return errors.Wrap(err, "write")
 	}
 	for _, l := range lines {
 		stepped := ""
-		if l.Stepped {
+		if l.ClockSteppedBack {
 			stepped = " (this daemon's clock stepped back)"
 		}
 		_, err := fmt.Fprintf(w, "%+9.3fs  %s  %d %s: %s%s\n           %s\n",
-			l.When.Sub(start).Seconds(), l.VM, l.Event, l.Name, l.Text, stepped, l.fields())
+			l.Time.Sub(start).Seconds(), l.VM, l.Event, l.Name, l.Message, stepped, l.formatFields())
 		if err != nil {
 			return errors.Wrap(err, "write")
 		}
@@ -128,17 +128,17 @@
 	return nil
 }
 
-// durations are the fields that hold nanoseconds.
-var durations = map[string]bool{
+// durationFields are the fields that hold nanoseconds.
+var durationFields = map[string]bool{
 	"took": true, "first": true, "longest": true, "quiet": true, "waited": true, "gap": true, "age": true, "retry_after": true, "stopped": true, "for": true, "config_age": true, "doubt": true,
 }
 
-func (l *Line) fields() string {
+func (l *Line) formatFields() string {
 	names := slices.SortedFunc(maps.Keys(l.Fields), cmp.Compare[string])
 	parts := make([]string, 0, len(names))
 	for _, name := range names {
 		value := l.Fields[name]
-		if n, ok := value.(float64); ok && durations[name] {
+		if n, ok := value.(float64); ok && durationFields[name] {
 			value = time.Duration(n).Round(100 * time.Microsecond)
 		}
 		if value == nil || value == "" {
--- a/telemetry/story/story_test.go
+++ b/telemetry/story/story_test.go
@@ -17,7 +17,7 @@
 		f, err := os.Open(file)
 		must.NoError(t, err)
 		defer f.Close()
-		got, err := Read(f, "e440", Clocks{"entry-2": -2 * time.Second})
+		got, err := Read(f, "e440", ClockOffsets{"entry-2": -2 * time.Second})
 		must.NoError(t, err)
 		lines = append(lines, got...)
 	}
