--- a/telemetry/event/event_test.go
+++ b/telemetry/event/event_test.go
@@ -25,21 +25,21 @@
 		test.MapNotContainsKey(t, numbers, d.Number, test.Sprintf("%d is both %s and %s", d.Number, numbers[d.Number], d.Name))
 		test.MapNotContainsKey(t, names, d.Name, test.Sprintf("%s is both %d and %d", d.Name, names[d.Name], d.Number))
 		numbers[d.Number], names[d.Name] = d.Name, d.Number
-		test.MapContainsKey(t, categories, d.Number/numbersPerCategory, test.Sprintf("%s has no range", d.Name))
+		test.MapContainsKey(t, categories, d.Number/numbersPerCategory, test.Sprintf("%s has no category", d.Name))
 		test.NotEq(t, "", d.Help)
 	}
 }
 
-func TestFieldsDoNotHideCommonOnes(t *testing.T) {
+func TestFieldsDoNotShadowCommonFields(t *testing.T) {
 	for _, d := range Catalogue() {
 		for _, f := range d.Fields {
 			test.SliceNotContains(t, []string{"event", "name", "vm", "zone", "extra", "msg", "time", "level"}, f,
-				test.Sprintf("%s uses a common field", d.Name))
+				test.Sprintf("%s shadows a common field", d.Name))
 		}
 	}
 }
 
-func TestEmitNamesFields(t *testing.T) {
+func TestEmitAssignsValuesToFields(t *testing.T) {
 	var out bytes.Buffer
 	l := logrus.New()
 	l.SetOutput(&out)
--- a/telemetry/event/membership.go
+++ b/telemetry/event/membership.go
@@ -2,25 +2,25 @@
 
 import "github.com/sirupsen/logrus"
 
-// Events of membership: entry VMs as they see each other, and backend servers
-// as the VM list and their own reports show them.
+// Events of membership: the entry VMs' views of each other, and backend servers according to the VM
+// list and to their own status reports.
 var (
 	MemberState = define(601, "member_state", logrus.InfoLevel,
-		"The belief about an entry VM changed.", "member", "from", "to", "incarnation", "reason")
+		"The state of an entry VM changed in the view of this one.", "member", "from", "to", "incarnation", "reason")
 	MemberRefuted = define(602, "member_refuted", logrus.WarnLevel,
-		"Another entry VM took this one for dead; this one contradicted it with a higher incarnation.", "claimed", "incarnation", "by")
+		"Another entry VM suspected this one or declared it dead; this one refuted that with a higher incarnation.", "claimed", "incarnation", "by")
 	GossipFailed = define(603, "gossip_failed", logrus.DebugLevel,
-		"An exchange with another entry VM failed.", "member", "error")
+		"A gossip exchange with another entry VM failed.", "member", "error")
 	MemberSuperseded = define(604, "member_superseded", logrus.ErrorLevel,
-		"Another process runs under this VM id; this one should be stopped.", "incarnation", "by")
+		"Another process runs under the ID of this VM; this process should be stopped.", "incarnation", "by")
 	VMListFailed = define(610, "vm_list_failed", logrus.WarnLevel,
-		"The platform's VM list could not be read or was not credible; the last one stays in use.", "error", "age")
+		"The platform's VM list could not be read or was implausible; the last valid one stays in use.", "error", "age")
 	BackendLeaving = define(611, "backend_leaving", logrus.InfoLevel,
-		"A backend server leaves and gets no new work.", "backend", "pool", "reason")
+		"A backend server is leaving and receives no new requests.", "backend", "pool", "reason")
 	BackendForgotten = define(612, "backend_forgotten", logrus.InfoLevel,
-		"A backend server that left the VM list is no longer known here.", "backend", "pool")
+		"A backend server that is no longer in the VM list was forgotten.", "backend", "pool")
 	BackendUnreachable = define(613, "backend_unreachable", logrus.WarnLevel,
 		"A backend server did not answer a status poll.", "backend", "pool", "error")
 	BackendReachable = define(614, "backend_reachable", logrus.InfoLevel,
-		"A backend server answers status polls.", "backend", "pool", "incarnation")
+		"A backend server answers status polls again or for the first time.", "backend", "pool", "incarnation")
 )
--- a/telemetry/event/writer.go
+++ b/telemetry/event/writer.go
@@ -5,24 +5,24 @@
 	"sync/atomic"
 )
 
-// maxQueuedLines bounds the lines that wait for a slow output: at 250 bytes a line
-// a quarter of a megabyte, and some seconds of a busy daemon's log.
+// maxQueuedLines bounds the queue of lines for a slow output. With 250 bytes per line, a full queue
+// takes a quarter of a megabyte and holds some seconds of the log of a busy daemon.
 const maxQueuedLines = 1024
 
-// Writer hands lines to an output in a goroutine of its own, so that a decision
-// never waits for whoever reads the log. Lines beyond the bound are dropped and
-// counted; the output is told how many as soon as it takes lines again.
+// Writer writes lines to an output in a separate goroutine, so that a slow reader of the log never
+// blocks the code that logs. Lines that exceed the queue are dropped and counted. As soon as the
+// output accepts lines again, the number of dropped lines is reported to onDrop.
 type Writer struct {
 	lines      chan []byte
 	quit       chan struct{}
 	done       chan struct{}
-	unreported atomic.Uint64
-	dropped    atomic.Uint64 // dropped since the start
+	unreported atomic.Uint64 // not yet passed to onDrop
+	dropped    atomic.Uint64 // since the start
 	onDrop     func(n uint64)
 }
 
-// NewWriter starts a writer to out. onDrop is called in the writer's goroutine
-// after lines were dropped; it may be nil.
+// NewWriter starts a Writer with the output out. onDrop is called in the Writer's goroutine with
+// the number of lines dropped since its last call; it may be nil.
 func NewWriter(out io.Writer, onDrop func(n uint64)) *Writer {
 	w := &Writer{lines: make(chan []byte, maxQueuedLines), quit: make(chan struct{}), done: make(chan struct{}), onDrop: onDrop}
 	go w.run(out)
@@ -31,26 +31,27 @@
 
 // Write implements io.Writer. It never blocks and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line...)
+	queued := append([]byte(nil), line...)
 	select {
-	case w.lines <- kept:
+	case w.lines <- queued:
 	default:
 		w.drop(1)
 	}
 	return len(line), nil
 }
 
-// drop counts lines that are not written.
+// drop counts n dropped lines.
 func (w *Writer) drop(n uint64) {
 	w.unreported.Add(n)
 	w.dropped.Add(n)
 }
 
-// Dropped is the number of lines dropped since the start.
+// Dropped returns the number of lines dropped since the start.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Close writes what is queued and ends the goroutine. Lines that come later are
-// lost: a request that outlives its daemon must not crash over its log line.
+// Close writes the queued lines and stops the goroutine. Lines written later are lost without an
+// error, because a request that is still running while the daemon stops must not crash when it
+// logs.
 func (w *Writer) Close() {
 	close(w.quit)
 	<-w.done
@@ -81,7 +82,7 @@
 }
 
 func (w *Writer) writeLine(out io.Writer, line []byte) {
-	// A log that cannot be written has nowhere to say so but the count.
+	// If the log cannot be written, the count is the only place to report it.
 	if _, err := out.Write(line); err != nil {
 		w.drop(1)
 		return
--- a/telemetry/event/writer_test.go
+++ b/telemetry/event/writer_test.go
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// stalledOutput is an output that takes nothing until it is released.
+// stalledOutput is an output that blocks until release is closed.
 type stalledOutput struct {
 	release chan struct{}
 	mu      sync.Mutex
@@ -23,29 +23,29 @@
 	return s.text.Write(p)
 }
 
-// Whoever reads the log stops reading. Ten thousand decisions go on without
-// waiting; once the reader is back, the log says how many lines it lacks.
-func TestStalledOutputHoldsNobodyUp(t *testing.T) {
+// The reader of the log stalls. Ten thousand events must be emitted without blocking, and once the
+// reader continues, the number of missing lines must be reported.
+func TestStalledOutputDoesNotBlock(t *testing.T) {
 	out := &stalledOutput{release: make(chan struct{})}
-	var told uint64
-	w := NewWriter(out, func(n uint64) { told += n })
+	var reported uint64
+	w := NewWriter(out, func(n uint64) { reported += n })
 	l := logrus.New()
 	l.SetOutput(w)
 	log := New(l, "vm", "zone")
-	const decisions = 10000
-	for range decisions {
-		log.Emit(DaemonStopped, 0, 0) // would block for ever if it waited
+	const events = 10000
+	for range events {
+		log.Emit(DaemonStopped, 0, 0) // would block forever if it waited for the output
 	}
 	close(out.release)
 	w.Close()
 	lines := strings.Count(out.text.String(), "daemon_stopped")
-	must.Eq(t, decisions, lines+int(w.Dropped()))
-	must.Eq(t, w.Dropped(), told)
+	must.Eq(t, events, lines+int(w.Dropped()))
+	must.Eq(t, w.Dropped(), reported)
 	must.Greater(t, 0, int(w.Dropped()))
 }
 
-// Events beyond the limit are counted and not logged; warnings are always logged.
-func TestVolumeIsBounded(t *testing.T) {
+// Events beyond the limit must be counted and not logged; warnings must always be logged.
+func TestLimitDropsEvents(t *testing.T) {
 	var out strings.Builder
 	l := logrus.New()
 	l.SetOutput(&out)
