--- a/telemetry/metric/catalogue.go
+++ b/telemetry/metric/catalogue.go
@@ -23,8 +23,8 @@
 	Help   string
 }
 
-// Catalogue is a Registerer and Gatherer that remembers what was registered,
-// in a registry of its own. It is safe for concurrent use.
+// Catalogue is a prometheus.Registerer and prometheus.Gatherer with its own registry that records a
+// description of each registered metric. It is safe for concurrent use.
 type Catalogue struct {
 	registry *prometheus.Registry
 	mu       sync.Mutex
@@ -56,13 +56,13 @@
 	}
 }
 
-// Unregister implements prometheus.Registerer. The description stays.
+// Unregister implements prometheus.Registerer. The description of the metric is kept.
 func (c *Catalogue) Unregister(col prometheus.Collector) bool { return c.registry.Unregister(col) }
 
 // Gather implements prometheus.Gatherer.
 func (c *Catalogue) Gather() ([]*dto.MetricFamily, error) { return c.registry.Gather() }
 
-// Infos returns the registered metrics by name.
+// Infos returns the registered metrics sorted by name.
 func (c *Catalogue) Infos() []Info {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,7 +71,7 @@
 	return out
 }
 
-// Page returns docs/metrics.md: the metrics as Markdown, by name.
+// Page returns the content of docs/metrics.md: the metrics as Markdown, sorted by name.
 func (c *Catalogue) Page() []byte {
 	var b bytes.Buffer
 	b.WriteString("# Metrics\n\n" +
@@ -89,8 +89,8 @@
 	return b.Bytes()
 }
 
-// descPattern picks the parts out of a Desc's text: client_golang offers no other
-// way to the name of a vector that has no children yet.
+// descPattern extracts the fields of a prometheus.Desc from its string form. client_golang offers
+// no other access to the name of a vector that has no children yet.
 var descPattern = regexp.MustCompile(
 	`fqName: ("(?:[^"\\]|\\.)*"), help: ("(?:[^"\\]|\\.)*").* variableLabels: \{(.*)\}\}$`)
 
@@ -118,8 +118,8 @@
 	return out
 }
 
-// collectorKind tells the kind of a collector; a collector of another package is a
-// counter if its name ends as counters' names do.
+// collectorKind returns the kind of a collector. A collector of an unknown type is taken as a
+// counter if its name ends in _total, and as a gauge otherwise.
 func collectorKind(c prometheus.Collector, name string) string {
 	switch v := c.(type) {
 	case *prometheus.CounterVec:
--- a/telemetry/metric/metric_test.go
+++ b/telemetry/metric/metric_test.go
@@ -22,7 +22,7 @@
 	test.StrContains(t, string(c.Page()), "| `mallowwind_asks_total` | counter | `class`, `reason` | Asks. |\n")
 }
 
-func TestNameRegisteredTwiceIsRefused(t *testing.T) {
+func TestDuplicateNameIsRejected(t *testing.T) {
 	c := NewCatalogue()
 	g := prometheus.GaugeOpts{Name: "open", Help: "Open."}
 	test.NoError(t, c.Register(prometheus.NewGauge(g)))
--- a/telemetry/story/story.go
+++ b/telemetry/story/story.go
@@ -1,5 +1,5 @@
-// Package story picks the lines of one request out of the logs of several
-// daemons and puts them in order.
+// Package story extracts the events of one request from the logs of several daemons and sorts them
+// by time. It also summarizes the events of many requests.
 package story
 
 import (
@@ -16,30 +16,30 @@
 	"github.com/pkg/errors"
 )
 
-// maxLineBytes bounds a line of a log, in bytes.
+// maxLineBytes bounds the length of a log line.
 const maxLineBytes = 1 << 20
 
 // Line is one event of a log.
 type Line struct {
-	Time    time.Time // by the daemon's clock, corrected
+	Time    time.Time // according to the daemon's clock, corrected by ClockOffsets
 	VM      string
 	Event   int
 	Name    string
 	Message string
-	Fields  map[string]any // what the event has beside the common fields
-	// ClockSteppedBack says that the daemon's clock went back before this line.
+	Fields  map[string]any // fields of the event other than the common ones
+	// ClockSteppedBack is set if the daemon's clock was set back before this line.
 	ClockSteppedBack bool
 }
 
-// ClockOffsets says how far a daemon's clock is ahead of the others', by VM.
+// ClockOffsets holds how far the clock of a daemon is ahead of the other clocks, by VM.
 type ClockOffsets map[string]time.Duration
 
-// commonFields are the fields that every line has.
+// commonFields are the fields that every event has.
 var commonFields = []string{"event", "name", "msg", "level", "time", "vm", "zone"}
 
-// Read returns the lines of a log that name id, in a field or as part of one.
-// Lines that are no events are passed over, since other programs may write to
-// the same output. The order of the log is kept where the clock stepped back.
+// Read returns the lines of a log in which a field has the value id. Lines that are not events are
+// skipped, because other programs may write to the same output. Where the daemon's clock stepped
+// back, the lines get the latest time seen before, so that sorting keeps the order of the log.
 func Read(r io.Reader, id string, clocks ClockOffsets) ([]Line, error) {
 	var lines []Line
 	latest := map[string]time.Time{}
@@ -62,7 +62,7 @@
 	return lines, errors.Wrap(scanner.Err(), "read log")
 }
 
-// parse reads a line, which may have something else before the event.
+// parse parses a line, which may have other text before the event.
 func parse(text string, clocks ClockOffsets) (Line, bool) {
 	begin := strings.IndexByte(text, '{')
 	if begin < 0 {
@@ -79,12 +79,12 @@
 	if n, ok := fields["event"].(float64); ok {
 		line.Event = int(n)
 	}
-	stamp, _ := fields["time"].(string)
-	when, err := time.Parse(time.RFC3339Nano, stamp)
+	timestamp, _ := fields["time"].(string)
+	t, err := time.Parse(time.RFC3339Nano, timestamp)
 	if err != nil || line.Event == 0 {
 		return Line{}, false
 	}
-	line.Time = when.Add(-clocks[line.VM])
+	line.Time = t.Add(-clocks[line.VM])
 	for _, name := range commonFields {
 		delete(fields, name)
 	}
@@ -100,15 +100,15 @@
 	return false
 }
 
-// Sort orders lines by time and leaves those of one moment in the order given.
+// Sort sorts lines by time; lines with equal times keep their order.
 func Sort(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
-// Write prints lines, one event a paragraph, with the time since the first.
+// Write prints each line as a paragraph, with the time since the first line.
 func Write(w io.Writer, lines []Line) error {
 	if len(lines) == 0 {
-		return errors.New("no line names that id")
+		return errors.New("no event mentions this ID")
 	}
 	start := lines[0].Time
 	if _, err := fmt.Fprintf(w, "from %s\n", start.Format(time.RFC3339Nano)); err != nil {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// durationFields are the fields that hold nanoseconds.
+// durationFields are the fields that hold a duration in nanoseconds.
 var durationFields = map[string]bool{
 	"took": true, "first": true, "longest": true, "quiet": true, "waited": true, "gap": true, "age": true, "retry_after": true, "stopped": true, "for": true, "config_age": true, "doubt": true,
 }
--- a/telemetry/story/story_test.go
+++ b/telemetry/story/story_test.go
@@ -9,9 +9,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// A caller's stream breaks off at one daemon, whose clock steps back, and goes
-// on at another, whose clock is two seconds behind.
-func TestStoryAcrossDaemons(t *testing.T) {
+// A caller's stream is interrupted at one daemon, whose clock steps back, and continues at another
+// one, whose clock is two seconds behind. The events must be printed in the right order.
+func TestEventsOfSeveralDaemonsAreOrdered(t *testing.T) {
 	var lines []Line
 	for _, file := range []string{"testdata/a.log", "testdata/b.log"} {
 		f, err := os.Open(file)
--- a/telemetry/story/summary.go
+++ b/telemetry/story/summary.go
@@ -15,53 +15,55 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// Summary is what logs show of many forwarded requests. A stream is known by its prompt,
-// or else its request: a caller that comes back has another request and the same prompt.
-// What was under way when a daemon was killed leaves no line there.
+// Summary summarizes the events of many forwarded requests. A stream is identified by its prompt,
+// or by its request ID if it has none: a caller that resumes a stream sends another request with
+// the same prompt. Requests that were in progress when a daemon was killed have no event in its
+// log.
 type Summary struct {
 	streams      map[string]*stream
 	segments     map[segmentKey]int
 	refusals     map[refusalKey]int
 	sends        map[sendKey]int
-	daemonStarts int // of daemons
+	daemonStarts int
 }
 
-// segmentKey is why a backend server was chosen for a part of a stream, and how that ended.
+// segmentKey groups segments of streams by the reason for the choice of the backend server and by
+// how the segment ended.
 type segmentKey struct{ reason, end string }
 
-// refusalKey is an answer that a daemon gave itself.
+// refusalKey groups the answers that daemons gave themselves.
 type refusalKey struct {
 	status int
 	code   string
 }
 
-// sendKey is how one send of a call that is no stream ended.
+// sendKey groups the sends of non-stream requests by how they ended.
 type sendKey struct {
 	status int
 	notRun bool
 	broken bool
 }
 
-// stream is one caller's answer.
+// stream is the answer to one caller, possibly over several requests.
 type stream struct {
 	requests         map[string]bool
 	segments         int
 	complete         bool
-	lastEnd          string // how it ended, if not whole
+	lastEnd          string // how it ended if it is not complete
 	timeToFirstEvent time.Duration
 	duration         time.Duration
 	longestGap       time.Duration
 	events           float64
 }
 
-// NewSummary returns an empty one.
+// NewSummary returns an empty Summary.
 func NewSummary() *Summary {
 	return &Summary{
 		streams: map[string]*stream{}, segments: map[segmentKey]int{}, refusals: map[refusalKey]int{}, sends: map[sendKey]int{},
 	}
 }
 
-// Add takes in one log. Lines that are no events are passed over.
+// Add adds the events of one log. Lines that are not events are skipped.
 func (s *Summary) Add(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
@@ -83,7 +85,7 @@
 			s.streamOf(l).lastEnd = fmt.Sprintf("answered %d, %s", int(l.numberField("status")), l.stringField("code"))
 		}
 	case event.AnswerTruncated.Number:
-		s.streamOf(l).lastEnd = "cut in mid-answer"
+		s.streamOf(l).lastEnd = "truncated"
 	case event.ExchangeEnded.Number:
 		notRun, _ := l.Fields["not_run"].(bool)
 		s.sends[sendKey{int(l.numberField("status")), notRun, l.stringField("error") != ""}]++
@@ -93,29 +95,29 @@
 }
 
 func (s *Summary) addSegment(l *Line) {
-	one := s.streamOf(l)
+	st := s.streamOf(l)
 	end := l.stringField("end")
 	s.segments[segmentKey{l.stringField("reason"), end}]++
-	one.segments++
-	one.lastEnd = "a part ended as " + end
+	st.segments++
+	st.lastEnd = "a segment ended as " + end
 	if end != "whole" {
 		return
 	}
-	one.complete = true
-	one.timeToFirstEvent, one.duration, one.longestGap = l.durationField("first"), l.durationField("took"), l.durationField("longest")
-	one.events = l.numberField("after")
+	st.complete = true
+	st.timeToFirstEvent, st.duration, st.longestGap = l.durationField("first"), l.durationField("took"), l.durationField("longest")
+	st.events = l.numberField("after")
 }
 
-// streamOf returns the stream that a line is of.
+// streamOf returns the stream to which a line belongs.
 func (s *Summary) streamOf(l *Line) *stream {
 	id := cmp.Or(l.stringField("prompt"), l.stringField("request"))
-	one, ok := s.streams[id]
+	st, ok := s.streams[id]
 	if !ok {
-		one = &stream{requests: map[string]bool{}}
-		s.streams[id] = one
+		st = &stream{requests: map[string]bool{}}
+		s.streams[id] = st
 	}
-	one.requests[l.stringField("request")] = true
-	return one
+	st.requests[l.stringField("request")] = true
+	return st
 }
 
 func (l *Line) stringField(name string) string {
@@ -135,19 +137,19 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	s.writeStreams(w)
 	s.writeLatencies(w)
-	fmt.Fprintln(w, "\nparts of streams\tend\tcount")
+	fmt.Fprintln(w, "\nsegment reason\tend\tcount")
 	for _, k := range slices.SortedFunc(maps.Keys(s.segments), func(a, b segmentKey) int {
 		return cmp.Or(cmp.Compare(a.reason, b.reason), cmp.Compare(a.end, b.end))
 	}) {
 		fmt.Fprintf(w, "%s\t%s\t%d\n", k.reason, k.end, s.segments[k])
 	}
-	fmt.Fprintln(w, "\nanswers of daemons\tcode\tcount")
+	fmt.Fprintln(w, "\nstatus of daemon answers\tcode\tcount")
 	for _, k := range slices.SortedFunc(maps.Keys(s.refusals), func(a, b refusalKey) int {
 		return cmp.Or(cmp.Compare(a.status, b.status), cmp.Compare(a.code, b.code))
 	}) {
 		fmt.Fprintf(w, "%d\t%s\t%d\n", k.status, k.code, s.refusals[k])
 	}
-	fmt.Fprintln(w, "\nsends of calls\tcount")
+	fmt.Fprintln(w, "\nsends of non-stream requests\tcount")
 	for _, k := range slices.SortedFunc(maps.Keys(s.sends), func(a, b sendKey) int {
 		return cmp.Compare(a.String(), b.String())
 	}) {
@@ -156,69 +158,70 @@
 	return errors.Wrap(w.Flush(), "write")
 }
 
-// String says how the send ended.
+// String returns how the sends of this group ended.
 func (k sendKey) String() string {
 	switch {
 	case k.notRun && k.broken:
 		return "not sent"
 	case k.notRun:
-		return "turned away"
+		return "rejected"
 	case k.broken:
-		return "no whole answer"
+		return "no complete answer"
 	}
 	return fmt.Sprintf("answered %d", k.status)
 }
 
 func (s *Summary) writeStreams(w io.Writer) {
 	ends := map[string]int{}
-	whole, moved, repeated := 0, 0, 0
-	for _, one := range s.streams {
-		if len(one.requests) > 1 {
-			repeated++
+	complete, severalSegments, resumed := 0, 0, 0
+	for _, st := range s.streams {
+		if len(st.requests) > 1 {
+			resumed++
 		}
-		if !one.complete {
-			ends[one.lastEnd]++
+		if !st.complete {
+			ends[st.lastEnd]++
 			continue
 		}
-		whole++
-		if one.segments > 1 {
-			moved++
+		complete++
+		if st.segments > 1 {
+			severalSegments++
 		}
 	}
 	fmt.Fprintf(w, "daemons started\t%d\n", s.daemonStarts)
 	fmt.Fprintf(w, "streams\t%d\n", len(s.streams))
-	fmt.Fprintf(w, "  whole\t%d\n", whole)
-	fmt.Fprintf(w, "  whole from several parts\t%d\n", moved)
-	fmt.Fprintf(w, "  whose callers came back\t%d\n", repeated)
+	fmt.Fprintf(w, "  complete\t%d\n", complete)
+	fmt.Fprintf(w, "  complete from several segments\t%d\n", severalSegments)
+	fmt.Fprintf(w, "  resumed by the caller\t%d\n", resumed)
 	for _, end := range slices.Sorted(maps.Keys(ends)) {
-		fmt.Fprintf(w, "  not whole, at last %s\t%d\n", end, ends[end])
+		fmt.Fprintf(w, "  incomplete, last: %s\t%d\n", end, ends[end])
 	}
 }
 
-// writeLatencies prints how long whole answers took that one request got from its first event on.
+// writeLatencies prints the latencies of the complete answers that a single request received from
+// their first event on.
 func (s *Summary) writeLatencies(w io.Writer) {
-	var took, first, longest, pace []time.Duration
-	for _, one := range s.streams {
-		if !one.complete || len(one.requests) > 1 || one.timeToFirstEvent <= 0 || one.events < 2 {
+	var totals, firstEvents, longestGaps, perEvent []time.Duration
+	for _, st := range s.streams {
+		if !st.complete || len(st.requests) > 1 || st.timeToFirstEvent <= 0 || st.events < 2 {
 			continue
 		}
-		took, first, longest = append(took, one.duration), append(first, one.timeToFirstEvent), append(longest, one.longestGap)
-		pace = append(pace, time.Duration(float64(one.duration-one.timeToFirstEvent)/(one.events-1)))
+		totals, firstEvents, longestGaps = append(totals, st.duration), append(firstEvents, st.timeToFirstEvent), append(longestGaps, st.longestGap)
+		perEvent = append(perEvent, time.Duration(float64(st.duration-st.timeToFirstEvent)/(st.events-1)))
 	}
-	fmt.Fprintln(w, "\nwhole answers to one request\tp50\tp90")
+	fmt.Fprintln(w, "\ncomplete answers to a single request\tp50\tp90")
 	for _, row := range []struct {
 		name   string
 		values []time.Duration
-	}{{"in flight", took}, {"to the first event", first}, {"longest pause", longest}, {"for each further event", pace}} {
+	}{{"total time", totals}, {"time to first event", firstEvents}, {"longest gap", longestGaps}, {"time per further event", perEvent}} {
 		fmt.Fprintf(w, "%s\t%v\t%v\n", row.name, quantile(row.values, 0.5), quantile(row.values, 0.9))
 	}
 }
 
-// quantile is the value below which a part of the values lies, 0 for none.
-func quantile(values []time.Duration, part float64) time.Duration {
+// quantile returns the value below which the fraction q of the values lies; 0 if there are none.
+func quantile(values []time.Duration, q float64) time.Duration {
 	if len(values) == 0 {
 		return 0
 	}
 	slices.Sort(values)
-	return values[min(int(part*float64(len(values))), len(values)-1)].Round(100 * time.Microsecond)
+	return values[min(int(q*float64(len(values))), len(values)-1)].Round(100 * time.Microsecond)
 }
--- a/telemetry/story/summary_test.go
+++ b/telemetry/story/summary_test.go
@@ -9,9 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Somebody on call asks what became of the requests of a bad minute: how many answers were
-// whole, how long they took, which broke off and at what, and what daemons refused. A
-// caller that came back counts once.
+// The summary must show how many answers were complete, how long they took, how the others ended
+// and which requests the daemons refused. A stream that the caller resumed counts once.
 func TestSummaryOfManyRequests(t *testing.T) {
 	f, err := os.Open("testdata/many.log")
 	must.NoError(t, err)
@@ -25,8 +24,8 @@
 	must.Eq(t, string(golden), out.String())
 }
 
-// Logs without a request, and lines that are no events, give an empty summary.
-func TestSummaryOfNothing(t *testing.T) {
+// A log without events of requests results in an empty summary.
+func TestEmptySummary(t *testing.T) {
 	s := NewSummary()
 	must.NoError(t, s.Add(strings.NewReader("{\n{}\nx\n")))
 	var out strings.Builder
