--- a/telemetry/event/catalogue.go
+++ b/telemetry/event/catalogue.go
@@ -23,7 +23,7 @@
 	LogDropped = define(108, "log_dropped", logrus.WarnLevel,
 		"Log lines were dropped because the log output was too slow.", "lines")
 	SettingsReloaded = define(107, "settings_reloaded", logrus.InfoLevel,
-		"The settings file was read again. If error is set, it could not be read and the previous settings stay in use.", "file", "error")
+		"The settings file was read again. If error is set, it could not be loaded and the previous settings stay in use.", "file", "error")
 	InvariantViolated = define(104, "invariant_violated", logrus.ErrorLevel,
 		"An invariant was violated; the affected answer was aborted.", "invariant", "subject", "detail")
 )
--- a/telemetry/event/routing.go
+++ b/telemetry/event/routing.go
@@ -19,7 +19,7 @@
 	TableBuilt = define(207, "table_built", logrus.DebugLevel,
 		"The candidate table of a service was rebuilt.", "pool", "model", "candidates", "known", "version")
 	LoadingDecided = define(208, "loading_decided", logrus.InfoLevel,
-		"No backend server has the model loaded; the daemon decided whether to wait for one that is loading it.", "request", "model", "reason", "retry_after")
+		"No backend server has the model ready; the daemon decided whether to wait for one that is loading it.", "request", "model", "reason", "retry_after")
 	EntriesAnswered = define(209, "entries_answered", logrus.DebugLevel,
 		"A caller was told which entry VMs to use.", "account", "entries", "known", "reason")
 )
