--- a/decision/poison/fleet_test.go
+++ b/decision/poison/fleet_test.go
@@ -189,7 +189,7 @@
 
 // count tells the keepers of a request, and all daemons of a mark.
 func (p *fleetPlay) count(s *stream, life [2]int) {
-	keepers := append([]int{s.daemon}, rendezvous.Nearest(route.Mix(uint64(s.digest)), p.hashes, 2)...)
+	keepers := append([]int{s.daemon}, rendezvous.Select(route.Mix(uint64(s.digest)), p.hashes, 2)...)
 	digest := string(rune(s.digest))
 	for _, d := range keepers {
 		if d != s.daemon {
--- a/serve/forward/engines.go
+++ b/serve/forward/engines.go
@@ -17,7 +17,7 @@
 	for i, s := range l.servers {
 		load := l.loads[i]
 		engines[i] = prompts.Engine{
-			Zone: s.Zone, Home: l.preferred[i], Reading: load.prefilling, Running: load.running, Copies: load.replicas,
+			Zone: s.Zone, Preferred: l.preferred[i], Prefilling: load.prefilling, Running: load.running, Copies: load.replicas,
 			Suspect: load.isSuspect(now), Excluded: slices.Contains(exclude, s.Life()),
 		}
 	}
@@ -31,7 +31,7 @@
 	p.choose(view, service, func(l *serverSet) (choice, bool) {
 		engines := p.engineStates(now, l, exclude)
 		for i, preferred := range l.preferredFor(part) {
-			engines[i].Home = preferred
+			engines[i].Preferred = preferred
 		}
 		for _, c := range p.rankPermitted(now, l, engines, n, false) {
 			candidate, _ := l.choiceAt(c.Index, string(c.Reason))
@@ -51,12 +51,12 @@
 		engines := p.engineStates(now, l, exclude)
 		for i, s := range l.servers {
 			theirs, known := others[s.Life()]
-			engines[i].Reading += theirs.prefilling
+			engines[i].Prefilling += theirs.prefilling
 			engines[i].Running += theirs.running
 			engines[i].Excluded = engines[i].Excluded || onlyOthers && !known
 		}
 		for _, best := range p.rankPermitted(now, l, engines, 1, true) {
-			unread = engines[best.Index].Reading
+			unread = engines[best.Index].Prefilling
 			l.loads[best.Index].prefilling++
 			return l.choiceAt(best.Index, string(best.Reason))
 		}
@@ -72,7 +72,7 @@
 // engines for which no permit may be requested yet because of their rate limit.
 func (p *pool) rankPermitted(now time.Time, l *serverSet, engines []prompts.Engine, n int, known bool) []prompts.Choice {
 	for {
-		list := prompts.Read(engines, n, known, rand.Uint64())
+		list := prompts.ChoosePrefillEngines(engines, n, known, rand.Uint64())
 		limited := false
 		for _, c := range list {
 			if !p.limits.canRequestPermit(now, l.servers[c.Index]) {
@@ -93,21 +93,21 @@
 		prompt = xxhash.Sum64String(part)
 	}
 	p.choose(view, service, func(l *serverSet) (choice, bool) {
-		servers = l.serversAt(prompts.Window(prompt, l.seats))
+		servers = l.serversAt(prompts.PlacementCandidates(prompt, l.seats))
 		return choice{}, false
 	})
 	return servers
 }
 
 // workReport returns this daemon's work at one server and for how long it suspects the server.
-func (p *pool) workReport(now time.Time, incarnation routing.Life) prompts.Note {
+func (p *pool) workReport(now time.Time, incarnation routing.Life) prompts.DaemonLoad {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	load := p.loads[incarnation]
 	if load == nil {
-		return prompts.Note{}
+		return prompts.DaemonLoad{}
 	}
-	return prompts.Note{Reading: load.prefilling, Running: load.running, Suspect: max(0, load.suspectUntil.Sub(now))}
+	return prompts.DaemonLoad{Prefilling: load.prefilling, Running: load.running, SuspectFor: max(0, load.suspectUntil.Sub(now))}
 }
 
 // localWork returns this daemon's work at the engines of a service.
@@ -136,7 +136,7 @@
 func (p *pool) chooseReplicaEngine(now time.Time, view *feed.View, server routing.Server, exclude []routing.Life) (choice, bool) {
 	return p.choose(view, server.Service, func(l *serverSet) (choice, bool) {
 		engines := p.engineStates(now, l, append(slices.Clone(exclude), server.Life()))
-		return l.choiceAt(prompts.Copy(engines, server.Zone, rand.Uint64()), "")
+		return l.choiceAt(prompts.ChooseCopyEngine(engines, server.Zone, rand.Uint64()), "")
 	})
 }
 
@@ -155,7 +155,7 @@
 		if windowed = usesWindows(len(l.servers)); !windowed {
 			return choice{}, false
 		}
-		servers = l.serversAt(prompts.LookedAt(xxhash.Sum64String(part), l.seats))
+		servers = l.serversAt(prompts.LookupCandidates(xxhash.Sum64String(part), l.seats))
 		return choice{}, false
 	})
 	return servers, windowed
--- a/serve/forward/peers.go
+++ b/serve/forward/peers.go
@@ -56,7 +56,7 @@
 // totalWork sums the work of all other daemons at the engines of a service; ok is false if there
 // are too many daemons to ask, or if none answered.
 func (c *peerClient) totalWork(ctx context.Context, view *feed.View, service string) (sum workloads, ok bool) {
-	if c.dialer == nil || !prompts.Asks(len(view.VMs)) {
+	if c.dialer == nil || !prompts.ShouldPollPeers(len(view.VMs)) {
 		return nil, false
 	}
 	var wg sync.WaitGroup
@@ -182,8 +182,8 @@
 	for _, vm := range peers[:min(pacePeers, len(peers))] {
 		wg.Go(func() {
 			if reply, err := h.neighbours.queryPace(ctx, vm, service); err == nil {
-				h.pressure.mergeEstimates(service, prompts.Learned{
-					PerToken: reply.GetPerToken(), PerEvent: reply.GetPerEvent(),
+				h.pressure.mergeEstimates(service, prompts.Estimates{
+					PrefillNsPerToken: reply.GetPerToken(), NsPerEvent: reply.GetPerEvent(),
 					Events: reply.GetEvents(), Answers: int(min(reply.GetAnswers(), math.MaxInt32)),
 				})
 			}
@@ -207,7 +207,7 @@
 // Pace implements peerpb.Work.
 func (t workService) Pace(_ context.Context, q *peerpb.WorkRequest) (*peerpb.PaceReply, error) {
 	l := t.h.pressure.estimates(q.GetService())
-	return &peerpb.PaceReply{PerToken: l.PerToken, PerEvent: l.PerEvent, Events: l.Events, Answers: int64(l.Answers)}, nil
+	return &peerpb.PaceReply{PerToken: l.PrefillNsPerToken, PerEvent: l.NsPerEvent, Events: l.Events, Answers: int64(l.Answers)}, nil
 }
 
 // WorkService returns the path prefix and handler of the twirp service that reports work and
--- a/serve/forward/permits.go
+++ b/serve/forward/permits.go
@@ -84,7 +84,7 @@
 	if l.h.neighbours.dialer == nil {
 		hashes = nil
 	}
-	for _, i := range rendezvous.Nearest(xxhash.Sum64String(state.server.ID), hashes, permitIssuers) {
+	for _, i := range rendezvous.Select(xxhash.Sum64String(state.server.ID), hashes, permitIssuers) {
 		if vms[i].ID == l.h.opts.Self.ID {
 			if l.isConfirmedIssuer(state) {
 				return l.issue(state, q.GetLimit().GetRate())
--- a/serve/forward/poisonpeers.go
+++ b/serve/forward/poisonpeers.go
@@ -30,7 +30,7 @@
 		return
 	}
 	vms, hashes := routing.Serving(p.h.opts.Feed.View().VMs)
-	for _, i := range rendezvous.Nearest(xxhash.Sum64String(digest), hashes, poisonTrackers) {
+	for _, i := range rendezvous.Select(xxhash.Sum64String(digest), hashes, poisonTrackers) {
 		if vms[i].ID != p.h.opts.Self.ID {
 			go notify(vms[i])
 		}
--- a/serve/forward/pool.go
+++ b/serve/forward/pool.go
@@ -50,7 +50,7 @@
 	successors map[routing.Life]routing.Life
 	// down holds the servers that failed and have not returned since, by address.
 	down      map[string]downServer
-	downtimes map[string]*absence.Absence // by service
+	downtimes map[string]*absence.Estimator // by service
 	// onWorkChanged is called, without the lock, for each server at which this daemon's prefills,
 	// running answers or suspicion have changed.
 	onWorkChanged func(routing.Server)
@@ -71,7 +71,7 @@
 		self: self, startedAt: time.Now(), retryRule: rule, serverSets: map[string]*serverSet{},
 		loads: map[routing.Life]*serverLoad{}, budgets: map[string]*repeats.Budget{},
 		successors: map[routing.Life]routing.Life{},
-		down:       map[string]downServer{}, downtimes: map[string]*absence.Absence{},
+		down:       map[string]downServer{}, downtimes: map[string]*absence.Estimator{},
 		onWorkChanged: func(routing.Server) {}, versions: versions,
 	}
 }
--- a/serve/forward/pressure.go
+++ b/serve/forward/pressure.go
@@ -18,7 +18,7 @@
 
 // servicePressure is the state of one service.
 type servicePressure struct {
-	pace     prompts.Pace
+	pace     prompts.Estimator
 	throttle throttle.Throttle
 	refusals retryafter.Spell // requests refused by this daemon
 }
@@ -34,57 +34,57 @@
 // isPrefillTooLate reports whether a prompt cannot be prefilled in the remaining time.
 func (p *pressure) isPrefillTooLate(service string, tokens int, left time.Duration) bool {
 	defer p.mu.Unlock()
-	return p.lockService(service).pace.Hopeless(tokens, left)
+	return p.lockService(service).pace.CannotPrefillWithin(tokens, left)
 }
 
 // isAnswerTooLate reports whether an answer cannot be complete in the remaining time. unread says
 // that its prompt still has to be prefilled.
 func (p *pressure) isAnswerTooLate(service string, c Call, unread bool, left time.Duration) bool {
 	defer p.mu.Unlock()
-	return p.lockService(service).pace.Unfinishable(c.PromptTokens, unread, c.LastEventID, left)
+	return p.lockService(service).pace.CannotFinishWithin(c.PromptTokens, unread, c.LastEventID, left)
 }
 
 // hasEstimates reports whether enough answers were seen to tell which cannot be complete in time.
 func (p *pressure) hasEstimates(service string) bool {
 	defer p.mu.Unlock()
-	return p.lockService(service).pace.Knows()
+	return p.lockService(service).pace.HasEnoughAnswers()
 }
 
 // estimates returns what this daemon and its peers learned of a service's engines.
-func (p *pressure) estimates(service string) prompts.Learned {
+func (p *pressure) estimates(service string) prompts.Estimates {
 	defer p.mu.Unlock()
-	return p.lockService(service).pace.Learned()
+	return p.lockService(service).pace.Estimates()
 }
 
 // mergeEstimates merges the estimates of another daemon.
-func (p *pressure) mergeEstimates(service string, l prompts.Learned) {
+func (p *pressure) mergeEstimates(service string, l prompts.Estimates) {
 	defer p.mu.Unlock()
-	p.lockService(service).pace.Hear(l)
+	p.lockService(service).pace.Merge(l)
 }
 
 // recordAnswer records a complete answer: its number of events, counted by their ids, and the time
 // from the first event to the last.
 func (p *pressure) recordAnswer(service string, events int64, took time.Duration) {
 	defer p.mu.Unlock()
-	p.lockService(service).pace.Made(events, took)
+	p.lockService(service).pace.ObserveAnswer(events, took)
 }
 
 // recordPrompt records that a prompt is to be prefilled.
 func (p *pressure) recordPrompt(service string, tokens int) {
 	defer p.mu.Unlock()
-	p.lockService(service).pace.Asked(tokens)
+	p.lockService(service).pace.ObservePrompt(tokens)
 }
 
 // recordPrefill records the time from sending a prompt to its first event.
 func (p *pressure) recordPrefill(service string, tokens int, took time.Duration) {
 	defer p.mu.Unlock()
-	p.lockService(service).pace.Observe(tokens, took)
+	p.lockService(service).pace.ObservePrefill(tokens, took)
 }
 
 // recordDuration records the duration of an answer.
 func (p *pressure) recordDuration(service string, took time.Duration) {
 	defer p.mu.Unlock()
-	p.lockService(service).pace.Ended(took)
+	p.lockService(service).pace.ObserveAnswerTime(took)
 }
 
 // admit decides whether a prompt is sent to an engine that reports r.
@@ -96,7 +96,7 @@
 // firstEventBudget returns how long the first event of a request may still take.
 func (p *pressure) firstEventBudget(service string, in *inbound, left time.Duration) time.Duration {
 	defer p.mu.Unlock()
-	return p.lockService(service).pace.Due(in.call.PromptTokens, in.route.Objective, in.route.Timeout, left)
+	return p.lockService(service).pace.FirstEventBudget(in.call.PromptTokens, in.route.Objective, in.route.Timeout, left)
 }
 
 // recordRefusal records that a request is refused for lack of capacity. It returns how long
@@ -104,7 +104,7 @@
 func (p *pressure) recordRefusal(now time.Time, service string) (lasted, answer time.Duration) {
 	defer p.mu.Unlock()
 	s := p.lockService(service)
-	return s.refusals.Seen(now), s.pace.Answer()
+	return s.refusals.Seen(now), s.pace.MeanAnswerTime()
 }
 
 // throttle decides whether a call is refused because the servers reject calls, and returns for how
--- a/serve/forward/recovery.go
+++ b/serve/forward/recovery.go
@@ -18,7 +18,7 @@
 const downServerTTL = 2 * time.Minute
 
 // downtime returns the observed downtimes of a service's servers. The caller holds p.mu.
-func (p *pool) downtime(service string) *absence.Absence {
+func (p *pool) downtime(service string) *absence.Estimator {
 	return getOrCreate(p.downtimes, service)
 }
 
@@ -32,7 +32,7 @@
 			listed[s.Address] = true
 			failed, ok := p.down[s.Address]
 			if ok && s.Life() != failed.incarnation {
-				p.downtime(service).Returned(now.Sub(failed.since))
+				p.downtime(service).ObserveReturn(now.Sub(failed.since))
 				delete(p.down, s.Address)
 			}
 		}
@@ -48,14 +48,14 @@
 func (p *pool) recoveryWait(service string, objective time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.downtime(service).Wait(objective)
+	return p.downtime(service).MaxWait(objective)
 }
 
 // retryAfter returns the Retry-After for a caller whose request found no server of the service.
 func (p *pool) retryAfter(service string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.downtime(service).Back(rand.Float64())
+	return p.downtime(service).RetryAfter(rand.Float64())
 }
 
 // hasHealthyServer reports whether the service has a server that has not failed recently.
@@ -98,7 +98,7 @@
 		r.excluded = nil // a server that refused a connection may be back
 		c, ok := r.place(ctx, view)
 		switch {
-		case ok && c.report.Unread == 0:
+		case ok && c.report.PendingPrompts == 0:
 			return c, true
 		case ok:
 			r.h.pool.addLoad(c.choice, -1, 0, 0)
--- a/serve/forward/stream.go
+++ b/serve/forward/stream.go
@@ -256,7 +256,7 @@
 		due = r.h.pressure.firstEventBudget(r.service, r.in, due)
 	}
 	admission = r.h.pressure.admit(r.service, best.report, r.in.call.PromptTokens, due)
-	if mustServe && admission == prompts.NoRoom {
+	if mustServe && admission == prompts.NoMemory {
 		admission = prompts.Admitted
 	}
 	return admission, due
@@ -272,7 +272,7 @@
 	retryAfter := retryafter.Crowded(overloadedFor, max(answer, r.in.route.Objective), rand.Float64())
 	r.h.metrics.overloadRefusals.WithLabelValues(admission.String()).Inc()
 	r.h.opts.Log.Emit(event.PromptRefused, r.in.call.ID, best.server.ID, admission.String(), r.in.call.PromptTokens,
-		best.report.Unread, best.report.Used, best.report.Memory, due, overloadedFor, answer)
+		best.report.PendingPrompts, best.report.UsedTokens, best.report.CapacityTokens, due, overloadedFor, answer)
 	return verdict.New(r.verdict(), verdict.CodeOverloaded, "engines have no room for the prompt (%s)", admission).WithRetryAfter(retryAfter)
 }
 
--- a/serve/forward/worktracker.go
+++ b/serve/forward/worktracker.go
@@ -23,7 +23,7 @@
 	boot uint64 // identifies this process
 
 	mu        sync.Mutex // guards the fields below
-	ledger    prompts.Ledger[routing.Life]
+	ledger    prompts.LoadTable[routing.Life]
 	sequence  uint64
 	reporting map[routing.Life]bool // reports in flight; true if the work has changed since
 }
@@ -35,7 +35,7 @@
 // isTracked reports whether the engines of a service have tracking daemons.
 func (t *workTracker) isTracked(view *feed.View, service string) bool {
 	return t.h.neighbours.dialer != nil && view.Config != nil && view.Config.Engine(service) != nil &&
-		len(view.VMs) > 1 && !prompts.Asks(len(view.VMs))
+		len(view.VMs) > 1 && !prompts.ShouldPollPeers(len(view.VMs))
 }
 
 // workChanged reports a change of this daemon's work at an engine to its tracking daemon.
@@ -71,14 +71,14 @@
 // sendReport sends one report. The next one corrects a report that is lost.
 func (t *workTracker) sendReport(s routing.Server) {
 	vms, hashes := routing.Serving(t.h.opts.Feed.View().VMs)
-	i := prompts.Keeper(xxhash.Sum64String(s.ID), hashes)
+	i := prompts.Tracker(xxhash.Sum64String(s.ID), hashes)
 	if i < 0 {
 		return
 	}
 	report := t.h.pool.workReport(time.Now(), s.Life())
 	t.mu.Lock()
 	t.sequence++
-	report.Boot, report.Sequence = t.boot, t.sequence
+	report.Incarnation, report.Sequence = t.boot, t.sequence
 	t.mu.Unlock()
 	self := t.h.opts.Self.ID
 	if vms[i].ID == self {
@@ -89,31 +89,31 @@
 		return
 	}
 	t.h.neighbours.sendReport(context.Background(), vms[i], &peerpb.NoteRequest{
-		Daemon: self, Boot: report.Boot, Sequence: report.Sequence,
+		Daemon: self, Boot: report.Incarnation, Sequence: report.Sequence,
 		Work: &peerpb.ServerWork{
-			Id: s.ID, Born: s.Born, Reading: int32(report.Reading), Running: int32(report.Running),
-			SuspectMs: report.Suspect.Milliseconds(),
+			Id: s.ID, Born: s.Born, Reading: int32(report.Prefilling), Running: int32(report.Running),
+			SuspectMs: report.SuspectFor.Milliseconds(),
 		},
 	})
 }
 
-func (t *workTracker) record(incarnation routing.Life, daemon string, n prompts.Note) {
+func (t *workTracker) record(incarnation routing.Life, daemon string, n prompts.DaemonLoad) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ledger.Take(time.Now(), incarnation, daemon, n)
+	t.ledger.Update(time.Now(), incarnation, daemon, n)
 }
 
 // tracked returns the reported work of all daemons but one at an engine.
-func (t *workTracker) tracked(incarnation routing.Life, except string) prompts.Noted {
+func (t *workTracker) tracked(incarnation routing.Life, except string) prompts.LoadSum {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.ledger.At(time.Now(), incarnation, except)
+	return t.ledger.Sum(time.Now(), incarnation, except)
 }
 
 // workloadOf converts the reports on an engine. Each daemon that suspects the engine counts as one
 // prefill: the engine ranks behind idle engines and before busy ones.
-func workloadOf(n prompts.Noted) workload {
-	return workload{prefilling: n.Reading + n.Suspects, running: n.Running}
+func workloadOf(n prompts.LoadSum) workload {
+	return workload{prefilling: n.Prefilling + n.SuspectedBy, running: n.Running}
 }
 
 // trackedWork returns the work of all other daemons at the engines of a prompt's placement window,
@@ -125,7 +125,7 @@
 	vms, hashes := routing.Serving(view.VMs)
 	queries := map[int][]routing.Life{} // by index in vms
 	for _, s := range t.h.pool.placementWindow(view, service, part) {
-		if i := prompts.Keeper(xxhash.Sum64String(s.ID), hashes); i >= 0 {
+		if i := prompts.Tracker(xxhash.Sum64String(s.ID), hashes); i >= 0 {
 			queries[i] = append(queries[i], s.Life())
 		}
 	}
@@ -168,8 +168,8 @@
 		return nil
 	}
 	for _, s := range reply.GetServers() {
-		work[routing.Life{ID: s.GetId(), Born: s.GetBorn()}] = workloadOf(prompts.Noted{
-			Reading: int(max(s.GetReading(), 0)), Running: int(max(s.GetRunning(), 0)), Suspects: int(max(s.GetSuspects(), 0)),
+		work[routing.Life{ID: s.GetId(), Born: s.GetBorn()}] = workloadOf(prompts.LoadSum{
+			Prefilling: int(max(s.GetReading(), 0)), Running: int(max(s.GetRunning(), 0)), SuspectedBy: int(max(s.GetSuspects(), 0)),
 		})
 	}
 	return work
@@ -182,10 +182,10 @@
 // Note implements peerpb.Work.
 func (t workService) Note(_ context.Context, q *peerpb.NoteRequest) (*peerpb.NoteReply, error) {
 	w := q.GetWork()
-	t.h.keepers.record(routing.Life{ID: w.GetId(), Born: w.GetBorn()}, q.GetDaemon(), prompts.Note{
-		Boot: q.GetBoot(), Sequence: q.GetSequence(),
-		Reading: int(max(w.GetReading(), 0)), Running: int(max(w.GetRunning(), 0)),
-		Suspect: time.Duration(w.GetSuspectMs()) * time.Millisecond,
+	t.h.keepers.record(routing.Life{ID: w.GetId(), Born: w.GetBorn()}, q.GetDaemon(), prompts.DaemonLoad{
+		Incarnation: q.GetBoot(), Sequence: q.GetSequence(),
+		Prefilling: int(max(w.GetReading(), 0)), Running: int(max(w.GetRunning(), 0)),
+		SuspectFor: time.Duration(w.GetSuspectMs()) * time.Millisecond,
 	})
 	return &peerpb.NoteReply{}, nil
 }
@@ -197,7 +197,7 @@
 		incarnation := routing.Life{ID: s.GetId(), Born: s.GetBorn()}
 		n := t.h.keepers.tracked(incarnation, q.GetDaemon())
 		reply.Servers = append(reply.Servers, &peerpb.ServerWork{
-			Id: incarnation.ID, Born: incarnation.Born, Reading: int32(n.Reading), Running: int32(n.Running), Suspects: int32(n.Suspects),
+			Id: incarnation.ID, Born: incarnation.Born, Reading: int32(n.Prefilling), Running: int32(n.Running), Suspects: int32(n.SuspectedBy),
 		})
 	}
 	return reply, nil
