--- a/serve/forward/replicator.go
+++ b/serve/forward/replicator.go
@@ -200,7 +200,7 @@
 			return choice{}, false
 		}
 		report, err := round.probe(ctx, c.server, fastProbeTimeout)
-		if err == nil && report.loadReport().Fits(r.in.call.PromptTokens) {
+		if err == nil && report.loadReport().HasCapacity(r.in.call.PromptTokens) {
 			return c, true
 		}
 		excluded = append(excluded, c.server.Life())
