--- a/serve/forward/crashes.go
+++ b/serve/forward/crashes.go
@@ -114,7 +114,7 @@
 			return current.Leaving
 		}
 	}
-	return view.Departed(s.ID)
+	return view.HasDeparted(s.ID)
 }
 
 // processStateOf finds out whether the server process of a send has exited. No process listens on
--- a/serve/forward/recovery.go
+++ b/serve/forward/recovery.go
@@ -25,7 +25,7 @@
 // recordReturns records the downtime of every failed server whose address has a new incarnation in
 // the current view. The caller holds p.mu.
 func (p *pool) recordReturns() {
-	now := p.view.Published
+	now := p.view.PublishedAt
 	listed := map[string]bool{}
 	for service, servers := range p.view.Servers {
 		for _, s := range servers {
--- a/serve/forward/serverset.go
+++ b/serve/forward/serverset.go
@@ -69,7 +69,7 @@
 // load there, which it adds to used; ok is false if the server is gone.
 func (p *pool) currentServer(s routing.Server, used map[routing.Life]*serverLoad) (current routing.Server, load *serverLoad, ok bool) {
 	if next, ok := p.successors[s.Life()]; ok {
-		if p.view.Departed(next.ID) {
+		if p.view.HasDeparted(next.ID) {
 			return s, nil, false // the view lists an earlier incarnation
 		}
 		s.ID, s.Born = next.ID, next.Born
--- a/serve/versions/service.go
+++ b/serve/versions/service.go
@@ -119,7 +119,7 @@
 	}
 	now := m.opts.Clock()
 	s.began = now - seenLate
-	if before := view.Before; before > 0 && now-before > outOfDate {
+	if before := view.PreviousConfirmedAt; before > 0 && now-before > outOfDate {
 		s.began = before // it may have been given at any time since
 	}
 	if r.Status != nil && r.Status.Order == next.Order && r.Status.Due > 0 {
