--- a/cmd/mallowwind/forward.go
+++ b/cmd/mallowwind/forward.go
@@ -88,7 +88,7 @@
 func gatewayOptions(s *nodefile.Settings, events *event.Log) (gateway.Options, error) {
 	keep := min(keepAnswers, s.MaxDirectoryTTL)
 	o := gateway.Options{
-		Self:         routing.VM{ID: s.VM, Zone: s.Zone, Address: s.CallerAddress, Peer: s.PeerAddress},
+		Self:         routing.VM{ID: s.VM, Zone: s.Zone, Address: s.CallerAddress, PeerAddress: s.PeerAddress},
 		Store:        kv.New(s.StoreAddress),
 		Schema:       wire.Schema{},
 		Codec:        wire.Codec{},
--- a/serve/forward/accept.go
+++ b/serve/forward/accept.go
@@ -79,7 +79,7 @@
 // while the store is unreachable, so the daemon refuses requests once its configuration has
 // not been confirmed for that long.
 func (h *Handler) authorize(in *inbound, config *routing.Config, age time.Duration) error {
-	if !config.NeedsKey(in.route) {
+	if !config.RequiresKey(in.route) {
 		return nil
 	}
 	if age > time.Duration(h.maxKeyAge.Load())-keyAgeMargin {
--- a/serve/forward/canary.go
+++ b/serve/forward/canary.go
@@ -36,7 +36,7 @@
 		switch {
 		case s.Steady(server.Version):
 			steady = append(steady, server)
-		case server.Version == s.Target && !server.Leaving:
+		case server.Version == s.Target && !server.Draining:
 			canaries = append(canaries, server)
 		}
 	}
@@ -85,7 +85,7 @@
 	if !ok {
 		return c, false
 	}
-	if h.pool.isSuspect(now, c.server.Life()) || !h.limits.acquire(ctx, c.server) {
+	if h.pool.isSuspect(now, c.server.Incarnation()) || !h.limits.acquire(ctx, c.server) {
 		h.pool.release(c)
 		return choice{}, false
 	}
@@ -120,7 +120,7 @@
 	state := p.versions.Now(view).Of(s.Service)
 	return state.Stage == rollout.All && s.Version == state.Base &&
 		slices.ContainsFunc(view.Servers[s.Service], func(current routing.Server) bool {
-			return current.Life() == s.Life() && !current.Leaving
+			return current.Incarnation() == s.Incarnation() && !current.Draining
 		})
 }
 
@@ -133,7 +133,7 @@
 		return 0
 	}
 	for _, server := range p.view.Servers[service] {
-		if load := p.loads[p.currentIncarnation(server.Life())]; load != nil && server.Version != s.Target {
+		if load := p.loads[p.currentIncarnation(server.Incarnation())]; load != nil && server.Version != s.Target {
 			n += int(load.calls.InFlight) + load.prefilling + load.running
 		}
 	}
@@ -142,7 +142,7 @@
 
 // currentIncarnation returns the successor of an incarnation listed in the view, or that
 // incarnation itself. The caller holds the lock.
-func (p *pool) currentIncarnation(incarnation routing.Life) routing.Life {
+func (p *pool) currentIncarnation(incarnation routing.Incarnation) routing.Incarnation {
 	if next, ok := p.successors[incarnation]; ok {
 		return next
 	}
--- a/serve/forward/cluster_test.go
+++ b/serve/forward/cluster_test.go
@@ -224,10 +224,10 @@
 
 // bornPrefix returns the server's start time as the test codec reads it; "" if it reports none.
 func (s *fakeServer) bornPrefix() string {
-	if s.server.Born == 0 {
+	if s.server.StartedAtMS == 0 {
 		return ""
 	}
-	return fmt.Sprintf("@%d ", s.server.Born)
+	return fmt.Sprintf("@%d ", s.server.StartedAtMS)
 }
 
 // serveCopyCall answers the calls that make and free a replica on demand. It reports whether r is
@@ -348,7 +348,7 @@
 
 func newTestCluster(t *testing.T, routes []*routing.Route) *testCluster {
 	services := []*routing.Service{
-		{Name: "llm", Engine: &routing.Engine{Slots: 4, Copies: true, Moves: true}}, {Name: "desk"},
+		{Name: "llm", Engine: &routing.Engine{Slots: 4, CanReplicate: true, CanCopy: true}}, {Name: "desk"},
 	}
 	accounts := map[string]*routing.Account{
 		"key-1": {Name: "mill", Priority: -1}, "key-2": {Name: "depot", Priority: 3},
@@ -453,7 +453,7 @@
 // id. If silently is set, connections to the old incarnation stay open without any traffic.
 func (w *testCluster) restartInPlace(old *fakeServer, silently bool) *fakeServer {
 	server := old.server
-	server.Born++
+	server.StartedAtMS++
 	if silently {
 		old.listener.Silence()
 		w.mu.Lock()
@@ -595,7 +595,7 @@
 func streamRoute() []*routing.Route {
 	return []*routing.Route{{
 		Name: "s", Host: "host", Prefix: "/s/", Kind: routing.Stream, Timeout: 25 * time.Second,
-		Objective: 4500 * time.Millisecond, Attempts: 5, Resumable: true,
+		Objective: 4500 * time.Millisecond, MaxAttempts: 5, Resumable: true,
 		Targets: []routing.Target{{Service: "llm", Weight: 1}},
 	}}
 }
@@ -604,7 +604,7 @@
 	route := func(name string, kind routing.Kind, attempts int) *routing.Route {
 		return &routing.Route{
 			Name: name, Host: "host", Prefix: "/" + name + "/", Kind: kind, Timeout: 600 * time.Millisecond,
-			Objective: 100 * time.Millisecond, Attempts: attempts,
+			Objective: 100 * time.Millisecond, MaxAttempts: attempts,
 			Targets: []routing.Target{{Service: "desk", Weight: 1}},
 		}
 	}
--- a/serve/forward/crashes.go
+++ b/serve/forward/crashes.go
@@ -99,7 +99,7 @@
 	h.opts.Log.Emit(event.BackendConnectionBroken, e.in.call.ID, e.in.digests, e.in.call.PromptKey, e.in.accountName(),
 		e.at.server.ID, e.at.server.Zone, string(found), finding.String(), crash.Asked, crash.Down, now.Sub(e.sentAt), running, e.fromReplica, e.err)
 	if found == processExited && finding == poison.Counts {
-		h.poisoned.recordCrash(context.Background(), e.in, e.at.server.Life())
+		h.poisoned.recordCrash(context.Background(), e.in, e.at.server.Incarnation())
 	}
 }
 
@@ -111,7 +111,7 @@
 	}
 	for _, current := range view.Servers[s.Service] {
 		if current.ID == s.ID {
-			return current.Leaving
+			return current.Draining
 		}
 	}
 	return view.HasDeparted(s.ID)
--- a/serve/forward/engines.go
+++ b/serve/forward/engines.go
@@ -12,13 +12,13 @@
 	"mallowwind.dev/decision/prompts"
 )
 
-func (p *pool) engineStates(now time.Time, l *serverSet, exclude []routing.Life) []prompts.Engine {
+func (p *pool) engineStates(now time.Time, l *serverSet, exclude []routing.Incarnation) []prompts.Engine {
 	engines := make([]prompts.Engine, len(l.servers))
 	for i, s := range l.servers {
 		load := l.loads[i]
 		engines[i] = prompts.Engine{
 			Zone: s.Zone, Preferred: l.preferred[i], Prefilling: load.prefilling, Running: load.running, Copies: load.replicas,
-			Suspect: load.isSuspect(now), Excluded: slices.Contains(exclude, s.Life()),
+			Suspect: load.isSuspect(now), Excluded: slices.Contains(exclude, s.Incarnation()),
 		}
 	}
 	return engines
@@ -26,7 +26,7 @@
 
 // prefillCandidates returns up to n engines that may prefill a prompt, the best first. part
 // identifies the portion of the prompt that no other request shares; "" stands for any prompt.
-func (p *pool) prefillCandidates(now time.Time, view *feed.View, service, part string, n int, exclude []routing.Life) []choice {
+func (p *pool) prefillCandidates(now time.Time, view *feed.View, service, part string, n int, exclude []routing.Incarnation) []choice {
 	var list []choice
 	p.choose(view, service, func(l *serverSet) (choice, bool) {
 		engines := p.engineStates(now, l, exclude)
@@ -46,11 +46,11 @@
 // in others, and also returns how many prefills are known there. It counts the prompt at that
 // engine at once, so that a peer that asks in the next moment learns of it. If onlyOthers is set,
 // only the engines in others are known, and the choice is limited to them.
-func (p *pool) reservePrefill(now time.Time, view *feed.View, service string, others workloads, onlyOthers bool, exclude []routing.Life) (c choice, unread int, ok bool) {
+func (p *pool) reservePrefill(now time.Time, view *feed.View, service string, others workloads, onlyOthers bool, exclude []routing.Incarnation) (c choice, unread int, ok bool) {
 	c, ok = p.choose(view, service, func(l *serverSet) (choice, bool) {
 		engines := p.engineStates(now, l, exclude)
 		for i, s := range l.servers {
-			theirs, known := others[s.Life()]
+			theirs, known := others[s.Incarnation()]
 			engines[i].Prefilling += theirs.prefilling
 			engines[i].Running += theirs.running
 			engines[i].Excluded = engines[i].Excluded || onlyOthers && !known
@@ -100,7 +100,7 @@
 }
 
 // workReport returns this daemon's work at one server and for how long it suspects the server.
-func (p *pool) workReport(now time.Time, incarnation routing.Life) prompts.DaemonLoad {
+func (p *pool) workReport(now time.Time, incarnation routing.Incarnation) prompts.DaemonLoad {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	load := p.loads[incarnation]
@@ -116,7 +116,7 @@
 	p.choose(view, service, func(l *serverSet) (choice, bool) {
 		for i, s := range l.servers {
 			if load := l.loads[i]; load.prefilling > 0 || load.running > 0 {
-				work[s.Life()] = workload{prefilling: load.prefilling, running: load.running}
+				work[s.Incarnation()] = workload{prefilling: load.prefilling, running: load.running}
 			}
 		}
 		return choice{}, false
@@ -133,9 +133,9 @@
 
 // chooseReplicaEngine chooses the engine that keeps the replica of a run executed at another
 // engine.
-func (p *pool) chooseReplicaEngine(now time.Time, view *feed.View, server routing.Server, exclude []routing.Life) (choice, bool) {
+func (p *pool) chooseReplicaEngine(now time.Time, view *feed.View, server routing.Server, exclude []routing.Incarnation) (choice, bool) {
 	return p.choose(view, server.Service, func(l *serverSet) (choice, bool) {
-		engines := p.engineStates(now, l, append(slices.Clone(exclude), server.Life()))
+		engines := p.engineStates(now, l, append(slices.Clone(exclude), server.Incarnation()))
 		return l.choiceAt(prompts.ChooseCopyEngine(engines, server.Zone, rand.Uint64()), "")
 	})
 }
@@ -162,7 +162,7 @@
 }
 
 // findServer returns the server with an incarnation, if that is still the current one.
-func (p *pool) findServer(view *feed.View, service string, incarnation routing.Life) (choice, bool) {
+func (p *pool) findServer(view *feed.View, service string, incarnation routing.Incarnation) (choice, bool) {
 	return p.choose(view, service, func(l *serverSet) (choice, bool) {
 		return l.choiceAt(l.indexOf(incarnation), "holds_prompt")
 	})
@@ -171,9 +171,9 @@
 // isHealthy reports whether a server may still be used: it is the same incarnation, is neither
 // leaving nor gone, and is not suspect. A zero choice is not healthy.
 func (p *pool) isHealthy(now time.Time, view *feed.View, c choice) bool {
-	if c.load == nil || p.isSuspect(now, c.server.Life()) {
+	if c.load == nil || p.isSuspect(now, c.server.Incarnation()) {
 		return false
 	}
-	_, ok := p.findServer(view, c.server.Service, c.server.Life())
+	_, ok := p.findServer(view, c.server.Service, c.server.Incarnation())
 	return ok || p.isFinishingRuns(view, c.server)
 }
--- a/serve/forward/incarnations.go
+++ b/serve/forward/incarnations.go
@@ -30,15 +30,15 @@
 // silent. The new incarnation answers every probe, so a stream whose prefill was lost would wait
 // until its caller leaves, and replicas would be assumed to be there.
 func (h *Handler) observeIncarnation(s routing.Server, born int64) incarnationOrder {
-	incarnation := routing.Life{ID: s.ID, Born: born}
+	incarnation := routing.Incarnation{ID: s.ID, StartedAtMS: born}
 	switch {
-	case incarnation.Before(s.Life()):
+	case incarnation.Before(s.Incarnation()):
 		return incarnationOlder
-	case !s.Life().Before(incarnation):
+	case !s.Incarnation().Before(incarnation):
 		return incarnationSame
 	}
-	if h.pool.recordRestart(h.opts.Feed.View(), s.Life(), incarnation) {
-		h.opts.Log.Emit(event.BackendIncarnationChanged, "", s.ID, incarnation.ID, incarnation.Born)
+	if h.pool.recordRestart(h.opts.Feed.View(), s.Incarnation(), incarnation) {
+		h.opts.Log.Emit(event.BackendIncarnationChanged, "", s.ID, incarnation.ID, incarnation.StartedAtMS)
 	}
 	return incarnationNewer
 }
--- a/serve/forward/incarnations_test.go
+++ b/serve/forward/incarnations_test.go
@@ -17,7 +17,7 @@
 // addWithBorn starts an engine that reports its start time and waits until the handler knows it.
 func (w *testCluster) addWithBorn(id, zone string, handle http.HandlerFunc) *fakeServer {
 	w.t.Helper()
-	s := w.start(routing.Server{ID: id, Service: "llm", Zone: zone, Address: id + ":80", Slots: 4, Born: firstBorn}, handle)
+	s := w.start(routing.Server{ID: id, Service: "llm", Zone: zone, Address: id + ":80", Slots: 4, StartedAtMS: firstBorn}, handle)
 	w.register(s)
 	time.Sleep(time.Second)
 	return s
@@ -91,7 +91,7 @@
 		must.False(t, ok)
 		at, ok := r.findCopyHolder(w.feed.View(), replica{at: c})
 		must.True(t, ok) // a replica that grows with its run is sent to the new incarnation too
-		must.Eq(t, int64(firstBorn+1), at.server.Born)
+		must.Eq(t, int64(firstBorn+1), at.server.StartedAtMS)
 	})
 }
 
@@ -103,14 +103,14 @@
 		pool := w.handler.pool
 		pool.prefillCandidates(time.Now(), w.feed.View(), "llm", "", 1, nil)
 		pool.recordFailure(time.Now(), s.server)
-		must.True(t, pool.isSuspect(time.Now(), s.server.Life()))
+		must.True(t, pool.isSuspect(time.Now(), s.server.Incarnation()))
 		restarted := w.restartInPlace(s, false)
 		w.register(restarted)
 		time.Sleep(time.Second)
 		list := pool.prefillCandidates(time.Now(), w.feed.View(), "llm", "", 1, nil)
 		must.SliceLen(t, 1, list)
-		must.False(t, pool.isSuspect(time.Now(), list[0].server.Life()))
-		must.Eq(t, restarted.server.Life(), list[0].server.Life())
+		must.False(t, pool.isSuspect(time.Now(), list[0].server.Incarnation()))
+		must.Eq(t, restarted.server.Incarnation(), list[0].server.Incarnation())
 	})
 }
 
@@ -126,19 +126,19 @@
 		_, err := w.handler.probe(w.t.Context(), s.server, time.Second)
 		must.ErrorIs(t, err, errRestarted)
 		list := w.handler.pool.prefillCandidates(time.Now(), w.feed.View(), "llm", "", 1, nil)
-		must.Eq(t, restarted.server.Life(), list[0].server.Life())
+		must.Eq(t, restarted.server.Incarnation(), list[0].server.Incarnation())
 		report, err := w.handler.probe(w.t.Context(), list[0].server, time.Second)
 		must.NoError(t, err)
 		must.MapContainsKey(t, report.Events, "run-2")
 
 		third := list[0].server
-		third.Born++ // a third incarnation, known before the second one's answer arrives
-		must.True(t, w.handler.pool.recordRestart(w.feed.View(), list[0].server.Life(), third.Life()))
+		third.StartedAtMS++ // a third incarnation, known before the second one's answer arrives
+		must.True(t, w.handler.pool.recordRestart(w.feed.View(), list[0].server.Incarnation(), third.Incarnation()))
 		report, err = w.handler.probe(w.t.Context(), third, time.Second)
 		must.NoError(t, err)
 		must.MapEmpty(t, report.Events)
 		must.Zero(t, report.CapacityTokens)
-		must.False(t, w.handler.pool.recordRestart(w.feed.View(), third.Life(), restarted.server.Life()))
+		must.False(t, w.handler.pool.recordRestart(w.feed.View(), third.Incarnation(), restarted.server.Incarnation()))
 	})
 }
 
@@ -152,9 +152,9 @@
 		incarnation, parts, err := w.handler.cachedParts(w.t.Context(), s.server)
 		must.NoError(t, err)
 		must.Eq(t, []string{"p7"}, parts)
-		must.Eq(t, s.server.Life(), incarnation)
+		must.Eq(t, s.server.Incarnation(), incarnation)
 		known := s.server
-		known.Born += 5
+		known.StartedAtMS += 5
 		_, parts, err = w.handler.cachedParts(w.t.Context(), known)
 		must.NoError(t, err)
 		must.SliceEmpty(t, parts)
@@ -163,7 +163,7 @@
 		incarnation, parts, err = w.handler.cachedParts(w.t.Context(), s.server)
 		must.NoError(t, err)
 		must.Eq(t, []string{"p8"}, parts)
-		must.Eq(t, restarted.server.Life(), incarnation)
+		must.Eq(t, restarted.server.Incarnation(), incarnation)
 	})
 }
 
--- a/serve/forward/limits.go
+++ b/serve/forward/limits.go
@@ -21,7 +21,7 @@
 	h *Handler
 
 	mu      sync.Mutex // guards the fields below
-	servers map[routing.Life]*serverLimit
+	servers map[routing.Incarnation]*serverLimit
 }
 
 // serverLimit is the state of one incarnation of a server that announced a limit.
@@ -36,7 +36,7 @@
 }
 
 func newRateLimits(h *Handler) *rateLimits {
-	return &rateLimits{h: h, servers: map[routing.Life]*serverLimit{}}
+	return &rateLimits{h: h, servers: map[routing.Incarnation]*serverLimit{}}
 }
 
 // observeReply records the limit in a server's answer to a request sent at the given time. ran says
@@ -52,7 +52,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !named && l.servers[s.Life()] == nil {
+	if !named && l.servers[s.Incarnation()] == nil {
 		return
 	}
 	state := l.entry(s)
@@ -87,21 +87,21 @@
 
 // entry returns the state of a server and creates it if needed. The caller holds the lock.
 func (l *rateLimits) entry(s routing.Server) *serverLimit {
-	state := l.servers[s.Life()]
+	state := l.servers[s.Incarnation()]
 	if state == nil {
 		l.prune()
 		state = &serverLimit{server: s, fallback: quota.Share(rand.Float64())}
-		l.servers[s.Life()] = state
+		l.servers[s.Incarnation()] = state
 	}
 	return state
 }
 
 // prune forgets incarnations that the view no longer lists. The caller holds the lock.
 func (l *rateLimits) prune() {
-	listed := map[routing.Life]bool{}
+	listed := map[routing.Incarnation]bool{}
 	for _, servers := range l.h.opts.Feed.View().Servers {
 		for _, s := range servers {
-			listed[s.Life()] = true
+			listed[s.Incarnation()] = true
 		}
 	}
 	for incarnation := range l.servers {
@@ -121,7 +121,7 @@
 // message returns the limit as other daemons are told of it. The caller holds the lock.
 func (s *serverLimit) message() *peerpb.Limit {
 	rate, named := s.limit.Rate()
-	return &peerpb.Limit{Server: s.server.ID, Born: s.server.Born, Named: named, Rate: rate}
+	return &peerpb.Limit{Server: s.server.ID, Born: s.server.StartedAtMS, Named: named, Rate: rate}
 }
 
 // broadcast tells all other daemons of a limit. A daemon that misses the message learns the limit
@@ -136,7 +136,7 @@
 
 // observePeer records a limit reported by another daemon.
 func (l *rateLimits) observePeer(m *peerpb.Limit) {
-	s, ok := l.h.findServer(routing.Life{ID: m.GetServer(), Born: m.GetBorn()})
+	s, ok := l.h.findServer(routing.Incarnation{ID: m.GetServer(), StartedAtMS: m.GetBorn()})
 	if !ok {
 		return // its registration has not arrived here; its own answers will tell
 	}
@@ -151,7 +151,7 @@
 // active returns the state of a server that currently has a limit, and nil for any other. The
 // caller holds the lock.
 func (l *rateLimits) active(s routing.Server) *serverLimit {
-	state := l.servers[s.Life()]
+	state := l.servers[s.Incarnation()]
 	if state == nil {
 		return nil
 	}
@@ -162,10 +162,10 @@
 }
 
 // findServer returns the server with an incarnation, if the view lists it.
-func (h *Handler) findServer(incarnation routing.Life) (routing.Server, bool) {
+func (h *Handler) findServer(incarnation routing.Incarnation) (routing.Server, bool) {
 	for _, servers := range h.opts.Feed.View().Servers {
 		for _, s := range servers {
-			if s.Life() == incarnation {
+			if s.Incarnation() == incarnation {
 				return s, true
 			}
 		}
--- a/serve/forward/locate.go
+++ b/serve/forward/locate.go
@@ -58,25 +58,25 @@
 type scan struct {
 	startedAt time.Time
 	mu        sync.Mutex
-	holders   map[string][]routing.Life // by part
+	holders   map[string][]routing.Incarnation // by part
 	finished  bool
 	updated   chan struct{} // closed and replaced after each answer and at the end
 }
 
 func newScan(now time.Time) *scan {
-	return &scan{startedAt: now, holders: map[string][]routing.Life{}, updated: make(chan struct{})}
+	return &scan{startedAt: now, holders: map[string][]routing.Incarnation{}, updated: make(chan struct{})}
 }
 
 // holdersOf returns the engines found to cache a part, whether the scan has finished, and a channel
 // that is closed on the next update.
-func (s *scan) holdersOf(part string) (holders []routing.Life, finished bool, updated <-chan struct{}) {
+func (s *scan) holdersOf(part string) (holders []routing.Incarnation, finished bool, updated <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.holders[part], s.finished, s.updated
 }
 
 // add records the parts that one engine caches.
-func (s *scan) add(incarnation routing.Life, parts []string) {
+func (s *scan) add(incarnation routing.Incarnation, parts []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, part := range parts {
@@ -102,7 +102,7 @@
 func newLocator(h *Handler) *locator { return &locator{h: h, scans: map[string]*scan{}} }
 
 // holders returns the engines that cache part, as soon as one is known.
-func (l *locator) holders(ctx context.Context, service, part string) []routing.Life {
+func (l *locator) holders(ctx context.Context, service, part string) []routing.Incarnation {
 	s := l.scanFor(service, part)
 	for {
 		holders, finished, updated := s.holdersOf(part)
@@ -214,14 +214,14 @@
 var errCacheTooLarge = errors.New("forward: the engine's answer about its cache is too large")
 
 // cachedParts asks an engine which prompt parts it caches, and returns its incarnation as well.
-func (h *Handler) cachedParts(ctx context.Context, server routing.Server) (routing.Life, []string, error) {
+func (h *Handler) cachedParts(ctx context.Context, server routing.Server) (routing.Incarnation, []string, error) {
 	incarnation, parts, _, err := h.fetchCache(ctx, server)
 	return incarnation, parts, err
 }
 
 // fetchCache does the same as cachedParts and also returns how many bytes of the answer arrived.
-func (h *Handler) fetchCache(ctx context.Context, server routing.Server) (incarnation routing.Life, parts []string, bytes int, err error) {
-	incarnation = server.Life()
+func (h *Handler) fetchCache(ctx context.Context, server routing.Server) (incarnation routing.Incarnation, parts []string, bytes int, err error) {
+	incarnation = server.Incarnation()
 	body, err := h.callServerUpTo(ctx, maxCacheReplyBytes, http.MethodGet, server, h.opts.Codec.CachePath(), nil)
 	h.metrics.cacheBytes.Add(float64(len(body)))
 	if err != nil {
@@ -239,7 +239,7 @@
 	case incarnationOlder:
 		return incarnation, nil, len(body), nil
 	case incarnationNewer:
-		incarnation.Born = cache.Born
+		incarnation.StartedAtMS = cache.Born
 	}
 	return incarnation, cache.PromptKeys, len(body), nil
 }
--- a/serve/forward/peers.go
+++ b/serve/forward/peers.go
@@ -37,7 +37,7 @@
 type workload struct{ prefilling, running int }
 
 // workloads holds the workload of each engine.
-type workloads map[routing.Life]workload
+type workloads map[routing.Incarnation]workload
 
 // peerClient calls the other daemons.
 type peerClient struct {
@@ -126,7 +126,7 @@
 ) (R, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	reply, err := method(client(c.dialer.URL(vm.Peer), c.dialer.Client), ctx, q)
+	reply, err := method(client(c.dialer.URL(vm.PeerAddress), c.dialer.Client), ctx, q)
 	return reply, c.recordResult(vm, err)
 }
 
@@ -155,13 +155,13 @@
 		return nil
 	}
 	c.backoffUntil[vm.ID] = time.Now().Add(peerBackoff)
-	c.log.Emit(event.PeerSilent, vm.Peer, err)
+	c.log.Emit(event.PeerSilent, vm.PeerAddress, err)
 	return err
 }
 
 func (w workloads) add(reply *peerpb.WorkReply) {
 	for _, s := range reply.GetServers() {
-		incarnation := routing.Life{ID: s.GetId(), Born: s.GetBorn()}
+		incarnation := routing.Incarnation{ID: s.GetId(), StartedAtMS: s.GetBorn()}
 		sum := w[incarnation]
 		sum.prefilling += int(max(s.GetReading(), 0))
 		sum.running += int(max(s.GetRunning(), 0))
--- a/serve/forward/permits.go
+++ b/serve/forward/permits.go
@@ -67,7 +67,7 @@
 	defer l.mu.Unlock()
 	for _, s := range l.h.opts.Feed.View().Servers[service] {
 		state := l.active(s)
-		if state == nil || s.Leaving {
+		if state == nil || s.Draining {
 			continue
 		}
 		if next := state.permitRequests.Wait(now); !limited || next < wait {
@@ -128,7 +128,7 @@
 // Permit implements peerpb.Quota.
 func (r quotaService) Permit(_ context.Context, q *peerpb.PermitRequest) (*peerpb.PermitReply, error) {
 	m := q.GetLimit()
-	s, ok := r.limits.h.findServer(routing.Life{ID: m.GetServer(), Born: m.GetBorn()})
+	s, ok := r.limits.h.findServer(routing.Incarnation{ID: m.GetServer(), StartedAtMS: m.GetBorn()})
 	if !ok {
 		return &peerpb.PermitReply{WaitMs: unknownServerRetry.Milliseconds()}, nil
 	}
--- a/serve/forward/plain.go
+++ b/serve/forward/plain.go
@@ -66,7 +66,7 @@
 	// rejected those that a server rejected, and rejectedFull the rejections for lack of
 	// capacity.
 	possibleRuns, sends, rejected, rejectedFull int
-	tried                                       []routing.Life
+	tried                                       []routing.Incarnation
 	// unconnected are the sends whose connections timed out. connected is set once a connection
 	// to another server was made, or failed in another way than by a timeout.
 	unconnected []*outcome
@@ -122,7 +122,7 @@
 				return x.finalOutcome(best, o)
 			}
 		case <-hedge.C:
-			if x.in.route.Kind == routing.Idempotent && x.possibleRuns < x.in.route.Attempts && !x.isOverloaded() {
+			if x.in.route.Kind == routing.Idempotent && x.possibleRuns < x.in.route.MaxAttempts && !x.isOverloaded() {
 				x.sendToNext(ctx)
 			}
 		case <-ctx.Done():
@@ -159,7 +159,7 @@
 		x.h.pool.release(c)
 		return false
 	}
-	x.tried = append(x.tried, c.server.Life())
+	x.tried = append(x.tried, c.server.Incarnation())
 	x.sends++
 	x.possibleRuns++
 	x.pending++
@@ -220,7 +220,7 @@
 	if o.notRun {
 		return x.rejected < maxRejections && len(x.tried) < 2*maxRejections
 	}
-	return x.in.route.Kind == routing.Idempotent && x.possibleRuns < x.in.route.Attempts
+	return x.in.route.Kind == routing.Idempotent && x.possibleRuns < x.in.route.MaxAttempts
 }
 
 // isOverloaded reports whether the servers reject requests for lack of capacity. A retry or a
--- a/serve/forward/poison.go
+++ b/serve/forward/poison.go
@@ -22,7 +22,7 @@
 
 	mu      sync.Mutex // guards the fields below
 	view    *feed.View // last view processed
-	ledger  poison.Ledger[routing.Life]
+	ledger  poison.Ledger[routing.Incarnation]
 	marks   poison.Marks
 	running map[string]map[*activeRequest]bool // by digest
 	details map[string]*peerpb.Poisonous       // of requests with a mark or with crashes counted here
@@ -120,9 +120,9 @@
 }
 
 // recordCrash counts a server crash against a request, here and at the request's tracking daemons.
-func (p *poisonRegistry) recordCrash(ctx context.Context, in *inbound, incarnation routing.Life) {
+func (p *poisonRegistry) recordCrash(ctx context.Context, in *inbound, incarnation routing.Incarnation) {
 	for _, digest := range in.digests {
-		q := &peerpb.EndedRequest{Digest: digest, Server: incarnation.ID, Born: incarnation.Born, Account: in.accountName(), Route: in.routeName()}
+		q := &peerpb.EndedRequest{Digest: digest, Server: incarnation.ID, Born: incarnation.StartedAtMS, Account: in.accountName(), Route: in.routeName()}
 		p.countCrash(q)
 		p.notifyTrackers(digest, func(vm routing.VM) {
 			reply, err := callPeer(ctx, p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Ended, q, poisonTimeout)
@@ -136,7 +136,7 @@
 // countCrash counts a server crash against a request and marks the request according to all crashes
 // counted here.
 func (p *poisonRegistry) countCrash(q *peerpb.EndedRequest) {
-	digest, incarnation := q.GetDigest(), routing.Life{ID: q.GetServer(), Born: q.GetBorn()}
+	digest, incarnation := q.GetDigest(), routing.Incarnation{ID: q.GetServer(), StartedAtMS: q.GetBorn()}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.syncView(p.h.opts.Feed.View())
--- a/serve/forward/pool.go
+++ b/serve/forward/pool.go
@@ -44,10 +44,10 @@
 	view       *feed.View
 	serverSets map[string]*serverSet
 	// loads are kept by incarnation: what was learned of a server does not outlive its process.
-	loads   map[routing.Life]*serverLoad
+	loads   map[routing.Incarnation]*serverLoad
 	budgets map[string]*repeats.Budget
 	// successors maps an incarnation listed in the view to a newer one at the same address.
-	successors map[routing.Life]routing.Life
+	successors map[routing.Incarnation]routing.Incarnation
 	// down holds the servers that failed and have not returned since, by address.
 	down      map[string]downServer
 	downtimes map[string]*absence.Estimator // by service
@@ -62,15 +62,15 @@
 
 // downServer is a server that failed.
 type downServer struct {
-	incarnation routing.Life
+	incarnation routing.Incarnation
 	since       time.Time
 }
 
 func newPool(self routing.VM, rule repeats.Rule, versions *versions.Manager) *pool {
 	return &pool{
 		self: self, startedAt: time.Now(), retryRule: rule, serverSets: map[string]*serverSet{},
-		loads: map[routing.Life]*serverLoad{}, budgets: map[string]*repeats.Budget{},
-		successors: map[routing.Life]routing.Life{},
+		loads: map[routing.Incarnation]*serverLoad{}, budgets: map[string]*repeats.Budget{},
+		successors: map[routing.Incarnation]routing.Incarnation{},
 		down:       map[string]downServer{}, downtimes: map[string]*absence.Estimator{},
 		onWorkChanged: func(routing.Server) {}, versions: versions,
 	}
@@ -108,14 +108,14 @@
 func (p *pool) markSuspect(now time.Time, s routing.Server) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	load := p.loads[s.Life()]
+	load := p.loads[s.Incarnation()]
 	if load == nil {
 		return false
 	}
 	load.suspectFor = min(max(2*load.suspectFor, minSuspicion), maxSuspicion)
 	load.suspectUntil = now.Add(load.suspectFor)
 	if _, known := p.down[s.Address]; !known {
-		p.down[s.Address] = downServer{incarnation: s.Life(), since: now}
+		p.down[s.Address] = downServer{incarnation: s.Incarnation(), since: now}
 	}
 	return true
 }
@@ -125,13 +125,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c.load.suspectFor = 0
-	if p.down[c.server.Address].incarnation == c.server.Life() {
+	if p.down[c.server.Address].incarnation == c.server.Incarnation() {
 		delete(p.down, c.server.Address) // the server was up all the time
 	}
 }
 
 // isSuspect reports whether a server failed recently.
-func (p *pool) isSuspect(now time.Time, incarnation routing.Life) bool {
+func (p *pool) isSuspect(now time.Time, incarnation routing.Incarnation) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	load := p.loads[incarnation]
--- a/serve/forward/recovery.go
+++ b/serve/forward/recovery.go
@@ -31,7 +31,7 @@
 		for _, s := range servers {
 			listed[s.Address] = true
 			failed, ok := p.down[s.Address]
-			if ok && s.Life() != failed.incarnation {
+			if ok && s.Incarnation() != failed.incarnation {
 				p.downtime(service).ObserveReturn(now.Sub(failed.since))
 				delete(p.down, s.Address)
 			}
--- a/serve/forward/replicator.go
+++ b/serve/forward/replicator.go
@@ -51,7 +51,7 @@
 	r      *relay
 	l      segment
 	mover  RunCopier
-	failed []routing.Life // engines at which the request has failed before
+	failed []routing.Incarnation // engines at which the request has failed before
 
 	// The fields below are used by run alone.
 	target     choice    // engine with the replica; initially the first one's
@@ -68,7 +68,7 @@
 func (r *relay) newReplicator(l segment) *replicator {
 	mover, ok := r.h.opts.Codec.(RunCopier)
 	engine := r.h.opts.Feed.View().Config.Engine(r.service)
-	if !ok || engine == nil || !engine.Moves || !r.in.route.Resumable {
+	if !ok || engine == nil || !engine.CanCopy || !r.in.route.Resumable {
 		return nil
 	}
 	return &replicator{r: r, l: l, mover: mover, failed: slices.Clone(r.excluded), target: l.copyTo}
@@ -115,10 +115,10 @@
 // replica.
 func (s *replicator) refreshInterval() time.Duration {
 	engine := s.r.h.opts.Feed.View().Config.Engine(s.r.service)
-	if engine == nil || engine.CopyKept <= 0 {
+	if engine == nil || engine.ReplicaTTL <= 0 {
 		return replicaRefreshInterval
 	}
-	return min(replicaRefreshInterval, engine.CopyKept/3)
+	return min(replicaRefreshInterval, engine.ReplicaTTL/3)
 }
 
 // copyRun has the run's KV cache copied to the target.
@@ -171,7 +171,7 @@
 // another replica.
 func (s *replicator) free() {
 	handle := s.handle.Load()
-	_, same := s.r.h.pool.findServer(s.r.h.opts.Feed.View(), s.r.service, s.l.target.server.Life())
+	_, same := s.r.h.pool.findServer(s.r.h.opts.Feed.View(), s.r.service, s.l.target.server.Incarnation())
 	if handle == nil || !same {
 		return
 	}
@@ -190,7 +190,7 @@
 // engine must answer a probe, since the entry of a dead engine remains for seconds, and must have
 // room: a replica takes as much memory as the run, and an engine that runs out of memory evicts
 // runs. Under three times the usual load a replica is not worth that.
-func (r *relay) chooseReplicaEngine(ctx context.Context, server routing.Server, failed []routing.Life) (choice, bool) {
+func (r *relay) chooseReplicaEngine(ctx context.Context, server routing.Server, failed []routing.Incarnation) (choice, bool) {
 	excluded := slices.Clone(failed)
 	round := r.h.newProbeRound()
 	defer round.suspectSilent()
@@ -203,7 +203,7 @@
 		if err == nil && report.loadReport().HasCapacity(r.in.call.PromptTokens) {
 			return c, true
 		}
-		excluded = append(excluded, c.server.Life())
+		excluded = append(excluded, c.server.Incarnation())
 	}
 	return choice{}, false
 }
--- a/serve/forward/serverset.go
+++ b/serve/forward/serverset.go
@@ -28,7 +28,7 @@
 	}
 	p.view, p.snapshot = view, snapshot
 	p.serverSets = make(map[string]*serverSet, len(view.Servers))
-	used := make(map[routing.Life]*serverLoad, len(p.loads))
+	used := make(map[routing.Incarnation]*serverLoad, len(p.loads))
 	for service, servers := range view.Servers {
 		state := snapshot.Of(service)
 		steady, canaries := splitByVersion(servers, state)
@@ -45,12 +45,12 @@
 	p.recordReturns()
 }
 
-func (p *pool) buildServerSet(servers []routing.Server, used map[routing.Life]*serverLoad) *serverSet {
+func (p *pool) buildServerSet(servers []routing.Server, used map[routing.Incarnation]*serverLoad) *serverSet {
 	l := &serverSet{index: map[string]int{}}
 	var candidates []route.Candidate
 	for _, s := range servers {
 		s, load, ok := p.currentServer(s, used)
-		if !ok || s.Leaving {
+		if !ok || s.Draining {
 			continue
 		}
 		l.index[s.ID] = len(l.servers)
@@ -67,18 +67,18 @@
 
 // currentServer returns the current incarnation of a server listed in the view and this daemon's
 // load there, which it adds to used; ok is false if the server is gone.
-func (p *pool) currentServer(s routing.Server, used map[routing.Life]*serverLoad) (current routing.Server, load *serverLoad, ok bool) {
-	if next, ok := p.successors[s.Life()]; ok {
+func (p *pool) currentServer(s routing.Server, used map[routing.Incarnation]*serverLoad) (current routing.Server, load *serverLoad, ok bool) {
+	if next, ok := p.successors[s.Incarnation()]; ok {
 		if p.view.HasDeparted(next.ID) {
 			return s, nil, false // the view lists an earlier incarnation
 		}
-		s.ID, s.Born = next.ID, next.Born
+		s.ID, s.StartedAtMS = next.ID, next.StartedAtMS
 	}
-	if load = used[s.Life()]; load == nil {
-		if load = p.loads[s.Life()]; load == nil {
+	if load = used[s.Incarnation()]; load == nil {
+		if load = p.loads[s.Incarnation()]; load == nil {
 			load = &serverLoad{}
 		}
-		used[s.Life()] = load
+		used[s.Incarnation()] = load
 	}
 	return s, load, true
 }
@@ -95,7 +95,7 @@
 	self := xxhash.Sum64String(p.self.ID)
 	daemons := []uint64{self}
 	for _, vm := range p.view.VMs {
-		if vm.ID != p.self.ID && !vm.Leaving {
+		if vm.ID != p.self.ID && !vm.Draining {
 			daemons = append(daemons, xxhash.Sum64String(vm.ID))
 		}
 	}
@@ -144,15 +144,15 @@
 func usesWindows(engines int) bool { return engines > maxScannedEngines }
 
 // indexOf returns the index of the server whose current incarnation is given, or -1.
-func (l *serverSet) indexOf(incarnation routing.Life) int {
-	if i, ok := l.index[incarnation.ID]; ok && l.servers[i].Life() == incarnation {
+func (l *serverSet) indexOf(incarnation routing.Incarnation) int {
+	if i, ok := l.index[incarnation.ID]; ok && l.servers[i].Incarnation() == incarnation {
 		return i
 	}
 	return -1
 }
 
 // idsOf returns the ids of those servers of the set whose incarnations are given.
-func (l *serverSet) idsOf(incarnations []routing.Life) []string {
+func (l *serverSet) idsOf(incarnations []routing.Incarnation) []string {
 	var ids []string
 	for _, incarnation := range incarnations {
 		if l.indexOf(incarnation) >= 0 {
--- a/serve/forward/stalledlink_test.go
+++ b/serve/forward/stalledlink_test.go
@@ -118,7 +118,7 @@
 		time.Sleep(time.Millisecond)
 		w.askMany(4)
 		for _, s := range w.servers {
-			must.False(t, w.handler.pool.isSuspect(time.Now(), s.server.Life()), must.Sprint(s.server.ID))
+			must.False(t, w.handler.pool.isSuspect(time.Now(), s.server.Incarnation()), must.Sprint(s.server.ID))
 		}
 	})
 }
@@ -245,7 +245,7 @@
 		w.request(http.MethodPost, "/again/1", callerHeaders, "x")
 		time.Sleep(time.Second)
 		for _, s := range w.servers {
-			must.False(t, w.handler.pool.isSuspect(time.Now(), s.server.Life()), must.Sprint(s.server.ID))
+			must.False(t, w.handler.pool.isSuspect(time.Now(), s.server.Incarnation()), must.Sprint(s.server.ID))
 		}
 	})
 }
@@ -270,7 +270,7 @@
 // further run. The answer must not be cut.
 func TestOneLostPacketDoesNotFailEngine(t *testing.T) {
 	route := streamRoute()
-	route[0].Attempts = 1
+	route[0].MaxAttempts = 1
 	withTestCluster(t, route, func(w *testCluster) {
 		var lossy atomic.Value
 		handle := func(rw http.ResponseWriter, r *http.Request) { pausing(rw, r, 600*time.Millisecond) }
@@ -425,7 +425,7 @@
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(1, 20), got.body)
 		for _, s := range w.servers {
-			must.False(w.t, w.handler.pool.isSuspect(time.Now(), s.server.Life()), must.Sprint(s.server.ID))
+			must.False(w.t, w.handler.pool.isSuspect(time.Now(), s.server.Incarnation()), must.Sprint(s.server.ID))
 		}
 	})
 }
--- a/serve/forward/stream.go
+++ b/serve/forward/stream.go
@@ -51,13 +51,13 @@
 	resetBy choice
 	// misdirectedLife is the incarnation that was asked to resume from a copy although another
 	// one has its address.
-	misdirectedLife routing.Life
-	possibleRuns    int            // servers that may have run the request
-	starts          int            // attempts, without those that could not connect
-	sends           int            // requests sent, without those that could not connect
-	excluded        []routing.Life // servers that must not be chosen again
+	misdirectedLife routing.Incarnation
+	possibleRuns    int                   // servers that may have run the request
+	starts          int                   // attempts, without those that could not connect
+	sends           int                   // requests sent, without those that could not connect
+	excluded        []routing.Incarnation // servers that must not be chosen again
 	// promptHolders are the engines that hold the prompt; nil before the lookup.
-	promptHolders []routing.Life
+	promptHolders []routing.Incarnation
 	// linkStalledSince is when the daemon's own link was first found stalled; zero if it was not.
 	linkStalledSince time.Time
 	// cannotContinue is set once the stalled response was found unable to continue.
@@ -197,7 +197,7 @@
 
 // canResume reports whether another run may follow one that broke off.
 func (r *relay) canResume() bool {
-	return r.in.route.Resumable && r.possibleRuns < r.in.route.Attempts
+	return r.in.route.Resumable && r.possibleRuns < r.in.route.MaxAttempts
 }
 
 // nextSegment chooses the server of the next segment: one that holds a copy of the previous run or
@@ -326,13 +326,13 @@
 // shows. An incremental copy is sent to the new incarnation as well, one made on demand is lost.
 func (r *relay) findCopyHolder(view *feed.View, held replica) (choice, bool) {
 	at := held.at
-	if c, ok := r.h.pool.serverAt(view, r.service, at.server.Address); ok && c.server.Life() != r.misdirectedLife {
-		if held.onDemand && c.server.Life() != at.server.Life() {
+	if c, ok := r.h.pool.serverAt(view, r.service, at.server.Address); ok && c.server.Incarnation() != r.misdirectedLife {
+		if held.onDemand && c.server.Incarnation() != at.server.Incarnation() {
 			return at, false
 		}
 		at = c
 	}
-	return at, !view.HasDeparted(at.server.ID) && !slices.Contains(r.excluded, at.server.Life()) && !r.h.versions.Barred(view, at.server)
+	return at, !view.HasDeparted(at.server.ID) && !slices.Contains(r.excluded, at.server.Incarnation()) && !r.h.versions.Barred(view, at.server)
 }
 
 // retrySameEngine returns the engine that reset the connection before the first event, if it still
@@ -344,7 +344,7 @@
 	if last.load == nil || r.in.call.PromptKey == "" {
 		return choice{}, false
 	}
-	c, ok := r.h.pool.findServer(view, r.service, last.server.Life())
+	c, ok := r.h.pool.findServer(view, r.service, last.server.Incarnation())
 	if !ok {
 		return choice{}, false // it is draining or has restarted
 	}
@@ -352,7 +352,7 @@
 	defer cancel()
 	life, parts, err := r.h.cachedParts(ctx, c.server)
 	c.reason = "same_again"
-	return c, err == nil && life == c.server.Life() && slices.Contains(parts, r.in.call.PromptKey)
+	return c, err == nil && life == c.server.Incarnation() && slices.Contains(parts, r.in.call.PromptKey)
 }
 
 // findPromptHolder returns an engine that holds the prompt of a stream which another daemon began.
@@ -363,7 +363,7 @@
 		return choice{}, false
 	}
 	if r.promptHolders == nil {
-		r.promptHolders = append([]routing.Life{}, r.h.locator.holders(ctx, r.service, r.in.call.PromptKey)...)
+		r.promptHolders = append([]routing.Incarnation{}, r.h.locator.holders(ctx, r.service, r.in.call.PromptKey)...)
 		r.h.opts.Log.Emit(event.PromptLocated, r.in.call.ID, r.in.call.PromptKey, serverIDs(r.promptHolders))
 	}
 	for _, life := range r.promptHolders {
@@ -378,7 +378,7 @@
 }
 
 // serverIDs returns the server IDs of incarnations.
-func serverIDs(lives []routing.Life) []string {
+func serverIDs(lives []routing.Incarnation) []string {
 	list := make([]string, len(lives))
 	for i, life := range lives {
 		list[i] = life.ID
@@ -391,7 +391,7 @@
 func (r *relay) withCopyTarget(ctx context.Context, l segment) segment {
 	view := r.h.opts.Feed.View()
 	engine := view.Config.Engine(r.service)
-	if engine == nil || !engine.Copies || !r.in.route.Resumable {
+	if engine == nil || !engine.CanReplicate || !r.in.route.Resumable {
 		return l
 	}
 	l.copyTo, _ = r.chooseReplicaEngine(ctx, l.target.server, r.excluded)
--- a/serve/forward/successors.go
+++ b/serve/forward/successors.go
@@ -9,20 +9,20 @@
 
 // pruneSuccessors drops the successors of incarnations that the view no longer lists.
 func (p *pool) pruneSuccessors() {
-	listed := map[routing.Life]bool{}
+	listed := map[routing.Incarnation]bool{}
 	for _, servers := range p.view.Servers {
 		for _, s := range servers {
-			listed[s.Life()] = true
+			listed[s.Incarnation()] = true
 		}
 	}
-	maps.DeleteFunc(p.successors, func(old, _ routing.Life) bool { return !listed[old] })
+	maps.DeleteFunc(p.successors, func(old, _ routing.Incarnation) bool { return !listed[old] })
 }
 
 // recordSuccessor records that a server of the view was replaced by a new one at its address. The
 // view shows this later, or not at all during a store outage. Until then requests would ask for
 // replicas and prompts of the old server in vain, and if the id has changed, every request to that
 // address would be rejected.
-func (p *pool) recordSuccessor(view *feed.View, old, next routing.Life) {
+func (p *pool) recordSuccessor(view *feed.View, old, next routing.Incarnation) {
 	snapshot := p.versions.Now(view)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -33,18 +33,18 @@
 
 // recordRestart records that a server has a newer incarnation under its id, and reports whether
 // that was unknown.
-func (p *pool) recordRestart(view *feed.View, old, next routing.Life) bool {
+func (p *pool) recordRestart(view *feed.View, old, next routing.Incarnation) bool {
 	snapshot := p.versions.Now(view)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.updateView(view, snapshot)
 	listed := p.listedIncarnation(old)
-	if known, ok := p.successors[listed]; ok && known.ID == next.ID && known.Born >= next.Born {
+	if known, ok := p.successors[listed]; ok && known.ID == next.ID && known.StartedAtMS >= next.StartedAtMS {
 		return false
 	}
 	for _, servers := range view.Servers {
 		for _, s := range servers {
-			if s.ID == next.ID && s.Born >= next.Born {
+			if s.ID == next.ID && s.StartedAtMS >= next.StartedAtMS {
 				return false // the view already lists it
 			}
 		}
@@ -57,7 +57,7 @@
 
 // listedIncarnation returns the incarnation of a server that the view lists: the given one or its
 // predecessor.
-func (p *pool) listedIncarnation(incarnation routing.Life) routing.Life {
+func (p *pool) listedIncarnation(incarnation routing.Incarnation) routing.Incarnation {
 	for old, next := range p.successors {
 		if next == incarnation {
 			return old
--- a/serve/forward/takeover.go
+++ b/serve/forward/takeover.go
@@ -217,7 +217,7 @@
 
 // exclude prevents the server of a segment from being chosen again for this request.
 func (r *relay) exclude(l segment) {
-	if life := l.target.server.Life(); !slices.Contains(r.excluded, life) {
+	if life := l.target.server.Incarnation(); !slices.Contains(r.excluded, life) {
 		r.excluded = append(r.excluded, life)
 	}
 }
--- a/serve/forward/worktracker.go
+++ b/serve/forward/worktracker.go
@@ -23,13 +23,13 @@
 	boot uint64 // identifies this process
 
 	mu        sync.Mutex // guards the fields below
-	ledger    prompts.LoadTable[routing.Life]
+	ledger    prompts.LoadTable[routing.Incarnation]
 	sequence  uint64
-	reporting map[routing.Life]bool // reports in flight; true if the work has changed since
+	reporting map[routing.Incarnation]bool // reports in flight; true if the work has changed since
 }
 
 func newWorkTracker(h *Handler) *workTracker {
-	return &workTracker{h: h, boot: rand.Uint64(), reporting: map[routing.Life]bool{}}
+	return &workTracker{h: h, boot: rand.Uint64(), reporting: map[routing.Incarnation]bool{}}
 }
 
 // isTracked reports whether the engines of a service have tracking daemons.
@@ -44,8 +44,8 @@
 		return
 	}
 	t.mu.Lock()
-	_, inFlight := t.reporting[s.Life()]
-	t.reporting[s.Life()] = inFlight
+	_, inFlight := t.reporting[s.Incarnation()]
+	t.reporting[s.Incarnation()] = inFlight
 	t.mu.Unlock()
 	if !inFlight {
 		go t.reportUntilCurrent(s)
@@ -57,13 +57,13 @@
 	for {
 		t.sendReport(s)
 		t.mu.Lock()
-		changed := t.reporting[s.Life()]
+		changed := t.reporting[s.Incarnation()]
 		if !changed {
-			delete(t.reporting, s.Life())
+			delete(t.reporting, s.Incarnation())
 			t.mu.Unlock()
 			return
 		}
-		t.reporting[s.Life()] = false
+		t.reporting[s.Incarnation()] = false
 		t.mu.Unlock()
 	}
 }
@@ -75,14 +75,14 @@
 	if i < 0 {
 		return
 	}
-	report := t.h.pool.workReport(time.Now(), s.Life())
+	report := t.h.pool.workReport(time.Now(), s.Incarnation())
 	t.mu.Lock()
 	t.sequence++
 	report.Incarnation, report.Sequence = t.boot, t.sequence
 	t.mu.Unlock()
 	self := t.h.opts.Self.ID
 	if vms[i].ID == self {
-		t.record(s.Life(), self, report)
+		t.record(s.Incarnation(), self, report)
 		return
 	}
 	if len(t.h.neighbours.responsive(time.Now(), vms[i:i+1])) == 0 {
@@ -91,20 +91,20 @@
 	t.h.neighbours.sendReport(context.Background(), vms[i], &peerpb.NoteRequest{
 		Daemon: self, Boot: report.Incarnation, Sequence: report.Sequence,
 		Work: &peerpb.ServerWork{
-			Id: s.ID, Born: s.Born, Reading: int32(report.Prefilling), Running: int32(report.Running),
+			Id: s.ID, Born: s.StartedAtMS, Reading: int32(report.Prefilling), Running: int32(report.Running),
 			SuspectMs: report.SuspectFor.Milliseconds(),
 		},
 	})
 }
 
-func (t *workTracker) record(incarnation routing.Life, daemon string, n prompts.DaemonLoad) {
+func (t *workTracker) record(incarnation routing.Incarnation, daemon string, n prompts.DaemonLoad) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.ledger.Update(time.Now(), incarnation, daemon, n)
 }
 
 // tracked returns the reported work of all daemons but one at an engine.
-func (t *workTracker) tracked(incarnation routing.Life, except string) prompts.LoadSum {
+func (t *workTracker) tracked(incarnation routing.Incarnation, except string) prompts.LoadSum {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.ledger.Sum(time.Now(), incarnation, except)
@@ -123,10 +123,10 @@
 		return nil, false
 	}
 	vms, hashes := routing.Serving(view.VMs)
-	queries := map[int][]routing.Life{} // by index in vms
+	queries := map[int][]routing.Incarnation{} // by index in vms
 	for _, s := range t.h.pool.placementWindow(view, service, part) {
 		if i := prompts.Tracker(xxhash.Sum64String(s.ID), hashes); i >= 0 {
-			queries[i] = append(queries[i], s.Life())
+			queries[i] = append(queries[i], s.Incarnation())
 		}
 	}
 	var wg sync.WaitGroup
@@ -148,7 +148,7 @@
 
 // query asks one tracking daemon, which may be this daemon. It returns nil if that daemon does not
 // answer.
-func (t *workTracker) query(ctx context.Context, vm routing.VM, incarnations []routing.Life) workloads {
+func (t *workTracker) query(ctx context.Context, vm routing.VM, incarnations []routing.Incarnation) workloads {
 	self, work := t.h.opts.Self.ID, workloads{}
 	if vm.ID == self {
 		for _, incarnation := range incarnations {
@@ -168,21 +168,21 @@
 		return nil
 	}
 	for _, s := range reply.GetServers() {
-		work[routing.Life{ID: s.GetId(), Born: s.GetBorn()}] = workloadOf(prompts.LoadSum{
+		work[routing.Incarnation{ID: s.GetId(), StartedAtMS: s.GetBorn()}] = workloadOf(prompts.LoadSum{
 			Prefilling: int(max(s.GetReading(), 0)), Running: int(max(s.GetRunning(), 0)), SuspectedBy: int(max(s.GetSuspects(), 0)),
 		})
 	}
 	return work
 }
 
-func serverWork(incarnation routing.Life, w workload) *peerpb.ServerWork {
-	return &peerpb.ServerWork{Id: incarnation.ID, Born: incarnation.Born, Reading: int32(w.prefilling), Running: int32(w.running)}
+func serverWork(incarnation routing.Incarnation, w workload) *peerpb.ServerWork {
+	return &peerpb.ServerWork{Id: incarnation.ID, Born: incarnation.StartedAtMS, Reading: int32(w.prefilling), Running: int32(w.running)}
 }
 
 // Note implements peerpb.Work.
 func (t workService) Note(_ context.Context, q *peerpb.NoteRequest) (*peerpb.NoteReply, error) {
 	w := q.GetWork()
-	t.h.keepers.record(routing.Life{ID: w.GetId(), Born: w.GetBorn()}, q.GetDaemon(), prompts.DaemonLoad{
+	t.h.keepers.record(routing.Incarnation{ID: w.GetId(), StartedAtMS: w.GetBorn()}, q.GetDaemon(), prompts.DaemonLoad{
 		Incarnation: q.GetBoot(), Sequence: q.GetSequence(),
 		Prefilling: int(max(w.GetReading(), 0)), Running: int(max(w.GetRunning(), 0)),
 		SuspectFor: time.Duration(w.GetSuspectMs()) * time.Millisecond,
@@ -194,10 +194,10 @@
 func (t workService) Noted(_ context.Context, q *peerpb.NotedRequest) (*peerpb.WorkReply, error) {
 	reply := &peerpb.WorkReply{}
 	for _, s := range q.GetServers() {
-		incarnation := routing.Life{ID: s.GetId(), Born: s.GetBorn()}
+		incarnation := routing.Incarnation{ID: s.GetId(), StartedAtMS: s.GetBorn()}
 		n := t.h.keepers.tracked(incarnation, q.GetDaemon())
 		reply.Servers = append(reply.Servers, &peerpb.ServerWork{
-			Id: incarnation.ID, Born: incarnation.Born, Reading: int32(n.Prefilling), Running: int32(n.Running), Suspects: int32(n.SuspectedBy),
+			Id: incarnation.ID, Born: incarnation.StartedAtMS, Reading: int32(n.Prefilling), Running: int32(n.Running), Suspects: int32(n.SuspectedBy),
 		})
 	}
 	return reply, nil
