--- a/control/routing/rollout.go
+++ b/control/routing/rollout.go
@@ -57,7 +57,7 @@
 // Record returns the stored form of the status.
 func (s RolloutStatus) Record() RolloutRecord {
 	return RolloutRecord{
-		Stage: s.Stage.String(), Target: s.Target, Baseline: s.Base, OrderRevision: s.Order, Share: s.Share, CommonRoutes: s.Common, DeadlineMS: s.DeadlineMS,
+		Stage: s.Stage.String(), Target: s.Target, Baseline: s.Baseline, OrderRevision: s.OrderRevision, Share: s.Share, CommonRoutes: s.CommonRoutes, DeadlineMS: s.DeadlineMS,
 	}
 }
 
@@ -68,6 +68,6 @@
 		return RolloutStatus{}, errors.Errorf("rollout status: unknown stage %q", r.Stage)
 	}
 	return RolloutStatus{
-		State: rollout.State{Order: r.OrderRevision, Base: r.Baseline, Target: r.Target, Stage: stage, Share: r.Share, Common: r.CommonRoutes}, DeadlineMS: r.DeadlineMS,
+		State: rollout.State{OrderRevision: r.OrderRevision, Baseline: r.Baseline, Target: r.Target, Stage: stage, Share: r.Share, CommonRoutes: r.CommonRoutes}, DeadlineMS: r.DeadlineMS,
 	}, nil
 }
--- a/decision/absence/absence.go
+++ b/decision/absence/absence.go
@@ -72,5 +72,5 @@
 // RetryAfter returns the time after which a caller retries that was refused after MaxWait or at
 // once. random is in [0, 1) and spreads the retries.
 func (e *Estimator) RetryAfter(random float64) time.Duration {
-	return retryafter.Spread(max(minRetryAfter, time.Duration(e.meanNs)), random)
+	return retryafter.Jitter(max(minRetryAfter, time.Duration(e.meanNs)), random)
 }
--- a/serve/forward/accept.go
+++ b/serve/forward/accept.go
@@ -84,7 +84,7 @@
 	}
 	if age > time.Duration(h.maxKeyAge.Load())-keyAgeMargin {
 		return verdict.New(verdict.NotRun, verdict.CodeUnconfirmed,
-			"the configuration was last confirmed %v ago", age.Round(time.Millisecond)).WithRetryAfter(retryafter.Unconfirmed(age, h.opts.Feed.IsStoreDown(), rand.Float64()))
+			"the configuration was last confirmed %v ago", age.Round(time.Millisecond)).WithRetryAfter(retryafter.AfterStoreOutage(age, h.opts.Feed.IsStoreDown(), rand.Float64()))
 	}
 	in.account = config.Account(in.call.Key)
 	if in.account == nil {
--- a/serve/forward/borrow.go
+++ b/serve/forward/borrow.go
@@ -30,11 +30,11 @@
 	self   string
 
 	mu      sync.Mutex
-	lenders map[string]*repeats.Lenders // by service
+	lenders map[string]*repeats.PeerSelector // by service
 }
 
 func newRetryBorrower(o Options) *retryBorrower {
-	return &retryBorrower{dialer: o.Dialer, log: o.Log, self: o.Self.ID, lenders: map[string]*repeats.Lenders{}}
+	return &retryBorrower{dialer: o.Dialer, log: o.Log, self: o.Self.ID, lenders: map[string]*repeats.PeerSelector{}}
 }
 
 // borrow reports whether another daemon lent one retry for a request to a service.
@@ -80,7 +80,7 @@
 func (b *retryBorrower) recordRefusal(service, id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	getOrCreate(b.lenders, service).Refused(time.Now(), id)
+	getOrCreate(b.lenders, service).MarkRefused(time.Now(), id)
 }
 
 func (b *retryBorrower) requestRetry(ctx context.Context, address, service string) bool {
--- a/serve/forward/budgets.go
+++ b/serve/forward/budgets.go
@@ -14,7 +14,7 @@
 	share := repeats.Share{Daemons: 1}
 	if p.view != nil && len(p.view.VMs) > 1 {
 		share.Daemons = len(p.view.VMs)
-		share.Offset = float64(xxhash.Sum64String(p.self.ID)>>11) / (1 << 53)
+		share.RoundingOffset = float64(xxhash.Sum64String(p.self.ID)>>11) / (1 << 53)
 	}
 	return share
 }
@@ -30,7 +30,7 @@
 
 // setRetryRule changes the retry budgets of all services. They start again without a share of the
 // slack, because the retries made so far are forgotten.
-func (p *pool) setRetryRule(rule repeats.Rule) {
+func (p *pool) setRetryRule(rule repeats.Policy) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if rule != p.retryRule {
@@ -43,7 +43,7 @@
 func (p *pool) countRequest(now time.Time, service string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.retryBudget(service).Request(now)
+	p.retryBudget(service).RecordRequest(now)
 }
 
 // tryTakeRetry reports whether the retry budget permits one more send of a request, and charges
@@ -51,5 +51,5 @@
 func (p *pool) tryTakeRetry(now time.Time, service string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.retryBudget(service).Repeat(now, p.budgetShare())
+	return p.retryBudget(service).TryRetry(now, p.budgetShare())
 }
--- a/serve/forward/canary.go
+++ b/serve/forward/canary.go
@@ -34,7 +34,7 @@
 func splitByVersion(servers []routing.Server, s rollout.State) (steady, canaries []routing.Server) {
 	for _, server := range servers {
 		switch {
-		case s.Steady(server.Version):
+		case s.ServesByDefault(server.Version):
 			steady = append(steady, server)
 		case server.Version == s.Target && !server.Draining:
 			canaries = append(canaries, server)
@@ -118,7 +118,7 @@
 // because answers in progress finish at its version.
 func (p *pool) isFinishingRuns(view *feed.View, s routing.Server) bool {
 	state := p.versions.Now(view).Of(s.Service)
-	return state.Stage == rollout.All && s.Version == state.Base &&
+	return state.Stage == rollout.Full && s.Version == state.Baseline &&
 		slices.ContainsFunc(view.Servers[s.Service], func(current routing.Server) bool {
 			return current.Incarnation() == s.Incarnation() && !current.Draining
 		})
@@ -154,15 +154,15 @@
 func (o *outcome) trialOutcome(ctx context.Context) (result rollout.Outcome, ok bool) {
 	switch {
 	case ctx.Err() != nil && o.err != nil:
-		return rollout.Waiting, true // another server was faster, or the caller left
+		return rollout.Unanswered, true // another server was faster, or the caller left
 	case o.rejected && !o.full:
-		return rollout.Good, false // another process has the address
+		return rollout.Succeeded, false // another process has the address
 	case o.full, o.err == nil && o.status >= 500:
 		return rollout.Failed, true
 	case o.err != nil:
-		return rollout.Broke, true
+		return rollout.Disconnected, true
 	}
-	return rollout.Good, true
+	return rollout.Succeeded, true
 }
 
 // paceEventCount is the number of events after which the pace of a stream is recorded.
@@ -171,22 +171,22 @@
 // startTrial starts a comparison sample for a leg that produces an answer from its beginning.
 func (a *attempt) startTrial(l segment, route string) {
 	if l.resumeFrom == "" && a.r.in.call.LastEventID == 0 && a.r.lastEventID == 0 {
-		a.trial = a.r.h.versions.Try(l.target.server, route, rollout.First)
+		a.trial = a.r.h.versions.Try(l.target.server, route, rollout.TimeToFirstEvent)
 	}
 }
 
 // recordFirstEvent records the time to the first event and starts the samples for the rest of the
 // answer.
 func (a *attempt) recordFirstEvent() {
-	whole := a.trial.Also(rollout.Whole)
-	a.trial.Done(rollout.Good)
-	a.trial, a.pace = whole, whole.Also(rollout.Pace)
+	whole := a.trial.Also(rollout.ResponseTime)
+	a.trial.Done(rollout.Succeeded)
+	a.trial, a.pace = whole, whole.Also(rollout.EventInterval)
 }
 
 // recordNextEvent records the pace of a stream after enough events.
 func (a *attempt) recordNextEvent() {
 	if a.eventCount++; a.eventCount == paceEventCount {
-		a.pace.DoneIn(rollout.Good, time.Since(a.firstEventAt)/paceEventCount)
+		a.pace.DoneIn(rollout.Succeeded, time.Since(a.firstEventAt)/paceEventCount)
 	}
 }
 
@@ -194,13 +194,13 @@
 func (a *attempt) recordEnd(end segmentEnd, failed bool) {
 	switch {
 	case end == segmentComplete:
-		a.trial.Done(rollout.Good)
+		a.trial.Done(rollout.Succeeded)
 	case failed, end == segmentNotRun && a.response != nil && a.response.StatusCode == http.StatusServiceUnavailable:
 		a.trial.Done(rollout.Failed)
 	case end == segmentBroken && a.r.replacement == nil:
-		a.trial.Done(rollout.Broke)
+		a.trial.Done(rollout.Disconnected)
 	default:
-		a.trial.Done(rollout.Waiting)
+		a.trial.Done(rollout.Unanswered)
 	}
 	a.pace.Drop()
 }
@@ -217,7 +217,7 @@
 	}
 	c, held, ok := r.liveReplica(ctx, a)
 	view := r.h.opts.Feed.View()
-	if !ok || !r.h.versions.Now(view).Of(r.service).Steady(c.server.Version) || !r.tryAcquirePermit(ctx, c) || !r.tryAcquireRetry(ctx, time.Now()) {
+	if !ok || !r.h.versions.Now(view).Of(r.service).ServesByDefault(c.server.Version) || !r.tryAcquirePermit(ctx, c) || !r.tryAcquireRetry(ctx, time.Now()) {
 		return false
 	}
 	r.h.pool.addLoad(c, 1, 0, 0)
--- a/serve/forward/candidate.go
+++ b/serve/forward/candidate.go
@@ -22,7 +22,7 @@
 // for it. The request is counted at the server of the new leg.
 func (r *relay) reserveFailover(ctx context.Context, a *attempt, why error) (segment, takeover.Outcome) {
 	if !r.canResume() || r.starts >= maxStarts {
-		return segment{}, takeover.NoTries
+		return segment{}, takeover.NoAttemptsLeft
 	}
 	l, outcome := r.failoverCandidate(ctx, a, why)
 	if outcome != takeover.TakenOver {
@@ -30,10 +30,10 @@
 	}
 	l = r.withCopyTarget(ctx, l)
 	// Spends a retry only if the server is still silent.
-	if !pause.For(ctx, takeover.Settling) {
+	if !pause.For(ctx, takeover.SettleTime) {
 		outcome = takeover.NotNeeded
 	} else if !r.tryAcquireRetry(ctx, time.Now()) {
-		outcome = takeover.NoRepeat
+		outcome = takeover.NoRetryBudget
 	}
 	if outcome != takeover.TakenOver {
 		r.releaseLeg(l)
@@ -53,7 +53,7 @@
 		return segment{target: c, resumeFrom: held.name}, takeover.TakenOver
 	}
 	if r.h.pressure.isPrefillTooLate(r.service, r.in.call.PromptTokens, time.Until(r.in.deadline)) {
-		return segment{}, takeover.NoRoom
+		return segment{}, takeover.NoCapacity
 	}
 	return r.candidateWithoutReplica(ctx, a, why)
 }
@@ -78,9 +78,9 @@
 		case !c.answered:
 			outcome = takeover.NoServer
 		case r.isResponsive(ctx, a, why):
-			outcome = takeover.Alive
+			outcome = takeover.StillAlive
 		case admission != prompts.Admitted:
-			outcome = takeover.NoRoom
+			outcome = takeover.NoCapacity
 		}
 	}
 	if outcome != takeover.TakenOver {
@@ -94,7 +94,7 @@
 // this VM's link was saturated until a moment ago, the other engines answer by now as well. An
 // engine whose answer is lost, or that has been silent for long, is not probed.
 func (r *relay) isResponsive(ctx context.Context, a *attempt, why error) bool {
-	silentTooLong := time.Since(r.lastEventAt) >= takeover.Patience(false, r.in.route.GapTarget)
+	silentTooLong := time.Since(r.lastEventAt) >= takeover.MaxSilence(false, r.in.route.GapTarget)
 	if errors.Is(why, errResponseLost) || errors.Is(why, errStreamIdle) && silentTooLong {
 		return false
 	}
--- a/serve/forward/cluster_test.go
+++ b/serve/forward/cluster_test.go
@@ -344,7 +344,7 @@
 	})
 }
 
-var testRetryRule = repeats.Rule{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
+var testRetryRule = repeats.Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 
 func newTestCluster(t *testing.T, routes []*routing.Route) *testCluster {
 	services := []*routing.Service{
--- a/serve/forward/crashes.go
+++ b/serve/forward/crashes.go
@@ -87,18 +87,18 @@
 		running = now.Sub(e.firstEventAt)
 	}
 	found := h.processStateOf(e)
-	crash := poison.Ending{
-		Planned: h.isLeaving(e.at.server),
-		Unread:  e.fromReplica == "" && h.pressure.isPrefillTooLate(e.at.server.Service, e.in.call.PromptTokens, now.Sub(e.sentAt)),
-		Running: running,
+	crash := poison.Termination{
+		Planned:      h.isLeaving(e.at.server),
+		PromptUnread: e.fromReplica == "" && h.pressure.isPrefillTooLate(e.at.server.Service, e.in.call.PromptTokens, now.Sub(e.sentAt)),
+		Streamed:     running,
 	}
-	if found == processExited && crash.Judge() == poison.Counts {
-		crash.Asked, crash.Down = h.countExitedNearby(e.at.server)
+	if found == processExited && crash.Attribute() == poison.Attributed {
+		crash.PeersChecked, crash.PeersDown = h.countExitedNearby(e.at.server)
 	}
-	finding := crash.Judge()
+	finding := crash.Attribute()
 	h.opts.Log.Emit(event.BackendConnectionBroken, e.in.call.ID, e.in.digests, e.in.call.PromptKey, e.in.accountName(),
-		e.at.server.ID, e.at.server.Zone, string(found), finding.String(), crash.Asked, crash.Down, now.Sub(e.sentAt), running, e.fromReplica, e.err)
-	if found == processExited && finding == poison.Counts {
+		e.at.server.ID, e.at.server.Zone, string(found), finding.String(), crash.PeersChecked, crash.PeersDown, now.Sub(e.sentAt), running, e.fromReplica, e.err)
+	if found == processExited && finding == poison.Attributed {
 		h.poisoned.recordCrash(context.Background(), e.in, e.at.server.Incarnation())
 	}
 }
@@ -150,7 +150,7 @@
 		}
 	}
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	others = others[:min(poison.Looked, len(others))]
+	others = others[:min(poison.PeersToCheck, len(others))]
 	var exitedCount atomic.Int32
 	var wg sync.WaitGroup
 	for _, other := range others {
--- a/serve/forward/limits.go
+++ b/serve/forward/limits.go
@@ -28,11 +28,11 @@
 type serverLimit struct {
 	server         routing.Server
 	limit          quota.Limit
-	broadcasts     quota.Telling
-	permitRequests quota.Turn
-	permits        quota.Bucket // issued by this daemon
-	lastRequested  time.Time    // when another daemon last requested a permit here
-	fallback       quota.Bucket // this daemon's share, used while no permit issuer answers
+	broadcasts     quota.BroadcastPacer
+	permitRequests quota.PermitPoller
+	permits        quota.TokenBucket // issued by this daemon
+	lastRequested  time.Time         // when another daemon last requested a permit here
+	fallback       quota.TokenBucket // this daemon's share, used while no permit issuer answers
 }
 
 func newRateLimits(h *Handler) *rateLimits {
@@ -43,7 +43,7 @@
 // that the answer comes from a run: a rejection without a limit does not mean that the limit is
 // lifted.
 func (l *rateLimits) observeReply(s routing.Server, sent time.Time, text string, ran bool) {
-	rate, named, err := quota.Read(text)
+	rate, named, err := quota.ParseRate(text)
 	if err != nil {
 		l.h.opts.Log.Emit(event.ServerLimitUnreadable, s.ID, err)
 	}
@@ -56,7 +56,7 @@
 		return
 	}
 	state := l.entry(s)
-	if change := state.limit.Answered(sent, time.Now(), rate, named); change != quota.Unchanged {
+	if change := state.limit.ObserveResponse(sent, time.Now(), rate, named); change != quota.Unchanged {
 		l.logChange(state, change, "answer")
 		l.scheduleBroadcast(state)
 	}
@@ -65,13 +65,13 @@
 // scheduleBroadcast arranges for the other daemons to be told of a limit, now or shortly. The
 // caller holds the lock.
 func (l *rateLimits) scheduleBroadcast(state *serverLimit) {
-	after, ok := state.broadcasts.Changed(time.Now())
+	after, ok := state.broadcasts.Schedule(time.Now())
 	if !ok {
 		return
 	}
 	time.AfterFunc(after, func() {
 		l.mu.Lock()
-		state.broadcasts.Told(time.Now())
+		state.broadcasts.MarkSent(time.Now())
 		m := state.message()
 		l.mu.Unlock()
 		l.broadcast(m)
@@ -90,7 +90,7 @@
 	state := l.servers[s.Incarnation()]
 	if state == nil {
 		l.prune()
-		state = &serverLimit{server: s, fallback: quota.Share(rand.Float64())}
+		state = &serverLimit{server: s, fallback: quota.NewDaemonBucket(rand.Float64())}
 		l.servers[s.Incarnation()] = state
 	}
 	return state
@@ -143,7 +143,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	state := l.entry(s)
-	if change := state.limit.Told(time.Now(), m.GetRate(), m.GetNamed()); change != quota.Unchanged {
+	if change := state.limit.ObservePeer(time.Now(), m.GetRate(), m.GetNamed()); change != quota.Unchanged {
 		l.logChange(state, change, "told")
 	}
 }
--- a/serve/forward/permits.go
+++ b/serve/forward/permits.go
@@ -34,7 +34,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	state := l.active(s)
-	return state == nil || state.permitRequests.Open(now)
+	return state == nil || state.permitRequests.CanAsk(now)
 }
 
 // acquire reports whether a request may be sent to a server at once: the server has no limit, or a
@@ -46,7 +46,7 @@
 		l.mu.Unlock()
 		return true
 	}
-	ask, q := state.permitRequests.Ask(time.Now()), &peerpb.PermitRequest{Limit: state.message()}
+	ask, q := state.permitRequests.TryAsk(time.Now()), &peerpb.PermitRequest{Limit: state.message()}
 	l.mu.Unlock()
 	if !ask {
 		return false
@@ -54,7 +54,7 @@
 	granted, wait := l.requestPermit(ctx, state, q)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	state.permitRequests.Answered(time.Now(), wait)
+	state.permitRequests.Complete(time.Now(), wait)
 	l.h.metrics.countPermit(granted)
 	return granted
 }
@@ -101,7 +101,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return state.fallback.Take(time.Now(), quota.Given(q.GetLimit().GetRate())/float64(max(1, len(vms))))
+	return state.fallback.Take(time.Now(), quota.PermitRate(q.GetLimit().GetRate())/float64(max(1, len(vms))))
 }
 
 // isConfirmedIssuer reports whether other daemons request permits here. A daemon that is
@@ -119,7 +119,7 @@
 	if known, named := state.limit.Rate(); named {
 		rate = known
 	}
-	return state.permits.Take(time.Now(), quota.Given(rate))
+	return state.permits.Take(time.Now(), quota.PermitRate(rate))
 }
 
 // quotaService implements peerpb.Quota.
--- a/serve/forward/plain.go
+++ b/serve/forward/plain.go
@@ -79,7 +79,7 @@
 	defer cancel() // cancels hedged sends that are still in progress
 	now := time.Now()
 	if overloadedFor, refused := h.pressure.throttle(now, service); refused {
-		retryAfter := retryafter.Crowded(overloadedFor, in.route.Objective, rand.Float64())
+		retryAfter := retryafter.AfterOverload(overloadedFor, in.route.Objective, rand.Float64())
 		h.metrics.overloadRefusals.WithLabelValues(reasonTurnedAway).Inc()
 		h.opts.Log.Emit(event.CallThrottled, in.call.ID, service, overloadedFor)
 		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the backend servers turn requests away").WithRetryAfter(retryAfter)
@@ -250,7 +250,7 @@
 // service state are reached. Its Retry-After is when a permit may be available.
 func (h *Handler) rateLimitedError(in *inbound, service string, v verdict.Verdict, wait time.Duration) error {
 	overloadedFor, _ := h.pressure.recordRefusal(time.Now(), service)
-	retryAfter := max(wait, retryafter.Crowded(overloadedFor, in.route.Objective, rand.Float64()))
+	retryAfter := max(wait, retryafter.AfterOverload(overloadedFor, in.route.Objective, rand.Float64()))
 	h.metrics.overloadRefusals.WithLabelValues(reasonRateLimited).Inc()
 	return verdict.New(v, verdict.CodeOverloaded, "the backend servers take no more requests now").WithRetryAfter(retryAfter)
 }
@@ -267,7 +267,7 @@
 func (h *Handler) exchange(ctx context.Context, in *inbound, c choice, sendNumber int) *outcome {
 	o := &outcome{choice: c, sendNumber: sendNumber}
 	started := time.Now()
-	trial := h.versions.Try(c.server, in.routeName(), rollout.Whole)
+	trial := h.versions.Try(c.server, in.routeName(), rollout.ResponseTime)
 	defer func() {
 		if result, ok := o.trialOutcome(ctx); ok {
 			trial.Done(result)
--- a/serve/forward/poison.go
+++ b/serve/forward/poison.go
@@ -22,7 +22,7 @@
 
 	mu      sync.Mutex // guards the fields below
 	view    *feed.View // last view processed
-	ledger  poison.Ledger[routing.Incarnation]
+	ledger  poison.CrashCounter[routing.Incarnation]
 	marks   poison.Marks
 	running map[string]map[*activeRequest]bool // by digest
 	details map[string]*peerpb.Poisonous       // of requests with a mark or with crashes counted here
@@ -91,7 +91,7 @@
 	}
 	p.view = view
 	for digest := range view.Refused {
-		p.marks.Lift(digest)
+		p.marks.Delete(digest)
 		p.ledger.Clear(digest)
 		delete(p.details, digest)
 		p.cancelRunning(digest)
@@ -110,7 +110,7 @@
 	if p.isStored(digest) {
 		return poison.Refused
 	}
-	return p.marks.Of(time.Now(), digest)
+	return p.marks.Get(time.Now(), digest)
 }
 
 // isStored reports whether the refusal of a request is in the store.
@@ -147,7 +147,7 @@
 	if details == nil {
 		details = &peerpb.Poisonous{Digest: digest, Account: q.GetAccount(), Route: q.GetRoute()}
 	}
-	if p.ledger.Ended(time.Now(), digest, incarnation) {
+	if p.ledger.Record(time.Now(), digest, incarnation) {
 		details = &peerpb.Poisonous{Digest: digest, Account: details.Account, Route: details.Route, Servers: append(slices.Clone(details.Servers), incarnation.ID)}
 	}
 	p.details[digest] = details
@@ -166,12 +166,12 @@
 
 // pruneDetails drops the details of requests without counted crashes and without a mark.
 func (p *poisonRegistry) pruneDetails() {
-	if len(p.details) <= poison.MaxRequests {
+	if len(p.details) <= poison.MaxTrackedRequests {
 		return
 	}
 	now := time.Now()
 	maps.DeleteFunc(p.details, func(digest string, _ *peerpb.Poisonous) bool {
-		return p.ledger.Mark(digest) == poison.Unmarked && p.marks.Of(now, digest) == poison.Unmarked
+		return p.ledger.Mark(digest) == poison.Unmarked && p.marks.Get(now, digest) == poison.Unmarked
 	})
 }
 
@@ -179,7 +179,7 @@
 // mark is new here.
 func (p *poisonRegistry) setMark(details *peerpb.Poisonous, mark poison.Mark) bool {
 	digest := details.GetDigest()
-	if mark == poison.Unmarked || !p.marks.Set(time.Now(), digest, mark) {
+	if mark == poison.Unmarked || !p.marks.Raise(time.Now(), digest, mark) {
 		return false
 	}
 	p.h.metrics.poisonMarks.WithLabelValues(mark.String()).Inc()
@@ -238,7 +238,7 @@
 // forgetCounts drops the crashes counted against a request and its watched mark, and reports which
 // of them existed. The caller holds the lock.
 func (p *poisonRegistry) forgetCounts(digest string) (counted, watched bool) {
-	counted, watched = p.ledger.Clear(digest), p.marks.Clear(digest)
+	counted, watched = p.ledger.Clear(digest), p.marks.ClearWatched(digest)
 	if counted || watched {
 		delete(p.details, digest)
 	}
--- a/serve/forward/pool.go
+++ b/serve/forward/pool.go
@@ -40,7 +40,7 @@
 	mu         sync.Mutex
 	self       routing.VM
 	startedAt  time.Time
-	retryRule  repeats.Rule
+	retryRule  repeats.Policy
 	view       *feed.View
 	serverSets map[string]*serverSet
 	// loads are kept by incarnation: what was learned of a server does not outlive its process.
@@ -66,7 +66,7 @@
 	since       time.Time
 }
 
-func newPool(self routing.VM, rule repeats.Rule, versions *versions.Manager) *pool {
+func newPool(self routing.VM, rule repeats.Policy, versions *versions.Manager) *pool {
 	return &pool{
 		self: self, startedAt: time.Now(), retryRule: rule, serverSets: map[string]*serverSet{},
 		loads: map[routing.Incarnation]*serverLoad{}, budgets: map[string]*repeats.Budget{},
--- a/serve/forward/pressure.go
+++ b/serve/forward/pressure.go
@@ -20,7 +20,7 @@
 type servicePressure struct {
 	pace     prompts.Estimator
 	throttle throttle.Throttle
-	refusals retryafter.Spell // requests refused by this daemon
+	refusals retryafter.Streak // requests refused by this daemon
 }
 
 func newPressure() *pressure { return &pressure{services: map[string]*servicePressure{}} }
@@ -104,7 +104,7 @@
 func (p *pressure) recordRefusal(now time.Time, service string) (lasted, answer time.Duration) {
 	defer p.mu.Unlock()
 	s := p.lockService(service)
-	return s.refusals.Seen(now), s.pace.MeanAnswerTime()
+	return s.refusals.Extend(now), s.pace.MeanAnswerTime()
 }
 
 // throttle decides whether a call is refused because the servers reject calls, and returns for how
@@ -112,16 +112,16 @@
 func (p *pressure) throttle(now time.Time, service string) (lasted time.Duration, refused bool) {
 	defer p.mu.Unlock()
 	s := p.lockService(service)
-	if !s.throttle.Refuse(now, rand.Float64()) {
+	if !s.throttle.ShouldRefuse(now, rand.Float64()) {
 		return 0, false
 	}
-	return s.refusals.Seen(now), true
+	return s.refusals.Extend(now), true
 }
 
 // isRejecting reports whether the servers of a service currently reject calls.
 func (p *pressure) isRejecting(now time.Time, service string) bool {
 	defer p.mu.Unlock()
-	return p.lockService(service).throttle.Crowded(now)
+	return p.lockService(service).throttle.IsRefusing(now)
 }
 
 // recordCall records the outcome of a call: accepted by a server, or rejected by all servers tried.
@@ -129,8 +129,8 @@
 	defer p.mu.Unlock()
 	s := p.lockService(service)
 	if accepted {
-		s.throttle.Taken(now)
+		s.throttle.RecordAccepted(now)
 		return
 	}
-	s.throttle.TurnedAway(now)
+	s.throttle.RecordRejected(now)
 }
--- a/serve/forward/segment.go
+++ b/serve/forward/segment.go
@@ -64,7 +64,7 @@
 			if r.tryTakeOver(ctx, a, errStreamIdle) {
 				return r.handleFailure(ctx, a.segment, errStreamIdle)
 			}
-			idle.Reset(takeover.Again)
+			idle.Reset(takeover.RetryInterval)
 		case err := <-a.probeFailures:
 			if errors.Is(err, errRestarted) || r.tryTakeOver(ctx, a, err) {
 				return r.handleFailure(ctx, a.segment, err)
@@ -207,7 +207,7 @@
 	if r.linkStalledSince.IsZero() {
 		r.linkStalledSince = now
 	}
-	if now.Sub(r.linkStalledSince) >= takeover.HeldUp {
+	if now.Sub(r.linkStalledSince) >= takeover.MaxLinkStall {
 		return false
 	}
 	others := r.h.pool.prefillCandidates(now, view, r.service, "", SampleSize, []routing.Incarnation{l.target.server.Incarnation()})
--- a/serve/forward/serverset.go
+++ b/serve/forward/serverset.go
@@ -33,7 +33,7 @@
 		state := snapshot.Of(service)
 		steady, canaries := splitByVersion(servers, state)
 		p.serverSets[service] = p.buildServerSet(steady, used)
-		if state.Stage.Running() {
+		if state.Stage.IsRunning() {
 			p.serverSets[canaryKey(service)] = p.buildServerSet(canaries, used)
 			for _, s := range servers { // keeps counting the work at all of them
 				p.currentServer(s, used)
--- a/serve/forward/stream.go
+++ b/serve/forward/stream.go
@@ -269,7 +269,7 @@
 		return nil
 	}
 	overloadedFor, answer := r.h.pressure.recordRefusal(time.Now(), r.service)
-	retryAfter := retryafter.Crowded(overloadedFor, max(answer, r.in.route.Objective), rand.Float64())
+	retryAfter := retryafter.AfterOverload(overloadedFor, max(answer, r.in.route.Objective), rand.Float64())
 	r.h.metrics.overloadRefusals.WithLabelValues(admission.String()).Inc()
 	r.h.opts.Log.Emit(event.PromptRefused, r.in.call.ID, best.server.ID, admission.String(), r.in.call.PromptTokens,
 		best.report.PendingPrompts, best.report.UsedTokens, best.report.CapacityTokens, due, overloadedFor, answer)
--- a/serve/forward/takeover.go
+++ b/serve/forward/takeover.go
@@ -24,7 +24,7 @@
 	if !r.in.route.Resumable {
 		return time.Until(r.in.deadline)
 	}
-	return takeover.Patience(a.hasCopy(), r.in.route.GapTarget)
+	return takeover.MaxSilence(a.hasCopy(), r.in.route.GapTarget)
 }
 
 // tryTakeOver tries to continue the response of a stalled attempt at another server, and reports
@@ -40,8 +40,8 @@
 	if errors.Is(cause, errResponseLost) {
 		r.heldCopy = a.runCopy() // the prompt was prefilled, so the copy exists
 	}
-	outcome := takeover.TurnedAway
-	for outcome == takeover.TurnedAway {
+	outcome := takeover.Rejected
+	for outcome == takeover.Rejected {
 		var next *attempt
 		if outcome, next = r.prepareTakeover(ctx, a, cause); next == nil {
 			break
@@ -52,8 +52,8 @@
 			return true
 		}
 	}
-	r.cannotContinue = takeover.GiveUp(outcome, time.Since(r.lastEventAt)) && r.isUnreachable(ctx, a, cause) &&
-		r.awaitLatePart(ctx, a) == takeover.Quiet
+	r.cannotContinue = takeover.ShouldGiveUp(outcome, time.Since(r.lastEventAt)) && r.isUnreachable(ctx, a, cause) &&
+		r.awaitLatePart(ctx, a) == takeover.Silent
 	r.h.metrics.segmentsKept.WithLabelValues(outcome.String()).Inc()
 	r.h.opts.Log.Emit(event.StalledSegmentKept, r.in.call.ID, a.target.server.ID, cause, outcome.String(), r.cannotContinue, r.lastEventID, time.Since(r.lastEventAt))
 	return r.cannotContinue
@@ -100,14 +100,14 @@
 // awaitTakeover waits until the stalled server or the next one responds, and decides which of them
 // continues the response. It ends the next attempt if the stalled server does.
 func (r *relay) awaitTakeover(ctx context.Context, a, next *attempt, cause error) takeover.Outcome {
-	stalledState, nextState := takeover.Quiet, takeover.Quiet
+	stalledState, nextState := takeover.Silent, takeover.Silent
 	overlap := time.NewTimer(time.Hour)
 	defer overlap.Stop()
 	written, overlapEnded := next.requestWritten, false
 	var writtenAt time.Time // when the next server had received the request
 	for {
-		switch takeover.Settle(stalledState, nextState, overlapEnded) {
-		case takeover.Move:
+		switch takeover.Decide(stalledState, nextState, overlapEnded) {
+		case takeover.Switch:
 			return takeover.TakenOver
 		case takeover.Keep:
 			return r.cancelTakeover(ctx, a, next, nextState)
@@ -120,7 +120,7 @@
 				a.markCopyUsed()
 			}
 			if r.h.opts.Feed.View().Config.Engine(r.service) != nil {
-				overlap.Reset(takeover.Overlap)
+				overlap.Reset(takeover.MaxOverlap)
 			}
 		case s := <-a.nextParts():
 			a.pushBack(s)
@@ -130,13 +130,13 @@
 			nextState = s.takeoverState()
 		case <-overlap.C:
 			stalledResponds, nextResponds := r.probeBoth(ctx, a, next, cause)
-			overlapEnded = takeover.Over(stalledResponds, nextResponds, time.Since(writtenAt))
+			overlapEnded = takeover.IsOverlapOver(stalledResponds, nextResponds, time.Since(writtenAt))
 			if overlapEnded {
 				stalledState = r.awaitLatePart(ctx, a)
 			}
-			overlap.Reset(takeover.Overlap)
+			overlap.Reset(takeover.MaxOverlap)
 		case <-ctx.Done():
-			return r.cancelTakeover(ctx, a, next, takeover.Quiet)
+			return r.cancelTakeover(ctx, a, next, takeover.Silent)
 		}
 	}
 }
@@ -148,8 +148,8 @@
 // parts have arrived by the time the probes have failed, and without a last look the response
 // would be truncated although it continues. Delayed parts arrive no later than the response of
 // another engine that shows that the link works.
-func (r *relay) awaitLatePart(ctx context.Context, a *attempt) takeover.State {
-	timer := time.NewTimer(takeover.Settling)
+func (r *relay) awaitLatePart(ctx context.Context, a *attempt) takeover.ServerState {
+	timer := time.NewTimer(takeover.SettleTime)
 	defer timer.Stop()
 	select {
 	case s := <-a.nextParts():
@@ -158,7 +158,7 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return takeover.Quiet
+	return takeover.Silent
 }
 
 // probeBoth probes the engines of two attempts and reports which of them respond.
@@ -174,7 +174,7 @@
 }
 
 // cancelTakeover ends the attempt that was to continue the response, and returns why it does not.
-func (r *relay) cancelTakeover(ctx context.Context, a, next *attempt, nextState takeover.State) takeover.Outcome {
+func (r *relay) cancelTakeover(ctx context.Context, a, next *attempt, nextState takeover.ServerState) takeover.Outcome {
 	if nextState != takeover.Broken {
 		r.finishAttempt(next, segmentAborted, errTakeoverCancelled)
 		return takeover.NotNeeded
@@ -186,7 +186,7 @@
 	end, err := r.handleFailedTakeover(ctx, next.segment, *s.head)
 	next.response = s.head.resp
 	r.finishAttempt(next, end, err)
-	return takeover.TurnedAway
+	return takeover.Rejected
 }
 
 // handleFailedTakeover processes the response of a server that did not continue the stalled one.
@@ -205,12 +205,12 @@
 }
 
 // takeoverState returns the state of a server that a part of its response shows.
-func (s responsePart) takeoverState() takeover.State {
+func (s responsePart) takeoverState() takeover.ServerState {
 	switch {
 	case s.head != nil && s.head.isStream():
-		return takeover.Responds
+		return takeover.Responding
 	case s.head == nil && (s.event.err == nil || s.event.err == io.EOF):
-		return takeover.Responds
+		return takeover.Responding
 	}
 	return takeover.Broken
 }
