--- a/cmd/mallowctl/rollout.go
+++ b/cmd/mallowctl/rollout.go
@@ -59,7 +59,7 @@
 		r := list[service]
 		switch {
 		case r.Status != nil:
-			fmt.Fprintf(out, "%s  %s  from %s to %s  share %.3f  due %s\n", service, r.Status.Stage, r.Status.Base, r.Status.Target,
+			fmt.Fprintf(out, "%s  %s  from %s to %s  share %.3f  due %s\n", service, r.Status.Stage, r.Status.Baseline, r.Status.Target,
 				r.Status.Share, time.UnixMilli(r.Status.Due).UTC().Format(time.RFC3339))
 		case r.Order != nil:
 			fmt.Fprintf(out, "%s  ordered  to %s  in %v\n", service, r.Order.Target, r.Order.Period)
@@ -112,10 +112,10 @@
 	}
 	status := list[c.Service].Status
 	switch {
-	case status == nil || !status.Stage.Running():
+	case status == nil || !status.Stage.IsRunning():
 		return usageError{errors.Errorf("no roll-out of %q is under way", c.Service)}
-	case status.Stage == rollout.Last:
-		return usageError{errors.Errorf("the roll-out of %q is at its end; order one to version %q", c.Service, status.Base)}
+	case status.Stage == rollout.Migrating:
+		return usageError{errors.Errorf("the roll-out of %q is at its end; order one to version %q", c.Service, status.Baseline)}
 	}
-	return c.order(routing.RolloutOrder{Service: c.Service, Target: status.Base, Period: c.Period})
+	return c.order(routing.RolloutOrder{Service: c.Service, Target: status.Baseline, Period: c.Period})
 }
--- a/cmd/mallowctl/rollout_test.go
+++ b/cmd/mallowctl/rollout_test.go
@@ -18,7 +18,7 @@
 	writeRollouts(&out, nil)
 	must.Eq(t, "no service has a roll-out\n", out.String())
 	out.Reset()
-	state := rollout.State{Base: "v1", Target: "v2", Stage: rollout.Few, Share: 0.05}
+	state := rollout.State{Baseline: "v1", Target: "v2", Stage: rollout.Canary, Share: 0.05}
 	writeRollouts(&out, map[string]feed.Rollout{
 		"b": {Order: &routing.RolloutOrder{Target: "v3", Period: time.Minute}},
 		"a": {Status: &routing.RolloutStatus{State: state, Due: 1_796_266_800_000}},
--- a/cmd/mallowwind/forward.go
+++ b/cmd/mallowwind/forward.go
@@ -80,7 +80,7 @@
 func bounds(s *nodefile.Settings) gateway.Bounds {
 	return gateway.Bounds{
 		KeyAge: s.KeyAge, Grace: s.DrainGrace, Seeds: s.Seeds,
-		Repeats:  repeats.Rule{Ratio: s.RetryRatio, Slack: s.RetrySlack, Window: s.RetryWindow},
+		Repeats:  repeats.Policy{Ratio: s.RetryRatio, Slack: s.RetrySlack, Window: s.RetryWindow},
 		Rollouts: rollout.Limits{Share: s.RolloutShare, Slack: s.RolloutSlack},
 	}
 }
--- a/cmd/mallowwind/forwardown.go
+++ b/cmd/mallowwind/forwardown.go
@@ -31,7 +31,7 @@
 
 // ownRepeats is the fleet's budget of sends beyond the first: four in five
 // requests and a hundred and fifty in ten seconds carry the loss of a zone.
-var ownRepeats = repeats.Rule{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
+var ownRepeats = repeats.Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 
 // ownRollouts lets a version that is not known to be good have a tenth of a service's requests
 // and fifty.
--- a/control/routing/rollout.go
+++ b/control/routing/rollout.go
@@ -57,7 +57,7 @@
 // Record is what is written of a status.
 func (s RolloutStatus) Record() RolloutRecord {
 	return RolloutRecord{
-		Stage: s.Stage.String(), Target: s.Target, Base: s.Base, Order: s.Order, Share: s.Share, Common: s.Common, Due: s.Due,
+		Stage: s.Stage.String(), Target: s.Target, Base: s.Baseline, Order: s.OrderRevision, Share: s.Share, Common: s.CommonRoutes, Due: s.Due,
 	}
 }
 
@@ -68,6 +68,6 @@
 		return RolloutStatus{}, errors.Errorf("status of a roll-out: unknown stage %q", r.Stage)
 	}
 	return RolloutStatus{
-		State: rollout.State{Order: r.Order, Base: r.Base, Target: r.Target, Stage: stage, Share: r.Share, Common: r.Common}, Due: r.Due,
+		State: rollout.State{OrderRevision: r.Order, Baseline: r.Base, Target: r.Target, Stage: stage, Share: r.Share, CommonRoutes: r.Common}, Due: r.Due,
 	}, nil
 }
--- a/decision/absence/absence.go
+++ b/decision/absence/absence.go
@@ -71,5 +71,5 @@
 // Back is when a caller comes back that was refused after such a wait, or without one. draw
 // is in [0, 1).
 func (a *Absence) Back(draw float64) time.Duration {
-	return retryafter.Spread(max(shortest, time.Duration(a.mean)), draw)
+	return retryafter.Jitter(max(shortest, time.Duration(a.mean)), draw)
 }
--- a/decision/poison/fleet_test.go
+++ b/decision/poison/fleet_test.go
@@ -54,7 +54,7 @@
 	downTill []time.Duration
 	streams  []*stream
 	hashes   []uint64
-	ledgers  []Ledger[[2]int]
+	ledgers  []CrashCounter[[2]int]
 	refused  map[int]time.Duration // from when every daemon refuses a digest
 	result   fleetResult
 }
@@ -64,7 +64,7 @@
 func (f fleetLoad) play(t *testing.T, seed uint64) fleetResult {
 	p := &fleetPlay{fleetLoad: f, t: t, random: rand.New(rand.NewPCG(seed, 0)), refused: map[int]time.Duration{}}
 	p.lives, p.downTill = make([]int, f.servers), make([]time.Duration, f.servers)
-	p.ledgers = make([]Ledger[[2]int], f.daemons)
+	p.ledgers = make([]CrashCounter[[2]int], f.daemons)
 	for d := range f.daemons {
 		p.hashes = append(p.hashes, route.Mix(uint64(d)+1))
 	}
@@ -162,11 +162,11 @@
 			continue
 		}
 		age := p.now - s.since
-		e := Ending{Unread: float64(age) < 0.7*float64(readTime), Running: max(0, age-readTime)}
-		if e.Judge() == Counts {
-			e.Asked, e.Down = p.lookAround(server)
+		e := Termination{PromptUnread: float64(age) < 0.7*float64(readTime), Streamed: max(0, age-readTime)}
+		if e.Attribute() == Attributed {
+			e.PeersChecked, e.PeersDown = p.lookAround(server)
 		}
-		if e.Judge() == Counts {
+		if e.Attribute() == Attributed {
 			p.count(s, life)
 		}
 		if !p.send(s) {
@@ -176,7 +176,7 @@
 }
 
 func (p *fleetPlay) lookAround(server int) (asked, down int) {
-	for range Looked {
+	for range PeersToCheck {
 		if other := p.random.IntN(p.servers/3)*3 + server%3; other != server {
 			asked++
 			if p.now < p.downTill[other] {
@@ -196,7 +196,7 @@
 			p.result.messages++
 		}
 		before := p.ledgers[d].Mark(digest)
-		p.ledgers[d].Ended(time.Unix(0, int64(p.now)), digest, life)
+		p.ledgers[d].Record(time.Unix(0, int64(p.now)), digest, life)
 		after := p.ledgers[d].Mark(digest)
 		if after == before {
 			continue
--- a/decision/poison/ledger.go
+++ b/decision/poison/ledger.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	// MaxRequests bounds the requests of which a daemon remembers ends of servers.
-	MaxRequests = 4096
+	// MaxTrackedRequests bounds the requests of which a daemon remembers ends of servers.
+	MaxTrackedRequests = 4096
 	// remembered is how long a request is remembered under which no further server ended.
 	remembered = time.Hour
 )
 
-// Ledger counts the servers that ended under each request, by a key of the server's life. The zero value is empty. It is
+// CrashCounter counts the servers that ended under each request, by a key of the server's life. The zero value is empty. It is
 // not safe for concurrent use.
 //
 // Where it is full a request with the fewest ends makes room, the longest unchanged of
 // those: a caller whose requests are unlucky once each pushes out none that ended more.
-type Ledger[L comparable] struct {
+type CrashCounter[L comparable] struct {
 	requests map[string]*ends[L] // by digest
 }
 
@@ -24,9 +24,9 @@
 	at      time.Time  // of the last
 }
 
-// Ended records that a life of a server ended under a request. It reports whether that was
+// Record records that a life of a server ended under a request. It reports whether that was
 // not known.
-func (l *Ledger[L]) Ended(now time.Time, digest string, life L) (fresh bool) {
+func (l *CrashCounter[L]) Record(now time.Time, digest string, life L) (fresh bool) {
 	if l.requests == nil {
 		l.requests = map[string]*ends[L]{}
 	}
@@ -42,7 +42,7 @@
 }
 
 // Mark is the mark of a request by what is counted here.
-func (l *Ledger[L]) Mark(digest string) Mark {
+func (l *CrashCounter[L]) Mark(digest string) Mark {
 	if one := l.requests[digest]; one != nil {
 		return markAfter(len(one.servers))
 	}
@@ -50,14 +50,14 @@
 }
 
 // Clear forgets what is counted of a request. It reports whether there was anything.
-func (l *Ledger[L]) Clear(digest string) bool {
+func (l *CrashCounter[L]) Clear(digest string) bool {
 	_, known := l.requests[digest]
 	delete(l.requests, digest)
 	return known
 }
 
-func (l *Ledger[L]) makeRoom(digest string) {
-	if len(l.requests) < MaxRequests || l.requests[digest] != nil {
+func (l *CrashCounter[L]) makeRoom(digest string) {
+	if len(l.requests) < MaxTrackedRequests || l.requests[digest] != nil {
 		return
 	}
 	least := ""
--- a/decision/poison/marks.go
+++ b/decision/poison/marks.go
@@ -21,13 +21,13 @@
 	at   time.Time
 }
 
-// Set records a mark. It reports whether it is a higher one than before; a lower one changes
+// Raise records a mark. It reports whether it is a higher one than before; a lower one changes
 // nothing. There may be no room for a request that is only watched.
-func (m *Marks) Set(now time.Time, digest string, mark Mark) bool {
+func (m *Marks) Raise(now time.Time, digest string, mark Mark) bool {
 	if m.marks == nil {
 		m.marks = map[string]marked{}
 	}
-	if mark <= m.Of(now, digest) {
+	if mark <= m.Get(now, digest) {
 		return false
 	}
 	if _, known := m.marks[digest]; !known && len(m.marks) >= maxMarks && !m.makeRoom(now) {
@@ -37,8 +37,8 @@
 	return true
 }
 
-// Of is the mark of a request.
-func (m *Marks) Of(now time.Time, digest string) Mark {
+// Get is the mark of a request.
+func (m *Marks) Get(now time.Time, digest string) Mark {
 	one := m.marks[digest]
 	if now.Sub(one.at) >= markedFor {
 		return Unmarked
@@ -46,8 +46,8 @@
 	return one.mark
 }
 
-// Clear takes back that a request is watched. It reports whether it was.
-func (m *Marks) Clear(digest string) bool {
+// ClearWatched takes back that a request is watched. It reports whether it was.
+func (m *Marks) ClearWatched(digest string) bool {
 	if m.marks[digest].mark != Watched {
 		return false
 	}
@@ -55,13 +55,13 @@
 	return true
 }
 
-// Lift takes back that a request is refused.
-func (m *Marks) Lift(digest string) { delete(m.marks, digest) }
+// Delete takes back that a request is refused.
+func (m *Marks) Delete(digest string) { delete(m.marks, digest) }
 
-// All are the requests with a mark.
-func (m *Marks) All(now time.Time, mark Mark) (digests []string) {
+// DigestsWith are the requests with a mark.
+func (m *Marks) DigestsWith(now time.Time, mark Mark) (digests []string) {
 	for digest := range m.marks {
-		if m.Of(now, digest) == mark {
+		if m.Get(now, digest) == mark {
 			digests = append(digests, digest)
 		}
 	}
@@ -73,7 +73,7 @@
 func (m *Marks) makeRoom(now time.Time) bool {
 	oldest := ""
 	for digest, one := range m.marks {
-		if m.Of(now, digest) == Unmarked {
+		if m.Get(now, digest) == Unmarked {
 			delete(m.marks, digest)
 			continue
 		}
--- a/decision/poison/poison.go
+++ b/decision/poison/poison.go
@@ -29,55 +29,55 @@
 	// beginning is how long after its first event a request may have ended its server: a
 	// crash comes right after the first token, and events lag.
 	beginning = 500 * time.Millisecond
-	// Looked is how many other servers of the zone are looked at when one has ended.
-	Looked = 3
+	// PeersToCheck is how many other servers of the zone are looked at when one has ended.
+	PeersToCheck = 3
 	// leastAsked is of how many most say something of the zone.
 	leastAsked = 2
 )
 
-// Ending is what is known of a request at a server that ended.
-type Ending struct {
+// Termination is what is known of a request at a server that ended.
+type Termination struct {
 	// Planned says that the server was to leave.
 	Planned bool
-	// Unread says that the prompt certainly was not read when the server ended.
-	Unread bool
-	// Running is how long events had come from the server; 0 before the first.
-	Running time.Duration
-	// Asked is how many other servers of its zone were looked at, Down how many of them had
+	// PromptUnread says that the prompt certainly was not read when the server ended.
+	PromptUnread bool
+	// Streamed is how long events had come from the server; 0 before the first.
+	Streamed time.Duration
+	// PeersChecked is how many other servers of its zone were looked at, Down how many of them had
 	// ended as well.
-	Asked, Down int
+	PeersChecked, PeersDown int
 }
 
-// Finding says whether the end of a server counts for a request.
-type Finding uint8
+// Attribution says whether the end of a server counts for a request.
+type Attribution uint8
 
 // The findings.
 const (
-	Counts Finding = iota
+	Attributed Attribution = iota
 	Planned
-	NotBegun
-	RanOn
-	ManyEnded
+	NotStarted
+	KeptRunning
+	ZoneFailure
 )
 
 // String returns the word used in logs.
-func (f Finding) String() string {
+func (f Attribution) String() string {
 	return [...]string{"counts", "planned", "not_begun", "ran_on", "many_ended"}[f]
 }
 
-// Judge says whether the end of the server counts for the request.
-func (e Ending) Judge() Finding {
+// Attribute says whether the end of the server counts for the request.
+func (e Termination) Attribute() Attribution {
 	switch {
 	case e.Planned:
 		return Planned
-	case e.Unread:
-		return NotBegun
-	case e.Running >= beginning:
-		return RanOn
-	case e.Asked >= leastAsked && 2*e.Down > e.Asked:
-		return ManyEnded
+	case e.PromptUnread:
+		return NotStarted
+	case e.Streamed >= beginning:
+		return KeptRunning
+	case e.PeersChecked >= leastAsked && 2*e.PeersDown > e.PeersChecked:
+		return ZoneFailure
 	}
-	return Counts
+	return Attributed
 }
 
 // Mark is what is held of a request.
--- a/decision/poison/poison_test.go
+++ b/decision/poison/poison_test.go
@@ -10,22 +10,22 @@
 
 func TestWhichEndsCount(t *testing.T) {
 	for _, c := range []struct {
-		ending Ending
-		want   Finding
+		ending Termination
+		want   Attribution
 	}{
-		{Ending{}, Counts},
-		{Ending{Running: 100 * time.Millisecond}, Counts},
-		{Ending{Running: 2 * time.Second}, RanOn},
-		{Ending{Unread: true}, NotBegun},
-		{Ending{Planned: true}, Planned},
-		{Ending{Planned: true, Running: 2 * time.Second}, Planned},
+		{Termination{}, Attributed},
+		{Termination{Streamed: 100 * time.Millisecond}, Attributed},
+		{Termination{Streamed: 2 * time.Second}, KeptRunning},
+		{Termination{PromptUnread: true}, NotStarted},
+		{Termination{Planned: true}, Planned},
+		{Termination{Planned: true, Streamed: 2 * time.Second}, Planned},
 	} {
-		must.Eq(t, c.want, c.ending.Judge(), must.Sprint(c.ending))
+		must.Eq(t, c.want, c.ending.Attribute(), must.Sprint(c.ending))
 	}
 }
 
 func TestMarkGrowsWithTheServersThatEnded(t *testing.T) {
-	var l Ledger[string]
+	var l CrashCounter[string]
 	now := time.Now()
 	for _, c := range []struct {
 		life  string
@@ -38,7 +38,7 @@
 		{"c", true, Refused},
 		{"d", true, Refused},
 	} {
-		must.Eq(t, c.fresh, l.Ended(now, "x", c.life))
+		must.Eq(t, c.fresh, l.Record(now, "x", c.life))
 		must.Eq(t, c.want, l.Mark("x"))
 	}
 	must.True(t, l.Clear("x"))
@@ -48,54 +48,54 @@
 
 // Requests that are unlucky once each must not push out one that has ended more servers.
 func TestFullLedgerKeepsThoseThatEndedMore(t *testing.T) {
-	var l Ledger[string]
+	var l CrashCounter[string]
 	now := time.Now()
-	l.Ended(now, "worst", "a")
-	l.Ended(now, "worst", "b")
-	for i := range 3 * MaxRequests {
-		l.Ended(now.Add(time.Duration(i)*time.Millisecond), fmt.Sprint(i), "a")
+	l.Record(now, "worst", "a")
+	l.Record(now, "worst", "b")
+	for i := range 3 * MaxTrackedRequests {
+		l.Record(now.Add(time.Duration(i)*time.Millisecond), fmt.Sprint(i), "a")
 	}
-	must.MapLen(t, MaxRequests, l.requests)
+	must.MapLen(t, MaxTrackedRequests, l.requests)
 	must.Eq(t, Watched, l.Mark("worst"))
 }
 
 func TestLongUnchangedCountsBeginAnew(t *testing.T) {
-	var l Ledger[string]
+	var l CrashCounter[string]
 	now := time.Now()
-	l.Ended(now, "x", "a")
-	l.Ended(now, "x", "b")
-	l.Ended(now.Add(remembered), "x", "c")
+	l.Record(now, "x", "a")
+	l.Record(now, "x", "b")
+	l.Record(now.Add(remembered), "x", "c")
 	must.Eq(t, Unmarked, l.Mark("x"))
 }
 
 func TestMarksOnlyRise(t *testing.T) {
 	var m Marks
 	now := time.Now()
-	must.True(t, m.Set(now, "x", Watched))
-	must.False(t, m.Set(now, "x", Watched))
-	must.True(t, m.Set(now, "x", Refused))
-	must.False(t, m.Set(now, "x", Watched))
-	must.False(t, m.Clear("x"))
-	must.Eq(t, []string{"x"}, m.All(now, Refused))
-	must.Eq(t, Unmarked, m.Of(now.Add(markedFor), "x"))
-	m.Lift("x")
-	must.Eq(t, Unmarked, m.Of(now, "x"))
-	m.Set(now, "y", Watched)
-	must.True(t, m.Clear("y"))
+	must.True(t, m.Raise(now, "x", Watched))
+	must.False(t, m.Raise(now, "x", Watched))
+	must.True(t, m.Raise(now, "x", Refused))
+	must.False(t, m.Raise(now, "x", Watched))
+	must.False(t, m.ClearWatched("x"))
+	must.Eq(t, []string{"x"}, m.DigestsWith(now, Refused))
+	must.Eq(t, Unmarked, m.Get(now.Add(markedFor), "x"))
+	m.Delete("x")
+	must.Eq(t, Unmarked, m.Get(now, "x"))
+	m.Raise(now, "y", Watched)
+	must.True(t, m.ClearWatched("y"))
 }
 
 func TestFullMarksKeepRefusals(t *testing.T) {
 	var m Marks
 	now := time.Now()
 	for i := range maxMarks {
-		m.Set(now.Add(time.Duration(i)), fmt.Sprint(i), Watched)
+		m.Raise(now.Add(time.Duration(i)), fmt.Sprint(i), Watched)
 	}
-	must.True(t, m.Set(now, "worst", Refused))
-	must.Eq(t, Unmarked, m.Of(now, "0"))
+	must.True(t, m.Raise(now, "worst", Refused))
+	must.Eq(t, Unmarked, m.Get(now, "0"))
 	for i := range maxMarks {
-		m.Set(now, fmt.Sprint(i), Refused)
+		m.Raise(now, fmt.Sprint(i), Refused)
 	}
-	must.Eq(t, Refused, m.Of(now, "worst"))
-	must.False(t, m.Set(now, "late", Refused))
-	must.True(t, m.Set(now.Add(markedFor), "late", Refused))
+	must.Eq(t, Refused, m.Get(now, "worst"))
+	must.False(t, m.Raise(now, "late", Refused))
+	must.True(t, m.Raise(now.Add(markedFor), "late", Refused))
 }
--- a/decision/quota/fleet_test.go
+++ b/decision/quota/fleet_test.go
@@ -27,16 +27,16 @@
 // questions were asked.
 func (f fleetCalls) play(seed uint64) (sent, most, asked int) {
 	random := rand.New(rand.NewPCG(seed, 0))
-	turns := make([]Turn, f.daemons)
+	turns := make([]PermitPoller, f.daemons)
 	answers := map[int][]int{} // daemons whose questions are answered in a step
-	var bucket Bucket
+	var bucket TokenBucket
 	var arrivals []time.Time
 	start := time.Now()
 	for n := range int(played / step) {
 		now := start.Add(time.Duration(n) * step)
 		for _, d := range answers[n] {
-			granted, wait := bucket.Take(now, Given(f.rate))
-			turns[d].Answered(now, wait)
+			granted, wait := bucket.Take(now, PermitRate(f.rate))
+			turns[d].Complete(now, wait)
 			if granted {
 				arrivals = append(arrivals, now)
 			}
@@ -49,7 +49,7 @@
 		if f.uneven && random.IntN(2) == 0 {
 			d = 0
 		}
-		if turns[d].Ask(now) {
+		if turns[d].TryAsk(now) {
 			asked++
 			answers[n+roundTrip] = append(answers[n+roundTrip], d)
 		}
@@ -89,15 +89,15 @@
 	for _, rate := range []float64{0, 5.8, 60} {
 		const daemons = 295
 		random := rand.New(rand.NewPCG(1, 0))
-		shares := make([]Bucket, daemons)
+		shares := make([]TokenBucket, daemons)
 		for d := range shares {
-			shares[d] = Share(random.Float64())
+			shares[d] = NewDaemonBucket(random.Float64())
 		}
 		var arrivals []time.Time
 		start := time.Now()
 		for n := range int(5 * time.Minute / (10 * time.Millisecond)) {
 			now := start.Add(time.Duration(n) * 10 * time.Millisecond)
-			if granted, _ := shares[random.IntN(daemons)].Take(now, Given(rate)/daemons); granted {
+			if granted, _ := shares[random.IntN(daemons)].Take(now, PermitRate(rate)/daemons); granted {
 				arrivals = append(arrivals, now)
 			}
 		}
--- a/decision/quota/limit.go
+++ b/decision/quota/limit.go
@@ -11,9 +11,9 @@
 // The changes.
 const (
 	Unchanged Change = iota
-	Named
+	Added
 	Changed
-	Lifted
+	Removed
 )
 
 // String returns the word used in logs.
@@ -45,22 +45,22 @@
 	return now.Sub(l.since), now.Sub(l.at)
 }
 
-// Answered takes in what an answer says, to a request that was sent at a moment. An answer
+// ObserveResponse takes in what an answer says, to a request that was sent at a moment. An answer
 // without a limit ends one only if its request was sent after the limit was last named: the
 // server may have begun that answer before it was in need.
-func (l *Limit) Answered(sent, now time.Time, rate float64, named bool) Change {
+func (l *Limit) ObserveResponse(sent, now time.Time, rate float64, named bool) Change {
 	if !named {
 		if !l.named || !sent.After(l.at) {
 			return Unchanged
 		}
 		l.named = false
-		return Lifted
+		return Removed
 	}
 	return l.name(now, rate)
 }
 
-// Told takes in what another daemon says.
-func (l *Limit) Told(now time.Time, rate float64, named bool) Change {
+// ObservePeer takes in what another daemon says.
+func (l *Limit) ObservePeer(now time.Time, rate float64, named bool) Change {
 	if named {
 		return l.name(now, rate)
 	}
@@ -68,14 +68,14 @@
 		return Unchanged
 	}
 	l.named = false
-	return Lifted
+	return Removed
 }
 
 func (l *Limit) name(now time.Time, rate float64) Change {
 	l.at = now
 	if !l.named {
 		l.named, l.rate, l.since = true, rate, now
-		return Named
+		return Added
 	}
 	if math.Abs(rate-l.rate) <= changeShare*l.rate {
 		return Unchanged
@@ -84,16 +84,16 @@
 	return Changed
 }
 
-// Telling paces what others are told of one limit. The zero value has told nothing. It is not
+// BroadcastPacer paces what others are told of one limit. The zero value has told nothing. It is not
 // safe for concurrent use.
-type Telling struct {
+type BroadcastPacer struct {
 	at  time.Time // when others were told last
 	due bool
 }
 
-// Changed returns after what time others are told of a change, with what holds then; ok is false
+// Schedule returns after what time others are told of a change, with what holds then; ok is false
 // where they are to be told already.
-func (t *Telling) Changed(now time.Time) (after time.Duration, ok bool) {
+func (t *BroadcastPacer) Schedule(now time.Time) (after time.Duration, ok bool) {
 	if t.due {
 		return 0, false
 	}
@@ -101,5 +101,5 @@
 	return max(0, tellEvery-now.Sub(t.at)), true
 }
 
-// Told records that others are told now.
-func (t *Telling) Told(now time.Time) { t.at, t.due = now, false }
+// MarkSent records that others are told now.
+func (t *BroadcastPacer) MarkSent(now time.Time) { t.at, t.due = now, false }
--- a/decision/quota/quota.go
+++ b/decision/quota/quota.go
@@ -37,9 +37,9 @@
 	maxWait = 10 * time.Second
 )
 
-// Read reads the rate that a server names, in requests a second; named is false where the text
+// ParseRate reads the rate that a server names, in requests a second; named is false where the text
 // is empty or names no bound. What cannot be read comes with an error and counts as a rate of 0.
-func Read(text string) (rate float64, named bool, err error) {
+func ParseRate(text string) (rate float64, named bool, err error) {
 	if text == "" {
 		return 0, false, nil
 	}
@@ -53,25 +53,25 @@
 	return rate, true, nil
 }
 
-// Given is the rate of permits for a server that takes rate requests a second.
-func Given(rate float64) float64 { return max(leastRate, given*rate) }
+// PermitRate is the rate of permits for a server that takes rate requests a second.
+func PermitRate(rate float64) float64 { return max(leastRate, given*rate) }
 
-// Bucket gives out permits for one server. The zero value has given out none. It is not safe for
+// TokenBucket gives out permits for one server. The zero value has given out none. It is not safe for
 // concurrent use.
-type Bucket struct {
+type TokenBucket struct {
 	tokens float64
 	most   float64 // tokens kept, 0 for burst
 	at     time.Time
 	free   time.Time // when the daemon refused next is told to ask again
 }
 
-// Share returns the bucket of one daemon that keeps to its even part by itself. draw is in [0, 1),
+// NewDaemonBucket returns the bucket of one daemon that keeps to its even part by itself. draw is in [0, 1),
 // another at each daemon: without it all would send their first request at the same moment.
-func Share(draw float64) Bucket { return Bucket{tokens: draw, most: 1} }
+func NewDaemonBucket(draw float64) TokenBucket { return TokenBucket{tokens: draw, most: 1} }
 
 // Take takes a permit, of which give a second are given out. Where there is none it returns after
 // what time the daemon should ask again.
-func (b *Bucket) Take(now time.Time, give float64) (granted bool, wait time.Duration) {
+func (b *TokenBucket) Take(now time.Time, give float64) (granted bool, wait time.Duration) {
 	most := b.most
 	if most == 0 {
 		most = burst
@@ -96,30 +96,30 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Turn says when one daemon may ask for a permit for a server. The zero value may ask. It is not
+// PermitPoller says when one daemon may ask for a permit for a server. The zero value may ask. It is not
 // safe for concurrent use.
-type Turn struct {
+type PermitPoller struct {
 	asking bool
 	at     time.Time // not before then
 }
 
-// Open reports whether a permit may be asked for: none is being asked for, and the time to ask
+// CanAsk reports whether a permit may be asked for: none is being asked for, and the time to ask
 // has come.
-func (t *Turn) Open(now time.Time) bool { return !t.asking && !now.Before(t.at) }
+func (t *PermitPoller) CanAsk(now time.Time) bool { return !t.asking && !now.Before(t.at) }
 
-// Ask begins a question, if one may be asked. Its answer goes to Answered.
-func (t *Turn) Ask(now time.Time) bool {
-	if !t.Open(now) {
+// TryAsk begins a question, if one may be asked. Its answer goes to Answered.
+func (t *PermitPoller) TryAsk(now time.Time) bool {
+	if !t.CanAsk(now) {
 		return false
 	}
 	t.asking = true
 	return true
 }
 
-// Answered ends a question; wait is how long not to ask again, 0 after a permit.
-func (t *Turn) Answered(now time.Time, wait time.Duration) {
+// Complete ends a question; wait is how long not to ask again, 0 after a permit.
+func (t *PermitPoller) Complete(now time.Time, wait time.Duration) {
 	t.asking, t.at = false, now.Add(wait)
 }
 
 // Wait is how long it is until a permit may be asked for.
-func (t *Turn) Wait(now time.Time) time.Duration { return max(0, t.at.Sub(now)) }
+func (t *PermitPoller) Wait(now time.Time) time.Duration { return max(0, t.at.Sub(now)) }
--- a/decision/quota/quota_test.go
+++ b/decision/quota/quota_test.go
@@ -26,7 +26,7 @@
 		{"5,8", 0, true, true},
 		{"1e999", 0, true, true},
 	} {
-		rate, named, err := Read(c.text)
+		rate, named, err := ParseRate(c.text)
 		must.Eq(t, c.rate, rate, must.Sprint(c.text))
 		must.Eq(t, c.named, named, must.Sprint(c.text))
 		must.Eq(t, c.wrong, err != nil, must.Sprint(c.text))
@@ -35,76 +35,76 @@
 
 func TestBucketGivesOutTheRate(t *testing.T) {
 	for _, rate := range []float64{0, 0.1, 1, 5.8, 200} {
-		var b Bucket
+		var b TokenBucket
 		start := time.Now()
 		granted := 0
 		for now := start; now.Before(start.Add(100 * time.Second)); now = now.Add(time.Millisecond) {
-			if ok, wait := b.Take(now, Given(rate)); ok {
+			if ok, wait := b.Take(now, PermitRate(rate)); ok {
 				granted++
 			} else {
 				must.Positive(t, wait)
 				must.LessEq(t, maxWait, wait)
 			}
 		}
-		must.Between(t, 0.95, float64(granted)/100/Given(rate), 1.05, must.Sprint(rate))
+		must.Between(t, 0.95, float64(granted)/100/PermitRate(rate), 1.05, must.Sprint(rate))
 	}
 }
 
 // Daemons that are refused must not all come back at the same moment.
 func TestRefusedAreToldDifferentTimes(t *testing.T) {
-	var b Bucket
+	var b TokenBucket
 	now := time.Now()
-	b.Take(now, Given(5))
-	_, first := b.Take(now, Given(5))
-	_, second := b.Take(now, Given(5))
-	must.Eq(t, seconds(1/Given(5)), second-first)
+	b.Take(now, PermitRate(5))
+	_, first := b.Take(now, PermitRate(5))
+	_, second := b.Take(now, PermitRate(5))
+	must.Eq(t, seconds(1/PermitRate(5)), second-first)
 }
 
 func TestDaemonAsksOneQuestionAtATime(t *testing.T) {
-	var turn Turn
+	var turn PermitPoller
 	now := time.Now()
-	must.True(t, turn.Ask(now))
-	must.False(t, turn.Open(now))
-	must.False(t, turn.Ask(now))
-	turn.Answered(now, 0)
-	must.True(t, turn.Ask(now))
-	turn.Answered(now, time.Second)
-	must.False(t, turn.Ask(now.Add(time.Second-1)))
+	must.True(t, turn.TryAsk(now))
+	must.False(t, turn.CanAsk(now))
+	must.False(t, turn.TryAsk(now))
+	turn.Complete(now, 0)
+	must.True(t, turn.TryAsk(now))
+	turn.Complete(now, time.Second)
+	must.False(t, turn.TryAsk(now.Add(time.Second-1)))
 	must.Eq(t, time.Second, turn.Wait(now))
-	must.True(t, turn.Ask(now.Add(time.Second)))
+	must.True(t, turn.TryAsk(now.Add(time.Second)))
 }
 
 func TestWhatAnswersSayOfALimit(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	var l Limit
-	must.Eq(t, Unchanged, l.Answered(at(0), at(1), 0, false))
-	must.Eq(t, Named, l.Answered(at(2), at(10), 5, true))
-	must.Eq(t, Unchanged, l.Answered(at(3), at(12), 5.1, true))
-	must.Eq(t, Changed, l.Answered(at(4), at(13), 8, true))
+	must.Eq(t, Unchanged, l.ObserveResponse(at(0), at(1), 0, false))
+	must.Eq(t, Added, l.ObserveResponse(at(2), at(10), 5, true))
+	must.Eq(t, Unchanged, l.ObserveResponse(at(3), at(12), 5.1, true))
+	must.Eq(t, Changed, l.ObserveResponse(at(4), at(13), 8, true))
 	// An answer that the server had begun before it was in need ends nothing.
-	must.Eq(t, Unchanged, l.Answered(at(1), at(14), 0, false))
-	must.Eq(t, Lifted, l.Answered(at(20), at(30), 0, false))
+	must.Eq(t, Unchanged, l.ObserveResponse(at(1), at(14), 0, false))
+	must.Eq(t, Removed, l.ObserveResponse(at(20), at(30), 0, false))
 	rate, named := l.Rate()
 	must.Eq(t, 8, rate)
 	must.False(t, named)
-	must.Eq(t, Unchanged, l.Told(at(31), 0, false))
-	must.Eq(t, Named, l.Told(at(32), 3, true))
-	must.Eq(t, Lifted, l.Told(at(33), 0, false))
+	must.Eq(t, Unchanged, l.ObservePeer(at(31), 0, false))
+	must.Eq(t, Added, l.ObservePeer(at(32), 3, true))
+	must.Eq(t, Removed, l.ObservePeer(at(33), 0, false))
 }
 
 // A server that names its limit in every other answer must not have each told to the whole fleet.
 func TestChangesThatComeQuicklyAreToldTogether(t *testing.T) {
-	var telling Telling
+	var telling BroadcastPacer
 	start := time.Now()
 	told := 0
 	due := time.Time{}
 	for now := start; now.Before(start.Add(10 * time.Second)); now = now.Add(time.Millisecond) {
 		if !due.IsZero() && !now.Before(due) {
-			telling.Told(now)
+			telling.MarkSent(now)
 			told, due = told+1, time.Time{}
 		}
-		if after, ok := telling.Changed(now); ok {
+		if after, ok := telling.Schedule(now); ok {
 			due = now.Add(after)
 		}
 	}
--- a/decision/repeats/lenders.go
+++ b/decision/repeats/lenders.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// MaxAsked bounds the daemons that are asked for one repeat, a round trip each.
-	MaxAsked = 8
+	// MaxPeersAsked bounds the daemons that are asked for one repeat, a round trip each.
+	MaxPeersAsked = 8
 	// refusalKept is how long a daemon that had nothing to lend is not asked again: a
 	// tenth of the usual window, in which a tenth of its budget is free again.
 	refusalKept = time.Second
 )
 
-// Lenders decides which daemons are asked for a part of their budget.
+// PeerSelector decides which daemons are asked for a part of their budget.
 //
 // Load it answers: a zone of engines lost at once, with a request or two of each
 // daemon there. Some daemons have three broken streams and two repeats, their
@@ -26,14 +26,14 @@
 // it, so the sum over daemons stays what it is. The daemons are asked in random
 // order, so that not all of them ask the same one. It is not safe for
 // concurrent use.
-type Lenders struct {
+type PeerSelector struct {
 	refused map[string]time.Time // until when a daemon is not asked
 }
 
 // Next chooses one of the daemons given, except those asked already for this
 // repeat; ok is false where nobody is left to ask.
-func (l *Lenders) Next(now time.Time, daemons, asked []string, draw uint64) (id string, ok bool) {
-	if len(asked) >= MaxAsked || len(daemons) == 0 {
+func (l *PeerSelector) Next(now time.Time, daemons, asked []string, draw uint64) (id string, ok bool) {
+	if len(asked) >= MaxPeersAsked || len(daemons) == 0 {
 		return "", false
 	}
 	first := int(draw % uint64(len(daemons)))
@@ -46,8 +46,8 @@
 	return "", false
 }
 
-// Refused records that a daemon had nothing to lend, or did not answer.
-func (l *Lenders) Refused(now time.Time, id string) {
+// MarkRefused records that a daemon had nothing to lend, or did not answer.
+func (l *PeerSelector) MarkRefused(now time.Time, id string) {
 	if l.refused == nil {
 		l.refused = map[string]time.Time{}
 	}
--- a/decision/repeats/lenders_test.go
+++ b/decision/repeats/lenders_test.go
@@ -26,9 +26,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var l Lenders
+			var l PeerSelector
 			for _, id := range c.refused {
-				l.Refused(now, id)
+				l.MarkRefused(now, id)
 			}
 			seen := map[string]bool{}
 			for draw := range uint64(100) {
@@ -51,9 +51,9 @@
 }
 
 func TestLenderThatRefusedIsAskedAgainLater(t *testing.T) {
-	var l Lenders
+	var l PeerSelector
 	now := time.Unix(1000, 0)
-	l.Refused(now, "a")
+	l.MarkRefused(now, "a")
 	_, ok := l.Next(now.Add(refusalKept-1), []string{"a"}, nil, 0)
 	must.False(t, ok)
 	id, ok := l.Next(now.Add(refusalKept), []string{"a"}, nil, 0)
@@ -64,7 +64,7 @@
 // fleetOf is daemons that lend to each other.
 type fleetOf struct {
 	budgets []*Budget
-	lenders []*Lenders
+	lenders []*PeerSelector
 	ids     []string
 	random  *rand.Rand
 	lends   bool
@@ -74,19 +74,19 @@
 	f := &fleetOf{random: rand.New(rand.NewPCG(3, 3)), lends: lends}
 	for i := range n {
 		f.budgets = append(f.budgets, New(rule, time.Unix(990, 0)))
-		f.lenders = append(f.lenders, &Lenders{})
+		f.lenders = append(f.lenders, &PeerSelector{})
 		f.ids = append(f.ids, strconv.Itoa(i))
 	}
 	return f
 }
 
 func (f *fleetOf) share(i int) Share {
-	return Share{Daemons: len(f.budgets), Offset: float64(i) / float64(len(f.budgets))}
+	return Share{Daemons: len(f.budgets), RoundingOffset: float64(i) / float64(len(f.budgets))}
 }
 
 // repeat is one daemon's wish to send a request once more.
 func (f *fleetOf) repeat(now time.Time, i int) bool {
-	if f.budgets[i].Repeat(now, f.share(i)) {
+	if f.budgets[i].TryRetry(now, f.share(i)) {
 		return true
 	}
 	asked := []string{f.ids[i]}
@@ -97,10 +97,10 @@
 		}
 		asked = append(asked, id)
 		n, _ := strconv.Atoi(id)
-		if f.budgets[n].Repeat(now, f.share(n)) {
+		if f.budgets[n].TryRetry(now, f.share(n)) {
 			return true
 		}
-		f.lenders[i].Refused(now, id)
+		f.lenders[i].MarkRefused(now, id)
 	}
 	return false
 }
@@ -117,7 +117,7 @@
 		var times []time.Time
 		for loss := range losses {
 			for k := range 108 { // 36 requests a second
-				f.budgets[f.random.IntN(daemons)].Request(now.Add(time.Duration(k) * 3 * time.Second / 108))
+				f.budgets[f.random.IntN(daemons)].RecordRequest(now.Add(time.Duration(k) * 3 * time.Second / 108))
 			}
 			now = now.Add(3 * time.Second)
 			for range perLoss {
--- a/decision/repeats/repeats.go
+++ b/decision/repeats/repeats.go
@@ -26,8 +26,8 @@
 // daemon which dies before it repeats them.
 const safety = 0.92
 
-// Rule is the budget of the whole fleet at one service.
-type Rule struct {
+// Policy is the budget of the whole fleet at one service.
+type Policy struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
@@ -37,16 +37,16 @@
 type Share struct {
 	// Daemons is how many share the slack.
 	Daemons int
-	// Offset is from 0 to below 1 and differs evenly between daemons. It decides
+	// RoundingOffset is from 0 to below 1 and differs evenly between daemons. It decides
 	// which of them round up: a part of the slack is few repeats, and if all rounded
 	// down much of it would be lost.
-	Offset float64
+	RoundingOffset float64
 }
 
 // Budget counts one daemon's sends to one service. It is not safe for
 // concurrent use.
 type Budget struct {
-	rule     Rule
+	rule     Policy
 	began    time.Time
 	requests [parts + 1]int
 	repeats  [parts + 1]int
@@ -56,22 +56,22 @@
 // New returns an empty budget of a daemon that began to serve at began. The
 // times given to its methods must come from the same clock, one that is never
 // set: a step of the time of day would forget what was repeated.
-func New(rule Rule, began time.Time) *Budget { return &Budget{rule: rule, began: began} }
+func New(rule Policy, began time.Time) *Budget { return &Budget{rule: rule, began: began} }
 
-// Request counts a request of a caller.
-func (b *Budget) Request(now time.Time) {
+// RecordRequest counts a request of a caller.
+func (b *Budget) RecordRequest(now time.Time) {
 	b.advance(now)
 	b.requests[at(b.tick)]++
 }
 
-// Repeat asks for one more send and counts it if it is affordable.
-func (b *Budget) Repeat(now time.Time, share Share) bool {
+// TryRetry asks for one more send and counts it if it is affordable.
+func (b *Budget) TryRetry(now time.Time, share Share) bool {
 	b.advance(now)
 	allowed := b.rule.Ratio * float64(b.recent())
 	if now.Sub(b.began) >= b.rule.Window {
 		allowed += b.rule.Slack / float64(max(share.Daemons, 1))
 	}
-	if float64(sum(b.repeats)+1) > safety*allowed+share.Offset {
+	if float64(sum(b.repeats)+1) > safety*allowed+share.RoundingOffset {
 		return false
 	}
 	b.repeats[at(b.tick)]++
--- a/decision/repeats/repeats_test.go
+++ b/decision/repeats/repeats_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-var rule = Rule{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
+var rule = Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 
 // Ninety daemons lose every send for a minute. Each repeats as often as it may;
 // together they must stay within the budget of the fleet in every window.
@@ -24,11 +24,11 @@
 		now := start.Add(time.Duration(step) * 100 * time.Millisecond)
 		for i, b := range fleet {
 			if (step+i)%20 == 0 {
-				b.Request(now)
+				b.RecordRequest(now)
 				requests++
 			}
 			for range 3 {
-				if b.Repeat(now, Share{daemons, float64(i) / daemons}) {
+				if b.TryRetry(now, Share{daemons, float64(i) / daemons}) {
 					granted++
 				}
 			}
@@ -41,10 +41,10 @@
 func TestBudgetReturnsAfterWindow(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := New(rule, now.Add(-rule.Window))
-	for b.Repeat(now, Share{Daemons: 10}) {
+	for b.TryRetry(now, Share{Daemons: 10}) {
 	}
-	must.False(t, b.Repeat(now.Add(9*time.Second), Share{Daemons: 10}))
-	must.True(t, b.Repeat(now.Add(12*time.Second), Share{Daemons: 10}))
+	must.False(t, b.TryRetry(now.Add(9*time.Second), Share{Daemons: 10}))
+	must.True(t, b.TryRetry(now.Add(12*time.Second), Share{Daemons: 10}))
 }
 
 // A daemon is killed and starts again. What it repeated before still counts at
@@ -53,15 +53,15 @@
 func TestRestartedDaemonHasNoSlackAtFirst(t *testing.T) {
 	start := time.Unix(1000, 0)
 	b := New(rule, start)
-	must.False(t, b.Repeat(start.Add(time.Second), Share{Daemons: 10}))
+	must.False(t, b.TryRetry(start.Add(time.Second), Share{Daemons: 10}))
 	for range 10 {
-		b.Request(start.Add(time.Second))
+		b.RecordRequest(start.Add(time.Second))
 	}
 	for range 7 {
-		must.True(t, b.Repeat(start.Add(2*time.Second), Share{Daemons: 10}))
+		must.True(t, b.TryRetry(start.Add(2*time.Second), Share{Daemons: 10}))
 	}
-	must.False(t, b.Repeat(start.Add(2*time.Second), Share{Daemons: 10}))
-	must.True(t, b.Repeat(start.Add(rule.Window+time.Second), Share{Daemons: 10}))
+	must.False(t, b.TryRetry(start.Add(2*time.Second), Share{Daemons: 10}))
+	must.True(t, b.TryRetry(start.Add(rule.Window+time.Second), Share{Daemons: 10}))
 }
 
 // A fleet repeats whatever it may while half of it is killed and restarted, again
@@ -83,10 +83,10 @@
 		asked, granted := 0, 0
 		for i, b := range fleet {
 			if random.Float64() < 0.1 {
-				b.Request(now)
+				b.RecordRequest(now)
 				asked++
 			}
-			for n%60 < 5 && b.Repeat(now, Share{daemons, float64(i) / daemons}) {
+			for n%60 < 5 && b.TryRetry(now, Share{daemons, float64(i) / daemons}) {
 				granted++
 			}
 			if n%130 == 0 && random.Float64() < 0.5 {
--- a/decision/retryafter/retryafter.go
+++ b/decision/retryafter/retryafter.go
@@ -14,9 +14,9 @@
 import "time"
 
 const (
-	// Elsewhere is for a daemon that alone has lost the store: at once, at another
+	// OtherDaemonDelay is for a daemon that alone has lost the store: at once, at another
 	// address.
-	Elsewhere = 50 * time.Millisecond
+	OtherDaemonDelay = 50 * time.Millisecond
 	// longest is above the patience of any caller (25 s): told more it would not come
 	// back at all, and an outage that has lasted for minutes may end at any moment.
 	longest = 30 * time.Second
@@ -30,21 +30,21 @@
 	slowed = 2
 )
 
-// Unconfirmed returns when a caller comes back. lasted is how long the store has been
+// AfterStoreOutage returns when a caller comes back. lasted is how long the store has been
 // out of reach, everywhere says whether it is for all daemons, and draw is in [0, 1).
-func Unconfirmed(lasted time.Duration, everywhere bool, draw float64) time.Duration {
+func AfterStoreOutage(lasted time.Duration, everywhere bool, draw float64) time.Duration {
 	if !everywhere {
-		return Elsewhere
+		return OtherDaemonDelay
 	}
-	return Spread(min(lasted, longest), draw)
+	return Jitter(min(lasted, longest), draw)
 }
 
-// Spread is d give or take a quarter. draw is in [0, 1).
-func Spread(d time.Duration, draw float64) time.Duration {
+// Jitter is d give or take a quarter. draw is in [0, 1).
+func Jitter(d time.Duration, draw float64) time.Duration {
 	return time.Duration(float64(d) * (1 - spread/2 + spread*draw))
 }
 
-// Crowded returns when a caller comes back that was refused because servers have no
+// AfterOverload returns when a caller comes back that was refused because servers have no
 // room for its request. lasted is how long that has been so, and answer how long the
 // answers take that fill them: when those have ended there is room.
 //
@@ -52,16 +52,16 @@
 // that return within the burst are refused for good, and all others come at its end
 // at once. An answer that was refused is late in any case, so a caller that comes
 // back sooner gains nothing and takes room from those that are not.
-func Crowded(lasted, answer time.Duration, draw float64) time.Duration {
-	return Spread(min(max(lasted, slowed*answer), longest), draw)
+func AfterOverload(lasted, answer time.Duration, draw float64) time.Duration {
+	return Jitter(min(max(lasted, slowed*answer), longest), draw)
 }
 
-// Spell is how long something has gone on without a pause. The zero value has seen
+// Streak is how long something has gone on without a pause. The zero value has seen
 // nothing. It is not safe for concurrent use.
-type Spell struct{ since, last time.Time }
+type Streak struct{ since, last time.Time }
 
-// Seen records it at now, and returns for how long it has gone on.
-func (s *Spell) Seen(now time.Time) time.Duration {
+// Extend records it at now, and returns for how long it has gone on.
+func (s *Streak) Extend(now time.Time) time.Duration {
 	if now.Sub(s.last) > apart {
 		s.since = now
 	}
--- a/decision/retryafter/retryafter_test.go
+++ b/decision/retryafter/retryafter_test.go
@@ -18,7 +18,7 @@
 	burst := map[time.Duration]int{}
 	for i := range callers {
 		at := refused + time.Duration(i)*(outage-refused)/callers
-		back := at + Unconfirmed(at, true, float64(i%97)/97)
+		back := at + AfterStoreOutage(at, true, float64(i%97)/97)
 		if back > outage {
 			served++
 		}
@@ -32,11 +32,11 @@
 
 // One daemon alone has lost the store; its neighbours serve.
 func TestCallerGoesElsewhereAtOnce(t *testing.T) {
-	must.Eq(t, Elsewhere, Unconfirmed(time.Hour, false, 0.9))
+	must.Eq(t, OtherDaemonDelay, AfterStoreOutage(time.Hour, false, 0.9))
 }
 
 func TestLongOutageTellsABoundedTime(t *testing.T) {
-	must.Eq(t, Unconfirmed(longest, true, 0.5), Unconfirmed(time.Hour, true, 0.5))
+	must.Eq(t, AfterStoreOutage(longest, true, 0.5), AfterStoreOutage(time.Hour, true, 0.5))
 }
 
 // Engines that are full refuse for eight seconds. Each caller repeats once. Those
@@ -44,14 +44,14 @@
 // later after as long again, and hardly any within the burst.
 func TestCrowdReturnsAfterTheBurst(t *testing.T) {
 	const burst, answer, callers = 8 * time.Second, 5 * time.Second, 1000
-	var spell Spell
+	var spell Streak
 	served := 0
 	returns := map[time.Duration]int{}
 	start := time.Unix(0, 0)
 	for i := range callers {
 		at := i * int(burst) / callers
-		lasted := spell.Seen(start.Add(time.Duration(at)))
-		back := time.Duration(at) + Crowded(lasted, answer, float64(i%97)/97)
+		lasted := spell.Extend(start.Add(time.Duration(at)))
+		back := time.Duration(at) + AfterOverload(lasted, answer, float64(i%97)/97)
 		if back > burst {
 			served++
 		}
@@ -64,10 +64,10 @@
 }
 
 func TestSpellEndsWithAPause(t *testing.T) {
-	var s Spell
+	var s Streak
 	at := time.Unix(100, 0)
-	must.Eq(t, 0, s.Seen(at))
-	must.Eq(t, 2*time.Second, s.Seen(at.Add(2*time.Second)))
-	must.Eq(t, 4*time.Second, s.Seen(at.Add(4*time.Second)))
-	must.Eq(t, 0, s.Seen(at.Add(4*time.Second+apart+1)))
+	must.Eq(t, 0, s.Extend(at))
+	must.Eq(t, 2*time.Second, s.Extend(at.Add(2*time.Second)))
+	must.Eq(t, 4*time.Second, s.Extend(at.Add(4*time.Second)))
+	must.Eq(t, 0, s.Extend(at.Add(4*time.Second+apart+1)))
 }
--- a/decision/rollout/bench_test.go
+++ b/decision/rollout/bench_test.go
@@ -16,13 +16,13 @@
 			for range n {
 				e.Add(Sample{
 					Route: fmt.Sprint("r", random.IntN(3)), Server: fmt.Sprint("s", random.IntN(40)), Zone: fmt.Sprint(random.IntN(3)),
-					New: random.IntN(12) == 0, Kind: Kind(random.IntN(3)), Took: time.Duration(random.IntN(60)) * time.Millisecond,
-					At: time.Duration(random.IntN(15000)) * time.Millisecond,
+					OnTarget: random.IntN(12) == 0, Kind: Kind(random.IntN(3)), Duration: time.Duration(random.IntN(60)) * time.Millisecond,
+					EndedAt: time.Duration(random.IntN(15000)) * time.Millisecond,
 				})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				e.Judge(nil)
+				e.Analyze(nil)
 			}
 		})
 	}
--- a/decision/rollout/evidence.go
+++ b/decision/rollout/evidence.go
@@ -15,11 +15,11 @@
 // The kinds.
 const (
 	// Whole: the time of a whole answer.
-	Whole Kind = iota
+	ResponseTime Kind = iota
 	// First: the time to the first event of a stream.
-	First
+	TimeToFirstEvent
 	// Pace: the mean time between events of a stream.
-	Pace
+	EventInterval
 	kinds
 )
 
@@ -32,26 +32,26 @@
 // The outcomes.
 const (
 	// Good: the server did what it was asked for.
-	Good Outcome = iota
+	Succeeded Outcome = iota
 	// Failed: the server answered with a failure.
 	Failed
 	// Broke: the connection broke off, or was not made.
-	Broke
+	Disconnected
 	// Waiting: nothing has come yet after the time measured.
-	Waiting
+	Unanswered
 )
 
 // Sample is what one daemon saw of one request at one server.
 type Sample struct {
-	Route   string
-	Server  string
-	Zone    string
-	New     bool // the server has the target's version
-	Kind    Kind
-	Outcome Outcome
-	Took    time.Duration
-	// At is when it ended, on the clock of whom judges.
-	At time.Duration
+	Route    string
+	Server   string
+	Zone     string
+	OnTarget bool // the server has the target's version
+	Kind     Kind
+	Outcome  Outcome
+	Duration time.Duration
+	// EndedAt is when it ended, on the clock of whom judges.
+	EndedAt time.Duration
 }
 
 const (
@@ -105,9 +105,9 @@
 func (e *Evidence) Add(samples ...Sample) {
 	for _, s := range samples {
 		switch {
-		case s.New && len(e.samples)-len(e.old) < maxNew:
+		case s.OnTarget && len(e.samples)-len(e.old) < maxNew:
 			e.samples = append(e.samples, s)
-		case s.New:
+		case s.OnTarget:
 		case len(e.old) < maxOld:
 			e.seenOld++
 			e.old = append(e.old, len(e.samples))
@@ -140,35 +140,35 @@
 	return strings.Join(list[:min(maxCommon, len(list))], separator)
 }
 
-// Finding is what the evidence shows.
-type Finding struct {
-	// Odds is how probable what is found would be of a version as good as the one before; 1 where
+// Analysis is what the evidence shows.
+type Analysis struct {
+	// PValue is how probable what is found would be of a version as good as the one before; 1 where
 	// nothing speaks against the target. Route is where that is, "" for all routes, and Kind by
 	// what.
-	Odds  float64
-	Route string
-	Kind  Kind
+	PValue float64
+	Route  string
+	Kind   Kind
 	// Compared, Found and Expected are the samples of the target, those of them that are bad, and
 	// how many would be if it were like the version before, where that is worst for it.
-	Compared, Found int
-	Expected        float64
-	// New is how many samples of the target there are.
-	New int
-	// Long is the time within which nearly all answers of the version before are whole; 0 if
+	Compared, BadSamples int
+	ExpectedBad          float64
+	// TargetSamples is how many samples of the target there are.
+	TargetSamples int
+	// BaselineP95 is the time within which nearly all answers of the version before are whole; 0 if
 	// none was.
-	Long time.Duration
+	BaselineP95 time.Duration
 }
 
-// Judge compares the versions. waiting are requests under way now.
-func (e *Evidence) Judge(waiting []Sample) Finding {
+// Analyze compares the versions. waiting are requests under way now.
+func (e *Evidence) Analyze(waiting []Sample) Analysis {
 	all := e.samples
 	if len(waiting) > 0 {
 		all = slices.Concat(e.samples, waiting)
 	}
-	f := Finding{Odds: 1, Long: long(all)}
+	f := Analysis{PValue: 1, BaselineP95: long(all)}
 	for _, s := range all {
-		if s.New && s.Outcome != Waiting {
-			f.New++
+		if s.OnTarget && s.Outcome != Unanswered {
+			f.TargetSamples++
 		}
 	}
 	excused, sole := commonLosses(all), oneServer(all)
@@ -179,9 +179,9 @@
 			if c.found >= minBad && c.rest > restSigmas {
 				odds = atLeast(c.found, c.expected+unseen)
 			}
-			if odds < f.Odds || f.Compared == 0 {
-				f.Odds, f.Route, f.Kind = odds, group.route, kind
-				f.Compared, f.Found, f.Expected = c.compared, c.found, c.expected
+			if odds < f.PValue || f.Compared == 0 {
+				f.PValue, f.Route, f.Kind = odds, group.route, kind
+				f.Compared, f.BadSamples, f.ExpectedBad = c.compared, c.found, c.expected
 			}
 		}
 	}
@@ -259,27 +259,27 @@
 		switch s.Outcome {
 		case Failed:
 			return true
-		case Broke:
+		case Disconnected:
 			return !excused(s)
 		}
 		factor := slower
-		if s.New && beside[s.At/bin] < fewBeside {
+		if s.OnTarget && beside[s.EndedAt/bin] < fewBeside {
 			factor = slowerAlone
 		}
-		return known && float64(s.Took) > factor*float64(usual)
+		return known && float64(s.Duration) > factor*float64(usual)
 	}
 	old := map[time.Duration]share{}
 	var whole share
 	for _, s := range g.samples {
-		if s.New || s.Outcome == Waiting && !bad(s) || s.Outcome == Broke && excused(s) {
+		if s.OnTarget || s.Outcome == Unanswered && !bad(s) || s.Outcome == Disconnected && excused(s) {
 			continue
 		}
-		one := old[s.At/bin]
+		one := old[s.EndedAt/bin]
 		one.all, whole.all = one.all+1, whole.all+1
 		if bad(s) {
 			one.bad, whole.bad = one.bad+1, whole.bad+1
 		}
-		old[s.At/bin] = one
+		old[s.EndedAt/bin] = one
 	}
 	if whole.all < fewOld {
 		return comparison{}
@@ -287,7 +287,7 @@
 	overall := (whole.bad + 0.4) / (whole.all + 0.8)
 	servers := map[string]*comparison{}
 	for _, s := range g.samples {
-		if !s.New || s.Outcome == Waiting && !bad(s) || s.Outcome == Broke && excused(s) {
+		if !s.OnTarget || s.Outcome == Unanswered && !bad(s) || s.Outcome == Disconnected && excused(s) {
 			continue
 		}
 		one := servers[s.Server]
@@ -299,7 +299,7 @@
 		if bad(s) {
 			one.found++
 		}
-		same := old[s.At/bin]
+		same := old[s.EndedAt/bin]
 		one.expected += (same.bad + binWeight*overall) / (same.all + binWeight)
 	}
 	return addUp(servers, sole)
@@ -309,10 +309,10 @@
 func oneServer(all []Sample) bool {
 	first := ""
 	for _, s := range all {
-		if s.New && first != "" && s.Server != first {
+		if s.OnTarget && first != "" && s.Server != first {
 			return false
 		}
-		if s.New {
+		if s.OnTarget {
 			first = s.Server
 		}
 	}
@@ -348,8 +348,8 @@
 func oldBeside(samples []Sample) map[time.Duration]int {
 	beside := map[time.Duration]int{}
 	for _, s := range samples {
-		if !s.New && s.Outcome == Good {
-			beside[s.At/bin]++
+		if !s.OnTarget && s.Outcome == Succeeded {
+			beside[s.EndedAt/bin]++
 		}
 	}
 	return beside
@@ -359,8 +359,8 @@
 func usualTime(samples []Sample) (usual time.Duration, known bool) {
 	var took []time.Duration
 	for _, s := range samples {
-		if !s.New && s.Outcome == Good {
-			took = append(took, s.Took)
+		if !s.OnTarget && s.Outcome == Succeeded {
+			took = append(took, s.Duration)
 		}
 	}
 	if len(took) < fewOld {
@@ -374,8 +374,8 @@
 func long(samples []Sample) time.Duration {
 	var took []time.Duration
 	for _, s := range samples {
-		if !s.New && s.Kind == Whole && s.Outcome == Good {
-			took = append(took, s.Took)
+		if !s.OnTarget && s.Kind == ResponseTime && s.Outcome == Succeeded {
+			took = append(took, s.Duration)
 		}
 	}
 	if len(took) == 0 {
@@ -394,17 +394,17 @@
 	}
 	broke, good := map[when]int{}, map[when]int{}
 	for _, s := range all {
-		at := when{s.Zone, s.At / together}
+		at := when{s.Zone, s.EndedAt / together}
 		switch s.Outcome {
-		case Broke:
+		case Disconnected:
 			broke[at]++
-		case Good, Failed:
+		case Succeeded, Failed:
 			good[at]++
-		case Waiting:
+		case Unanswered:
 		}
 	}
 	return func(s Sample) bool {
-		at := s.At / together
+		at := s.EndedAt / together
 		lost, kept := 0, 0
 		for _, near := range []time.Duration{at - 1, at, at + 1} {
 			lost += broke[when{s.Zone, near}]
--- a/decision/rollout/fleet_test.go
+++ b/decision/rollout/fleet_test.go
@@ -86,7 +86,7 @@
 	daemons  int
 	losses   bool // zones die in series
 	random   *rand.Rand
-	mixes    []Mix
+	mixes    []RouteCounter
 	phase    []time.Duration // of reports
 	lag      []time.Duration // until a daemon hears of a stage
 	state    State
@@ -104,7 +104,7 @@
 
 func (r *rolledOut) play() result {
 	const step = 5 * time.Millisecond
-	r.mixes, r.phase, r.lag = make([]Mix, r.daemons), make([]time.Duration, r.daemons), make([]time.Duration, r.daemons)
+	r.mixes, r.phase, r.lag = make([]RouteCounter, r.daemons), make([]time.Duration, r.daemons), make([]time.Duration, r.daemons)
 	for d := range r.daemons {
 		r.phase[d] = time.Duration(r.random.Int64N(int64(time.Second)))
 		r.lag[d] = 20*time.Millisecond + time.Duration(r.random.Int64N(int64(100*time.Millisecond)))
@@ -112,7 +112,7 @@
 			r.lag[d] = 400 * time.Millisecond // it hears from the store
 		}
 	}
-	r.state = State{Order: 1, Base: "v1", Target: "v2", Stage: Pending}
+	r.state = State{OrderRevision: 1, Baseline: "v1", Target: "v2", Stage: Pending}
 	var done result
 	perSecond := 0.0
 	for _, rate := range r.perSecond {
@@ -122,10 +122,10 @@
 		for range r.poisson(perSecond * step.Seconds()) {
 			r.request(now, perSecond)
 		}
-		if now%(100*time.Millisecond) == 0 && !r.state.Stage.Over() {
+		if now%(100*time.Millisecond) == 0 && !r.state.Stage.IsTerminal() {
 			step := r.decide(now)
-			if r.state.Stage.Over() {
-				done.why = fmt.Sprint(step.Reason, " ", step.Finding)
+			if r.state.Stage.IsTerminal() {
+				done.why = fmt.Sprint(step.Reason, " ", step.Analysis)
 				done.stage, done.at = r.state.Stage, now
 				for _, end := range r.ends {
 					if end > now {
@@ -190,7 +190,7 @@
 	d := r.random.IntN(r.daemons)
 	s := r.known(d, now)
 	name := fmt.Sprint("r", route)
-	isNew := s.Stage != Pending && (s.Steady("v2") || s.Drawn(r.random.Float64(), name, &r.mixes[d]))
+	isNew := s.Stage != Pending && (s.ServesByDefault("v2") || s.RoutesToTarget(r.random.Float64(), name, &r.mixes[d]))
 	zone := r.random.IntN(zones)
 	away, lost := r.away(zone, now)
 	for away {
@@ -198,7 +198,7 @@
 		away, lost = r.away(zone, now)
 	}
 	server := r.random.IntN(r.servers)
-	if isNew && (s.Stage == Few || s.Stage == Some) {
+	if isNew && (s.Stage == Canary || s.Stage == Partial) {
 		server = r.random.IntN(max(4, int(s.Share*float64(r.servers))))
 	}
 	took := func(mean time.Duration) time.Duration {
@@ -224,19 +224,19 @@
 			}
 		}
 	}
-	sample := Sample{Route: name, Server: fmt.Sprint(isNew, server), Zone: fmt.Sprint(zone), New: isNew, Took: whole}
+	sample := Sample{Route: name, Server: fmt.Sprint(isNew, server), Zone: fmt.Sprint(zone), OnTarget: isNew, Duration: whole}
 	report := func(kind Kind, outcome Outcome, took, at time.Duration) {
-		sample.Kind, sample.Outcome, sample.Took, sample.At = kind, outcome, took, at
+		sample.Kind, sample.Outcome, sample.Duration, sample.EndedAt = kind, outcome, took, at
 		arrives := at + (r.phase[d]-at%time.Second+time.Second)%time.Second + 30*time.Millisecond
-		if drained := r.since + 250*time.Millisecond; r.first == 0 && r.state.Stage == All && at < drained {
+		if drained := r.since + 250*time.Millisecond; r.first == 0 && r.state.Stage == Full && at < drained {
 			arrives = min(arrives, drained+30*time.Millisecond) // with the word that nothing is left
 		}
 		r.onTheWay = append(r.onTheWay, told{sample, arrives})
 	}
 	if isNew && !failed {
 		r.waiting = append(r.waiting, told{Sample{
-			Route: name, Server: sample.Server, Zone: sample.Zone, New: true, Kind: map[bool]Kind{true: Whole, false: First}[r.first == 0],
-			Outcome: Waiting, At: now,
+			Route: name, Server: sample.Server, Zone: sample.Zone, OnTarget: true, Kind: map[bool]Kind{true: ResponseTime, false: TimeToFirstEvent}[r.first == 0],
+			Outcome: Unanswered, EndedAt: now,
 		}, min(now+map[bool]time.Duration{true: whole, false: first}[r.first == 0], lost)})
 	}
 	if !isNew && !failed {
@@ -244,25 +244,25 @@
 	}
 	switch {
 	case failed && r.first > 0:
-		report(First, Failed, 10*time.Millisecond, now+10*time.Millisecond)
+		report(TimeToFirstEvent, Failed, 10*time.Millisecond, now+10*time.Millisecond)
 	case failed:
-		report(Whole, Failed, whole, now+whole)
+		report(ResponseTime, Failed, whole, now+whole)
 	case r.first == 0 && now+whole > lost:
-		report(Whole, Broke, lost-now, lost)
+		report(ResponseTime, Disconnected, lost-now, lost)
 	case r.first == 0:
-		report(Whole, Good, whole, now+whole)
+		report(ResponseTime, Succeeded, whole, now+whole)
 	case now+first > lost:
-		report(First, Broke, lost-now, lost)
+		report(TimeToFirstEvent, Disconnected, lost-now, lost)
 	default:
-		report(First, Good, first, now+first)
+		report(TimeToFirstEvent, Succeeded, first, now+first)
 		pace := (whole - first) / 130
 		if now+first+24*pace < lost {
-			report(Pace, Good, pace, now+first+24*pace)
+			report(EventInterval, Succeeded, pace, now+first+24*pace)
 		}
 		if now+whole > lost {
-			report(Whole, Broke, lost-now, lost)
+			report(ResponseTime, Disconnected, lost-now, lost)
 		} else {
-			report(Whole, Good, whole, now+whole)
+			report(ResponseTime, Succeeded, whole, now+whole)
 		}
 	}
 }
@@ -274,7 +274,7 @@
 		return server < r.grey && r.random.Float64() < r.share
 	case r.share == 0, now < r.after, r.fault.route > 0 && route != r.fault.route-1:
 		return false
-	case r.loaded && r.first == 0 && s.Stage < All:
+	case r.loaded && r.first == 0 && s.Stage < Full:
 		return false
 	}
 	return r.random.Float64() < r.share
@@ -306,18 +306,18 @@
 	var waiting []Sample
 	r.waiting = slices.DeleteFunc(r.waiting, func(w told) bool { return w.at <= now })
 	for _, w := range r.waiting {
-		if age := now - w.sample.At; age > 500*time.Millisecond { // as the daemons told it last
-			w.sample.Took, w.sample.At = age-500*time.Millisecond, now
+		if age := now - w.sample.EndedAt; age > 500*time.Millisecond { // as the daemons told it last
+			w.sample.Duration, w.sample.EndedAt = age-500*time.Millisecond, now
 			waiting = append(waiting, w.sample)
 		}
 	}
 	in := Input{
-		Waiting: waiting,
-		State:   r.state, Limits: Limits{Share: limit, Slack: slackGot}, PerSecond: r.counted(), Drawn: r.got, Elapsed: now + 150*time.Millisecond, Period: r.period, Base: r.servers, Target: r.servers,
-		Heard: r.daemons, Daemons: r.daemons, UnderWay: underWay, Moves: r.first > 0, Evidence: &r.evidence,
+		Unanswered: waiting,
+		State:      r.state, Limits: Limits{Share: limit, Slack: slackGot}, RequestsPerSecond: r.counted(), TargetRequests: r.got, Elapsed: now + 150*time.Millisecond, Period: r.period, BaselineServers: r.servers, TargetServers: r.servers,
+		DaemonsReporting: r.daemons, Daemons: r.daemons, BaselineInFlight: underWay, CanMigrate: r.first > 0, Evidence: &r.evidence,
 	}
 	if r.first == 0 {
-		in.Usual = 200 * time.Millisecond
+		in.DefaultResponseTime = 200 * time.Millisecond
 	}
 	step := Next(in)
 	if step.State != r.state {
--- a/decision/rollout/plan.go
+++ b/decision/rollout/plan.go
@@ -15,24 +15,24 @@
 	Limits Limits
 	// Elapsed is how long ago the order was given, at most; Period is the time for all of it.
 	Elapsed, Period time.Duration
-	// Base and Target are the servers of both versions that take requests.
-	Base, Target int
-	// Heard is how many of Daemons told lately what they saw.
-	Heard, Daemons int
-	// PerSecond is how many requests of the service begin, and Drawn how many were drawn for the
+	// BaselineServers and Target are the servers of both versions that take requests.
+	BaselineServers, TargetServers int
+	// DaemonsReporting is how many of Daemons told lately what they saw.
+	DaemonsReporting, Daemons int
+	// RequestsPerSecond is how many requests of the service begin, and Drawn how many were drawn for the
 	// target.
-	PerSecond float64
-	Drawn     int
-	// UnderWay is how many requests are under way at the version before.
-	UnderWay int
-	// Usual is how long an answer takes at most while none of the version before was seen; 0 where
+	RequestsPerSecond float64
+	TargetRequests    int
+	// BaselineInFlight is how many requests are under way at the version before.
+	BaselineInFlight int
+	// DefaultResponseTime is how long an answer takes at most while none of the version before was seen; 0 where
 	// nothing is known.
-	Usual time.Duration
-	// Moves says that an answer can go on at another server from a copy.
-	Moves bool
+	DefaultResponseTime time.Duration
+	// CanMigrate says that an answer can go on at another server from a copy.
+	CanMigrate bool
 	// Evidence is all that was seen, and Waiting what waits now.
-	Evidence *Evidence
-	Waiting  []Sample
+	Evidence   *Evidence
+	Unanswered []Sample
 }
 
 // Reason says why a step is taken.
@@ -40,24 +40,24 @@
 
 // The reasons.
 const (
-	TooEarly    Reason = "too_early"
-	NoServers   Reason = "no_servers_of_target"
-	TooFewHeard Reason = "too_few_daemons_heard"
-	TooLittle   Reason = "too_little_seen"
-	Began       Reason = "began"
-	AsGood      Reason = "as_good_as_before"
-	Bad         Reason = "bad"
-	NobodyAsks  Reason = "nobody_asks"
-	Same        Reason = "version_runs_already"
-	NothingLeft Reason = "nothing_under_way"
-	TimeIsUp    Reason = "time_is_up"
+	TooEarly        Reason = "too_early"
+	NoTargetServers Reason = "no_servers_of_target"
+	TooFewReports   Reason = "too_few_daemons_heard"
+	TooFewSamples   Reason = "too_little_seen"
+	Started         Reason = "began"
+	NotWorse        Reason = "as_good_as_before"
+	Worse           Reason = "bad"
+	NoTraffic       Reason = "nobody_asks"
+	AlreadyRunning  Reason = "version_runs_already"
+	Drained         Reason = "nothing_under_way"
+	DeadlineReached Reason = "time_is_up"
 )
 
 // Step is what the roll-out comes to next.
 type Step struct {
-	State   State
-	Reason  Reason
-	Finding Finding
+	State    State
+	Reason   Reason
+	Analysis Analysis
 }
 
 const (
@@ -102,10 +102,10 @@
 // scheduleOf is as late as the answers under way allow.
 func scheduleOf(in Input, long time.Duration) schedule {
 	if long == 0 {
-		long = in.Usual
+		long = in.DefaultResponseTime
 	}
 	end := in.Period - finish
-	if in.Moves {
+	if in.CanMigrate {
 		end = in.Period - longFinish
 	}
 	all := end - max(drained, long+long/3)
@@ -113,7 +113,7 @@
 		all = 0 // none is known to be short
 	}
 	least := time.Duration(leastShare * float64(in.Period))
-	if in.Moves {
+	if in.CanMigrate {
 		least = time.Duration(longShare * float64(in.Period))
 	}
 	return schedule{all: max(all, least), last: end - moving, end: end}
@@ -133,64 +133,64 @@
 // short everything it gets stays below the bound, so that one that turns bad at the end does not get
 // too much either. Where there are few requests the slack makes it more than the limit's share.
 func some(in Input, s schedule) float64 {
-	allowed := in.Limits.Share*in.PerSecond*in.Period.Seconds() + slackUsed*in.Limits.Slack
-	later := min(noticed, in.Period-s.all+unsure).Seconds() * in.PerSecond
-	before := max(0, s.all-in.Elapsed).Seconds() * in.PerSecond
+	allowed := in.Limits.Share*in.RequestsPerSecond*in.Period.Seconds() + slackUsed*in.Limits.Slack
+	later := min(noticed, in.Period-s.all+unsure).Seconds() * in.RequestsPerSecond
+	before := max(0, s.all-in.Elapsed).Seconds() * in.RequestsPerSecond
 	least := leastSome * in.Limits.Share
 	if before == 0 {
 		return least
 	}
-	return min(mostSome, max(least, (allowed-later-float64(in.Drawn))/before))
+	return min(mostSome, max(least, (allowed-later-float64(in.TargetRequests))/before))
 }
 
 // stay is the step of a roll-out that stays where it is.
 func (in Input) stay(r Reason) Step { return Step{State: in.State, Reason: r} }
 
 // to is the step to another stage.
-func (in Input) to(stage Stage, share float64, r Reason, f Finding) Step {
+func (in Input) to(stage Stage, share float64, r Reason, f Analysis) Step {
 	in.State.Stage, in.State.Share = stage, share
-	return Step{State: in.State, Reason: r, Finding: f}
+	return Step{State: in.State, Reason: r, Analysis: f}
 }
 
 // Next decides the next step of a roll-out.
 func Next(in Input) Step {
 	s := in.State
 	switch {
-	case s.Stage == Idle, s.Stage.Over():
+	case s.Stage == Idle, s.Stage.IsTerminal():
 		return in.stay(TooEarly)
 	case s.Stage == Pending:
 		return begin(in)
 	}
-	f := in.Evidence.Judge(in.Waiting)
-	if f.Odds < anyLook && s.Base != s.Target {
-		return in.to(RolledBack, 0, Bad, f)
+	f := in.Evidence.Analyze(in.Unanswered)
+	if f.PValue < anyLook && s.Baseline != s.Target {
+		return in.to(RolledBack, 0, Worse, f)
 	}
-	if in.Target == 0 && s.Base != s.Target {
-		if s.Stage >= All || in.Elapsed > in.Period {
-			return in.to(RolledBack, 0, NoServers, f)
+	if in.TargetServers == 0 && s.Baseline != s.Target {
+		if s.Stage >= Full || in.Elapsed > in.Period {
+			return in.to(RolledBack, 0, NoTargetServers, f)
 		}
-		return in.stay(NoServers)
+		return in.stay(NoTargetServers)
 	}
-	at := scheduleOf(in, f.Long)
+	at := scheduleOf(in, f.BaselineP95)
 	switch {
-	case s.Stage <= Some && in.Elapsed >= at.all:
-		return grow(in, f, All, 1)
-	case s.Stage == Few && in.Elapsed >= rateKnown:
+	case s.Stage <= Partial && in.Elapsed >= at.all:
+		return grow(in, f, Full, 1)
+	case s.Stage == Canary && in.Elapsed >= rateKnown:
 		share := some(in, at)
-		if share*in.PerSecond < manyDrawn {
-			in.State.Common = in.Evidence.common()
+		if share*in.RequestsPerSecond < manyDrawn {
+			in.State.CommonRoutes = in.Evidence.common()
 		}
-		return grow(in, f, Some, share)
-	case s.Stage <= Some:
+		return grow(in, f, Partial, share)
+	case s.Stage <= Partial:
 		return in.stay(TooEarly)
-	case float64(in.Heard) < quorum*float64(in.Daemons):
-		return in.stay(TooFewHeard)
-	case in.UnderWay == 0 && in.Elapsed >= at.all+drained/2:
-		return complete(in, f, NothingLeft)
-	case in.Moves && s.Stage == All && in.Elapsed >= at.last:
-		return in.to(Last, 1, TimeIsUp, f)
-	case in.Moves && in.Elapsed >= at.end:
-		return complete(in, f, TimeIsUp)
+	case float64(in.DaemonsReporting) < quorum*float64(in.Daemons):
+		return in.stay(TooFewReports)
+	case in.BaselineInFlight == 0 && in.Elapsed >= at.all+drained/2:
+		return complete(in, f, Drained)
+	case in.CanMigrate && s.Stage == Full && in.Elapsed >= at.last:
+		return in.to(Migrating, 1, DeadlineReached, f)
+	case in.CanMigrate && in.Elapsed >= at.end:
+		return complete(in, f, DeadlineReached)
 	}
 	return in.stay(TooEarly)
 }
@@ -198,44 +198,44 @@
 // begin starts a roll-out once there is a server of the target.
 func begin(in Input) Step {
 	switch {
-	case in.State.Base == in.State.Target:
-		return in.to(All, 1, Same, Finding{})
-	case in.Target == 0 && in.Elapsed > in.Period:
-		return in.to(RolledBack, 0, NoServers, Finding{})
-	case in.Target == 0:
-		return in.stay(NoServers)
-	case in.Base == 0 && in.State.Base == "":
-		return in.to(All, 1, Same, Finding{})
+	case in.State.Baseline == in.State.Target:
+		return in.to(Full, 1, AlreadyRunning, Analysis{})
+	case in.TargetServers == 0 && in.Elapsed > in.Period:
+		return in.to(RolledBack, 0, NoTargetServers, Analysis{})
+	case in.TargetServers == 0:
+		return in.stay(NoTargetServers)
+	case in.BaselineServers == 0 && in.State.Baseline == "":
+		return in.to(Full, 1, AlreadyRunning, Analysis{})
 	}
-	return in.to(Few, few(in), Began, Finding{})
+	return in.to(Canary, few(in), Started, Analysis{})
 }
 
 // enough is how many samples of the target there have to be before it gets everything.
-func (in Input) enough() int { return min(enough, (in.Drawn+1)/2) }
+func (in Input) enough() int { return min(enough, (in.TargetRequests+1)/2) }
 
 // grow gives the target more, if it is as good as the version before.
-func grow(in Input, f Finding, stage Stage, share float64) Step {
+func grow(in Input, f Analysis, stage Stage, share float64) Step {
 	switch {
-	case f.Odds < lastLook:
-		return in.to(RolledBack, 0, Bad, f)
-	case float64(in.Heard) < quorum*float64(in.Daemons):
-		return in.stay(TooFewHeard)
-	case stage == All && f.New < in.enough() && in.Elapsed < 2*in.Period:
-		return in.stay(TooLittle)
-	case f.New == 0 && in.PerSecond*in.Period.Seconds() < in.Limits.Slack:
-		return in.to(stage, share, NobodyAsks, f)
-	case f.New == 0 && in.Elapsed < in.Period:
-		return in.stay(TooLittle)
-	case f.New == 0:
-		return in.to(RolledBack, 0, TooLittle, f)
+	case f.PValue < lastLook:
+		return in.to(RolledBack, 0, Worse, f)
+	case float64(in.DaemonsReporting) < quorum*float64(in.Daemons):
+		return in.stay(TooFewReports)
+	case stage == Full && f.TargetSamples < in.enough() && in.Elapsed < 2*in.Period:
+		return in.stay(TooFewSamples)
+	case f.TargetSamples == 0 && in.RequestsPerSecond*in.Period.Seconds() < in.Limits.Slack:
+		return in.to(stage, share, NoTraffic, f)
+	case f.TargetSamples == 0 && in.Elapsed < in.Period:
+		return in.stay(TooFewSamples)
+	case f.TargetSamples == 0:
+		return in.to(RolledBack, 0, TooFewSamples, f)
 	}
-	return in.to(stage, share, AsGood, f)
+	return in.to(stage, share, NotWorse, f)
 }
 
 // complete ends a roll-out whose target is as good as the version before.
-func complete(in Input, f Finding, r Reason) Step {
-	if f.Odds < lastLook && in.State.Base != in.State.Target {
-		return in.to(RolledBack, 0, Bad, f)
+func complete(in Input, f Analysis, r Reason) Step {
+	if f.PValue < lastLook && in.State.Baseline != in.State.Target {
+		return in.to(RolledBack, 0, Worse, f)
 	}
 	return in.to(Completed, 1, r, f)
 }
--- a/decision/rollout/rollout.go
+++ b/decision/rollout/rollout.go
@@ -35,13 +35,13 @@
 	// Pending: one is ordered and has not begun.
 	Pending
 	// Few: a share of the requests is drawn for few servers of the target.
-	Few
+	Canary
 	// Some: a larger share is.
-	Some
+	Partial
 	// All: the target is sent every request; answers under way end where they are.
-	All
+	Full
 	// Last: answers under way at the version before go on at the target.
-	Last
+	Migrating
 	// Completed: the version before is gone. It outweighs RolledBack: its servers have stopped.
 	Completed
 	// RolledBack: the target gets nothing any more.
@@ -63,53 +63,53 @@
 	return Idle, false
 }
 
-// Over reports whether a roll-out is at its end.
-func (s Stage) Over() bool { return s == Completed || s == RolledBack }
+// IsTerminal reports whether a roll-out is at its end.
+func (s Stage) IsTerminal() bool { return s == Completed || s == RolledBack }
 
-// Running reports whether both versions serve.
-func (s Stage) Running() bool { return s >= Few && s <= Last }
+// IsRunning reports whether both versions serve.
+func (s Stage) IsRunning() bool { return s >= Canary && s <= Migrating }
 
 // State is what is believed of a service's roll-out. The zero value is that of a service of which
 // nothing is known yet.
 type State struct {
-	// Order is the store's revision of the order; 0 where there was none.
-	Order int64
-	// Base is the version that served before; "" if there is none.
-	Base   string
-	Target string
-	Stage  Stage
+	// OrderRevision is the store's revision of the order; 0 where there was none.
+	OrderRevision int64
+	// Baseline is the version that served before; "" if there is none.
+	Baseline string
+	Target   string
+	Stage    Stage
 	// Share is the part of the requests that is drawn for the target, 0 to 1.
 	Share float64
-	// Common are the routes with many requests, as whom decides knows them: others are drawn more
+	// CommonRoutes are the routes with many requests, as whom decides knows them: others are drawn more
 	// often. "" while each daemon goes by what it sees itself.
-	Common string
+	CommonRoutes string
 }
 
-// Steady reports whether a version serves any request.
-func (s State) Steady(version string) bool {
+// ServesByDefault reports whether a version serves any request.
+func (s State) ServesByDefault(version string) bool {
 	switch s.Stage {
-	case All, Last, Completed:
+	case Full, Migrating, Completed:
 		return version == s.Target
 	}
-	return version == s.Base
+	return version == s.Baseline
 }
 
-// Barred reports whether a version may run nothing at all.
-func (s State) Barred(version string) bool {
+// IsBlocked reports whether a version may run nothing at all.
+func (s State) IsBlocked(version string) bool {
 	switch {
-	case s.Steady(version):
+	case s.ServesByDefault(version):
 		return false
 	case version == s.Target:
-		return s.Stage != Few && s.Stage != Some
-	case version == s.Base:
+		return s.Stage != Canary && s.Stage != Partial
+	case version == s.Baseline:
 		return s.Stage == Completed
 	}
 	return true
 }
 
-// Leaves reports whether answers under way at a version go on elsewhere.
-func (s State) Leaves(version string) bool {
-	return s.Stage == Last && version != s.Target || s.Stage == RolledBack && version == s.Target
+// ShouldMigrate reports whether answers under way at a version go on elsewhere.
+func (s State) ShouldMigrate(version string) bool {
+	return s.Stage == Migrating && version != s.Target || s.Stage == RolledBack && version == s.Target
 }
 
 // separator parts the names in State.Common, of which there are maxCommon at most.
@@ -118,16 +118,16 @@
 	maxCommon = 16
 )
 
-// Drawn reports whether a request that begins goes to the target; draw is in [0, 1). Requests of
+// RoutesToTarget reports whether a request that begins goes to the target; draw is in [0, 1). Requests of
 // rare routes are drawn more often: a version that is bad on one of them would not be seen there
 // before it has all.
-func (s State) Drawn(draw float64, route string, seen *Mix) bool {
+func (s State) RoutesToTarget(draw float64, route string, seen *RouteCounter) bool {
 	weight := seen.weight(route)
 	switch {
-	case s.Stage != Few && s.Stage != Some:
+	case s.Stage != Canary && s.Stage != Partial:
 		return false
-	case s.Common == "":
-	case slices.Contains(strings.Split(s.Common, separator), route):
+	case s.CommonRoutes == "":
+	case slices.Contains(strings.Split(s.CommonRoutes, separator), route):
 		weight = 1
 	default:
 		weight = rareWeight
@@ -149,18 +149,18 @@
 	mostRoutes = 64
 )
 
-// Mix counts the requests of a service by route. The zero value has counted none. It is not safe
+// RouteCounter counts the requests of a service by route. The zero value has counted none. It is not safe
 // for concurrent use.
-type Mix struct {
+type RouteCounter struct {
 	routes     map[string]int
 	all, drawn int
 }
 
-// Counted is how many requests were counted, and how many of them drawn.
-func (m *Mix) Counted() (all, drawn int) { return m.all, m.drawn }
+// Totals is how many requests were counted, and how many of them drawn.
+func (m *RouteCounter) Totals() (all, drawn int) { return m.all, m.drawn }
 
 // weight counts a request and returns how much more often than others those of its route are drawn.
-func (m *Mix) weight(route string) float64 {
+func (m *RouteCounter) weight(route string) float64 {
 	if m.routes == nil {
 		m.routes = map[string]int{}
 	}
@@ -173,17 +173,17 @@
 	return min(mostWeight, max(leastWeight, even/float64(m.routes[route])))
 }
 
-// Later is the state that holds of two that were heard of one service. Two that run to the same
+// Merge is the state that holds of two that were heard of one service. Two that run to the same
 // target are of one roll-out, whose order was written more than once.
-func Later(a, b State) State {
-	if a.Order < b.Order {
+func Merge(a, b State) State {
+	if a.OrderRevision < b.OrderRevision {
 		a, b = b, a
 	}
-	if a.Order != b.Order && (a.Target != b.Target || !a.Stage.Running() || !b.Stage.Running()) {
+	if a.OrderRevision != b.OrderRevision && (a.Target != b.Target || !a.Stage.IsRunning() || !b.Stage.IsRunning()) {
 		return a
 	}
 	if b.rank() > a.rank() {
-		b.Order = a.Order
+		b.OrderRevision = a.OrderRevision
 		return b
 	}
 	return a
@@ -205,26 +205,26 @@
 	Target   string
 }
 
-// Believe is what holds of a service: order is the newest known, nil for none; stored is what lies
+// Resolve is what holds of a service: order is the newest known, nil for none; stored is what lies
 // in the store, nil for nothing; before is what was believed until now, with what other daemons
 // told; present counts the servers of each version.
 //
 // The same order written twice is one roll-out while that runs. One that is written again after its
 // end is a new one.
-func Believe(order *Order, stored *State, before State, present map[string]int) State {
+func Resolve(order *Order, stored *State, before State, present map[string]int) State {
 	now := before
 	if stored != nil {
-		now = Later(before, *stored)
+		now = Merge(before, *stored)
 	}
-	if order != nil && order.Revision > now.Order {
-		if order.Target == now.Target && now.Stage.Running() {
-			now.Order = order.Revision
+	if order != nil && order.Revision > now.OrderRevision {
+		if order.Target == now.Target && now.Stage.IsRunning() {
+			now.OrderRevision = order.Revision
 			return now
 		}
-		return State{Order: order.Revision, Base: now.base(present, order.Target), Target: order.Target, Stage: Pending}
+		return State{OrderRevision: order.Revision, Baseline: now.base(present, order.Target), Target: order.Target, Stage: Pending}
 	}
-	if now.Stage == Idle || now.Stage == Pending && now.Base == "" {
-		now.Base = now.base(present, now.Target)
+	if now.Stage == Idle || now.Stage == Pending && now.Baseline == "" {
+		now.Baseline = now.base(present, now.Target)
 	}
 	return now
 }
@@ -234,8 +234,8 @@
 	switch {
 	case s.Stage == Completed:
 		return s.Target
-	case s.Base != "" && (s.Stage != Idle || present[s.Base] > 0):
-		return s.Base
+	case s.Baseline != "" && (s.Stage != Idle || present[s.Baseline] > 0):
+		return s.Baseline
 	}
 	return most(present, target)
 }
--- a/decision/rollout/rollout_test.go
+++ b/decision/rollout/rollout_test.go
@@ -16,28 +16,28 @@
 	}{
 		{Idle, true, false, false, true, false},
 		{Pending, true, false, false, true, false},
-		{Few, true, false, false, false, true},
-		{Some, true, false, false, false, true},
-		{All, false, false, true, false, false},
-		{Last, false, false, true, false, false},
+		{Canary, true, false, false, false, true},
+		{Partial, true, false, false, false, true},
+		{Full, false, false, true, false, false},
+		{Migrating, false, false, true, false, false},
 		{Completed, false, true, true, false, false},
 		{RolledBack, true, false, false, true, false},
 	} {
-		s := State{Order: 1, Base: "v1", Target: "v2", Stage: c.stage, Share: 0.1}
-		must.Eq(t, c.baseSteady, s.Steady("v1"), must.Sprint(c.stage))
-		must.Eq(t, c.baseBarred, s.Barred("v1"), must.Sprint(c.stage))
-		must.Eq(t, c.newSteady, s.Steady("v2"), must.Sprint(c.stage))
-		must.Eq(t, c.newBarred, s.Barred("v2"), must.Sprint(c.stage))
-		must.Eq(t, c.drawn, s.Drawn(0.05, "r", &Mix{}), must.Sprint(c.stage))
-		must.False(t, s.Drawn(0.5, "r", &Mix{}))
-		must.True(t, s.Barred("v3"))
+		s := State{OrderRevision: 1, Baseline: "v1", Target: "v2", Stage: c.stage, Share: 0.1}
+		must.Eq(t, c.baseSteady, s.ServesByDefault("v1"), must.Sprint(c.stage))
+		must.Eq(t, c.baseBarred, s.IsBlocked("v1"), must.Sprint(c.stage))
+		must.Eq(t, c.newSteady, s.ServesByDefault("v2"), must.Sprint(c.stage))
+		must.Eq(t, c.newBarred, s.IsBlocked("v2"), must.Sprint(c.stage))
+		must.Eq(t, c.drawn, s.RoutesToTarget(0.05, "r", &RouteCounter{}), must.Sprint(c.stage))
+		must.False(t, s.RoutesToTarget(0.5, "r", &RouteCounter{}))
+		must.True(t, s.IsBlocked("v3"))
 		parsed, ok := ParseStage(c.stage.String())
 		must.True(t, ok)
 		must.Eq(t, c.stage, parsed)
 	}
-	must.True(t, State{Base: "v1", Target: "v2", Stage: Last}.Leaves("v1"))
-	must.False(t, State{Base: "v1", Target: "v2", Stage: Last}.Leaves("v2"))
-	must.True(t, State{Base: "v1", Target: "v2", Stage: RolledBack}.Leaves("v2"))
+	must.True(t, State{Baseline: "v1", Target: "v2", Stage: Migrating}.ShouldMigrate("v1"))
+	must.False(t, State{Baseline: "v1", Target: "v2", Stage: Migrating}.ShouldMigrate("v2"))
+	must.True(t, State{Baseline: "v1", Target: "v2", Stage: RolledBack}.ShouldMigrate("v2"))
 	_, ok := ParseStage("sideways")
 	must.False(t, ok)
 }
@@ -45,27 +45,27 @@
 // What was heard in any order comes to the same.
 func TestLaterOfTwoStates(t *testing.T) {
 	at := func(order int64, target string, stage Stage) State {
-		return State{Order: order, Base: "v1", Target: target, Stage: stage}
+		return State{OrderRevision: order, Baseline: "v1", Target: target, Stage: stage}
 	}
 	for _, c := range []struct {
 		name       string
 		a, b, want State
 	}{
-		{"a later stage", at(5, "v2", Few), at(5, "v2", All), at(5, "v2", All)},
-		{"a bad version outweighs what it had come to", at(5, "v2", Last), at(5, "v2", RolledBack), at(5, "v2", RolledBack)},
+		{"a later stage", at(5, "v2", Canary), at(5, "v2", Full), at(5, "v2", Full)},
+		{"a bad version outweighs what it had come to", at(5, "v2", Migrating), at(5, "v2", RolledBack), at(5, "v2", RolledBack)},
 		{"servers that have stopped cannot be gone back to", at(5, "v2", Completed), at(5, "v2", RolledBack), at(5, "v2", Completed)},
 		{"a newer order", at(5, "v2", RolledBack), at(7, "v3", Pending), at(7, "v3", Pending)},
-		{"the same order twice", at(5, "v2", All), at(7, "v2", Few), at(7, "v2", All)},
-		{"the same order after its end", at(5, "v2", RolledBack), at(7, "v2", Few), at(7, "v2", Few)},
+		{"the same order twice", at(5, "v2", Full), at(7, "v2", Canary), at(7, "v2", Full)},
+		{"the same order after its end", at(5, "v2", RolledBack), at(7, "v2", Canary), at(7, "v2", Canary)},
 	} {
-		must.Eq(t, c.want, Later(c.a, c.b), must.Sprint(c.name))
-		must.Eq(t, c.want, Later(c.b, c.a), must.Sprint(c.name))
+		must.Eq(t, c.want, Merge(c.a, c.b), must.Sprint(c.name))
+		must.Eq(t, c.want, Merge(c.b, c.a), must.Sprint(c.name))
 	}
 }
 
 func TestBelieve(t *testing.T) {
 	both := map[string]int{"v1": 4, "v2": 4}
-	running := State{Order: 5, Base: "v1", Target: "v2", Stage: Few, Share: 0.05}
+	running := State{OrderRevision: 5, Baseline: "v1", Target: "v2", Stage: Canary, Share: 0.05}
 	end := func(s State, stage Stage) *State {
 		s.Stage = stage
 		return &s
@@ -78,33 +78,33 @@
 		present map[string]int
 		want    State
 	}{
-		{"nothing was ordered", nil, nil, State{}, map[string]int{"v1": 4}, State{Base: "v1"}},
-		{"servers that no order allows", nil, nil, State{Base: "v1"}, map[string]int{"v1": 1, "v2": 4}, State{Base: "v1"}},
-		{"all servers were replaced without an order", nil, nil, State{Base: "v1"}, map[string]int{"v2": 4}, State{Base: "v2"}},
-		{"an order", &Order{5, "v2"}, nil, State{Base: "v1"}, both, State{Order: 5, Base: "v1", Target: "v2", Stage: Pending}},
-		{"an order before any server is known", &Order{5, "v2"}, nil, State{}, nil, State{Order: 5, Target: "v2", Stage: Pending}},
-		{"its servers come", &Order{5, "v2"}, nil, State{Order: 5, Target: "v2", Stage: Pending}, both, State{Order: 5, Base: "v1", Target: "v2", Stage: Pending}},
-		{"an order for what runs", &Order{5, "v1"}, nil, State{Base: "v1"}, map[string]int{"v1": 4}, State{Order: 5, Base: "v1", Target: "v1", Stage: Pending}},
+		{"nothing was ordered", nil, nil, State{}, map[string]int{"v1": 4}, State{Baseline: "v1"}},
+		{"servers that no order allows", nil, nil, State{Baseline: "v1"}, map[string]int{"v1": 1, "v2": 4}, State{Baseline: "v1"}},
+		{"all servers were replaced without an order", nil, nil, State{Baseline: "v1"}, map[string]int{"v2": 4}, State{Baseline: "v2"}},
+		{"an order", &Order{5, "v2"}, nil, State{Baseline: "v1"}, both, State{OrderRevision: 5, Baseline: "v1", Target: "v2", Stage: Pending}},
+		{"an order before any server is known", &Order{5, "v2"}, nil, State{}, nil, State{OrderRevision: 5, Target: "v2", Stage: Pending}},
+		{"its servers come", &Order{5, "v2"}, nil, State{OrderRevision: 5, Target: "v2", Stage: Pending}, both, State{OrderRevision: 5, Baseline: "v1", Target: "v2", Stage: Pending}},
+		{"an order for what runs", &Order{5, "v1"}, nil, State{Baseline: "v1"}, map[string]int{"v1": 4}, State{OrderRevision: 5, Baseline: "v1", Target: "v1", Stage: Pending}},
 		{"a daemon that starts in the middle", &Order{5, "v2"}, &running, State{}, both, running},
 		{"a daemon that was told more", &Order{5, "v2"}, &running, *end(running, RolledBack), both, *end(running, RolledBack)},
 		{"a daemon that starts after the end", &Order{5, "v2"}, end(running, Completed), State{}, both, *end(running, Completed)},
-		{"another target in the middle", &Order{9, "v3"}, &running, running, both, State{Order: 9, Base: "v1", Target: "v3", Stage: Pending}},
-		{"back to the version before in the middle", &Order{9, "v1"}, &running, running, both, State{Order: 9, Base: "v1", Target: "v1", Stage: Pending}},
-		{"after one that was completed", &Order{9, "v3"}, end(running, Completed), State{}, both, State{Order: 9, Base: "v2", Target: "v3", Stage: Pending}},
-		{"after one that was rolled back", &Order{9, "v2"}, end(running, RolledBack), State{}, both, State{Order: 9, Base: "v1", Target: "v2", Stage: Pending}},
-		{"the same order again", &Order{9, "v2"}, &running, running, both, State{Order: 9, Base: "v1", Target: "v2", Stage: Few, Share: 0.05}},
+		{"another target in the middle", &Order{9, "v3"}, &running, running, both, State{OrderRevision: 9, Baseline: "v1", Target: "v3", Stage: Pending}},
+		{"back to the version before in the middle", &Order{9, "v1"}, &running, running, both, State{OrderRevision: 9, Baseline: "v1", Target: "v1", Stage: Pending}},
+		{"after one that was completed", &Order{9, "v3"}, end(running, Completed), State{}, both, State{OrderRevision: 9, Baseline: "v2", Target: "v3", Stage: Pending}},
+		{"after one that was rolled back", &Order{9, "v2"}, end(running, RolledBack), State{}, both, State{OrderRevision: 9, Baseline: "v1", Target: "v2", Stage: Pending}},
+		{"the same order again", &Order{9, "v2"}, &running, running, both, State{OrderRevision: 9, Baseline: "v1", Target: "v2", Stage: Canary, Share: 0.05}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := Believe(c.order, c.stored, c.before, c.present)
+			got := Resolve(c.order, c.stored, c.before, c.present)
 			must.Eq(t, c.want, got)
-			must.Eq(t, got, Believe(c.order, c.stored, got, c.present))
+			must.Eq(t, got, Resolve(c.order, c.stored, got, c.present))
 		})
 	}
 }
 
 // Routes with few requests are drawn more often, and all together about as often as the share says.
 func TestRoutesWithFewRequestsAreDrawnToo(t *testing.T) {
-	var m Mix
+	var m RouteCounter
 	drawn, rare := 0.0, 0.0
 	for n := range 1000 {
 		if n%20 == 0 {
--- a/decision/takeover/takeover.go
+++ b/decision/takeover/takeover.go
@@ -20,37 +20,37 @@
 import "time"
 
 const (
-	// WithCopy is how long an answer whose run has a copy may be silent at least, and
+	// SilenceWithCopy is how long an answer whose run has a copy may be silent at least, and
 	// half of the route's target for pauses if that is more: going on from the copy has
 	// to fit into the other half.
-	WithCopy = 350 * time.Millisecond
-	// Alone holds without a copy, where going on costs the reading of the whole prompt:
+	SilenceWithCopy = 350 * time.Millisecond
+	// SilenceWithoutCopy holds without a copy, where going on costs the reading of the whole prompt:
 	// the answer is late then in any case.
-	Alone = 1500 * time.Millisecond
-	// Again is how soon another try is made after one that came to nothing.
-	Again = 200 * time.Millisecond
-	// Hopeless is how long an answer is silent before it is given up for want of a
+	SilenceWithoutCopy = 1500 * time.Millisecond
+	// RetryInterval is how soon another try is made after one that came to nothing.
+	RetryInterval = 200 * time.Millisecond
+	// GiveUpAfter is how long an answer is silent before it is given up for want of a
 	// repeat, a server or room, where its server responds to no question either. Part of
 	// the budget is free again by then.
-	Hopeless = 2 * time.Second
-	// Settling is how long the silent server is listened to once another has answered:
+	GiveUpAfter = 2 * time.Second
+	// SettleTime is how long the silent server is listened to once another has answered:
 	// what a full link held up arrives in the same moment as that answer.
-	Settling = 5 * time.Millisecond
-	// HeldUp is the longest that the own link is taken to be held up.
-	HeldUp = 2 * time.Second
-	// Overlap is how long two engines may have the request of one answer while the silent
+	SettleTime = 5 * time.Millisecond
+	// MaxLinkStall is the longest that the own link is taken to be held up.
+	MaxLinkStall = 2 * time.Second
+	// MaxOverlap is how long two engines may have the request of one answer while the silent
 	// one gives no sign of life: longer than one step of a batch beside a prompt, and less
 	// than the time within which a run that is given up must have ended.
-	Overlap = 250 * time.Millisecond
+	MaxOverlap = 250 * time.Millisecond
 )
 
-// Patience is how long an answer may be silent. gapTarget is the route's target for
+// MaxSilence is how long an answer may be silent. gapTarget is the route's target for
 // pauses, 0 if it has none.
-func Patience(hasCopy bool, gapTarget time.Duration) time.Duration {
+func MaxSilence(hasCopy bool, gapTarget time.Duration) time.Duration {
 	if hasCopy {
-		return min(max(WithCopy, gapTarget/2), Alone)
+		return min(max(SilenceWithCopy, gapTarget/2), SilenceWithoutCopy)
 	}
-	return max(Alone, 2*gapTarget)
+	return max(SilenceWithoutCopy, 2*gapTarget)
 }
 
 // Outcome is what came of a try to go on elsewhere.
@@ -58,14 +58,14 @@
 
 // The outcomes. With all but TakenOver the silent server keeps the answer.
 const (
-	TakenOver  Outcome = iota + 1
-	NoTries            // the route allows no further run
-	NoServer           // no other server answers
-	Alive              // the silent server answers questions, and its run has no copy
-	NoRoom             // the servers that answer cannot read the prompt in time
-	NoRepeat           // the budget affords none
-	TurnedAway         // the other server did not take the request
-	NotNeeded          // the silent server responded again, its connection broke, or the caller left
+	TakenOver      Outcome = iota + 1
+	NoAttemptsLeft         // the route allows no further run
+	NoServer               // no other server answers
+	StillAlive             // the silent server answers questions, and its run has no copy
+	NoCapacity             // the servers that answer cannot read the prompt in time
+	NoRetryBudget          // the budget affords none
+	Rejected               // the other server did not take the request
+	NotNeeded              // the silent server responded again, its connection broke, or the caller left
 )
 
 // String returns the word used in logs.
@@ -73,59 +73,59 @@
 	return [...]string{"", "taken_over", "no_tries", "no_server", "alive", "no_room", "no_repeat", "turned_away", "not_needed"}[o]
 }
 
-// State is what a server has done since both are connected.
-type State uint8
+// ServerState is what a server has done since both are connected.
+type ServerState uint8
 
 // The states.
 const (
-	Quiet State = iota
-	Responds
+	Silent ServerState = iota
+	Responding
 	Broken // its connection broke, or it did not take the request
 )
 
-// Step is what is done next with the two servers.
-type Step uint8
+// Action is what is done next with the two servers.
+type Action uint8
 
 // The steps.
 const (
-	Wait Step = iota
-	Keep      // the silent server keeps the answer, the other is let go
-	Move      // the answer goes on at the other server
+	Wait   Action = iota
+	Keep          // the silent server keeps the answer, the other is let go
+	Switch        // the answer goes on at the other server
 )
 
-// Settle decides between the silent server and the one that was sent the request after it.
+// Decide decides between the silent server and the one that was sent the request after it.
 // over says that the two are not waited for any longer.
-func Settle(silent, other State, over bool) Step {
+func Decide(silent, other ServerState, over bool) Action {
 	switch {
-	case silent == Responds:
+	case silent == Responding:
 		return Keep // nothing was lost, and its run is the further one
-	case other == Responds:
-		return Move
+	case other == Responding:
+		return Switch
 	case other == Broken:
 		return Keep // a broken connection of the first is dealt with as any other
 	case silent == Broken || over:
-		return Move
+		return Switch
 	}
 	return Wait
 }
 
-// Over reports whether two servers that both have the request, and of which neither has
+// IsOverlapOver reports whether two servers that both have the request, and of which neither has
 // responded to it for Overlap, are not waited for any longer. Each was asked a question since.
 // While the silent one answers, the link from here works, and the other's response would be
 // here if it ran the request. While neither does, the link is held up, for HeldUp at most.
-func Over(silentAnswers, otherAnswers bool, waited time.Duration) bool {
-	return !silentAnswers && (otherAnswers || waited >= HeldUp)
+func IsOverlapOver(silentAnswers, otherAnswers bool, waited time.Duration) bool {
+	return !silentAnswers && (otherAnswers || waited >= MaxLinkStall)
 }
 
-// GiveUp reports whether a silent answer is given up if its server answers no question
+// ShouldGiveUp reports whether a silent answer is given up if its server answers no question
 // either: at once where it can never go on, and after a while where nothing came of waiting. The caller is told then,
 // so that it comes back elsewhere. An answer whose server works is waited for.
-func GiveUp(o Outcome, silent time.Duration) bool {
+func ShouldGiveUp(o Outcome, silent time.Duration) bool {
 	switch o {
-	case NoTries:
+	case NoAttemptsLeft:
 		return true
-	case NoRepeat, NoServer, NoRoom:
-		return silent >= Hopeless
+	case NoRetryBudget, NoServer, NoCapacity:
+		return silent >= GiveUpAfter
 	}
 	return false
 }
--- a/decision/takeover/takeover_test.go
+++ b/decision/takeover/takeover_test.go
@@ -14,15 +14,15 @@
 		target  time.Duration
 		want    time.Duration
 	}{
-		{"copy, no target", true, 0, WithCopy},
+		{"copy, no target", true, 0, SilenceWithCopy},
 		{"copy, usual target", true, 700 * time.Millisecond, 350 * time.Millisecond},
 		{"copy, wide target", true, 2 * time.Second, time.Second},
-		{"copy, target beyond reading anew", true, 10 * time.Second, Alone},
-		{"alone, no target", false, 0, Alone},
+		{"copy, target beyond reading anew", true, 10 * time.Second, SilenceWithoutCopy},
+		{"alone, no target", false, 0, SilenceWithoutCopy},
 		{"alone, wide target", false, 2 * time.Second, 4 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			must.Eq(t, c.want, Patience(c.hasCopy, c.target))
+			must.Eq(t, c.want, MaxSilence(c.hasCopy, c.target))
 		})
 	}
 }
@@ -32,24 +32,24 @@
 func TestSettle(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		silent, other State
+		silent, other ServerState
 		over          bool
-		want          Step
+		want          Action
 	}{
-		{"nothing yet", Quiet, Quiet, false, Wait},
-		{"the other takes it", Quiet, Responds, false, Move},
-		{"the other turns it away", Quiet, Broken, false, Keep},
-		{"the silent one responds", Responds, Quiet, false, Keep},
-		{"both respond", Responds, Responds, false, Keep},
-		{"the silent one responds, time is over", Responds, Quiet, true, Keep},
-		{"the silent one breaks", Broken, Quiet, false, Move},
-		{"the silent one breaks, the other takes it", Broken, Responds, false, Move},
+		{"nothing yet", Silent, Silent, false, Wait},
+		{"the other takes it", Silent, Responding, false, Switch},
+		{"the other turns it away", Silent, Broken, false, Keep},
+		{"the silent one responds", Responding, Silent, false, Keep},
+		{"both respond", Responding, Responding, false, Keep},
+		{"the silent one responds, time is over", Responding, Silent, true, Keep},
+		{"the silent one breaks", Broken, Silent, false, Switch},
+		{"the silent one breaks, the other takes it", Broken, Responding, false, Switch},
 		{"both break", Broken, Broken, false, Keep},
-		{"time is over", Quiet, Quiet, true, Move},
-		{"time is over and the other turned it away", Quiet, Broken, true, Keep},
+		{"time is over", Silent, Silent, true, Switch},
+		{"time is over and the other turned it away", Silent, Broken, true, Keep},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			must.Eq(t, c.want, Settle(c.silent, c.other, c.over))
+			must.Eq(t, c.want, Decide(c.silent, c.other, c.over))
 		})
 	}
 }
@@ -57,10 +57,10 @@
 // A caller whose answer can never go on is told; one whose answer may go on in a moment, or
 // whose server works, waits.
 func TestGiveUp(t *testing.T) {
-	later := map[Outcome]bool{NoTries: true, NoRepeat: true, NoServer: true, NoRoom: true}
+	later := map[Outcome]bool{NoAttemptsLeft: true, NoRetryBudget: true, NoServer: true, NoCapacity: true}
 	for o := TakenOver; o <= NotNeeded; o++ {
-		must.Eq(t, o == NoTries, GiveUp(o, Hopeless-1), must.Sprint(o))
-		must.Eq(t, later[o], GiveUp(o, Hopeless), must.Sprint(o))
+		must.Eq(t, o == NoAttemptsLeft, ShouldGiveUp(o, GiveUpAfter-1), must.Sprint(o))
+		must.Eq(t, later[o], ShouldGiveUp(o, GiveUpAfter), must.Sprint(o))
 	}
 }
 
@@ -73,14 +73,14 @@
 		waited        time.Duration
 		want          bool
 	}{
-		{"both answer", true, true, Overlap, false},
-		{"the first alone answers", true, false, HeldUp, false},
-		{"the first does not answer", false, true, Overlap, true},
-		{"the link is held up", false, false, Overlap, false},
-		{"the link is held up for long", false, false, HeldUp, true},
+		{"both answer", true, true, MaxOverlap, false},
+		{"the first alone answers", true, false, MaxLinkStall, false},
+		{"the first does not answer", false, true, MaxOverlap, true},
+		{"the link is held up", false, false, MaxOverlap, false},
+		{"the link is held up for long", false, false, MaxLinkStall, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			must.Eq(t, c.want, Over(c.silent, c.other, c.waited))
+			must.Eq(t, c.want, IsOverlapOver(c.silent, c.other, c.waited))
 		})
 	}
 }
--- a/decision/throttle/throttle.go
+++ b/decision/throttle/throttle.go
@@ -44,20 +44,20 @@
 	taken, away, refused float64
 }
 
-// Taken records a call that a server took, whatever came of it.
-func (t *Throttle) Taken(now time.Time) {
+// RecordAccepted records a call that a server took, whatever came of it.
+func (t *Throttle) RecordAccepted(now time.Time) {
 	t.fade(now)
 	t.taken++
 }
 
-// TurnedAway records a call that the servers tried turned away.
-func (t *Throttle) TurnedAway(now time.Time) {
+// RecordRejected records a call that the servers tried turned away.
+func (t *Throttle) RecordRejected(now time.Time) {
 	t.fade(now)
 	t.away++
 }
 
-// Refuse reports whether a call is refused, and counts it if so. draw is in [0, 1).
-func (t *Throttle) Refuse(now time.Time, draw float64) bool {
+// ShouldRefuse reports whether a call is refused, and counts it if so. draw is in [0, 1).
+func (t *Throttle) ShouldRefuse(now time.Time, draw float64) bool {
 	if draw >= t.share(now) {
 		return false
 	}
@@ -65,8 +65,8 @@
 	return true
 }
 
-// Crowded reports whether calls are refused now. Then none is sent a second time.
-func (t *Throttle) Crowded(now time.Time) bool { return t.share(now) > 0 }
+// IsRefusing reports whether calls are refused now. Then none is sent a second time.
+func (t *Throttle) IsRefusing(now time.Time) bool { return t.share(now) > 0 }
 
 // share is the part of the calls that is refused.
 func (t *Throttle) share(now time.Time) float64 {
--- a/decision/throttle/throttle_test.go
+++ b/decision/throttle/throttle_test.go
@@ -35,15 +35,15 @@
 	for now := from; now.Before(from.Add(length)); now = now.Add(gap) {
 		vm := vms[random.IntN(len(vms))]
 		t.calls++
-		if vm.Refuse(now, random.Float64()) {
+		if vm.ShouldRefuse(now, random.Float64()) {
 			continue
 		}
 		t.sent++
 		if s.takes(now) {
 			t.taken++
-			vm.Taken(now)
+			vm.RecordAccepted(now)
 		} else {
-			vm.TurnedAway(now)
+			vm.RecordRejected(now)
 		}
 	}
 	return t
@@ -86,11 +86,11 @@
 	now := time.Unix(1000, 0)
 	for range 5000 {
 		now = now.Add(10 * time.Millisecond)
-		must.False(t, vm.Refuse(now, 0))
+		must.False(t, vm.ShouldRefuse(now, 0))
 		if random.Float64() < 0.03 {
-			vm.TurnedAway(now)
+			vm.RecordRejected(now)
 		} else {
-			vm.Taken(now)
+			vm.RecordAccepted(now)
 		}
 	}
 }
@@ -100,9 +100,9 @@
 func TestOneTurnedAwayIsNoCrowd(t *testing.T) {
 	var vm Throttle
 	now := time.Unix(1000, 0)
-	vm.TurnedAway(now)
-	must.False(t, vm.Crowded(now))
-	vm.TurnedAway(now)
-	must.True(t, vm.Crowded(now))
-	must.False(t, vm.Crowded(now.Add(memory)))
+	vm.RecordRejected(now)
+	must.False(t, vm.IsRefusing(now))
+	vm.RecordRejected(now)
+	must.True(t, vm.IsRefusing(now))
+	must.False(t, vm.IsRefusing(now.Add(memory)))
 }
--- a/lab/bench/prompts/world.go
+++ b/lab/bench/prompts/world.go
@@ -63,7 +63,7 @@
 	copies   [][]int
 	reports  []decide.Report // of the engines
 	paces    []*decide.Pace  // of the daemons
-	crowds   []*retryafter.Spell
+	crowds   []*retryafter.Streak
 	pending  []pending
 	requests []*request
 	// thrownOut counts runs that an engine without memory took out of its batch.
@@ -98,7 +98,7 @@
 		w.running = append(w.running, make([]int, d.engines))
 		w.copies = append(w.copies, make([]int, d.engines))
 		w.paces = append(w.paces, &decide.Pace{})
-		w.crowds = append(w.crowds, &retryafter.Spell{})
+		w.crowds = append(w.crowds, &retryafter.Streak{})
 	}
 	return w
 }
@@ -181,12 +181,12 @@
 	if pace.Admit(w.reports[e], r.prompt, due) == decide.Admitted {
 		return false
 	}
-	lasted := w.crowds[r.daemon].Seen(start.Add(now))
+	lasted := w.crowds[r.daemon].Extend(start.Add(now))
 	if r.refused++; r.refused >= tries {
 		r.over = true
 		return true
 	}
-	back := retryafter.Crowded(lasted, max(pace.Answer(), firstObjective), w.random.Float64())
+	back := retryafter.AfterOverload(lasted, max(pace.Answer(), firstObjective), w.random.Float64())
 	w.pending = append(w.pending, pending{at: now + back, r: r, back: true})
 	return true
 }
--- a/lab/soak/process/rollout.go
+++ b/lab/soak/process/rollout.go
@@ -115,7 +115,7 @@
 		if status.Target != target {
 			continue
 		}
-		if stage = status.Stage; stage.Over() {
+		if stage = status.Stage; stage.IsTerminal() {
 			return stage
 		}
 	}
--- a/serve/forward/accept.go
+++ b/serve/forward/accept.go
@@ -85,7 +85,7 @@
 	}
 	if age > time.Duration(h.keyAge.Load())-keyMargin {
 		return verdict.New(verdict.NotRun, verdict.CodeUnconfirmed,
-			"the configuration was last confirmed %v ago", age.Round(time.Millisecond)).After(retryafter.Unconfirmed(age, h.opts.Feed.Outage(), rand.Float64()))
+			"the configuration was last confirmed %v ago", age.Round(time.Millisecond)).After(retryafter.AfterStoreOutage(age, h.opts.Feed.Outage(), rand.Float64()))
 	}
 	in.account = config.Account(in.call.Key)
 	if in.account == nil {
--- a/serve/forward/budgets.go
+++ b/serve/forward/budgets.go
@@ -14,7 +14,7 @@
 	share := repeats.Share{Daemons: 1}
 	if p.view != nil && len(p.view.VMs) > 1 {
 		share.Daemons = len(p.view.VMs)
-		share.Offset = float64(xxhash.Sum64String(p.self.ID)>>11) / (1 << 53)
+		share.RoundingOffset = float64(xxhash.Sum64String(p.self.ID)>>11) / (1 << 53)
 	}
 	return share
 }
@@ -30,7 +30,7 @@
 
 // setRule changes the budgets of all services, which begin anew: without a part
 // of the slack, since what was repeated before is forgotten.
-func (p *pool) setRule(rule repeats.Rule) {
+func (p *pool) setRule(rule repeats.Policy) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if rule != p.rule {
@@ -43,12 +43,12 @@
 func (p *pool) request(now time.Time, service string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.budget(service).Request(now)
+	p.budget(service).RecordRequest(now)
 }
 
 // repeat asks for one more send of a request.
 func (p *pool) repeat(now time.Time, service string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.budget(service).Repeat(now, p.share())
+	return p.budget(service).TryRetry(now, p.share())
 }
--- a/serve/forward/candidate.go
+++ b/serve/forward/candidate.go
@@ -22,7 +22,7 @@
 // budget for it. The request is counted at the server of the leg.
 func (r *relay) reserve(ctx context.Context, a *attempt, why error) (leg, takeover.Outcome) {
 	if !r.mayGoOn() || r.starts >= maxStarts {
-		return leg{}, takeover.NoTries
+		return leg{}, takeover.NoAttemptsLeft
 	}
 	l, outcome := r.candidate(ctx, a, why)
 	if outcome != takeover.TakenOver {
@@ -30,10 +30,10 @@
 	}
 	l = r.withCopy(ctx, l)
 	// A repeat is spent only on what is still silent now.
-	if !pause.For(ctx, takeover.Settling) {
+	if !pause.For(ctx, takeover.SettleTime) {
 		outcome = takeover.NotNeeded
 	} else if !r.mayRepeat(ctx, time.Now()) {
-		outcome = takeover.NoRepeat
+		outcome = takeover.NoRetryBudget
 	}
 	if outcome != takeover.TakenOver {
 		r.uncount(l)
@@ -53,7 +53,7 @@
 		return leg{at: c, from: held.name}, takeover.TakenOver
 	}
 	if r.h.pressure.hopeless(r.service, r.in.call.PromptTokens, time.Until(r.in.until)) {
-		return leg{}, takeover.NoRoom
+		return leg{}, takeover.NoCapacity
 	}
 	return r.withoutCopy(ctx, a, why)
 }
@@ -78,9 +78,9 @@
 		case !c.answered:
 			outcome = takeover.NoServer
 		case r.answers(ctx, a, why):
-			outcome = takeover.Alive
+			outcome = takeover.StillAlive
 		case admission != prompts.Admitted:
-			outcome = takeover.NoRoom
+			outcome = takeover.NoCapacity
 		}
 	}
 	if outcome != takeover.TakenOver {
@@ -94,7 +94,7 @@
 // where the link from here was full until a moment ago, others answer as well by now. One
 // whose answer is lost, or that has been silent for long, is not asked.
 func (r *relay) answers(ctx context.Context, a *attempt, why error) bool {
-	long := time.Since(r.since) >= takeover.Patience(false, r.in.route.GapTarget)
+	long := time.Since(r.since) >= takeover.MaxSilence(false, r.in.route.GapTarget)
 	if errors.Is(why, errAnswerLost) || errors.Is(why, errSilent) && long {
 		return false
 	}
--- a/serve/forward/endings.go
+++ b/serve/forward/endings.go
@@ -84,18 +84,18 @@
 		running = now.Sub(e.begun)
 	}
 	found := h.stateOf(e)
-	end := poison.Ending{
+	end := poison.Termination{
 		Planned: h.leaves(e.at.server),
-		Unread:  e.from == "" && h.pressure.hopeless(e.at.server.Service, e.in.call.PromptTokens, now.Sub(e.sent)),
-		Running: running,
+		PromptUnread:  e.from == "" && h.pressure.hopeless(e.at.server.Service, e.in.call.PromptTokens, now.Sub(e.sent)),
+		Streamed: running,
 	}
-	if found == stateEnded && end.Judge() == poison.Counts {
-		end.Asked, end.Down = h.lookAround(e.at.server)
+	if found == stateEnded && end.Attribute() == poison.Attributed {
+		end.PeersChecked, end.PeersDown = h.lookAround(e.at.server)
 	}
-	finding := end.Judge()
+	finding := end.Attribute()
 	h.opts.Log.Emit(event.BackendBroke, e.in.call.ID, e.in.digests, e.in.call.OwnPart, e.in.accountName(),
-		e.at.server.ID, e.at.server.Zone, string(found), finding.String(), end.Asked, end.Down, now.Sub(e.sent), running, e.from, e.err)
-	if found == stateEnded && finding == poison.Counts {
+		e.at.server.ID, e.at.server.Zone, string(found), finding.String(), end.PeersChecked, end.PeersDown, now.Sub(e.sent), running, e.from, e.err)
+	if found == stateEnded && finding == poison.Attributed {
 		h.poisoned.ended(context.Background(), e.in, e.at.server.Life())
 	}
 }
@@ -147,7 +147,7 @@
 		}
 	}
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	others = others[:min(poison.Looked, len(others))]
+	others = others[:min(poison.PeersToCheck, len(others))]
 	var ended atomic.Int32
 	var all sync.WaitGroup
 	for _, other := range others {
--- a/serve/forward/handler.go
+++ b/serve/forward/handler.go
@@ -60,7 +60,7 @@
 	// KeyAge is how old the configuration may be for an account key to be trusted.
 	KeyAge time.Duration
 	// Repeats bounds the sends beyond the first of the whole fleet.
-	Repeats repeats.Rule
+	Repeats repeats.Policy
 	// Registerer receives the metrics; it may be nil.
 	Registerer prometheus.Registerer
 	// Dial opens connections to servers; nil means TCP.
@@ -120,7 +120,7 @@
 
 // SetBounds changes how old the configuration may be for account keys, and the
 // fleet's budget of repeats.
-func (h *Handler) SetBounds(keyAge time.Duration, rule repeats.Rule) {
+func (h *Handler) SetBounds(keyAge time.Duration, rule repeats.Policy) {
 	h.keyAge.Store(int64(keyAge))
 	h.pool.setRule(rule)
 }
--- a/serve/forward/heldup_test.go
+++ b/serve/forward/heldup_test.go
@@ -81,7 +81,7 @@
 func TestAnswersBehindALinkHeldUp(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		rule repeats.Rule
+		rule repeats.Policy
 		held time.Duration // before the link is held up: while prompts are read, or in mid-answer
 	}{
 		{"in mid-answer, repeats used up", noRepeats, 1500 * time.Millisecond},
@@ -314,7 +314,7 @@
 		}
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
-		w.budget(repeats.Rule{Slack: 1.2, Window: 10 * time.Second}) // one repeat
+		w.budget(repeats.Policy{Slack: 1.2, Window: 10 * time.Second}) // one repeat
 		w.during(func() {
 			<-asked
 			w.holdLink(20*time.Millisecond, 450*time.Millisecond)
@@ -453,7 +453,7 @@
 		}
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
-		w.budget(repeats.Rule{Slack: 1.2, Window: 10 * time.Second}) // one repeat
+		w.budget(repeats.Policy{Slack: 1.2, Window: 10 * time.Second}) // one repeat
 		w.during(func() {
 			<-asked
 			w.holdLink(20*time.Millisecond, 265*time.Millisecond)
--- a/serve/forward/layout.go
+++ b/serve/forward/layout.go
@@ -33,7 +33,7 @@
 		state := now.Of(service)
 		steady, trial := split(servers, state)
 		p.layouts[service] = p.layout(steady, used)
-		if state.Stage.Running() {
+		if state.Stage.IsRunning() {
 			p.layouts[trialOf(service)] = p.layout(trial, used)
 			for _, s := range servers { // what is under way at all of them is still counted
 				p.use(s, used)
--- a/serve/forward/leg.go
+++ b/serve/forward/leg.go
@@ -64,7 +64,7 @@
 			if r.takeOver(ctx, a, errSilent) {
 				return r.failure(ctx, a.leg, errSilent)
 			}
-			silence.Reset(takeover.Again)
+			silence.Reset(takeover.RetryInterval)
 		case err := <-a.dead:
 			if errors.Is(err, errRestarted) || r.takeOver(ctx, a, err) {
 				return r.failure(ctx, a.leg, err)
@@ -205,7 +205,7 @@
 	if r.heldUpSince.IsZero() {
 		r.heldUpSince = now
 	}
-	if now.Sub(r.heldUpSince) >= takeover.HeldUp {
+	if now.Sub(r.heldUpSince) >= takeover.MaxLinkStall {
 		return false
 	}
 	others := r.h.pool.readers(now, view, r.service, "", Asked, []routing.Life{l.at.server.Life()})
--- a/serve/forward/lending.go
+++ b/serve/forward/lending.go
@@ -31,11 +31,11 @@
 	self   string
 
 	mu      sync.Mutex
-	lenders map[string]*repeats.Lenders // by service
+	lenders map[string]*repeats.PeerSelector // by service
 }
 
 func newBorrower(o Options) *borrower {
-	return &borrower{dialer: o.Dialer, log: o.Log, self: o.Self.ID, lenders: map[string]*repeats.Lenders{}}
+	return &borrower{dialer: o.Dialer, log: o.Log, self: o.Self.ID, lenders: map[string]*repeats.PeerSelector{}}
 }
 
 // borrow reports whether another daemon lent one repeat of a request to a service.
@@ -81,7 +81,7 @@
 func (b *borrower) refused(service, id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	ofService(b.lenders, service).Refused(time.Now(), id)
+	ofService(b.lenders, service).MarkRefused(time.Now(), id)
 }
 
 func (b *borrower) ask(ctx context.Context, address, service string) bool {
--- a/serve/forward/lending_test.go
+++ b/serve/forward/lending_test.go
@@ -45,8 +45,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			inWorld(t, streamRoute(), func(w *world) {
-				lender := newPool(routing.VM{ID: "vm-3"}, repeats.Rule{Slack: c.slack, Window: 10 * time.Second}, w.handler.versions)
-				w.handler.SetBounds(5*time.Second, repeats.Rule{Window: 10 * time.Second})
+				lender := newPool(routing.VM{ID: "vm-3"}, repeats.Policy{Slack: c.slack, Window: 10 * time.Second}, w.handler.versions)
+				w.handler.SetBounds(5*time.Second, repeats.Policy{Window: 10 * time.Second})
 				w.handler.borrower.dialer = link.NewDialerWith(&http.Client{Transport: otherPools{"three:1": lender}})
 				lender.began = lender.began.Add(-10 * time.Second)
 				w.handler.pool.began = lender.began
--- a/serve/forward/limits.go
+++ b/serve/forward/limits.go
@@ -28,11 +28,11 @@
 type limited struct {
 	server  routing.Server
 	limit   quota.Limit
-	telling quota.Telling
-	turn    quota.Turn
-	bucket  quota.Bucket // of the permits given out here
+	telling quota.BroadcastPacer
+	turn    quota.PermitPoller
+	bucket  quota.TokenBucket // of the permits given out here
 	asked   time.Time    // by another daemon for a permit, last
-	alone   quota.Bucket // of this daemon's part, while no daemon that gives permits answers
+	alone   quota.TokenBucket // of this daemon's part, while no daemon that gives permits answers
 }
 
 func newLimits(h *Handler) *limits { return &limits{h: h, lives: map[routing.Life]*limited{}} }
@@ -41,7 +41,7 @@
 // that the answer is that of a run: a server that turns requests away does not say that its
 // limit is over.
 func (l *limits) answered(s routing.Server, sent time.Time, text string, ran bool) {
-	rate, named, err := quota.Read(text)
+	rate, named, err := quota.ParseRate(text)
 	if err != nil {
 		l.h.opts.Log.Emit(event.ServerLimitUnreadable, s.ID, err)
 	}
@@ -54,7 +54,7 @@
 		return
 	}
 	one := l.of(s)
-	if change := one.limit.Answered(sent, time.Now(), rate, named); change != quota.Unchanged {
+	if change := one.limit.ObserveResponse(sent, time.Now(), rate, named); change != quota.Unchanged {
 		l.log(one, change, "answer")
 		l.tell(one)
 	}
@@ -62,13 +62,13 @@
 
 // tell has the other daemons told of a limit, now or soon. The caller holds the lock.
 func (l *limits) tell(one *limited) {
-	after, ok := one.telling.Changed(time.Now())
+	after, ok := one.telling.Schedule(time.Now())
 	if !ok {
 		return
 	}
 	time.AfterFunc(after, func() {
 		l.mu.Lock()
-		one.telling.Told(time.Now())
+		one.telling.MarkSent(time.Now())
 		m := one.message()
 		l.mu.Unlock()
 		l.spread(m)
@@ -87,7 +87,7 @@
 	one := l.lives[s.Life()]
 	if one == nil {
 		l.forgetGone()
-		one = &limited{server: s, alone: quota.Share(rand.Float64())}
+		one = &limited{server: s, alone: quota.NewDaemonBucket(rand.Float64())}
 		l.lives[s.Life()] = one
 	}
 	return one
@@ -140,7 +140,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	one := l.of(s)
-	if change := one.limit.Told(time.Now(), m.GetRate(), m.GetNamed()); change != quota.Unchanged {
+	if change := one.limit.ObservePeer(time.Now(), m.GetRate(), m.GetNamed()); change != quota.Unchanged {
 		l.log(one, change, "told")
 	}
 }
--- a/serve/forward/permits.go
+++ b/serve/forward/permits.go
@@ -32,7 +32,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	one := l.limitedNow(s)
-	return one == nil || one.turn.Open(now)
+	return one == nil || one.turn.CanAsk(now)
 }
 
 // take reports whether a request may be sent to a server, at once: it names no limit, or gives a
@@ -44,7 +44,7 @@
 		l.mu.Unlock()
 		return true
 	}
-	ask, q := one.turn.Ask(time.Now()), &peerpb.PermitRequest{Limit: one.message()}
+	ask, q := one.turn.TryAsk(time.Now()), &peerpb.PermitRequest{Limit: one.message()}
 	l.mu.Unlock()
 	if !ask {
 		return false
@@ -52,7 +52,7 @@
 	granted, wait := l.permit(ctx, one, q)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	one.turn.Answered(time.Now(), wait)
+	one.turn.Complete(time.Now(), wait)
 	l.h.metrics.permit(granted)
 	return granted
 }
@@ -98,7 +98,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return one.alone.Take(time.Now(), quota.Given(q.GetLimit().GetRate())/float64(max(1, len(vms))))
+	return one.alone.Take(time.Now(), quota.PermitRate(q.GetLimit().GetRate())/float64(max(1, len(vms))))
 }
 
 // acknowledged reports whether others ask this daemon for permits. One that is cut off from them
@@ -116,7 +116,7 @@
 	if known, named := one.limit.Rate(); named {
 		rate = known
 	}
-	return one.bucket.Take(time.Now(), quota.Given(rate))
+	return one.bucket.Take(time.Now(), quota.PermitRate(rate))
 }
 
 // rationing implements peerpb.Quota.
--- a/serve/forward/plain.go
+++ b/serve/forward/plain.go
@@ -77,7 +77,7 @@
 	defer cancel() // ends the sends that lost
 	now := time.Now()
 	if lasted, refused := h.pressure.throttled(now, service); refused {
-		back := retryafter.Crowded(lasted, in.route.Objective, rand.Float64())
+		back := retryafter.AfterOverload(lasted, in.route.Objective, rand.Float64())
 		h.metrics.crowded.WithLabelValues(turnedAway).Inc()
 		h.opts.Log.Emit(event.CallThrottled, in.call.ID, service, lasted)
 		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the backend servers turn requests away").After(back)
@@ -248,7 +248,7 @@
 // that they name. The caller comes back when there may be room.
 func (h *Handler) rationed(in *inbound, service string, v verdict.Verdict, wait time.Duration) error {
 	lasted, _ := h.pressure.refused(time.Now(), service)
-	back := max(wait, retryafter.Crowded(lasted, in.route.Objective, rand.Float64()))
+	back := max(wait, retryafter.AfterOverload(lasted, in.route.Objective, rand.Float64()))
 	h.metrics.crowded.WithLabelValues(rateReached).Inc()
 	return verdict.New(v, verdict.CodeOverloaded, "the backend servers take no more requests now").After(back)
 }
@@ -264,7 +264,7 @@
 func (h *Handler) exchange(ctx context.Context, in *inbound, c choice, send int) *outcome {
 	o := &outcome{choice: c, send: send}
 	started := time.Now()
-	trial := h.versions.Try(c.server, in.routeName(), rollout.Whole)
+	trial := h.versions.Try(c.server, in.routeName(), rollout.ResponseTime)
 	defer func() {
 		if result, ok := o.trial(ctx); ok {
 			trial.Done(result)
--- a/serve/forward/poisoned.go
+++ b/serve/forward/poisoned.go
@@ -22,7 +22,7 @@
 
 	mu      sync.Mutex // guards the rest
 	view    *feed.View // the last one seen here
-	ledger  poison.Ledger[routing.Life]
+	ledger  poison.CrashCounter[routing.Life]
 	marks   poison.Marks
 	running map[string]map[*underway]bool // by digest
 	details map[string]*peerpb.Poisonous  // of requests that have a mark or had ends counted here
@@ -90,7 +90,7 @@
 	}
 	p.view = view
 	for digest := range view.Refused {
-		p.marks.Lift(digest)
+		p.marks.Delete(digest)
 		p.ledger.Clear(digest)
 		delete(p.details, digest)
 		p.stop(digest)
@@ -109,7 +109,7 @@
 	if p.stored(digest) {
 		return poison.Refused
 	}
-	return p.marks.Of(time.Now(), digest)
+	return p.marks.Get(time.Now(), digest)
 }
 
 // stored reports whether the refusal of a request lies in the store.
@@ -146,7 +146,7 @@
 	if one == nil {
 		one = &peerpb.Poisonous{Digest: digest, Account: q.GetAccount(), Route: q.GetRoute()}
 	}
-	if p.ledger.Ended(time.Now(), digest, life) {
+	if p.ledger.Record(time.Now(), digest, life) {
 		one = &peerpb.Poisonous{Digest: digest, Account: one.Account, Route: one.Route, Servers: append(slices.Clone(one.Servers), life.ID)}
 	}
 	p.details[digest] = one
@@ -165,12 +165,12 @@
 
 // trim forgets the details of requests that nothing is known of any more.
 func (p *poisoned) trim() {
-	if len(p.details) <= poison.MaxRequests {
+	if len(p.details) <= poison.MaxTrackedRequests {
 		return
 	}
 	now := time.Now()
 	maps.DeleteFunc(p.details, func(digest string, _ *peerpb.Poisonous) bool {
-		return p.ledger.Mark(digest) == poison.Unmarked && p.marks.Of(now, digest) == poison.Unmarked
+		return p.ledger.Mark(digest) == poison.Unmarked && p.marks.Get(now, digest) == poison.Unmarked
 	})
 }
 
@@ -178,7 +178,7 @@
 // whether the mark is new here.
 func (p *poisoned) raise(one *peerpb.Poisonous, mark poison.Mark) bool {
 	digest := one.GetDigest()
-	if mark == poison.Unmarked || !p.marks.Set(time.Now(), digest, mark) {
+	if mark == poison.Unmarked || !p.marks.Raise(time.Now(), digest, mark) {
 		return false
 	}
 	p.h.metrics.poisonMarks.WithLabelValues(mark.String()).Inc()
@@ -236,7 +236,7 @@
 // forget forgets what is counted of a request and that it is watched. It reports whether either
 // was so. The caller holds the lock.
 func (p *poisoned) forget(digest string) (counted, watched bool) {
-	counted, watched = p.ledger.Clear(digest), p.marks.Clear(digest)
+	counted, watched = p.ledger.Clear(digest), p.marks.ClearWatched(digest)
 	if counted || watched {
 		delete(p.details, digest)
 	}
--- a/serve/forward/poisonfleet.go
+++ b/serve/forward/poisonfleet.go
@@ -107,7 +107,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	reply := &peerpb.MarksReply{}
-	for _, digest := range p.marks.All(time.Now(), poison.Refused) {
+	for _, digest := range p.marks.DigestsWith(time.Now(), poison.Refused) {
 		reply.Refused = append(reply.Refused, p.details[digest])
 	}
 	return reply, nil
--- a/serve/forward/pool.go
+++ b/serve/forward/pool.go
@@ -40,7 +40,7 @@
 	mu      sync.Mutex
 	self    routing.VM
 	began   time.Time
-	rule    repeats.Rule
+	rule    repeats.Policy
 	view    *feed.View
 	layouts map[string]*layout
 	// loads are by life: what was learned of a server ends with it.
@@ -67,7 +67,7 @@
 	since time.Time
 }
 
-func newPool(self routing.VM, rule repeats.Rule, versions *versions.Manager) *pool {
+func newPool(self routing.VM, rule repeats.Policy, versions *versions.Manager) *pool {
 	return &pool{
 		self: self, began: time.Now(), rule: rule, layouts: map[string]*layout{},
 		loads: map[routing.Life]*load{}, budgets: map[string]*repeats.Budget{},
--- a/serve/forward/pressure.go
+++ b/serve/forward/pressure.go
@@ -21,7 +21,7 @@
 type servicePressure struct {
 	pace     prompts.Pace
 	throttle throttle.Throttle
-	refusing retryafter.Spell // of refusals by this daemon
+	refusing retryafter.Streak // of refusals by this daemon
 }
 
 func newPressure() *pressure { return &pressure{services: map[string]*servicePressure{}} }
@@ -105,7 +105,7 @@
 func (p *pressure) refused(now time.Time, service string) (lasted, answer time.Duration) {
 	defer p.mu.Unlock()
 	s := p.on(service)
-	return s.refusing.Seen(now), s.pace.Answer()
+	return s.refusing.Extend(now), s.pace.Answer()
 }
 
 // throttled reports whether a call is refused because the servers turn calls away,
@@ -113,16 +113,16 @@
 func (p *pressure) throttled(now time.Time, service string) (lasted time.Duration, refused bool) {
 	defer p.mu.Unlock()
 	s := p.on(service)
-	if !s.throttle.Refuse(now, rand.Float64()) {
+	if !s.throttle.ShouldRefuse(now, rand.Float64()) {
 		return 0, false
 	}
-	return s.refusing.Seen(now), true
+	return s.refusing.Extend(now), true
 }
 
 // turnsAway reports whether the servers of a service turn calls away now.
 func (p *pressure) turnsAway(now time.Time, service string) bool {
 	defer p.mu.Unlock()
-	return p.on(service).throttle.Crowded(now)
+	return p.on(service).throttle.IsRefusing(now)
 }
 
 // fate records what became of a call: taken by a server, or turned away by all tried.
@@ -130,8 +130,8 @@
 	defer p.mu.Unlock()
 	s := p.on(service)
 	if taken {
-		s.throttle.Taken(now)
+		s.throttle.RecordAccepted(now)
 		return
 	}
-	s.throttle.TurnedAway(now)
+	s.throttle.RecordRejected(now)
 }
--- a/serve/forward/silent_test.go
+++ b/serve/forward/silent_test.go
@@ -14,10 +14,10 @@
 )
 
 // noRepeats is a budget that is used up.
-var noRepeats = repeats.Rule{Window: 10 * time.Second}
+var noRepeats = repeats.Policy{Window: 10 * time.Second}
 
 // budget replaces the fleet's budget of repeats, with the daemon's part of the slack.
-func (w *world) budget(rule repeats.Rule) {
+func (w *world) budget(rule repeats.Policy) {
 	w.handler.pool.mu.Lock()
 	defer w.handler.pool.mu.Unlock()
 	w.handler.pool.rule, w.handler.pool.began = rule, time.Now().Add(-rule.Window)
@@ -57,7 +57,7 @@
 		handle := copyFreed(0, 600*time.Millisecond)
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
-		w.budget(repeats.Rule{Slack: 1.2, Window: 10 * time.Second}) // one repeat
+		w.budget(repeats.Policy{Slack: 1.2, Window: 10 * time.Second}) // one repeat
 		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(1, 20), got.body)
@@ -102,7 +102,7 @@
 		handle := streaming(40, time.Second, 40*time.Millisecond)
 		a := w.add("e-a", "llm", "a", handle)
 		b := w.add("e-b", "llm", "b", handle)
-		w.budget(repeats.Rule{Slack: 1.2, Window: 1500 * time.Millisecond})
+		w.budget(repeats.Policy{Slack: 1.2, Window: 1500 * time.Millisecond})
 		w.during(func() {
 			time.Sleep(1500 * time.Millisecond)
 			runner, _ := roles(a, b)
@@ -207,7 +207,7 @@
 		handle := copyFreed(300*time.Millisecond, 900*time.Millisecond)
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
-		w.budget(repeats.Rule{Slack: 1.2, Window: 10 * time.Second}) // one repeat
+		w.budget(repeats.Policy{Slack: 1.2, Window: 10 * time.Second}) // one repeat
 		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(1, 20), got.body)
--- a/serve/forward/stream.go
+++ b/serve/forward/stream.go
@@ -267,7 +267,7 @@
 		return nil
 	}
 	lasted, answer := r.h.pressure.refused(time.Now(), r.service)
-	back := retryafter.Crowded(lasted, max(answer, r.in.route.Objective), rand.Float64())
+	back := retryafter.AfterOverload(lasted, max(answer, r.in.route.Objective), rand.Float64())
 	r.h.metrics.crowded.WithLabelValues(admission.String()).Inc()
 	r.h.opts.Log.Emit(event.PromptRefused, r.in.call.ID, best.server.ID, admission.String(), r.in.call.PromptTokens,
 		best.report.Unread, best.report.Used, best.report.Memory, due, lasted, answer)
--- a/serve/forward/takeover.go
+++ b/serve/forward/takeover.go
@@ -23,7 +23,7 @@
 	if !r.in.route.Resumable {
 		return time.Until(r.in.until)
 	}
-	return takeover.Patience(a.hasCopy(), r.in.route.GapTarget)
+	return takeover.MaxSilence(a.hasCopy(), r.in.route.GapTarget)
 }
 
 // takeOver tries to let the answer of a silent attempt go on at another server. It reports
@@ -40,8 +40,8 @@
 	if errors.Is(why, errAnswerLost) {
 		r.held = a.keptCopy() // the prompt was read, so the copy is there
 	}
-	outcome := takeover.TurnedAway
-	for outcome == takeover.TurnedAway {
+	outcome := takeover.Rejected
+	for outcome == takeover.Rejected {
 		var next *attempt
 		if outcome, next = r.prepare(ctx, a, why); next == nil {
 			break
@@ -52,8 +52,8 @@
 			return true
 		}
 	}
-	r.stuck = takeover.GiveUp(outcome, time.Since(r.since)) && r.unreachable(ctx, a, why) &&
-		r.lastSignal(ctx, a) == takeover.Quiet
+	r.stuck = takeover.ShouldGiveUp(outcome, time.Since(r.since)) && r.unreachable(ctx, a, why) &&
+		r.lastSignal(ctx, a) == takeover.Silent
 	r.h.metrics.stayed.WithLabelValues(outcome.String()).Inc()
 	r.h.opts.Log.Emit(event.LegKept, r.in.call.ID, a.at.server.ID, why, outcome.String(), r.stuck, r.after, time.Since(r.since))
 	return r.stuck
@@ -99,14 +99,14 @@
 // awaitEither waits for the first signal of the server that was sent the request after a
 // silent one, and lets go of it unless the answer goes on there.
 func (r *relay) awaitEither(ctx context.Context, a, next *attempt, why error) takeover.Outcome {
-	silent, other := takeover.Quiet, takeover.Quiet
+	silent, other := takeover.Silent, takeover.Silent
 	overlap := time.NewTimer(time.Hour)
 	defer overlap.Stop()
 	written, over := next.written, false
 	var since time.Time // both have the request
 	for {
-		switch takeover.Settle(silent, other, over) {
-		case takeover.Move:
+		switch takeover.Decide(silent, other, over) {
+		case takeover.Switch:
 			return takeover.TakenOver
 		case takeover.Keep:
 			return r.cancelTakeover(ctx, a, next, other)
@@ -119,7 +119,7 @@
 				a.useCopy()
 			}
 			if r.h.opts.Feed.View().Config.Engine(r.service) != nil {
-				overlap.Reset(takeover.Overlap)
+				overlap.Reset(takeover.MaxOverlap)
 			}
 		case s := <-a.inbox():
 			a.putBack(s)
@@ -129,13 +129,13 @@
 			other = s.state()
 		case <-overlap.C:
 			silentAnswers, otherAnswers := r.bothAsked(ctx, a, next, why)
-			over = takeover.Over(silentAnswers, otherAnswers, time.Since(since))
+			over = takeover.IsOverlapOver(silentAnswers, otherAnswers, time.Since(since))
 			if over {
 				silent = r.lastSignal(ctx, a)
 			}
-			overlap.Reset(takeover.Overlap)
+			overlap.Reset(takeover.MaxOverlap)
 		case <-ctx.Done():
-			return r.cancelTakeover(ctx, a, next, takeover.Quiet)
+			return r.cancelTakeover(ctx, a, next, takeover.Silent)
 		}
 	}
 }
@@ -147,8 +147,8 @@
 // are asked whether they respond. What was held up has arrived by the time the questions have
 // failed, and the answer is cut although it went on. It holds because what is on its way comes
 // no later than the answer of another engine that shows that the link works.
-func (r *relay) lastSignal(ctx context.Context, a *attempt) takeover.State {
-	settled := time.NewTimer(takeover.Settling)
+func (r *relay) lastSignal(ctx context.Context, a *attempt) takeover.ServerState {
+	settled := time.NewTimer(takeover.SettleTime)
 	defer settled.Stop()
 	select {
 	case s := <-a.inbox():
@@ -157,7 +157,7 @@
 	case <-settled.C:
 	case <-ctx.Done():
 	}
-	return takeover.Quiet
+	return takeover.Silent
 }
 
 // bothAsked asks the engines of two attempts for a sign of life.
@@ -173,7 +173,7 @@
 }
 
 // cancelTakeover ends an attempt that was to take an answer over.
-func (r *relay) cancelTakeover(ctx context.Context, a, next *attempt, other takeover.State) takeover.Outcome {
+func (r *relay) cancelTakeover(ctx context.Context, a, next *attempt, other takeover.ServerState) takeover.Outcome {
 	if other != takeover.Broken {
 		r.over(next, legAborted, errNotNeeded)
 		return takeover.NotNeeded
@@ -185,7 +185,7 @@
 	end, err := r.refusedTakeover(ctx, next.leg, *s.opened)
 	next.answer = s.opened.resp
 	r.over(next, end, err)
-	return takeover.TurnedAway
+	return takeover.Rejected
 }
 
 // refusedTakeover learns from a server that did not take an answer over.
@@ -204,12 +204,12 @@
 }
 
 // state is what a signal shows of its server.
-func (s signal) state() takeover.State {
+func (s signal) state() takeover.ServerState {
 	switch {
 	case s.opened != nil && s.opened.stream():
-		return takeover.Responds
+		return takeover.Responding
 	case s.opened == nil && (s.event.err == nil || s.event.err == io.EOF):
-		return takeover.Responds
+		return takeover.Responding
 	}
 	return takeover.Broken
 }
--- a/serve/forward/trial.go
+++ b/serve/forward/trial.go
@@ -33,7 +33,7 @@
 func split(servers []routing.Server, s rollout.State) (steady, trial []routing.Server) {
 	for _, one := range servers {
 		switch {
-		case s.Steady(one.Version):
+		case s.ServesByDefault(one.Version):
 			steady = append(steady, one)
 		case one.Version == s.Target && !one.Leaving:
 			trial = append(trial, one)
@@ -116,7 +116,7 @@
 // because answers under way at its version end there.
 func (p *pool) staysFor(view *feed.View, s routing.Server) bool {
 	state := p.versions.Now(view).Of(s.Service)
-	return state.Stage == rollout.All && s.Version == state.Base &&
+	return state.Stage == rollout.Full && s.Version == state.Baseline &&
 		slices.ContainsFunc(view.Servers[s.Service], func(there routing.Server) bool {
 			return there.Life() == s.Life() && !there.Leaving
 		})
@@ -150,15 +150,15 @@
 func (o *outcome) trial(ctx context.Context) (result rollout.Outcome, ok bool) {
 	switch {
 	case ctx.Err() != nil && o.err != nil:
-		return rollout.Waiting, true // another server was faster, or the caller left
+		return rollout.Unanswered, true // another server was faster, or the caller left
 	case o.rejected && !o.full:
-		return rollout.Good, false // another process has the address
+		return rollout.Succeeded, false // another process has the address
 	case o.full, o.err == nil && o.status >= 500:
 		return rollout.Failed, true
 	case o.err != nil:
-		return rollout.Broke, true
+		return rollout.Disconnected, true
 	}
-	return rollout.Good, true
+	return rollout.Succeeded, true
 }
 
 // paceAfter is how many events of a stream show its pace.
@@ -168,21 +168,21 @@
 // beginning.
 func (a *attempt) watchLeg(l leg, route string) {
 	if l.from == "" && a.r.in.call.After == 0 && a.r.after == 0 {
-		a.trial = a.r.h.versions.Try(l.at.server, route, rollout.First)
+		a.trial = a.r.h.versions.Try(l.at.server, route, rollout.TimeToFirstEvent)
 	}
 }
 
 // firstEvent records the time to the first event, and begins to watch what follows.
 func (a *attempt) firstEvent() {
-	whole := a.trial.Also(rollout.Whole)
-	a.trial.Done(rollout.Good)
-	a.trial, a.pace = whole, whole.Also(rollout.Pace)
+	whole := a.trial.Also(rollout.ResponseTime)
+	a.trial.Done(rollout.Succeeded)
+	a.trial, a.pace = whole, whole.Also(rollout.EventInterval)
 }
 
 // nextEvent records the pace of a stream once it has made enough events.
 func (a *attempt) nextEvent() {
 	if a.made++; a.made == paceAfter {
-		a.pace.DoneIn(rollout.Good, time.Since(a.begun)/paceAfter)
+		a.pace.DoneIn(rollout.Succeeded, time.Since(a.begun)/paceAfter)
 	}
 }
 
@@ -190,13 +190,13 @@
 func (a *attempt) ended(end legEnd, failed bool) {
 	switch {
 	case end == legWhole:
-		a.trial.Done(rollout.Good)
+		a.trial.Done(rollout.Succeeded)
 	case failed, end == legNotRun && a.answer != nil && a.answer.StatusCode == http.StatusServiceUnavailable:
 		a.trial.Done(rollout.Failed)
 	case end == legBroken && a.r.taken == nil:
-		a.trial.Done(rollout.Broke)
+		a.trial.Done(rollout.Disconnected)
 	default:
-		a.trial.Done(rollout.Waiting)
+		a.trial.Done(rollout.Unanswered)
 	}
 	a.pace.Drop()
 }
@@ -212,7 +212,7 @@
 	}
 	c, held, ok := r.livingHolder(ctx, a)
 	view := r.h.opts.Feed.View()
-	if !ok || !r.h.versions.Now(view).Of(r.service).Steady(c.server.Version) || !r.permitted(ctx, c) || !r.mayRepeat(ctx, time.Now()) {
+	if !ok || !r.h.versions.Now(view).Of(r.service).ServesByDefault(c.server.Version) || !r.permitted(ctx, c) || !r.mayRepeat(ctx, time.Now()) {
 		return false
 	}
 	r.h.pool.count(c, 1, 0, 0)
--- a/serve/forward/world_test.go
+++ b/serve/forward/world_test.go
@@ -343,7 +343,7 @@
 	})
 }
 
-var repeatsRule = repeats.Rule{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
+var repeatsRule = repeats.Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 
 func newWorld(t *testing.T, routes []*routing.Route) *world {
 	services := []*routing.Service{
--- a/serve/gateway/gateway.go
+++ b/serve/gateway/gateway.go
@@ -110,7 +110,7 @@
 	// KeyAge is how old the configuration may be for an account key to be trusted.
 	KeyAge time.Duration
 	// Repeats bounds the sends beyond the first of the whole fleet.
-	Repeats repeats.Rule
+	Repeats repeats.Policy
 	// Rollouts bounds what a version of a service may get that is not known to be good.
 	Rollouts rollout.Limits
 	// Grace is the time between SIGTERM and the end.
--- a/serve/gateway/rollout_test.go
+++ b/serve/gateway/rollout_test.go
@@ -177,7 +177,7 @@
 			stage = now
 			r.f.t.Logf("%v after %v", stage, time.Since(began))
 		}
-		if s := r.status(); s.Stage.Over() {
+		if s := r.status(); s.Stage.IsTerminal() {
 			if s.Stage == rollout.Completed {
 				r.stop(from)
 			}
--- a/serve/versions/decide.go
+++ b/serve/versions/decide.go
@@ -36,7 +36,7 @@
 		return
 	}
 	step := rollout.Step{State: s.state}
-	if !s.state.Stage.Over() {
+	if !s.state.Stage.IsTerminal() {
 		began := time.Now()
 		step = rollout.Next(m.input(now, view, s, underWay))
 		s.look = now + lookShare*time.Since(began)
@@ -54,7 +54,7 @@
 		return
 	}
 	if step.State.Stage == rollout.RolledBack && s.state.Stage != rollout.RolledBack {
-		m.believe(s, step.State, "decided", step.Reason, step.Finding)
+		m.believe(s, step.State, "decided", step.Reason, step.Analysis)
 		go m.tellAll(ctx, s.name, step.State)
 	}
 	due := time.Now().Add(s.began + s.period - now).UnixMilli()
@@ -66,7 +66,7 @@
 	}
 	m.mu.Lock()
 	s.retry = 0
-	m.believe(s, step.State, "decided", step.Reason, step.Finding)
+	m.believe(s, step.State, "decided", step.Reason, step.Analysis)
 	m.mu.Unlock()
 	m.tellAll(ctx, s.name, step.State)
 }
@@ -97,34 +97,34 @@
 	s.added = len(s.log)
 	in := rollout.Input{
 		State: s.state, Limits: *m.limits.Load(), Elapsed: now - s.began, Period: s.period,
-		Evidence: s.evidence, Waiting: s.waitingNow(now),
+		Evidence: s.evidence, Unanswered: s.waitingNow(now),
 	}
-	in.Heard, in.UnderWay = s.heardLately(now)
-	in.Heard++
-	in.UnderWay += underWay
+	in.DaemonsReporting, in.BaselineInFlight = s.heardLately(now)
+	in.DaemonsReporting++
+	in.BaselineInFlight += underWay
 	serving, _ := routing.Serving(view.VMs)
 	in.Daemons = len(serving)
-	all, drawn := s.mix.Counted()
-	in.Drawn, in.PerSecond = drawn, rate(all, now-s.counting)
+	all, drawn := s.mix.Totals()
+	in.TargetRequests, in.RequestsPerSecond = drawn, rate(all, now-s.counting)
 	for _, r := range s.heard {
-		in.Drawn += r.drawn
+		in.TargetRequests += r.drawn
 		if now-r.at < heardFor {
-			in.PerSecond += rate(r.begun, r.counted)
-			in.Waiting = append(in.Waiting, r.waiting...)
+			in.RequestsPerSecond += rate(r.begun, r.counted)
+			in.Unanswered = append(in.Unanswered, r.waiting...)
 		}
 	}
 	for _, one := range view.Servers[s.name] {
 		switch {
 		case one.Leaving:
 		case one.Version == s.state.Target:
-			in.Target++
-		case one.Version == s.state.Base:
-			in.Base++
+			in.TargetServers++
+		case one.Version == s.state.Baseline:
+			in.BaselineServers++
 		}
 	}
 	if engine := view.Config.Engine(s.name); engine != nil {
-		in.Moves = engine.Copies
+		in.CanMigrate = engine.Copies
 	}
-	in.Usual = view.Config.UsualCall(s.name)
+	in.DefaultResponseTime = view.Config.UsualCall(s.name)
 	return in
 }
--- a/serve/versions/report.go
+++ b/serve/versions/report.go
@@ -100,7 +100,7 @@
 		if now-r.at < heardFor {
 			n++
 			underWay += r.underWay
-			if s.state.Stage >= rollout.All && r.stage < rollout.All {
+			if s.state.Stage >= rollout.Full && r.stage < rollout.Full {
 				underWay++ // it sends requests there, as far as is known
 			}
 		}
@@ -145,11 +145,11 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.opts.Clock()
-	ended := s.state.Stage >= rollout.All && underWay == 0 && !s.drained
+	ended := s.state.Stage >= rollout.Full && underWay == 0 && !s.drained
 	if now < s.due && !ended {
 		return nil
 	}
-	s.drained = s.state.Stage >= rollout.All && underWay == 0
+	s.drained = s.state.Stage >= rollout.Full && underWay == 0
 	s.due = now + reportEvery
 	if s.sent.daemon != to {
 		s.sent = cursor{daemon: to}
@@ -159,7 +159,7 @@
 		State: message(s.name, s.state), Daemon: m.opts.Self.ID, Boot: m.boot, First: int64(from), UnderWay: int32(underWay),
 		CountedMs: (now - s.counting).Milliseconds(),
 	}
-	all, drawn := s.mix.Counted()
+	all, drawn := s.mix.Totals()
 	q.Begun, q.Drawn = int64(all), int64(drawn)
 	for _, sample := range s.log[from:min(len(s.log), from+maxReported)] {
 		q.Samples = append(q.Samples, sampleMessage(now, sample))
@@ -177,8 +177,8 @@
 	}
 	s := m.of(message.GetService())
 	heard, ok := stateOf(message)
-	if ok && heard.Order == s.state.Order && heard.Stage != rollout.Completed {
-		m.believe(s, heard, "told", "", rollout.Finding{})
+	if ok && heard.OrderRevision == s.state.OrderRevision && heard.Stage != rollout.Completed {
+		m.believe(s, heard, "told", "", rollout.Analysis{})
 	}
 	return s
 }
@@ -197,7 +197,7 @@
 		return &peerpb.RolloutReply{}, nil
 	}
 	reply := &peerpb.RolloutReply{State: message(s.name, s.state)}
-	if s.state.Order != q.GetState().GetOrder() || s.heard == nil {
+	if s.state.OrderRevision != q.GetState().GetOrder() || s.heard == nil {
 		return reply, nil // one of the two does not know the order yet
 	}
 	reply.Next = s.hear(m.opts.Clock(), q)
@@ -268,26 +268,26 @@
 
 func message(service string, s rollout.State) *peerpb.RolloutState {
 	return &peerpb.RolloutState{
-		Service: service, Order: s.Order, Base: s.Base, Target: s.Target, Stage: s.Stage.String(), Share: s.Share, Common: s.Common,
+		Service: service, Order: s.OrderRevision, Base: s.Baseline, Target: s.Target, Stage: s.Stage.String(), Share: s.Share, Common: s.CommonRoutes,
 	}
 }
 
 func stateOf(m *peerpb.RolloutState) (rollout.State, bool) {
 	stage, ok := rollout.ParseStage(m.GetStage())
-	return rollout.State{Order: m.GetOrder(), Base: m.GetBase(), Target: m.GetTarget(), Stage: stage, Share: m.GetShare(), Common: m.GetCommon()}, ok
+	return rollout.State{OrderRevision: m.GetOrder(), Baseline: m.GetBase(), Target: m.GetTarget(), Stage: stage, Share: m.GetShare(), CommonRoutes: m.GetCommon()}, ok
 }
 
 func sampleMessage(now time.Duration, s rollout.Sample) *peerpb.RolloutSample {
 	return &peerpb.RolloutSample{
-		Route: s.Route, Server: s.Server, Zone: s.Zone, Target: s.New, Kind: uint32(s.Kind), Outcome: uint32(s.Outcome),
-		TookUs: s.Took.Microseconds(), AgeMs: (now - s.At).Milliseconds(),
+		Route: s.Route, Server: s.Server, Zone: s.Zone, Target: s.OnTarget, Kind: uint32(s.Kind), Outcome: uint32(s.Outcome),
+		TookUs: s.Duration.Microseconds(), AgeMs: (now - s.EndedAt).Milliseconds(),
 	}
 }
 
 func sampleOf(now time.Duration, m *peerpb.RolloutSample) rollout.Sample {
 	return rollout.Sample{
-		Route: m.GetRoute(), Server: m.GetServer(), Zone: m.GetZone(), New: m.GetTarget(),
+		Route: m.GetRoute(), Server: m.GetServer(), Zone: m.GetZone(), OnTarget: m.GetTarget(),
 		Kind: rollout.Kind(m.GetKind()), Outcome: rollout.Outcome(m.GetOutcome()),
-		Took: time.Duration(m.GetTookUs()) * time.Microsecond, At: now - time.Duration(m.GetAgeMs())*time.Millisecond,
+		Duration: time.Duration(m.GetTookUs()) * time.Microsecond, EndedAt: now - time.Duration(m.GetAgeMs())*time.Millisecond,
 	}
 }
--- a/serve/versions/service.go
+++ b/serve/versions/service.go
@@ -33,7 +33,7 @@
 
 	busy bool // decide or report is under way
 
-	mix      rollout.Mix
+	mix      rollout.RouteCounter
 	counting time.Duration    // since when mix counts
 	log      []rollout.Sample // of this daemon, At on the feed's clock
 	waiting  map[*Trial]bool
@@ -75,11 +75,11 @@
 
 // active reports whether there is something to do for a roll-out.
 func (s *service) active() bool {
-	return s.state.Stage != rollout.Idle && (!s.state.Stage.Over() || s.unwritten())
+	return s.state.Stage != rollout.Idle && (!s.state.Stage.IsTerminal() || s.unwritten())
 }
 
 // unwritten reports whether the end of a roll-out does not lie in the store yet.
-func (s *service) unwritten() bool { return s.state.Stage.Over() && s.written != s.state.Order }
+func (s *service) unwritten() bool { return s.state.Stage.IsTerminal() && s.written != s.state.OrderRevision }
 
 // take takes in what the store says.
 func (s *service) take(m *Manager, view *feed.View, servers []routing.Server) {
@@ -95,26 +95,26 @@
 	var stored *rollout.State
 	if r.Status != nil {
 		stored = &r.Status.State
-		if stored.Stage.Over() {
-			s.written = stored.Order
+		if stored.Stage.IsTerminal() {
+			s.written = stored.OrderRevision
 		}
 	}
-	next := rollout.Believe(order, stored, s.state, present)
+	next := rollout.Resolve(order, stored, s.state, present)
 	if r.Order != nil {
 		s.period = r.Order.Period
 	}
-	if next.Order != s.state.Order && next.Stage != rollout.Idle && !next.Stage.Over() {
+	if next.OrderRevision != s.state.OrderRevision && next.Stage != rollout.Idle && !next.Stage.IsTerminal() {
 		s.start(m, view, next)
 	}
 	if next != s.state {
-		s.set(m, next, "store", "", rollout.Finding{})
+		s.set(m, next, "store", "", rollout.Analysis{})
 	}
 }
 
 // start begins to follow another order.
 func (s *service) start(m *Manager, view *feed.View, next rollout.State) {
 	r := view.Rollouts[s.name]
-	if next.Target == s.state.Target && s.state.Stage.Running() {
+	if next.Target == s.state.Target && s.state.Stage.IsRunning() {
 		return // the same order again
 	}
 	now := m.opts.Clock()
@@ -122,31 +122,31 @@
 	if before := view.Before; before > 0 && now-before > outOfDate {
 		s.began = before // it may have been given at any time since
 	}
-	if r.Status != nil && r.Status.Order == next.Order && r.Status.Due > 0 {
+	if r.Status != nil && r.Status.OrderRevision == next.OrderRevision && r.Status.Due > 0 {
 		// It runs already; the rest of its time is known by the time of day alone.
 		left := time.Until(time.UnixMilli(r.Status.Due))
 		s.began = now + min(max(left, 0), s.period) - s.period
 	}
 	s.counting = now
-	s.mix, s.log, s.waiting, s.sent = rollout.Mix{}, nil, map[*Trial]bool{}, cursor{}
+	s.mix, s.log, s.waiting, s.sent = rollout.RouteCounter{}, nil, map[*Trial]bool{}, cursor{}
 	s.heard, s.evidence, s.added = map[string]*reporter{}, &rollout.Evidence{}, 0
-	m.opts.Log.Emit(event.RolloutOrdered, s.name, next.Base, next.Target, next.Order, s.period)
+	m.opts.Log.Emit(event.RolloutOrdered, s.name, next.Baseline, next.Target, next.OrderRevision, s.period)
 }
 
 // set changes the state.
-func (s *service) set(m *Manager, next rollout.State, by string, reason rollout.Reason, f rollout.Finding) {
+func (s *service) set(m *Manager, next rollout.State, by string, reason rollout.Reason, f rollout.Analysis) {
 	before := s.state
 	s.state = next
-	if before.Stage != next.Stage || before.Order != next.Order {
+	if before.Stage != next.Stage || before.OrderRevision != next.OrderRevision {
 		if s.known || next.Stage != rollout.Idle {
 			m.metrics.stage(next.Stage)
-			m.opts.Log.Emit(event.RolloutStage, s.name, next.Base, next.Target, next.Order, next.Stage.String(), next.Share, by, string(reason),
-				m.opts.Clock()-s.began, f.Route, f.Kind.String(), f.Compared, f.Found, f.Expected)
+			m.opts.Log.Emit(event.RolloutStage, s.name, next.Baseline, next.Target, next.OrderRevision, next.Stage.String(), next.Share, by, string(reason),
+				m.opts.Clock()-s.began, f.Route, f.Kind.String(), f.Compared, f.BadSamples, f.ExpectedBad)
 		}
 	}
 	s.known = true
 	for version, leave := range s.leave {
-		if next.Leaves(version) {
+		if next.ShouldMigrate(version) {
 			close(leave)
 			delete(s.leave, version)
 		}
@@ -155,7 +155,7 @@
 
 // leaving returns a channel that is closed when answers under way at a version go on elsewhere.
 func (s *service) leaving(version string) <-chan struct{} {
-	if s.state.Leaves(version) {
+	if s.state.ShouldMigrate(version) {
 		return closed
 	}
 	if s.leave[version] == nil {
--- a/serve/versions/trial.go
+++ b/serve/versions/trial.go
@@ -24,16 +24,16 @@
 		return nil
 	}
 	state := now.Of(server.Service)
-	if !state.Stage.Running() || server.Version != state.Target && server.Version != state.Base {
+	if !state.Stage.IsRunning() || server.Version != state.Target && server.Version != state.Baseline {
 		return nil
 	}
 	t := &Trial{m: m, began: m.opts.Clock(), sample: rollout.Sample{
-		Route: route, Server: server.ID, Zone: server.Zone, New: server.Version == state.Target, Kind: kind,
+		Route: route, Server: server.ID, Zone: server.Zone, OnTarget: server.Version == state.Target, Kind: kind,
 	}}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	t.s = m.of(server.Service)
-	if t.sample.New {
+	if t.sample.OnTarget {
 		t.s.waiting[t] = true
 	}
 	return t
@@ -69,7 +69,7 @@
 	t.done = true
 	delete(t.s.waiting, t)
 	sample := t.sample
-	sample.Outcome, sample.Took, sample.At = outcome, took, t.m.opts.Clock()
+	sample.Outcome, sample.Duration, sample.EndedAt = outcome, took, t.m.opts.Clock()
 	if len(t.s.log) < maxLog {
 		t.s.log = append(t.s.log, sample)
 	}
@@ -90,7 +90,7 @@
 func (s *service) waitingNow(now time.Duration) (list []rollout.Sample) {
 	for t := range s.waiting {
 		sample := t.sample
-		sample.Outcome, sample.Took, sample.At = rollout.Waiting, now-t.began, now
+		sample.Outcome, sample.Duration, sample.EndedAt = rollout.Unanswered, now-t.began, now
 		list = append(list, sample)
 	}
 	return list
--- a/serve/versions/versions.go
+++ b/serve/versions/versions.go
@@ -127,7 +127,7 @@
 	for name, s := range m.services {
 		next.states[name] = s.state
 		next.active = next.active || s.active()
-		next.ending = next.ending || s.state.Stage == rollout.All || s.state.Stage == rollout.Last
+		next.ending = next.ending || s.state.Stage == rollout.Full || s.state.Stage == rollout.Migrating
 	}
 	m.current.Store(next)
 	if next.active {
@@ -166,12 +166,12 @@
 func (m *Manager) drawn(s rollout.State, service, route string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return s.Drawn(rand.Float64(), route, &m.of(service).mix)
+	return s.RoutesToTarget(rand.Float64(), route, &m.of(service).mix)
 }
 
 // Barred reports whether a version of a service may run nothing.
 func (m *Manager) Barred(view *feed.View, server routing.Server) bool {
-	return m.Now(view).Of(server.Service).Barred(server.Version)
+	return m.Now(view).Of(server.Service).IsBlocked(server.Version)
 }
 
 // Leaves returns a channel that is closed when answers under way at a server go on elsewhere.
@@ -183,8 +183,8 @@
 }
 
 // believe takes in a state that this daemon decided or was told. The caller holds the lock.
-func (m *Manager) believe(s *service, heard rollout.State, by string, reason rollout.Reason, f rollout.Finding) {
-	later := rollout.Later(s.state, heard)
+func (m *Manager) believe(s *service, heard rollout.State, by string, reason rollout.Reason, f rollout.Analysis) {
+	later := rollout.Merge(s.state, heard)
 	if later == s.state {
 		return
 	}
