--- a/decision/poison/fleet_test.go
+++ b/decision/poison/fleet_test.go
@@ -11,138 +11,138 @@
 	"mallowwind.dev/decision/route"
 )
 
-// fleetLoad plays streams and one request that ends its servers, in steps of virtual time.
-type fleetLoad struct {
+// fleetConfig plays streams and one request that ends its servers, in steps of virtual time.
+type fleetConfig struct {
 	daemons, servers int
 	arrivals         float64 // streams a second
-	// alone is how many servers a second end by themselves, and zones how often one third of
+	// crashesPerSecond is how many servers a second end by themselves, and zones how often one third of
 	// them ends at once.
-	alone float64
-	zones time.Duration
+	crashesPerSecond   float64
+	zoneOutageInterval time.Duration
 	// poisoned says that the request comes, once in every half second.
 	poisoned bool
 }
 
 // fleetResult is what came of it.
 type fleetResult struct {
-	streams, refusedWrongly, ended, sends, messages int
+	streams, refusedWrongly, crashes, sends, messages int
 }
 
 const (
-	step      = 10 * time.Millisecond
-	readTime  = 1100 * time.Millisecond
-	runTime   = 5 * time.Second
-	played    = 60 * time.Second
-	fleetTell = 30 * time.Millisecond // until all daemons know of a mark
+	step        = 10 * time.Millisecond
+	prefillTime = 1100 * time.Millisecond
+	streamTime  = 5 * time.Second
+	simDuration = 60 * time.Second
+	markDelay   = 30 * time.Millisecond // until all daemons know of a mark
 )
 
 // stream is one request in progress.
 type stream struct {
-	digest int
-	daemon int
-	server int
-	since  time.Duration // of its present send
-	left   int           // sends that its route still allows
-}
-
-type fleetPlay struct {
-	fleetLoad
-	t        *testing.T
-	random   *rand.Rand
-	now      time.Duration
-	lives    []int
-	downTill []time.Duration
-	streams  []*stream
-	hashes   []uint64
-	ledgers  []CrashCounter[[2]int]
-	refused  map[int]time.Duration // from when every daemon refuses a digest
-	result   fleetResult
+	digest    int
+	daemon    int
+	server    int
+	sentAt    time.Duration // of its present send
+	sendsLeft int           // sends that its route still allows
+}
+
+type simulation struct {
+	fleetConfig
+	t            *testing.T
+	random       *rand.Rand
+	now          time.Duration
+	incarnations []int
+	downUntil    []time.Duration
+	streams      []*stream
+	hashes       []uint64
+	counters     []CrashCounter[[2]int]
+	refused      map[int]time.Duration // from when every daemon refuses a digest
+	result       fleetResult
 }
 
 const poisonDigest = 0
 
-func (f fleetLoad) play(t *testing.T, seed uint64) fleetResult {
-	p := &fleetPlay{fleetLoad: f, t: t, random: rand.New(rand.NewPCG(seed, 0)), refused: map[int]time.Duration{}}
-	p.lives, p.downTill = make([]int, f.servers), make([]time.Duration, f.servers)
-	p.ledgers = make([]CrashCounter[[2]int], f.daemons)
+func (f fleetConfig) run(t *testing.T, seed uint64) fleetResult {
+	p := &simulation{fleetConfig: f, t: t, random: rand.New(rand.NewPCG(seed, 0)), refused: map[int]time.Duration{}}
+	p.incarnations, p.downUntil = make([]int, f.servers), make([]time.Duration, f.servers)
+	p.counters = make([]CrashCounter[[2]int], f.daemons)
 	for d := range f.daemons {
 		p.hashes = append(p.hashes, route.Mix(uint64(d)+1))
 	}
-	for digest := 1; p.now < played; p.now += step {
+	for digest := 1; p.now < simDuration; p.now += step {
 		if p.random.Float64() < f.arrivals*step.Seconds() {
 			p.result.streams++
-			p.begin(digest)
+			p.startStream(digest)
 			digest++
 		}
 		if f.poisoned && p.now%(500*time.Millisecond) == 0 {
-			p.begin(poisonDigest)
+			p.startStream(poisonDigest)
 		}
-		p.failures()
-		p.proceed()
+		p.injectFailures()
+		p.advance()
 	}
 	return p.result
 }
 
-func (p *fleetPlay) begin(digest int) {
-	s := &stream{digest: digest, daemon: p.random.IntN(p.daemons), left: 5}
+func (p *simulation) startStream(digest int) {
+	s := &stream{digest: digest, daemon: p.random.IntN(p.daemons), sendsLeft: 5}
 	if p.send(s) {
 		p.streams = append(p.streams, s)
 	}
 }
 
 // send chooses a server that is up. A refused request is sent to none.
-func (p *fleetPlay) send(s *stream) bool {
-	if from, refused := p.refused[s.digest]; refused && p.now >= from || s.left == 0 {
+func (p *simulation) send(s *stream) bool {
+	if from, refused := p.refused[s.digest]; refused && p.now >= from || s.sendsLeft == 0 {
 		return false
 	}
-	s.left--
+	s.sendsLeft--
 	for range 20 {
-		if s.server = p.random.IntN(p.servers); p.now >= p.downTill[s.server] {
+		if s.server = p.random.IntN(p.servers); p.now >= p.downUntil[s.server] {
 			break
 		}
 	}
-	s.since = p.now
+	s.sentAt = p.now
 	if s.digest == poisonDigest {
 		p.result.sends++
 	}
 	return true
 }
 
-func (p *fleetPlay) failures() {
-	if p.random.Float64() < p.alone*step.Seconds() {
-		p.end(p.random.IntN(p.servers))
+func (p *simulation) injectFailures() {
+	if p.random.Float64() < p.crashesPerSecond*step.Seconds() {
+		p.crash(p.random.IntN(p.servers))
 	}
-	if p.zones > 0 && p.now > 0 && p.now%p.zones == 0 {
-		zone := int(p.now/p.zones) % 3
+	if p.zoneOutageInterval > 0 && p.now > 0 && p.now%p.zoneOutageInterval == 0 {
+		zone := int(p.now/p.zoneOutageInterval) % 3
 		for server := range p.servers {
 			if server%3 == zone {
-				p.downTill[server] = p.now + 2*time.Second
+				p.downUntil[server] = p.now + 2*time.Second
 			}
 		}
 		for server := range p.servers {
 			if server%3 == zone {
-				p.end(server)
+				p.crash(server)
 			}
 		}
 	}
 }
 
-func (p *fleetPlay) proceed() {
+func (p *simulation) advance() {
 	for _, s := range append([]*stream(nil), p.streams...) {
-		age := p.now - s.since
+		age := p.now - s.sentAt
 		switch {
-		case s.digest == poisonDigest && age >= readTime:
-			p.end(s.server)
-		case age >= readTime+runTime:
-			for d := range p.ledgers { // a whole answer clears it
-				p.ledgers[d].Clear(string(rune(s.digest)))
+		case s.digest == poisonDigest && age >= prefillTime:
+			p.crash(s.server)
+		case age >= prefillTime+streamTime:
+			for d := range p.counters { // a whole answer clears it
+				p.counters[d].Clear(string(rune(s.digest)))
 			}
-			p.drop(s)
+			p.remove(s)
 		}
 	}
 }
 
-func (p *fleetPlay) drop(s *stream) {
+func (p *simulation) remove(s *stream) {
 	for i, other := range p.streams {
 		if other == s {
 			p.streams = append(p.streams[:i], p.streams[i+1:]...)
@@ -151,35 +151,35 @@
 	}
 }
 
-// end ends a server, and with it what it runs, which goes on elsewhere.
-func (p *fleetPlay) end(server int) {
-	life := [2]int{server, p.lives[server]}
-	p.lives[server]++
-	p.downTill[server] = p.now + 2*time.Second
-	p.result.ended++
+// crash ends a server, and with it what it runs, which goes on elsewhere.
+func (p *simulation) crash(server int) {
+	incarnation := [2]int{server, p.incarnations[server]}
+	p.incarnations[server]++
+	p.downUntil[server] = p.now + 2*time.Second
+	p.result.crashes++
 	for _, s := range append([]*stream(nil), p.streams...) {
-		if s.server != server || s.since == p.now {
+		if s.server != server || s.sentAt == p.now {
 			continue
 		}
-		age := p.now - s.since
-		e := Termination{PromptUnread: float64(age) < 0.7*float64(readTime), Streamed: max(0, age-readTime)}
-		if e.Attribute() == Attributed {
-			e.PeersChecked, e.PeersDown = p.lookAround(server)
+		age := p.now - s.sentAt
+		end := Termination{PromptUnread: float64(age) < 0.7*float64(prefillTime), Streamed: max(0, age-prefillTime)}
+		if end.Attribute() == Attributed {
+			end.PeersChecked, end.PeersDown = p.checkPeers(server)
 		}
-		if e.Attribute() == Attributed {
-			p.count(s, life)
+		if end.Attribute() == Attributed {
+			p.countCrash(s, incarnation)
 		}
 		if !p.send(s) {
-			p.drop(s)
+			p.remove(s)
 		}
 	}
 }
 
-func (p *fleetPlay) lookAround(server int) (asked, down int) {
+func (p *simulation) checkPeers(server int) (asked, down int) {
 	for range PeersToCheck {
 		if other := p.random.IntN(p.servers/3)*3 + server%3; other != server {
 			asked++
-			if p.now < p.downTill[other] {
+			if p.now < p.downUntil[other] {
 				down++
 			}
 		}
@@ -187,23 +187,23 @@
 	return asked, down
 }
 
-// count tells the keepers of a request, and all daemons of a mark.
-func (p *fleetPlay) count(s *stream, life [2]int) {
+// countCrash tells the keepers of a request, and all daemons of a mark.
+func (p *simulation) countCrash(s *stream, incarnation [2]int) {
 	keepers := append([]int{s.daemon}, rendezvous.Nearest(route.Mix(uint64(s.digest)), p.hashes, 2)...)
 	digest := string(rune(s.digest))
 	for _, d := range keepers {
 		if d != s.daemon {
 			p.result.messages++
 		}
-		before := p.ledgers[d].Mark(digest)
-		p.ledgers[d].Record(time.Unix(0, int64(p.now)), digest, life)
-		after := p.ledgers[d].Mark(digest)
+		before := p.counters[d].Mark(digest)
+		p.counters[d].Record(time.Unix(0, int64(p.now)), digest, incarnation)
+		after := p.counters[d].Mark(digest)
 		if after == before {
 			continue
 		}
 		p.result.messages += p.daemons - 1
 		if _, known := p.refused[s.digest]; after == Refused && !known {
-			p.refused[s.digest] = p.now + fleetTell
+			p.refused[s.digest] = p.now + markDelay
 			if s.digest != poisonDigest {
 				p.result.refusedWrongly++
 			}
@@ -211,18 +211,18 @@
 	}
 }
 
-var fleets = []fleetLoad{
-	{daemons: 7, servers: 36, arrivals: 9, alone: 0.2, zones: 6 * time.Second},
-	{daemons: 73, servers: 120, arrivals: 36, alone: 0.5, zones: 6 * time.Second},
-	{daemons: 295, servers: 260, arrivals: 78, alone: 1, zones: 6 * time.Second},
+var fleets = []fleetConfig{
+	{daemons: 7, servers: 36, arrivals: 9, crashesPerSecond: 0.2, zoneOutageInterval: 6 * time.Second},
+	{daemons: 73, servers: 120, arrivals: 36, crashesPerSecond: 0.5, zoneOutageInterval: 6 * time.Second},
+	{daemons: 295, servers: 260, arrivals: 78, crashesPerSecond: 1, zoneOutageInterval: 6 * time.Second},
 }
 
 // Servers end by themselves and by zones: no request may be refused for having been there.
-func TestUnluckyRequestsAreNotRefused(t *testing.T) {
+func TestRequestsInUnrelatedFailuresAreNotRefused(t *testing.T) {
 	for _, f := range fleets {
 		wrong, messages := 0, 0
 		for seed := range uint64(20) {
-			r := f.play(t, seed)
+			r := f.run(t, seed)
 			wrong += r.refusedWrongly
 			messages += r.messages
 		}
@@ -232,12 +232,12 @@
 }
 
 // However many daemons it arrives at, a request that ends its servers ends few of them.
-func TestRequestThatEndsServersIsFound(t *testing.T) {
+func TestPoisonRequestIsRefused(t *testing.T) {
 	for _, f := range fleets {
 		f.poisoned = true
 		most, messages, wrong := 0, 0, 0
 		for seed := range uint64(20) {
-			r := f.play(t, seed)
+			r := f.run(t, seed)
 			most, messages, wrong = max(most, r.sends), messages+r.messages, wrong+r.refusedWrongly
 		}
 		t.Logf("%d daemons: at most %d sends, %d messages a day, %d others refused", f.daemons, most, messages/20, wrong)
--- a/decision/poison/marks.go
+++ b/decision/poison/marks.go
@@ -3,47 +3,47 @@
 import "time"
 
 const (
-	// maxMarks bounds the marks that a daemon keeps.
-	maxMarks = 4096
-	// markedFor is how long a mark holds of which nothing more is heard: longer than the
+	// maxMarkedRequests bounds the marks that a daemon keeps.
+	maxMarkedRequests = 4096
+	// markTTL is how long a mark holds of which nothing more is heard: longer than the
 	// store is away, where refused requests lie.
-	markedFor = 10 * time.Minute
+	markTTL = 10 * time.Minute
 )
 
 // Marks are those that a daemon was told of. The zero value is empty. It is not safe for
 // concurrent use.
 type Marks struct {
-	marks map[string]marked // by digest
+	marks map[string]markEntry // by digest
 }
 
-type marked struct {
-	mark Mark
-	at   time.Time
+type markEntry struct {
+	mark  Mark
+	setAt time.Time
 }
 
 // Raise records a mark. It reports whether it is a higher one than before; a lower one changes
 // nothing. There may be no room for a request that is only watched.
 func (m *Marks) Raise(now time.Time, digest string, mark Mark) bool {
 	if m.marks == nil {
-		m.marks = map[string]marked{}
+		m.marks = map[string]markEntry{}
 	}
 	if mark <= m.Get(now, digest) {
 		return false
 	}
-	if _, known := m.marks[digest]; !known && len(m.marks) >= maxMarks && !m.makeRoom(now) {
+	if _, known := m.marks[digest]; !known && len(m.marks) >= maxMarkedRequests && !m.evict(now) {
 		return false
 	}
-	m.marks[digest] = marked{mark, now}
+	m.marks[digest] = markEntry{mark, now}
 	return true
 }
 
 // Get is the mark of a request.
 func (m *Marks) Get(now time.Time, digest string) Mark {
-	one := m.marks[digest]
-	if now.Sub(one.at) >= markedFor {
+	entry := m.marks[digest]
+	if now.Sub(entry.setAt) >= markTTL {
 		return Unmarked
 	}
-	return one.mark
+	return entry.mark
 }
 
 // ClearWatched takes back that a request is watched. It reports whether it was.
@@ -68,21 +68,21 @@
 	return digests
 }
 
-// makeRoom drops the marks that do not hold any more, or else that of the request which has
+// evict drops the marks that do not hold any more, or else that of the request which has
 // been watched for the longest time. It reports whether there is room.
-func (m *Marks) makeRoom(now time.Time) bool {
+func (m *Marks) evict(now time.Time) bool {
 	oldest := ""
-	for digest, one := range m.marks {
+	for digest, entry := range m.marks {
 		if m.Get(now, digest) == Unmarked {
 			delete(m.marks, digest)
 			continue
 		}
-		if one.mark == Watched && (oldest == "" || one.at.Before(m.marks[oldest].at)) {
+		if entry.mark == Watched && (oldest == "" || entry.setAt.Before(m.marks[oldest].setAt)) {
 			oldest = digest
 		}
 	}
-	if len(m.marks) >= maxMarks {
+	if len(m.marks) >= maxMarkedRequests {
 		delete(m.marks, oldest)
 	}
-	return len(m.marks) < maxMarks
+	return len(m.marks) < maxMarkedRequests
 }
--- a/decision/poison/poison.go
+++ b/decision/poison/poison.go
@@ -21,18 +21,18 @@
 import "time"
 
 const (
-	// watchedAfter is the number of servers that ended after which all daemons look out for
+	// watchThreshold is the number of servers that ended after which all daemons look out for
 	// the request, so that one that succeeds anywhere is cleared.
-	watchedAfter = 2
-	// refusedAfter is the number after which it is sent no more.
-	refusedAfter = 3
-	// beginning is how long after its first event a request may have ended its server: a
+	watchThreshold = 2
+	// refuseThreshold is the number after which it is sent no more.
+	refuseThreshold = 3
+	// crashWindow is how long after its first event a request may have ended its server: a
 	// crash comes right after the first token, and events lag.
-	beginning = 500 * time.Millisecond
+	crashWindow = 500 * time.Millisecond
 	// PeersToCheck is how many other servers of the zone are looked at when one has ended.
 	PeersToCheck = 3
-	// leastAsked is of how many most say something of the zone.
-	leastAsked = 2
+	// minPeersChecked is of how many most say something of the zone.
+	minPeersChecked = 2
 )
 
 // Termination is what is known of a request at a server that ended.
@@ -61,20 +61,20 @@
 )
 
 // String returns the word used in logs.
-func (f Attribution) String() string {
-	return [...]string{"counts", "planned", "not_begun", "ran_on", "many_ended"}[f]
+func (a Attribution) String() string {
+	return [...]string{"counts", "planned", "not_begun", "ran_on", "many_ended"}[a]
 }
 
 // Attribute says whether the end of the server counts for the request.
-func (e Termination) Attribute() Attribution {
+func (t Termination) Attribute() Attribution {
 	switch {
-	case e.Planned:
+	case t.Planned:
 		return Planned
-	case e.PromptUnread:
+	case t.PromptUnread:
 		return NotStarted
-	case e.Streamed >= beginning:
+	case t.Streamed >= crashWindow:
 		return KeptRunning
-	case e.PeersChecked >= leastAsked && 2*e.PeersDown > e.PeersChecked:
+	case t.PeersChecked >= minPeersChecked && 2*t.PeersDown > t.PeersChecked:
 		return ZoneFailure
 	}
 	return Attributed
@@ -93,12 +93,12 @@
 // String returns the word used in logs and on the wire.
 func (m Mark) String() string { return [...]string{"unmarked", "watched", "refused"}[m] }
 
-// markAfter is the mark of a request under which so many servers have ended.
-func markAfter(ended int) Mark {
+// markFor is the mark of a request under which so many servers have ended.
+func markFor(crashes int) Mark {
 	switch {
-	case ended >= refusedAfter:
+	case crashes >= refuseThreshold:
 		return Refused
-	case ended >= watchedAfter:
+	case crashes >= watchThreshold:
 		return Watched
 	}
 	return Unmarked
--- a/decision/poison/poison_test.go
+++ b/decision/poison/poison_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestWhichEndsCount(t *testing.T) {
+func TestAttribute(t *testing.T) {
 	for _, c := range []struct {
 		ending Termination
 		want   Attribution
@@ -24,8 +24,8 @@
 	}
 }
 
-func TestMarkGrowsWithTheServersThatEnded(t *testing.T) {
-	var l CrashCounter[string]
+func TestMarkRisesWithCrashes(t *testing.T) {
+	var counter CrashCounter[string]
 	now := time.Now()
 	for _, c := range []struct {
 		life  string
@@ -38,34 +38,34 @@
 		{"c", true, Refused},
 		{"d", true, Refused},
 	} {
-		must.Eq(t, c.fresh, l.Record(now, "x", c.life))
-		must.Eq(t, c.want, l.Mark("x"))
+		must.Eq(t, c.fresh, counter.Record(now, "x", c.life))
+		must.Eq(t, c.want, counter.Mark("x"))
 	}
-	must.True(t, l.Clear("x"))
-	must.False(t, l.Clear("x"))
-	must.Eq(t, Unmarked, l.Mark("x"))
+	must.True(t, counter.Clear("x"))
+	must.False(t, counter.Clear("x"))
+	must.Eq(t, Unmarked, counter.Mark("x"))
 }
 
 // Requests that are unlucky once each must not push out one that has ended more servers.
-func TestFullLedgerKeepsThoseThatEndedMore(t *testing.T) {
-	var l CrashCounter[string]
+func TestFullCounterKeepsRequestsWithMoreCrashes(t *testing.T) {
+	var counter CrashCounter[string]
 	now := time.Now()
-	l.Record(now, "worst", "a")
-	l.Record(now, "worst", "b")
+	counter.Record(now, "worst", "a")
+	counter.Record(now, "worst", "b")
 	for i := range 3 * MaxTrackedRequests {
-		l.Record(now.Add(time.Duration(i)*time.Millisecond), fmt.Sprint(i), "a")
+		counter.Record(now.Add(time.Duration(i)*time.Millisecond), fmt.Sprint(i), "a")
 	}
-	must.MapLen(t, MaxTrackedRequests, l.requests)
-	must.Eq(t, Watched, l.Mark("worst"))
+	must.MapLen(t, MaxTrackedRequests, counter.requests)
+	must.Eq(t, Watched, counter.Mark("worst"))
 }
 
-func TestLongUnchangedCountsBeginAnew(t *testing.T) {
-	var l CrashCounter[string]
+func TestCountsExpire(t *testing.T) {
+	var counter CrashCounter[string]
 	now := time.Now()
-	l.Record(now, "x", "a")
-	l.Record(now, "x", "b")
-	l.Record(now.Add(remembered), "x", "c")
-	must.Eq(t, Unmarked, l.Mark("x"))
+	counter.Record(now, "x", "a")
+	counter.Record(now, "x", "b")
+	counter.Record(now.Add(retention), "x", "c")
+	must.Eq(t, Unmarked, counter.Mark("x"))
 }
 
 func TestMarksOnlyRise(t *testing.T) {
@@ -77,7 +77,7 @@
 	must.False(t, m.Raise(now, "x", Watched))
 	must.False(t, m.ClearWatched("x"))
 	must.Eq(t, []string{"x"}, m.DigestsWith(now, Refused))
-	must.Eq(t, Unmarked, m.Get(now.Add(markedFor), "x"))
+	must.Eq(t, Unmarked, m.Get(now.Add(markTTL), "x"))
 	m.Delete("x")
 	must.Eq(t, Unmarked, m.Get(now, "x"))
 	m.Raise(now, "y", Watched)
@@ -87,15 +87,15 @@
 func TestFullMarksKeepRefusals(t *testing.T) {
 	var m Marks
 	now := time.Now()
-	for i := range maxMarks {
+	for i := range maxMarkedRequests {
 		m.Raise(now.Add(time.Duration(i)), fmt.Sprint(i), Watched)
 	}
 	must.True(t, m.Raise(now, "worst", Refused))
 	must.Eq(t, Unmarked, m.Get(now, "0"))
-	for i := range maxMarks {
+	for i := range maxMarkedRequests {
 		m.Raise(now, fmt.Sprint(i), Refused)
 	}
 	must.Eq(t, Refused, m.Get(now, "worst"))
 	must.False(t, m.Raise(now, "late", Refused))
-	must.True(t, m.Raise(now.Add(markedFor), "late", Refused))
+	must.True(t, m.Raise(now.Add(markTTL), "late", Refused))
 }
--- a/decision/quota/quota.go
+++ b/decision/quota/quota.go
@@ -25,21 +25,21 @@
 )
 
 const (
-	// given is the part of a server's rate for which permits are given out: two daemons may
+	// permitRatio is the part of a server's rate for which permits are given out: two daemons may
 	// give them for a moment while the fleet changes.
-	given = 0.9
-	// leastRate is given out for a server that takes next to nothing, in requests a second:
+	permitRatio = 0.9
+	// minPermitsPerSecond is given out for a server that takes next to nothing, in requests a second:
 	// only an answer shows that the limit is over.
-	leastRate = 0.5
-	// burst is how many permits may be given out at once.
-	burst = 2
-	// maxWait bounds the time after which a daemon that is refused asks again.
-	maxWait = 10 * time.Second
+	minPermitsPerSecond = 0.5
+	// burstPermits is how many permits may be given out at once.
+	burstPermits = 2
+	// maxRetryWait bounds the time after which a daemon that is refused asks again.
+	maxRetryWait = 10 * time.Second
 )
 
 // ParseRate reads the rate that a server names, in requests a second; named is false where the text
 // is empty or names no bound. What cannot be read comes with an error and counts as a rate of 0.
-func ParseRate(text string) (rate float64, named bool, err error) {
+func ParseRate(text string) (rate float64, limited bool, err error) {
 	if text == "" {
 		return 0, false, nil
 	}
@@ -54,42 +54,42 @@
 }
 
 // PermitRate is the rate of permits for a server that takes rate requests a second.
-func PermitRate(rate float64) float64 { return max(leastRate, given*rate) }
+func PermitRate(rate float64) float64 { return max(minPermitsPerSecond, permitRatio*rate) }
 
 // TokenBucket gives out permits for one server. The zero value has given out none. It is not safe for
 // concurrent use.
 type TokenBucket struct {
-	tokens float64
-	most   float64 // tokens kept, 0 for burst
-	at     time.Time
-	free   time.Time // when the daemon refused next is told to ask again
+	tokens    float64
+	capacity  float64 // tokens kept, 0 for burst
+	updatedAt time.Time
+	nextFree  time.Time // when the daemon refused next is told to ask again
 }
 
 // NewDaemonBucket returns the bucket of one daemon that keeps to its even part by itself. draw is in [0, 1),
 // another at each daemon: without it all would send their first request at the same moment.
-func NewDaemonBucket(draw float64) TokenBucket { return TokenBucket{tokens: draw, most: 1} }
+func NewDaemonBucket(draw float64) TokenBucket { return TokenBucket{tokens: draw, capacity: 1} }
 
 // Take takes a permit, of which give a second are given out. Where there is none it returns after
 // what time the daemon should ask again.
-func (b *TokenBucket) Take(now time.Time, give float64) (granted bool, wait time.Duration) {
-	most := b.most
-	if most == 0 {
-		most = burst
+func (b *TokenBucket) Take(now time.Time, permitsPerSecond float64) (granted bool, wait time.Duration) {
+	capacity := b.capacity
+	if capacity == 0 {
+		capacity = burstPermits
 	}
-	if !b.at.IsZero() {
-		b.tokens = min(most, b.tokens+give*max(0, now.Sub(b.at).Seconds()))
+	if !b.updatedAt.IsZero() {
+		b.tokens = min(capacity, b.tokens+permitsPerSecond*max(0, now.Sub(b.updatedAt).Seconds()))
 	}
-	b.at = now
+	b.updatedAt = now
 	if b.tokens >= 1 {
 		b.tokens--
 		return true, 0
 	}
-	if next := now.Add(seconds((1 - b.tokens) / give)); b.free.Before(next) {
-		b.free = next
+	if next := now.Add(seconds((1 - b.tokens) / permitsPerSecond)); b.nextFree.Before(next) {
+		b.nextFree = next
 	}
-	wait = min(b.free.Sub(now), maxWait)
-	if wait < maxWait {
-		b.free = b.free.Add(seconds(1 / give))
+	wait = min(b.nextFree.Sub(now), maxRetryWait)
+	if wait < maxRetryWait {
+		b.nextFree = b.nextFree.Add(seconds(1 / permitsPerSecond))
 	}
 	return false, wait
 }
@@ -99,27 +99,27 @@
 // PermitPoller says when one daemon may ask for a permit for a server. The zero value may ask. It is not
 // safe for concurrent use.
 type PermitPoller struct {
-	asking bool
-	at     time.Time // not before then
+	inFlight  bool
+	notBefore time.Time // not before then
 }
 
 // CanAsk reports whether a permit may be asked for: none is being asked for, and the time to ask
 // has come.
-func (t *PermitPoller) CanAsk(now time.Time) bool { return !t.asking && !now.Before(t.at) }
+func (p *PermitPoller) CanAsk(now time.Time) bool { return !p.inFlight && !now.Before(p.notBefore) }
 
 // TryAsk begins a question, if one may be asked. Its answer goes to Answered.
-func (t *PermitPoller) TryAsk(now time.Time) bool {
-	if !t.CanAsk(now) {
+func (p *PermitPoller) TryAsk(now time.Time) bool {
+	if !p.CanAsk(now) {
 		return false
 	}
-	t.asking = true
+	p.inFlight = true
 	return true
 }
 
 // Complete ends a question; wait is how long not to ask again, 0 after a permit.
-func (t *PermitPoller) Complete(now time.Time, wait time.Duration) {
-	t.asking, t.at = false, now.Add(wait)
+func (p *PermitPoller) Complete(now time.Time, wait time.Duration) {
+	p.inFlight, p.notBefore = false, now.Add(wait)
 }
 
 // Wait is how long it is until a permit may be asked for.
-func (t *PermitPoller) Wait(now time.Time) time.Duration { return max(0, t.at.Sub(now)) }
+func (p *PermitPoller) Wait(now time.Time) time.Duration { return max(0, p.notBefore.Sub(now)) }
--- a/decision/quota/quota_test.go
+++ b/decision/quota/quota_test.go
@@ -7,12 +7,12 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestRead(t *testing.T) {
+func TestParseRate(t *testing.T) {
 	for _, c := range []struct {
-		text  string
-		rate  float64
-		named bool
-		wrong bool
+		text    string
+		rate    float64
+		limited bool
+		invalid bool
 	}{
 		{"", 0, false, false},
 		{"5.8", 5.8, true, false},
@@ -26,14 +26,14 @@
 		{"5,8", 0, true, true},
 		{"1e999", 0, true, true},
 	} {
-		rate, named, err := ParseRate(c.text)
+		rate, limited, err := ParseRate(c.text)
 		must.Eq(t, c.rate, rate, must.Sprint(c.text))
-		must.Eq(t, c.named, named, must.Sprint(c.text))
-		must.Eq(t, c.wrong, err != nil, must.Sprint(c.text))
+		must.Eq(t, c.limited, limited, must.Sprint(c.text))
+		must.Eq(t, c.invalid, err != nil, must.Sprint(c.text))
 	}
 }
 
-func TestBucketGivesOutTheRate(t *testing.T) {
+func TestTokenBucketGrantsTheRate(t *testing.T) {
 	for _, rate := range []float64{0, 0.1, 1, 5.8, 200} {
 		var b TokenBucket
 		start := time.Now()
@@ -43,7 +43,7 @@
 				granted++
 			} else {
 				must.Positive(t, wait)
-				must.LessEq(t, maxWait, wait)
+				must.LessEq(t, maxRetryWait, wait)
 			}
 		}
 		must.Between(t, 0.95, float64(granted)/100/PermitRate(rate), 1.05, must.Sprint(rate))
@@ -51,7 +51,7 @@
 }
 
 // Daemons that are refused must not all come back at the same moment.
-func TestRefusedAreToldDifferentTimes(t *testing.T) {
+func TestRefusedDaemonsGetDifferentWaits(t *testing.T) {
 	var b TokenBucket
 	now := time.Now()
 	b.Take(now, PermitRate(5))
@@ -60,21 +60,21 @@
 	must.Eq(t, seconds(1/PermitRate(5)), second-first)
 }
 
-func TestDaemonAsksOneQuestionAtATime(t *testing.T) {
-	var turn PermitPoller
+func TestOnePermitRequestAtATime(t *testing.T) {
+	var poller PermitPoller
 	now := time.Now()
-	must.True(t, turn.TryAsk(now))
-	must.False(t, turn.CanAsk(now))
-	must.False(t, turn.TryAsk(now))
-	turn.Complete(now, 0)
-	must.True(t, turn.TryAsk(now))
-	turn.Complete(now, time.Second)
-	must.False(t, turn.TryAsk(now.Add(time.Second-1)))
-	must.Eq(t, time.Second, turn.Wait(now))
-	must.True(t, turn.TryAsk(now.Add(time.Second)))
+	must.True(t, poller.TryAsk(now))
+	must.False(t, poller.CanAsk(now))
+	must.False(t, poller.TryAsk(now))
+	poller.Complete(now, 0)
+	must.True(t, poller.TryAsk(now))
+	poller.Complete(now, time.Second)
+	must.False(t, poller.TryAsk(now.Add(time.Second-1)))
+	must.Eq(t, time.Second, poller.Wait(now))
+	must.True(t, poller.TryAsk(now.Add(time.Second)))
 }
 
-func TestWhatAnswersSayOfALimit(t *testing.T) {
+func TestLimitChanges(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	var l Limit
@@ -85,28 +85,28 @@
 	// An answer that the server had begun before it was in need ends nothing.
 	must.Eq(t, Unchanged, l.ObserveResponse(at(1), at(14), 0, false))
 	must.Eq(t, Removed, l.ObserveResponse(at(20), at(30), 0, false))
-	rate, named := l.Rate()
+	rate, limited := l.Rate()
 	must.Eq(t, 8, rate)
-	must.False(t, named)
+	must.False(t, limited)
 	must.Eq(t, Unchanged, l.ObservePeer(at(31), 0, false))
 	must.Eq(t, Added, l.ObservePeer(at(32), 3, true))
 	must.Eq(t, Removed, l.ObservePeer(at(33), 0, false))
 }
 
 // A server that names its limit in every other answer must not have each told to the whole fleet.
-func TestChangesThatComeQuicklyAreToldTogether(t *testing.T) {
-	var telling BroadcastPacer
+func TestRapidChangesAreBroadcastTogether(t *testing.T) {
+	var pacer BroadcastPacer
 	start := time.Now()
-	told := 0
+	broadcasts := 0
 	due := time.Time{}
 	for now := start; now.Before(start.Add(10 * time.Second)); now = now.Add(time.Millisecond) {
 		if !due.IsZero() && !now.Before(due) {
-			telling.MarkSent(now)
-			told, due = told+1, time.Time{}
+			pacer.MarkSent(now)
+			broadcasts, due = broadcasts+1, time.Time{}
 		}
-		if after, ok := telling.Schedule(now); ok {
+		if after, ok := pacer.Schedule(now); ok {
 			due = now.Add(after)
 		}
 	}
-	must.Between(t, 19, told, 21)
+	must.Between(t, 19, broadcasts, 21)
 }
--- a/decision/repeats/lenders.go
+++ b/decision/repeats/lenders.go
@@ -8,9 +8,9 @@
 const (
 	// MaxPeersAsked bounds the daemons that are asked for one repeat, a round trip each.
 	MaxPeersAsked = 8
-	// refusalKept is how long a daemon that had nothing to lend is not asked again: a
+	// refusalBackoff is how long a daemon that had nothing to lend is not asked again: a
 	// tenth of the usual window, in which a tenth of its budget is free again.
-	refusalKept = time.Second
+	refusalBackoff = time.Second
 )
 
 // PeerSelector decides which daemons are asked for a part of their budget.
@@ -27,19 +27,19 @@
 // order, so that not all of them ask the same one. It is not safe for
 // concurrent use.
 type PeerSelector struct {
-	refused map[string]time.Time // until when a daemon is not asked
+	refusedUntil map[string]time.Time // until when a daemon is not asked
 }
 
 // Next chooses one of the daemons given, except those asked already for this
 // repeat; ok is false where nobody is left to ask.
-func (l *PeerSelector) Next(now time.Time, daemons, asked []string, draw uint64) (id string, ok bool) {
+func (s *PeerSelector) Next(now time.Time, daemons, asked []string, draw uint64) (id string, ok bool) {
 	if len(asked) >= MaxPeersAsked || len(daemons) == 0 {
 		return "", false
 	}
 	first := int(draw % uint64(len(daemons)))
 	for i := range daemons {
 		id := daemons[(first+i)%len(daemons)]
-		if !slices.Contains(asked, id) && !now.Before(l.refused[id]) {
+		if !slices.Contains(asked, id) && !now.Before(s.refusedUntil[id]) {
 			return id, true
 		}
 	}
@@ -47,14 +47,14 @@
 }
 
 // MarkRefused records that a daemon had nothing to lend, or did not answer.
-func (l *PeerSelector) MarkRefused(now time.Time, id string) {
-	if l.refused == nil {
-		l.refused = map[string]time.Time{}
+func (s *PeerSelector) MarkRefused(now time.Time, id string) {
+	if s.refusedUntil == nil {
+		s.refusedUntil = map[string]time.Time{}
 	}
-	for other, until := range l.refused {
+	for peer, until := range s.refusedUntil {
 		if !now.Before(until) {
-			delete(l.refused, other)
+			delete(s.refusedUntil, peer)
 		}
 	}
-	l.refused[id] = now.Add(refusalKept)
+	s.refusedUntil[id] = now.Add(refusalBackoff)
 }
--- a/decision/repeats/lenders_test.go
+++ b/decision/repeats/lenders_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestNextLender(t *testing.T) {
+func TestNextPeer(t *testing.T) {
 	now := time.Unix(1000, 0)
 	daemons := []string{"a", "b", "c", "d", "e"}
 	cases := []struct {
@@ -26,13 +26,13 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var l PeerSelector
+			var s PeerSelector
 			for _, id := range c.refused {
-				l.MarkRefused(now, id)
+				s.MarkRefused(now, id)
 			}
 			seen := map[string]bool{}
 			for draw := range uint64(100) {
-				if id, ok := l.Next(now, daemons, c.asked, draw); ok {
+				if id, ok := s.Next(now, daemons, c.asked, draw); ok {
 					seen[id] = true
 				}
 			}
@@ -50,48 +50,48 @@
 	return list
 }
 
-func TestLenderThatRefusedIsAskedAgainLater(t *testing.T) {
-	var l PeerSelector
+func TestRefusingPeerIsAskedAgainLater(t *testing.T) {
+	var s PeerSelector
 	now := time.Unix(1000, 0)
-	l.MarkRefused(now, "a")
-	_, ok := l.Next(now.Add(refusalKept-1), []string{"a"}, nil, 0)
+	s.MarkRefused(now, "a")
+	_, ok := s.Next(now.Add(refusalBackoff-1), []string{"a"}, nil, 0)
 	must.False(t, ok)
-	id, ok := l.Next(now.Add(refusalKept), []string{"a"}, nil, 0)
+	id, ok := s.Next(now.Add(refusalBackoff), []string{"a"}, nil, 0)
 	must.True(t, ok)
 	must.Eq(t, "a", id)
 }
 
-// fleetOf is daemons that lend to each other.
-type fleetOf struct {
-	budgets []*Budget
-	lenders []*PeerSelector
-	ids     []string
-	random  *rand.Rand
-	lends   bool
+// lendingFleet is daemons that lend to each other.
+type lendingFleet struct {
+	budgets   []*Budget
+	selectors []*PeerSelector
+	ids       []string
+	random    *rand.Rand
+	borrows   bool
 }
 
-func newFleetOf(n int, lends bool) *fleetOf {
-	f := &fleetOf{random: rand.New(rand.NewPCG(3, 3)), lends: lends}
+func newLendingFleet(n int, borrows bool) *lendingFleet {
+	f := &lendingFleet{random: rand.New(rand.NewPCG(3, 3)), borrows: borrows}
 	for i := range n {
-		f.budgets = append(f.budgets, New(rule, time.Unix(990, 0)))
-		f.lenders = append(f.lenders, &PeerSelector{})
+		f.budgets = append(f.budgets, New(policy, time.Unix(990, 0)))
+		f.selectors = append(f.selectors, &PeerSelector{})
 		f.ids = append(f.ids, strconv.Itoa(i))
 	}
 	return f
 }
 
-func (f *fleetOf) share(i int) Share {
+func (f *lendingFleet) share(i int) Share {
 	return Share{Daemons: len(f.budgets), RoundingOffset: float64(i) / float64(len(f.budgets))}
 }
 
-// repeat is one daemon's wish to send a request once more.
-func (f *fleetOf) repeat(now time.Time, i int) bool {
+// tryRetry is one daemon's wish to send a request once more.
+func (f *lendingFleet) tryRetry(now time.Time, i int) bool {
 	if f.budgets[i].TryRetry(now, f.share(i)) {
 		return true
 	}
 	asked := []string{f.ids[i]}
-	for f.lends {
-		id, ok := f.lenders[i].Next(now, f.ids, asked, f.random.Uint64())
+	for f.borrows {
+		id, ok := f.selectors[i].Next(now, f.ids, asked, f.random.Uint64())
 		if !ok {
 			return false
 		}
@@ -100,7 +100,7 @@
 		if f.budgets[n].TryRetry(now, f.share(n)) {
 			return true
 		}
-		f.lenders[i].MarkRefused(now, id)
+		f.selectors[i].MarkRefused(now, id)
 	}
 	return false
 }
@@ -109,10 +109,10 @@
 // daemon has none, one or several of them. Streams are cut for want of a repeat
 // although the fleet has more than enough, because each daemon knows only its own
 // part. With lending hardly any is cut, and the fleet stays within its budget.
-func TestBrokenStreamsOfAFleetThatLends(t *testing.T) {
+func TestBorrowingServesBrokenStreams(t *testing.T) {
 	const daemons, perLoss, losses = 73, 80, 10
-	play := func(lends bool) (denied, granted int) {
-		f := newFleetOf(daemons, lends)
+	simulate := func(borrows bool) (denied, granted int) {
+		f := newLendingFleet(daemons, borrows)
 		now := time.Unix(1000, 0)
 		var times []time.Time
 		for loss := range losses {
@@ -122,7 +122,7 @@
 			now = now.Add(3 * time.Second)
 			for range perLoss {
 				switch {
-				case f.repeat(now, f.random.IntN(daemons)):
+				case f.tryRetry(now, f.random.IntN(daemons)):
 					granted++
 					times = append(times, now)
 				case loss > 2: // before, the windows are not full
@@ -133,21 +133,21 @@
 		for i, from := range times {
 			n := 0
 			for _, at := range times[i:] {
-				if at.Before(from.Add(rule.Window)) {
+				if at.Before(from.Add(policy.Window)) {
 					n++
 				}
 			}
-			must.LessEq(t, int(rule.Ratio*360+rule.Slack), n)
+			must.LessEq(t, int(policy.Ratio*360+policy.Slack), n)
 		}
 		return denied, granted
 	}
-	alone, _ := play(false)
-	lent, granted := play(true)
-	must.Greater(t, 80, alone)
-	t.Log(alone, lent, granted)
-	t.Log(alone, lent, granted)
-	t.Log(alone, lent, granted)
-	t.Log(alone, lent, granted)
-	must.Less(t, 20, lent)
+	deniedAlone, _ := simulate(false)
+	deniedBorrowing, granted := simulate(true)
+	must.Greater(t, 80, deniedAlone)
+	t.Log(deniedAlone, deniedBorrowing, granted)
+	t.Log(deniedAlone, deniedBorrowing, granted)
+	t.Log(deniedAlone, deniedBorrowing, granted)
+	t.Log(deniedAlone, deniedBorrowing, granted)
+	must.Less(t, 20, deniedBorrowing)
 	must.Greater(t, 700, granted)
 }
--- a/decision/repeats/repeats.go
+++ b/decision/repeats/repeats.go
@@ -17,14 +17,14 @@
 
 import "time"
 
-// parts divide the window. Requests are counted over up to a part less than the
+// slotsPerWindow divide the window. Requests are counted over up to a part less than the
 // window and repeats over up to a part more.
-const parts = 50
+const slotsPerWindow = 50
 
-// safety is the share of the budget that is used. The rest is for what is under
+// usableRatio is the share of the budget that is used. The rest is for what is under
 // way between this count and a backend server, and for requests that end at a
 // daemon which dies before it repeats them.
-const safety = 0.92
+const usableRatio = 0.92
 
 // Policy is the budget of the whole fleet at one service.
 type Policy struct {
@@ -46,61 +46,63 @@
 // Budget counts one daemon's sends to one service. It is not safe for
 // concurrent use.
 type Budget struct {
-	rule     Policy
-	began    time.Time
-	requests [parts + 1]int
-	repeats  [parts + 1]int
-	tick     int64 // part of the time since began in which the last count fell
+	policy    Policy
+	startedAt time.Time
+	requests  [slotsPerWindow + 1]int
+	retries   [slotsPerWindow + 1]int
+	slot      int64 // part of the time since began in which the last count fell
 }
 
 // New returns an empty budget of a daemon that began to serve at began. The
 // times given to its methods must come from the same clock, one that is never
 // set: a step of the time of day would forget what was repeated.
-func New(rule Policy, began time.Time) *Budget { return &Budget{rule: rule, began: began} }
+func New(policy Policy, startedAt time.Time) *Budget {
+	return &Budget{policy: policy, startedAt: startedAt}
+}
 
 // RecordRequest counts a request of a caller.
 func (b *Budget) RecordRequest(now time.Time) {
 	b.advance(now)
-	b.requests[at(b.tick)]++
+	b.requests[slotIndex(b.slot)]++
 }
 
 // TryRetry asks for one more send and counts it if it is affordable.
 func (b *Budget) TryRetry(now time.Time, share Share) bool {
 	b.advance(now)
-	allowed := b.rule.Ratio * float64(b.recent())
-	if now.Sub(b.began) >= b.rule.Window {
-		allowed += b.rule.Slack / float64(max(share.Daemons, 1))
+	allowed := b.policy.Ratio * float64(b.recentRequests())
+	if now.Sub(b.startedAt) >= b.policy.Window {
+		allowed += b.policy.Slack / float64(max(share.Daemons, 1))
 	}
-	if float64(sum(b.repeats)+1) > safety*allowed+share.RoundingOffset {
+	if float64(sum(b.retries)+1) > usableRatio*allowed+share.RoundingOffset {
 		return false
 	}
-	b.repeats[at(b.tick)]++
+	b.retries[slotIndex(b.slot)]++
 	return true
 }
 
-// at is the place of a part of the time in the counts.
-func at(tick int64) int { return int(tick % (parts + 1)) }
+// slotIndex is the place of a part of the time in the counts.
+func slotIndex(slot int64) int { return int(slot % (slotsPerWindow + 1)) }
 
 // advance clears the parts that lie between the last use and now.
 func (b *Budget) advance(now time.Time) {
-	tick := int64(now.Sub(b.began) / (b.rule.Window / parts))
-	if tick-b.tick > parts {
-		b.tick = tick
+	slot := int64(now.Sub(b.startedAt) / (b.policy.Window / slotsPerWindow))
+	if slot-b.slot > slotsPerWindow {
+		b.slot = slot
 		clear(b.requests[:])
-		clear(b.repeats[:])
+		clear(b.retries[:])
 		return
 	}
-	for b.tick < tick {
-		b.tick++
-		b.requests[at(b.tick)] = 0
-		b.repeats[at(b.tick)] = 0
+	for b.slot < slot {
+		b.slot++
+		b.requests[slotIndex(b.slot)] = 0
+		b.retries[slotIndex(b.slot)] = 0
 	}
 }
 
-// recent are the requests of the last window, or a part of it less.
-func (b *Budget) recent() int { return sum(b.requests) - b.requests[at(b.tick+1)] }
+// recentRequests are the requests of the last window, or a part of it less.
+func (b *Budget) recentRequests() int { return sum(b.requests) - b.requests[slotIndex(b.slot+1)] }
 
-func sum(counts [parts + 1]int) int {
+func sum(counts [slotsPerWindow + 1]int) int {
 	total := 0
 	for _, n := range counts {
 		total += n
--- a/decision/repeats/repeats_test.go
+++ b/decision/repeats/repeats_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-var rule = Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
+var policy = Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 
 // Ninety daemons lose every send for a minute. Each repeats as often as it may;
 // together they must stay within the budget of the fleet in every window.
@@ -17,7 +17,7 @@
 	start := time.Unix(1000, 0)
 	fleet := make([]*Budget, daemons)
 	for i := range fleet {
-		fleet[i] = New(rule, start.Add(-rule.Window))
+		fleet[i] = New(policy, start.Add(-policy.Window))
 	}
 	requests, granted := 0, 0
 	for step := range 100 {
@@ -34,13 +34,13 @@
 			}
 		}
 	}
-	must.LessEq(t, int(rule.Ratio*float64(requests)+rule.Slack), granted)
+	must.LessEq(t, int(policy.Ratio*float64(requests)+policy.Slack), granted)
 	must.Positive(t, granted)
 }
 
 func TestBudgetReturnsAfterWindow(t *testing.T) {
 	now := time.Unix(1000, 0)
-	b := New(rule, now.Add(-rule.Window))
+	b := New(policy, now.Add(-policy.Window))
 	for b.TryRetry(now, Share{Daemons: 10}) {
 	}
 	must.False(t, b.TryRetry(now.Add(9*time.Second), Share{Daemons: 10}))
@@ -52,7 +52,7 @@
 // requests count at once.
 func TestRestartedDaemonHasNoSlackAtFirst(t *testing.T) {
 	start := time.Unix(1000, 0)
-	b := New(rule, start)
+	b := New(policy, start)
 	must.False(t, b.TryRetry(start.Add(time.Second), Share{Daemons: 10}))
 	for range 10 {
 		b.RecordRequest(start.Add(time.Second))
@@ -61,7 +61,7 @@
 		must.True(t, b.TryRetry(start.Add(2*time.Second), Share{Daemons: 10}))
 	}
 	must.False(t, b.TryRetry(start.Add(2*time.Second), Share{Daemons: 10}))
-	must.True(t, b.TryRetry(start.Add(rule.Window+time.Second), Share{Daemons: 10}))
+	must.True(t, b.TryRetry(start.Add(policy.Window+time.Second), Share{Daemons: 10}))
 }
 
 // A fleet repeats whatever it may while half of it is killed and restarted, again
@@ -74,10 +74,10 @@
 	start := time.Unix(1000, 0)
 	fleet := make([]*Budget, daemons)
 	for i := range fleet {
-		fleet[i] = New(rule, start)
+		fleet[i] = New(policy, start)
 	}
 	const step = 50 * time.Millisecond
-	var requests, repeated []int // by step
+	var requests, retried []int // by step
 	for n := range 1200 {
 		now := start.Add(time.Duration(n) * step)
 		asked, granted := 0, 0
@@ -90,12 +90,12 @@
 				granted++
 			}
 			if n%130 == 0 && random.Float64() < 0.5 {
-				fleet[i] = New(rule, now)
+				fleet[i] = New(policy, now)
 			}
 		}
-		requests, repeated = append(requests, asked), append(repeated, granted)
+		requests, retried = append(requests, asked), append(retried, granted)
 	}
-	window := int(rule.Window / step)
+	window := int(policy.Window / step)
 	total := func(counts []int, from int) (n int) {
 		for _, c := range counts[max(from, 0):max(from+window, 0)] {
 			n += c
@@ -104,6 +104,6 @@
 	}
 	for from := range len(requests) - window {
 		base := max(total(requests, from), total(requests, from-window), total(requests, from-window/2))
-		must.LessEq(t, int(rule.Ratio*float64(base)+rule.Slack), total(repeated, from))
+		must.LessEq(t, int(policy.Ratio*float64(base)+policy.Slack), total(retried, from))
 	}
 }
--- a/decision/retryafter/retryafter_test.go
+++ b/decision/retryafter/retryafter_test.go
@@ -31,26 +31,26 @@
 }
 
 // One daemon alone has lost the store; its neighbours serve.
-func TestCallerGoesElsewhereAtOnce(t *testing.T) {
+func TestCallerRetriesOtherDaemonAtOnce(t *testing.T) {
 	must.Eq(t, OtherDaemonDelay, AfterStoreOutage(time.Hour, false, 0.9))
 }
 
-func TestLongOutageTellsABoundedTime(t *testing.T) {
-	must.Eq(t, AfterStoreOutage(longest, true, 0.5), AfterStoreOutage(time.Hour, true, 0.5))
+func TestDelayIsBoundedInLongOutage(t *testing.T) {
+	must.Eq(t, AfterStoreOutage(maxDelay, true, 0.5), AfterStoreOutage(time.Hour, true, 0.5))
 }
 
 // Engines that are full refuse for eight seconds. Each caller repeats once. Those
 // refused at the beginning come back when the answers there have ended, those refused
 // later after as long again, and hardly any within the burst.
-func TestCrowdReturnsAfterTheBurst(t *testing.T) {
+func TestCallersReturnAfterOverload(t *testing.T) {
 	const burst, answer, callers = 8 * time.Second, 5 * time.Second, 1000
-	var spell Streak
+	var streak Streak
 	served := 0
 	returns := map[time.Duration]int{}
 	start := time.Unix(0, 0)
 	for i := range callers {
 		at := i * int(burst) / callers
-		lasted := spell.Extend(start.Add(time.Duration(at)))
+		lasted := streak.Extend(start.Add(time.Duration(at)))
 		back := time.Duration(at) + AfterOverload(lasted, answer, float64(i%97)/97)
 		if back > burst {
 			served++
@@ -63,11 +63,11 @@
 	}
 }
 
-func TestSpellEndsWithAPause(t *testing.T) {
+func TestStreakEndsAfterGap(t *testing.T) {
 	var s Streak
 	at := time.Unix(100, 0)
 	must.Eq(t, 0, s.Extend(at))
 	must.Eq(t, 2*time.Second, s.Extend(at.Add(2*time.Second)))
 	must.Eq(t, 4*time.Second, s.Extend(at.Add(4*time.Second)))
-	must.Eq(t, 0, s.Extend(at.Add(4*time.Second+apart+1)))
+	must.Eq(t, 0, s.Extend(at.Add(4*time.Second+streakGap+1)))
 }
--- a/decision/rollout/bench_test.go
+++ b/decision/rollout/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BenchmarkJudge is one look at what daemons saw of a service in a roll-out.
-func BenchmarkJudge(b *testing.B) {
+// BenchmarkAnalyze is one look at what daemons saw of a service in a roll-out.
+func BenchmarkAnalyze(b *testing.B) {
 	for _, n := range []int{600, 4000, 30_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			random := rand.New(rand.NewPCG(1, 1))
--- a/decision/rollout/evidence.go
+++ b/decision/rollout/evidence.go
@@ -20,11 +20,11 @@
 	TimeToFirstEvent
 	// Pace: the mean time between events of a stream.
 	EventInterval
-	kinds
+	kindCount
 )
 
 // String returns the word used in logs.
-func (k Kind) String() string { return [...]string{"whole", "first", "pace", ""}[min(k, kinds)] }
+func (k Kind) String() string { return [...]string{"whole", "first", "pace", ""}[min(k, kindCount)] }
 
 // Outcome is how what a sample measures ended.
 type Outcome uint8
@@ -55,89 +55,89 @@
 }
 
 const (
-	// slower is how many times the median of the version before counts as slow.
-	slower = 2.6
-	// slowerAlone is the same where the version before shows too little of the same seconds: a
+	// slowRatio is how many times the median of the version before counts as slow.
+	slowRatio = 2.6
+	// sparseSlowRatio is the same where the version before shows too little of the same seconds: a
 	// service may be slow for reasons of its own.
-	slowerAlone = 4
-	// fewOld is how many samples of the version before it takes to tell what is slow.
-	fewOld = 12
-	// together is the time within which answers of one zone that break off have one cause.
-	together = time.Second
-	// bin is the length of the seconds that are compared with each other.
-	bin = 2 * time.Second
-	// binWeight is how many samples of the whole time stand for those that a bin lacks.
-	binWeight = 8
-	// minBad is how many samples show that a version is bad at least.
-	minBad = 2
+	sparseSlowRatio = 4
+	// minBaselineSamples is how many samples of the version before it takes to tell what is slow.
+	minBaselineSamples = 12
+	// zoneLossWindow is the time within which answers of one zone that break off have one cause.
+	zoneLossWindow = time.Second
+	// binWidth is the length of the seconds that are compared with each other.
+	binWidth = 2 * time.Second
+	// binPriorSamples is how many samples of the whole time stand for those that a bin lacks.
+	binPriorSamples = 8
+	// minBadSamples is how many samples show that a version is bad at least.
+	minBadSamples = 2
 )
 
 // How improbable what is found of a version as good as the one before has to be for the target to
 // be bad: in any look, and in one before it gets more.
 const (
-	anyLook  = 5e-5
-	lastLook = 2e-3
+	rollbackSignificance  = 5e-5
+	promotionSignificance = 2e-3
 )
 
-// restSigmas is by how much the target has to be worse without its worst server.
-const restSigmas = 2.6
+// minSigmasWithoutWorst is by how much the target has to be worse without its worst server.
+const minSigmasWithoutWorst = 2.6
 
-// unseen is what is expected of the target on top, for what little the version before showed.
-const unseen = 0.03
+// expectedBadMargin is what is expected of the target on top, for what little the version before showed.
+const expectedBadMargin = 0.03
 
 // Evidence adds up what daemons saw during one roll-out. It is not safe for concurrent use.
 type Evidence struct {
-	samples []Sample
-	old     []int // indices in samples of those of the version before
-	seenOld int
-	random  rand.PCG
+	samples      []Sample
+	baseline     []int // indices in samples of those of the version before
+	baselineSeen int
+	random       rand.PCG
 }
 
 const (
-	// maxOld is how many samples of the version before are kept, chosen evenly from all: more
+	// maxBaselineSamples is how many samples of the version before are kept, chosen evenly from all: more
 	// tell hardly more, and cost whom decides its processor.
-	maxOld = 3000
-	// maxNew bounds those of the target.
-	maxNew = 5000
+	maxBaselineSamples = 3000
+	// maxTargetSamples bounds those of the target.
+	maxTargetSamples = 5000
 )
 
 // Add takes in samples.
 func (e *Evidence) Add(samples ...Sample) {
 	for _, s := range samples {
 		switch {
-		case s.OnTarget && len(e.samples)-len(e.old) < maxNew:
+		case s.OnTarget && len(e.samples)-len(e.baseline) < maxTargetSamples:
 			e.samples = append(e.samples, s)
 		case s.OnTarget:
-		case len(e.old) < maxOld:
-			e.seenOld++
-			e.old = append(e.old, len(e.samples))
+		case len(e.baseline) < maxBaselineSamples:
+			e.baselineSeen++
+			e.baseline = append(e.baseline, len(e.samples))
 			e.samples = append(e.samples, s)
 		default:
-			e.seenOld++
-			if n := rand.New(&e.random).IntN(e.seenOld); n < maxOld {
-				e.samples[e.old[n]] = s
+			e.baselineSeen++
+			if n := rand.New(&e.random).IntN(e.baselineSeen); n < maxBaselineSamples {
+				e.samples[e.baseline[n]] = s
 			}
 		}
 	}
 }
 
-// commonShare is the part of a service's requests from which those of a route are many.
-const commonShare = 0.1
+// commonRouteRatio is the part of a service's requests from which those of a route are many.
+const commonRouteRatio = 0.1
 
-// common are the routes of which many requests were seen, as State.Common.
-func (e *Evidence) common() string {
+// commonRoutes are the routes of which many requests were seen, as State.Common.
+func (e *Evidence) commonRoutes() string {
 	routes := map[string]int{}
 	for _, s := range e.samples {
 		routes[s.Route]++
 	}
 	var list []string
 	for route, n := range routes {
-		if float64(n) >= commonShare*float64(len(e.samples)) {
+		if float64(n) >= commonRouteRatio*float64(len(e.samples)) {
 			list = append(list, route)
 		}
 	}
 	slices.Sort(list)
-	return strings.Join(list[:min(maxCommon, len(list))], separator)
+	return strings.Join(list[:min(maxCommonRoutes, len(list))], routeSeparator)
 }
 
 // Analysis is what the evidence shows.
@@ -160,43 +160,43 @@
 }
 
 // Analyze compares the versions. waiting are requests under way now.
-func (e *Evidence) Analyze(waiting []Sample) Analysis {
+func (e *Evidence) Analyze(unanswered []Sample) Analysis {
 	all := e.samples
-	if len(waiting) > 0 {
-		all = slices.Concat(e.samples, waiting)
+	if len(unanswered) > 0 {
+		all = slices.Concat(e.samples, unanswered)
 	}
-	f := Analysis{PValue: 1, BaselineP95: long(all)}
+	a := Analysis{PValue: 1, BaselineP95: baselineP95(all)}
 	for _, s := range all {
 		if s.OnTarget && s.Outcome != Unanswered {
-			f.TargetSamples++
+			a.TargetSamples++
 		}
 	}
-	excused, sole := commonLosses(all), oneServer(all)
-	for kind := range kinds {
-		for _, group := range groups(all, kind) {
-			c := compare(group, sole, excused)
-			odds := 1.0
-			if c.found >= minBad && c.rest > restSigmas {
-				odds = atLeast(c.found, c.expected+unseen)
+	isZoneLoss, singleServer := zoneLosses(all), hasSingleTargetServer(all)
+	for kind := range kindCount {
+		for _, g := range groupSamples(all, kind) {
+			c := compare(g, singleServer, isZoneLoss)
+			pValue := 1.0
+			if c.bad >= minBadSamples && c.sigmasWithoutWorst > minSigmasWithoutWorst {
+				pValue = poissonTail(c.bad, c.expectedBad+expectedBadMargin)
 			}
-			if odds < f.PValue || f.Compared == 0 {
-				f.PValue, f.Route, f.Kind = odds, group.route, kind
-				f.Compared, f.BadSamples, f.ExpectedBad = c.compared, c.found, c.expected
+			if pValue < a.PValue || a.Compared == 0 {
+				a.PValue, a.Route, a.Kind = pValue, g.route, kind
+				a.Compared, a.BadSamples, a.ExpectedBad = c.compared, c.bad, c.expectedBad
 			}
 		}
 	}
-	return f
+	return a
 }
 
-// atLeast is the probability of n or more where mean are expected, by Poisson's law.
-func atLeast(n int, mean float64) float64 {
-	term, below := math.Exp(-mean), 0.0
+// poissonTail is the probability of n or more where mean are expected, by Poisson's law.
+func poissonTail(n int, mean float64) float64 {
+	term, cumulative := math.Exp(-mean), 0.0
 	for k := range n {
-		below += term
+		cumulative += term
 		term *= mean / float64(k+1)
 	}
-	if below < 0.5 {
-		return 1 - below
+	if cumulative < 0.5 {
+		return 1 - cumulative
 	}
 	tail := 0.0
 	for k := n; term > 1e-15*tail || tail == 0; k++ {
@@ -209,104 +209,104 @@
 	return tail
 }
 
-// sureness is the variance of what is expected from what little the version before showed.
-const sureness = 0.15
+// baseVariance is the variance of what is expected from what little the version before showed.
+const baseVariance = 0.15
 
-// group are samples of one kind, of one route or of all.
-type group struct {
+// sampleGroup are samples of one kind, of one route or of all.
+type sampleGroup struct {
 	route   string
 	samples []Sample
 }
 
-// groups are the samples of a kind by route, and all of them where there are several.
-func groups(all []Sample, kind Kind) []group {
+// groupSamples are the samples of a kind by route, and all of them where there are several.
+func groupSamples(all []Sample, kind Kind) []sampleGroup {
 	byRoute := map[string][]Sample{}
-	var whole []Sample
+	var combined []Sample
 	for _, s := range all {
 		if s.Kind == kind {
 			byRoute[s.Route] = append(byRoute[s.Route], s)
-			whole = append(whole, s)
+			combined = append(combined, s)
 		}
 	}
-	var list []group
+	var list []sampleGroup
 	for route, samples := range byRoute {
-		list = append(list, group{route, samples})
+		list = append(list, sampleGroup{route, samples})
 	}
-	slices.SortFunc(list, func(a, b group) int { return cmp.Compare(a.route, b.route) })
+	slices.SortFunc(list, func(a, b sampleGroup) int { return cmp.Compare(a.route, b.route) })
 	if len(list) > 1 {
-		list = append(list, group{"", whole})
+		list = append(list, sampleGroup{"", combined})
 	}
 	return list
 }
 
 // comparison is how many samples of the target were compared, are bad, and would be.
 type comparison struct {
-	compared, found int
-	expected        float64
-	// rest is by how many sigmas the target is worse than expected without its worst server.
-	rest float64
+	compared, bad int
+	expectedBad   float64
+	// sigmasWithoutWorst is by how many sigmas the target is worse than expected without its worst server.
+	sigmasWithoutWorst float64
 }
 
-// share is how many of some samples are bad.
-type share struct{ bad, all float64 }
+// badTally is how many of some samples are bad.
+type badTally struct{ bad, total float64 }
 
 // compare judges one group. A sample of the target is expected to be bad as often as one of the
 // version before is in the same seconds, or at any time where that has few.
-func compare(g group, sole bool, excused func(Sample) bool) comparison {
-	usual, known := usualTime(g.samples)
-	beside := oldBeside(g.samples)
-	bad := func(s Sample) bool {
+func compare(g sampleGroup, singleServer bool, isZoneLoss func(Sample) bool) comparison {
+	median, hasMedian := baselineMedian(g.samples)
+	binCounts := baselineCounts(g.samples)
+	isBad := func(s Sample) bool {
 		switch s.Outcome {
 		case Failed:
 			return true
 		case Disconnected:
-			return !excused(s)
+			return !isZoneLoss(s)
 		}
-		factor := slower
-		if s.OnTarget && beside[s.EndedAt/bin] < fewBeside {
-			factor = slowerAlone
+		ratio := slowRatio
+		if s.OnTarget && binCounts[s.EndedAt/binWidth] < minBinSamples {
+			ratio = sparseSlowRatio
 		}
-		return known && float64(s.Duration) > factor*float64(usual)
+		return hasMedian && float64(s.Duration) > ratio*float64(median)
 	}
-	old := map[time.Duration]share{}
-	var whole share
+	baseline := map[time.Duration]badTally{}
+	var total badTally
 	for _, s := range g.samples {
-		if s.OnTarget || s.Outcome == Unanswered && !bad(s) || s.Outcome == Disconnected && excused(s) {
+		if s.OnTarget || s.Outcome == Unanswered && !isBad(s) || s.Outcome == Disconnected && isZoneLoss(s) {
 			continue
 		}
-		one := old[s.EndedAt/bin]
-		one.all, whole.all = one.all+1, whole.all+1
-		if bad(s) {
-			one.bad, whole.bad = one.bad+1, whole.bad+1
+		tally := baseline[s.EndedAt/binWidth]
+		tally.total, total.total = tally.total+1, total.total+1
+		if isBad(s) {
+			tally.bad, total.bad = tally.bad+1, total.bad+1
 		}
-		old[s.EndedAt/bin] = one
+		baseline[s.EndedAt/binWidth] = tally
 	}
-	if whole.all < fewOld {
+	if total.total < minBaselineSamples {
 		return comparison{}
 	}
-	overall := (whole.bad + 0.4) / (whole.all + 0.8)
+	badRatio := (total.bad + 0.4) / (total.total + 0.8)
 	servers := map[string]*comparison{}
 	for _, s := range g.samples {
-		if !s.OnTarget || s.Outcome == Unanswered && !bad(s) || s.Outcome == Disconnected && excused(s) {
+		if !s.OnTarget || s.Outcome == Unanswered && !isBad(s) || s.Outcome == Disconnected && isZoneLoss(s) {
 			continue
 		}
-		one := servers[s.Server]
-		if one == nil {
-			one = &comparison{}
-			servers[s.Server] = one
+		server := servers[s.Server]
+		if server == nil {
+			server = &comparison{}
+			servers[s.Server] = server
 		}
-		one.compared++
-		if bad(s) {
-			one.found++
+		server.compared++
+		if isBad(s) {
+			server.bad++
 		}
-		same := old[s.EndedAt/bin]
-		one.expected += (same.bad + binWeight*overall) / (same.all + binWeight)
+		concurrent := baseline[s.EndedAt/binWidth]
+		server.expectedBad += (concurrent.bad + binPriorSamples*badRatio) / (concurrent.total + binPriorSamples)
 	}
-	return addUp(servers, sole)
+	return combineServers(servers, singleServer)
 }
 
-// oneServer reports whether a single server of the target was tried.
-func oneServer(all []Sample) bool {
+// hasSingleTargetServer reports whether a single server of the target was tried.
+func hasSingleTargetServer(all []Sample) bool {
 	first := ""
 	for _, s := range all {
 		if s.OnTarget && first != "" && s.Server != first {
@@ -319,97 +319,97 @@
 	return true
 }
 
-// addUp adds up servers. One of them may be bad by itself: rest leaves out the worst, unless there
+// combineServers adds up servers. One of them may be bad by itself: rest leaves out the worst, unless there
 // is no other.
-func addUp(servers map[string]*comparison, sole bool) (sum comparison) {
-	excess, variance, worst := 0.0, sureness, math.Inf(-1)
+func combineServers(servers map[string]*comparison, singleServer bool) (sum comparison) {
+	excess, variance, worst := 0.0, baseVariance, math.Inf(-1)
 	var worstVariance float64
 	for _, c := range servers {
 		sum.compared += c.compared
-		sum.found += c.found
-		sum.expected += c.expected
-		over := float64(c.found) - c.expected
-		excess, variance = excess+over, variance+c.expected
-		if over > worst {
-			worst, worstVariance = over, c.expected
+		sum.bad += c.bad
+		sum.expectedBad += c.expectedBad
+		surplus := float64(c.bad) - c.expectedBad
+		excess, variance = excess+surplus, variance+c.expectedBad
+		if surplus > worst {
+			worst, worstVariance = surplus, c.expectedBad
 		}
 	}
-	if !sole {
+	if !singleServer {
 		excess, variance = excess-worst, variance-worstVariance
 	}
-	sum.rest = excess / math.Sqrt(variance)
+	sum.sigmasWithoutWorst = excess / math.Sqrt(variance)
 	return sum
 }
 
-// fewBeside is how many samples of the version before show how long answers take in a bin.
-const fewBeside = 4
+// minBinSamples is how many samples of the version before show how long answers take in a bin.
+const minBinSamples = 4
 
-// oldBeside is how many samples of the version before there are by bin.
-func oldBeside(samples []Sample) map[time.Duration]int {
-	beside := map[time.Duration]int{}
+// baselineCounts is how many samples of the version before there are by bin.
+func baselineCounts(samples []Sample) map[time.Duration]int {
+	counts := map[time.Duration]int{}
 	for _, s := range samples {
 		if !s.OnTarget && s.Outcome == Succeeded {
-			beside[s.EndedAt/bin]++
+			counts[s.EndedAt/binWidth]++
 		}
 	}
-	return beside
+	return counts
 }
 
-// usualTime is the median time of the version before; known is false where it showed too little.
-func usualTime(samples []Sample) (usual time.Duration, known bool) {
-	var took []time.Duration
+// baselineMedian is the median time of the version before; known is false where it showed too little.
+func baselineMedian(samples []Sample) (median time.Duration, known bool) {
+	var durations []time.Duration
 	for _, s := range samples {
 		if !s.OnTarget && s.Outcome == Succeeded {
-			took = append(took, s.Duration)
+			durations = append(durations, s.Duration)
 		}
 	}
-	if len(took) < fewOld {
+	if len(durations) < minBaselineSamples {
 		return 0, false
 	}
-	slices.Sort(took)
-	return took[len(took)/2], true
+	slices.Sort(durations)
+	return durations[len(durations)/2], true
 }
 
-// long is the time within which nineteen of twenty answers of the version before are whole.
-func long(samples []Sample) time.Duration {
-	var took []time.Duration
+// baselineP95 is the time within which nineteen of twenty answers of the version before are whole.
+func baselineP95(samples []Sample) time.Duration {
+	var durations []time.Duration
 	for _, s := range samples {
 		if !s.OnTarget && s.Kind == ResponseTime && s.Outcome == Succeeded {
-			took = append(took, s.Duration)
+			durations = append(durations, s.Duration)
 		}
 	}
-	if len(took) == 0 {
+	if len(durations) == 0 {
 		return 0
 	}
-	slices.Sort(took)
-	return took[len(took)*19/20]
+	slices.Sort(durations)
+	return durations[len(durations)*19/20]
 }
 
-// commonLosses says which answers broke off with most others of their zone: a zone, or the way to
+// zoneLosses says which answers broke off with most others of their zone: a zone, or the way to
 // it, was lost, which says nothing of a version.
-func commonLosses(all []Sample) func(Sample) bool {
-	type when struct {
-		zone string
-		at   time.Duration
+func zoneLosses(all []Sample) func(Sample) bool {
+	type zoneWindow struct {
+		zone  string
+		index time.Duration
 	}
-	broke, good := map[when]int{}, map[when]int{}
+	disconnected, answered := map[zoneWindow]int{}, map[zoneWindow]int{}
 	for _, s := range all {
-		at := when{s.Zone, s.EndedAt / together}
+		window := zoneWindow{s.Zone, s.EndedAt / zoneLossWindow}
 		switch s.Outcome {
 		case Disconnected:
-			broke[at]++
+			disconnected[window]++
 		case Succeeded, Failed:
-			good[at]++
+			answered[window]++
 		case Unanswered:
 		}
 	}
 	return func(s Sample) bool {
-		at := s.EndedAt / together
-		lost, kept := 0, 0
-		for _, near := range []time.Duration{at - 1, at, at + 1} {
-			lost += broke[when{s.Zone, near}]
-			kept += good[when{s.Zone, near}]
+		index := s.EndedAt / zoneLossWindow
+		lost, answers := 0, 0
+		for _, i := range []time.Duration{index - 1, index, index + 1} {
+			lost += disconnected[zoneWindow{s.Zone, i}]
+			answers += answered[zoneWindow{s.Zone, i}]
 		}
-		return lost > kept || broke[when{s.Zone, at}] > good[when{s.Zone, at}]
+		return lost > answers || disconnected[zoneWindow{s.Zone, index}] > answered[zoneWindow{s.Zone, index}]
 	}
 }
--- a/decision/rollout/fleet_test.go
+++ b/decision/rollout/fleet_test.go
@@ -18,102 +18,102 @@
 
 // fault is how a version is bad.
 type fault struct {
-	name   string
-	share  float64       // of its answers
-	slow   float64       // times as long; 0: they fail
-	after  time.Duration // since the order
-	loaded bool          // only while its servers have the load of an old one: three of four have less of the drawn calls
-	route  int           // on one route only, from 1; 0 on all
-	unsure bool          // too few of its answers show it to be found before the end in each roll-out
-	grey   int           // so many of its servers alone: the version is good
+	name          string
+	badRatio      float64       // of its answers
+	slowdown      float64       // times as long; 0: they fail
+	onset         time.Duration // since the order
+	underLoadOnly bool          // only while its servers have the load of an old one: three of four have less of the drawn calls
+	route         int           // on one route only, from 1; 0 on all
+	mayComplete   bool          // too few of its answers show it to be found before the end in each roll-out
+	badServers    int           // so many of its servers alone: the version is good
 }
 
-// played is a service that is played.
-type played struct {
-	name      string
-	perSecond []float64 // by route
-	servers   int
-	first     time.Duration // to the first event; 0 for calls
-	whole     time.Duration
-	spread    float64
-	fails     []float64 // of themselves, by route
-	period    time.Duration
+// serviceModel is a service that is played.
+type serviceModel struct {
+	name           string
+	perSecond      []float64 // by route
+	servers        int
+	firstEventTime time.Duration // to the first event; 0 for calls
+	responseTime   time.Duration
+	sigma          float64
+	failureRatios  []float64 // of themselves, by route
+	period         time.Duration
 }
 
-var answers = played{
-	name: "answers", perSecond: []float64{36.8, 2.2}, servers: 120, first: 1400 * time.Millisecond, whole: 6800 * time.Millisecond,
-	spread: 0.25, fails: []float64{0, 0}, period: 15 * time.Second,
+var streamingService = serviceModel{
+	name: "answers", perSecond: []float64{36.8, 2.2}, servers: 120, firstEventTime: 1400 * time.Millisecond, responseTime: 6800 * time.Millisecond,
+	sigma: 0.25, failureRatios: []float64{0, 0}, period: 15 * time.Second,
 }
 
-var calls = played{
-	name: "calls", perSecond: []float64{150, 104}, servers: 4, whole: 35 * time.Millisecond, spread: 0.5,
-	fails: []float64{0.004, 0.14}, period: 12 * time.Second,
+var callService = serviceModel{
+	name: "calls", perSecond: []float64{150, 104}, servers: 4, responseTime: 35 * time.Millisecond, sigma: 0.5,
+	failureRatios: []float64{0.004, 0.14}, period: 12 * time.Second,
 }
 
 const (
 	zones = 3
-	// zoneEvery and zoneAway are how often and for how long the engines of a zone are away.
-	zoneEvery = 6500 * time.Millisecond
-	zoneAway  = 1200 * time.Millisecond
-	// slackGot is what a bad version may get beyond the share.
-	slackGot = 50
-	// lastAfter is how long after its 50th bad answer a bad version may still get requests.
-	lastAfter = 5 * time.Second
-	limit     = 0.1
+	// zoneOutageInterval and zoneAway are how often and for how long the engines of a zone are away.
+	zoneOutageInterval = 6500 * time.Millisecond
+	zoneOutageDuration = 1200 * time.Millisecond
+	// slackRequests is what a bad version may get beyond the share.
+	slackRequests = 50
+	// maxExposureAfterBad is how long after its 50th bad answer a bad version may still get requests.
+	maxExposureAfterBad = 5 * time.Second
+	maxShare            = 0.1
 )
 
 // result is what came of one roll-out.
 type result struct {
-	stage     Stage
-	at        time.Duration
-	got, all  int           // requests at the target, and of the service, in the period
-	afterBad  time.Duration // from the 50th bad answer to the last request at the target
-	underWay  int           // answers at the version before when it stops
-	why       string
-	exposedBy float64 // what the target got in terms of what it may get
+	stage                         Stage
+	endedAt                       time.Duration
+	targetRequests, totalRequests int           // requests at the target, and of the service, in the period
+	exposureAfterBad              time.Duration // from the 50th bad answer to the last request at the target
+	baselineInFlight              int           // answers at the version before when it stops
+	reason                        string
+	exposure                      float64 // what the target got in terms of what it may get
 }
 
-// told is a sample on its way to whom decides.
-type told struct {
+// delayedSample is a sample on its way to whom decides.
+type delayedSample struct {
 	sample Sample
-	at     time.Duration
+	dueAt  time.Duration
 }
 
-// rolledOut is one roll-out of a service before many daemons.
-type rolledOut struct {
-	played
+// simulation is one roll-out of a service before many daemons.
+type simulation struct {
+	serviceModel
 	fault
-	daemons  int
-	losses   bool // zones die in series
-	random   *rand.Rand
-	mixes    []RouteCounter
-	phase    []time.Duration // of reports
-	lag      []time.Duration // until a daemon hears of a stage
-	state    State
-	before   State
-	since    time.Duration // of state
-	evidence Evidence
-	onTheWay []told
-	ends     []time.Duration // of answers at the version before
-	waiting  []told
-	badSeen  int
-	fiftieth time.Duration
-	lastNew  time.Duration
-	got, all int
+	daemons                       int
+	zoneOutages                   bool // zones die in series
+	random                        *rand.Rand
+	counters                      []RouteCounter
+	reportPhase                   []time.Duration // of reports
+	stageLag                      []time.Duration // until a daemon hears of a stage
+	state                         State
+	previous                      State
+	changedAt                     time.Duration // of state
+	evidence                      Evidence
+	delayed                       []delayedSample
+	baselineEnds                  []time.Duration // of answers at the version before
+	unanswered                    []delayedSample
+	badCount                      int
+	fiftiethBadAt                 time.Duration
+	lastTargetRequest             time.Duration
+	targetRequests, totalRequests int
 }
 
-func (r *rolledOut) play() result {
+func (r *simulation) run() result {
 	const step = 5 * time.Millisecond
-	r.mixes, r.phase, r.lag = make([]RouteCounter, r.daemons), make([]time.Duration, r.daemons), make([]time.Duration, r.daemons)
+	r.counters, r.reportPhase, r.stageLag = make([]RouteCounter, r.daemons), make([]time.Duration, r.daemons), make([]time.Duration, r.daemons)
 	for d := range r.daemons {
-		r.phase[d] = time.Duration(r.random.Int64N(int64(time.Second)))
-		r.lag[d] = 20*time.Millisecond + time.Duration(r.random.Int64N(int64(100*time.Millisecond)))
+		r.reportPhase[d] = time.Duration(r.random.Int64N(int64(time.Second)))
+		r.stageLag[d] = 20*time.Millisecond + time.Duration(r.random.Int64N(int64(100*time.Millisecond)))
 		if r.random.Float64() < 0.05 {
-			r.lag[d] = 400 * time.Millisecond // it hears from the store
+			r.stageLag[d] = 400 * time.Millisecond // it hears from the store
 		}
 	}
 	r.state = State{OrderRevision: 1, Baseline: "v1", Target: "v2", Stage: Pending}
-	var done result
+	var res result
 	perSecond := 0.0
 	for _, rate := range r.perSecond {
 		perSecond += rate
@@ -125,25 +125,25 @@
 		if now%(100*time.Millisecond) == 0 && !r.state.Stage.IsTerminal() {
 			step := r.decide(now)
 			if r.state.Stage.IsTerminal() {
-				done.why = fmt.Sprint(step.Reason, " ", step.Analysis)
-				done.stage, done.at = r.state.Stage, now
-				for _, end := range r.ends {
+				res.reason = fmt.Sprint(step.Reason, " ", step.Analysis)
+				res.stage, res.endedAt = r.state.Stage, now
+				for _, end := range r.baselineEnds {
 					if end > now {
-						done.underWay++
+						res.baselineInFlight++
 					}
 				}
 			}
 		}
 	}
-	done.got, done.all = r.got, r.all
-	if r.fiftieth > 0 {
-		done.afterBad = r.lastNew - r.fiftieth
+	res.targetRequests, res.totalRequests = r.targetRequests, r.totalRequests
+	if r.fiftiethBadAt > 0 {
+		res.exposureAfterBad = r.lastTargetRequest - r.fiftiethBadAt
 	}
-	done.exposedBy = float64(r.got) / (limit*float64(r.all) + slackGot)
-	return done
+	res.exposure = float64(r.targetRequests) / (maxShare*float64(r.totalRequests) + slackRequests)
+	return res
 }
 
-func (r *rolledOut) poisson(mean float64) int {
+func (r *simulation) poisson(mean float64) int {
 	n, p, bound := 0, 1.0, math.Exp(-mean)
 	for {
 		if p *= r.random.Float64(); p <= bound {
@@ -153,135 +153,135 @@
 	}
 }
 
-// known is what a daemon believes.
-func (r *rolledOut) known(d int, now time.Duration) State {
-	if now-r.since < r.lag[d] {
-		return r.before
+// knownState is what a daemon believes.
+func (r *simulation) knownState(d int, now time.Duration) State {
+	if now-r.changedAt < r.stageLag[d] {
+		return r.previous
 	}
 	return r.state
 }
 
-// away reports whether the engines of a zone are away, and when they are lost next.
-func (r *rolledOut) away(zone int, now time.Duration) (away bool, next time.Duration) {
-	if !r.losses {
+// down reports whether the engines of a zone are away, and when they are lost next.
+func (r *simulation) down(zone int, now time.Duration) (away bool, next time.Duration) {
+	if !r.zoneOutages {
 		return false, math.MaxInt64
 	}
-	turn := now / zoneEvery
-	if int(turn)%zones == zone && now%zoneEvery < zoneAway {
+	turn := now / zoneOutageInterval
+	if int(turn)%zones == zone && now%zoneOutageInterval < zoneOutageDuration {
 		return true, now
 	}
 	for n := turn + 1; ; n++ {
 		if int(n)%zones == zone {
-			return false, n * zoneEvery
+			return false, n * zoneOutageInterval
 		}
 	}
 }
 
 // request is one request of a caller.
-func (r *rolledOut) request(now time.Duration, perSecond float64) {
+func (r *simulation) request(now time.Duration, perSecond float64) {
 	route, draw := 0, r.random.Float64()*perSecond
 	for draw >= r.perSecond[route] {
 		draw -= r.perSecond[route]
 		route++
 	}
 	if now <= r.period {
-		r.all++
+		r.totalRequests++
 	}
 	d := r.random.IntN(r.daemons)
-	s := r.known(d, now)
+	s := r.knownState(d, now)
 	name := fmt.Sprint("r", route)
-	isNew := s.Stage != Pending && (s.ServesByDefault("v2") || s.RoutesToTarget(r.random.Float64(), name, &r.mixes[d]))
+	onTarget := s.Stage != Pending && (s.ServesByDefault("v2") || s.RoutesToTarget(r.random.Float64(), name, &r.counters[d]))
 	zone := r.random.IntN(zones)
-	away, lost := r.away(zone, now)
-	for away {
+	down, nextOutage := r.down(zone, now)
+	for down {
 		zone = (zone + 1) % zones
-		away, lost = r.away(zone, now)
+		down, nextOutage = r.down(zone, now)
 	}
 	server := r.random.IntN(r.servers)
-	if isNew && (s.Stage == Canary || s.Stage == Partial) {
+	if onTarget && (s.Stage == Canary || s.Stage == Partial) {
 		server = r.random.IntN(max(4, int(s.Share*float64(r.servers))))
 	}
-	took := func(mean time.Duration) time.Duration {
-		return time.Duration(float64(mean) * math.Exp(r.spread*r.random.NormFloat64()))
+	randomize := func(mean time.Duration) time.Duration {
+		return time.Duration(float64(mean) * math.Exp(r.sigma*r.random.NormFloat64()))
 	}
-	first, whole := took(r.first), took(r.whole)
-	failed := r.random.Float64() < r.fails[route]
-	if isNew {
+	firstEvent, response := randomize(r.firstEventTime), randomize(r.responseTime)
+	failed := r.random.Float64() < r.failureRatios[route]
+	if onTarget {
 		if now <= r.period {
-			r.got++
+			r.targetRequests++
 		}
-		r.lastNew = now
-		if r.bad(now, route, server, s) {
-			if r.slow > 0 {
-				first, whole = time.Duration(r.slow*float64(first)), time.Duration(r.slow*float64(whole))
+		r.lastTargetRequest = now
+		if r.isBad(now, route, server, s) {
+			if r.slowdown > 0 {
+				firstEvent, response = time.Duration(r.slowdown*float64(firstEvent)), time.Duration(r.slowdown*float64(response))
 			} else {
 				failed = true
 			}
-			if r.grey == 0 {
-				if r.badSeen++; r.badSeen == 50 {
-					r.fiftieth = now + first
+			if r.badServers == 0 {
+				if r.badCount++; r.badCount == 50 {
+					r.fiftiethBadAt = now + firstEvent
 				}
 			}
 		}
 	}
-	sample := Sample{Route: name, Server: fmt.Sprint(isNew, server), Zone: fmt.Sprint(zone), OnTarget: isNew, Duration: whole}
-	report := func(kind Kind, outcome Outcome, took, at time.Duration) {
-		sample.Kind, sample.Outcome, sample.Duration, sample.EndedAt = kind, outcome, took, at
-		arrives := at + (r.phase[d]-at%time.Second+time.Second)%time.Second + 30*time.Millisecond
-		if drained := r.since + 250*time.Millisecond; r.first == 0 && r.state.Stage == Full && at < drained {
-			arrives = min(arrives, drained+30*time.Millisecond) // with the word that nothing is left
+	sample := Sample{Route: name, Server: fmt.Sprint(onTarget, server), Zone: fmt.Sprint(zone), OnTarget: onTarget, Duration: response}
+	report := func(kind Kind, outcome Outcome, duration, endedAt time.Duration) {
+		sample.Kind, sample.Outcome, sample.Duration, sample.EndedAt = kind, outcome, duration, endedAt
+		arrivesAt := endedAt + (r.reportPhase[d]-endedAt%time.Second+time.Second)%time.Second + 30*time.Millisecond
+		if drainedAt := r.changedAt + 250*time.Millisecond; r.firstEventTime == 0 && r.state.Stage == Full && endedAt < drainedAt {
+			arrivesAt = min(arrivesAt, drainedAt+30*time.Millisecond) // with the word that nothing is left
 		}
-		r.onTheWay = append(r.onTheWay, told{sample, arrives})
+		r.delayed = append(r.delayed, delayedSample{sample, arrivesAt})
 	}
-	if isNew && !failed {
-		r.waiting = append(r.waiting, told{Sample{
-			Route: name, Server: sample.Server, Zone: sample.Zone, OnTarget: true, Kind: map[bool]Kind{true: ResponseTime, false: TimeToFirstEvent}[r.first == 0],
+	if onTarget && !failed {
+		r.unanswered = append(r.unanswered, delayedSample{Sample{
+			Route: name, Server: sample.Server, Zone: sample.Zone, OnTarget: true, Kind: map[bool]Kind{true: ResponseTime, false: TimeToFirstEvent}[r.firstEventTime == 0],
 			Outcome: Unanswered, EndedAt: now,
-		}, min(now+map[bool]time.Duration{true: whole, false: first}[r.first == 0], lost)})
+		}, min(now+map[bool]time.Duration{true: response, false: firstEvent}[r.firstEventTime == 0], nextOutage)})
 	}
-	if !isNew && !failed {
-		r.ends = append(r.ends, min(now+whole, lost))
+	if !onTarget && !failed {
+		r.baselineEnds = append(r.baselineEnds, min(now+response, nextOutage))
 	}
 	switch {
-	case failed && r.first > 0:
+	case failed && r.firstEventTime > 0:
 		report(TimeToFirstEvent, Failed, 10*time.Millisecond, now+10*time.Millisecond)
 	case failed:
-		report(ResponseTime, Failed, whole, now+whole)
-	case r.first == 0 && now+whole > lost:
-		report(ResponseTime, Disconnected, lost-now, lost)
-	case r.first == 0:
-		report(ResponseTime, Succeeded, whole, now+whole)
-	case now+first > lost:
-		report(TimeToFirstEvent, Disconnected, lost-now, lost)
+		report(ResponseTime, Failed, response, now+response)
+	case r.firstEventTime == 0 && now+response > nextOutage:
+		report(ResponseTime, Disconnected, nextOutage-now, nextOutage)
+	case r.firstEventTime == 0:
+		report(ResponseTime, Succeeded, response, now+response)
+	case now+firstEvent > nextOutage:
+		report(TimeToFirstEvent, Disconnected, nextOutage-now, nextOutage)
 	default:
-		report(TimeToFirstEvent, Succeeded, first, now+first)
-		pace := (whole - first) / 130
-		if now+first+24*pace < lost {
-			report(EventInterval, Succeeded, pace, now+first+24*pace)
+		report(TimeToFirstEvent, Succeeded, firstEvent, now+firstEvent)
+		interval := (response - firstEvent) / 130
+		if now+firstEvent+24*interval < nextOutage {
+			report(EventInterval, Succeeded, interval, now+firstEvent+24*interval)
 		}
-		if now+whole > lost {
-			report(ResponseTime, Disconnected, lost-now, lost)
+		if now+response > nextOutage {
+			report(ResponseTime, Disconnected, nextOutage-now, nextOutage)
 		} else {
-			report(ResponseTime, Succeeded, whole, now+whole)
+			report(ResponseTime, Succeeded, response, now+response)
 		}
 	}
 }
 
-// bad reports whether the target's answer to a request is.
-func (r *rolledOut) bad(now time.Duration, route, server int, s State) bool {
+// isBad reports whether the target's answer to a request is.
+func (r *simulation) isBad(now time.Duration, route, server int, s State) bool {
 	switch {
-	case r.grey > 0:
-		return server < r.grey && r.random.Float64() < r.share
-	case r.share == 0, now < r.after, r.fault.route > 0 && route != r.fault.route-1:
+	case r.badServers > 0:
+		return server < r.badServers && r.random.Float64() < r.badRatio
+	case r.badRatio == 0, now < r.onset, r.fault.route > 0 && route != r.fault.route-1:
 		return false
-	case r.loaded && r.first == 0 && s.Stage < Full:
+	case r.underLoadOnly && r.firstEventTime == 0 && s.Stage < Full:
 		return false
 	}
-	return r.random.Float64() < r.share
+	return r.random.Float64() < r.badRatio
 }
 
-// counted is how many requests a second the daemons count.
-func (r *rolledOut) counted() (perSecond float64) {
+// measuredRate is how many requests a second the daemons count.
+func (r *simulation) measuredRate() (perSecond float64) {
 	for _, rate := range r.perSecond {
 		perSecond += rate
 	}
@@ -289,39 +289,39 @@
 }
 
 // decide takes the next step.
-func (r *rolledOut) decide(now time.Duration) Step {
-	slices.SortStableFunc(r.onTheWay, func(a, b told) int { return cmp.Compare(a.at, b.at) })
+func (r *simulation) decide(now time.Duration) Step {
+	slices.SortStableFunc(r.delayed, func(a, b delayedSample) int { return cmp.Compare(a.dueAt, b.dueAt) })
 	n := 0
-	for n < len(r.onTheWay) && r.onTheWay[n].at <= now {
-		r.evidence.Add(r.onTheWay[n].sample)
+	for n < len(r.delayed) && r.delayed[n].dueAt <= now {
+		r.evidence.Add(r.delayed[n].sample)
 		n++
 	}
-	r.onTheWay = r.onTheWay[n:]
-	underWay := 0
-	for _, end := range r.ends {
+	r.delayed = r.delayed[n:]
+	inFlight := 0
+	for _, end := range r.baselineEnds {
 		if end > now-100*time.Millisecond { // daemons tell at once that nothing is left
-			underWay++
+			inFlight++
 		}
 	}
-	var waiting []Sample
-	r.waiting = slices.DeleteFunc(r.waiting, func(w told) bool { return w.at <= now })
-	for _, w := range r.waiting {
+	var unanswered []Sample
+	r.unanswered = slices.DeleteFunc(r.unanswered, func(w delayedSample) bool { return w.dueAt <= now })
+	for _, w := range r.unanswered {
 		if age := now - w.sample.EndedAt; age > 500*time.Millisecond { // as the daemons told it last
 			w.sample.Duration, w.sample.EndedAt = age-500*time.Millisecond, now
-			waiting = append(waiting, w.sample)
+			unanswered = append(unanswered, w.sample)
 		}
 	}
 	in := Input{
-		Unanswered: waiting,
-		State:      r.state, Limits: Limits{Share: limit, Slack: slackGot}, RequestsPerSecond: r.counted(), TargetRequests: r.got, Elapsed: now + 150*time.Millisecond, Period: r.period, BaselineServers: r.servers, TargetServers: r.servers,
-		DaemonsReporting: r.daemons, Daemons: r.daemons, BaselineInFlight: underWay, CanMigrate: r.first > 0, Evidence: &r.evidence,
+		Unanswered: unanswered,
+		State:      r.state, Limits: Limits{Share: maxShare, Slack: slackRequests}, RequestsPerSecond: r.measuredRate(), TargetRequests: r.targetRequests, Elapsed: now + 150*time.Millisecond, Period: r.period, BaselineServers: r.servers, TargetServers: r.servers,
+		DaemonsReporting: r.daemons, Daemons: r.daemons, BaselineInFlight: inFlight, CanMigrate: r.firstEventTime > 0, Evidence: &r.evidence,
 	}
-	if r.first == 0 {
+	if r.firstEventTime == 0 {
 		in.DefaultResponseTime = 200 * time.Millisecond
 	}
 	step := Next(in)
 	if step.State != r.state {
-		r.before, r.state, r.since = r.state, step.State, now
+		r.previous, r.state, r.changedAt = r.state, step.State, now
 	}
 	return step
 }
@@ -329,105 +329,105 @@
 // faults are the ways in which a version is bad. Where unsure, a version may be found good whose
 // fault few of the answers show before the end.
 var faults = []fault{
-	{name: "fails at once", share: 0.3},
-	{name: "slow at once", share: 1, slow: 4},
-	{name: "a part is slow", share: 0.35, slow: 5},
-	{name: "fails later", share: 0.4, after: 5 * time.Second},
-	{name: "fails on the first route", share: 0.5, route: 1},
-	{name: "few answers fail", share: 0.15, unsure: true},
-	{name: "fails under load", share: 0.4, loaded: true, unsure: true},
+	{name: "fails at once", badRatio: 0.3},
+	{name: "slow at once", badRatio: 1, slowdown: 4},
+	{name: "a part is slow", badRatio: 0.35, slowdown: 5},
+	{name: "fails later", badRatio: 0.4, onset: 5 * time.Second},
+	{name: "fails on the first route", badRatio: 0.5, route: 1},
+	{name: "few answers fail", badRatio: 0.15, mayComplete: true},
+	{name: "fails under load", badRatio: 0.4, underLoadOnly: true, mayComplete: true},
 }
 
-// each plays a test at all sizes, with and without zones of engines that die in series.
-func each(test func(daemons int, losses bool)) {
+// forEachFleet plays a test at all sizes, with and without zones of engines that die in series.
+func forEachFleet(test func(daemons int, zoneOutages bool)) {
 	for _, daemons := range []int{7, 61, 295} {
 		test(daemons, false)
 		test(daemons, true)
 	}
 }
 
-// exposed plays roll-outs of a bad version and checks what the version got.
-func exposed(t *testing.T, service played, f fault) {
-	each(func(daemons int, losses bool) {
-		r := playAll(service, f, daemons, losses)
-		name := fmt.Sprintf("%s, %s, %d daemons, losses %v", service.name, f.name, daemons, losses)
+// checkExposure plays roll-outs of a bad version and checks what the version got.
+func checkExposure(t *testing.T, service serviceModel, f fault) {
+	forEachFleet(func(daemons int, zoneOutages bool) {
+		r := runAll(service, f, daemons, zoneOutages)
+		name := fmt.Sprintf("%s, %s, %d daemons, losses %v", service.name, f.name, daemons, zoneOutages)
 		t.Logf("%s: %v", name, r)
-		test.Zero(t, r.over, test.Sprint(name))
-		test.LessEq(t, lastAfter, r.afterBad, test.Sprint(name))
-		if !f.unsure || service.first > 0 {
+		test.Zero(t, r.overLimit, test.Sprint(name))
+		test.LessEq(t, maxExposureAfterBad, r.maxExposureAfterBad, test.Sprint(name))
+		if !f.mayComplete || service.firstEventTime > 0 {
 			test.Zero(t, r.completed, test.Sprint(name))
 		}
 	})
 }
 
 // A version that is bad in any way gets no more than it may, at any number of daemons.
-func TestBadVersionsAreTakenBack(t *testing.T) {
-	for _, service := range []played{answers, calls} {
+func TestBadVersionsAreRolledBack(t *testing.T) {
+	for _, service := range []serviceModel{streamingService, callService} {
 		for _, f := range faults {
-			exposed(t, service, f)
+			checkExposure(t, service, f)
 		}
 	}
 }
 
 // Calls of a version that turns slow later are seen in time.
 func TestCallsThatTurnSlow(t *testing.T) {
-	exposed(t, calls, fault{name: "slow later", share: 0.5, slow: 4, after: 4 * time.Second})
+	checkExposure(t, callService, fault{name: "slow later", badRatio: 0.5, slowdown: 4, onset: 4 * time.Second})
 }
 
 // Long answers of a version that turns slow later are seen in time.
 func TestAnswersThatTurnSlow(t *testing.T) {
-	exposed(t, answers, fault{name: "slow later", share: 0.5, slow: 4, after: 4 * time.Second})
+	checkExposure(t, streamingService, fault{name: "slow later", badRatio: 0.5, slowdown: 4, onset: 4 * time.Second})
 }
 
 // A version is bad on the one route that has a twentieth of the requests.
 func TestBadOnARouteWithFewRequests(t *testing.T) {
-	exposed(t, answers, fault{name: "fails on the other route", share: 0.6, route: 2})
+	checkExposure(t, streamingService, fault{name: "fails on the other route", badRatio: 0.6, route: 2})
 }
 
 // A good version is completed within its period, also beside zones that die.
 func TestGoodVersionsAreCompleted(t *testing.T) {
-	for _, service := range []played{answers, calls} {
-		each(func(daemons int, losses bool) {
-			r := playAll(service, fault{name: "good"}, daemons, losses)
-			name := fmt.Sprintf("%s, %d daemons, losses %v", service.name, daemons, losses)
+	for _, service := range []serviceModel{streamingService, callService} {
+		forEachFleet(func(daemons int, zoneOutages bool) {
+			r := runAll(service, fault{name: "good"}, daemons, zoneOutages)
+			name := fmt.Sprintf("%s, %d daemons, losses %v", service.name, daemons, zoneOutages)
 			t.Logf("%s: %v", name, r)
 			test.Eq(t, *rollouts, r.completed, test.Sprint(name))
-			test.LessEq(t, service.period, r.latest, test.Sprint(name))
+			test.LessEq(t, service.period, r.latestEnd, test.Sprint(name))
 		})
 	}
 }
 
 // One server of a good version is bad by itself, which rarely takes the version back.
 func TestOneBadServerOfAGoodVersion(t *testing.T) {
-	for _, service := range []played{answers, calls} {
-		each(func(daemons int, losses bool) {
-			r := playAll(service, fault{name: "one server fails", grey: 1, share: 0.45}, daemons, losses)
-			name := fmt.Sprintf("%s, %d daemons, losses %v", service.name, daemons, losses)
+	for _, service := range []serviceModel{streamingService, callService} {
+		forEachFleet(func(daemons int, zoneOutages bool) {
+			r := runAll(service, fault{name: "one server fails", badServers: 1, badRatio: 0.45}, daemons, zoneOutages)
+			name := fmt.Sprintf("%s, %d daemons, losses %v", service.name, daemons, zoneOutages)
 			t.Logf("%s: %v", name, r)
 			test.LessEq(t, max(1, *rollouts/5), r.rolledBack, test.Sprint(name))
 		})
 	}
 }
 
-// sum is what came of many roll-outs.
-type sum struct {
-	completed, rolledBack, running, over int
-	exposed                              float64 // the most, in terms of what is allowed
-	afterBad, latest                     time.Duration
-	underWay                             int      // the most
-	why                                  []string // of the unexpected ends
+// summary is what came of many roll-outs.
+type summary struct {
+	completed, rolledBack, running, overLimit int
+	maxExposure                               float64 // the most, in terms of what is allowed
+	maxExposureAfterBad, latestEnd            time.Duration
+	maxBaselineInFlight                       int      // the most
+	reasons                                   []string // of the unexpected ends
 }
 
-func (s sum) String() string {
+func (s summary) String() string {
 	return fmt.Sprintf("completed %d, rolled back %d, running %d, too much %d; exposed %.2f at most, last request %v after the 50th bad answer, end after %v, %d under way; %v",
-		s.completed, s.rolledBack, s.running, s.over, s.exposed, s.afterBad, s.latest, s.underWay, s.why)
+		s.completed, s.rolledBack, s.running, s.overLimit, s.maxExposure, s.maxExposureAfterBad, s.latestEnd, s.maxBaselineInFlight, s.reasons)
 }
 
-func playAll(service played, f fault, daemons int, losses bool) (s sum) {
+func runAll(service serviceModel, f fault, daemons int, zoneOutages bool) (s summary) {
 	for seed := range *rollouts {
-		r := rolledOut{played: service, fault: f, daemons: daemons, losses: losses, random: rand.New(rand.NewPCG(uint64(seed), 7))}
-		one := r.play()
-		switch one.stage {
+		r := simulation{serviceModel: service, fault: f, daemons: daemons, zoneOutages: zoneOutages, random: rand.New(rand.NewPCG(uint64(seed), 7))}
+		res := r.run()
+		switch res.stage {
 		case Completed:
 			s.completed++
 		case RolledBack:
@@ -435,17 +435,17 @@
 		default:
 			s.running++
 		}
-		good := f.share == 0 || f.grey > 0
-		if one.exposedBy > 1 && !good {
-			s.over++
+		good := f.badRatio == 0 || f.badServers > 0
+		if res.exposure > 1 && !good {
+			s.overLimit++
 		}
-		if (one.stage == Completed) != good {
-			s.why = append(s.why, one.why)
+		if (res.stage == Completed) != good {
+			s.reasons = append(s.reasons, res.reason)
 		}
-		s.exposed = max(s.exposed, one.exposedBy)
-		s.afterBad = max(s.afterBad, one.afterBad)
-		s.latest = max(s.latest, one.at)
-		s.underWay = max(s.underWay, one.underWay)
+		s.maxExposure = max(s.maxExposure, res.exposure)
+		s.maxExposureAfterBad = max(s.maxExposureAfterBad, res.exposureAfterBad)
+		s.latestEnd = max(s.latestEnd, res.endedAt)
+		s.maxBaselineInFlight = max(s.maxBaselineInFlight, res.baselineInFlight)
 	}
 	return s
 }
--- a/decision/rollout/rollout.go
+++ b/decision/rollout/rollout.go
@@ -49,13 +49,13 @@
 )
 
 // String returns the word used in logs and in the store.
-func (s Stage) String() string { return stages[min(int(s), len(stages)-1)] }
+func (s Stage) String() string { return stageNames[min(int(s), len(stageNames)-1)] }
 
-var stages = [...]string{"idle", "pending", "few", "some", "all", "last", "completed", "rolled_back"}
+var stageNames = [...]string{"idle", "pending", "few", "some", "all", "last", "completed", "rolled_back"}
 
 // ParseStage reads what String wrote; ok is false for anything else.
 func ParseStage(text string) (s Stage, ok bool) {
-	for i, name := range stages {
+	for i, name := range stageNames {
 		if name == text {
 			return Stage(i), true
 		}
@@ -114,63 +114,63 @@
 
 // separator parts the names in State.Common, of which there are maxCommon at most.
 const (
-	separator = "\n"
-	maxCommon = 16
+	routeSeparator  = "\n"
+	maxCommonRoutes = 16
 )
 
 // RoutesToTarget reports whether a request that begins goes to the target; draw is in [0, 1). Requests of
 // rare routes are drawn more often: a version that is bad on one of them would not be seen there
 // before it has all.
-func (s State) RoutesToTarget(draw float64, route string, seen *RouteCounter) bool {
-	weight := seen.weight(route)
+func (s State) RoutesToTarget(draw float64, route string, counter *RouteCounter) bool {
+	weight := counter.countAndWeigh(route)
 	switch {
 	case s.Stage != Canary && s.Stage != Partial:
 		return false
 	case s.CommonRoutes == "":
-	case slices.Contains(strings.Split(s.CommonRoutes, separator), route):
+	case slices.Contains(strings.Split(s.CommonRoutes, routeSeparator), route):
 		weight = 1
 	default:
-		weight = rareWeight
+		weight = rareRouteWeight
 	}
-	drawn := draw < s.Share*weight
-	if drawn {
-		seen.drawn++
+	selected := draw < s.Share*weight
+	if selected {
+		counter.selected++
 	}
-	return drawn
+	return selected
 }
 
 const (
-	// leastWeight and mostWeight bound the weight of a route: few requests of many routes must not
+	// minRouteWeight and mostWeight bound the weight of a route: few requests of many routes must not
 	// add up to more than the share.
-	leastWeight, mostWeight = 0.7, 3
-	// rareWeight is that of a route which is known to have few.
-	rareWeight = 4
-	// mostRoutes bounds the routes that are counted; those beyond it weigh 1.
-	mostRoutes = 64
+	minRouteWeight, maxRouteWeight = 0.7, 3
+	// rareRouteWeight is that of a route which is known to have few.
+	rareRouteWeight = 4
+	// maxCountedRoutes bounds the routes that are counted; those beyond it weigh 1.
+	maxCountedRoutes = 64
 )
 
 // RouteCounter counts the requests of a service by route. The zero value has counted none. It is not safe
 // for concurrent use.
 type RouteCounter struct {
-	routes     map[string]int
-	all, drawn int
+	routes          map[string]int
+	total, selected int
 }
 
 // Totals is how many requests were counted, and how many of them drawn.
-func (m *RouteCounter) Totals() (all, drawn int) { return m.all, m.drawn }
+func (c *RouteCounter) Totals() (total, selected int) { return c.total, c.selected }
 
-// weight counts a request and returns how much more often than others those of its route are drawn.
-func (m *RouteCounter) weight(route string) float64 {
-	if m.routes == nil {
-		m.routes = map[string]int{}
+// countAndWeigh counts a request and returns how much more often than others those of its route are drawn.
+func (c *RouteCounter) countAndWeigh(route string) float64 {
+	if c.routes == nil {
+		c.routes = map[string]int{}
 	}
-	m.all++
-	if _, known := m.routes[route]; !known && len(m.routes) >= mostRoutes {
+	c.total++
+	if _, known := c.routes[route]; !known && len(c.routes) >= maxCountedRoutes {
 		return 1
 	}
-	m.routes[route]++
-	even := float64(m.all) / float64(len(m.routes))
-	return min(mostWeight, max(leastWeight, even/float64(m.routes[route])))
+	c.routes[route]++
+	mean := float64(c.total) / float64(len(c.routes))
+	return min(maxRouteWeight, max(minRouteWeight, mean/float64(c.routes[route])))
 }
 
 // Merge is the state that holds of two that were heard of one service. Two that run to the same
@@ -182,14 +182,14 @@
 	if a.OrderRevision != b.OrderRevision && (a.Target != b.Target || !a.Stage.IsRunning() || !b.Stage.IsRunning()) {
 		return a
 	}
-	if b.rank() > a.rank() {
+	if b.precedence() > a.precedence() {
 		b.OrderRevision = a.OrderRevision
 		return b
 	}
 	return a
 }
 
-func (s State) rank() int {
+func (s State) precedence() int {
 	switch s.Stage {
 	case RolledBack:
 		return int(Completed)
@@ -211,49 +211,49 @@
 //
 // The same order written twice is one roll-out while that runs. One that is written again after its
 // end is a new one.
-func Resolve(order *Order, stored *State, before State, present map[string]int) State {
-	now := before
+func Resolve(order *Order, stored *State, previous State, serverCounts map[string]int) State {
+	current := previous
 	if stored != nil {
-		now = Merge(before, *stored)
+		current = Merge(previous, *stored)
 	}
-	if order != nil && order.Revision > now.OrderRevision {
-		if order.Target == now.Target && now.Stage.IsRunning() {
-			now.OrderRevision = order.Revision
-			return now
+	if order != nil && order.Revision > current.OrderRevision {
+		if order.Target == current.Target && current.Stage.IsRunning() {
+			current.OrderRevision = order.Revision
+			return current
 		}
-		return State{OrderRevision: order.Revision, Baseline: now.base(present, order.Target), Target: order.Target, Stage: Pending}
+		return State{OrderRevision: order.Revision, Baseline: current.baselineFor(serverCounts, order.Target), Target: order.Target, Stage: Pending}
 	}
-	if now.Stage == Idle || now.Stage == Pending && now.Baseline == "" {
-		now.Baseline = now.base(present, now.Target)
+	if current.Stage == Idle || current.Stage == Pending && current.Baseline == "" {
+		current.Baseline = current.baselineFor(serverCounts, current.Target)
 	}
-	return now
+	return current
 }
 
-// base is the version that serves while nothing of a new order is done.
-func (s State) base(present map[string]int, target string) string {
+// baselineFor is the version that serves while nothing of a new order is done.
+func (s State) baselineFor(serverCounts map[string]int, target string) string {
 	switch {
 	case s.Stage == Completed:
 		return s.Target
-	case s.Baseline != "" && (s.Stage != Idle || present[s.Baseline] > 0):
+	case s.Baseline != "" && (s.Stage != Idle || serverCounts[s.Baseline] > 0):
 		return s.Baseline
 	}
-	return most(present, target)
+	return mostDeployed(serverCounts, target)
 }
 
-// most is the version with the most servers, another than except if there is one; of equals the
+// mostDeployed is the version with the most servers, another than except if there is one; of equals the
 // first by name.
-func most(present map[string]int, except string) string {
+func mostDeployed(serverCounts map[string]int, excluded string) string {
 	best := ""
-	for version, n := range present {
-		if version == except {
+	for version, n := range serverCounts {
+		if version == excluded {
 			continue
 		}
-		if best == "" || n > present[best] || n == present[best] && version < best {
+		if best == "" || n > serverCounts[best] || n == serverCounts[best] && version < best {
 			best = version
 		}
 	}
-	if best == "" && present[except] > 0 {
-		return except
+	if best == "" && serverCounts[excluded] > 0 {
+		return excluded
 	}
 	return best
 }
--- a/decision/rollout/rollout_test.go
+++ b/decision/rollout/rollout_test.go
@@ -7,12 +7,12 @@
 )
 
 // Each stage says what each version may run.
-func TestVersionsThatServe(t *testing.T) {
+func TestVersionsServedInEachStage(t *testing.T) {
 	for _, c := range []struct {
-		stage                  Stage
-		baseSteady, baseBarred bool
-		newSteady, newBarred   bool
-		drawn                  bool
+		stage                           Stage
+		baselineServes, baselineBlocked bool
+		targetServes, targetBlocked     bool
+		selected                        bool
 	}{
 		{Idle, true, false, false, true, false},
 		{Pending, true, false, false, true, false},
@@ -24,11 +24,11 @@
 		{RolledBack, true, false, false, true, false},
 	} {
 		s := State{OrderRevision: 1, Baseline: "v1", Target: "v2", Stage: c.stage, Share: 0.1}
-		must.Eq(t, c.baseSteady, s.ServesByDefault("v1"), must.Sprint(c.stage))
-		must.Eq(t, c.baseBarred, s.IsBlocked("v1"), must.Sprint(c.stage))
-		must.Eq(t, c.newSteady, s.ServesByDefault("v2"), must.Sprint(c.stage))
-		must.Eq(t, c.newBarred, s.IsBlocked("v2"), must.Sprint(c.stage))
-		must.Eq(t, c.drawn, s.RoutesToTarget(0.05, "r", &RouteCounter{}), must.Sprint(c.stage))
+		must.Eq(t, c.baselineServes, s.ServesByDefault("v1"), must.Sprint(c.stage))
+		must.Eq(t, c.baselineBlocked, s.IsBlocked("v1"), must.Sprint(c.stage))
+		must.Eq(t, c.targetServes, s.ServesByDefault("v2"), must.Sprint(c.stage))
+		must.Eq(t, c.targetBlocked, s.IsBlocked("v2"), must.Sprint(c.stage))
+		must.Eq(t, c.selected, s.RoutesToTarget(0.05, "r", &RouteCounter{}), must.Sprint(c.stage))
 		must.False(t, s.RoutesToTarget(0.5, "r", &RouteCounter{}))
 		must.True(t, s.IsBlocked("v3"))
 		parsed, ok := ParseStage(c.stage.String())
@@ -43,7 +43,7 @@
 }
 
 // What was heard in any order comes to the same.
-func TestLaterOfTwoStates(t *testing.T) {
+func TestMerge(t *testing.T) {
 	at := func(order int64, target string, stage Stage) State {
 		return State{OrderRevision: order, Baseline: "v1", Target: target, Stage: stage}
 	}
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestBelieve(t *testing.T) {
+func TestResolve(t *testing.T) {
 	both := map[string]int{"v1": 4, "v2": 4}
 	running := State{OrderRevision: 5, Baseline: "v1", Target: "v2", Stage: Canary, Share: 0.05}
 	end := func(s State, stage Stage) *State {
@@ -71,12 +71,12 @@
 		return &s
 	}
 	for _, c := range []struct {
-		name    string
-		order   *Order
-		stored  *State
-		before  State
-		present map[string]int
-		want    State
+		name         string
+		order        *Order
+		stored       *State
+		previous     State
+		serverCounts map[string]int
+		want         State
 	}{
 		{"nothing was ordered", nil, nil, State{}, map[string]int{"v1": 4}, State{Baseline: "v1"}},
 		{"servers that no order allows", nil, nil, State{Baseline: "v1"}, map[string]int{"v1": 1, "v2": 4}, State{Baseline: "v1"}},
@@ -95,27 +95,27 @@
 		{"the same order again", &Order{9, "v2"}, &running, running, both, State{OrderRevision: 9, Baseline: "v1", Target: "v2", Stage: Canary, Share: 0.05}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := Resolve(c.order, c.stored, c.before, c.present)
+			got := Resolve(c.order, c.stored, c.previous, c.serverCounts)
 			must.Eq(t, c.want, got)
-			must.Eq(t, got, Resolve(c.order, c.stored, got, c.present))
+			must.Eq(t, got, Resolve(c.order, c.stored, got, c.serverCounts))
 		})
 	}
 }
 
 // Routes with few requests are drawn more often, and all together about as often as the share says.
-func TestRoutesWithFewRequestsAreDrawnToo(t *testing.T) {
+func TestRareRoutesAreSampledMoreOften(t *testing.T) {
 	var m RouteCounter
-	drawn, rare := 0.0, 0.0
+	common, rare := 0.0, 0.0
 	for n := range 1000 {
 		if n%20 == 0 {
-			rare += m.weight("rare")
+			rare += m.countAndWeigh("rare")
 		} else {
-			drawn += m.weight("often")
+			common += m.countAndWeigh("often")
 		}
 	}
 	must.Between(t, 130, rare, 150)
-	must.Between(t, 700, drawn+rare, 1000)
-	for n := range 2 * mostRoutes {
-		must.LessEq(t, mostWeight, m.weight(string(rune('a'+n))))
+	must.Between(t, 700, common+rare, 1000)
+	for n := range 2 * maxCountedRoutes {
+		must.LessEq(t, maxRouteWeight, m.countAndWeigh(string(rune('a'+n))))
 	}
 }
--- a/decision/takeover/takeover_test.go
+++ b/decision/takeover/takeover_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestPatience(t *testing.T) {
+func TestMaxSilence(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		hasCopy bool
@@ -29,7 +29,7 @@
 
 // The caller must have one answer of one run. Whichever server speaks first keeps it; a
 // server that cannot be heard is let go only for one that took the request.
-func TestSettle(t *testing.T) {
+func TestDecide(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		silent, other ServerState
@@ -56,17 +56,17 @@
 
 // A caller whose answer can never go on is told; one whose answer may go on in a moment, or
 // whose server works, waits.
-func TestGiveUp(t *testing.T) {
-	later := map[Outcome]bool{NoAttemptsLeft: true, NoRetryBudget: true, NoServer: true, NoCapacity: true}
+func TestShouldGiveUp(t *testing.T) {
+	afterWait := map[Outcome]bool{NoAttemptsLeft: true, NoRetryBudget: true, NoServer: true, NoCapacity: true}
 	for o := TakenOver; o <= NotNeeded; o++ {
 		must.Eq(t, o == NoAttemptsLeft, ShouldGiveUp(o, GiveUpAfter-1), must.Sprint(o))
-		must.Eq(t, later[o], ShouldGiveUp(o, GiveUpAfter), must.Sprint(o))
+		must.Eq(t, afterWait[o], ShouldGiveUp(o, GiveUpAfter), must.Sprint(o))
 	}
 }
 
 // Two servers have one request and say nothing. The one that had it first is let go of where
 // it answers no question and the link from here is not at fault.
-func TestOver(t *testing.T) {
+func TestIsOverlapOver(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		silent, other bool // answer a question
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestOutcomesHaveWords(t *testing.T) {
+func TestOutcomesHaveNames(t *testing.T) {
 	for o := TakenOver; o <= NotNeeded; o++ {
 		must.NotEq(t, "", o.String())
 	}
--- a/decision/throttle/throttle.go
+++ b/decision/throttle/throttle.go
@@ -22,43 +22,43 @@
 )
 
 const (
-	// excess is how many calls are sent for each that is taken: the more, the sooner it
+	// acceptedMultiplier is how many calls are sent for each that is taken: the more, the sooner it
 	// is found out that there is room again, and the longer the queues stay full.
-	excess = 1.2
-	// memory is the time in which what was seen loses two thirds of its weight. It holds
+	acceptedMultiplier = 1.2
+	// decayTime is the time in which what was seen loses two thirds of its weight. It holds
 	// a few calls at a VM among dozens, and is short beside the time for which servers are
 	// lost.
-	memory = time.Second
-	// least is how many calls must have been turned away lately, by all servers tried: one
+	decayTime = time.Second
+	// minRejected is how many calls must have been turned away lately, by all servers tried: one
 	// says nothing of the rest. As it fades within a second or two, a crowd that is over
 	// is soon forgotten.
-	least = 2
+	minRejected = 2
 )
 
 // Throttle is what one entry VM knows of one service. The zero value has seen nothing.
 // It is not safe for concurrent use.
 type Throttle struct {
-	at time.Time
+	updatedAt time.Time
 	// Calls of the last time, weighted by age: taken by a server, turned away by all that
 	// were tried, and refused here.
-	taken, away, refused float64
+	accepted, rejected, refused float64
 }
 
 // RecordAccepted records a call that a server took, whatever came of it.
 func (t *Throttle) RecordAccepted(now time.Time) {
-	t.fade(now)
-	t.taken++
+	t.decay(now)
+	t.accepted++
 }
 
 // RecordRejected records a call that the servers tried turned away.
 func (t *Throttle) RecordRejected(now time.Time) {
-	t.fade(now)
-	t.away++
+	t.decay(now)
+	t.rejected++
 }
 
 // ShouldRefuse reports whether a call is refused, and counts it if so. draw is in [0, 1).
 func (t *Throttle) ShouldRefuse(now time.Time, draw float64) bool {
-	if draw >= t.share(now) {
+	if draw >= t.refusalProbability(now) {
 		return false
 	}
 	t.refused++
@@ -66,25 +66,25 @@
 }
 
 // IsRefusing reports whether calls are refused now. Then none is sent a second time.
-func (t *Throttle) IsRefusing(now time.Time) bool { return t.share(now) > 0 }
+func (t *Throttle) IsRefusing(now time.Time) bool { return t.refusalProbability(now) > 0 }
 
-// share is the part of the calls that is refused.
-func (t *Throttle) share(now time.Time) float64 {
-	t.fade(now)
-	if t.away < least {
+// refusalProbability is the part of the calls that is refused.
+func (t *Throttle) refusalProbability(now time.Time) float64 {
+	t.decay(now)
+	if t.rejected < minRejected {
 		return 0
 	}
-	return max(0, 1-excess*t.taken/(t.taken+t.away+t.refused))
+	return max(0, 1-acceptedMultiplier*t.accepted/(t.accepted+t.rejected+t.refused))
 }
 
-func (t *Throttle) fade(now time.Time) {
-	passed := now.Sub(t.at)
-	t.at = now
-	if passed <= 0 {
+func (t *Throttle) decay(now time.Time) {
+	elapsed := now.Sub(t.updatedAt)
+	t.updatedAt = now
+	if elapsed <= 0 {
 		return
 	}
-	weight := math.Exp(-float64(passed) / float64(memory))
-	t.taken *= weight
-	t.away *= weight
+	weight := math.Exp(-float64(elapsed) / float64(decayTime))
+	t.accepted *= weight
+	t.rejected *= weight
 	t.refused *= weight
 }
--- a/decision/throttle/throttle_test.go
+++ b/decision/throttle/throttle_test.go
@@ -8,28 +8,28 @@
 	"github.com/shoenig/test/must"
 )
 
-// service is a set of servers that take so many calls a second and turn the others away.
-type service struct {
+// backendPool is a set of servers that take so many calls a second and turn the others away.
+type backendPool struct {
 	perSecond float64
-	room      float64
+	tokens    float64
 	at        time.Time
 }
 
-func (s *service) takes(now time.Time) bool {
-	s.room = min(s.room+now.Sub(s.at).Seconds()*s.perSecond, s.perSecond/20)
+func (s *backendPool) accepts(now time.Time) bool {
+	s.tokens = min(s.tokens+now.Sub(s.at).Seconds()*s.perSecond, s.perSecond/20)
 	s.at = now
-	if s.room < 1 {
+	if s.tokens < 1 {
 		return false
 	}
-	s.room--
+	s.tokens--
 	return true
 }
 
 // tally counts what became of the calls of a time.
-type tally struct{ calls, sent, taken int }
+type tally struct{ calls, sent, accepted int }
 
-// play sends calls through VMs for a time.
-func play(vms []*Throttle, s *service, from time.Time, length time.Duration, perSecond int, random *rand.Rand) tally {
+// sendCalls sends calls through VMs for a time.
+func sendCalls(vms []*Throttle, s *backendPool, from time.Time, length time.Duration, perSecond int, random *rand.Rand) tally {
 	var t tally
 	gap := time.Second / time.Duration(perSecond)
 	for now := from; now.Before(from.Add(length)); now = now.Add(gap) {
@@ -39,8 +39,8 @@
 			continue
 		}
 		t.sent++
-		if s.takes(now) {
-			t.taken++
+		if s.accepts(now) {
+			t.accepted++
 			vm.RecordAccepted(now)
 		} else {
 			vm.RecordRejected(now)
@@ -49,7 +49,7 @@
 	return t
 }
 
-func fleet(n int) []*Throttle {
+func newFleet(n int) []*Throttle {
 	vms := make([]*Throttle, n)
 	for i := range vms {
 		vms[i] = &Throttle{}
@@ -61,26 +61,26 @@
 // seconds. Callers whose calls are sent and turned away wait for that and learn
 // nothing sooner. Few are sent beyond what is taken, the server stays busy, and three
 // seconds after the burst nobody is refused.
-func TestBurstAboveTheServers(t *testing.T) {
-	most := map[int]float64{7: 1.3, 88: 1.6} // sent for each taken; a VM among many sees few
-	for vms, bound := range most {
+func TestOverload(t *testing.T) {
+	bounds := map[int]float64{7: 1.3, 88: 1.6} // sent for each taken; a VM among many sees few
+	for vms, bound := range bounds {
 		random := rand.New(rand.NewPCG(1, uint64(vms)))
-		all, start := fleet(vms), time.Unix(1000, 0)
-		s := &service{perSecond: 400, at: start, room: 20}
-		calm := play(all, s, start, 5*time.Second, 150, random)
-		must.Eq(t, calm.calls, calm.taken)
-		play(all, s, start.Add(5*time.Second), 2*time.Second, 1200, random)
-		burst := play(all, s, start.Add(7*time.Second), 8*time.Second, 1200, random)
-		must.Between(t, 390*8, burst.taken, 410*8)
-		must.Less(t, bound*float64(burst.taken), float64(burst.sent))
-		play(all, s, start.Add(15*time.Second), 3*time.Second, 150, random)
-		after := play(all, s, start.Add(18*time.Second), 5*time.Second, 150, random)
-		must.Eq(t, after.calls, after.taken)
+		all, start := newFleet(vms), time.Unix(1000, 0)
+		s := &backendPool{perSecond: 400, at: start, tokens: 20}
+		calm := sendCalls(all, s, start, 5*time.Second, 150, random)
+		must.Eq(t, calm.calls, calm.accepted)
+		sendCalls(all, s, start.Add(5*time.Second), 2*time.Second, 1200, random)
+		burst := sendCalls(all, s, start.Add(7*time.Second), 8*time.Second, 1200, random)
+		must.Between(t, 390*8, burst.accepted, 410*8)
+		must.Less(t, bound*float64(burst.accepted), float64(burst.sent))
+		sendCalls(all, s, start.Add(15*time.Second), 3*time.Second, 150, random)
+		after := sendCalls(all, s, start.Add(18*time.Second), 5*time.Second, 150, random)
+		must.Eq(t, after.calls, after.accepted)
 	}
 }
 
 // Servers turn one call in thirty away, though they have room. Nobody is refused.
-func TestFewTurnedAwayRefuseNobody(t *testing.T) {
+func TestFewRejectionsRefuseNobody(t *testing.T) {
 	var vm Throttle
 	random := rand.New(rand.NewPCG(2, 2))
 	now := time.Unix(1000, 0)
@@ -97,12 +97,12 @@
 
 // The first call after a pause is turned away by servers that start: it says nothing
 // of the rest.
-func TestOneTurnedAwayIsNoCrowd(t *testing.T) {
+func TestOneRejectionRefusesNobody(t *testing.T) {
 	var vm Throttle
 	now := time.Unix(1000, 0)
 	vm.RecordRejected(now)
 	must.False(t, vm.IsRefusing(now))
 	vm.RecordRejected(now)
 	must.True(t, vm.IsRefusing(now))
-	must.False(t, vm.IsRefusing(now.Add(memory)))
+	must.False(t, vm.IsRefusing(now.Add(decayTime)))
 }
