--- a/decision/poison/ledger.go
+++ b/decision/poison/crashes.go
@@ -3,29 +3,30 @@
 import "time"
 
 const (
-	// MaxTrackedRequests bounds the requests of which a daemon remembers ends of servers.
+	// MaxTrackedRequests bounds the requests for which a daemon counts terminations.
 	MaxTrackedRequests = 4096
-	// retention is how long a request is remembered under which no further server ended.
+	// retention is how long the count of a request is kept after its last termination.
 	retention = time.Hour
 )
 
-// CrashCounter counts the servers that ended under each request, by a key of the server's life. The zero value is empty. It is
-// not safe for concurrent use.
+// CrashCounter counts the servers that terminated while running each request, by a key of the
+// server's incarnation. The zero value is empty. It is not safe for concurrent use.
 //
-// Where it is full a request with the fewest ends makes room, the longest unchanged of
-// those: a caller whose requests are unlucky once each pushes out none that ended more.
+// When it is full it evicts a request with the fewest terminations, of these the one that is
+// unchanged for the longest time: a caller whose requests each saw one unrelated termination cannot
+// evict a request with more of them.
 type CrashCounter[L comparable] struct {
 	requests map[string]*crashRecord[L] // by digest
 }
 
-// crashRecord are those of servers under one request.
+// crashRecord holds the terminations of servers that ran one request.
 type crashRecord[L comparable] struct {
-	servers   map[L]bool // one that ended under two attempts counts once
-	lastCrash time.Time  // of the last
+	servers   map[L]bool // by incarnation: a server that terminated under two attempts counts once
+	lastCrash time.Time  // time of the last termination
 }
 
-// Record records that a life of a server ended under a request. It reports whether that was
-// not known.
+// Record counts the termination of a server incarnation that ran a request. It reports whether it
+// was not counted before.
 func (c *CrashCounter[L]) Record(now time.Time, digest string, incarnation L) (added bool) {
 	if c.requests == nil {
 		c.requests = map[string]*crashRecord[L]{}
@@ -41,7 +42,7 @@
 	return added
 }
 
-// Mark is the mark of a request by what is counted here.
+// Mark returns the mark of a request according to the terminations counted here.
 func (c *CrashCounter[L]) Mark(digest string) Mark {
 	if rec := c.requests[digest]; rec != nil {
 		return markFor(len(rec.servers))
@@ -49,7 +50,7 @@
 	return Unmarked
 }
 
-// Clear forgets what is counted of a request. It reports whether there was anything.
+// Clear removes the count of a request. It reports whether there was one.
 func (c *CrashCounter[L]) Clear(digest string) bool {
 	_, known := c.requests[digest]
 	delete(c.requests, digest)
@@ -69,7 +70,7 @@
 	delete(c.requests, least)
 }
 
-// evictsBefore reports whether e makes room before another.
+// evictsBefore reports whether r is evicted before another record.
 func (r *crashRecord[L]) evictsBefore(other *crashRecord[L]) bool {
 	if len(r.servers) != len(other.servers) {
 		return len(r.servers) < len(other.servers)
--- a/decision/poison/fleet_test.go
+++ b/decision/poison/fleet_test.go
@@ -11,19 +11,20 @@
 	"mallowwind.dev/decision/route"
 )
 
-// fleetConfig plays streams and one request that ends its servers, in steps of virtual time.
+// fleetConfig configures a simulation, in steps of virtual time, of streams and one request that
+// crashes its servers.
 type fleetConfig struct {
 	daemons, servers int
-	arrivals         float64 // streams a second
-	// crashesPerSecond is how many servers a second end by themselves, and zones how often one third of
-	// them ends at once.
+	arrivals         float64 // streams per second
+	// crashesPerSecond is the rate of unrelated crashes of single servers; zoneOutageInterval is
+	// the time between outages that terminate one third of the servers at once.
 	crashesPerSecond   float64
 	zoneOutageInterval time.Duration
-	// poisoned says that the request comes, once in every half second.
+	// poisoned says that the crashing request arrives once every half second.
 	poisoned bool
 }
 
-// fleetResult is what came of it.
+// fleetResult is the result of a simulation.
 type fleetResult struct {
 	streams, refusedWrongly, crashes, sends, messages int
 }
@@ -41,8 +42,8 @@
 	digest    int
 	daemon    int
 	server    int
-	sentAt    time.Duration // of its present send
-	sendsLeft int           // sends that its route still allows
+	sentAt    time.Duration // when the current send started
+	sendsLeft int           // sends that its route still permits
 }
 
 type simulation struct {
@@ -90,7 +91,8 @@
 	}
 }
 
-// send chooses a server that is up. A refused request is sent to none.
+// send sends a request to a random server that is up. It reports false for a request that is
+// refused or has no sends left.
 func (p *simulation) send(s *stream) bool {
 	if from, refused := p.refused[s.digest]; refused && p.now >= from || s.sendsLeft == 0 {
 		return false
@@ -134,7 +136,7 @@
 		case s.digest == poisonDigest && age >= prefillTime:
 			p.crash(s.server)
 		case age >= prefillTime+streamTime:
-			for d := range p.counters { // a whole answer clears it
+			for d := range p.counters { // a complete response clears the request
 				p.counters[d].Clear(string(rune(s.digest)))
 			}
 			p.remove(s)
@@ -151,7 +153,7 @@
 	}
 }
 
-// crash ends a server, and with it what it runs, which goes on elsewhere.
+// crash terminates a server; the requests that ran on it continue elsewhere.
 func (p *simulation) crash(server int) {
 	incarnation := [2]int{server, p.incarnations[server]}
 	p.incarnations[server]++
@@ -187,7 +189,8 @@
 	return asked, down
 }
 
-// countCrash tells the keepers of a request, and all daemons of a mark.
+// countCrash records a termination at the daemons that count for the request, and tells all daemons
+// of a new mark.
 func (p *simulation) countCrash(s *stream, incarnation [2]int) {
 	keepers := append([]int{s.daemon}, rendezvous.Nearest(route.Mix(uint64(s.digest)), p.hashes, 2)...)
 	digest := string(rune(s.digest))
@@ -217,7 +220,7 @@
 	{daemons: 295, servers: 260, arrivals: 78, crashesPerSecond: 1, zoneOutageInterval: 6 * time.Second},
 }
 
-// Servers end by themselves and by zones: no request may be refused for having been there.
+// Servers and zones fail for unrelated reasons: no request that ran there may be refused.
 func TestRequestsInUnrelatedFailuresAreNotRefused(t *testing.T) {
 	for _, f := range fleets {
 		wrong, messages := 0, 0
@@ -226,12 +229,13 @@
 			wrong += r.refusedWrongly
 			messages += r.messages
 		}
-		t.Logf("%d daemons: %d of 20 days' requests refused wrongly, %d messages a day", f.daemons, wrong, messages/20)
+		t.Logf("%d daemons: %d requests wrongly refused in 20 runs, %d messages per run", f.daemons, wrong, messages/20)
 		must.Eq(t, 0, wrong)
 	}
 }
 
-// However many daemons it arrives at, a request that ends its servers ends few of them.
+// A request that crashes its servers must be refused after a few crashes, for any number of daemons
+// that it arrives at.
 func TestPoisonRequestIsRefused(t *testing.T) {
 	for _, f := range fleets {
 		f.poisoned = true
@@ -240,7 +244,7 @@
 			r := f.run(t, seed)
 			most, messages, wrong = max(most, r.sends), messages+r.messages, wrong+r.refusedWrongly
 		}
-		t.Logf("%d daemons: at most %d sends, %d messages a day, %d others refused", f.daemons, most, messages/20, wrong)
+		t.Logf("%d daemons: at most %d sends, %d messages per run, %d other requests refused", f.daemons, most, messages/20, wrong)
 		must.LessEq(t, 12, most)
 		must.Eq(t, 0, wrong)
 	}
--- a/decision/poison/marks.go
+++ b/decision/poison/marks.go
@@ -5,13 +5,13 @@
 const (
 	// maxMarkedRequests bounds the marks that a daemon keeps.
 	maxMarkedRequests = 4096
-	// markTTL is how long a mark holds of which nothing more is heard: longer than the
-	// store is away, where refused requests lie.
+	// markTTL is how long a mark is valid without an update: longer than an outage of the store,
+	// where refused requests are recorded.
 	markTTL = 10 * time.Minute
 )
 
-// Marks are those that a daemon was told of. The zero value is empty. It is not safe for
-// concurrent use.
+// Marks holds the marks reported by other daemons or set by this one. The zero value is empty. It
+// is not safe for concurrent use.
 type Marks struct {
 	marks map[string]markEntry // by digest
 }
@@ -21,8 +21,9 @@
 	setAt time.Time
 }
 
-// Raise records a mark. It reports whether it is a higher one than before; a lower one changes
-// nothing. There may be no room for a request that is only watched.
+// Raise sets the mark of a request if it is higher than the current one, and reports whether it
+// did. It reports false as well if there is no space left because all other marks are of refused
+// requests.
 func (m *Marks) Raise(now time.Time, digest string, mark Mark) bool {
 	if m.marks == nil {
 		m.marks = map[string]markEntry{}
@@ -37,7 +38,7 @@
 	return true
 }
 
-// Get is the mark of a request.
+// Get returns the mark of a request.
 func (m *Marks) Get(now time.Time, digest string) Mark {
 	entry := m.marks[digest]
 	if now.Sub(entry.setAt) >= markTTL {
@@ -46,7 +47,8 @@
 	return entry.mark
 }
 
-// ClearWatched takes back that a request is watched. It reports whether it was.
+// ClearWatched removes the mark of a request that is watched. It reports whether the request was
+// watched.
 func (m *Marks) ClearWatched(digest string) bool {
 	if m.marks[digest].mark != Watched {
 		return false
@@ -55,10 +57,10 @@
 	return true
 }
 
-// Delete takes back that a request is refused.
+// Delete removes the mark of a request, whatever it is.
 func (m *Marks) Delete(digest string) { delete(m.marks, digest) }
 
-// DigestsWith are the requests with a mark.
+// DigestsWith returns the digests of all requests with the given mark.
 func (m *Marks) DigestsWith(now time.Time, mark Mark) (digests []string) {
 	for digest := range m.marks {
 		if m.Get(now, digest) == mark {
@@ -68,8 +70,8 @@
 	return digests
 }
 
-// evict drops the marks that do not hold any more, or else that of the request which has
-// been watched for the longest time. It reports whether there is room.
+// evict removes the expired marks and, if that is not enough, the mark of the request that has been
+// watched for the longest time. It reports whether there is space for another mark.
 func (m *Marks) evict(now time.Time) bool {
 	oldest := ""
 	for digest, entry := range m.marks {
--- a/decision/poison/poison.go
+++ b/decision/poison/poison.go
@@ -1,57 +1,60 @@
-// Package poison decides which request ends the servers that run it, and is sent to none
-// any more.
+// Package poison detects requests that crash the backend servers that run them, so that they are
+// not sent to any server any more.
 //
-// Load it answers: a request that crashes whoever begins to run it, and that its caller
-// sends again and again, to any entry VM. Beside it run up to some dozens of answers that
-// lose their server each time, and zones of servers end by themselves now and then.
+// Load pattern: a request crashes every server that starts to run it, and its caller sends it again
+// and again to any VM. Dozens of other responses may run beside it and lose their server each time,
+// and from time to time whole availability zones of servers fail independently of it.
 //
-// Without it every attempt ends as many servers as its route allows sends, each daemon takes
-// it for an answer that was unlucky, and the repeats of all go to it: in the end more servers
-// are away than there are, and no other answer is whole.
+// Without this package, every attempt terminates as many servers as its route allows sends. Each
+// daemon takes the request for one whose server happened to fail, and all retries are spent on it,
+// until most servers are down and no other response completes.
 //
-// How it decides: by which request was there when servers ended, each time about to begin.
-// A server's end counts for a request that had just begun there or may have, but not for one
-// whose prompt cannot have been read by then, nor for one that had run for a while, nor where
-// the server was to leave or most of its zone ended with it. Answers beside it run on elsewhere: an answer that is whole clears
-// its request. So one that is always there when it begins stands out after a few ends, while
-// another meets as many only if it is unlucky each time it begins, and never succeeds between.
-// The ends are counted for all daemons together, by a few that rendezvous hashing names.
+// Decision: a request is suspected if it was running on several servers when they terminated, each
+// time near its start. A termination is attributed to a request that had just started there or may
+// have started. It is not attributed to a request whose prompt cannot have been processed yet or
+// that had run for a while, nor if the server was due to leave or most of its zone failed with it.
+// Other requests on the server continue elsewhere, and a complete response clears its request. So a
+// request that crashes its servers stands out after a few terminations, while any other request
+// reaches the same count only if its server fails near its start every time and it never completes
+// in between. The terminations are counted for all daemons by a few of them, chosen by rendezvous
+// hashing.
 package poison
 
 import "time"
 
 const (
-	// watchThreshold is the number of servers that ended after which all daemons look out for
-	// the request, so that one that succeeds anywhere is cleared.
+	// watchThreshold is the number of attributed terminations after which all daemons watch the
+	// request, so that a complete response anywhere clears it.
 	watchThreshold = 2
-	// refuseThreshold is the number after which it is sent no more.
+	// refuseThreshold is the number of attributed terminations after which the request is refused.
 	refuseThreshold = 3
-	// crashWindow is how long after its first event a request may have ended its server: a
-	// crash comes right after the first token, and events lag.
+	// crashWindow is how long after its first event a request is suspected of having crashed its
+	// server: a crash happens right after the first token, and events arrive with a delay.
 	crashWindow = 500 * time.Millisecond
-	// PeersToCheck is how many other servers of the zone are looked at when one has ended.
+	// PeersToCheck is how many other servers of the zone are checked when a server has terminated.
 	PeersToCheck = 3
-	// minPeersChecked is of how many most say something of the zone.
+	// minPeersChecked is how many servers must have been checked to tell whether most of the zone
+	// is down.
 	minPeersChecked = 2
 )
 
-// Termination is what is known of a request at a server that ended.
+// Termination describes a request that was running on a server when the server terminated.
 type Termination struct {
-	// Planned says that the server was to leave.
+	// Planned says that the server was due to leave.
 	Planned bool
-	// PromptUnread says that the prompt certainly was not read when the server ended.
+	// PromptUnread says that the prompt cannot have been processed when the server terminated.
 	PromptUnread bool
-	// Streamed is how long events had come from the server; 0 before the first.
+	// Streamed is the time since the first event from the server; 0 if there was none.
 	Streamed time.Duration
-	// PeersChecked is how many other servers of its zone were looked at, Down how many of them had
-	// ended as well.
+	// PeersChecked is how many other servers of its zone were checked, PeersDown how many of these
+	// had terminated as well.
 	PeersChecked, PeersDown int
 }
 
-// Attribution says whether the end of a server counts for a request.
+// Attribution says whether the termination of a server is attributed to a request, or why not.
 type Attribution uint8
 
-// The findings.
+// The attributions.
 const (
 	Attributed Attribution = iota
 	Planned
@@ -60,12 +63,12 @@
 	ZoneFailure
 )
 
-// String returns the word used in logs.
+// String returns the name used in logs.
 func (a Attribution) String() string {
 	return [...]string{"counts", "planned", "not_begun", "ran_on", "many_ended"}[a]
 }
 
-// Attribute says whether the end of the server counts for the request.
+// Attribute decides whether the termination is attributed to the request.
 func (t Termination) Attribute() Attribution {
 	switch {
 	case t.Planned:
@@ -80,7 +83,7 @@
 	return Attributed
 }
 
-// Mark is what is held of a request.
+// Mark is the suspicion level of a request.
 type Mark uint8
 
 // The marks, in the order in which they are reached.
@@ -90,10 +93,10 @@
 	Refused
 )
 
-// String returns the word used in logs and on the wire.
+// String returns the name used in logs and on the wire.
 func (m Mark) String() string { return [...]string{"unmarked", "watched", "refused"}[m] }
 
-// markFor is the mark of a request under which so many servers have ended.
+// markFor returns the mark of a request with the given number of attributed terminations.
 func markFor(crashes int) Mark {
 	switch {
 	case crashes >= refuseThreshold:
--- a/decision/poison/poison_test.go
+++ b/decision/poison/poison_test.go
@@ -33,7 +33,7 @@
 		want  Mark
 	}{
 		{"a", true, Unmarked},
-		{"a", false, Unmarked}, // under a second attempt at the same server
+		{"a", false, Unmarked}, // second attempt at the same server
 		{"b", true, Watched},
 		{"c", true, Refused},
 		{"d", true, Refused},
@@ -46,7 +46,7 @@
 	must.Eq(t, Unmarked, counter.Mark("x"))
 }
 
-// Requests that are unlucky once each must not push out one that has ended more servers.
+// Requests with one unrelated termination each must not evict a request with more of them.
 func TestFullCounterKeepsRequestsWithMoreCrashes(t *testing.T) {
 	var counter CrashCounter[string]
 	now := time.Now()
--- a/decision/quota/fleet_test.go
+++ b/decision/quota/fleet_test.go
@@ -8,27 +8,27 @@
 	"github.com/shoenig/test/must"
 )
 
-// fleetConfig are calls that arrive at daemons before one server that names a rate.
+// fleetConfig configures the calls of a fleet of daemons to one server that announces a rate.
 type fleetConfig struct {
 	daemons        int
 	callsPerSecond float64 // calls of all daemons for which the server is the first choice
 	rate           float64
-	skewed         bool // one daemon gets half of them
+	skewed         bool // one daemon gets half of the calls
 }
 
 const (
 	simDuration = 60 * time.Second
 	step        = time.Millisecond
-	roundTrip   = 2 // steps until a question is answered
+	roundTrip   = 2 // steps until a permit request is answered
 	window      = 4 * time.Second
 )
 
-// run returns how many calls reached the server, the most of them in a span, and how many
-// questions were asked.
+// run returns how many calls reached the server, the most of them in any window, and the number of
+// permit requests.
 func (f fleetConfig) run(seed uint64) (sent, maxInWindow, permitRequests int) {
 	random := rand.New(rand.NewPCG(seed, 0))
 	pollers := make([]PermitPoller, f.daemons)
-	replies := map[int][]int{} // daemons whose questions are answered in a step
+	replies := map[int][]int{} // daemons whose permit requests are answered, by step
 	var bucket TokenBucket
 	var arrivals []time.Time
 	start := time.Now()
@@ -64,7 +64,7 @@
 	return len(arrivals), maxInWindow, permitRequests
 }
 
-// However many daemons there are, the server gets its rate and no burst of theirs.
+// For any number of daemons, the server must get its rate and no burst.
 func TestFleetKeepsToServerRate(t *testing.T) {
 	for _, f := range []fleetConfig{
 		{daemons: 7, callsPerSecond: 28, rate: 5.8},
@@ -77,14 +77,14 @@
 	} {
 		sent, maxInWindow, permitRequests := f.run(1)
 		perSecond := float64(sent) / simDuration.Seconds()
-		t.Logf("%+v: %.1f a second, at most %d in %v, %.1f questions a second", f, perSecond, maxInWindow, window, float64(permitRequests)/simDuration.Seconds())
+		t.Logf("%+v: %.1f per second, at most %d in %v, %.1f permit requests per second", f, perSecond, maxInWindow, window, float64(permitRequests)/simDuration.Seconds())
 		must.LessEq(t, int(1.5*f.rate*window.Seconds())+5, maxInWindow)
 		must.Between(t, 0.55*f.rate, perSecond, f.rate)
 		must.LessEq(t, 4*f.rate+float64(f.daemons)/maxRetryWait.Seconds(), float64(permitRequests)/simDuration.Seconds())
 	}
 }
 
-// Parts of daemons that hear nobody must not add up to more than the rate.
+// The parts of daemons that cannot reach each other must not add up to more than the rate.
 func TestIsolatedDaemonsKeepToTheRate(t *testing.T) {
 	for _, rate := range []float64{0, 5.8, 60} {
 		const daemons = 295
--- a/decision/quota/limit.go
+++ b/decision/quota/limit.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Change is what an answer changed of what is known of a server's limit.
+// Change tells how a daemon's knowledge of a server's limit changed.
 type Change uint8
 
 // The changes.
@@ -16,38 +16,38 @@
 	Removed
 )
 
-// String returns the word used in logs.
+// String returns the name used in logs and metrics.
 func (c Change) String() string { return [...]string{"unchanged", "named", "changed", "lifted"}[c] }
 
-// minBroadcastInterval is the least time between two changes of one limit of which others are told: a server
-// may name it in one answer and not in the next.
+// minBroadcastInterval is the least time between two broadcasts of one limit to the other daemons:
+// a server may announce its limit in one response and omit it in the next.
 const minBroadcastInterval = 500 * time.Millisecond
 
-// minChangeRatio is by what part a rate must differ from the one known to be told to others: a
-// server may name another in each answer.
+// minChangeRatio is how much a rate must differ from the known one, relative to it, to be
+// broadcast: a server may announce a slightly different rate in each response.
 const minChangeRatio = 0.1
 
-// Limit is what one daemon knows of the limit of one life of a server. The zero value knows
-// none. It is not safe for concurrent use.
+// Limit is what one daemon knows of the limit of one incarnation of a server. The zero value knows
+// no limit. It is not safe for concurrent use.
 type Limit struct {
 	limited     bool
 	rate        float64
 	setAt       time.Time // when the present limit was first known
-	confirmedAt time.Time // when it was last named or told
+	confirmedAt time.Time // when a response or another daemon last reported it
 }
 
-// Rate is the rate that the server takes, in requests a second; named is false where it named
-// none.
+// Rate returns the rate that the server accepts, in requests per second; limited is false if it
+// announces none.
 func (l *Limit) Rate() (rate float64, limited bool) { return l.rate, l.limited }
 
-// Age is how long the limit has been known, and how long ago it was last confirmed.
+// Age returns how long the limit has been known, and how long ago it was last confirmed.
 func (l *Limit) Age(now time.Time) (known, confirmed time.Duration) {
 	return now.Sub(l.setAt), now.Sub(l.confirmedAt)
 }
 
-// ObserveResponse takes in what an answer says, to a request that was sent at a moment. An answer
-// without a limit ends one only if its request was sent after the limit was last named: the
-// server may have begun that answer before it was in need.
+// ObserveResponse records the limit in a response to a request that was sent at the given time. A
+// response without a limit removes the limit only if its request was sent after the limit was last
+// announced: otherwise the server may have started that response before it came under pressure.
 func (l *Limit) ObserveResponse(sent, now time.Time, rate float64, limited bool) Change {
 	if !limited {
 		if !l.limited || !sent.After(l.confirmedAt) {
@@ -59,7 +59,7 @@
 	return l.update(now, rate)
 }
 
-// ObservePeer takes in what another daemon says.
+// ObservePeer records what another daemon reports.
 func (l *Limit) ObservePeer(now time.Time, rate float64, limited bool) Change {
 	if limited {
 		return l.update(now, rate)
@@ -84,15 +84,15 @@
 	return Changed
 }
 
-// BroadcastPacer paces what others are told of one limit. The zero value has told nothing. It is not
-// safe for concurrent use.
+// BroadcastPacer limits how often the other daemons are told of changes of one limit. The zero
+// value has sent nothing. It is not safe for concurrent use.
 type BroadcastPacer struct {
-	sentAt    time.Time // when others were told last
+	sentAt    time.Time // time of the last broadcast
 	scheduled bool
 }
 
-// Schedule returns after what time others are told of a change, with what holds then; ok is false
-// where they are to be told already.
+// Schedule returns the time after which a change is to be broadcast, with the limit known then; ok
+// is false if a broadcast is already scheduled.
 func (p *BroadcastPacer) Schedule(now time.Time) (after time.Duration, ok bool) {
 	if p.scheduled {
 		return 0, false
@@ -101,5 +101,5 @@
 	return max(0, minBroadcastInterval-now.Sub(p.sentAt)), true
 }
 
-// MarkSent records that others are told now.
+// MarkSent records that the broadcast is sent now.
 func (p *BroadcastPacer) MarkSent(now time.Time) { p.sentAt, p.scheduled = now, false }
--- a/decision/quota/quota.go
+++ b/decision/quota/quota.go
@@ -1,19 +1,20 @@
-// Package quota decides how all daemons together keep to the rate that a backend server names.
+// Package quota decides how all daemons together keep to the request rate that a backend server
+// announces.
 //
-// Load it answers: a server in need says in its answers how many requests a second it takes of
-// all daemons, while they go on to send what they sent before; seven daemons before it, or
-// hundreds of which each sends it less than one request a second.
+// Load pattern: a server under pressure says in its responses how many requests per second it
+// accepts from all daemons together, while they would continue to send at the previous rate. There
+// may be seven daemons, or hundreds of which each sends the server less than one request per
+// second.
 //
-// Without it the server gets as much as before: it has few requests in flight at each daemon, so
-// it looks idle. Where each daemon keeps to an equal part by itself, most of the rate is unused
-// where requests are uneven, and hundreds of daemons that each begin with one request send it a
-// burst of hundreds.
+// Without this package, the server gets as many requests as before: it has few requests in flight
+// from each daemon, so it looks idle. If each daemon limited itself to an equal part of the rate,
+// most of the rate would stay unused when requests are unevenly distributed, and hundreds of
+// daemons that each start with one request would send a burst of hundreds.
 //
-// How it decides: one daemon, named by rendezvous hashing, gives out permits for the server at
-// the rate, each for one request that is sent at once. A daemon that is refused one is told when
-// to ask again, each another time, and chooses other servers until then, so that few requests
-// wait for an answer. Where all servers of a service are limited, a request is refused with that
-// time.
+// Decision: one daemon, chosen by rendezvous hashing, grants permits for the server at its rate,
+// each for one request that is sent immediately. A daemon that is denied a permit is told when to
+// ask again, each daemon at a different time, and chooses other servers until then, so few requests
+// wait for a permit. If all servers of a service are limited, a request is refused with that time.
 package quota
 
 import (
@@ -25,20 +26,21 @@
 )
 
 const (
-	// permitRatio is the part of a server's rate for which permits are given out: two daemons may
-	// give them for a moment while the fleet changes.
+	// permitRatio is the fraction of a server's rate for which permits are granted: while the fleet
+	// changes, two daemons may grant permits for a moment.
 	permitRatio = 0.9
-	// minPermitsPerSecond is given out for a server that takes next to nothing, in requests a second:
-	// only an answer shows that the limit is over.
+	// minPermitsPerSecond is granted even for a server that accepts almost nothing, because only a
+	// response shows that the limit has been removed.
 	minPermitsPerSecond = 0.5
-	// burstPermits is how many permits may be given out at once.
+	// burstPermits is how many permits may be granted at once.
 	burstPermits = 2
-	// maxRetryWait bounds the time after which a daemon that is refused asks again.
+	// maxRetryWait bounds the time after which a daemon that was denied a permit asks again.
 	maxRetryWait = 10 * time.Second
 )
 
-// ParseRate reads the rate that a server names, in requests a second; named is false where the text
-// is empty or names no bound. What cannot be read comes with an error and counts as a rate of 0.
+// ParseRate parses the rate that a server announces, in requests per second; limited is false if
+// the text is empty or names no bound. A text that cannot be parsed returns an error and a rate of
+// 0.
 func ParseRate(text string) (rate float64, limited bool, err error) {
 	if text == "" {
 		return 0, false, nil
@@ -48,29 +50,31 @@
 	case math.IsInf(rate, 1) && err == nil:
 		return 0, false, nil
 	case err != nil || math.IsNaN(rate) || rate < 0:
-		return 0, true, errors.Errorf("rate %q is no number of requests a second", text)
+		return 0, true, errors.Errorf("rate %q is not a valid number of requests per second", text)
 	}
 	return rate, true, nil
 }
 
-// PermitRate is the rate of permits for a server that takes rate requests a second.
+// PermitRate returns the rate of permits for a server that accepts the given number of requests per
+// second.
 func PermitRate(rate float64) float64 { return max(minPermitsPerSecond, permitRatio*rate) }
 
-// TokenBucket gives out permits for one server. The zero value has given out none. It is not safe for
+// TokenBucket grants permits for one server. The zero value has granted none. It is not safe for
 // concurrent use.
 type TokenBucket struct {
 	tokens    float64
-	capacity  float64 // tokens kept, 0 for burst
+	capacity  float64 // most tokens kept; 0 means burstPermits
 	updatedAt time.Time
-	nextFree  time.Time // when the daemon refused next is told to ask again
+	nextFree  time.Time // when the next daemon that is denied a permit is told to ask again
 }
 
-// NewDaemonBucket returns the bucket of one daemon that keeps to its even part by itself. draw is in [0, 1),
-// another at each daemon: without it all would send their first request at the same moment.
+// NewDaemonBucket returns the bucket of a daemon that limits itself to an equal part of the rate.
+// draw is in [0, 1) and differs between daemons; otherwise all would send their first request at
+// the same moment.
 func NewDaemonBucket(draw float64) TokenBucket { return TokenBucket{tokens: draw, capacity: 1} }
 
-// Take takes a permit, of which give a second are given out. Where there is none it returns after
-// what time the daemon should ask again.
+// Take takes a permit; permitsPerSecond is the rate at which permits are granted. If none is left
+// it returns the time after which the daemon should ask again.
 func (b *TokenBucket) Take(now time.Time, permitsPerSecond float64) (granted bool, wait time.Duration) {
 	capacity := b.capacity
 	if capacity == 0 {
@@ -96,18 +100,19 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// PermitPoller says when one daemon may ask for a permit for a server. The zero value may ask. It is not
-// safe for concurrent use.
+// PermitPoller tells when one daemon may ask for a permit for a server. The zero value may ask. It
+// is not safe for concurrent use.
 type PermitPoller struct {
 	inFlight  bool
-	notBefore time.Time // not before then
+	notBefore time.Time // earliest time of the next permit request
 }
 
-// CanAsk reports whether a permit may be asked for: none is being asked for, and the time to ask
-// has come.
+// CanAsk reports whether a permit may be requested: no permit request is in flight, and the wait is
+// over.
 func (p *PermitPoller) CanAsk(now time.Time) bool { return !p.inFlight && !now.Before(p.notBefore) }
 
-// TryAsk begins a question, if one may be asked. Its answer goes to Answered.
+// TryAsk reports whether a permit may be requested, and if so starts a permit request. The caller
+// must end it with Complete.
 func (p *PermitPoller) TryAsk(now time.Time) bool {
 	if !p.CanAsk(now) {
 		return false
@@ -116,10 +121,10 @@
 	return true
 }
 
-// Complete ends a question; wait is how long not to ask again, 0 after a permit.
+// Complete ends a permit request; wait is how long not to ask again, 0 after a granted permit.
 func (p *PermitPoller) Complete(now time.Time, wait time.Duration) {
 	p.inFlight, p.notBefore = false, now.Add(wait)
 }
 
-// Wait is how long it is until a permit may be asked for.
+// Wait returns the time until a permit may be requested.
 func (p *PermitPoller) Wait(now time.Time) time.Duration { return max(0, p.notBefore.Sub(now)) }
--- a/decision/quota/quota_test.go
+++ b/decision/quota/quota_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// Daemons that are refused must not all come back at the same moment.
+// Daemons that are denied a permit must not all ask again at the same moment.
 func TestRefusedDaemonsGetDifferentWaits(t *testing.T) {
 	var b TokenBucket
 	now := time.Now()
@@ -82,7 +82,7 @@
 	must.Eq(t, Added, l.ObserveResponse(at(2), at(10), 5, true))
 	must.Eq(t, Unchanged, l.ObserveResponse(at(3), at(12), 5.1, true))
 	must.Eq(t, Changed, l.ObserveResponse(at(4), at(13), 8, true))
-	// An answer that the server had begun before it was in need ends nothing.
+	// A response that the server started before it came under pressure removes nothing.
 	must.Eq(t, Unchanged, l.ObserveResponse(at(1), at(14), 0, false))
 	must.Eq(t, Removed, l.ObserveResponse(at(20), at(30), 0, false))
 	rate, limited := l.Rate()
@@ -93,7 +93,8 @@
 	must.Eq(t, Removed, l.ObservePeer(at(33), 0, false))
 }
 
-// A server that names its limit in every other answer must not have each told to the whole fleet.
+// A server that announces its limit in every other response must not cause a broadcast to the whole
+// fleet each time.
 func TestRapidChangesAreBroadcastTogether(t *testing.T) {
 	var pacer BroadcastPacer
 	start := time.Now()
--- a/decision/repeats/lenders_test.go
+++ b/decision/repeats/peers_test.go
@@ -19,10 +19,10 @@
 		want    map[string]bool
 	}{
 		{"any", nil, nil, map[string]bool{"a": true, "b": true, "c": true, "d": true, "e": true}},
-		{"not one asked before", nil, []string{"b", "c"}, map[string]bool{"a": true, "d": true, "e": true}},
+		{"not one already asked", nil, []string{"b", "c"}, map[string]bool{"a": true, "d": true, "e": true}},
 		{"not one that refused", []string{"a", "b", "c", "d"}, nil, map[string]bool{"e": true}},
-		{"nobody after enough questions", nil, []string{"1", "2", "3", "4", "5", "6", "7", "8"}, nil},
-		{"nobody left", daemons, nil, nil},
+		{"none after MaxPeersAsked", nil, []string{"1", "2", "3", "4", "5", "6", "7", "8"}, nil},
+		{"none left", daemons, nil, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -61,7 +61,7 @@
 	must.Eq(t, "a", id)
 }
 
-// lendingFleet is daemons that lend to each other.
+// lendingFleet is a fleet of daemons that lend retries to each other.
 type lendingFleet struct {
 	budgets   []*Budget
 	selectors []*PeerSelector
@@ -84,7 +84,7 @@
 	return Share{Daemons: len(f.budgets), RoundingOffset: float64(i) / float64(len(f.budgets))}
 }
 
-// tryRetry is one daemon's wish to send a request once more.
+// tryRetry requests one retry for daemon i, first from its own budget and then from others.
 func (f *lendingFleet) tryRetry(now time.Time, i int) bool {
 	if f.budgets[i].TryRetry(now, f.share(i)) {
 		return true
@@ -105,10 +105,10 @@
 	return false
 }
 
-// Engines of a zone die every three seconds, with 80 streams of 73 daemons. Each
-// daemon has none, one or several of them. Streams are cut for want of a repeat
-// although the fleet has more than enough, because each daemon knows only its own
-// part. With lending hardly any is cut, and the fleet stays within its budget.
+// The engines of a zone fail every three seconds, which breaks 80 streams spread at random over 73
+// daemons, so a daemon has none, one or several of them. Each daemon knows only its own part of the
+// budget, so without lending streams are cut off although the fleet has more than enough retries.
+// With lending hardly any stream is cut off, and the fleet stays within its budget.
 func TestBorrowingServesBrokenStreams(t *testing.T) {
 	const daemons, perLoss, losses = 73, 80, 10
 	simulate := func(borrows bool) (denied, granted int) {
@@ -116,7 +116,7 @@
 		now := time.Unix(1000, 0)
 		var times []time.Time
 		for loss := range losses {
-			for k := range 108 { // 36 requests a second
+			for k := range 108 { // 36 requests per second
 				f.budgets[f.random.IntN(daemons)].RecordRequest(now.Add(time.Duration(k) * 3 * time.Second / 108))
 			}
 			now = now.Add(3 * time.Second)
@@ -125,7 +125,7 @@
 				case f.tryRetry(now, f.random.IntN(daemons)):
 					granted++
 					times = append(times, now)
-				case loss > 2: // before, the windows are not full
+				case loss > 2: // the windows are not full earlier
 					denied++
 				}
 			}
--- a/decision/repeats/repeats.go
+++ b/decision/repeats/repeats.go
@@ -1,72 +1,72 @@
-// Package repeats decides whether one more send of a request is affordable
-// within a budget that all daemons share, without a message between them.
+// Package repeats implements a retry budget that all daemons share without exchanging messages: it
+// decides whether a request may be sent once more.
 //
-// Load it answers: a zone of backend servers lost at once, servers that fail
-// part of their requests, and callers that repeat without waiting.
+// Load pattern: an availability zone of backend servers is lost at once, servers fail a part of
+// their requests, or callers retry without waiting.
 //
-// Without it, each failure adds a send exactly when there is least room, and
-// the sum over all daemons is unbounded.
+// Without a budget, each failure adds a send exactly when capacity is lowest, and the total over
+// all daemons is unbounded.
 //
-// How it holds: in any window the fleet may repeat Ratio times the requests of
-// the service plus Slack. Each daemon keeps to Ratio times its own requests
-// plus an equal part of Slack, so the sum over daemons keeps to the whole. The
-// requests counted are those of the window that ends now. A daemon has no part of
-// Slack in its first window, since a process before it may have used it: half of
-// a fleet that is killed and restarted would repeat half of Slack too much.
+// Decision: in any window the fleet may send Ratio times the requests of the service plus Slack as
+// retries. Each daemon limits itself to Ratio times its own requests plus an equal part of Slack,
+// so the sum over all daemons stays within the budget. Only requests of the window that ends now
+// count. In its first window a daemon has no part of Slack, because a previous process may have
+// used it: otherwise killing and restarting half of a fleet would exceed the budget by half of
+// Slack.
 package repeats
 
 import "time"
 
-// slotsPerWindow divide the window. Requests are counted over up to a part less than the
-// window and repeats over up to a part more.
+// slotsPerWindow is the number of slots into which the window is divided. Requests are counted over
+// up to one slot less than the window, retries over up to one slot more.
 const slotsPerWindow = 50
 
-// usableRatio is the share of the budget that is used. The rest is for what is under
-// way between this count and a backend server, and for requests that end at a
-// daemon which dies before it repeats them.
+// usableRatio is the fraction of the budget that is used. The rest covers requests on their way
+// between this count and a backend server, and requests of a daemon that dies before it retries
+// them.
 const usableRatio = 0.92
 
-// Policy is the budget of the whole fleet at one service.
+// Policy is the retry budget of the whole fleet for one service.
 type Policy struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// Share is a daemon's part of what does not depend on its own requests.
+// Share is a daemon's share of the budget that does not depend on its own requests.
 type Share struct {
-	// Daemons is how many share the slack.
+	// Daemons is the number of daemons that share the slack.
 	Daemons int
-	// RoundingOffset is from 0 to below 1 and differs evenly between daemons. It decides
-	// which of them round up: a part of the slack is few repeats, and if all rounded
-	// down much of it would be lost.
+	// RoundingOffset is in [0, 1) and evenly distributed over the daemons. It decides which daemons
+	// round up: each one's part of the slack is only a few retries, and if all rounded down much of
+	// the slack would be lost.
 	RoundingOffset float64
 }
 
-// Budget counts one daemon's sends to one service. It is not safe for
-// concurrent use.
+// Budget counts one daemon's requests and retries to one service. It is not safe for concurrent
+// use.
 type Budget struct {
 	policy    Policy
 	startedAt time.Time
 	requests  [slotsPerWindow + 1]int
 	retries   [slotsPerWindow + 1]int
-	slot      int64 // part of the time since began in which the last count fell
+	slot      int64 // slot, since startedAt, of the last count
 }
 
-// New returns an empty budget of a daemon that began to serve at began. The
-// times given to its methods must come from the same clock, one that is never
-// set: a step of the time of day would forget what was repeated.
+// New returns an empty budget of a daemon that started serving at startedAt. All times passed to
+// its methods must come from the same monotonic clock: a step of the wall clock would drop the
+// counted retries.
 func New(policy Policy, startedAt time.Time) *Budget {
 	return &Budget{policy: policy, startedAt: startedAt}
 }
 
-// RecordRequest counts a request of a caller.
+// RecordRequest counts a caller's request.
 func (b *Budget) RecordRequest(now time.Time) {
 	b.advance(now)
 	b.requests[slotIndex(b.slot)]++
 }
 
-// TryRetry asks for one more send and counts it if it is affordable.
+// TryRetry reports whether the budget permits one more send, and counts it if so.
 func (b *Budget) TryRetry(now time.Time, share Share) bool {
 	b.advance(now)
 	allowed := b.policy.Ratio * float64(b.recentRequests())
@@ -80,10 +80,10 @@
 	return true
 }
 
-// slotIndex is the place of a part of the time in the counts.
+// slotIndex returns the index of a slot in the counts.
 func slotIndex(slot int64) int { return int(slot % (slotsPerWindow + 1)) }
 
-// advance clears the parts that lie between the last use and now.
+// advance clears the slots between the last use and now.
 func (b *Budget) advance(now time.Time) {
 	slot := int64(now.Sub(b.startedAt) / (b.policy.Window / slotsPerWindow))
 	if slot-b.slot > slotsPerWindow {
@@ -99,7 +99,7 @@
 	}
 }
 
-// recentRequests are the requests of the last window, or a part of it less.
+// recentRequests returns the number of requests in the last window, less up to one slot.
 func (b *Budget) recentRequests() int { return sum(b.requests) - b.requests[slotIndex(b.slot+1)] }
 
 func sum(counts [slotsPerWindow + 1]int) int {
--- a/decision/repeats/repeats_test.go
+++ b/decision/repeats/repeats_test.go
@@ -10,8 +10,8 @@
 
 var policy = Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 
-// Ninety daemons lose every send for a minute. Each repeats as often as it may;
-// together they must stay within the budget of the fleet in every window.
+// Ninety daemons lose every send for ten seconds and retry as often as they may. Together they must
+// stay within the budget of the fleet.
 func TestFleetStaysWithinBudget(t *testing.T) {
 	const daemons = 90
 	start := time.Unix(1000, 0)
@@ -47,9 +47,8 @@
 	must.True(t, b.TryRetry(now.Add(12*time.Second), Share{Daemons: 10}))
 }
 
-// A daemon is killed and starts again. What it repeated before still counts at
-// the backend servers, so it has no part of the slack for one window; its
-// requests count at once.
+// A daemon is killed and starts again. Its retries from before still count at the backend servers,
+// so it has no part of the slack for one window; its requests count immediately.
 func TestRestartedDaemonHasNoSlackAtFirst(t *testing.T) {
 	start := time.Unix(1000, 0)
 	b := New(policy, start)
@@ -64,10 +63,10 @@
 	must.True(t, b.TryRetry(start.Add(policy.Window+time.Second), Share{Daemons: 10}))
 }
 
-// A fleet repeats whatever it may while half of it is killed and restarted, again
-// and again. Backend servers see its repeats in windows of any beginning; in none
-// of them are there more than the budget of the requests of that window, of the
-// one before or of the one half a window earlier.
+// A fleet retries as often as it may while half of it is repeatedly killed and restarted. In a
+// window with any start, the backend servers must not see more retries than the budget for the
+// requests of that window, of the previous window or of the window that starts half a window
+// earlier.
 func TestFleetWithRestartsStaysWithinBudget(t *testing.T) {
 	const daemons = 20
 	random := rand.New(rand.NewPCG(11, 11))
--- a/decision/retryafter/retryafter_test.go
+++ b/decision/retryafter/retryafter_test.go
@@ -7,10 +7,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// The store is out of reach for every daemon for eight seconds. From the fifth on
-// each caller is refused; it repeats once. Told to come back after one to three
-// seconds most come within the outage and are lost. Told as long as the outage has
-// lasted nearly all are served, and no tenth of a second sees a burst of them.
+// The store is unreachable for every daemon for eight seconds. From the fifth second on every
+// caller is refused, and each retries once. If they were told to retry after one to three seconds,
+// most would return during the outage and be lost. If they are told a delay as long as the outage
+// so far, nearly all are served, and no tenth of a second sees a burst of them.
 func TestCallersReturnAfterTheOutage(t *testing.T) {
 	const refused, outage = 5 * time.Second, 8 * time.Second
 	const callers = 1000
@@ -30,7 +30,7 @@
 	}
 }
 
-// One daemon alone has lost the store; its neighbours serve.
+// Only one daemon has lost the store; the others still serve.
 func TestCallerRetriesOtherDaemonAtOnce(t *testing.T) {
 	must.Eq(t, OtherDaemonDelay, AfterStoreOutage(time.Hour, false, 0.9))
 }
@@ -39,9 +39,9 @@
 	must.Eq(t, AfterStoreOutage(maxDelay, true, 0.5), AfterStoreOutage(time.Hour, true, 0.5))
 }
 
-// Engines that are full refuse for eight seconds. Each caller repeats once. Those
-// refused at the beginning come back when the answers there have ended, those refused
-// later after as long again, and hardly any within the burst.
+// Engines at capacity refuse callers for eight seconds, and each caller retries once. Callers
+// refused at the beginning must return when the responses in progress have ended, later ones after
+// a delay as long as the overload so far, and hardly any during the burst.
 func TestCallersReturnAfterOverload(t *testing.T) {
 	const burst, answer, callers = 8 * time.Second, 5 * time.Second, 1000
 	var streak Streak
--- a/decision/rollout/bench_test.go
+++ b/decision/rollout/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// BenchmarkAnalyze is one look at what daemons saw of a service in a roll-out.
+// BenchmarkAnalyze measures one comparison of the versions by the number of samples.
 func BenchmarkAnalyze(b *testing.B) {
 	for _, n := range []int{600, 4000, 30_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/decision/rollout/evidence.go
+++ b/decision/rollout/evidence.go
@@ -9,99 +9,104 @@
 	"time"
 )
 
-// Kind is what a sample measures.
+// Kind is the quantity that a sample measures.
 type Kind uint8
 
 // The kinds.
 const (
-	// Whole: the time of a whole answer.
+	// ResponseTime is the time until the response is complete.
 	ResponseTime Kind = iota
-	// First: the time to the first event of a stream.
+	// TimeToFirstEvent is the time to the first event of a stream.
 	TimeToFirstEvent
-	// Pace: the mean time between events of a stream.
+	// EventInterval is the mean time between two events of a stream.
 	EventInterval
 	kindCount
 )
 
-// String returns the word used in logs.
+// String returns the name used in logs.
 func (k Kind) String() string { return [...]string{"whole", "first", "pace", ""}[min(k, kindCount)] }
 
-// Outcome is how what a sample measures ended.
+// Outcome is how the measured request ended.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Good: the server did what it was asked for.
+	// Succeeded means that the server completed the request.
 	Succeeded Outcome = iota
-	// Failed: the server answered with a failure.
+	// Failed means that the server returned an error.
 	Failed
-	// Broke: the connection broke off, or was not made.
+	// Disconnected means that the connection broke or could not be established.
 	Disconnected
-	// Waiting: nothing has come yet after the time measured.
+	// Unanswered means that there was no response within the measured time.
 	Unanswered
 )
 
-// Sample is what one daemon saw of one request at one server.
+// Sample is one daemon's measurement of one request at one server.
 type Sample struct {
 	Route    string
 	Server   string
 	Zone     string
-	OnTarget bool // the server has the target's version
+	OnTarget bool // the server runs the target version
 	Kind     Kind
 	Outcome  Outcome
 	Duration time.Duration
-	// EndedAt is when it ended, on the clock of whom judges.
+	// EndedAt is when the measurement ended, on the clock of the deciding daemon.
 	EndedAt time.Duration
 }
 
 const (
-	// slowRatio is how many times the median of the version before counts as slow.
+	// slowRatio is the multiple of the baseline's median above which a sample counts as slow.
 	slowRatio = 2.6
-	// sparseSlowRatio is the same where the version before shows too little of the same seconds: a
-	// service may be slow for reasons of its own.
+	// sparseSlowRatio replaces slowRatio where there are too few baseline samples of the same time
+	// bin, because the service may be slow for reasons other than its version.
 	sparseSlowRatio = 4
-	// minBaselineSamples is how many samples of the version before it takes to tell what is slow.
+	// minBaselineSamples is how many baseline samples are needed to tell which responses are slow.
 	minBaselineSamples = 12
-	// zoneLossWindow is the time within which answers of one zone that break off have one cause.
+	// zoneLossWindow is the time within which disconnects in one availability zone are attributed
+	// to the same cause.
 	zoneLossWindow = time.Second
-	// binWidth is the length of the seconds that are compared with each other.
+	// binWidth is the width of the time bins in which the versions are compared.
 	binWidth = 2 * time.Second
-	// binPriorSamples is how many samples of the whole time stand for those that a bin lacks.
+	// binPriorSamples is the weight, in samples, of the overall ratio of bad samples when the ratio
+	// of one bin is estimated.
 	binPriorSamples = 8
-	// minBadSamples is how many samples show that a version is bad at least.
+	// minBadSamples is the least number of bad samples that can show that a version is bad.
 	minBadSamples = 2
 )
 
-// How improbable what is found of a version as good as the one before has to be for the target to
-// be bad: in any look, and in one before it gets more.
+// Significance levels: the target is bad if the probability of its samples, given a version as good
+// as the baseline, is lower. rollbackSignificance applies to every step, promotionSignificance
+// before the target gets more requests.
 const (
 	rollbackSignificance  = 5e-5
 	promotionSignificance = 2e-3
 )
 
-// minSigmasWithoutWorst is by how much the target has to be worse without its worst server.
+// minSigmasWithoutWorst is how many standard deviations worse than the baseline the target must be
+// without its worst server.
 const minSigmasWithoutWorst = 2.6
 
-// expectedBadMargin is what is expected of the target on top, for what little the version before showed.
+// expectedBadMargin is added to the expected number of bad samples, because the baseline may have
+// shown too few samples to be exact.
 const expectedBadMargin = 0.03
 
-// Evidence adds up what daemons saw during one roll-out. It is not safe for concurrent use.
+// Evidence collects the samples of one roll-out. It is not safe for concurrent use.
 type Evidence struct {
 	samples      []Sample
-	baseline     []int // indices in samples of those of the version before
+	baseline     []int // indices of the baseline samples in samples
 	baselineSeen int
 	random       rand.PCG
 }
 
 const (
-	// maxBaselineSamples is how many samples of the version before are kept, chosen evenly from all: more
-	// tell hardly more, and cost whom decides its processor.
+	// maxBaselineSamples bounds the baseline samples, which are kept by uniform reservoir sampling.
+	// More of them add little information and cost the deciding daemon CPU time.
 	maxBaselineSamples = 3000
-	// maxTargetSamples bounds those of the target.
+	// maxTargetSamples bounds the target samples.
 	maxTargetSamples = 5000
 )
 
-// Add takes in samples.
+// Add adds samples.
 func (e *Evidence) Add(samples ...Sample) {
 	for _, s := range samples {
 		switch {
@@ -121,10 +126,10 @@
 	}
 }
 
-// commonRouteRatio is the part of a service's requests from which those of a route are many.
+// commonRouteRatio is the fraction of a service's requests from which a route counts as common.
 const commonRouteRatio = 0.1
 
-// commonRoutes are the routes of which many requests were seen, as State.Common.
+// commonRoutes returns the common routes in the format of State.CommonRoutes.
 func (e *Evidence) commonRoutes() string {
 	routes := map[string]int{}
 	for _, s := range e.samples {
@@ -140,26 +145,25 @@
 	return strings.Join(list[:min(maxCommonRoutes, len(list))], routeSeparator)
 }
 
-// Analysis is what the evidence shows.
+// Analysis is the result of comparing the versions.
 type Analysis struct {
-	// PValue is how probable what is found would be of a version as good as the one before; 1 where
-	// nothing speaks against the target. Route is where that is, "" for all routes, and Kind by
-	// what.
+	// PValue is the probability of the observed samples, given a version as good as the baseline; 1
+	// if nothing indicates that the target is worse. Route and Kind say for which samples it was
+	// found; Route is "" for all routes together.
 	PValue float64
 	Route  string
 	Kind   Kind
-	// Compared, Found and Expected are the samples of the target, those of them that are bad, and
-	// how many would be if it were like the version before, where that is worst for it.
+	// Compared is the number of target samples in that group, BadSamples how many of them are bad,
+	// and ExpectedBad how many would be bad if the target were like the baseline.
 	Compared, BadSamples int
 	ExpectedBad          float64
-	// TargetSamples is how many samples of the target there are.
+	// TargetSamples is the number of all target samples.
 	TargetSamples int
-	// BaselineP95 is the time within which nearly all answers of the version before are whole; 0 if
-	// none was.
+	// BaselineP95 is the 95th percentile of the baseline's response times; 0 if there is no sample.
 	BaselineP95 time.Duration
 }
 
-// Analyze compares the versions. waiting are requests under way now.
+// Analyze compares the versions. unanswered holds the requests currently in flight.
 func (e *Evidence) Analyze(unanswered []Sample) Analysis {
 	all := e.samples
 	if len(unanswered) > 0 {
@@ -188,7 +192,8 @@
 	return a
 }
 
-// poissonTail is the probability of n or more where mean are expected, by Poisson's law.
+// poissonTail returns the probability of n or more events of a Poisson distribution with the given
+// mean.
 func poissonTail(n int, mean float64) float64 {
 	term, cumulative := math.Exp(-mean), 0.0
 	for k := range n {
@@ -209,16 +214,18 @@
 	return tail
 }
 
-// baseVariance is the variance of what is expected from what little the version before showed.
+// baseVariance is the variance added because the expected number of bad samples is itself estimated
+// from few baseline samples.
 const baseVariance = 0.15
 
-// sampleGroup are samples of one kind, of one route or of all.
+// sampleGroup holds the samples of one kind, of one route or of all routes.
 type sampleGroup struct {
 	route   string
 	samples []Sample
 }
 
-// groupSamples are the samples of a kind by route, and all of them where there are several.
+// groupSamples groups the samples of a kind by route and, if there are several routes, adds a group
+// of all samples.
 func groupSamples(all []Sample, kind Kind) []sampleGroup {
 	byRoute := map[string][]Sample{}
 	var combined []Sample
@@ -239,19 +246,20 @@
 	return list
 }
 
-// comparison is how many samples of the target were compared, are bad, and would be.
+// comparison counts the compared target samples, the bad ones, and how many bad ones are expected.
 type comparison struct {
 	compared, bad int
 	expectedBad   float64
-	// sigmasWithoutWorst is by how many sigmas the target is worse than expected without its worst server.
+	// sigmasWithoutWorst is how many standard deviations worse than expected the target is without
+	// its worst server.
 	sigmasWithoutWorst float64
 }
 
-// badTally is how many of some samples are bad.
+// badTally counts samples and the bad ones among them.
 type badTally struct{ bad, total float64 }
 
-// compare judges one group. A sample of the target is expected to be bad as often as one of the
-// version before is in the same seconds, or at any time where that has few.
+// compare compares the versions in one group. A target sample is expected to be bad as often as the
+// baseline samples of the same time bin, or as the baseline samples of any time if the bin has few.
 func compare(g sampleGroup, singleServer bool, isZoneLoss func(Sample) bool) comparison {
 	median, hasMedian := baselineMedian(g.samples)
 	binCounts := baselineCounts(g.samples)
@@ -305,7 +313,7 @@
 	return combineServers(servers, singleServer)
 }
 
-// hasSingleTargetServer reports whether a single server of the target was tried.
+// hasSingleTargetServer reports whether only one target server received requests.
 func hasSingleTargetServer(all []Sample) bool {
 	first := ""
 	for _, s := range all {
@@ -319,8 +327,8 @@
 	return true
 }
 
-// combineServers adds up servers. One of them may be bad by itself: rest leaves out the worst, unless there
-// is no other.
+// combineServers sums up the target servers. A single server may be bad for reasons of its own, so
+// sigmasWithoutWorst leaves out the worst server unless it is the only one.
 func combineServers(servers map[string]*comparison, singleServer bool) (sum comparison) {
 	excess, variance, worst := 0.0, baseVariance, math.Inf(-1)
 	var worstVariance float64
@@ -341,10 +349,10 @@
 	return sum
 }
 
-// minBinSamples is how many samples of the version before show how long answers take in a bin.
+// minBinSamples is how many baseline samples are needed to know the response times of a time bin.
 const minBinSamples = 4
 
-// baselineCounts is how many samples of the version before there are by bin.
+// baselineCounts returns the number of successful baseline samples by time bin.
 func baselineCounts(samples []Sample) map[time.Duration]int {
 	counts := map[time.Duration]int{}
 	for _, s := range samples {
@@ -355,7 +363,8 @@
 	return counts
 }
 
-// baselineMedian is the median time of the version before; known is false where it showed too little.
+// baselineMedian returns the median of the baseline's times; known is false if there are too few
+// samples.
 func baselineMedian(samples []Sample) (median time.Duration, known bool) {
 	var durations []time.Duration
 	for _, s := range samples {
@@ -370,7 +379,8 @@
 	return durations[len(durations)/2], true
 }
 
-// baselineP95 is the time within which nineteen of twenty answers of the version before are whole.
+// baselineP95 returns the 95th percentile of the baseline's response times, or 0 if there is no
+// sample.
 func baselineP95(samples []Sample) time.Duration {
 	var durations []time.Duration
 	for _, s := range samples {
@@ -385,8 +395,9 @@
 	return durations[len(durations)*19/20]
 }
 
-// zoneLosses says which answers broke off with most others of their zone: a zone, or the way to
-// it, was lost, which says nothing of a version.
+// zoneLosses returns a function that tells which disconnects happened together with most other
+// requests of their availability zone. These come from the loss of the zone, or of the network path
+// to it, and say nothing about a version.
 func zoneLosses(all []Sample) func(Sample) bool {
 	type zoneWindow struct {
 		zone  string
--- a/decision/rollout/fleet_test.go
+++ b/decision/rollout/fleet_test.go
@@ -13,35 +13,35 @@
 	"github.com/shoenig/test"
 )
 
-// rollouts is how many of each sort are played.
-var rollouts = flag.Int("rollouts", 10, "roll-outs of each sort and size")
+// rollouts is how many roll-outs are simulated for each fault and fleet size.
+var rollouts = flag.Int("rollouts", 10, "simulated roll-outs for each fault and fleet size")
 
-// fault is how a version is bad.
+// fault describes how the target version is bad.
 type fault struct {
 	name          string
-	badRatio      float64       // of its answers
-	slowdown      float64       // times as long; 0: they fail
-	onset         time.Duration // since the order
-	underLoadOnly bool          // only while its servers have the load of an old one: three of four have less of the drawn calls
-	route         int           // on one route only, from 1; 0 on all
-	mayComplete   bool          // too few of its answers show it to be found before the end in each roll-out
-	badServers    int           // so many of its servers alone: the version is good
+	badRatio      float64       // fraction of its responses that are bad
+	slowdown      float64       // factor on response times; 0 if the responses fail
+	onset         time.Duration // time since the order from which the fault shows
+	underLoadOnly bool          // only while its servers carry the load of a baseline server; three of four get fewer of the selected calls
+	route         int           // the one affected route, counted from 1; 0 for all routes
+	mayComplete   bool          // too few bad responses to detect the fault before the end in every roll-out
+	badServers    int           // only this many servers are bad: the version itself is good
 }
 
-// serviceModel is a service that is played.
+// serviceModel describes a simulated service.
 type serviceModel struct {
 	name           string
 	perSecond      []float64 // by route
 	servers        int
-	firstEventTime time.Duration // to the first event; 0 for calls
+	firstEventTime time.Duration // mean time to the first event; 0 for calls
 	responseTime   time.Duration
 	sigma          float64
-	failureRatios  []float64 // of themselves, by route
+	failureRatios  []float64 // failure ratios of the baseline, by route
 	period         time.Duration
 }
 
 var streamingService = serviceModel{
-	name: "answers", perSecond: []float64{36.8, 2.2}, servers: 120, firstEventTime: 1400 * time.Millisecond, responseTime: 6800 * time.Millisecond,
+	name: "streaming", perSecond: []float64{36.8, 2.2}, servers: 120, firstEventTime: 1400 * time.Millisecond, responseTime: 6800 * time.Millisecond,
 	sigma: 0.25, failureRatios: []float64{0, 0}, period: 15 * time.Second,
 }
 
@@ -52,49 +52,51 @@
 
 const (
 	zones = 3
-	// zoneOutageInterval and zoneAway are how often and for how long the engines of a zone are away.
+	// zoneOutageInterval and zoneOutageDuration are how often and for how long the engines of an
+	// availability zone are down.
 	zoneOutageInterval = 6500 * time.Millisecond
 	zoneOutageDuration = 1200 * time.Millisecond
-	// slackRequests is what a bad version may get beyond the share.
+	// slackRequests is how many requests a bad version may get beyond its share.
 	slackRequests = 50
-	// maxExposureAfterBad is how long after its 50th bad answer a bad version may still get requests.
+	// maxExposureAfterBad is how long after its 50th bad response a bad version may still get
+	// requests.
 	maxExposureAfterBad = 5 * time.Second
 	maxShare            = 0.1
 )
 
-// result is what came of one roll-out.
+// result is the outcome of one simulated roll-out.
 type result struct {
 	stage                         Stage
 	endedAt                       time.Duration
-	targetRequests, totalRequests int           // requests at the target, and of the service, in the period
-	exposureAfterBad              time.Duration // from the 50th bad answer to the last request at the target
-	baselineInFlight              int           // answers at the version before when it stops
+	targetRequests, totalRequests int           // requests sent to the target, and to the service, within the period
+	exposureAfterBad              time.Duration // from the 50th bad response to the last request at the target
+	baselineInFlight              int           // responses in progress on the baseline when it is stopped
 	reason                        string
-	exposure                      float64 // what the target got in terms of what it may get
+	exposure                      float64 // requests at the target divided by the allowed number
 }
 
-// delayedSample is a sample on its way to whom decides.
+// delayedSample is a sample that becomes known or ends at dueAt.
 type delayedSample struct {
 	sample Sample
 	dueAt  time.Duration
 }
 
-// simulation is one roll-out of a service before many daemons.
+// simulation simulates one roll-out of a service behind many daemons.
 type simulation struct {
 	serviceModel
 	fault
 	daemons                       int
-	zoneOutages                   bool // zones die in series
+	zoneOutages                   bool // availability zones fail one after another
 	random                        *rand.Rand
 	counters                      []RouteCounter
-	reportPhase                   []time.Duration // of reports
-	stageLag                      []time.Duration // until a daemon hears of a stage
+	reportPhase                   []time.Duration // offset of each daemon's reports within a second
+	stageLag                      []time.Duration // delay until a daemon learns of a new stage
 	state                         State
 	previous                      State
-	changedAt                     time.Duration // of state
+	changedAt                     time.Duration // when state last changed
 	evidence                      Evidence
 	delayed                       []delayedSample
-	baselineEnds                  []time.Duration // of answers at the version before
+	baselineEnds                  []time.Duration // when the responses in progress on the baseline end
 	unanswered                    []delayedSample
 	badCount                      int
 	fiftiethBadAt                 time.Duration
@@ -109,7 +111,7 @@
 		r.reportPhase[d] = time.Duration(r.random.Int64N(int64(time.Second)))
 		r.stageLag[d] = 20*time.Millisecond + time.Duration(r.random.Int64N(int64(100*time.Millisecond)))
 		if r.random.Float64() < 0.05 {
-			r.stageLag[d] = 400 * time.Millisecond // it hears from the store
+			r.stageLag[d] = 400 * time.Millisecond // it learns of the stage from the store
 		}
 	}
 	r.state = State{OrderRevision: 1, Baseline: "v1", Target: "v2", Stage: Pending}
@@ -153,7 +155,7 @@
 	}
 }
 
-// knownState is what a daemon believes.
+// knownState returns the state that a daemon knows.
 func (r *simulation) knownState(d int, now time.Duration) State {
 	if now-r.changedAt < r.stageLag[d] {
 		return r.previous
@@ -161,8 +163,8 @@
 	return r.state
 }
 
-// down reports whether the engines of a zone are away, and when they are lost next.
-func (r *simulation) down(zone int, now time.Duration) (away bool, next time.Duration) {
+// zoneOutage reports whether the engines of a zone are down, and when they next go down.
+func (r *simulation) zoneOutage(zone int, now time.Duration) (down bool, next time.Duration) {
 	if !r.zoneOutages {
 		return false, math.MaxInt64
 	}
@@ -177,7 +179,7 @@
 	}
 }
 
-// request is one request of a caller.
+// request simulates one request of a caller.
 func (r *simulation) request(now time.Duration, perSecond float64) {
 	route, draw := 0, r.random.Float64()*perSecond
 	for draw >= r.perSecond[route] {
@@ -192,10 +194,10 @@
 	name := fmt.Sprint("r", route)
 	onTarget := s.Stage != Pending && (s.ServesByDefault("v2") || s.RoutesToTarget(r.random.Float64(), name, &r.counters[d]))
 	zone := r.random.IntN(zones)
-	down, nextOutage := r.down(zone, now)
+	down, nextOutage := r.zoneOutage(zone, now)
 	for down {
 		zone = (zone + 1) % zones
-		down, nextOutage = r.down(zone, now)
+		down, nextOutage = r.zoneOutage(zone, now)
 	}
 	server := r.random.IntN(r.servers)
 	if onTarget && (s.Stage == Canary || s.Stage == Partial) {
@@ -229,7 +231,7 @@
 		sample.Kind, sample.Outcome, sample.Duration, sample.EndedAt = kind, outcome, duration, endedAt
 		arrivesAt := endedAt + (r.reportPhase[d]-endedAt%time.Second+time.Second)%time.Second + 30*time.Millisecond
 		if drainedAt := r.changedAt + 250*time.Millisecond; r.firstEventTime == 0 && r.state.Stage == Full && endedAt < drainedAt {
-			arrivesAt = min(arrivesAt, drainedAt+30*time.Millisecond) // with the word that nothing is left
+			arrivesAt = min(arrivesAt, drainedAt+30*time.Millisecond) // sent at once with the report that nothing is in flight
 		}
 		r.delayed = append(r.delayed, delayedSample{sample, arrivesAt})
 	}
@@ -267,7 +269,7 @@
 	}
 }
 
-// isBad reports whether the target's answer to a request is.
+// isBad reports whether the target's response to a request is bad.
 func (r *simulation) isBad(now time.Duration, route, server int, s State) bool {
 	switch {
 	case r.badServers > 0:
@@ -280,7 +282,7 @@
 	return r.random.Float64() < r.badRatio
 }
 
-// measuredRate is how many requests a second the daemons count.
+// measuredRate returns the requests per second that the daemons measure.
 func (r *simulation) measuredRate() (perSecond float64) {
 	for _, rate := range r.perSecond {
 		perSecond += rate
@@ -288,7 +290,7 @@
 	return perSecond * (0.9 + 0.2*r.random.Float64())
 }
 
-// decide takes the next step.
+// decide runs the next decision step.
 func (r *simulation) decide(now time.Duration) Step {
 	slices.SortStableFunc(r.delayed, func(a, b delayedSample) int { return cmp.Compare(a.dueAt, b.dueAt) })
 	n := 0
@@ -299,14 +301,14 @@
 	r.delayed = r.delayed[n:]
 	inFlight := 0
 	for _, end := range r.baselineEnds {
-		if end > now-100*time.Millisecond { // daemons tell at once that nothing is left
+		if end > now-100*time.Millisecond { // daemons report at once that nothing is in flight
 			inFlight++
 		}
 	}
 	var unanswered []Sample
 	r.unanswered = slices.DeleteFunc(r.unanswered, func(w delayedSample) bool { return w.dueAt <= now })
 	for _, w := range r.unanswered {
-		if age := now - w.sample.EndedAt; age > 500*time.Millisecond { // as the daemons told it last
+		if age := now - w.sample.EndedAt; age > 500*time.Millisecond { // age as of the daemon's last report
 			w.sample.Duration, w.sample.EndedAt = age-500*time.Millisecond, now
 			unanswered = append(unanswered, w.sample)
 		}
@@ -326,19 +328,19 @@
 	return step
 }
 
-// faults are the ways in which a version is bad. Where unsure, a version may be found good whose
-// fault few of the answers show before the end.
+// faults are the ways in which a version is bad. A version with mayComplete may complete, because
+// few of its responses show the fault before the end.
 var faults = []fault{
 	{name: "fails at once", badRatio: 0.3},
 	{name: "slow at once", badRatio: 1, slowdown: 4},
-	{name: "a part is slow", badRatio: 0.35, slowdown: 5},
+	{name: "some responses are slow", badRatio: 0.35, slowdown: 5},
 	{name: "fails later", badRatio: 0.4, onset: 5 * time.Second},
 	{name: "fails on the first route", badRatio: 0.5, route: 1},
-	{name: "few answers fail", badRatio: 0.15, mayComplete: true},
+	{name: "few responses fail", badRatio: 0.15, mayComplete: true},
 	{name: "fails under load", badRatio: 0.4, underLoadOnly: true, mayComplete: true},
 }
 
-// forEachFleet plays a test at all sizes, with and without zones of engines that die in series.
+// forEachFleet runs a test for all fleet sizes, with and without successive zone outages.
 func forEachFleet(test func(daemons int, zoneOutages bool)) {
 	for _, daemons := range []int{7, 61, 295} {
 		test(daemons, false)
@@ -346,11 +348,12 @@
 	}
 }
 
-// checkExposure plays roll-outs of a bad version and checks what the version got.
+// checkExposure simulates roll-outs of a bad version and checks how many requests it got and for
+// how long.
 func checkExposure(t *testing.T, service serviceModel, f fault) {
 	forEachFleet(func(daemons int, zoneOutages bool) {
 		r := runAll(service, f, daemons, zoneOutages)
-		name := fmt.Sprintf("%s, %s, %d daemons, losses %v", service.name, f.name, daemons, zoneOutages)
+		name := fmt.Sprintf("%s, %s, %d daemons, zone outages %v", service.name, f.name, daemons, zoneOutages)
 		t.Logf("%s: %v", name, r)
 		test.Zero(t, r.overLimit, test.Sprint(name))
 		test.LessEq(t, maxExposureAfterBad, r.maxExposureAfterBad, test.Sprint(name))
@@ -360,7 +363,8 @@
 	})
 }
 
-// A version that is bad in any way gets no more than it may, at any number of daemons.
+// A version with any of the faults must not get more requests than allowed, for any number of
+// daemons.
 func TestBadVersionsAreRolledBack(t *testing.T) {
 	for _, service := range []serviceModel{streamingService, callService} {
 		for _, f := range faults {
@@ -369,27 +373,27 @@
 	}
 }
 
-// Calls of a version that turns slow later are seen in time.
+// Calls of a version become slow after some time; this must be detected early enough.
 func TestCallsThatTurnSlow(t *testing.T) {
-	checkExposure(t, callService, fault{name: "slow later", badRatio: 0.5, slowdown: 4, onset: 4 * time.Second})
+	checkExposure(t, callService, fault{name: "becomes slow later", badRatio: 0.5, slowdown: 4, onset: 4 * time.Second})
 }
 
-// Long answers of a version that turns slow later are seen in time.
+// Long responses of a version become slow after some time; this must be detected early enough.
 func TestAnswersThatTurnSlow(t *testing.T) {
-	checkExposure(t, streamingService, fault{name: "slow later", badRatio: 0.5, slowdown: 4, onset: 4 * time.Second})
+	checkExposure(t, streamingService, fault{name: "becomes slow later", badRatio: 0.5, slowdown: 4, onset: 4 * time.Second})
 }
 
-// A version is bad on the one route that has a twentieth of the requests.
+// The version is bad on only one route, which has one twentieth of the requests.
 func TestBadOnARouteWithFewRequests(t *testing.T) {
 	checkExposure(t, streamingService, fault{name: "fails on the other route", badRatio: 0.6, route: 2})
 }
 
-// A good version is completed within its period, also beside zones that die.
+// A good version must complete within its period, also during zone outages.
 func TestGoodVersionsAreCompleted(t *testing.T) {
 	for _, service := range []serviceModel{streamingService, callService} {
 		forEachFleet(func(daemons int, zoneOutages bool) {
 			r := runAll(service, fault{name: "good"}, daemons, zoneOutages)
-			name := fmt.Sprintf("%s, %d daemons, losses %v", service.name, daemons, zoneOutages)
+			name := fmt.Sprintf("%s, %d daemons, zone outages %v", service.name, daemons, zoneOutages)
 			t.Logf("%s: %v", name, r)
 			test.Eq(t, *rollouts, r.completed, test.Sprint(name))
 			test.LessEq(t, service.period, r.latestEnd, test.Sprint(name))
@@ -397,29 +401,29 @@
 	}
 }
 
-// One server of a good version is bad by itself, which rarely takes the version back.
+// A single bad server of a good version must rarely cause a rollback.
 func TestOneBadServerOfAGoodVersion(t *testing.T) {
 	for _, service := range []serviceModel{streamingService, callService} {
 		forEachFleet(func(daemons int, zoneOutages bool) {
 			r := runAll(service, fault{name: "one server fails", badServers: 1, badRatio: 0.45}, daemons, zoneOutages)
-			name := fmt.Sprintf("%s, %d daemons, losses %v", service.name, daemons, zoneOutages)
+			name := fmt.Sprintf("%s, %d daemons, zone outages %v", service.name, daemons, zoneOutages)
 			t.Logf("%s: %v", name, r)
 			test.LessEq(t, max(1, *rollouts/5), r.rolledBack, test.Sprint(name))
 		})
 	}
 }
 
-// summary is what came of many roll-outs.
+// summary aggregates the results of many roll-outs.
 type summary struct {
 	completed, rolledBack, running, overLimit int
-	maxExposure                               float64 // the most, in terms of what is allowed
+	maxExposure                               float64 // maximum of result.exposure
 	maxExposureAfterBad, latestEnd            time.Duration
-	maxBaselineInFlight                       int      // the most
-	reasons                                   []string // of the unexpected ends
+	maxBaselineInFlight                       int      // maximum of result.baselineInFlight
+	reasons                                   []string // of the unexpected results
 }
 
 func (s summary) String() string {
-	return fmt.Sprintf("completed %d, rolled back %d, running %d, too much %d; exposed %.2f at most, last request %v after the 50th bad answer, end after %v, %d under way; %v",
+	return fmt.Sprintf("completed %d, rolled back %d, running %d, over the limit %d; max exposure %.2f, last request %v after the 50th bad response, latest end %v, %d in flight; %v",
 		s.completed, s.rolledBack, s.running, s.overLimit, s.maxExposure, s.maxExposureAfterBad, s.latestEnd, s.maxBaselineInFlight, s.reasons)
 }
 
--- a/decision/rollout/plan.go
+++ b/decision/rollout/plan.go
@@ -2,35 +2,38 @@
 
 import "time"
 
-// Limits are what an operator allows.
+// Limits bound the requests that a bad version may get. The operator sets them.
 type Limits struct {
-	// Share is the part of a service's requests that a bad version may get, 0 to 1, and Slack how
-	// many it may get beyond that.
+	// Share is the fraction of a service's requests that a bad version may get, from 0 to 1; Slack
+	// is the number of requests that it may get in addition.
 	Share, Slack float64
 }
 
-// Input is what the next step is decided by.
+// Input holds everything that the next step depends on.
 type Input struct {
 	State  State
 	Limits Limits
-	// Elapsed is how long ago the order was given, at most; Period is the time for all of it.
+	// Elapsed is an upper bound of the time since the order was given; Period is the time allowed
+	// for the whole roll-out.
 	Elapsed, Period time.Duration
-	// BaselineServers and Target are the servers of both versions that take requests.
+	// BaselineServers and TargetServers count the servers of each version that accept requests.
 	BaselineServers, TargetServers int
-	// DaemonsReporting is how many of Daemons told lately what they saw.
+	// DaemonsReporting is how many of the Daemons reported their samples recently.
 	DaemonsReporting, Daemons int
-	// RequestsPerSecond is how many requests of the service begin, and Drawn how many were drawn for the
-	// target.
+	// RequestsPerSecond is the rate of new requests to the service, and TargetRequests is how many
+	// requests were selected for the target so far.
 	RequestsPerSecond float64
 	TargetRequests    int
-	// BaselineInFlight is how many requests are under way at the version before.
+	// BaselineInFlight is the number of requests in flight on the baseline.
 	BaselineInFlight int
-	// DefaultResponseTime is how long an answer takes at most while none of the version before was seen; 0 where
-	// nothing is known.
+	// DefaultResponseTime is the longest expected response time, used while there is no sample of
+	// the baseline; 0 if it is unknown.
 	DefaultResponseTime time.Duration
-	// CanMigrate says that an answer can go on at another server from a copy.
+	// CanMigrate says that a response in progress can continue on another server from a copy of its
+	// state.
 	CanMigrate bool
-	// Evidence is all that was seen, and Waiting what waits now.
+	// Evidence holds all samples of the roll-out, and Unanswered the requests that currently wait
+	// for a response.
 	Evidence   *Evidence
 	Unanswered []Sample
 }
@@ -53,7 +56,7 @@
 	DeadlineReached Reason = "time_is_up"
 )
 
-// Step is what the roll-out comes to next.
+// Step is the next state of a roll-out.
 type Step struct {
 	State    State
 	Reason   Reason
@@ -61,45 +64,53 @@
 }
 
 const (
-	// completionMargin is kept at the end of the period for the last step to be written and read, and
-	// longFinish where answers are long: the order may be older than it seems.
+	// completionMargin is reserved at the end of the period for writing the last step and for the
+	// daemons to read it; streamCompletionMargin is the same where responses can migrate. Both also
+	// cover an order that is older than Input.Elapsed says.
 	completionMargin       = 700 * time.Millisecond
 	streamCompletionMargin = 1500 * time.Millisecond
-	// minDrainTime is what short answers take to end at all daemons, and what it takes to hear that.
+	// minDrainTime is the time that short responses need to finish at all daemons and that the
+	// reports of it take to arrive.
 	minDrainTime = 200 * time.Millisecond
-	// streamCutoverRatio is the part of the period after which the target gets everything where answers
-	// are too long to end within the rest, and can go on elsewhere.
+	// streamCutoverRatio is the earliest point of the period at which the target gets all requests,
+	// where responses are too long to finish in the remaining time but can migrate.
 	streamCutoverRatio = 0.66
-	// minCutoverRatio is the same for answers that cannot.
+	// minCutoverRatio is the same for responses that cannot migrate.
 	minCutoverRatio = 0.25
-	// migrationTime is the time for answers under way to go on elsewhere before the end.
+	// migrationTime is reserved before the end for moving the responses in progress.
 	migrationTime = 1300 * time.Millisecond
-	// longCanaryRatio and fewShort are the share of few, in terms of the limit, where answers are long and
-	// where they are short: what is bad at once shows in a moment.
+	// longCanaryRatio and shortCanaryRatio are the canary share as a fraction of the limit, for
+	// long and for short responses: with short responses a version that is bad from the start is
+	// detected almost immediately.
 	longCanaryRatio, shortCanaryRatio = 0.85, 0.4
-	// minPartialRatio and mostSome bound the share after it: the first in terms of the limit.
+	// minPartialRatio and maxPartialShare bound the share of the Partial stage; minPartialRatio is
+	// a fraction of the limit.
 	minPartialRatio, maxPartialShare = 0.15, 0.4
-	// orderAgeUncertainty is by how much the order may be younger than it seems.
+	// orderAgeUncertainty is how much younger the order may be than Input.Elapsed says.
 	orderAgeUncertainty = 200 * time.Millisecond
-	// rateWarmup is how long it takes to know how many requests there are.
+	// rateWarmup is the time needed to measure the request rate.
 	rateWarmup = 2500 * time.Millisecond
-	// minTargetPerSecond is how many drawn requests a second show routes with few of them too.
+	// minTargetPerSecond is the rate of selected requests that is enough to also cover routes with
+	// few requests.
 	minTargetPerSecond = 15
-	// usableSlackRatio is the part of the slack that is planned with.
+	// usableSlackRatio is the fraction of the slack that the plan uses.
 	usableSlackRatio = 0.8
-	// detectionTime is how long the target gets everything before what is bad of it is noticed.
+	// detectionTime is how long the target gets all requests before a regression is detected.
 	detectionTime = 1500 * time.Millisecond
-	// minTargetSamples is how many samples of the target show that it works, or those of half of the requests
-	// that were drawn where these are few.
+	// minTargetSamples is the number of target samples that show that the target works. If few
+	// requests were selected, half of these are enough.
 	minTargetSamples = 12
-	// quorumRatio is the part of the daemons that have to be heard before the target gets more.
+	// quorumRatio is the fraction of daemons that must have reported before the target gets more
+	// requests.
 	quorumRatio = 0.5
 )
 
-// schedule is when the target gets more, in time since the order.
+// schedule holds the times since the order at which the Full stage, the Migrating stage and the end
+// of the roll-out are due.
 type schedule struct{ full, migrate, end time.Duration }
 
-// newSchedule is as late as the answers under way allow.
+// newSchedule returns the latest schedule that leaves the responses in progress enough time to
+// finish.
 func newSchedule(in Input, p95 time.Duration) schedule {
 	if p95 == 0 {
 		p95 = in.DefaultResponseTime
@@ -110,7 +121,7 @@
 	}
 	full := end - max(minDrainTime, p95+p95/3)
 	if p95 == 0 {
-		full = 0 // none is known to be short
+		full = 0 // no response is known to be short
 	}
 	earliest := time.Duration(minCutoverRatio * float64(in.Period))
 	if in.CanMigrate {
@@ -119,8 +130,8 @@
 	return schedule{full: max(full, earliest), migrate: end - migrationTime, end: end}
 }
 
-// canaryShare is the share with which the target begins. Where answers are short most of what a bad version
-// may have is kept for the end.
+// canaryShare returns the share of the Canary stage. With short responses, most of the requests
+// that a bad version may get are reserved for the end.
 func canaryShare(in Input) float64 {
 	if in.Period-newSchedule(in, 0).full < time.Duration(in.Limits.Share*float64(in.Period)) {
 		return shortCanaryRatio * in.Limits.Share
@@ -128,10 +139,11 @@
 	return longCanaryRatio * in.Limits.Share
 }
 
-// partialShare is the share that the target gets from now until it gets everything: of what a bad version
-// may have, all but what it has had, and what it gets then until it is noticed. Where answers are
-// short everything it gets stays below the bound, so that one that turns bad at the end does not get
-// too much either. Where there are few requests the slack makes it more than the limit's share.
+// partialShare returns the share of the Partial stage. It spends what a bad version may get, minus
+// the requests that the target already had and those that it will get in the Full stage until a
+// regression is detected. With short responses the total stays below the limit, so that a version
+// that turns bad at the end does not exceed it either. With few requests the slack raises the share
+// above the share of the limit.
 func partialShare(in Input, sched schedule) float64 {
 	allowed := in.Limits.Share*in.RequestsPerSecond*in.Period.Seconds() + usableSlackRatio*in.Limits.Slack
 	fullExposure := min(detectionTime, in.Period-sched.full+orderAgeUncertainty).Seconds() * in.RequestsPerSecond
@@ -143,10 +155,10 @@
 	return min(maxPartialShare, max(minShare, (allowed-fullExposure-float64(in.TargetRequests))/remaining))
 }
 
-// stay is the step of a roll-out that stays where it is.
+// stay returns a step that leaves the state unchanged.
 func (in Input) stay(r Reason) Step { return Step{State: in.State, Reason: r} }
 
-// moveTo is the step to another stage.
+// moveTo returns a step to another stage.
 func (in Input) moveTo(stage Stage, share float64, r Reason, a Analysis) Step {
 	in.State.Stage, in.State.Share = stage, share
 	return Step{State: in.State, Reason: r, Analysis: a}
@@ -195,7 +207,7 @@
 	return in.stay(TooEarly)
 }
 
-// start starts a roll-out once there is a server of the target.
+// start starts a roll-out once there is a target server.
 func start(in Input) Step {
 	switch {
 	case in.State.Baseline == in.State.Target:
@@ -210,10 +222,11 @@
 	return in.moveTo(Canary, canaryShare(in), Started, Analysis{})
 }
 
-// requiredSamples is how many samples of the target there have to be before it gets everything.
+// requiredSamples returns the number of target samples needed before the target gets all requests.
 func (in Input) requiredSamples() int { return min(minTargetSamples, (in.TargetRequests+1)/2) }
 
-// promote gives the target more, if it is as good as the version before.
+// promote moves the roll-out to a stage with a larger share if the target is no worse than the
+// baseline.
 func promote(in Input, a Analysis, stage Stage, share float64) Step {
 	switch {
 	case a.PValue < promotionSignificance:
@@ -232,7 +245,7 @@
 	return in.moveTo(stage, share, NotWorse, a)
 }
 
-// complete ends a roll-out whose target is as good as the version before.
+// complete ends a roll-out if the target is no worse than the baseline.
 func complete(in Input, a Analysis, r Reason) Step {
 	if a.PValue < promotionSignificance && in.State.Baseline != in.State.Target {
 		return in.moveTo(RolledBack, 0, Worse, a)
--- a/decision/rollout/rollout.go
+++ b/decision/rollout/rollout.go
@@ -1,23 +1,24 @@
-// Package rollout decides how a service moves from one version of its servers to another: which
-// versions may serve, what share of the requests the new one gets, and when it is completed or
-// taken back.
+// Package rollout decides how a service moves from one version of its backend servers, the
+// baseline, to another, the target: which versions may serve, what share of the requests the target
+// gets, and when the roll-out completes or is rolled back.
 //
-// Load it answers: servers of a new version start beside those of the old one, and the new one may
-// be bad: a part of its answers fail or come several times slower, at once or later, under load or
-// on one route only. Hundreds of daemons each see a few requests of the service a second, most of
-// them none that went to the new version.
+// Load pattern: servers of a new version start beside those of the old one, and the new version may
+// be bad: some of its responses fail or take several times longer, immediately or later, only under
+// load or only on one route. Hundreds of daemons each see a few requests per second of the service,
+// and most of them see none that went to the new version.
 //
-// Without it new servers get requests like any others, half of them at once, and a bad version
-// answers those for as long as it is there. Where each daemon tries it with one request to begin
-// with, hundreds of daemons add up to more than a bad version may get.
+// Without this package, new servers receive requests like any others, half of them at once, and a
+// bad version keeps answering its part for as long as it is deployed. If each daemon instead
+// started with one trial request, hundreds of daemons together would exceed the number of requests
+// that a bad version may get.
 //
-// How it decides: each request that a caller sends is drawn by itself, with the same probability at
-// every daemon, so that the share holds for any number of daemons and any load, whether or not they
-// hear each other. One request goes to the new version once at most; whatever follows it goes to
-// the old one. Drawn requests go to few of the new servers, which carry the load of an old one each.
-// What all daemons saw is added up by one, which compares the versions in the same seconds. The
-// share grows as late as the time that answers take allows, since what turns bad later, or under
-// load, is only seen later.
+// Decision: each new request is selected for the target independently, with the same probability at
+// every daemon, so the share holds for any number of daemons and any load, whether or not the
+// daemons can reach each other. A request goes to the target at most once; its retries go to the
+// baseline. Selected requests go to only a few target servers, each of which then carries the load
+// of one baseline server. One daemon aggregates what all daemons observed and compares the versions
+// over the same time intervals. The share is increased as late as response times permit, because
+// regressions that appear later or under load can only be detected later.
 package rollout
 
 import (
@@ -25,35 +26,37 @@
 	"strings"
 )
 
-// Stage is how far a roll-out has come. Stages of one roll-out only grow.
+// Stage is how far a roll-out has progressed. Within one roll-out it never goes back.
 type Stage uint8
 
 // The stages.
 const (
-	// Idle: there is no roll-out.
+	// Idle means that there is no roll-out.
 	Idle Stage = iota
-	// Pending: one is ordered and has not begun.
+	// Pending means that a roll-out is ordered but has not started.
 	Pending
-	// Few: a share of the requests is drawn for few servers of the target.
+	// Canary sends a small share of the requests to a few target servers.
 	Canary
-	// Some: a larger share is.
+	// Partial sends a larger share of the requests to the target.
 	Partial
-	// All: the target is sent every request; answers under way end where they are.
+	// Full sends every new request to the target; requests in flight finish on the server they run
+	// on.
 	Full
-	// Last: answers under way at the version before go on at the target.
+	// Migrating also moves the responses in progress on the baseline to the target.
 	Migrating
-	// Completed: the version before is gone. It outweighs RolledBack: its servers have stopped.
+	// Completed means that the baseline is retired. It takes precedence over RolledBack because the
+	// baseline servers have stopped.
 	Completed
-	// RolledBack: the target gets nothing any more.
+	// RolledBack means that the target receives no more requests.
 	RolledBack
 )
 
-// String returns the word used in logs and in the store.
+// String returns the name used in logs and in the store.
 func (s Stage) String() string { return stageNames[min(int(s), len(stageNames)-1)] }
 
 var stageNames = [...]string{"idle", "pending", "few", "some", "all", "last", "completed", "rolled_back"}
 
-// ParseStage reads what String wrote; ok is false for anything else.
+// ParseStage parses the result of String; ok is false for any other text.
 func ParseStage(text string) (s Stage, ok bool) {
 	for i, name := range stageNames {
 		if name == text {
@@ -63,29 +66,30 @@
 	return Idle, false
 }
 
-// IsTerminal reports whether a roll-out is at its end.
+// IsTerminal reports whether the roll-out has ended.
 func (s Stage) IsTerminal() bool { return s == Completed || s == RolledBack }
 
-// IsRunning reports whether both versions serve.
+// IsRunning reports whether both versions serve requests.
 func (s Stage) IsRunning() bool { return s >= Canary && s <= Migrating }
 
-// State is what is believed of a service's roll-out. The zero value is that of a service of which
+// State is what a daemon knows of a service's roll-out. The zero value describes a service of which
 // nothing is known yet.
 type State struct {
-	// OrderRevision is the store's revision of the order; 0 where there was none.
+	// OrderRevision is the store revision of the operator's order; 0 if there is none.
 	OrderRevision int64
-	// Baseline is the version that served before; "" if there is none.
+	// Baseline is the version that served before the roll-out; "" if there is none.
 	Baseline string
 	Target   string
 	Stage    Stage
-	// Share is the part of the requests that is drawn for the target, 0 to 1.
+	// Share is the fraction of requests selected for the target, from 0 to 1.
 	Share float64
-	// CommonRoutes are the routes with many requests, as whom decides knows them: others are drawn more
-	// often. "" while each daemon goes by what it sees itself.
+	// CommonRoutes lists the routes with many requests as seen by the deciding daemon; requests of
+	// other routes are selected more often. While it is "", each daemon uses its own request
+	// counts.
 	CommonRoutes string
 }
 
-// ServesByDefault reports whether a version serves any request.
+// ServesByDefault reports whether a version serves requests that were not selected for the target.
 func (s State) ServesByDefault(version string) bool {
 	switch s.Stage {
 	case Full, Migrating, Completed:
@@ -94,7 +98,7 @@
 	return version == s.Baseline
 }
 
-// IsBlocked reports whether a version may run nothing at all.
+// IsBlocked reports whether a version must not receive any request.
 func (s State) IsBlocked(version string) bool {
 	switch {
 	case s.ServesByDefault(version):
@@ -107,20 +111,20 @@
 	return true
 }
 
-// ShouldMigrate reports whether answers under way at a version go on elsewhere.
+// ShouldMigrate reports whether responses in progress on a version must continue on another server.
 func (s State) ShouldMigrate(version string) bool {
 	return s.Stage == Migrating && version != s.Target || s.Stage == RolledBack && version == s.Target
 }
 
-// separator parts the names in State.Common, of which there are maxCommon at most.
+// routeSeparator separates the at most maxCommonRoutes names in State.CommonRoutes.
 const (
 	routeSeparator  = "\n"
 	maxCommonRoutes = 16
 )
 
-// RoutesToTarget reports whether a request that begins goes to the target; draw is in [0, 1). Requests of
-// rare routes are drawn more often: a version that is bad on one of them would not be seen there
-// before it has all.
+// RoutesToTarget reports whether a new request goes to the target; draw is in [0, 1). Requests of
+// rare routes are selected more often, because otherwise a version that is bad only on a rare route
+// would not be detected before it gets all requests.
 func (s State) RoutesToTarget(draw float64, route string, counter *RouteCounter) bool {
 	weight := counter.countAndWeigh(route)
 	switch {
@@ -140,26 +144,27 @@
 }
 
 const (
-	// minRouteWeight and mostWeight bound the weight of a route: few requests of many routes must not
-	// add up to more than the share.
+	// minRouteWeight and maxRouteWeight bound the weight of a route, so that many routes with few
+	// requests each do not exceed the share in total.
 	minRouteWeight, maxRouteWeight = 0.7, 3
-	// rareRouteWeight is that of a route which is known to have few.
+	// rareRouteWeight is the weight of a route that is missing from State.CommonRoutes.
 	rareRouteWeight = 4
-	// maxCountedRoutes bounds the routes that are counted; those beyond it weigh 1.
+	// maxCountedRoutes bounds the number of counted routes; any further route has weight 1.
 	maxCountedRoutes = 64
 )
 
-// RouteCounter counts the requests of a service by route. The zero value has counted none. It is not safe
+// RouteCounter counts the requests of a service by route. The zero value is empty. It is not safe
 // for concurrent use.
 type RouteCounter struct {
 	routes          map[string]int
 	total, selected int
 }
 
-// Totals is how many requests were counted, and how many of them drawn.
+// Totals returns the number of counted requests and how many of them were selected for the target.
 func (c *RouteCounter) Totals() (total, selected int) { return c.total, c.selected }
 
-// countAndWeigh counts a request and returns how much more often than others those of its route are drawn.
+// countAndWeigh counts a request and returns the selection weight of its route relative to the
+// average route.
 func (c *RouteCounter) countAndWeigh(route string) float64 {
 	if c.routes == nil {
 		c.routes = map[string]int{}
@@ -173,8 +178,9 @@
 	return min(maxRouteWeight, max(minRouteWeight, mean/float64(c.routes[route])))
 }
 
-// Merge is the state that holds of two that were heard of one service. Two that run to the same
-// target are of one roll-out, whose order was written more than once.
+// Merge returns the state that results from two reported states of one service, in either order.
+// Two running states with the same target belong to one roll-out whose order was written more than
+// once.
 func Merge(a, b State) State {
 	if a.OrderRevision < b.OrderRevision {
 		a, b = b, a
@@ -199,18 +205,18 @@
 	return int(s.Stage)
 }
 
-// Order is what an operator asks for.
+// Order is an operator's order to roll out a version.
 type Order struct {
 	Revision int64
 	Target   string
 }
 
-// Resolve is what holds of a service: order is the newest known, nil for none; stored is what lies
-// in the store, nil for nothing; before is what was believed until now, with what other daemons
-// told; present counts the servers of each version.
+// Resolve returns the current state of a service. order is the newest known order, nil if there is
+// none; stored is the state in the store, nil if there is none; previous is the state known so far,
+// including what other daemons reported; serverCounts is the number of servers of each version.
 //
-// The same order written twice is one roll-out while that runs. One that is written again after its
-// end is a new one.
+// Writing the same order again while its roll-out is running has no effect; writing it after the
+// end starts a new roll-out.
 func Resolve(order *Order, stored *State, previous State, serverCounts map[string]int) State {
 	current := previous
 	if stored != nil {
@@ -229,7 +235,7 @@
 	return current
 }
 
-// baselineFor is the version that serves while nothing of a new order is done.
+// baselineFor returns the version that serves before a new order takes effect.
 func (s State) baselineFor(serverCounts map[string]int, target string) string {
 	switch {
 	case s.Stage == Completed:
@@ -240,8 +246,8 @@
 	return mostDeployed(serverCounts, target)
 }
 
-// mostDeployed is the version with the most servers, another than except if there is one; of equals the
-// first by name.
+// mostDeployed returns the version with the most servers, preferring any version other than
+// excluded. Ties go to the first version by name.
 func mostDeployed(serverCounts map[string]int, excluded string) string {
 	best := ""
 	for version, n := range serverCounts {
--- a/decision/rollout/rollout_test.go
+++ b/decision/rollout/rollout_test.go
@@ -6,7 +6,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Each stage says what each version may run.
+// Checks for every stage which versions serve, which are blocked, and whether a request can be
+// selected for the target.
 func TestVersionsServedInEachStage(t *testing.T) {
 	for _, c := range []struct {
 		stage                           Stage
@@ -42,7 +43,7 @@
 	must.False(t, ok)
 }
 
-// What was heard in any order comes to the same.
+// Daemons may hear of two states in either order and must arrive at the same result.
 func TestMerge(t *testing.T) {
 	at := func(order int64, target string, stage Stage) State {
 		return State{OrderRevision: order, Baseline: "v1", Target: target, Stage: stage}
@@ -52,8 +53,8 @@
 		a, b, want State
 	}{
 		{"a later stage", at(5, "v2", Canary), at(5, "v2", Full), at(5, "v2", Full)},
-		{"a bad version outweighs what it had come to", at(5, "v2", Migrating), at(5, "v2", RolledBack), at(5, "v2", RolledBack)},
-		{"servers that have stopped cannot be gone back to", at(5, "v2", Completed), at(5, "v2", RolledBack), at(5, "v2", Completed)},
+		{"a rollback overrides any earlier stage", at(5, "v2", Migrating), at(5, "v2", RolledBack), at(5, "v2", RolledBack)},
+		{"a completed roll-out cannot be rolled back", at(5, "v2", Completed), at(5, "v2", RolledBack), at(5, "v2", Completed)},
 		{"a newer order", at(5, "v2", RolledBack), at(7, "v3", Pending), at(7, "v3", Pending)},
 		{"the same order twice", at(5, "v2", Full), at(7, "v2", Canary), at(7, "v2", Full)},
 		{"the same order after its end", at(5, "v2", RolledBack), at(7, "v2", Canary), at(7, "v2", Canary)},
@@ -78,20 +79,20 @@
 		serverCounts map[string]int
 		want         State
 	}{
-		{"nothing was ordered", nil, nil, State{}, map[string]int{"v1": 4}, State{Baseline: "v1"}},
-		{"servers that no order allows", nil, nil, State{Baseline: "v1"}, map[string]int{"v1": 1, "v2": 4}, State{Baseline: "v1"}},
+		{"no order", nil, nil, State{}, map[string]int{"v1": 4}, State{Baseline: "v1"}},
+		{"servers of a version without an order", nil, nil, State{Baseline: "v1"}, map[string]int{"v1": 1, "v2": 4}, State{Baseline: "v1"}},
 		{"all servers were replaced without an order", nil, nil, State{Baseline: "v1"}, map[string]int{"v2": 4}, State{Baseline: "v2"}},
 		{"an order", &Order{5, "v2"}, nil, State{Baseline: "v1"}, both, State{OrderRevision: 5, Baseline: "v1", Target: "v2", Stage: Pending}},
 		{"an order before any server is known", &Order{5, "v2"}, nil, State{}, nil, State{OrderRevision: 5, Target: "v2", Stage: Pending}},
-		{"its servers come", &Order{5, "v2"}, nil, State{OrderRevision: 5, Target: "v2", Stage: Pending}, both, State{OrderRevision: 5, Baseline: "v1", Target: "v2", Stage: Pending}},
-		{"an order for what runs", &Order{5, "v1"}, nil, State{Baseline: "v1"}, map[string]int{"v1": 4}, State{OrderRevision: 5, Baseline: "v1", Target: "v1", Stage: Pending}},
-		{"a daemon that starts in the middle", &Order{5, "v2"}, &running, State{}, both, running},
-		{"a daemon that was told more", &Order{5, "v2"}, &running, *end(running, RolledBack), both, *end(running, RolledBack)},
+		{"servers of the target register", &Order{5, "v2"}, nil, State{OrderRevision: 5, Target: "v2", Stage: Pending}, both, State{OrderRevision: 5, Baseline: "v1", Target: "v2", Stage: Pending}},
+		{"an order for the current version", &Order{5, "v1"}, nil, State{Baseline: "v1"}, map[string]int{"v1": 4}, State{OrderRevision: 5, Baseline: "v1", Target: "v1", Stage: Pending}},
+		{"a daemon that starts during the roll-out", &Order{5, "v2"}, &running, State{}, both, running},
+		{"a daemon with a newer state from another daemon", &Order{5, "v2"}, &running, *end(running, RolledBack), both, *end(running, RolledBack)},
 		{"a daemon that starts after the end", &Order{5, "v2"}, end(running, Completed), State{}, both, *end(running, Completed)},
-		{"another target in the middle", &Order{9, "v3"}, &running, running, both, State{OrderRevision: 9, Baseline: "v1", Target: "v3", Stage: Pending}},
-		{"back to the version before in the middle", &Order{9, "v1"}, &running, running, both, State{OrderRevision: 9, Baseline: "v1", Target: "v1", Stage: Pending}},
-		{"after one that was completed", &Order{9, "v3"}, end(running, Completed), State{}, both, State{OrderRevision: 9, Baseline: "v2", Target: "v3", Stage: Pending}},
-		{"after one that was rolled back", &Order{9, "v2"}, end(running, RolledBack), State{}, both, State{OrderRevision: 9, Baseline: "v1", Target: "v2", Stage: Pending}},
+		{"another target during the roll-out", &Order{9, "v3"}, &running, running, both, State{OrderRevision: 9, Baseline: "v1", Target: "v3", Stage: Pending}},
+		{"back to the baseline during the roll-out", &Order{9, "v1"}, &running, running, both, State{OrderRevision: 9, Baseline: "v1", Target: "v1", Stage: Pending}},
+		{"after a completed roll-out", &Order{9, "v3"}, end(running, Completed), State{}, both, State{OrderRevision: 9, Baseline: "v2", Target: "v3", Stage: Pending}},
+		{"after a rollback", &Order{9, "v2"}, end(running, RolledBack), State{}, both, State{OrderRevision: 9, Baseline: "v1", Target: "v2", Stage: Pending}},
 		{"the same order again", &Order{9, "v2"}, &running, running, both, State{OrderRevision: 9, Baseline: "v1", Target: "v2", Stage: Canary, Share: 0.05}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -102,7 +103,7 @@
 	}
 }
 
-// Routes with few requests are drawn more often, and all together about as often as the share says.
+// Requests of rare routes are selected more often, while the total stays close to the share.
 func TestRareRoutesAreSampledMoreOften(t *testing.T) {
 	var m RouteCounter
 	common, rare := 0.0, 0.0
--- a/decision/takeover/takeover.go
+++ b/decision/takeover/takeover.go
@@ -1,51 +1,51 @@
-// Package takeover decides when an answer that has fallen silent goes on at another
-// server, and which of two servers keeps it meanwhile.
+// Package takeover decides when a response whose server has gone silent continues on another
+// server, and which of the two servers keeps the response in the meantime.
 //
-// Load it answers: the link of a VM that is full for a second, so that everything a
-// daemon waits for is late at once; a server that pauses, since it reads prompts or has
-// thrown out the run; a zone of servers that stops responding without a reset.
+// Load pattern: a VM's network link that is saturated for a second, so that everything a daemon
+// waits for is late at the same time; a server that pauses because it processes prompts or has
+// evicted the run; an availability zone whose servers stop responding without a connection reset.
 //
-// Without it every silence counts as the death of a server. The daemon closes the
-// connection first and looks for another server afterwards. Behind a full link it gives up
-// all its answers so, none of which was lost, finds no server that answers and no repeat
-// that the budget affords, and cuts them.
+// Without this package, every silence is treated as a server failure: the daemon closes the
+// connection first and looks for another server afterwards. Behind a saturated link it thereby
+// gives up all its responses, none of which was lost, finds no reachable server and no retry left
+// in the budget, and cuts the responses off.
 //
-// How it holds: a silent server keeps its answer until another one has answered a question
-// a moment ago, which shows that the link works, until the budget affords the repeat, and
-// until the other has taken the request. A server that has shown that the run is over, by a
-// reset or by starting anew, is no concern of this package. One that gives no sign of life
-// while others do is given up where the answer can never go on.
+// Decision: a silent server keeps its response until another server has just answered a probe,
+// which shows that the link works, until the budget permits the retry, and until the other server
+// has accepted the request. A server whose run has provably ended, by a connection reset or a
+// restart, is not handled here. A server that answers no probe while others do is given up if its
+// response can never continue.
 package takeover
 
 import "time"
 
 const (
-	// SilenceWithCopy is how long an answer whose run has a copy may be silent at least, and
-	// half of the route's target for pauses if that is more: going on from the copy has
-	// to fit into the other half.
+	// SilenceWithCopy is the least silence that is tolerated if a copy of the run's state exists.
+	// It is half of the route's gap target if that is longer: resuming from the copy must fit into
+	// the other half.
 	SilenceWithCopy = 350 * time.Millisecond
-	// SilenceWithoutCopy holds without a copy, where going on costs the reading of the whole prompt:
-	// the answer is late then in any case.
+	// SilenceWithoutCopy applies if there is no copy. Resuming then means processing the whole
+	// prompt again, so the response is late in any case.
 	SilenceWithoutCopy = 1500 * time.Millisecond
-	// RetryInterval is how soon another try is made after one that came to nothing.
+	// RetryInterval is the time to the next attempt after a takeover that failed.
 	RetryInterval = 200 * time.Millisecond
-	// GiveUpAfter is how long an answer is silent before it is given up for want of a
-	// repeat, a server or room, where its server responds to no question either. Part of
-	// the budget is free again by then.
+	// GiveUpAfter is how long a response may be silent before it is given up for lack of retry
+	// budget, servers or capacity, if its server answers no probe either. Part of the budget is
+	// available again by then.
 	GiveUpAfter = 2 * time.Second
-	// SettleTime is how long the silent server is listened to once another has answered:
-	// what a full link held up arrives in the same moment as that answer.
+	// SettleTime is how long the daemon still listens to the silent server after another server has
+	// answered: data held up by a saturated link arrives together with that answer.
 	SettleTime = 5 * time.Millisecond
-	// MaxLinkStall is the longest that the own link is taken to be held up.
+	// MaxLinkStall is the longest time for which silence is attributed to the daemon's own link.
 	MaxLinkStall = 2 * time.Second
-	// MaxOverlap is how long two engines may have the request of one answer while the silent
-	// one gives no sign of life: longer than one step of a batch beside a prompt, and less
-	// than the time within which a run that is given up must have ended.
+	// MaxOverlap is how long two engines may hold the request of one response while the silent one
+	// sends nothing. It is longer than one step of a batch that also processes a prompt, and
+	// shorter than the time within which an abandoned run must have ended.
 	MaxOverlap = 250 * time.Millisecond
 )
 
-// MaxSilence is how long an answer may be silent. gapTarget is the route's target for
-// pauses, 0 if it has none.
+// MaxSilence returns how long a response may be silent. gapTarget is the route's target for the
+// longest gap in a response, 0 if it has none.
 func MaxSilence(hasCopy bool, gapTarget time.Duration) time.Duration {
 	if hasCopy {
 		return min(max(SilenceWithCopy, gapTarget/2), SilenceWithoutCopy)
@@ -53,73 +53,74 @@
 	return max(SilenceWithoutCopy, 2*gapTarget)
 }
 
-// Outcome is what came of a try to go on elsewhere.
+// Outcome is the result of an attempt to continue on another server.
 type Outcome uint8
 
-// The outcomes. With all but TakenOver the silent server keeps the answer.
+// The outcomes. With all but TakenOver the silent server keeps the response.
 const (
 	TakenOver      Outcome = iota + 1
 	NoAttemptsLeft         // the route allows no further run
 	NoServer               // no other server answers
-	StillAlive             // the silent server answers questions, and its run has no copy
-	NoCapacity             // the servers that answer cannot read the prompt in time
-	NoRetryBudget          // the budget affords none
-	Rejected               // the other server did not take the request
+	StillAlive             // the silent server answers probes, and its run has no copy
+	NoCapacity             // the servers that answer cannot process the prompt in time
+	NoRetryBudget          // the retry budget is exhausted
+	Rejected               // the other server did not accept the request
 	NotNeeded              // the silent server responded again, its connection broke, or the caller left
 )
 
-// String returns the word used in logs.
+// String returns the name used in logs.
 func (o Outcome) String() string {
 	return [...]string{"", "taken_over", "no_tries", "no_server", "alive", "no_room", "no_repeat", "turned_away", "not_needed"}[o]
 }
 
-// ServerState is what a server has done since both are connected.
+// ServerState is what a server has sent since both servers have a connection.
 type ServerState uint8
 
-// The states.
+// The server states.
 const (
 	Silent ServerState = iota
 	Responding
-	Broken // its connection broke, or it did not take the request
+	Broken // its connection broke, or it did not accept the request
 )
 
-// Action is what is done next with the two servers.
+// Action is what the daemon does next with the two servers.
 type Action uint8
 
-// The steps.
+// The actions.
 const (
 	Wait   Action = iota
-	Keep          // the silent server keeps the answer, the other is let go
-	Switch        // the answer goes on at the other server
+	Keep          // the silent server keeps the response, the other one is released
+	Switch        // the response continues on the other server
 )
 
-// Decide decides between the silent server and the one that was sent the request after it.
-// over says that the two are not waited for any longer.
+// Decide chooses between the silent server and the one that received the request after it. over
+// says that the daemon stops waiting for both.
 func Decide(silent, other ServerState, over bool) Action {
 	switch {
 	case silent == Responding:
-		return Keep // nothing was lost, and its run is the further one
+		return Keep // nothing was lost, and its run is further ahead
 	case other == Responding:
 		return Switch
 	case other == Broken:
-		return Keep // a broken connection of the first is dealt with as any other
+		return Keep // a broken connection of the silent server is handled like any other
 	case silent == Broken || over:
 		return Switch
 	}
 	return Wait
 }
 
-// IsOverlapOver reports whether two servers that both have the request, and of which neither has
-// responded to it for Overlap, are not waited for any longer. Each was asked a question since.
-// While the silent one answers, the link from here works, and the other's response would be
-// here if it ran the request. While neither does, the link is held up, for HeldUp at most.
+// IsOverlapOver reports whether the daemon stops waiting for two servers that both hold the request
+// and have sent nothing for MaxOverlap. Both were probed since. If the silent server answers the
+// probe, the daemon's link works, and a response of the other server would have arrived if it ran
+// the request. If neither answers, the link is assumed to be held up, for at most MaxLinkStall.
 func IsOverlapOver(silentAnswers, otherAnswers bool, waited time.Duration) bool {
 	return !silentAnswers && (otherAnswers || waited >= MaxLinkStall)
 }
 
-// ShouldGiveUp reports whether a silent answer is given up if its server answers no question
-// either: at once where it can never go on, and after a while where nothing came of waiting. The caller is told then,
-// so that it comes back elsewhere. An answer whose server works is waited for.
+// ShouldGiveUp reports whether a silent response is given up, given that its server answers no
+// probe either: immediately if it can never continue, and after GiveUpAfter if waiting did not
+// help. The caller is then told and can retry elsewhere. The response of a server that answers
+// probes is never given up.
 func ShouldGiveUp(o Outcome, silent time.Duration) bool {
 	switch o {
 	case NoAttemptsLeft:
--- a/decision/takeover/takeover_test.go
+++ b/decision/takeover/takeover_test.go
@@ -16,10 +16,10 @@
 	}{
 		{"copy, no target", true, 0, SilenceWithCopy},
 		{"copy, usual target", true, 700 * time.Millisecond, 350 * time.Millisecond},
-		{"copy, wide target", true, 2 * time.Second, time.Second},
-		{"copy, target beyond reading anew", true, 10 * time.Second, SilenceWithoutCopy},
-		{"alone, no target", false, 0, SilenceWithoutCopy},
-		{"alone, wide target", false, 2 * time.Second, 4 * time.Second},
+		{"copy, long target", true, 2 * time.Second, time.Second},
+		{"copy, target longer than processing the prompt again", true, 10 * time.Second, SilenceWithoutCopy},
+		{"no copy, no target", false, 0, SilenceWithoutCopy},
+		{"no copy, long target", false, 2 * time.Second, 4 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			must.Eq(t, c.want, MaxSilence(c.hasCopy, c.target))
@@ -27,8 +27,8 @@
 	}
 }
 
-// The caller must have one answer of one run. Whichever server speaks first keeps it; a
-// server that cannot be heard is let go only for one that took the request.
+// The caller must get one response of one run. The server that sends first keeps the response; a
+// silent server is released only for one that accepted the request.
 func TestDecide(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -36,17 +36,17 @@
 		over          bool
 		want          Action
 	}{
-		{"nothing yet", Silent, Silent, false, Wait},
-		{"the other takes it", Silent, Responding, false, Switch},
-		{"the other turns it away", Silent, Broken, false, Keep},
+		{"no signal yet", Silent, Silent, false, Wait},
+		{"the other accepts", Silent, Responding, false, Switch},
+		{"the other rejects", Silent, Broken, false, Keep},
 		{"the silent one responds", Responding, Silent, false, Keep},
 		{"both respond", Responding, Responding, false, Keep},
-		{"the silent one responds, time is over", Responding, Silent, true, Keep},
+		{"the silent one responds, overlap is over", Responding, Silent, true, Keep},
 		{"the silent one breaks", Broken, Silent, false, Switch},
-		{"the silent one breaks, the other takes it", Broken, Responding, false, Switch},
+		{"the silent one breaks, the other accepts", Broken, Responding, false, Switch},
 		{"both break", Broken, Broken, false, Keep},
-		{"time is over", Silent, Silent, true, Switch},
-		{"time is over and the other turned it away", Silent, Broken, true, Keep},
+		{"overlap is over", Silent, Silent, true, Switch},
+		{"overlap is over and the other rejected", Silent, Broken, true, Keep},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			must.Eq(t, c.want, Decide(c.silent, c.other, c.over))
@@ -54,8 +54,8 @@
 	}
 }
 
-// A caller whose answer can never go on is told; one whose answer may go on in a moment, or
-// whose server works, waits.
+// A response that can never continue is given up at once. One that may continue soon, or whose
+// server works, is kept.
 func TestShouldGiveUp(t *testing.T) {
 	afterWait := map[Outcome]bool{NoAttemptsLeft: true, NoRetryBudget: true, NoServer: true, NoCapacity: true}
 	for o := TakenOver; o <= NotNeeded; o++ {
@@ -64,20 +64,20 @@
 	}
 }
 
-// Two servers have one request and say nothing. The one that had it first is let go of where
-// it answers no question and the link from here is not at fault.
+// Two servers hold one request and send nothing. The first one is released only if it answers no
+// probe and the daemon's link is not at fault.
 func TestIsOverlapOver(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		silent, other bool // answer a question
+		silent, other bool // whether they answer a probe
 		waited        time.Duration
 		want          bool
 	}{
 		{"both answer", true, true, MaxOverlap, false},
-		{"the first alone answers", true, false, MaxLinkStall, false},
+		{"only the first answers", true, false, MaxLinkStall, false},
 		{"the first does not answer", false, true, MaxOverlap, true},
-		{"the link is held up", false, false, MaxOverlap, false},
-		{"the link is held up for long", false, false, MaxLinkStall, true},
+		{"the link is stalled", false, false, MaxOverlap, false},
+		{"the link is stalled for long", false, false, MaxLinkStall, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			must.Eq(t, c.want, IsOverlapOver(c.silent, c.other, c.waited))
--- a/decision/throttle/throttle.go
+++ b/decision/throttle/throttle.go
@@ -1,19 +1,18 @@
-// Package throttle decides which short calls are refused before they are sent, when
-// the servers of a service turn calls away.
+// Package throttle implements adaptive client-side throttling: it decides which short calls are
+// refused before they are sent while the servers of a service reject calls.
 //
-// Load it answers: calls that come faster than the servers left can answer them, after
-// the loss of some or in a burst, through many entry VMs that each see a part.
+// Load pattern: calls arrive faster than the remaining servers can answer them, after the loss of
+// some servers or in a burst, through many VMs of which each sees only a part of the calls.
 //
-// Without it, every call is sent, turned away after a wait in the server's queue, sent
-// to the next server and turned away there, so that the service gets three times the
-// calls. A server with a long queue also resets connections; of a call that was sent on
-// one nobody knows whether it ran, and one that may not be repeated is lost to its
-// caller.
+// Without this package, every call is sent, rejected after a wait in the server's queue, and sent
+// to the next server, which rejects it as well, so that the service receives three times the calls.
+// A server with a long queue also resets connections. Nobody knows whether a call sent on such a
+// connection ran, and a call that is not repeatable is then lost to its caller.
 //
-// How it decides: by what became of the calls of the last seconds. Servers get
-// excess times the calls that they took; the others are refused at random, so that
-// every account and kind loses the same share. No VM needs to know of the others: all
-// see the same share of their calls turned away.
+// Decision: it depends on the outcome of the calls of the last seconds. The servers are sent
+// acceptedMultiplier times the number of calls that they accepted; the others are refused at
+// random, so every account and every kind of call loses the same share. The VMs need not
+// communicate, because all of them see the same share of their calls rejected.
 package throttle
 
 import (
@@ -22,41 +21,41 @@
 )
 
 const (
-	// acceptedMultiplier is how many calls are sent for each that is taken: the more, the sooner it
-	// is found out that there is room again, and the longer the queues stay full.
+	// acceptedMultiplier is how many calls are sent for each accepted call. A higher value detects
+	// free capacity earlier but keeps the servers' queues full for longer.
 	acceptedMultiplier = 1.2
-	// decayTime is the time in which what was seen loses two thirds of its weight. It holds
-	// a few calls at a VM among dozens, and is short beside the time for which servers are
-	// lost.
+	// decayTime is the time after which a count has lost two thirds of its weight. It is long
+	// enough to cover a few calls at one VM of dozens, and short compared with the time for which
+	// servers are lost.
 	decayTime = time.Second
-	// minRejected is how many calls must have been turned away lately, by all servers tried: one
-	// says nothing of the rest. As it fades within a second or two, a crowd that is over
-	// is soon forgotten.
+	// minRejected is how many recent calls must have been rejected by all servers that were tried:
+	// a single one says nothing about the others. Because the count decays within one or two
+	// seconds, refusals stop soon after an overload.
 	minRejected = 2
 )
 
-// Throttle is what one entry VM knows of one service. The zero value has seen nothing.
-// It is not safe for concurrent use.
+// Throttle holds the recent call outcomes of one service at one VM. The zero value has none. It is
+// not safe for concurrent use.
 type Throttle struct {
 	updatedAt time.Time
-	// Calls of the last time, weighted by age: taken by a server, turned away by all that
-	// were tried, and refused here.
+	// Recent calls, weighted by age: accepted by a server, rejected by all servers tried, and
+	// refused here.
 	accepted, rejected, refused float64
 }
 
-// RecordAccepted records a call that a server took, whatever came of it.
+// RecordAccepted counts a call that a server accepted, whatever its result.
 func (t *Throttle) RecordAccepted(now time.Time) {
 	t.decay(now)
 	t.accepted++
 }
 
-// RecordRejected records a call that the servers tried turned away.
+// RecordRejected counts a call that all servers tried rejected.
 func (t *Throttle) RecordRejected(now time.Time) {
 	t.decay(now)
 	t.rejected++
 }
 
-// ShouldRefuse reports whether a call is refused, and counts it if so. draw is in [0, 1).
+// ShouldRefuse reports whether to refuse a call, and counts it if so. draw is in [0, 1).
 func (t *Throttle) ShouldRefuse(now time.Time, draw float64) bool {
 	if draw >= t.refusalProbability(now) {
 		return false
@@ -65,10 +64,10 @@
 	return true
 }
 
-// IsRefusing reports whether calls are refused now. Then none is sent a second time.
+// IsRefusing reports whether some calls are currently refused. No call is sent a second time then.
 func (t *Throttle) IsRefusing(now time.Time) bool { return t.refusalProbability(now) > 0 }
 
-// refusalProbability is the part of the calls that is refused.
+// refusalProbability returns the fraction of calls to refuse.
 func (t *Throttle) refusalProbability(now time.Time) float64 {
 	t.decay(now)
 	if t.rejected < minRejected {
--- a/decision/throttle/throttle_test.go
+++ b/decision/throttle/throttle_test.go
@@ -8,7 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// backendPool is a set of servers that take so many calls a second and turn the others away.
+// backendPool is a set of servers that accept a fixed number of calls per second and reject the
+// others.
 type backendPool struct {
 	perSecond float64
 	tokens    float64
@@ -25,10 +26,10 @@
 	return true
 }
 
-// tally counts what became of the calls of a time.
+// tally counts the calls of a simulation.
 type tally struct{ calls, sent, accepted int }
 
-// sendCalls sends calls through VMs for a time.
+// sendCalls sends calls through random VMs for the given time.
 func sendCalls(vms []*Throttle, s *backendPool, from time.Time, length time.Duration, perSecond int, random *rand.Rand) tally {
 	var t tally
 	gap := time.Second / time.Duration(perSecond)
@@ -57,12 +58,12 @@
 	return vms
 }
 
-// One server of three is left, and three times what it can take arrives for ten
-// seconds. Callers whose calls are sent and turned away wait for that and learn
-// nothing sooner. Few are sent beyond what is taken, the server stays busy, and three
-// seconds after the burst nobody is refused.
+// One server of three is left, and three times its capacity arrives for ten seconds. Callers whose
+// calls are sent and then rejected have waited without any gain. Few calls may be sent beyond the
+// accepted ones, the server must stay busy, and three seconds after the burst no call may be
+// refused.
 func TestOverload(t *testing.T) {
-	bounds := map[int]float64{7: 1.3, 88: 1.6} // sent for each taken; a VM among many sees few
+	bounds := map[int]float64{7: 1.3, 88: 1.6} // sent per accepted call; each of many VMs sees few calls
 	for vms, bound := range bounds {
 		random := rand.New(rand.NewPCG(1, uint64(vms)))
 		all, start := newFleet(vms), time.Unix(1000, 0)
@@ -79,7 +80,7 @@
 	}
 }
 
-// Servers turn one call in thirty away, though they have room. Nobody is refused.
+// Servers reject one call in thirty although they have capacity. No call may be refused.
 func TestFewRejectionsRefuseNobody(t *testing.T) {
 	var vm Throttle
 	random := rand.New(rand.NewPCG(2, 2))
@@ -95,8 +96,8 @@
 	}
 }
 
-// The first call after a pause is turned away by servers that start: it says nothing
-// of the rest.
+// The first call after a pause is rejected by servers that are starting, which says nothing about
+// the others.
 func TestOneRejectionRefusesNobody(t *testing.T) {
 	var vm Throttle
 	now := time.Unix(1000, 0)
