--- a/decision/repeats/repeats.go
+++ b/decision/repeats/repeats.go
@@ -53,12 +53,10 @@
 	slot      int64 // slot, since startedAt, of the last count
 }
 
-// New returns an empty budget of a daemon that started serving at startedAt. All times passed to
+// New returns an empty budget of a daemon that started serving at start. All times passed to
 // its methods must come from the same monotonic clock: a step of the wall clock would drop the
 // counted retries.
-func New(policy Policy, startedAt time.Time) *Budget {
-	return &Budget{policy: policy, startedAt: startedAt}
-}
+func New(p Policy, start time.Time) *Budget { return &Budget{policy: p, startedAt: start} }
 
 // RecordRequest counts a caller's request.
 func (b *Budget) RecordRequest(now time.Time) {
--- a/decision/rollout/fleet_test.go
+++ b/decision/rollout/fleet_test.go
@@ -22,7 +22,7 @@
 	badRatio      float64       // fraction of its responses that are bad
 	slowdown      float64       // factor on response times; 0 if the responses fail
 	onset         time.Duration // time since the order from which the fault shows
-	underLoadOnly bool          // only while its servers carry the load of a baseline server; three of four get fewer of the selected calls
+	underLoadOnly bool          // only under the load of a baseline server: three of four get fewer calls
 	route         int           // the one affected route, counted from 1; 0 for all routes
 	mayComplete   bool          // too few bad responses to detect the fault before the end in every roll-out
 	badServers    int           // only this many servers are bad: the version itself is good
