--- a/decision/repeats/repeats.go
+++ b/decision/repeats/repeats.go
@@ -53,9 +53,9 @@
 	slot      int64 // slot, since startedAt, of the last count
 }
 
-// New returns an empty budget of a daemon that started serving at start. All times passed to
-// its methods must come from the same monotonic clock: a step of the wall clock would drop the
-// counted retries.
+// New returns an empty budget of a daemon that started serving at start. All times passed to its
+// methods must come from the same monotonic clock: a step of the wall clock would drop the counted
+// retries.
 func New(p Policy, start time.Time) *Budget { return &Budget{policy: p, startedAt: start} }
 
 // RecordRequest counts a caller's request.
--- a/decision/takeover/takeover.go
+++ b/decision/takeover/takeover.go
@@ -20,12 +20,12 @@
 import "time"
 
 const (
-	// SilenceWithCopy is the least silence that is tolerated if a copy of the run's state exists.
-	// It is half of the route's gap target if that is longer: resuming from the copy must fit into
-	// the other half.
+	// SilenceWithCopy is the least value of MaxSilence if a copy of the run's state exists. Half of
+	// the route's gap target applies instead if that is longer: resuming from the copy must fit
+	// into the other half.
 	SilenceWithCopy = 350 * time.Millisecond
-	// SilenceWithoutCopy applies if there is no copy. Resuming then means processing the whole
-	// prompt again, so the response is late in any case.
+	// SilenceWithoutCopy is the same without a copy, and the greatest value with one. Without a
+	// copy, resuming means processing the whole prompt again, so the response is late in any case.
 	SilenceWithoutCopy = 1500 * time.Millisecond
 	// RetryInterval is the time to the next attempt after a takeover that failed.
 	RetryInterval = 200 * time.Millisecond
