--- a/decision/poison/crashes.go
+++ b/decision/poison/crashes.go
@@ -15,26 +15,26 @@
 // When it is full it evicts a request with the fewest terminations, of these the one that is
 // unchanged for the longest time: a caller whose requests each saw one unrelated termination cannot
 // evict a request with more of them.
-type CrashCounter[L comparable] struct {
-	requests map[string]*crashRecord[L] // by digest
+type CrashCounter[K comparable] struct {
+	requests map[string]*crashRecord[K] // by digest
 }
 
 // crashRecord holds the terminations of servers that ran one request.
-type crashRecord[L comparable] struct {
-	servers   map[L]bool // by incarnation: a server that terminated under two attempts counts once
+type crashRecord[K comparable] struct {
+	servers   map[K]bool // by incarnation: a server that terminated under two attempts counts once
 	lastCrash time.Time  // time of the last termination
 }
 
 // Record counts the termination of a server incarnation that ran a request. It reports whether it
 // was not counted before.
-func (c *CrashCounter[L]) Record(now time.Time, digest string, incarnation L) (added bool) {
+func (c *CrashCounter[K]) Record(now time.Time, digest string, incarnation K) (added bool) {
 	if c.requests == nil {
-		c.requests = map[string]*crashRecord[L]{}
+		c.requests = map[string]*crashRecord[K]{}
 	}
 	rec := c.requests[digest]
 	if rec == nil || now.Sub(rec.lastCrash) >= retention {
 		c.evict(digest)
-		rec = &crashRecord[L]{servers: map[L]bool{}}
+		rec = &crashRecord[K]{servers: map[K]bool{}}
 		c.requests[digest] = rec
 	}
 	added = !rec.servers[incarnation]
@@ -43,7 +43,7 @@
 }
 
 // Mark returns the mark of a request according to the terminations counted here.
-func (c *CrashCounter[L]) Mark(digest string) Mark {
+func (c *CrashCounter[K]) Mark(digest string) Mark {
 	if rec := c.requests[digest]; rec != nil {
 		return markFor(len(rec.servers))
 	}
@@ -51,13 +51,13 @@
 }
 
 // Clear removes the count of a request. It reports whether there was one.
-func (c *CrashCounter[L]) Clear(digest string) bool {
+func (c *CrashCounter[K]) Clear(digest string) bool {
 	_, known := c.requests[digest]
 	delete(c.requests, digest)
 	return known
 }
 
-func (c *CrashCounter[L]) evict(digest string) {
+func (c *CrashCounter[K]) evict(digest string) {
 	if len(c.requests) < MaxTrackedRequests || c.requests[digest] != nil {
 		return
 	}
@@ -71,7 +71,7 @@
 }
 
 // evictsBefore reports whether r is evicted before another record.
-func (r *crashRecord[L]) evictsBefore(other *crashRecord[L]) bool {
+func (r *crashRecord[K]) evictsBefore(other *crashRecord[K]) bool {
 	if len(r.servers) != len(other.servers) {
 		return len(r.servers) < len(other.servers)
 	}
