--- a/lab/bench/prompts/prompts.go
+++ b/lab/bench/prompts/prompts.go
@@ -56,8 +56,8 @@
 func byReport(w *world, engines []decide.Engine, r *request) int {
 	var order []int
 	var reports []decide.Report
-	for _, c := range decide.Read(engines, 3*forward.Asked, false, w.random.Uint64()) {
-		if len(order) >= forward.Asked && reports[decide.Quietest(reports, r.prompt)].Free(r.prompt) {
+	for _, c := range decide.Read(engines, 3*forward.SampleSize, false, w.random.Uint64()) {
+		if len(order) >= forward.SampleSize && reports[decide.Quietest(reports, r.prompt)].Free(r.prompt) {
 			break
 		}
 		if !w.engines[c.Index].down {
--- a/lab/capacity/forward.go
+++ b/lab/capacity/forward.go
@@ -16,7 +16,7 @@
 	return []Row{
 		{
 			Role: Forward, Kind: Messages, What: "reports asked of engines before prompts", Unit: PerS, Carrier: "`serve/forward`",
-			Factors: []Factor{given(s.RequestsPerDaemon(), "requests/s"), given(forward.Asked, "engines asked")},
+			Factors: []Factor{given(s.RequestsPerDaemon(), "requests/s"), given(forward.SampleSize, "engines asked")},
 		},
 		{
 			Role: Forward, Kind: Messages, What: "questions of other daemons to one that passes on what the store tells", Unit: PerS, Carrier: "`control/feed`",
@@ -29,7 +29,7 @@
 		},
 		{
 			Role: Backend, Kind: Messages, What: "reports asked before prompts", Unit: PerS, Carrier: "`serve/forward`",
-			Factors: []Factor{given(s.RequestsPerS/float64(s.Replicas), "requests/s"), given(forward.Asked, "engines asked")},
+			Factors: []Factor{given(s.RequestsPerS/float64(s.Replicas), "requests/s"), given(forward.SampleSize, "engines asked")},
 		},
 	}
 }
--- a/lab/soak/process/callers.go
+++ b/lab/soak/process/callers.go
@@ -157,7 +157,7 @@
 	}
 	req.GetBody = nil // the client library must not repeat by itself
 	req.Host = host
-	req.Header = wire.CallerHeaders(forward.Call{ID: id, Wait: patience[kind], Key: key, After: held, PromptTokens: 800}, parts)
+	req.Header = wire.CallerHeaders(forward.Call{ID: id, Timeout: patience[kind], Key: key, LastEventID: held, PromptTokens: 800}, parts)
 	c.world.ledger.send(id, sentCall{account: account, key: key, name: name, kind: kind, at: time.Now()})
 	resp, err := c.http.Do(req)
 	if err != nil {
--- a/lab/soak/process/servers.go
+++ b/lab/soak/process/servers.go
@@ -196,14 +196,14 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if e.CopyAt != "" && !s.use(e.CopyAt) {
+	if e.ResumeFrom != "" && !s.use(e.ResumeFrom) {
 		wire.WriteReply(w.Header(), forward.Reply{ID: e.ID, NotRun: true})
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	one := &ran{server: id, service: s.service}
 	s.world.judge(e, key, r.URL.Path, s.service, leaving, s.world.ledger.run(e.ID, one))
-	wire.WriteReply(w.Header(), forward.Reply{ID: e.ID, Limit: limit})
+	wire.WriteReply(w.Header(), forward.Reply{ID: e.ID, RateLimit: limit})
 	w.Header().Set(wire.Proof, one.proof)
 	if part != "" {
 		s.stream(w, r, e, part, one, shutdown)
@@ -247,7 +247,7 @@
 }
 
 // stream is the answer of an engine: the same events for the same prompt.
-func (s *server) stream(w http.ResponseWriter, r *http.Request, e forward.Errand, part string, one *ran, shutdown <-chan struct{}) {
+func (s *server) stream(w http.ResponseWriter, r *http.Request, e forward.UpstreamRequest, part string, one *ran, shutdown <-chan struct{}) {
 	defer s.world.ledger.end(one, http.StatusOK, "")
 	p := &progress{part: part, copyTo: e.CopyTo}
 	s.mu.Lock()
@@ -259,10 +259,10 @@
 		delete(s.runs, e.ID)
 	}()
 	wait := readingTime
-	if e.CopyAt != "" {
+	if e.ResumeFrom != "" {
 		wait = 0
 	}
-	for n := e.After + 1; n <= eventCount; n++ {
+	for n := e.LastEventID + 1; n <= eventCount; n++ {
 		select {
 		case <-time.After(wait):
 		case <-shutdown:
@@ -273,11 +273,11 @@
 		case <-r.Context().Done():
 			return
 		}
-		if n == e.After+1 && isPoison(r.URL.Path) && s.endUnder(r) {
+		if n == e.LastEventID+1 && isPoison(r.URL.Path) && s.endUnder(r) {
 			panic(http.ErrAbortHandler)
 		}
 		wait = s.world.opts.Sort.pace()
-		if n == e.After+1 {
+		if n == e.LastEventID+1 {
 			w.Header().Set("Content-Type", "text/event-stream")
 			s.mu.Lock()
 			s.parts[part] = true
--- a/lab/soak/process/world.go
+++ b/lab/soak/process/world.go
@@ -294,7 +294,7 @@
 }
 
 // judge checks a request that a server is about to run.
-func (w *world) judge(e forward.Errand, key, path, service string, leaving time.Time, sent sentCall) {
+func (w *world) judge(e forward.UpstreamRequest, key, path, service string, leaving time.Time, sent sentCall) {
 	now := time.Now()
 	w.mu.Lock()
 	removed, desk, moved, trouble := w.removed[sent.key], w.desk, w.moved, w.trouble
--- a/serve/forward/absences.go
+++ b/serve/forward/absences.go
@@ -19,7 +19,7 @@
 
 // absence is what is known of how long servers of a service are away. The caller holds p.mu.
 func (p *pool) absence(service string) *absence.Absence {
-	return ofService(p.absences, service)
+	return getOrCreate(p.absences, service)
 }
 
 // returned learns from the servers of a new view how long those were away that failed at
@@ -78,9 +78,9 @@
 // The failure it answers: all engines are lost for as long as they take to start anew.
 // Callers that are refused, or cut in mid-answer, come back at once, are refused again
 // within the same second and are lost. Where no engine is registered nothing is waited for.
-func (r *relay) awaitEngine(ctx context.Context) (surveyed, bool) {
+func (r *relay) awaitEngine(ctx context.Context) (sampledEngine, bool) {
 	if len(r.h.opts.Feed.View().Servers[r.service]) == 0 {
-		return surveyed{}, false
+		return sampledEngine{}, false
 	}
 	until := time.Now().Add(r.h.pool.waits(r.service, r.in.route.Objective))
 	tick := time.NewTicker(absentCheck)
@@ -89,13 +89,13 @@
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			return surveyed{}, false
+			return sampledEngine{}, false
 		}
 		view := r.h.opts.Feed.View()
 		if !r.h.pool.anyThere(time.Now(), view, r.service) {
 			continue
 		}
-		r.failed = nil // what refused a connection may be back
+		r.excluded = nil // what refused a connection may be back
 		c, ok := r.place(ctx, view)
 		switch {
 		case ok && c.report.Unread == 0:
@@ -106,7 +106,7 @@
 	}
 	view := r.h.opts.Feed.View()
 	if !r.h.pool.anyThere(time.Now(), view, r.service) {
-		return surveyed{}, false
+		return sampledEngine{}, false
 	}
 	return r.place(ctx, view)
 }
--- a/serve/forward/accept.go
+++ b/serve/forward/accept.go
@@ -20,18 +20,18 @@
 // accept reads a request and checks that it may be forwarded.
 func (h *Handler) accept(w http.ResponseWriter, r *http.Request) (*inbound, error) {
 	in := &inbound{
-		method: r.Method, host: r.Host, target: target(r), header: endToEnd(r.Header), arrived: time.Now(),
+		method: r.Method, host: r.Host, target: requestTarget(r), header: endToEndHeaders(r.Header), arrived: time.Now(),
 	}
 	call, err := h.opts.Codec.Call(r.Header)
 	view := h.opts.Feed.View()
 	if view.Config == nil {
-		view = h.firstView(r.Context(), call.Wait)
+		view = h.awaitFirstConfig(r.Context(), call.Timeout)
 	}
 	age, known := h.opts.Feed.Age()
 	if !known {
-		return in, verdict.New(verdict.NotRun, verdict.CodeUnconfigured, "no configuration is known yet").After(unknownRetry)
+		return in, verdict.New(verdict.NotRun, verdict.CodeUnconfigured, "no configuration is known yet").After(unconfiguredRetryAfter)
 	}
-	in.version, in.age = view.Config.Version, age
+	in.configVersion, in.configAge = view.Config.Version, age
 	if err != nil {
 		return in, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "%v", err)
 	}
@@ -43,9 +43,9 @@
 	if err := h.authorize(in, view.Config, age); err != nil {
 		return in, err
 	}
-	in.until = in.arrived.Add(patience(in))
-	if stop := h.stop.Load(); stop != nil && !stop.takes(in) {
-		return in, verdict.New(verdict.NotRun, verdict.CodeShuttingDown, "this daemon is stopping").After(leavingRetry)
+	in.deadline = in.arrived.Add(requestTimeout(in))
+	if stop := h.shutdown.Load(); stop != nil && !stop.accepts(in) {
+		return in, verdict.New(verdict.NotRun, verdict.CodeShuttingDown, "this daemon is stopping").After(shutdownRetryAfter)
 	}
 	if err := h.readBody(w, r, in, view.Config.Limits.BodyBytes); err != nil {
 		return in, err
@@ -54,17 +54,17 @@
 	return in, nil
 }
 
-// firstView waits a moment for the first configuration, for a caller that waits so
+// awaitFirstConfig waits a moment for the first configuration, for a caller that waits so
 // long itself, 0 if it does not say.
 //
 // The failure it guards against: all daemons are killed and start again. Callers come
 // back at once with the answers that were cut, while ninety daemons read the store
 // side by side; one that is turned away has used up its last attempt, and the answer
 // is lost.
-func (h *Handler) firstView(ctx context.Context, patience time.Duration) *feed.View {
-	most := firstConfigWait
+func (h *Handler) awaitFirstConfig(ctx context.Context, patience time.Duration) *feed.View {
+	most := maxFirstConfigWait
 	if patience > 0 {
-		most = min(most, time.Duration(firstConfigShare*float64(patience)))
+		most = min(most, time.Duration(firstConfigWaitRatio*float64(patience)))
 	}
 	wait := time.NewTimer(most)
 	defer wait.Stop()
@@ -83,7 +83,7 @@
 	if !config.NeedsKey(in.route) {
 		return nil
 	}
-	if age > time.Duration(h.keyAge.Load())-keyMargin {
+	if age > time.Duration(h.maxKeyAge.Load())-keyAgeMargin {
 		return verdict.New(verdict.NotRun, verdict.CodeUnconfirmed,
 			"the configuration was last confirmed %v ago", age.Round(time.Millisecond)).After(retryafter.AfterStoreOutage(age, h.opts.Feed.Outage(), rand.Float64()))
 	}
@@ -94,20 +94,20 @@
 	return nil
 }
 
-// patience is how long the answer is of use.
-func patience(in *inbound) time.Duration {
+// requestTimeout is how long the answer is of use.
+func requestTimeout(in *inbound) time.Duration {
 	wait := in.route.Timeout
-	if in.call.Wait > 0 && (wait <= 0 || in.call.Wait < wait) {
-		wait = in.call.Wait
+	if in.call.Timeout > 0 && (wait <= 0 || in.call.Timeout < wait) {
+		wait = in.call.Timeout
 	}
 	if wait <= 0 {
-		wait = defaultPatience
+		wait = defaultTimeout
 	}
 	return wait
 }
 
-// defaultPatience holds where neither caller nor route sets a timeout.
-const defaultPatience = 30 * time.Second
+// defaultTimeout holds where neither caller nor route sets a timeout.
+const defaultTimeout = 30 * time.Second
 
 // readBody reads the whole body, so that it can be sent again.
 func (h *Handler) readBody(w http.ResponseWriter, r *http.Request, in *inbound, limit int64) error {
@@ -118,7 +118,7 @@
 	if r.ContentLength > 0 && (limit <= 0 || r.ContentLength <= limit) {
 		in.body = make([]byte, 0, r.ContentLength)
 	}
-	err := h.readInTime(w, in, body)
+	err := h.readBodyByDeadline(w, in, body)
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
@@ -131,14 +131,14 @@
 	return nil
 }
 
-// readInTime reads the body while the caller's time lasts: one that sends slowly
+// readBodyByDeadline reads the body while the caller's time lasts: one that sends slowly
 // must not hold a connection and its part of the body for ever. After a whole body
 // the deadline is taken back, for the connection is read on to notice a caller
 // that leaves; otherwise the server would wait for the rest of the body in turn.
-func (h *Handler) readInTime(w http.ResponseWriter, in *inbound, body io.Reader) (err error) {
+func (h *Handler) readBodyByDeadline(w http.ResponseWriter, in *inbound, body io.Reader) (err error) {
 	c := http.NewResponseController(w)
 	// A connection without deadlines only lacks the bound.
-	_ = c.SetReadDeadline(in.until)
+	_ = c.SetReadDeadline(in.deadline)
 	in.body, err = readAll(in.body, body)
 	if err == nil {
 		_ = c.SetReadDeadline(time.Time{})
@@ -163,8 +163,8 @@
 	}
 }
 
-// target is the path and query as the caller wrote them.
-func target(r *http.Request) string {
+// requestTarget is the path and query as the caller wrote them.
+func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
 	}
--- a/serve/forward/accept_test.go
+++ b/serve/forward/accept_test.go
@@ -35,7 +35,7 @@
 			must.Eq(t, http.StatusOK, ask("/open/1").status)
 			time.Sleep(50 * time.Millisecond)
 		}
-		must.Between(t, 3*time.Second, lastTrusted, 5*time.Second-keyMargin)
+		must.Between(t, 3*time.Second, lastTrusted, 5*time.Second-keyAgeMargin)
 		before := desk.requests()
 		must.Eq(t, http.StatusServiceUnavailable, ask("/once/1").status)
 		must.Eq(t, before, desk.requests())
@@ -73,7 +73,7 @@
 	}{
 		{"read in time", 120 * time.Millisecond, "25000", http.StatusOK, 150 * time.Millisecond},
 		{"read late, before a thousand servers", 600 * time.Millisecond, "25000", http.StatusOK, 650 * time.Millisecond},
-		{"not read in time", time.Second, "25000", http.StatusServiceUnavailable, firstConfigWait},
+		{"not read in time", time.Second, "25000", http.StatusServiceUnavailable, maxFirstConfigWait},
 		{"its caller has little time", 120 * time.Millisecond, "200", http.StatusServiceUnavailable, 50 * time.Millisecond},
 	}
 	for _, c := range cases {
--- a/serve/forward/attempt.go
+++ b/serve/forward/attempt.go
@@ -15,226 +15,226 @@
 // attempt is a leg under way: a request that was sent, and what comes back of it. All but
 // receive and hand is for the goroutine of the relay, or for one that it waits for.
 type attempt struct {
-	leg
-	r           *relay
-	cancel      context.CancelFunc
-	ctx         context.Context // ends with the attempt; the server drops the run then
-	stopProbing context.CancelFunc
-	sent        time.Time
-	begun       time.Time // of the first event; zero before it
-	signals     chan signal
-	back        chan signal    // holds a signal that was taken and put back, one at most
-	written     chan struct{}  // says once that the whole request has left
-	answer      *http.Response // nil before its headers are handled
-	limit       string         // that the server named
-	dead        <-chan error
-	leaves      <-chan struct{} // closed when the version of the server leaves
-	reading     bool            // counted as a prompt that is read, and not yet as a run
-	spare       *spare
-	trial, pace *versions.Trial // of the server's version, nil where none is compared
-	made        int             // events of this attempt
-	foundLost   int             // times that the engine reported events of which none had arrived
+	segment
+	r              *relay
+	cancel         context.CancelFunc
+	ctx            context.Context // ends with the attempt; the server drops the run then
+	stopProbing    context.CancelFunc
+	sentAt         time.Time
+	firstEventAt   time.Time // of the first event; zero before it
+	parts          chan responsePart
+	pushedBack     chan responsePart // holds a signal that was taken and put back, one at most
+	requestWritten chan struct{}     // says once that the whole request has left
+	response       *http.Response    // nil before its headers are handled
+	rateLimit      string            // that the server named
+	probeFailures  <-chan error
+	versionLeaving <-chan struct{} // closed when the version of the server leaves
+	prefilling     bool            // counted as a prompt that is read, and not yet as a run
+	spare          *spare
+	trial, pace    *versions.Trial // of the server's version, nil where none is compared
+	eventCount     int             // events of this attempt
+	timesFoundLost int             // times that the engine reported events of which none had arrived
 	// copyUsed says that a server was asked to go on from the copy that grows with the
 	// run: it is gone then, whether or not the answer went on there.
 	copyUsed bool
 }
 
-// signal is the headers of an answer, or one event of its stream.
-type signal struct {
-	opened *opened
-	event  streamEvent
+// responsePart is the headers of an answer, or one event of its stream.
+type responsePart struct {
+	head  *responseHead
+	event streamEvent
 }
 
-// opened is an answer up to its headers.
-type opened struct {
+// responseHead is an answer up to its headers.
+type responseHead struct {
 	resp  *http.Response
 	reply Reply
 	err   error
 }
 
-// stream reports whether events follow that are the answer to the request.
-func (o opened) stream() bool {
-	return o.err == nil && !o.reply.NotRun && o.resp.StatusCode == http.StatusOK && o.reply.Proven
+// isStream reports whether events follow that are the answer to the request.
+func (o responseHead) isStream() bool {
+	return o.err == nil && !o.reply.NotRun && o.resp.StatusCode == http.StatusOK && o.reply.Authentic
 }
 
 // start sends the request of a leg, which is counted as one that is read.
-func (r *relay) start(ctx context.Context, l leg) *attempt {
-	a := &attempt{leg: l, r: r, sent: time.Now(), signals: make(chan signal), back: make(chan signal, 1), written: make(chan struct{}, 1), reading: true}
+func (r *relay) start(ctx context.Context, l segment) *attempt {
+	a := &attempt{segment: l, r: r, sentAt: time.Now(), parts: make(chan responsePart), pushedBack: make(chan responsePart, 1), requestWritten: make(chan struct{}, 1), prefilling: true}
 	a.ctx, a.cancel = context.WithCancel(ctx)
 	r.h.pool.count(l.copyTo, 0, 0, 1)
 	r.starts++
 	r.sends++
-	r.runs++
+	r.possibleRuns++
 	probing, stop := context.WithCancel(a.ctx)
 	a.stopProbing = stop
 	a.spare = r.newSpare(l)
-	a.dead = r.watch(probing, l)
-	a.leaves = r.h.versions.Leaves(r.h.opts.Feed.View(), l.at.server)
+	a.probeFailures = r.startProbing(probing, l)
+	a.versionLeaving = r.h.versions.Leaves(r.h.opts.Feed.View(), l.target.server)
 	a.watchLeg(l, r.in.routeName())
-	go a.receive(Errand{
-		ID: r.in.call.ID, Server: l.at.server, Left: time.Until(r.in.until),
-		Account: r.in.accountName(), Priority: r.in.priority(), CopyTo: l.copyTo.server.Address, CopyAt: l.from, After: r.after,
+	go a.receive(UpstreamRequest{
+		ID: r.in.call.ID, Server: l.target.server, Timeout: time.Until(r.in.deadline),
+		Account: r.in.accountName(), Priority: r.in.priority(), CopyTo: l.copyTo.server.Address, ResumeFrom: l.resumeFrom, LastEventID: r.lastEventID,
 	})
 	return a
 }
 
 // receive sends the request and hands on what comes back, until the attempt ends. The
 // body of an answer that is no stream is left to whom the headers are handed.
-func (a *attempt) receive(errand Errand) {
-	var o opened
-	ctx := httptrace.WithClientTrace(a.ctx, &httptrace.ClientTrace{WroteRequest: a.wrote})
+func (a *attempt) receive(errand UpstreamRequest) {
+	var o responseHead
+	ctx := httptrace.WithClientTrace(a.ctx, &httptrace.ClientTrace{WroteRequest: a.onRequestWritten})
 	o.resp, o.reply, o.err = a.r.h.send(ctx, a.r.in, errand)
-	if !a.hand(signal{opened: &o}) {
+	if !a.tryDeliver(responsePart{head: &o}) {
 		if o.err == nil {
 			o.resp.Body.Close()
 		}
 		return
 	}
-	if !o.stream() {
+	if !o.isStream() {
 		return
 	}
-	r := bufio.NewReaderSize(o.resp.Body, eventBuffer)
+	r := bufio.NewReaderSize(o.resp.Body, eventBufferBytes)
 	for {
 		e := readEvent(r)
-		if !a.hand(signal{event: e}) || e.err != nil {
+		if !a.tryDeliver(responsePart{event: e}) || e.err != nil {
 			return
 		}
 	}
 }
 
-// wrote notes that the whole request has left.
-func (a *attempt) wrote(info httptrace.WroteRequestInfo) {
+// onRequestWritten notes that the whole request has left.
+func (a *attempt) onRequestWritten(info httptrace.WroteRequestInfo) {
 	if info.Err != nil {
 		return
 	}
 	select {
-	case a.written <- struct{}{}:
+	case a.requestWritten <- struct{}{}:
 	default:
 	}
 }
 
-// hand reports whether a signal was taken before the attempt ended.
-func (a *attempt) hand(s signal) bool {
+// tryDeliver reports whether a signal was taken before the attempt ended.
+func (a *attempt) tryDeliver(s responsePart) bool {
 	select {
-	case a.signals <- s:
+	case a.parts <- s:
 		return true
 	case <-a.ctx.Done():
 		return false
 	}
 }
 
-// inbox is where the next signal comes from.
-func (a *attempt) inbox() <-chan signal {
-	if len(a.back) > 0 {
-		return a.back
+// nextParts is where the next signal comes from.
+func (a *attempt) nextParts() <-chan responsePart {
+	if len(a.pushedBack) > 0 {
+		return a.pushedBack
 	}
-	return a.signals
+	return a.parts
 }
 
-// putBack leaves the signal that was taken last to whom handles it.
-func (a *attempt) putBack(s signal) { a.back <- s }
+// pushBack leaves the signal that was taken last to whom handles it.
+func (a *attempt) pushBack(s responsePart) { a.pushedBack <- s }
 
-// heard counts the prompt as read with the first event.
-func (a *attempt) heard() {
-	if !a.reading {
+// markPrefilled counts the prompt as read with the first event.
+func (a *attempt) markPrefilled() {
+	if !a.prefilling {
 		return
 	}
-	a.reading, a.begun = false, time.Now()
+	a.prefilling, a.firstEventAt = false, time.Now()
 	a.firstEvent()
 	a.stopProbing()
-	a.dead = nil // a word that waits there is out of date
+	a.probeFailures = nil // a word that waits there is out of date
 	r := a.r
-	r.h.pool.count(a.at, -1, 1, 0)
-	r.h.pool.worked(a.at)
-	if a.from == "" && r.in.call.After == 0 {
-		r.h.pressure.wasRead(r.service, r.in.call.PromptTokens, time.Since(a.sent))
+	r.h.pool.count(a.target, -1, 1, 0)
+	r.h.pool.worked(a.target)
+	if a.resumeFrom == "" && r.in.call.LastEventID == 0 {
+		r.h.pressure.wasRead(r.service, r.in.call.PromptTokens, time.Since(a.sentAt))
 	}
 	if a.spare != nil {
 		go a.spare.run(a.ctx)
 	}
 }
 
-// keptCopy is the copy of the run that is believed to lie at another engine.
-func (a *attempt) keptCopy() kept {
+// runCopy is the copy of the run that is believed to lie at another engine.
+func (a *attempt) runCopy() kept {
 	if a.copyUsed {
 		return kept{}
 	}
-	return a.copy(a.r.in.call.ID)
+	return a.incrementalCopy(a.r.in.call.ID)
 }
 
 // hasCopy reports whether a copy of the run is believed to lie at another engine.
 func (a *attempt) hasCopy() bool {
-	return a.keptCopy().at.load != nil || a.spare != nil && a.spare.copied.Load() != nil
+	return a.runCopy().at.load != nil || a.spare != nil && a.spare.copied.Load() != nil
 }
 
 // end closes the connection, so that the server drops a run that is not over, and takes
 // the attempt out of the counts.
-func (a *attempt) end(how legEnd) {
+func (a *attempt) end(how segmentEnd) {
 	a.cancel()
-	a.closeAnswer()
+	a.closeResponse()
 	pool := a.r.h.pool
 	pool.count(a.copyTo, 0, 0, -1)
-	if a.reading {
-		pool.count(a.at, -1, 0, 0)
+	if a.prefilling {
+		pool.count(a.target, -1, 0, 0)
 	} else {
-		pool.count(a.at, 0, -1, 0)
+		pool.count(a.target, 0, -1, 0)
 	}
-	a.r.settle(a.spare, how)
+	a.r.settleSpare(a.spare, how)
 }
 
-// closeAnswer lets go of the answer, also of one that nobody has handled.
-func (a *attempt) closeAnswer() {
-	a.leftover()
-	if a.answer != nil {
-		a.answer.Body.Close()
+// closeResponse lets go of the answer, also of one that nobody has handled.
+func (a *attempt) closeResponse() {
+	a.takePushedBack()
+	if a.response != nil {
+		a.response.Body.Close()
 	}
 }
 
-// leftover takes back what was put back and not handled: the headers, nil if it was none. The
+// takePushedBack takes back what was put back and not handled: the headers, nil if it was none. The
 // answer that it opens is closed with the attempt.
-func (a *attempt) leftover() *opened {
+func (a *attempt) takePushedBack() *responseHead {
 	select {
-	case s := <-a.back:
-		if s.opened != nil {
-			a.answer = s.opened.resp
+	case s := <-a.pushedBack:
+		if s.head != nil {
+			a.response = s.head.resp
 		}
-		return s.opened
+		return s.head
 	default:
 		return nil
 	}
 }
 
-// settle takes over a copy made on demand, or frees it once the answer is whole.
-func (r *relay) settle(spare *spare, end legEnd) {
+// settleSpare takes over a copy made on demand, or frees it once the answer is whole.
+func (r *relay) settleSpare(spare *spare, end segmentEnd) {
 	switch {
 	case spare == nil:
-	case (end == legBroken || end == legMoved) && r.taken != nil && r.taken.from != "": // that copy is in use
-	case end == legBroken && r.taken == nil:
+	case (end == segmentBroken || end == segmentMoved) && r.replacement != nil && r.replacement.resumeFrom != "": // that copy is in use
+	case end == segmentBroken && r.replacement == nil:
 		if copied := spare.copied.Load(); copied != nil {
-			r.held = *copied
+			r.heldCopy = *copied
 		}
 	default:
 		spare.drop()
 	}
 }
 
-// lost reports whether an engine has made events of a request, which it runs from its
+// isResponseLost reports whether an engine has made events of a request, which it runs from its
 // beginning, although none has arrived.
-func lost(report Report, id string, fresh bool) bool {
-	return fresh && report.Events[id] >= lostEvents
+func isResponseLost(report Report, id string, fresh bool) bool {
+	return fresh && report.Events[id] >= minLostEvents
 }
 
-// watch probes the engine of a leg until ctx ends, and says when it seems dead, as often
+// startProbing probes the engine of a leg until ctx ends, and says when it seems dead, as often
 // as it does. Other servers answer no probe, and where the request cannot go on elsewhere
 // nothing would follow from it.
-func (r *relay) watch(ctx context.Context, l leg) <-chan error {
+func (r *relay) startProbing(ctx context.Context, l segment) <-chan error {
 	dead := make(chan error, 1)
 	if r.h.opts.Feed.View().Config.Engine(r.service) == nil || !r.in.route.Resumable {
 		return dead
 	}
-	id, fresh := r.in.call.ID, r.after == 0
+	id, fresh := r.in.call.ID, r.lastEventID == 0
 	go func() {
-		tick := time.NewTicker(probeEvery)
+		tick := time.NewTicker(probeInterval)
 		defer tick.Stop()
 		failures := 0
 		for {
@@ -243,18 +243,18 @@
 				return
 			case <-tick.C:
 			}
-			report, err := r.h.probe(ctx, l.at.server, probeTimeout)
+			report, err := r.h.probe(ctx, l.target.server, probeTimeout)
 			switch {
 			case errors.Is(err, errRestarted):
-				tell(dead, err)
+				trySend(dead, err)
 				return
-			case err == nil && lost(report, id, fresh):
-				tell(dead, errAnswerLost)
+			case err == nil && isResponseLost(report, id, fresh):
+				trySend(dead, errResponseLost)
 			case err == nil:
 				failures = 0
 			default:
-				if failures++; failures >= deadProbes {
-					tell(dead, errDead)
+				if failures++; failures >= maxFailedProbes {
+					trySend(dead, errUnresponsive)
 				}
 			}
 		}
@@ -262,18 +262,18 @@
 	return dead
 }
 
-// tell leaves an error where none waits to be read.
-func tell(out chan<- error, err error) {
+// trySend leaves an error where none waits to be read.
+func trySend(out chan<- error, err error) {
 	select {
 	case out <- err:
 	default:
 	}
 }
 
-// useCopy notes that the copy which grows with the run is asked for.
-func (a *attempt) useCopy() {
+// markCopyUsed notes that the copy which grows with the run is asked for.
+func (a *attempt) markCopyUsed() {
 	a.copyUsed = true
-	a.r.held = kept{}
+	a.r.heldCopy = kept{}
 	if a.spare != nil {
 		a.spare.used.Store(true)
 		a.spare.copied.Store(nil)
--- a/serve/forward/budgets.go
+++ b/serve/forward/budgets.go
@@ -8,9 +8,9 @@
 	"mallowwind.dev/decision/repeats"
 )
 
-// share is this daemon's part of the fleet's budgets. The hash of its id takes the
+// budgetShare is this daemon's part of the fleet's budgets. The hash of its id takes the
 // place of an even offset, which would need the same list at every daemon.
-func (p *pool) share() repeats.Share {
+func (p *pool) budgetShare() repeats.Share {
 	share := repeats.Share{Daemons: 1}
 	if p.view != nil && len(p.view.VMs) > 1 {
 		share.Daemons = len(p.view.VMs)
@@ -19,7 +19,7 @@
 	return share
 }
 
-func (p *pool) budget(service string) *repeats.Budget {
+func (p *pool) retryBudget(service string) *repeats.Budget {
 	b, ok := p.budgets[service]
 	if !ok {
 		b = repeats.New(p.rule, p.began)
@@ -28,9 +28,9 @@
 	return b
 }
 
-// setRule changes the budgets of all services, which begin anew: without a part
+// setRetryRule changes the budgets of all services, which begin anew: without a part
 // of the slack, since what was repeated before is forgotten.
-func (p *pool) setRule(rule repeats.Policy) {
+func (p *pool) setRetryRule(rule repeats.Policy) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if rule != p.rule {
@@ -39,16 +39,16 @@
 	}
 }
 
-// request counts a caller's request to a service.
-func (p *pool) request(now time.Time, service string) {
+// countRequest counts a caller's request to a service.
+func (p *pool) countRequest(now time.Time, service string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.budget(service).RecordRequest(now)
+	p.retryBudget(service).RecordRequest(now)
 }
 
-// repeat asks for one more send of a request.
-func (p *pool) repeat(now time.Time, service string) bool {
+// tryTakeRetry asks for one more send of a request.
+func (p *pool) tryTakeRetry(now time.Time, service string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.budget(service).TryRetry(now, p.share())
+	return p.retryBudget(service).TryRetry(now, p.budgetShare())
 }
--- a/serve/forward/calls.go
+++ b/serve/forward/calls.go
@@ -14,12 +14,12 @@
 // defaultSlots holds for servers that do not say how many requests they run.
 const defaultSlots = 16
 
-// plain chooses a server for a request that is no prompt.
-func (p *pool) plain(now time.Time, view *feed.View, service string, exclude []routing.Life) (choice, bool) {
-	return p.in(view, service, func(l *layout) (choice, bool) { return p.pickPlain(now, l, exclude) })
+// choosePlain chooses a server for a request that is no prompt.
+func (p *pool) choosePlain(now time.Time, view *feed.View, service string, exclude []routing.Life) (choice, bool) {
+	return p.in(view, service, func(l *layout) (choice, bool) { return p.choosePlainFrom(now, l, exclude) })
 }
 
-func (p *pool) pickPlain(now time.Time, l *layout, exclude []routing.Life) (choice, bool) {
+func (p *pool) choosePlainFrom(now time.Time, l *layout, exclude []routing.Life) (choice, bool) {
 	for i, one := range l.loads {
 		one.plain.Limit = int32(l.servers[i].Slots)
 		if l.servers[i].Slots <= 0 {
@@ -36,18 +36,18 @@
 			return choice{}, false
 		}
 		if p.limits.open(now, l.servers[i]) {
-			return p.take(l, i, reason)
+			return p.reserve(l, i, reason)
 		}
 		exclude = append(exclude, l.servers[i].Life())
 	}
 }
 
-// plainPermitted chooses a server for a request that is no prompt, one that gives a permit
+// choosePlainWithPermit chooses a server for a request that is no prompt, one that gives a permit
 // where it names a limit.
-func (h *Handler) plainPermitted(ctx context.Context, view *feed.View, service string, exclude []routing.Life) (choice, bool) {
+func (h *Handler) choosePlainWithPermit(ctx context.Context, view *feed.View, service string, exclude []routing.Life) (choice, bool) {
 	exclude = slices.Clone(exclude)
 	for {
-		c, ok := h.pool.plain(time.Now(), view, service, exclude)
+		c, ok := h.pool.choosePlain(time.Now(), view, service, exclude)
 		if !ok || h.limits.take(ctx, c.server) {
 			return c, ok
 		}
@@ -77,7 +77,7 @@
 	return best
 }
 
-func (p *pool) take(l *layout, i int, reason string) (choice, bool) {
+func (p *pool) reserve(l *layout, i int, reason string) (choice, bool) {
 	l.loads[i].plain.InFlight++
 	return l.choose(i, reason)
 }
--- a/serve/forward/candidate.go
+++ b/serve/forward/candidate.go
@@ -20,40 +20,40 @@
 
 // reserve chooses the leg that may follow a silent one, and takes a repeat from the
 // budget for it. The request is counted at the server of the leg.
-func (r *relay) reserve(ctx context.Context, a *attempt, why error) (leg, takeover.Outcome) {
-	if !r.mayGoOn() || r.starts >= maxStarts {
-		return leg{}, takeover.NoAttemptsLeft
+func (r *relay) reserve(ctx context.Context, a *attempt, why error) (segment, takeover.Outcome) {
+	if !r.canResume() || r.starts >= maxStarts {
+		return segment{}, takeover.NoAttemptsLeft
 	}
 	l, outcome := r.candidate(ctx, a, why)
 	if outcome != takeover.TakenOver {
-		return leg{}, outcome
+		return segment{}, outcome
 	}
-	l = r.withCopy(ctx, l)
+	l = r.withCopyTarget(ctx, l)
 	// A repeat is spent only on what is still silent now.
 	if !pause.For(ctx, takeover.SettleTime) {
 		outcome = takeover.NotNeeded
-	} else if !r.mayRepeat(ctx, time.Now()) {
+	} else if !r.tryAcquireRetry(ctx, time.Now()) {
 		outcome = takeover.NoRetryBudget
 	}
 	if outcome != takeover.TakenOver {
 		r.uncount(l)
-		return leg{}, outcome
+		return segment{}, outcome
 	}
 	return l, outcome
 }
 
 // uncount takes back the count of a leg whose request is not sent.
-func (r *relay) uncount(l leg) { r.h.pool.count(l.at, -1, 0, 0) }
+func (r *relay) uncount(l segment) { r.h.pool.count(l.target, -1, 0, 0) }
 
 // candidate is the leg at the engine that holds a copy of the run, if it gives a sign of
 // life, or at one that reads the prompt anew.
-func (r *relay) candidate(ctx context.Context, a *attempt, why error) (leg, takeover.Outcome) {
-	if c, held, ok := r.livingHolder(ctx, a); ok && r.permitted(ctx, c) {
+func (r *relay) candidate(ctx context.Context, a *attempt, why error) (segment, takeover.Outcome) {
+	if c, held, ok := r.livingHolder(ctx, a); ok && r.tryAcquirePermit(ctx, c) {
 		r.h.pool.count(c, 1, 0, 0)
-		return leg{at: c, from: held.name}, takeover.TakenOver
+		return segment{target: c, resumeFrom: held.name}, takeover.TakenOver
 	}
-	if r.h.pressure.hopeless(r.service, r.in.call.PromptTokens, time.Until(r.in.until)) {
-		return leg{}, takeover.NoCapacity
+	if r.h.pressure.hopeless(r.service, r.in.call.PromptTokens, time.Until(r.in.deadline)) {
+		return segment{}, takeover.NoCapacity
 	}
 	return r.withoutCopy(ctx, a, why)
 }
@@ -61,18 +61,18 @@
 // withoutCopy is the leg at a server that makes the rest of the answer without a copy. It is
 // late for the caller in any case, so it is worth it only where the silent server gives no
 // sign of life, or has been silent for long.
-func (r *relay) withoutCopy(ctx context.Context, a *attempt, why error) (leg, takeover.Outcome) {
+func (r *relay) withoutCopy(ctx context.Context, a *attempt, why error) (segment, takeover.Outcome) {
 	view := r.h.opts.Feed.View()
-	r.exclude(a.leg)
+	r.exclude(a.segment)
 	c, ok := r.place(ctx, view)
 	if !ok {
-		return leg{}, takeover.NoServer
+		return segment{}, takeover.NoServer
 	}
-	if !r.permitted(ctx, c.choice) {
-		r.uncount(leg{at: c.choice})
-		return leg{}, takeover.NoServer
+	if !r.tryAcquirePermit(ctx, c.choice) {
+		r.uncount(segment{target: c.choice})
+		return segment{}, takeover.NoServer
 	}
-	l, outcome := leg{at: c.choice}, takeover.TakenOver
+	l, outcome := segment{target: c.choice}, takeover.TakenOver
 	if view.Config.Engine(r.service) != nil {
 		switch admission, _ := r.admission(c); {
 		case !c.answered:
@@ -85,7 +85,7 @@
 	}
 	if outcome != takeover.TakenOver {
 		r.uncount(l)
-		return leg{}, outcome
+		return segment{}, outcome
 	}
 	return l, outcome
 }
@@ -94,11 +94,11 @@
 // where the link from here was full until a moment ago, others answer as well by now. One
 // whose answer is lost, or that has been silent for long, is not asked.
 func (r *relay) answers(ctx context.Context, a *attempt, why error) bool {
-	long := time.Since(r.since) >= takeover.MaxSilence(false, r.in.route.GapTarget)
-	if errors.Is(why, errAnswerLost) || errors.Is(why, errSilent) && long {
+	long := time.Since(r.lastEventAt) >= takeover.MaxSilence(false, r.in.route.GapTarget)
+	if errors.Is(why, errResponseLost) || errors.Is(why, errStreamIdle) && long {
 		return false
 	}
-	_, err := r.h.probe(ctx, a.at.server, askLimit)
+	_, err := r.h.probe(ctx, a.target.server, fastProbeTimeout)
 	return err == nil
 }
 
@@ -107,20 +107,20 @@
 // while others answer both times: one lost packet does not show that, nor a link from here that
 // is free again in the middle of a question. Servers that are no engines cannot be asked.
 func (r *relay) unreachable(ctx context.Context, a *attempt, why error) bool {
-	if errors.Is(why, errAnswerLost) {
-		a.foundLost++
-		return a.foundLost >= deadProbes
+	if errors.Is(why, errResponseLost) {
+		a.timesFoundLost++
+		return a.timesFoundLost >= maxFailedProbes
 	}
 	view := r.h.opts.Feed.View()
 	if view.Config.Engine(r.service) == nil {
 		return false
 	}
-	others := r.h.pool.readers(time.Now(), view, r.service, "", Asked, []routing.Life{a.at.server.Life()})
-	for range deadProbes {
+	others := r.h.pool.readers(time.Now(), view, r.service, "", SampleSize, []routing.Life{a.target.server.Life()})
+	for range maxFailedProbes {
 		var silent error
 		var all sync.WaitGroup
-		all.Go(func() { _, silent = r.h.probe(ctx, a.at.server, askLimit) })
-		answered := r.h.questions().survey(ctx, others, 0)
+		all.Go(func() { _, silent = r.h.probe(ctx, a.target.server, fastProbeTimeout) })
+		answered := r.h.questions().sampleLoads(ctx, others, 0)
 		all.Wait()
 		if silent == nil || len(answered) == 0 {
 			return false
@@ -131,7 +131,7 @@
 
 // livingHolder is the engine that holds a copy of an attempt's run, if it answers.
 func (r *relay) livingHolder(ctx context.Context, a *attempt) (choice, kept, bool) {
-	held := r.held
+	held := r.heldCopy
 	if a.spare != nil {
 		if copied := a.spare.copied.Load(); copied != nil {
 			held = *copied
@@ -140,7 +140,7 @@
 	if held.at.load == nil {
 		return choice{}, kept{}, false
 	}
-	c, ok := r.holder(r.h.opts.Feed.View(), held)
+	c, ok := r.findCopyHolder(r.h.opts.Feed.View(), held)
 	if !ok {
 		return choice{}, kept{}, false
 	}
--- a/serve/forward/endings.go
+++ b/serve/forward/endings.go
@@ -24,7 +24,7 @@
 
 // brokenOff reports whether a server broke off a connection on which a request was sent.
 func brokenOff(err error) bool {
-	for _, reason := range []error{io.EOF, io.ErrUnexpectedEOF, io.ErrClosedPipe, syscall.ECONNRESET, syscall.EPIPE, errTorn, errRestarted} {
+	for _, reason := range []error{io.EOF, io.ErrUnexpectedEOF, io.ErrClosedPipe, syscall.ECONNRESET, syscall.EPIPE, errTruncatedEvent, errRestarted} {
 		if errors.Is(err, reason) {
 			return true
 		}
@@ -85,15 +85,15 @@
 	}
 	found := h.stateOf(e)
 	end := poison.Termination{
-		Planned: h.leaves(e.at.server),
-		PromptUnread:  e.from == "" && h.pressure.hopeless(e.at.server.Service, e.in.call.PromptTokens, now.Sub(e.sent)),
-		Streamed: running,
+		Planned:      h.leaves(e.at.server),
+		PromptUnread: e.from == "" && h.pressure.hopeless(e.at.server.Service, e.in.call.PromptTokens, now.Sub(e.sent)),
+		Streamed:     running,
 	}
 	if found == stateEnded && end.Attribute() == poison.Attributed {
 		end.PeersChecked, end.PeersDown = h.lookAround(e.at.server)
 	}
 	finding := end.Attribute()
-	h.opts.Log.Emit(event.BackendBroke, e.in.call.ID, e.in.digests, e.in.call.OwnPart, e.in.accountName(),
+	h.opts.Log.Emit(event.BackendBroke, e.in.call.ID, e.in.digests, e.in.call.PromptKey, e.in.accountName(),
 		e.at.server.ID, e.at.server.Zone, string(found), finding.String(), end.PeersChecked, end.PeersDown, now.Sub(e.sent), running, e.from, e.err)
 	if found == stateEnded && finding == poison.Attributed {
 		h.poisoned.ended(context.Background(), e.in, e.at.server.Life())
@@ -131,7 +131,7 @@
 	case err == nil:
 		conn.Close()
 		return stateLives
-	case timedOut(err):
+	case isTimeout(err):
 		return stateSilent
 	}
 	return stateEnded
--- a/serve/forward/events.go
+++ b/serve/forward/events.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// maxEvent bounds one event of a stream, in bytes.
-	maxEvent = 1 << 20
-	// eventBuffer holds some tens of the usual events, in bytes.
-	eventBuffer = 4 << 10
+	// maxEventBytes bounds one event of a stream, in bytes.
+	maxEventBytes = 1 << 20
+	// eventBufferBytes holds some tens of the usual events, in bytes.
+	eventBufferBytes = 4 << 10
 )
 
 // streamEvent is one whole event as the server wrote it.
@@ -23,8 +23,8 @@
 	err error  // the end of the stream; io.EOF after its last event
 }
 
-// errTorn means that a stream stopped within an event.
-var errTorn = errors.New("forward: stream torn within an event")
+// errTruncatedEvent means that a stream stopped within an event.
+var errTruncatedEvent = errors.New("forward: stream torn within an event")
 
 // readEvent reads up to the blank line that ends an event. A piece of an event
 // at the end of the stream is never returned.
@@ -36,22 +36,22 @@
 		switch {
 		case err == bufio.ErrBufferFull:
 		case err == io.EOF && len(e.raw) > 0:
-			return streamEvent{err: errTorn}
+			return streamEvent{err: errTruncatedEvent}
 		case err != nil:
 			return streamEvent{err: err}
 		case len(bytes.TrimRight(line, "\r\n")) == 0 && len(e.raw) > len(line):
 			return e
 		default:
-			e.field(line)
+			e.parseField(line)
 		}
-		if len(e.raw) > maxEvent {
-			return streamEvent{err: errors.Errorf("an event of more than %d bytes", maxEvent)}
+		if len(e.raw) > maxEventBytes {
+			return streamEvent{err: errors.Errorf("an event of more than %d bytes", maxEventBytes)}
 		}
 	}
 }
 
-// field takes the id out of a line.
-func (e *streamEvent) field(line []byte) {
+// parseField takes the id out of a line.
+func (e *streamEvent) parseField(line []byte) {
 	value, ok := bytes.CutPrefix(line, []byte("id:"))
 	if !ok {
 		return
--- a/serve/forward/finish_test.go
+++ b/serve/forward/finish_test.go
@@ -50,7 +50,7 @@
 func TestDaemonThatKnowsNothingHearsThePace(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		w.add("e-1", "llm", "a", streaming(101, time.Second, 30*time.Millisecond))
-		other := w.beside("vm-2")
+		other := w.addDaemon("vm-2")
 		for range 5 {
 			other.pressure.wasRead("llm", 8000, time.Second)
 			other.pressure.made("llm", 101, 3*time.Second)
--- a/serve/forward/handler.go
+++ b/serve/forward/handler.go
@@ -22,33 +22,33 @@
 )
 
 const (
-	// keyMargin is kept below the age after which a removed key must not work any
+	// keyAgeMargin is kept below the age after which a removed key must not work any
 	// more, for the clocks that count it do not run quite alike.
-	keyMargin = 300 * time.Millisecond
-	// unknownRetry is when a caller comes back to a daemon that has no
+	keyAgeMargin = 300 * time.Millisecond
+	// unconfiguredRetryAfter is when a caller comes back to a daemon that has no
 	// configuration: about what reading it takes.
-	unknownRetry = 300 * time.Millisecond
-	// firstConfigWait is above what the last of a fleet takes whose daemons all read the
+	unconfiguredRetryAfter = 300 * time.Millisecond
+	// maxFirstConfigWait is above what the last of a fleet takes whose daemons all read the
 	// store at once after all were killed.
-	firstConfigWait = 650 * time.Millisecond
-	// firstConfigShare is the part of its caller's time that a request waits at most, so
+	maxFirstConfigWait = 650 * time.Millisecond
+	// firstConfigWaitRatio is the part of its caller's time that a request waits at most, so
 	// that one with little can still go elsewhere.
-	firstConfigShare = 0.25
-	// leavingRetry is when a caller comes back that this daemon turned away while
+	firstConfigWaitRatio = 0.25
+	// shutdownRetryAfter is when a caller comes back that this daemon turned away while
 	// stopping: at once, at another address.
-	leavingRetry = 50 * time.Millisecond
+	shutdownRetryAfter = 50 * time.Millisecond
 )
 
-// lateWrite is how long an answer may still be written after the caller's time
+// writeGrace is how long an answer may still be written after the caller's time
 // is over: what is ready is delivered, also late.
-const lateWrite = 5 * time.Second
+const writeGrace = 5 * time.Second
 
-// bound ends the writing to a caller that stops reading. Without it a write to
+// setWriteDeadline ends the writing to a caller that stops reading. Without it a write to
 // a full connection waits as long as the caller keeps it open, and the request
 // holds its memory and, for a stream, an engine.
-func (h *Handler) bound(w http.ResponseWriter, until time.Time) {
+func (h *Handler) setWriteDeadline(w http.ResponseWriter, until time.Time) {
 	// A connection without deadlines only lacks the bound.
-	_ = http.NewResponseController(w).SetWriteDeadline(until.Add(lateWrite))
+	_ = http.NewResponseController(w).SetWriteDeadline(until.Add(writeGrace))
 }
 
 // Options configure a Handler.
@@ -57,10 +57,10 @@
 	Codec Codec
 	Log   *event.Log
 	Self  routing.VM
-	// KeyAge is how old the configuration may be for an account key to be trusted.
-	KeyAge time.Duration
-	// Repeats bounds the sends beyond the first of the whole fleet.
-	Repeats repeats.Policy
+	// MaxKeyAge is how old the configuration may be for an account key to be trusted.
+	MaxKeyAge time.Duration
+	// RetryBudget bounds the sends beyond the first of the whole fleet.
+	RetryBudget repeats.Policy
 	// Registerer receives the metrics; it may be nil.
 	Registerer prometheus.Registerer
 	// Dial opens connections to servers; nil means TCP.
@@ -71,10 +71,10 @@
 	Versions *versions.Manager
 }
 
-// started is the beginning of monotonic.
-var started = time.Now()
+// processStart is the beginning of monotonic.
+var processStart = time.Now()
 
-func monotonic() time.Duration { return time.Since(started) }
+func monotonic() time.Duration { return time.Since(processStart) }
 
 // Handler forwards requests.
 type Handler struct {
@@ -92,8 +92,8 @@
 	versions   *versions.Manager
 	metrics    *metrics
 	running    atomic.Int64
-	keyAge     atomic.Int64
-	stop       atomic.Pointer[Stop] // nil while the daemon serves
+	maxKeyAge  atomic.Int64
+	shutdown   atomic.Pointer[ShutdownSchedule] // nil while the daemon serves
 }
 
 // New returns a handler. Until o.Feed knows a configuration its requests wait for that a
@@ -106,14 +106,14 @@
 		o.Versions = versions.New(versions.Options{Feed: o.Feed, Clock: monotonic, Log: o.Log, Self: o.Self, Dialer: o.Dialer})
 	}
 	h := &Handler{
-		opts: o, dial: o.Dial, transport: newTransport(o.Dial), pool: newPool(o.Self, o.Repeats, o.Versions), pressure: newPressure(),
+		opts: o, dial: o.Dial, transport: newTransport(o.Dial), pool: newPool(o.Self, o.RetryBudget, o.Versions), pressure: newPressure(),
 		borrower: newBorrower(o), neighbours: newNeighbours(o), versions: o.Versions,
 	}
 	h.versions.CountUnderWay(h.pool.underWay)
 	h.locator, h.keepers, h.poisoned = newLocator(h), newKeepers(h), newPoisoned(h)
 	h.limits = newLimits(h)
 	h.pool.changed, h.pool.limits = h.keepers.changed, h.limits
-	h.SetBounds(o.KeyAge, o.Repeats)
+	h.SetBounds(o.MaxKeyAge, o.RetryBudget)
 	h.metrics = newMetrics(o.Registerer, h.Running)
 	return h
 }
@@ -121,55 +121,55 @@
 // SetBounds changes how old the configuration may be for account keys, and the
 // fleet's budget of repeats.
 func (h *Handler) SetBounds(keyAge time.Duration, rule repeats.Policy) {
-	h.keyAge.Store(int64(keyAge))
-	h.pool.setRule(rule)
+	h.maxKeyAge.Store(int64(keyAge))
+	h.pool.setRetryRule(rule)
 }
 
 // Running is the number of requests in progress.
 func (h *Handler) Running() int { return int(h.running.Load()) }
 
-// Stop says what is still taken while the daemon stops.
-type Stop struct {
-	// Streams is until when new streams are taken: later ones would outlast the process.
-	Streams time.Time
-	// All is until when other requests are taken whatever time they have. Later
+// ShutdownSchedule says what is still taken while the daemon stops.
+type ShutdownSchedule struct {
+	// StreamsUntil is until when new streams are taken: later ones would outlast the process.
+	StreamsUntil time.Time
+	// RequestsUntil is until when other requests are taken whatever time they have. Later
 	// ones are taken only if their time runs out before End, so that none that was
 	// taken is cut.
-	All time.Time
-	// End is when the process ends.
-	End time.Time
+	RequestsUntil time.Time
+	// ExitAt is when the process ends.
+	ExitAt time.Time
 }
 
-// takes reports whether a request is still taken.
-func (s *Stop) takes(in *inbound) bool {
+// accepts reports whether a request is still taken.
+func (s *ShutdownSchedule) accepts(in *inbound) bool {
 	switch {
 	case in.route.Kind == routing.Stream:
-		return in.arrived.Before(s.Streams)
-	case in.arrived.Before(s.All):
+		return in.arrived.Before(s.StreamsUntil)
+	case in.arrived.Before(s.RequestsUntil):
 		return true
 	}
-	return in.until.Before(s.End)
+	return in.deadline.Before(s.ExitAt)
 }
 
-// Leave begins the stop. Every answer ends its connection from now on, so that
+// BeginShutdown begins the stop. Every answer ends its connection from now on, so that
 // callers go elsewhere.
-func (h *Handler) Leave(s Stop) { h.stop.Store(&s) }
+func (h *Handler) BeginShutdown(s ShutdownSchedule) { h.shutdown.Store(&s) }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.running.Add(1)
 	defer h.running.Add(-1)
-	if h.stop.Load() != nil {
+	if h.shutdown.Load() != nil {
 		w.Header().Set("Connection", "close")
 	}
-	h.bound(w, time.Now().Add(defaultPatience))
+	h.setWriteDeadline(w, time.Now().Add(defaultTimeout))
 	in, err := h.accept(w, r)
 	if err != nil {
 		h.refuse(w, in, err)
 		return
 	}
-	h.bound(w, in.until)
-	ctx, cancel := context.WithDeadline(r.Context(), in.until)
+	h.setWriteDeadline(w, in.deadline)
+	ctx, cancel := context.WithDeadline(r.Context(), in.deadline)
 	defer cancel()
 	ctx, leave, err := h.poisoned.enter(ctx, in)
 	if err != nil {
@@ -178,17 +178,17 @@
 	}
 	defer leave()
 	service := in.route.Target(rand.Float64())
-	h.pool.request(in.arrived, service)
+	h.pool.countRequest(in.arrived, service)
 	if in.route.Kind == routing.Stream {
-		err = h.stream(ctx, w, in, service)
+		err = h.forwardStream(ctx, w, in, service)
 	} else {
-		err = h.plain(ctx, w, in, service)
+		err = h.forwardPlain(ctx, w, in, service)
 	}
 	if err == nil || r.Context().Err() != nil {
 		return
 	}
 	var refused *verdict.Error
-	if errors.As(context.Cause(ctx), &refused) && !errors.Is(err, errCut) {
+	if errors.As(context.Cause(ctx), &refused) && !errors.Is(err, errTruncated) {
 		err = refused
 	}
 	h.refuse(w, in, err)
--- a/serve/forward/heldup_test.go
+++ b/serve/forward/heldup_test.go
@@ -84,9 +84,9 @@
 		rule repeats.Policy
 		held time.Duration // before the link is held up: while prompts are read, or in mid-answer
 	}{
-		{"in mid-answer, repeats used up", noRepeats, 1500 * time.Millisecond},
+		{"in mid-answer, repeats used up", noRetries, 1500 * time.Millisecond},
 		{"in mid-answer, repeats left", repeatsRule, 1500 * time.Millisecond},
-		{"before the first event, repeats used up", noRepeats, 200 * time.Millisecond},
+		{"before the first event, repeats used up", noRetries, 200 * time.Millisecond},
 		{"before the first event, repeats left", repeatsRule, 200 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -94,14 +94,14 @@
 				for _, id := range []string{"a", "b", "c"} {
 					w.add("e-"+id, "llm", id, streaming(60, time.Second, 40*time.Millisecond))
 				}
-				w.budget(c.rule)
+				w.setRetryBudget(c.rule)
 				w.during(func() { w.holdLink(c.held, 1200*time.Millisecond) })
 				for _, got := range w.askMany(4) {
 					must.NoError(w.t, got.err)
 					must.Eq(w.t, http.StatusOK, got.status)
 					must.Eq(w.t, events(1, 60), got.body)
 				}
-				must.Eq(w.t, 4, w.runs())
+				must.Eq(w.t, 4, w.totalRequests())
 			})
 		})
 	}
@@ -165,7 +165,7 @@
 		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(1, 60), got.body)
-		must.Eq(w.t, 1, w.runs())
+		must.Eq(w.t, 1, w.totalRequests())
 	})
 }
 
@@ -225,10 +225,10 @@
 		got := w.ask(http.MethodPost, "/s/1", with(map[string]string{hAfter: "9", hPart: "p7"}), "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(10, 12), got.body)
-		looks := testutil.ToFloat64(w.handler.metrics.scans)
+		looks := testutil.ToFloat64(w.handler.metrics.cacheScans)
 		at := w.servers["e-4"].requests()
 		if looks != 1 || at != 1 {
-			w.t.Fatalf("%v looks, %d requests at the engine that holds the prompt, %d elsewhere", looks, at, w.runs()-at)
+			w.t.Fatalf("%v looks, %d requests at the engine that holds the prompt, %d elsewhere", looks, at, w.totalRequests()-at)
 		}
 	})
 }
@@ -314,7 +314,7 @@
 		}
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
-		w.budget(repeats.Policy{Slack: 1.2, Window: 10 * time.Second}) // one repeat
+		w.setRetryBudget(repeats.Policy{Slack: 1.2, Window: 10 * time.Second}) // one repeat
 		w.during(func() {
 			<-asked
 			w.holdLink(20*time.Millisecond, 450*time.Millisecond)
@@ -367,7 +367,7 @@
 		w.during(func() {
 			time.Sleep(351 * time.Millisecond)
 			link.shut(450 * time.Millisecond)
-			for w.runs() < 2 {
+			for w.totalRequests() < 2 {
 				time.Sleep(time.Millisecond)
 			}
 			time.Sleep(78*40*time.Millisecond + 351*time.Millisecond)
@@ -445,7 +445,7 @@
 		handle := func(rw http.ResponseWriter, r *http.Request) {
 			if r.Header.Get(hCopyAt) != "" {
 				asked <- struct{}{}
-				copyFreed(300*time.Millisecond, 0)(rw, r)
+				withCopyReleased(300*time.Millisecond, 0)(rw, r)
 				return
 			}
 			w.servers[r.Header.Get(hServer)].mute()
@@ -453,7 +453,7 @@
 		}
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
-		w.budget(repeats.Policy{Slack: 1.2, Window: 10 * time.Second}) // one repeat
+		w.setRetryBudget(repeats.Policy{Slack: 1.2, Window: 10 * time.Second}) // one repeat
 		w.during(func() {
 			<-asked
 			w.holdLink(20*time.Millisecond, 265*time.Millisecond)
--- a/serve/forward/keepers.go
+++ b/serve/forward/keepers.go
@@ -140,7 +140,7 @@
 		})
 	}
 	all.Wait()
-	return sum, len(sum) >= Asked
+	return sum, len(sum) >= SampleSize
 }
 
 // ask asks one keeper, which may be this daemon; nil where it does not answer.
--- a/serve/forward/lending.go
+++ b/serve/forward/lending.go
@@ -75,13 +75,13 @@
 func (b *borrower) next(service string, daemons, asked []string) (string, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return ofService(b.lenders, service).Next(time.Now(), daemons, asked, rand.Uint64())
+	return getOrCreate(b.lenders, service).Next(time.Now(), daemons, asked, rand.Uint64())
 }
 
 func (b *borrower) refused(service, id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	ofService(b.lenders, service).MarkRefused(time.Now(), id)
+	getOrCreate(b.lenders, service).MarkRefused(time.Now(), id)
 }
 
 func (b *borrower) ask(ctx context.Context, address, service string) bool {
@@ -103,7 +103,7 @@
 
 // Lend counts a repeat of another daemon as one of this daemon.
 func (l lending) Lend(_ context.Context, q *peerpb.LendRequest) (*peerpb.LendReply, error) {
-	return &peerpb.LendReply{Granted: l.pool.repeat(time.Now(), q.GetService())}, nil
+	return &peerpb.LendReply{Granted: l.pool.tryTakeRetry(time.Now(), q.GetService())}, nil
 }
 
 // Lending returns the twirp service that other daemons call, and its path prefix.
--- a/serve/forward/lending_test.go
+++ b/serve/forward/lending_test.go
@@ -66,7 +66,7 @@
 				got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
 				must.Eq(t, c.whole, got.err == nil)
 				must.Eq(t, c.whole, got.body == events(1, 40))
-				must.Eq(t, c.remain, lender.repeat(time.Now(), "llm"))
+				must.Eq(t, c.remain, lender.tryTakeRetry(time.Now(), "llm"))
 			})
 		})
 	}
--- a/serve/forward/limits.go
+++ b/serve/forward/limits.go
@@ -31,7 +31,7 @@
 	telling quota.BroadcastPacer
 	turn    quota.PermitPoller
 	bucket  quota.TokenBucket // of the permits given out here
-	asked   time.Time    // by another daemon for a permit, last
+	asked   time.Time         // by another daemon for a permit, last
 	alone   quota.TokenBucket // of this daemon's part, while no daemon that gives permits answers
 }
 
@@ -78,7 +78,7 @@
 // heardLimit takes in what an answer says of its server's limit, unless another server gave it.
 func (h *Handler) heardLimit(s routing.Server, sent time.Time, reply Reply) {
 	if !reply.Misdirected {
-		h.limits.answered(s, sent, reply.Limit, reply.Proven && !reply.NotRun)
+		h.limits.answered(s, sent, reply.RateLimit, reply.Authentic && !reply.NotRun)
 	}
 }
 
--- a/serve/forward/lives.go
+++ b/serve/forward/lives.go
@@ -46,7 +46,7 @@
 // probe asks an engine for a sign of life. The word of an earlier life shows no more than
 // that it answers; a later one fails with errRestarted.
 func (h *Handler) probe(ctx context.Context, s routing.Server, limit time.Duration) (Report, error) {
-	report, err := h.report(ctx, s, limit)
+	report, err := h.fetchReport(ctx, s, limit)
 	if err != nil {
 		return Report{}, err
 	}
@@ -61,6 +61,6 @@
 
 // unreadable records that an engine's message cannot be used.
 func (h *Handler) unreadable(s routing.Server, err error) {
-	h.metrics.unreadable.Inc()
+	h.metrics.unreadableMessages.Inc()
 	h.opts.Log.Emit(event.MessageRefused, s.ID, s.Address, err)
 }
--- a/serve/forward/lives_test.go
+++ b/serve/forward/lives_test.go
@@ -84,13 +84,13 @@
 		c, ok := w.handler.pool.at(view, "llm", s.server.Address)
 		must.True(t, ok)
 		r := &relay{h: w.handler, service: "llm"}
-		_, ok = r.holder(view, kept{at: c, once: true})
+		_, ok = r.findCopyHolder(view, kept{at: c, once: true})
 		must.True(t, ok)
 		w.register(w.reborn(s, false))
 		time.Sleep(time.Second)
-		_, ok = r.holder(w.feed.View(), kept{at: c, once: true})
+		_, ok = r.findCopyHolder(w.feed.View(), kept{at: c, once: true})
 		must.False(t, ok)
-		at, ok := r.holder(w.feed.View(), kept{at: c})
+		at, ok := r.findCopyHolder(w.feed.View(), kept{at: c})
 		must.True(t, ok) // one that grows is sent to the new life too
 		must.Eq(t, int64(firstLife+1), at.server.Born)
 	})
@@ -138,7 +138,7 @@
 		report, err = w.handler.probe(w.t.Context(), late, time.Second)
 		must.NoError(t, err)
 		must.MapEmpty(t, report.Events)
-		must.Zero(t, report.Memory)
+		must.Zero(t, report.CapacityTokens)
 		must.False(t, w.handler.pool.renewed(w.feed.View(), late.Life(), again.server.Life()))
 	})
 }
--- a/serve/forward/locate.go
+++ b/serve/forward/locate.go
@@ -137,7 +137,7 @@
 
 func (l *locator) look(service string, s *scan, servers []routing.Server) {
 	defer s.end()
-	l.h.metrics.scans.Inc()
+	l.h.metrics.cacheScans.Inc()
 	ctx, cancel := context.WithTimeout(context.Background(), scanTimeout)
 	defer cancel()
 	answers := make(chan cacheAnswer, len(servers))
@@ -219,7 +219,7 @@
 // readCache is cached, and says how many bytes of the answer arrived.
 func (h *Handler) readCache(ctx context.Context, server routing.Server) (life routing.Life, parts []string, bytes int, err error) {
 	life = server.Life()
-	body, err := h.commandUpTo(ctx, scanAnswer, http.MethodGet, server, h.opts.Codec.CachePath(), nil)
+	body, err := h.callServerUpTo(ctx, scanAnswer, http.MethodGet, server, h.opts.Codec.CachePath(), nil)
 	h.metrics.cacheBytes.Add(float64(len(body)))
 	if err != nil {
 		return life, nil, len(body), err
@@ -238,5 +238,5 @@
 	case lifeAfter:
 		life.Born = cache.Born
 	}
-	return life, cache.Parts, len(body), nil
+	return life, cache.PromptKeys, len(body), nil
 }
--- a/serve/forward/metrics.go
+++ b/serve/forward/metrics.go
@@ -12,21 +12,21 @@
 // metrics count what callers get and what it took. Labels are bounded: kinds,
 // statuses, reasons and ends, never names of routes or servers.
 type metrics struct {
-	answers  *prometheus.CounterVec
-	seconds  *prometheus.HistogramVec
-	sends    *prometheus.CounterVec
-	legs     *prometheus.CounterVec
-	stayed   *prometheus.CounterVec
-	first    prometheus.Histogram
-	pauses   prometheus.Histogram
-	denied   prometheus.Counter
-	borrowed prometheus.Counter
-	remade   prometheus.Counter
-	scans    prometheus.Counter
-	crowded  *prometheus.CounterVec
-	inFlight prometheus.GaugeFunc
+	answers           *prometheus.CounterVec
+	answerSeconds     *prometheus.HistogramVec
+	sends             *prometheus.CounterVec
+	segments          *prometheus.CounterVec
+	segmentsKept      *prometheus.CounterVec
+	firstEventSeconds prometheus.Histogram
+	resumeSeconds     prometheus.Histogram
+	retriesDenied     prometheus.Counter
+	retriesBorrowed   prometheus.Counter
+	copiesRemade      prometheus.Counter
+	cacheScans        prometheus.Counter
+	overloadRefusals  *prometheus.CounterVec
+	inFlight          prometheus.GaugeFunc
 
-	unreadable prometheus.Counter
+	unreadableMessages prometheus.Counter
 
 	poisonMarks    *prometheus.CounterVec
 	poisonRefusals prometheus.Counter
@@ -47,37 +47,37 @@
 		}
 	}
 	m := &metrics{
-		answers:        prometheus.NewCounterVec(counter("answers_total", "Answers to callers; source says whether a backend server or the daemon gave it."), []string{"kind", "status", "source"}),
-		seconds:        prometheus.NewHistogramVec(histogram("answer_seconds", "Time from a request's arrival to the end of its answer."), []string{"kind"}),
-		sends:          prometheus.NewCounterVec(counter("sends_total", "Sends of requests that are no streams, by result."), []string{"result"}),
-		legs:           prometheus.NewCounterVec(counter("stream_legs_total", "Parts of streams by one backend server each, by why it was chosen and how the part ended."), []string{"reason", "end"}),
-		stayed:         prometheus.NewCounterVec(counter("stream_legs_kept_total", "Silent backend servers that kept their stream, by why it did not go on at another."), []string{"reason"}),
-		first:          prometheus.NewHistogram(histogram("stream_first_seconds", "Time from a request's arrival to the first event of its stream.")),
-		pauses:         prometheus.NewHistogram(histogram("stream_resume_seconds", "Pause in a stream that went on at another backend server.")),
-		denied:         prometheus.NewCounter(counter("repeats_denied_total", "Sends that the shared budget of repeats did not afford.")),
-		borrowed:       prometheus.NewCounter(counter("repeats_borrowed_total", "Sends for which another daemon gave up a part of the shared budget of repeats.")),
-		remade:         prometheus.NewCounter(counter("copies_made_again_total", "Copies of runs made because the one before was lost.")),
-		scans:          prometheus.NewCounter(counter("cache_scans_total", "Looks at the caches of all engines of a service.")),
-		crowded:        prometheus.NewCounterVec(counter("crowded_total", "Requests refused before they ran, because engines have no room or servers turn requests away."), []string{"reason"}),
-		unreadable:     prometheus.NewCounter(counter("messages_unreadable_total", "Answers of engines to questions about themselves that cannot be used.")),
-		cacheBytes:     prometheus.NewCounter(counter("cache_bytes_total", "Bytes that engines sent to say what prompts they hold.")),
-		poisonMarks:    prometheus.NewCounterVec(counter("poison_marks_total", "Requests marked because servers ended under them, counted here or told by other daemons."), []string{"mark"}),
-		poisonRefusals: prometheus.NewCounter(counter("poison_refusals_total", "Requests refused because servers end when they run them.")),
-		limitChanges:   prometheus.NewCounterVec(counter("limit_changes_total", "Changes of the limits that backend servers name, by their answers here or as other daemons told."), []string{"change"}),
-		permits:        prometheus.NewCounterVec(counter("permits_total", "Permits asked for to send a request to a backend server that names a limit."), []string{"result"}),
+		answers:            prometheus.NewCounterVec(counter("answers_total", "Answers to callers; source says whether a backend server or the daemon gave it."), []string{"kind", "status", "source"}),
+		answerSeconds:      prometheus.NewHistogramVec(histogram("answer_seconds", "Time from a request's arrival to the end of its answer."), []string{"kind"}),
+		sends:              prometheus.NewCounterVec(counter("sends_total", "Sends of requests that are no streams, by result."), []string{"result"}),
+		segments:           prometheus.NewCounterVec(counter("stream_legs_total", "Parts of streams by one backend server each, by why it was chosen and how the part ended."), []string{"reason", "end"}),
+		segmentsKept:       prometheus.NewCounterVec(counter("stream_legs_kept_total", "Silent backend servers that kept their stream, by why it did not go on at another."), []string{"reason"}),
+		firstEventSeconds:  prometheus.NewHistogram(histogram("stream_first_seconds", "Time from a request's arrival to the first event of its stream.")),
+		resumeSeconds:      prometheus.NewHistogram(histogram("stream_resume_seconds", "Pause in a stream that went on at another backend server.")),
+		retriesDenied:      prometheus.NewCounter(counter("repeats_denied_total", "Sends that the shared budget of repeats did not afford.")),
+		retriesBorrowed:    prometheus.NewCounter(counter("repeats_borrowed_total", "Sends for which another daemon gave up a part of the shared budget of repeats.")),
+		copiesRemade:       prometheus.NewCounter(counter("copies_made_again_total", "Copies of runs made because the one before was lost.")),
+		cacheScans:         prometheus.NewCounter(counter("cache_scans_total", "Looks at the caches of all engines of a service.")),
+		overloadRefusals:   prometheus.NewCounterVec(counter("crowded_total", "Requests refused before they ran, because engines have no room or servers turn requests away."), []string{"reason"}),
+		unreadableMessages: prometheus.NewCounter(counter("messages_unreadable_total", "Answers of engines to questions about themselves that cannot be used.")),
+		cacheBytes:         prometheus.NewCounter(counter("cache_bytes_total", "Bytes that engines sent to say what prompts they hold.")),
+		poisonMarks:        prometheus.NewCounterVec(counter("poison_marks_total", "Requests marked because servers ended under them, counted here or told by other daemons."), []string{"mark"}),
+		poisonRefusals:     prometheus.NewCounter(counter("poison_refusals_total", "Requests refused because servers end when they run them.")),
+		limitChanges:       prometheus.NewCounterVec(counter("limit_changes_total", "Changes of the limits that backend servers name, by their answers here or as other daemons told."), []string{"change"}),
+		permits:            prometheus.NewCounterVec(counter("permits_total", "Permits asked for to send a request to a backend server that names a limit."), []string{"result"}),
 		inFlight: prometheus.NewGaugeFunc(prometheus.GaugeOpts(name("in_flight", "Requests in progress.")),
 			func() float64 { return float64(running()) }),
 	}
-	metric.Register(r, m.answers, m.seconds, m.sends, m.legs, m.stayed, m.first, m.pauses, m.denied, m.borrowed, m.remade, m.scans, m.crowded, m.inFlight, m.poisonMarks, m.poisonRefusals, m.limitChanges, m.permits, m.unreadable, m.cacheBytes)
+	metric.Register(r, m.answers, m.answerSeconds, m.sends, m.segments, m.segmentsKept, m.firstEventSeconds, m.resumeSeconds, m.retriesDenied, m.retriesBorrowed, m.copiesRemade, m.cacheScans, m.overloadRefusals, m.inFlight, m.poisonMarks, m.poisonRefusals, m.limitChanges, m.permits, m.unreadableMessages, m.cacheBytes)
 	return m
 }
 
-// turnedAway is the reason of refusals while servers turn requests away; the others
+// reasonTurnedAway is the reason of refusals while servers turn requests away; the others
 // are those of prompts.Admission.
-const turnedAway = "turned_away"
+const reasonTurnedAway = "turned_away"
 
-// rateReached is that of refusals because servers name limits that are reached.
-const rateReached = "rate"
+// reasonRateLimited is that of refusals because servers name limits that are reached.
+const reasonRateLimited = "rate"
 
 // Sources of answers.
 const (
@@ -85,17 +85,17 @@
 	sourceDaemon = "daemon"
 )
 
-func (m *metrics) answered(in *inbound, status int, source string) {
+func (m *metrics) countAnswer(in *inbound, status int, source string) {
 	kind := "none"
 	if in.route != nil {
 		kind = in.route.Kind.String()
 	}
 	m.answers.WithLabelValues(kind, strconv.Itoa(status), source).Inc()
-	m.seconds.WithLabelValues(kind).Observe(time.Since(in.arrived).Seconds())
+	m.answerSeconds.WithLabelValues(kind).Observe(time.Since(in.arrived).Seconds())
 }
 
-// permit counts an answer to the question for a permit.
-func (m *metrics) permit(granted bool) {
+// countPermit counts an answer to the question for a permit.
+func (m *metrics) countPermit(granted bool) {
 	result := "refused"
 	if granted {
 		result = "granted"
@@ -103,8 +103,8 @@
 	m.permits.WithLabelValues(result).Inc()
 }
 
-// sent counts one exchange.
-func (m *metrics) sent(o *outcome) {
+// countSend counts one exchange.
+func (m *metrics) countSend(o *outcome) {
 	result := "answered"
 	switch {
 	case o.rejected:
--- a/serve/forward/permits.go
+++ b/serve/forward/permits.go
@@ -53,7 +53,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	one.turn.Complete(time.Now(), wait)
-	l.h.metrics.permit(granted)
+	l.h.metrics.countPermit(granted)
 	return granted
 }
 
--- a/serve/forward/place.go
+++ b/serve/forward/place.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// Asked is how many engines are asked at once where a prompt could be read.
+	// SampleSize is how many engines are asked at once where a prompt could be read.
 	// With a third of the engines reading, all three do in one of thirty cases.
-	Asked = 3
-	// askRounds bounds the questions before one prompt. They take a round trip each
+	SampleSize = 3
+	// maxSampleRounds bounds the questions before one prompt. They take a round trip each
 	// while engines answer, and askLimit each where none does.
-	askRounds = 3
-	// askLimit is how long an engine may take to answer a question on which a choice
+	maxSampleRounds = 3
+	// fastProbeTimeout is how long an engine may take to answer a question on which a choice
 	// waits: many round trips, and short beside the reading of a prompt.
-	askLimit = 50 * time.Millisecond
+	fastProbeTimeout = 50 * time.Millisecond
 )
 
-// surveyed is an engine with its answer; the report is empty where it gave none.
-type surveyed struct {
+// sampledEngine is an engine with its answer; the report is empty where it gave none.
+type sampledEngine struct {
 	choice
 	report   prompts.Report
 	answered bool
@@ -33,39 +33,39 @@
 // has room and reads no other now. Engines that do not answer are passed over, since the
 // entry of one that died stays for seconds. Where none answers the best known gets the
 // request all the same: the link from here may be at fault, and it loses nothing to try.
-func (r *relay) place(ctx context.Context, view *feed.View) (surveyed, bool) {
+func (r *relay) place(ctx context.Context, view *feed.View) (sampledEngine, bool) {
 	if view.Config.Engine(r.service) != nil {
 		others, all := r.h.neighbours.work(ctx, view, r.service)
 		known := all
 		if !all {
-			others, known = r.h.keepers.work(ctx, view, r.service, r.in.call.OwnPart)
+			others, known = r.h.keepers.work(ctx, view, r.service, r.in.call.PromptKey)
 		}
 		if known {
-			if c, ok := r.placeKnowing(ctx, view, others, !all); ok {
+			if c, ok := r.placeByFleetWork(ctx, view, others, !all); ok {
 				return c, true
 			}
 		}
 	}
-	c, ok := r.placeAsking(ctx, view)
+	c, ok := r.placeByReports(ctx, view)
 	r.h.pool.count(c.choice, 1, 0, 0)
 	return c, ok
 }
 
-// placeKnowing chooses by what all daemons have under way. The engine chosen is asked all
+// placeByFleetWork chooses by what all daemons have under way. The engine chosen is asked all
 // the same: it may be dead, or full of what nobody told. Where none of the first few is
 // free the choice is left to the reports of more. among says that the engines in others are
 // those to choose from.
-func (r *relay) placeKnowing(ctx context.Context, view *feed.View, others workAt, among bool) (surveyed, bool) {
-	excluded := slices.Clone(r.failed)
+func (r *relay) placeByFleetWork(ctx context.Context, view *feed.View, others workAt, among bool) (sampledEngine, bool) {
+	excluded := slices.Clone(r.excluded)
 	asked := r.h.questions()
 	defer asked.judge()
-	for range askRounds {
+	for range maxSampleRounds {
 		c, unread, ok := r.h.pool.reader(time.Now(), view, r.service, others, among, excluded)
 		if !ok {
-			return surveyed{}, false
+			return sampledEngine{}, false
 		}
 		// The prompt itself is counted there by now.
-		if seen := asked.survey(ctx, []choice{c}, 1); len(seen) == 1 {
+		if seen := asked.sampleLoads(ctx, []choice{c}, 1); len(seen) == 1 {
 			best := seen[0]
 			best.report.Unread = max(best.report.Unread, unread) // a report lags
 			if best.report.Free(r.in.call.PromptTokens) {
@@ -75,76 +75,76 @@
 		r.h.pool.count(c, -1, 0, 0)
 		excluded = append(excluded, c.server.Life())
 	}
-	return surveyed{}, false
+	return sampledEngine{}, false
 }
 
-// placeAsking chooses by the reports of engines.
-func (r *relay) placeAsking(ctx context.Context, view *feed.View) (surveyed, bool) {
-	first := r.h.pool.readers(time.Now(), view, r.service, r.in.call.OwnPart, Asked, r.failed)
+// placeByReports chooses by the reports of engines.
+func (r *relay) placeByReports(ctx context.Context, view *feed.View) (sampledEngine, bool) {
+	first := r.h.pool.readers(time.Now(), view, r.service, r.in.call.PromptKey, SampleSize, r.excluded)
 	if len(first) == 0 || view.Config.Engine(r.service) == nil {
-		return firstOf(first)
+		return firstChoice(first)
 	}
-	excluded := slices.Clone(r.failed)
+	excluded := slices.Clone(r.excluded)
 	asked := r.h.questions()
 	defer asked.judge()
-	var seen []surveyed
+	var seen []sampledEngine
 	candidates := first
-	for round := range askRounds {
+	for round := range maxSampleRounds {
 		if round > 0 {
-			candidates = r.h.pool.readers(time.Now(), view, r.service, r.in.call.OwnPart, Asked, excluded)
+			candidates = r.h.pool.readers(time.Now(), view, r.service, r.in.call.PromptKey, SampleSize, excluded)
 		}
 		for _, c := range candidates {
 			excluded = append(excluded, c.server.Life())
 		}
-		seen = append(seen, asked.survey(ctx, candidates, 0)...)
-		if c, ok := r.quietest(seen); ok && c.report.Free(r.in.call.PromptTokens) {
+		seen = append(seen, asked.sampleLoads(ctx, candidates, 0)...)
+		if c, ok := r.leastLoaded(seen); ok && c.report.Free(r.in.call.PromptTokens) {
 			return c, true
 		}
 	}
-	if c, ok := r.quietest(seen); ok {
+	if c, ok := r.leastLoaded(seen); ok {
 		return c, true
 	}
-	return firstOf(first)
+	return firstChoice(first)
 }
 
-// firstOf is the first of a list, of which no report is known.
-func firstOf(list []choice) (surveyed, bool) {
+// firstChoice is the first of a list, of which no report is known.
+func firstChoice(list []choice) (sampledEngine, bool) {
 	if len(list) == 0 {
-		return surveyed{}, false
+		return sampledEngine{}, false
 	}
-	return surveyed{choice: list[0]}, true
+	return sampledEngine{choice: list[0]}, true
 }
 
-func (r *relay) quietest(seen []surveyed) (surveyed, bool) {
+func (r *relay) leastLoaded(seen []sampledEngine) (sampledEngine, bool) {
 	reports := make([]prompts.Report, len(seen))
 	for i, s := range seen {
 		reports[i] = s.report
 	}
 	i := prompts.Quietest(reports, r.in.call.PromptTokens)
 	if i < 0 {
-		return surveyed{}, false
+		return sampledEngine{}, false
 	}
 	return seen[i], true
 }
 
-// survey asks engines for their load and returns those that answer, in the order given.
+// sampleLoads asks engines for their load and returns those that answer, in the order given.
 // counted is how many prompts that were not sent yet are counted at each.
-func (q *questions) survey(ctx context.Context, candidates []choice, counted int) []surveyed {
-	answers := make([]*surveyed, len(candidates))
+func (q *questions) sampleLoads(ctx context.Context, candidates []choice, counted int) []sampledEngine {
+	answers := make([]*sampledEngine, len(candidates))
 	var all sync.WaitGroup
 	for i, c := range candidates {
 		all.Go(func() {
-			report, err := q.ask(ctx, c.server, askLimit)
+			report, err := q.ask(ctx, c.server, fastProbeTimeout)
 			if err != nil {
 				return
 			}
-			load := report.load()
+			load := report.loadReport()
 			load.Unread = max(load.Unread, q.h.pool.reading(c)-counted) // a report lags
-			answers[i] = &surveyed{choice: c, report: load, answered: true}
+			answers[i] = &sampledEngine{choice: c, report: load, answered: true}
 		})
 	}
 	all.Wait()
-	var seen []surveyed
+	var seen []sampledEngine
 	for _, a := range answers {
 		if a != nil {
 			seen = append(seen, *a)
--- a/serve/forward/place_test.go
+++ b/serve/forward/place_test.go
@@ -140,11 +140,11 @@
 	}
 }
 
-// otherDaemons are the handlers of other daemons, by address.
-type otherDaemons map[string]*Handler
+// peerDaemons are the handlers of other daemons, by address.
+type peerDaemons map[string]*Handler
 
 // RoundTrip implements http.RoundTripper.
-func (o otherDaemons) RoundTrip(r *http.Request) (*http.Response, error) {
+func (o peerDaemons) RoundTrip(r *http.Request) (*http.Response, error) {
 	h := o[r.URL.Host]
 	if h == nil {
 		return nil, errors.New("no such daemon")
@@ -155,33 +155,33 @@
 	return w.Result(), nil
 }
 
-// severable are other daemons until they are cut off.
-type severable struct {
-	otherDaemons
-	cut *atomic.Bool
+// severablePeers are other daemons until they are cut off.
+type severablePeers struct {
+	peerDaemons
+	isCut *atomic.Bool
 }
 
 // RoundTrip implements http.RoundTripper.
-func (s severable) RoundTrip(r *http.Request) (*http.Response, error) {
-	if s.cut.Load() {
+func (s severablePeers) RoundTrip(r *http.Request) (*http.Response, error) {
+	if s.isCut.Load() {
 		<-r.Context().Done()
 		return nil, r.Context().Err()
 	}
-	return s.otherDaemons.RoundTrip(r)
+	return s.peerDaemons.RoundTrip(r)
 }
 
-// among makes more daemons, enough that each engine has a keeper, and returns them. All are
+// addDaemons makes more daemons, enough that each engine has a keeper, and returns them. All are
 // out of each other's reach once cut is set.
-func (w *world) among(count int) (others []*Handler, cut *atomic.Bool) {
+func (w *world) addDaemons(count int) (others []*Handler, cut *atomic.Bool) {
 	cut = &atomic.Bool{}
-	reach := severable{otherDaemons{"vm-1:1": w.handler}, cut}
+	reach := severablePeers{peerDaemons{"vm-1:1": w.handler}, cut}
 	w.put("mallowwind/vm/vm-1", `{"id":"vm-1","zone":"a","address":"vm-1:2","peer":"vm-1:1"}`)
 	for n := range count {
 		id := fmt.Sprintf("vm-%d", n+2)
 		o := w.handler.opts
 		o.Self, o.Registerer, o.Dialer = routing.VM{ID: id, Zone: "b"}, nil, link.NewDialerWith(&http.Client{Transport: reach})
 		others = append(others, New(o))
-		reach.otherDaemons[id+":1"] = others[n]
+		reach.peerDaemons[id+":1"] = others[n]
 		w.put("mallowwind/vm/"+id, fmt.Sprintf(`{"id":%q,"zone":"b","address":"%s:2","peer":"%s:1"}`, id, id, id))
 	}
 	w.handler.neighbours.dialer = link.NewDialerWith(&http.Client{Transport: reach})
@@ -199,7 +199,7 @@
 		for n := range 6 {
 			w.add(fmt.Sprintf("e-%d", n), "llm", "a", handle)
 		}
-		others, cut := w.among(12)
+		others, cut := w.addDaemons(12)
 		view := w.feed.View()
 		for n := range 5 {
 			c, ok := others[n%2].pool.server(view, "llm", routing.Life{ID: fmt.Sprintf("e-%d", n)})
@@ -229,7 +229,7 @@
 		for n := range 6 {
 			w.add(fmt.Sprintf("e-%d", n), "llm", "a", handle)
 		}
-		others, _ := w.among(12)
+		others, _ := w.addDaemons(12)
 		must.NoError(t, w.ask(http.MethodPost, "/s/1", with(map[string]string{hPart: "p"}), "prompt").err)
 		preferred := ""
 		for id, s := range w.servers {
@@ -255,13 +255,13 @@
 	})
 }
 
-// beside makes another daemon with work of its own, and has the world's daemon ask it.
-func (w *world) beside(id string) *Handler {
+// addDaemon makes another daemon with work of its own, and has the world's daemon ask it.
+func (w *world) addDaemon(id string) *Handler {
 	other := New(Options{
 		Feed: w.feed, Codec: testCodec{}, Log: event.Discard(), Self: routing.VM{ID: id, Zone: "b"},
-		Repeats: repeatsRule, Dial: w.dial,
+		RetryBudget: repeatsRule, Dial: w.dial,
 	})
-	w.handler.neighbours.dialer = link.NewDialerWith(&http.Client{Transport: otherDaemons{id + ":1": other}})
+	w.handler.neighbours.dialer = link.NewDialerWith(&http.Client{Transport: peerDaemons{id + ":1": other}})
 	w.put("mallowwind/vm/vm-1", `{"id":"vm-1","zone":"a","address":"vm-1:2","peer":"vm-1:1"}`)
 	w.put("mallowwind/vm/"+id, `{"id":"`+id+`","zone":"b","address":"`+id+`:2","peer":"`+id+`:1"}`)
 	time.Sleep(time.Second)
@@ -277,7 +277,7 @@
 		for _, id := range []string{"e-1", "e-2", "e-3"} {
 			w.add(id, "llm", "a", handle)
 		}
-		other := w.beside("vm-2")
+		other := w.addDaemon("vm-2")
 		view := w.feed.View()
 		engine := func(id string) choice {
 			c, ok := other.pool.server(view, "llm", routing.Life{ID: id})
@@ -320,9 +320,9 @@
 func TestSilentNeighbourHoldsNothingUp(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
 		w.add("e-1", "llm", "a", streaming(3, 100*time.Millisecond, 10*time.Millisecond))
-		w.beside("vm-2")
+		w.addDaemon("vm-2")
 		asked := 0
-		w.handler.neighbours.dialer = link.NewDialerWith(&http.Client{Transport: silentDaemons{&asked}})
+		w.handler.neighbours.dialer = link.NewDialerWith(&http.Client{Transport: unresponsivePeers{&asked}})
 		for range 4 {
 			got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
 			must.Eq(t, events(1, 3), got.body)
@@ -335,11 +335,11 @@
 	})
 }
 
-// silentDaemons answer no question and count them.
-type silentDaemons struct{ asked *int }
+// unresponsivePeers answer no question and count them.
+type unresponsivePeers struct{ asked *int }
 
 // RoundTrip implements http.RoundTripper.
-func (s silentDaemons) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s unresponsivePeers) RoundTrip(r *http.Request) (*http.Response, error) {
 	*s.asked++
 	<-r.Context().Done()
 	return nil, r.Context().Err()
--- a/serve/forward/pressure.go
+++ b/serve/forward/pressure.go
@@ -29,7 +29,7 @@
 // on locks what is known of a service; the caller unlocks it.
 func (p *pressure) on(service string) *servicePressure {
 	p.mu.Lock()
-	return ofService(p.services, service)
+	return getOrCreate(p.services, service)
 }
 
 // hopeless reports whether a prompt cannot be read in the time that is left.
@@ -42,7 +42,7 @@
 // its prompt is still to be read or not.
 func (p *pressure) unfinishable(service string, c Call, unread bool, left time.Duration) bool {
 	defer p.mu.Unlock()
-	return p.on(service).pace.Unfinishable(c.PromptTokens, unread, c.After, left)
+	return p.on(service).pace.Unfinishable(c.PromptTokens, unread, c.LastEventID, left)
 }
 
 // knows reports whether enough answers were seen to tell which cannot be whole in time.
--- a/serve/forward/questions.go
+++ b/serve/forward/questions.go
@@ -35,7 +35,7 @@
 	case err == nil, errors.Is(err, errRestarted): // a later life is as good as any
 		q.works = true
 	case ctx.Err() != nil: // the question was ended from here
-	case timedOut(err):
+	case isTimeout(err):
 		q.silent = append(q.silent, s)
 	default:
 		q.works = true
--- a/serve/forward/refuse.go
+++ b/serve/forward/refuse.go
@@ -43,9 +43,9 @@
 
 // refuse answers for the daemon and logs why.
 func (h *Handler) refuse(w http.ResponseWriter, in *inbound, err error) {
-	if errors.Is(err, errCut) {
-		h.metrics.answered(in, statusCut, sourceDaemon)
-		h.opts.Log.Emit(event.AnswerCut, in.call.ID, in.call.OwnPart, in.routeName(), in.accountName(), in.version, err, time.Since(in.arrived))
+	if errors.Is(err, errTruncated) {
+		h.metrics.countAnswer(in, statusTruncated, sourceDaemon)
+		h.opts.Log.Emit(event.AnswerCut, in.call.ID, in.call.PromptKey, in.routeName(), in.accountName(), in.configVersion, err, time.Since(in.arrived))
 		panic(http.ErrAbortHandler) // ends the connection, so that the answer does not look whole
 	}
 	e := verdict.Of(err)
@@ -59,8 +59,8 @@
 	w.WriteHeader(status)
 	// The caller may have left; there is nobody else to tell.
 	_ = json.NewEncoder(w).Encode(refusal{Verdict: e.Verdict.String(), Code: string(e.Code), Message: e.Message})
-	h.metrics.answered(in, status, sourceDaemon)
-	h.opts.Log.Emit(event.ForwardRefused, in.call.ID, in.call.OwnPart, in.routeName(), in.accountName(), in.version, in.age,
+	h.metrics.countAnswer(in, status, sourceDaemon)
+	h.opts.Log.Emit(event.ForwardRefused, in.call.ID, in.call.PromptKey, in.routeName(), in.accountName(), in.configVersion, in.configAge,
 		status, e.Code, e.RetryAfter, e.Error(), time.Since(in.arrived))
 }
 
@@ -78,8 +78,8 @@
 	return in.account.Name
 }
 
-// statusCut counts answers that were cut after their headers.
-const statusCut = 0
+// statusTruncated counts answers that were cut after their headers.
+const statusTruncated = 0
 
-// errCut ends an answer that has begun and cannot be finished.
-var errCut = errors.New("forward: answer cut")
+// errTruncated ends an answer that has begun and cannot be finished.
+var errTruncated = errors.New("forward: answer cut")
--- a/serve/forward/services.go
+++ b/serve/forward/services.go
@@ -1,8 +1,8 @@
 package forward
 
-// ofService returns what is kept of a service, empty where nothing was kept yet. The
+// getOrCreate returns what is kept of a service, empty where nothing was kept yet. The
 // caller holds the lock of kept.
-func ofService[T any](kept map[string]*T, service string) *T {
+func getOrCreate[T any](kept map[string]*T, service string) *T {
 	one, ok := kept[service]
 	if !ok {
 		one = new(T)
--- a/serve/forward/silent_test.go
+++ b/serve/forward/silent_test.go
@@ -13,11 +13,11 @@
 	"mallowwind.dev/decision/repeats"
 )
 
-// noRepeats is a budget that is used up.
-var noRepeats = repeats.Policy{Window: 10 * time.Second}
+// noRetries is a budget that is used up.
+var noRetries = repeats.Policy{Window: 10 * time.Second}
 
-// budget replaces the fleet's budget of repeats, with the daemon's part of the slack.
-func (w *world) budget(rule repeats.Policy) {
+// setRetryBudget replaces the fleet's budget of repeats, with the daemon's part of the slack.
+func (w *world) setRetryBudget(rule repeats.Policy) {
 	w.handler.pool.mu.Lock()
 	defer w.handler.pool.mu.Unlock()
 	w.handler.pool.rule, w.handler.pool.began = rule, time.Now().Add(-rule.Window)
@@ -38,8 +38,8 @@
 	return got
 }
 
-// runs is how many requests all servers were asked to run.
-func (w *world) runs() int {
+// totalRequests is how many requests all servers were asked to run.
+func (w *world) totalRequests() int {
 	n := 0
 	for _, s := range w.servers {
 		n += s.requests()
@@ -54,19 +54,19 @@
 // engine with the copy was asked, and the caller's connection was closed half a second later.
 func TestSilentAnswerWhoseCopyIsGone(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
-		handle := copyFreed(0, 600*time.Millisecond)
+		handle := withCopyReleased(0, 600*time.Millisecond)
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
-		w.budget(repeats.Policy{Slack: 1.2, Window: 10 * time.Second}) // one repeat
+		w.setRetryBudget(repeats.Policy{Slack: 1.2, Window: 10 * time.Second}) // one repeat
 		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(1, 20), got.body)
 	})
 }
 
-// copyFreed is an engine that has freed the copy it is asked for, and says so after a wait.
+// withCopyReleased is an engine that has freed the copy it is asked for, and says so after a wait.
 // Other answers pause in the middle.
-func copyFreed(wait, pause time.Duration) http.HandlerFunc {
+func withCopyReleased(wait, pause time.Duration) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		if r.Header.Get(hCopyAt) == "" {
 			pausing(rw, r, pause)
@@ -102,12 +102,12 @@
 		handle := streaming(40, time.Second, 40*time.Millisecond)
 		a := w.add("e-a", "llm", "a", handle)
 		b := w.add("e-b", "llm", "b", handle)
-		w.budget(repeats.Policy{Slack: 1.2, Window: 1500 * time.Millisecond})
+		w.setRetryBudget(repeats.Policy{Slack: 1.2, Window: 1500 * time.Millisecond})
 		w.during(func() {
 			time.Sleep(1500 * time.Millisecond)
 			runner, _ := roles(a, b)
 			runner.listener.Stall()
-			w.handler.pool.repeat(time.Now(), "llm") // another stream's
+			w.handler.pool.tryTakeRetry(time.Now(), "llm") // another stream's
 		})
 		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
 		must.NoError(w.t, got.err)
@@ -204,10 +204,10 @@
 // of it meanwhile has no repeat left, and the caller sees its answer cut.
 func TestSilentAnswerTurnedAwayLate(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
-		handle := copyFreed(300*time.Millisecond, 900*time.Millisecond)
+		handle := withCopyReleased(300*time.Millisecond, 900*time.Millisecond)
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
-		w.budget(repeats.Policy{Slack: 1.2, Window: 10 * time.Second}) // one repeat
+		w.setRetryBudget(repeats.Policy{Slack: 1.2, Window: 10 * time.Second}) // one repeat
 		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(1, 20), got.body)
@@ -255,7 +255,7 @@
 		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(1, 20), got.body)
-		must.Eq(w.t, 1, w.runs())
+		must.Eq(w.t, 1, w.totalRequests())
 		time.Sleep(time.Second)
 		for _, s := range w.servers {
 			one := w.handler.pool.loads[s.server.Life()]
@@ -320,7 +320,7 @@
 // each further question is a repeat of the whole system spent in vain.
 func TestCopyThatIsGoneIsAskedForOnce(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
-		handle := copyFreed(0, 600*time.Millisecond)
+		handle := withCopyReleased(0, 600*time.Millisecond)
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
 		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
--- a/serve/forward/spare.go
+++ b/serve/forward/spare.go
@@ -49,8 +49,8 @@
 // loss of some engines every three seconds half of all copies were lost so.
 type spare struct {
 	r      *relay
-	l      leg
-	mover  Mover
+	l      segment
+	mover  RunCopier
 	failed []routing.Life // engines that the run's request failed at before
 
 	// Used by run alone.
@@ -65,13 +65,13 @@
 }
 
 // newSpare returns nil where engines cannot copy a run on demand.
-func (r *relay) newSpare(l leg) *spare {
-	mover, ok := r.h.opts.Codec.(Mover)
+func (r *relay) newSpare(l segment) *spare {
+	mover, ok := r.h.opts.Codec.(RunCopier)
 	engine := r.h.opts.Feed.View().Config.Engine(r.service)
 	if !ok || engine == nil || !engine.Moves || !r.in.route.Resumable {
 		return nil
 	}
-	return &spare{r: r, l: l, mover: mover, failed: slices.Clone(r.failed), place: l.copyTo}
+	return &spare{r: r, l: l, mover: mover, failed: slices.Clone(r.excluded), place: l.copyTo}
 }
 
 // run looks after the copy until the leg ends.
@@ -102,7 +102,7 @@
 	}
 	s.due = now.Add(s.refresh())
 	if !lives {
-		place, ok := s.r.copyPlace(ctx, s.l.at.server, s.failed)
+		place, ok := s.r.copyPlace(ctx, s.l.target.server, s.failed)
 		if !ok {
 			return
 		}
@@ -131,11 +131,11 @@
 	}
 	s.late = 0
 	if s.copied.Load() == nil {
-		s.r.h.metrics.remade.Inc()
-		s.r.h.opts.Log.Emit(event.CopyMade, s.r.in.call.ID, s.l.at.server.ID, s.place.server.ID)
+		s.r.h.metrics.copiesRemade.Inc()
+		s.r.h.opts.Log.Emit(event.CopyMade, s.r.in.call.ID, s.l.target.server.ID, s.place.server.ID)
 	}
 	s.handle.Store(&handle)
-	s.copied.Store(&kept{at: s.place, name: copyName(s.l.at.server, handle), once: true})
+	s.copied.Store(&kept{at: s.place, name: copyName(s.l.target.server, handle), once: true})
 }
 
 // notCopied judges a copying that failed. The copy before still lies there; one call without
@@ -144,9 +144,9 @@
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return // the leg has ended
 	}
-	s.r.h.opts.Log.Emit(event.CopyFailed, s.r.in.call.ID, s.l.at.server.ID, s.place.server.ID, err)
-	if timedOut(err) {
-		if s.late++; s.late < deadProbes {
+	s.r.h.opts.Log.Emit(event.CopyFailed, s.r.in.call.ID, s.l.target.server.ID, s.place.server.ID, err)
+	if isTimeout(err) {
+		if s.late++; s.late < maxFailedProbes {
 			return
 		}
 	}
@@ -154,15 +154,15 @@
 }
 
 func (s *spare) move(ctx context.Context, target routing.Server) (string, error) {
-	path, body, err := s.mover.Move(s.r.in.call.ID, target.Address)
+	path, body, err := s.mover.CopyRequest(s.r.in.call.ID, target.Address)
 	if err != nil {
 		return "", err
 	}
-	answer, err := s.r.h.command(ctx, http.MethodPost, s.l.at.server, path, body)
+	answer, err := s.r.h.callServer(ctx, http.MethodPost, s.l.target.server, path, body)
 	if err != nil {
 		return "", err
 	}
-	return s.mover.Moved(answer)
+	return s.mover.ParseCopyReply(answer)
 }
 
 // drop frees the copy of a run that has ended: it holds a place in the batch of
@@ -170,17 +170,17 @@
 // handle, or another copy by it.
 func (s *spare) drop() {
 	handle := s.handle.Load()
-	_, same := s.r.h.pool.server(s.r.h.opts.Feed.View(), s.r.service, s.l.at.server.Life())
+	_, same := s.r.h.pool.server(s.r.h.opts.Feed.View(), s.r.service, s.l.target.server.Life())
 	if handle == nil || !same {
 		return
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), dropTimeout)
 		defer cancel()
-		_, err := s.r.h.command(ctx, http.MethodDelete, s.l.at.server, s.mover.Drop(*handle), nil)
+		_, err := s.r.h.callServer(ctx, http.MethodDelete, s.l.target.server, s.mover.DropPath(*handle), nil)
 		if err != nil {
 			// The engine frees it by itself some seconds later.
-			s.r.h.opts.Log.Emit(event.CopyFailed, s.r.in.call.ID, s.l.at.server.ID, "", errors.Wrap(err, "drop"))
+			s.r.h.opts.Log.Emit(event.CopyFailed, s.r.in.call.ID, s.l.target.server.ID, "", errors.Wrap(err, "drop"))
 		}
 	}()
 }
@@ -193,13 +193,13 @@
 	excluded := slices.Clone(failed)
 	asked := r.h.questions()
 	defer asked.judge()
-	for range copyTries {
+	for range maxCopyProbes {
 		c, ok := r.h.pool.copyPlace(time.Now(), r.h.opts.Feed.View(), at, excluded)
 		if !ok {
 			return choice{}, false
 		}
-		report, err := asked.ask(ctx, c.server, askLimit)
-		if err == nil && report.load().Fits(r.in.call.PromptTokens) {
+		report, err := asked.ask(ctx, c.server, fastProbeTimeout)
+		if err == nil && report.loadReport().Fits(r.in.call.PromptTokens) {
 			return c, true
 		}
 		excluded = append(excluded, c.server.Life())
--- a/serve/forward/stream_test.go
+++ b/serve/forward/stream_test.go
@@ -312,7 +312,7 @@
 		must.NoError(t, req.Write(conn))
 		_, err = conn.Read(make([]byte, 100))
 		must.NoError(t, err)
-		time.Sleep(2*time.Second + lateWrite + time.Second)
+		time.Sleep(2*time.Second + writeGrace + time.Second)
 		must.Eq(t, 0, w.handler.Running())
 		<-ended
 	})
@@ -436,11 +436,11 @@
 // the cause must not read that the caller left.
 func TestAnswerThatOutlastsTheDaemonSaysSo(t *testing.T) {
 	inWorld(t, streamRoute(), func(w *world) {
-		r := &relay{h: w.handler, in: &inbound{until: time.Now().Add(time.Minute)}}
-		must.ErrorIs(t, r.expired(), errCallerLeft)
-		w.handler.Leave(Stop{End: time.Now().Add(time.Second)})
-		must.ErrorIs(t, r.expired(), errCallerLeft)
+		r := &relay{h: w.handler, in: &inbound{deadline: time.Now().Add(time.Minute)}}
+		must.ErrorIs(t, r.expiryError(), errCallerGone)
+		w.handler.BeginShutdown(ShutdownSchedule{ExitAt: time.Now().Add(time.Second)})
+		must.ErrorIs(t, r.expiryError(), errCallerGone)
 		time.Sleep(time.Second)
-		must.ErrorIs(t, r.expired(), errDaemonEnds)
+		must.ErrorIs(t, r.expiryError(), errDaemonExiting)
 	})
 }
--- a/serve/forward/takeover.go
+++ b/serve/forward/takeover.go
@@ -14,19 +14,19 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// errNotNeeded means that the server before a leg responded again.
-var errNotNeeded = errors.New("forward: the server before responded again")
+// errTakeoverCancelled means that the server before a leg responded again.
+var errTakeoverCancelled = errors.New("forward: the server before responded again")
 
-// patience is how long an attempt may be silent. An answer that may not go on elsewhere is
+// idleTimeout is how long an attempt may be silent. An answer that may not go on elsewhere is
 // waited for as long as its caller waits.
-func (r *relay) patience(a *attempt) time.Duration {
+func (r *relay) idleTimeout(a *attempt) time.Duration {
 	if !r.in.route.Resumable {
-		return time.Until(r.in.until)
+		return time.Until(r.in.deadline)
 	}
 	return takeover.MaxSilence(a.hasCopy(), r.in.route.GapTarget)
 }
 
-// takeOver tries to let the answer of a silent attempt go on at another server. It reports
+// tryTakeOver tries to let the answer of a silent attempt go on at another server. It reports
 // whether the attempt is over: r.taken is the one that goes on, or there is none and the
 // answer is given up. Else the silent server keeps the answer.
 //
@@ -36,36 +36,36 @@
 // because no other server was reached, the budget afforded no repeat or the copy was gone.
 // It holds because a connection is closed only once another server has answered, has the
 // request, and has not turned it away.
-func (r *relay) takeOver(ctx context.Context, a *attempt, why error) bool {
-	if errors.Is(why, errAnswerLost) {
-		r.held = a.keptCopy() // the prompt was read, so the copy is there
+func (r *relay) tryTakeOver(ctx context.Context, a *attempt, why error) bool {
+	if errors.Is(why, errResponseLost) {
+		r.heldCopy = a.runCopy() // the prompt was read, so the copy is there
 	}
 	outcome := takeover.Rejected
 	for outcome == takeover.Rejected {
 		var next *attempt
-		if outcome, next = r.prepare(ctx, a, why); next == nil {
+		if outcome, next = r.prepareTakeover(ctx, a, why); next == nil {
 			break
 		}
-		if outcome = r.awaitEither(ctx, a, next, why); outcome == takeover.TakenOver {
-			r.discard(a)
-			r.taken = next
+		if outcome = r.awaitTakeover(ctx, a, next, why); outcome == takeover.TakenOver {
+			r.discardPending(a)
+			r.replacement = next
 			return true
 		}
 	}
-	r.stuck = takeover.ShouldGiveUp(outcome, time.Since(r.since)) && r.unreachable(ctx, a, why) &&
-		r.lastSignal(ctx, a) == takeover.Silent
-	r.h.metrics.stayed.WithLabelValues(outcome.String()).Inc()
-	r.h.opts.Log.Emit(event.LegKept, r.in.call.ID, a.at.server.ID, why, outcome.String(), r.stuck, r.after, time.Since(r.since))
-	return r.stuck
+	r.cannotContinue = takeover.ShouldGiveUp(outcome, time.Since(r.lastEventAt)) && r.unreachable(ctx, a, why) &&
+		r.awaitLatePart(ctx, a) == takeover.Silent
+	r.h.metrics.segmentsKept.WithLabelValues(outcome.String()).Inc()
+	r.h.opts.Log.Emit(event.LegKept, r.in.call.ID, a.target.server.ID, why, outcome.String(), r.cannotContinue, r.lastEventID, time.Since(r.lastEventAt))
+	return r.cannotContinue
 }
 
-// prepare finds the server where a silent attempt may go on and sends the request there,
+// prepareTakeover finds the server where a silent attempt may go on and sends the request there,
 // unless the silent one responds first. The relay waits meanwhile for one or the other,
 // so that what is found may be written to it.
-func (r *relay) prepare(ctx context.Context, a *attempt, why error) (takeover.Outcome, *attempt) {
+func (r *relay) prepareTakeover(ctx context.Context, a *attempt, why error) (takeover.Outcome, *attempt) {
 	asking, stop := context.WithCancel(ctx)
 	defer stop()
-	var l leg
+	var l segment
 	var outcome takeover.Outcome
 	done := make(chan struct{})
 	go func() {
@@ -74,8 +74,8 @@
 	}()
 	select {
 	case <-done:
-	case s := <-a.inbox():
-		a.putBack(s)
+	case s := <-a.nextParts():
+		a.pushBack(s)
 		stop()
 		<-done
 		if outcome == takeover.TakenOver {
@@ -89,20 +89,20 @@
 	return outcome, r.start(ctx, l)
 }
 
-// discard drops what a silent attempt still had to say before its answer goes on elsewhere.
-func (r *relay) discard(a *attempt) {
-	if o := a.leftover(); o != nil && o.err == nil && o.reply.NotRun {
-		r.runs--
+// discardPending drops what a silent attempt still had to say before its answer goes on elsewhere.
+func (r *relay) discardPending(a *attempt) {
+	if o := a.takePushedBack(); o != nil && o.err == nil && o.reply.NotRun {
+		r.possibleRuns--
 	}
 }
 
-// awaitEither waits for the first signal of the server that was sent the request after a
+// awaitTakeover waits for the first signal of the server that was sent the request after a
 // silent one, and lets go of it unless the answer goes on there.
-func (r *relay) awaitEither(ctx context.Context, a, next *attempt, why error) takeover.Outcome {
+func (r *relay) awaitTakeover(ctx context.Context, a, next *attempt, why error) takeover.Outcome {
 	silent, other := takeover.Silent, takeover.Silent
 	overlap := time.NewTimer(time.Hour)
 	defer overlap.Stop()
-	written, over := next.written, false
+	written, over := next.requestWritten, false
 	var since time.Time // both have the request
 	for {
 		switch takeover.Decide(silent, other, over) {
@@ -115,23 +115,23 @@
 		select {
 		case <-written:
 			written, since = nil, time.Now()
-			if next.from != "" {
-				a.useCopy()
+			if next.resumeFrom != "" {
+				a.markCopyUsed()
 			}
 			if r.h.opts.Feed.View().Config.Engine(r.service) != nil {
 				overlap.Reset(takeover.MaxOverlap)
 			}
-		case s := <-a.inbox():
-			a.putBack(s)
-			silent = s.state()
-		case s := <-next.inbox():
-			next.putBack(s)
-			other = s.state()
+		case s := <-a.nextParts():
+			a.pushBack(s)
+			silent = s.takeoverState()
+		case s := <-next.nextParts():
+			next.pushBack(s)
+			other = s.takeoverState()
 		case <-overlap.C:
-			silentAnswers, otherAnswers := r.bothAsked(ctx, a, next, why)
+			silentAnswers, otherAnswers := r.probeBoth(ctx, a, next, why)
 			over = takeover.IsOverlapOver(silentAnswers, otherAnswers, time.Since(since))
 			if over {
-				silent = r.lastSignal(ctx, a)
+				silent = r.awaitLatePart(ctx, a)
 			}
 			overlap.Reset(takeover.MaxOverlap)
 		case <-ctx.Done():
@@ -140,32 +140,32 @@
 	}
 }
 
-// lastSignal is what a silent attempt shows at last, before it is let go of. Its signal is put
+// awaitLatePart is what a silent attempt shows at last, before it is let go of. Its signal is put
 // back.
 //
 // The failure it guards against: the link from here is held up and free again while engines
 // are asked whether they respond. What was held up has arrived by the time the questions have
 // failed, and the answer is cut although it went on. It holds because what is on its way comes
 // no later than the answer of another engine that shows that the link works.
-func (r *relay) lastSignal(ctx context.Context, a *attempt) takeover.ServerState {
+func (r *relay) awaitLatePart(ctx context.Context, a *attempt) takeover.ServerState {
 	settled := time.NewTimer(takeover.SettleTime)
 	defer settled.Stop()
 	select {
-	case s := <-a.inbox():
-		a.putBack(s)
-		return s.state()
+	case s := <-a.nextParts():
+		a.pushBack(s)
+		return s.takeoverState()
 	case <-settled.C:
 	case <-ctx.Done():
 	}
 	return takeover.Silent
 }
 
-// bothAsked asks the engines of two attempts for a sign of life.
-func (r *relay) bothAsked(ctx context.Context, a, next *attempt, why error) (silent, other bool) {
+// probeBoth asks the engines of two attempts for a sign of life.
+func (r *relay) probeBoth(ctx context.Context, a, next *attempt, why error) (silent, other bool) {
 	var both sync.WaitGroup
 	both.Go(func() { silent = r.answers(ctx, a, why) })
 	both.Go(func() {
-		_, err := r.h.probe(ctx, next.at.server, askLimit)
+		_, err := r.h.probe(ctx, next.target.server, fastProbeTimeout)
 		other = err == nil
 	})
 	both.Wait()
@@ -175,48 +175,48 @@
 // cancelTakeover ends an attempt that was to take an answer over.
 func (r *relay) cancelTakeover(ctx context.Context, a, next *attempt, other takeover.ServerState) takeover.Outcome {
 	if other != takeover.Broken {
-		r.over(next, legAborted, errNotNeeded)
+		r.finishAttempt(next, segmentAborted, errTakeoverCancelled)
 		return takeover.NotNeeded
 	}
-	s := <-next.inbox()
-	if s.opened.reply.Misdirected {
+	s := <-next.nextParts()
+	if s.head.reply.Misdirected {
 		a.copyUsed = false // it was asked for at an engine that does not have it
 	}
-	end, err := r.refusedTakeover(ctx, next.leg, *s.opened)
-	next.answer = s.opened.resp
-	r.over(next, end, err)
+	end, err := r.handleFailedTakeover(ctx, next.segment, *s.head)
+	next.response = s.head.resp
+	r.finishAttempt(next, end, err)
 	return takeover.Rejected
 }
 
-// refusedTakeover learns from a server that did not take an answer over.
-func (r *relay) refusedTakeover(ctx context.Context, l leg, o opened) (legEnd, error) {
+// handleFailedTakeover learns from a server that did not take an answer over.
+func (r *relay) handleFailedTakeover(ctx context.Context, l segment, o responseHead) (segmentEnd, error) {
 	switch {
 	case o.err != nil:
-		return r.failure(ctx, l, o.err)
+		return r.handleFailure(ctx, l, o.err)
 	case o.reply.NotRun:
-		r.runs--
-		return r.turnedAway(ctx, l, o)
+		r.possibleRuns--
+		return r.handleRejection(ctx, l, o)
 	case o.resp.StatusCode == http.StatusOK:
-		return r.failure(ctx, l, errNoProof)
+		return r.handleFailure(ctx, l, errNotAuthentic)
 	}
 	r.exclude(l)
-	return legBroken, errors.Errorf("status %d", o.resp.StatusCode)
+	return segmentBroken, errors.Errorf("status %d", o.resp.StatusCode)
 }
 
-// state is what a signal shows of its server.
-func (s signal) state() takeover.ServerState {
+// takeoverState is what a signal shows of its server.
+func (s responsePart) takeoverState() takeover.ServerState {
 	switch {
-	case s.opened != nil && s.opened.stream():
+	case s.head != nil && s.head.isStream():
 		return takeover.Responding
-	case s.opened == nil && (s.event.err == nil || s.event.err == io.EOF):
+	case s.head == nil && (s.event.err == nil || s.event.err == io.EOF):
 		return takeover.Responding
 	}
 	return takeover.Broken
 }
 
 // exclude keeps the server of a leg from being chosen again for this request.
-func (r *relay) exclude(l leg) {
-	if life := l.at.server.Life(); !slices.Contains(r.failed, life) {
-		r.failed = append(r.failed, life)
+func (r *relay) exclude(l segment) {
+	if life := l.target.server.Life(); !slices.Contains(r.excluded, life) {
+		r.excluded = append(r.excluded, life)
 	}
 }
--- a/serve/forward/trial.go
+++ b/serve/forward/trial.go
@@ -79,7 +79,7 @@
 	if !h.versions.Drawn(view, service, route) {
 		return choice{}, false
 	}
-	c, ok := h.pool.plain(now, view, trialOf(service), nil)
+	c, ok := h.pool.choosePlain(now, view, trialOf(service), nil)
 	if !ok {
 		return c, false
 	}
@@ -94,14 +94,14 @@
 // placeDrawn chooses the engine of the new version for a prompt that is drawn for it, and counts
 // the prompt there; ok is false where it goes to the others.
 func (r *relay) placeDrawn(ctx context.Context, view *feed.View) (choice, bool) {
-	if r.starts > 0 || r.in.call.After > 0 || !r.h.versions.Drawn(view, r.service, r.in.routeName()) {
+	if r.starts > 0 || r.in.call.LastEventID > 0 || !r.h.versions.Drawn(view, r.service, r.in.routeName()) {
 		return choice{}, false
 	}
-	list := r.h.pool.readers(time.Now(), view, trialOf(r.service), r.in.call.OwnPart, Asked, nil)
+	list := r.h.pool.readers(time.Now(), view, trialOf(r.service), r.in.call.PromptKey, SampleSize, nil)
 	asked := r.h.questions()
 	defer asked.judge()
-	best, ok := r.quietest(asked.survey(ctx, list, 0))
-	if !ok || !best.report.Free(r.in.call.PromptTokens) || !r.permitted(ctx, best.choice) {
+	best, ok := r.leastLoaded(asked.sampleLoads(ctx, list, 0))
+	if !ok || !best.report.Free(r.in.call.PromptTokens) || !r.tryAcquirePermit(ctx, best.choice) {
 		return choice{}, false
 	}
 	if admission, _ := r.admission(best); admission != prompts.Admitted {
@@ -166,9 +166,9 @@
 
 // watchLeg begins to watch a leg for a comparison of versions: one that makes an answer from its
 // beginning.
-func (a *attempt) watchLeg(l leg, route string) {
-	if l.from == "" && a.r.in.call.After == 0 && a.r.after == 0 {
-		a.trial = a.r.h.versions.Try(l.at.server, route, rollout.TimeToFirstEvent)
+func (a *attempt) watchLeg(l segment, route string) {
+	if l.resumeFrom == "" && a.r.in.call.LastEventID == 0 && a.r.lastEventID == 0 {
+		a.trial = a.r.h.versions.Try(l.target.server, route, rollout.TimeToFirstEvent)
 	}
 }
 
@@ -181,19 +181,19 @@
 
 // nextEvent records the pace of a stream once it has made enough events.
 func (a *attempt) nextEvent() {
-	if a.made++; a.made == paceAfter {
-		a.pace.DoneIn(rollout.Succeeded, time.Since(a.begun)/paceAfter)
+	if a.eventCount++; a.eventCount == paceAfter {
+		a.pace.DoneIn(rollout.Succeeded, time.Since(a.firstEventAt)/paceAfter)
 	}
 }
 
 // ended records how the attempt ended.
-func (a *attempt) ended(end legEnd, failed bool) {
+func (a *attempt) ended(end segmentEnd, failed bool) {
 	switch {
-	case end == legWhole:
+	case end == segmentComplete:
 		a.trial.Done(rollout.Succeeded)
-	case failed, end == legNotRun && a.answer != nil && a.answer.StatusCode == http.StatusServiceUnavailable:
+	case failed, end == segmentNotRun && a.response != nil && a.response.StatusCode == http.StatusServiceUnavailable:
 		a.trial.Done(rollout.Failed)
-	case end == legBroken && a.r.taken == nil:
+	case end == segmentBroken && a.r.replacement == nil:
 		a.trial.Done(rollout.Disconnected)
 	default:
 		a.trial.Done(rollout.Unanswered)
@@ -207,18 +207,18 @@
 // moveOn lets an answer go on from its copy, because the version of its server leaves, and reports
 // whether it does. The connection is closed first: both servers would run the request otherwise.
 func (r *relay) moveOn(ctx context.Context, a *attempt) bool {
-	if a.reading || !r.mayGoOn() || r.starts >= maxStarts {
+	if a.prefilling || !r.canResume() || r.starts >= maxStarts {
 		return false
 	}
 	c, held, ok := r.livingHolder(ctx, a)
 	view := r.h.opts.Feed.View()
-	if !ok || !r.h.versions.Now(view).Of(r.service).ServesByDefault(c.server.Version) || !r.permitted(ctx, c) || !r.mayRepeat(ctx, time.Now()) {
+	if !ok || !r.h.versions.Now(view).Of(r.service).ServesByDefault(c.server.Version) || !r.tryAcquirePermit(ctx, c) || !r.tryAcquireRetry(ctx, time.Now()) {
 		return false
 	}
 	r.h.pool.count(c, 1, 0, 0)
-	l := r.withCopy(ctx, leg{at: c, from: held.name})
-	r.held = kept{}
+	l := r.withCopyTarget(ctx, segment{target: c, resumeFrom: held.name})
+	r.heldCopy = kept{}
 	a.cancel()
-	r.taken = r.start(ctx, l)
+	r.replacement = r.start(ctx, l)
 	return true
 }
--- a/serve/forward/upstream.go
+++ b/serve/forward/upstream.go
@@ -20,27 +20,27 @@
 // second after which a lost SYN is sent again: another server is tried instead.
 const dialTimeout = 250 * time.Millisecond
 
-// maxAsked bounds what one engine tells of itself, in bytes.
-const maxAsked = 1 << 20
+// maxEngineReplyBytes bounds what one engine tells of itself, in bytes.
+const maxEngineReplyBytes = 1 << 20
 
 // errNotSent means that no byte of the request left: it has not run.
 var errNotSent = errors.New("forward: not sent")
 
-// notSent is the reason why no byte of a request left.
-type notSent struct{ cause error }
+// notSentError is the reason why no byte of a request left.
+type notSentError struct{ cause error }
 
 // Error implements error.
-func (e notSent) Error() string { return e.cause.Error() + ": " + errNotSent.Error() }
+func (e notSentError) Error() string { return e.cause.Error() + ": " + errNotSent.Error() }
 
 // Is makes it errNotSent.
-func (e notSent) Is(target error) bool { return target == errNotSent }
+func (e notSentError) Is(target error) bool { return target == errNotSent }
 
 // Unwrap returns the reason.
-func (e notSent) Unwrap() error { return e.cause }
+func (e notSentError) Unwrap() error { return e.cause }
 
-// timedOut reports whether nothing came back in time. Any other error shows that the way to
+// isTimeout reports whether nothing came back in time. Any other error shows that the way to
 // the server works.
-func timedOut(err error) bool {
+func isTimeout(err error) bool {
 	var n net.Error
 	return errors.Is(err, context.DeadlineExceeded) || errors.As(err, &n) && n.Timeout()
 }
@@ -56,7 +56,7 @@
 		defer cancel()
 		conn, err := dial(ctx, network, address)
 		if err != nil {
-			return nil, notSent{err}
+			return nil, notSentError{err}
 		}
 		return conn, nil
 	}
@@ -74,14 +74,14 @@
 	route  *routing.Route
 	// account is the caller's; nil on public routes.
 	account *routing.Account
-	// version of the configuration by which it is served, and its age on arrival.
-	version int64
-	age     time.Duration
-	arrived time.Time
+	// configVersion of the configuration by which it is served, and its age on arrival.
+	configVersion int64
+	configAge     time.Duration
+	arrived       time.Time
 	// digests name the request in all its attempts, the most exact first; none until its body is
 	// read.
-	digests []string
-	until   time.Time // when the caller or the route gives up
+	digests  []string
+	deadline time.Time // when the caller or the route gives up
 }
 
 // priority is the account's, or else the route's; 0 is the most urgent.
@@ -93,7 +93,7 @@
 }
 
 // outgoing builds the request to a server.
-func (in *inbound) outgoing(ctx context.Context, codec Codec, e Errand) *http.Request {
+func (in *inbound) outgoing(ctx context.Context, codec Codec, e UpstreamRequest) *http.Request {
 	req := &http.Request{
 		Method: in.method, Host: in.host, URL: targetURL(e.Server.Address, in.target),
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
@@ -124,7 +124,7 @@
 }
 
 // send makes one exchange up to the answer's headers.
-func (h *Handler) send(ctx context.Context, in *inbound, e Errand) (*http.Response, Reply, error) {
+func (h *Handler) send(ctx context.Context, in *inbound, e UpstreamRequest) (*http.Response, Reply, error) {
 	resp, err := h.transport.RoundTrip(in.outgoing(ctx, h.opts.Codec, e))
 	if err != nil {
 		return nil, Reply{}, err
@@ -137,19 +137,19 @@
 	return resp, reply, nil
 }
 
-// ask makes a call that runs nothing at a server and reads its whole answer. Beside an
+// getFromServer makes a call that runs nothing at a server and reads its whole answer. Beside an
 // error stands what had arrived of it.
-func (h *Handler) ask(ctx context.Context, s routing.Server, path string) ([]byte, error) {
-	return h.command(ctx, http.MethodGet, s, path, nil)
+func (h *Handler) getFromServer(ctx context.Context, s routing.Server, path string) ([]byte, error) {
+	return h.callServer(ctx, http.MethodGet, s, path, nil)
 }
 
-// command is ask with another method and a body.
-func (h *Handler) command(ctx context.Context, method string, s routing.Server, path string, body []byte) ([]byte, error) {
-	return h.commandUpTo(ctx, maxAsked, method, s, path, body)
+// callServer is ask with another method and a body.
+func (h *Handler) callServer(ctx context.Context, method string, s routing.Server, path string, body []byte) ([]byte, error) {
+	return h.callServerUpTo(ctx, maxEngineReplyBytes, method, s, path, body)
 }
 
-// commandUpTo is command, and reads no more than so many bytes of the answer.
-func (h *Handler) commandUpTo(ctx context.Context, most int64, method string, s routing.Server, path string, body []byte) ([]byte, error) {
+// callServerUpTo is command, and reads no more than so many bytes of the answer.
+func (h *Handler) callServerUpTo(ctx context.Context, most int64, method string, s routing.Server, path string, body []byte) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+s.Address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, errors.Wrap(err, path)
@@ -172,11 +172,11 @@
 	return answer, nil
 }
 
-// report asks whatever answers at the address of an engine for its report.
-func (h *Handler) report(ctx context.Context, s routing.Server, limit time.Duration) (Report, error) {
+// fetchReport asks whatever answers at the address of an engine for its report.
+func (h *Handler) fetchReport(ctx context.Context, s routing.Server, limit time.Duration) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	body, err := h.ask(ctx, s, h.opts.Codec.Probe())
+	body, err := h.getFromServer(ctx, s, h.opts.Codec.ProbePath())
 	if err != nil {
 		return Report{}, err
 	}
@@ -187,21 +187,21 @@
 	return report, err
 }
 
-// hopHeaders concern one connection only (RFC 9110, section 7.6.1).
-var hopHeaders = []string{
+// hopByHopHeaders concern one connection only (RFC 9110, section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// endToEnd returns a copy of h without what concerns one connection only.
-func endToEnd(h http.Header) http.Header {
+// endToEndHeaders returns a copy of h without what concerns one connection only.
+func endToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, line := range h["Connection"] {
 		for _, name := range strings.Split(line, ",") {
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
--- a/serve/forward/world_test.go
+++ b/serve/forward/world_test.go
@@ -44,20 +44,20 @@
 	after, _ := strconv.ParseInt(h.Get(hAfter), 10, 64)
 	tokens, _ := strconv.Atoi(h.Get(hTokens))
 	return Call{
-		ID: h.Get(hID), Wait: time.Duration(ms) * time.Millisecond, Key: h.Get(hKey),
-		After: after, OwnPart: h.Get(hPart), PromptTokens: tokens,
+		ID: h.Get(hID), Timeout: time.Duration(ms) * time.Millisecond, Key: h.Get(hKey),
+		LastEventID: after, PromptKey: h.Get(hPart), PromptTokens: tokens,
 	}, nil
 }
 
-func (testCodec) Outgoing(h http.Header, e Errand) http.Header {
+func (testCodec) Outgoing(h http.Header, e UpstreamRequest) http.Header {
 	out := h.Clone()
 	out.Del(hKey)
 	out.Set(hServer, e.Server.ID)
 	out.Set(hAccount, e.Account)
-	out.Set(hWait, strconv.FormatInt(e.Left.Milliseconds(), 10))
+	out.Set(hWait, strconv.FormatInt(e.Timeout.Milliseconds(), 10))
 	out.Set(hCopyTo, e.CopyTo)
-	out.Set(hCopyAt, e.CopyAt)
-	out.Set(hAfter, strconv.FormatInt(e.After, 10))
+	out.Set(hCopyAt, e.ResumeFrom)
+	out.Set(hAfter, strconv.FormatInt(e.LastEventID, 10))
 	out.Set(hPriority, strconv.Itoa(e.Priority))
 	return out
 }
@@ -65,7 +65,7 @@
 func (testCodec) Reply(status int, h http.Header) Reply {
 	return Reply{
 		ID: h.Get(hID), NotRun: h.Get(hNotRun) != "" || status == http.StatusMisdirectedRequest,
-		Misdirected: status == http.StatusMisdirectedRequest, Proven: h.Get(hProof) != "", Instance: h.Get(hInstance),
+		Misdirected: status == http.StatusMisdirectedRequest, Authentic: h.Get(hProof) != "", Instance: h.Get(hInstance),
 	}
 }
 
@@ -74,7 +74,7 @@
 // Cache reads the start of the engine as "@N" and then the parts that it holds.
 func (testCodec) Cache(body []byte) (Cache, error) {
 	born, words := startOf(strings.Fields(string(body)))
-	return Cache{Born: born, Parts: words}, nil
+	return Cache{Born: born, PromptKeys: words}, nil
 }
 
 // startOf takes the start of an engine, written as "@N", off the front.
@@ -86,7 +86,7 @@
 	return born, words[1:]
 }
 
-func (testCodec) Probe() string { return "/alive" }
+func (testCodec) ProbePath() string { return "/alive" }
 
 // Report reads the start, "engine" and then the ids of runs with events, of those
 // without if they begin with a minus, and "full" of an engine without room.
@@ -98,26 +98,26 @@
 	r := Report{Born: born, Events: map[string]int{}}
 	for _, id := range words[1:] {
 		if id == "full" {
-			r.Used, r.Memory = 100, 100
+			r.UsedTokens, r.CapacityTokens = 100, 100
 			continue
 		}
 		unread, found := strings.CutPrefix(id, "-")
 		if found {
 			r.Events[unread] = 0
 		} else {
-			r.Events[id] = lostEvents
+			r.Events[id] = minLostEvents
 		}
 	}
 	return r, nil
 }
 
-func (testCodec) Move(id, target string) (string, []byte, error) {
+func (testCodec) CopyRequest(id, target string) (string, []byte, error) {
 	return "/move/" + id, []byte(target), nil
 }
 
-func (testCodec) Moved(body []byte) (string, error) { return string(body), nil }
+func (testCodec) ParseCopyReply(body []byte) (string, error) { return string(body), nil }
 
-func (testCodec) Drop(handle string) string { return "/drop/" + handle }
+func (testCodec) DropPath(handle string) string { return "/drop/" + handle }
 
 // testSchema stores servers as JSON and gets the configuration from the world.
 type testSchema struct {
@@ -371,8 +371,8 @@
 	self := routing.VM{ID: "vm-1", Zone: "a"}
 	w.feed = feed.New(feed.Options{Store: storesim.Confirming{Store: w.reach, Hold: time.Second}, Schema: w.schema, Clock: clock, Log: event.Discard()})
 	w.handler = New(Options{
-		Feed: w.feed, Codec: testCodec{}, Log: event.Discard(), Self: self, KeyAge: 5 * time.Second,
-		Repeats: repeatsRule, Dial: w.dial,
+		Feed: w.feed, Codec: testCodec{}, Log: event.Discard(), Self: self, MaxKeyAge: 5 * time.Second,
+		RetryBudget: repeatsRule, Dial: w.dial,
 	})
 	w.handler.pool.began = start.Add(-repeatsRule.Window) // the daemon has its part of the slack
 }
@@ -475,7 +475,7 @@
 // they are over, whichever way they ended. What stays counted keeps later requests away
 // from a server until the daemon ends.
 func (w *world) nothingCounted() {
-	time.Sleep(lateWrite) // requests whose callers left end
+	time.Sleep(writeGrace) // requests whose callers left end
 	synctest.Wait()
 	w.handler.pool.mu.Lock()
 	defer w.handler.pool.mu.Unlock()
--- a/serve/gateway/addresses_test.go
+++ b/serve/gateway/addresses_test.go
@@ -43,7 +43,7 @@
 				vm.ID, vm.Zone, vm.Address, i >= size-leaving))
 			g := New(Options{
 				Self: vm, Store: storesim.Confirming{Store: memory, Hold: time.Second},
-				Schema: feed.OwnSchema{}, Codec: forward.OwnCodec{}, Log: event.Discard(),
+				Schema: feed.OwnSchema{}, Codec: forward.DefaultCodec{}, Log: event.Discard(),
 				Clock:    func() time.Duration { return time.Since(start) + time.Hour },
 				Bounds:   Bounds{KeyAge: 5 * time.Second},
 				Registry: metric.NewCatalogue(),
--- a/serve/gateway/gateway.go
+++ b/serve/gateway/gateway.go
@@ -97,7 +97,7 @@
 		Feed: f, Clock: o.Clock, Log: o.Log, Self: o.Self, Dialer: o.Dialer, Limits: o.Rollouts, Registerer: o.Registry,
 	})
 	h := forward.New(forward.Options{
-		Versions: v, Feed: f, Codec: o.Codec, Log: o.Log, Self: o.Self, KeyAge: o.KeyAge, Repeats: o.Repeats,
+		Versions: v, Feed: f, Codec: o.Codec, Log: o.Log, Self: o.Self, MaxKeyAge: o.KeyAge, RetryBudget: o.Repeats,
 		Registerer: o.Registry, Dial: o.DialServer, Dialer: o.Dialer,
 	})
 	g := &Gateway{opts: o, feed: f, handler: h, versions: v}
@@ -241,8 +241,8 @@
 	started := time.Now()
 	ends := time.Duration(g.grace.Load()) - exitMargin
 	g.leaving.Store(true)
-	g.handler.Leave(forward.Stop{
-		Streams: started.Add(streamsUntil), All: started.Add(allUntil), End: started.Add(ends),
+	g.handler.BeginShutdown(forward.ShutdownSchedule{
+		StreamsUntil: started.Add(streamsUntil), RequestsUntil: started.Add(allUntil), ExitAt: started.Add(ends),
 	})
 	kept := min(keptAnswers*g.opts.KeepAnswers, ends)
 	g.opts.Log.Emit(event.DaemonDraining, g.handler.Running(), kept)
