--- a/serve/forward/absences.go
+++ b/serve/forward/absences.go
@@ -22,37 +22,37 @@
 	return getOrCreate(p.absences, service)
 }
 
-// returned learns from the servers of a new view how long those were away that failed at
+// recordReturns learns from the servers of a new view how long those were away that failed at
 // their addresses. The caller holds p.mu.
-func (p *pool) returned() {
+func (p *pool) recordReturns() {
 	now := p.view.Published
 	listed := map[string]bool{}
 	for service, servers := range p.view.Servers {
 		for _, s := range servers {
 			listed[s.Address] = true
-			before, ok := p.away[s.Address]
-			if ok && s.Life() != before.life {
+			before, ok := p.down[s.Address]
+			if ok && s.Life() != before.incarnation {
 				p.absence(service).Returned(now.Sub(before.since))
-				delete(p.away, s.Address)
+				delete(p.down, s.Address)
 			}
 		}
 	}
-	for address, one := range p.away {
+	for address, one := range p.down {
 		if !listed[address] && now.Sub(one.since) > forgetAway {
-			delete(p.away, address)
+			delete(p.down, address)
 		}
 	}
 }
 
-// waits is how long a request waits for a server of a service to return.
-func (p *pool) waits(service string, objective time.Duration) time.Duration {
+// recoveryWait is how long a request waits for a server of a service to return.
+func (p *pool) recoveryWait(service string, objective time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.absence(service).Wait(objective)
 }
 
-// back is when a caller comes back that found no server of a service.
-func (p *pool) back(service string) time.Duration {
+// retryAfter is when a caller comes back that found no server of a service.
+func (p *pool) retryAfter(service string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.absence(service).Back(rand.Float64())
@@ -60,10 +60,10 @@
 
 // anyThere reports whether a server of a service has not failed lately.
 func (p *pool) anyThere(now time.Time, view *feed.View, service string) bool {
-	_, ok := p.in(view, service, func(l *layout) (choice, bool) {
+	_, ok := p.choose(view, service, func(l *serverSet) (choice, bool) {
 		for i, one := range l.loads {
-			if !one.suspect(now) {
-				return l.choose(i, "")
+			if !one.isSuspect(now) {
+				return l.choiceAt(i, "")
 			}
 		}
 		return choice{}, false
@@ -82,7 +82,7 @@
 	if len(r.h.opts.Feed.View().Servers[r.service]) == 0 {
 		return sampledEngine{}, false
 	}
-	until := time.Now().Add(r.h.pool.waits(r.service, r.in.route.Objective))
+	until := time.Now().Add(r.h.pool.recoveryWait(r.service, r.in.route.Objective))
 	tick := time.NewTicker(absentCheck)
 	defer tick.Stop()
 	for time.Now().Before(until) {
@@ -101,7 +101,7 @@
 		case ok && c.report.Unread == 0:
 			return c, true
 		case ok:
-			r.h.pool.count(c.choice, -1, 0, 0)
+			r.h.pool.addLoad(c.choice, -1, 0, 0)
 		}
 	}
 	view := r.h.opts.Feed.View()
--- a/serve/forward/accept_test.go
+++ b/serve/forward/accept_test.go
@@ -16,10 +16,10 @@
 func TestKeysAreNotTrustedBeyondTheirAge(t *testing.T) {
 	public := *plainRoutes()[0]
 	public.Name, public.Prefix, public.Public = "open", "/open/", true
-	inWorld(t, append(plainRoutes(), &public), func(w *world) {
-		desk := w.add("d-1", "desk", "a", proven("ok"))
-		ask := func(path string) answer { return w.ask(http.MethodPost, path, caller, "x") }
-		w.reach.SetDown(true)
+	withTestCluster(t, append(plainRoutes(), &public), func(w *testCluster) {
+		desk := w.add("d-1", "desk", "a", respondProven("ok"))
+		ask := func(path string) response { return w.request(http.MethodPost, path, callerHeaders, "x") }
+		w.daemonStore.SetDown(true)
 		lost := time.Now()
 		lastTrusted := time.Duration(0)
 		for time.Since(lost) < 8*time.Second {
@@ -36,10 +36,10 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		must.Between(t, 3*time.Second, lastTrusted, 5*time.Second-keyAgeMargin)
-		before := desk.requests()
+		before := desk.requestCount()
 		must.Eq(t, http.StatusServiceUnavailable, ask("/once/1").status)
-		must.Eq(t, before, desk.requests())
-		w.reach.SetDown(false)
+		must.Eq(t, before, desk.requestCount())
+		w.daemonStore.SetDown(false)
 		time.Sleep(3 * time.Second)
 		must.Eq(t, http.StatusOK, ask("/once/1").status)
 	})
@@ -48,13 +48,13 @@
 // A daemon is asked with a key that no configuration holds, by a request without one,
 // and with one that holds.
 func TestKeysOfAccounts(t *testing.T) {
-	inWorld(t, plainRoutes(), func(w *world) {
-		desk := w.add("d-1", "desk", "a", proven("ok"))
+	withTestCluster(t, plainRoutes(), func(w *testCluster) {
+		desk := w.add("d-1", "desk", "a", respondProven("ok"))
 		for key, status := range map[string]int{"key-1": http.StatusOK, "key-2": http.StatusOK, "key-3": http.StatusUnauthorized, "": http.StatusUnauthorized} {
-			must.Eq(t, status, w.ask(http.MethodPost, "/once/1", with(map[string]string{hKey: key}), "x").status)
+			must.Eq(t, status, w.request(http.MethodPost, "/once/1", withHeaders(map[string]string{hKey: key}), "x").status)
 		}
-		must.Eq(t, 2, desk.requests())
-		for _, r := range desk.asked() {
+		must.Eq(t, 2, desk.requestCount())
+		for _, r := range desk.requests() {
 			must.Eq(t, "", r.Header.Get(hKey))
 		}
 	})
@@ -78,10 +78,10 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			inWorld(t, streamRoute(), func(w *world) {
-				w.add("e-a", "llm", "a", streaming(1, 0, 0))
+			withTestCluster(t, streamRoute(), func(w *testCluster) {
+				w.add("e-a", "llm", "a", streamEvents(1, 0, 0))
 				w.restartDaemon(c.reads)
-				got := w.ask(http.MethodPost, "/s/1", with(map[string]string{hWait: c.wait}), "x")
+				got := w.request(http.MethodPost, "/s/1", withHeaders(map[string]string{hWait: c.wait}), "x")
 				must.Eq(t, c.status, got.status)
 				must.LessEq(t, c.most, got.took)
 			})
--- a/serve/forward/admit_test.go
+++ b/serve/forward/admit_test.go
@@ -13,13 +13,13 @@
 // until its caller's time is over, and makes the engine throw out runs. Its caller is
 // told at once that nothing ran and when to come back.
 func TestFullEnginesRefuseAtOnce(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		handle := streaming(5, time.Second, 40*time.Millisecond)
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		handle := streamEvents(5, time.Second, 40*time.Millisecond)
 		engines := []*fakeServer{w.add("e-a", "llm", "a", handle), w.add("e-b", "llm", "b", handle)}
 		for _, e := range engines {
-			e.reports("full run-1")
+			e.setRuns("full run-1")
 		}
-		got := w.ask(http.MethodPost, "/s/1", with(map[string]string{hTokens: "80"}), "prompt")
+		got := w.request(http.MethodPost, "/s/1", withHeaders(map[string]string{hTokens: "80"}), "prompt")
 		must.Eq(t, http.StatusServiceUnavailable, got.status)
 		must.StrContains(t, got.body, "not_run")
 		seconds, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
@@ -27,7 +27,7 @@
 		must.Between(t, 2, seconds, 30)
 		must.Less(t, 500*time.Millisecond, got.took)
 		for _, e := range engines {
-			must.Eq(t, 0, e.requests())
+			must.Eq(t, 0, e.requestCount())
 		}
 	})
 }
@@ -36,10 +36,10 @@
 // event. It holds a part of the answer, so the rest is owed, and engines that are
 // full get it all the same.
 func TestFullEnginesTakeWhatIsOwed(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		a := w.add("e-a", "llm", "a", streaming(5, time.Second, 40*time.Millisecond))
-		a.reports("full run-1")
-		got := w.ask(http.MethodPost, "/s/1", with(map[string]string{hTokens: "80", hAfter: "2"}), "prompt")
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		a := w.add("e-a", "llm", "a", streamEvents(5, time.Second, 40*time.Millisecond))
+		a.setRuns("full run-1")
+		got := w.request(http.MethodPost, "/s/1", withHeaders(map[string]string{hTokens: "80", hAfter: "2"}), "prompt")
 		must.Eq(t, events(3, 5), got.body)
 	})
 }
@@ -48,16 +48,16 @@
 // route's objective: the caller is sent away before it waits for that, and one whose
 // objective has passed already is let in as long as half of its time would be left.
 func TestPromptsThatWaitTooLongAreRefused(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		a := w.add("e-a", "llm", "a", streaming(5, time.Second, 40*time.Millisecond))
-		sized := with(map[string]string{hTokens: "8000"})
-		must.Eq(t, http.StatusOK, w.ask(http.MethodPost, "/s/1", sized, "prompt").status) // a prompt takes a second
-		a.reports("-1 -2 -3 -4")
-		must.Eq(t, http.StatusServiceUnavailable, w.ask(http.MethodPost, "/s/1", sized, "prompt").status)
-		late := with(map[string]string{hTokens: "8000", hWait: "16000"})
-		must.Eq(t, http.StatusOK, w.ask(http.MethodPost, "/s/1", late, "prompt").status)
-		a.reports("-1 -2 -3 -4 -5 -6 -7 -8")
-		must.Eq(t, http.StatusServiceUnavailable, w.ask(http.MethodPost, "/s/1", late, "prompt").status)
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		a := w.add("e-a", "llm", "a", streamEvents(5, time.Second, 40*time.Millisecond))
+		sized := withHeaders(map[string]string{hTokens: "8000"})
+		must.Eq(t, http.StatusOK, w.request(http.MethodPost, "/s/1", sized, "prompt").status) // a prompt takes a second
+		a.setRuns("-1 -2 -3 -4")
+		must.Eq(t, http.StatusServiceUnavailable, w.request(http.MethodPost, "/s/1", sized, "prompt").status)
+		late := withHeaders(map[string]string{hTokens: "8000", hWait: "16000"})
+		must.Eq(t, http.StatusOK, w.request(http.MethodPost, "/s/1", late, "prompt").status)
+		a.setRuns("-1 -2 -3 -4 -5 -6 -7 -8")
+		must.Eq(t, http.StatusServiceUnavailable, w.request(http.MethodPost, "/s/1", late, "prompt").status)
 	})
 }
 
@@ -65,21 +65,21 @@
 // comes back with more time than its prompt takes to read and less than the rest of its
 // answer. It hears at once that nothing ran; no engine reads and makes events in vain.
 func TestAnswerThatCannotBeWholeIsRefusedAtOnce(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		a := w.add("e-a", "llm", "a", streaming(100, 200*time.Millisecond, 40*time.Millisecond))
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		a := w.add("e-a", "llm", "a", streamEvents(100, 200*time.Millisecond, 40*time.Millisecond))
 		sized := map[string]string{hTokens: "8000"}
 		for range 5 {
-			must.Eq(t, http.StatusOK, w.ask(http.MethodPost, "/s/1", with(sized), "prompt").status)
+			must.Eq(t, http.StatusOK, w.request(http.MethodPost, "/s/1", withHeaders(sized), "prompt").status)
 		}
 		for after, wait := range map[string]string{"0": "2000", "20": "1000"} {
 			sized[hAfter], sized[hWait] = after, wait
-			got := w.ask(http.MethodPost, "/s/1", with(sized), "prompt")
+			got := w.request(http.MethodPost, "/s/1", withHeaders(sized), "prompt")
 			must.Eq(t, http.StatusServiceUnavailable, got.status)
 			must.StrContains(t, got.body, "not_run")
 			must.Less(t, 50*time.Millisecond, got.took)
 		}
-		must.Eq(t, 5, a.requests())
+		must.Eq(t, 5, a.requestCount())
 		sized[hAfter] = "80" // the rest may well be whole
-		must.Eq(t, events(81, 100), w.ask(http.MethodPost, "/s/1", with(sized), "prompt").body)
+		must.Eq(t, events(81, 100), w.request(http.MethodPost, "/s/1", withHeaders(sized), "prompt").body)
 	})
 }
--- a/serve/forward/attempt.go
+++ b/serve/forward/attempt.go
@@ -30,7 +30,7 @@
 	probeFailures  <-chan error
 	versionLeaving <-chan struct{} // closed when the version of the server leaves
 	prefilling     bool            // counted as a prompt that is read, and not yet as a run
-	spare          *spare
+	spare          *replicator
 	trial, pace    *versions.Trial // of the server's version, nil where none is compared
 	eventCount     int             // events of this attempt
 	timesFoundLost int             // times that the engine reported events of which none had arrived
@@ -61,16 +61,16 @@
 func (r *relay) start(ctx context.Context, l segment) *attempt {
 	a := &attempt{segment: l, r: r, sentAt: time.Now(), parts: make(chan responsePart), pushedBack: make(chan responsePart, 1), requestWritten: make(chan struct{}, 1), prefilling: true}
 	a.ctx, a.cancel = context.WithCancel(ctx)
-	r.h.pool.count(l.copyTo, 0, 0, 1)
+	r.h.pool.addLoad(l.copyTo, 0, 0, 1)
 	r.starts++
 	r.sends++
 	r.possibleRuns++
 	probing, stop := context.WithCancel(a.ctx)
 	a.stopProbing = stop
-	a.spare = r.newSpare(l)
+	a.spare = r.newReplicator(l)
 	a.probeFailures = r.startProbing(probing, l)
 	a.versionLeaving = r.h.versions.Leaves(r.h.opts.Feed.View(), l.target.server)
-	a.watchLeg(l, r.in.routeName())
+	a.startTrial(l, r.in.routeName())
 	go a.receive(UpstreamRequest{
 		ID: r.in.call.ID, Server: l.target.server, Timeout: time.Until(r.in.deadline),
 		Account: r.in.accountName(), Priority: r.in.priority(), CopyTo: l.copyTo.server.Address, ResumeFrom: l.resumeFrom, LastEventID: r.lastEventID,
@@ -140,14 +140,14 @@
 		return
 	}
 	a.prefilling, a.firstEventAt = false, time.Now()
-	a.firstEvent()
+	a.recordFirstEvent()
 	a.stopProbing()
 	a.probeFailures = nil // a word that waits there is out of date
 	r := a.r
-	r.h.pool.count(a.target, -1, 1, 0)
-	r.h.pool.worked(a.target)
+	r.h.pool.addLoad(a.target, -1, 1, 0)
+	r.h.pool.recordSuccess(a.target)
 	if a.resumeFrom == "" && r.in.call.LastEventID == 0 {
-		r.h.pressure.wasRead(r.service, r.in.call.PromptTokens, time.Since(a.sentAt))
+		r.h.pressure.recordPrefill(r.service, r.in.call.PromptTokens, time.Since(a.sentAt))
 	}
 	if a.spare != nil {
 		go a.spare.run(a.ctx)
@@ -155,16 +155,16 @@
 }
 
 // runCopy is the copy of the run that is believed to lie at another engine.
-func (a *attempt) runCopy() kept {
+func (a *attempt) runCopy() replica {
 	if a.copyUsed {
-		return kept{}
+		return replica{}
 	}
 	return a.incrementalCopy(a.r.in.call.ID)
 }
 
 // hasCopy reports whether a copy of the run is believed to lie at another engine.
 func (a *attempt) hasCopy() bool {
-	return a.runCopy().at.load != nil || a.spare != nil && a.spare.copied.Load() != nil
+	return a.runCopy().at.load != nil || a.spare != nil && a.spare.remade.Load() != nil
 }
 
 // end closes the connection, so that the server drops a run that is not over, and takes
@@ -173,11 +173,11 @@
 	a.cancel()
 	a.closeResponse()
 	pool := a.r.h.pool
-	pool.count(a.copyTo, 0, 0, -1)
+	pool.addLoad(a.copyTo, 0, 0, -1)
 	if a.prefilling {
-		pool.count(a.target, -1, 0, 0)
+		pool.addLoad(a.target, -1, 0, 0)
 	} else {
-		pool.count(a.target, 0, -1, 0)
+		pool.addLoad(a.target, 0, -1, 0)
 	}
 	a.r.settleSpare(a.spare, how)
 }
@@ -205,16 +205,16 @@
 }
 
 // settleSpare takes over a copy made on demand, or frees it once the answer is whole.
-func (r *relay) settleSpare(spare *spare, end segmentEnd) {
+func (r *relay) settleSpare(spare *replicator, end segmentEnd) {
 	switch {
 	case spare == nil:
 	case (end == segmentBroken || end == segmentMoved) && r.replacement != nil && r.replacement.resumeFrom != "": // that copy is in use
 	case end == segmentBroken && r.replacement == nil:
-		if copied := spare.copied.Load(); copied != nil {
+		if copied := spare.remade.Load(); copied != nil {
 			r.heldCopy = *copied
 		}
 	default:
-		spare.drop()
+		spare.free()
 	}
 }
 
@@ -273,9 +273,9 @@
 // markCopyUsed notes that the copy which grows with the run is asked for.
 func (a *attempt) markCopyUsed() {
 	a.copyUsed = true
-	a.r.heldCopy = kept{}
+	a.r.heldCopy = replica{}
 	if a.spare != nil {
-		a.spare.used.Store(true)
-		a.spare.copied.Store(nil)
+		a.spare.firstUsed.Store(true)
+		a.spare.remade.Store(nil)
 	}
 }
--- a/serve/forward/budgets.go
+++ b/serve/forward/budgets.go
@@ -22,7 +22,7 @@
 func (p *pool) retryBudget(service string) *repeats.Budget {
 	b, ok := p.budgets[service]
 	if !ok {
-		b = repeats.New(p.rule, p.began)
+		b = repeats.New(p.retryRule, p.startedAt)
 		p.budgets[service] = b
 	}
 	return b
@@ -33,8 +33,8 @@
 func (p *pool) setRetryRule(rule repeats.Policy) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if rule != p.rule {
-		p.rule, p.began = rule, time.Now()
+	if rule != p.retryRule {
+		p.retryRule, p.startedAt = rule, time.Now()
 		clear(p.budgets)
 	}
 }
--- a/serve/forward/calls.go
+++ b/serve/forward/calls.go
@@ -16,17 +16,17 @@
 
 // choosePlain chooses a server for a request that is no prompt.
 func (p *pool) choosePlain(now time.Time, view *feed.View, service string, exclude []routing.Life) (choice, bool) {
-	return p.in(view, service, func(l *layout) (choice, bool) { return p.choosePlainFrom(now, l, exclude) })
+	return p.choose(view, service, func(l *serverSet) (choice, bool) { return p.choosePlainFrom(now, l, exclude) })
 }
 
-func (p *pool) choosePlainFrom(now time.Time, l *layout, exclude []routing.Life) (choice, bool) {
+func (p *pool) choosePlainFrom(now time.Time, l *serverSet, exclude []routing.Life) (choice, bool) {
 	for i, one := range l.loads {
-		one.plain.Limit = int32(l.servers[i].Slots)
+		one.calls.Limit = int32(l.servers[i].Slots)
 		if l.servers[i].Slots <= 0 {
-			one.plain.Limit = defaultSlots
+			one.calls.Limit = defaultSlots
 		}
-		if one.suspect(now) {
-			one.plain.Limit = 0
+		if one.isSuspect(now) {
+			one.calls.Limit = 0
 		}
 	}
 	exclude = slices.Clone(exclude)
@@ -35,7 +35,7 @@
 		if i < 0 {
 			return choice{}, false
 		}
-		if p.limits.open(now, l.servers[i]) {
+		if p.limits.canRequestPermit(now, l.servers[i]) {
 			return p.reserve(l, i, reason)
 		}
 		exclude = append(exclude, l.servers[i].Life())
@@ -48,7 +48,7 @@
 	exclude = slices.Clone(exclude)
 	for {
 		c, ok := h.pool.choosePlain(time.Now(), view, service, exclude)
-		if !ok || h.limits.take(ctx, c.server) {
+		if !ok || h.limits.acquire(ctx, c.server) {
 			return c, ok
 		}
 		h.pool.release(c)
@@ -57,8 +57,8 @@
 }
 
 // bestPlain is the index of the server that is the first choice, -1 if there is none.
-func (p *pool) bestPlain(l *layout, exclude []routing.Life) (i int, reason string) {
-	r := l.table.Pick(&route.Query{Exclude: l.ids(exclude), Random: rand.Uint64()})
+func (p *pool) bestPlain(l *serverSet, exclude []routing.Life) (i int, reason string) {
+	r := l.table.Pick(&route.Query{Exclude: l.idsOf(exclude), Random: rand.Uint64()})
 	if r.Index < 0 {
 		return l.lastResort(exclude), "last_resort"
 	}
@@ -67,23 +67,23 @@
 
 // lastResort is any server that is not excluded, -1 if there is none: all are suspect or full,
 // and a server that is sends the request back itself.
-func (l *layout) lastResort(exclude []routing.Life) (best int) {
+func (l *serverSet) lastResort(exclude []routing.Life) (best int) {
 	best = -1
 	for i, s := range l.servers {
-		if !slices.Contains(exclude, s.Life()) && (best < 0 || l.loads[i].plain.InFlight < l.loads[best].plain.InFlight) {
+		if !slices.Contains(exclude, s.Life()) && (best < 0 || l.loads[i].calls.InFlight < l.loads[best].calls.InFlight) {
 			best = i
 		}
 	}
 	return best
 }
 
-func (p *pool) reserve(l *layout, i int, reason string) (choice, bool) {
-	l.loads[i].plain.InFlight++
-	return l.choose(i, reason)
+func (p *pool) reserve(l *serverSet, i int, reason string) (choice, bool) {
+	l.loads[i].calls.InFlight++
+	return l.choiceAt(i, reason)
 }
 
 func (p *pool) release(c choice) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.load.plain.InFlight--
+	c.load.calls.InFlight--
 }
--- a/serve/forward/candidate.go
+++ b/serve/forward/candidate.go
@@ -18,9 +18,9 @@
 // stays within 700 ms.
 const signOfLife = 150 * time.Millisecond
 
-// reserve chooses the leg that may follow a silent one, and takes a repeat from the
+// reserveFailover chooses the leg that may follow a silent one, and takes a repeat from the
 // budget for it. The request is counted at the server of the leg.
-func (r *relay) reserve(ctx context.Context, a *attempt, why error) (segment, takeover.Outcome) {
+func (r *relay) reserveFailover(ctx context.Context, a *attempt, why error) (segment, takeover.Outcome) {
 	if !r.canResume() || r.starts >= maxStarts {
 		return segment{}, takeover.NoAttemptsLeft
 	}
@@ -36,23 +36,23 @@
 		outcome = takeover.NoRetryBudget
 	}
 	if outcome != takeover.TakenOver {
-		r.uncount(l)
+		r.releaseLeg(l)
 		return segment{}, outcome
 	}
 	return l, outcome
 }
 
-// uncount takes back the count of a leg whose request is not sent.
-func (r *relay) uncount(l segment) { r.h.pool.count(l.target, -1, 0, 0) }
+// releaseLeg takes back the count of a leg whose request is not sent.
+func (r *relay) releaseLeg(l segment) { r.h.pool.addLoad(l.target, -1, 0, 0) }
 
 // candidate is the leg at the engine that holds a copy of the run, if it gives a sign of
 // life, or at one that reads the prompt anew.
 func (r *relay) candidate(ctx context.Context, a *attempt, why error) (segment, takeover.Outcome) {
 	if c, held, ok := r.livingHolder(ctx, a); ok && r.tryAcquirePermit(ctx, c) {
-		r.h.pool.count(c, 1, 0, 0)
+		r.h.pool.addLoad(c, 1, 0, 0)
 		return segment{target: c, resumeFrom: held.name}, takeover.TakenOver
 	}
-	if r.h.pressure.hopeless(r.service, r.in.call.PromptTokens, time.Until(r.in.deadline)) {
+	if r.h.pressure.isPrefillTooLate(r.service, r.in.call.PromptTokens, time.Until(r.in.deadline)) {
 		return segment{}, takeover.NoCapacity
 	}
 	return r.withoutCopy(ctx, a, why)
@@ -69,7 +69,7 @@
 		return segment{}, takeover.NoServer
 	}
 	if !r.tryAcquirePermit(ctx, c.choice) {
-		r.uncount(segment{target: c.choice})
+		r.releaseLeg(segment{target: c.choice})
 		return segment{}, takeover.NoServer
 	}
 	l, outcome := segment{target: c.choice}, takeover.TakenOver
@@ -77,23 +77,23 @@
 		switch admission, _ := r.admission(c); {
 		case !c.answered:
 			outcome = takeover.NoServer
-		case r.answers(ctx, a, why):
+		case r.isResponsive(ctx, a, why):
 			outcome = takeover.StillAlive
 		case admission != prompts.Admitted:
 			outcome = takeover.NoCapacity
 		}
 	}
 	if outcome != takeover.TakenOver {
-		r.uncount(l)
+		r.releaseLeg(l)
 		return segment{}, outcome
 	}
 	return l, outcome
 }
 
-// answers reports whether a silent engine gives a sign of life after all. It is asked last:
+// isResponsive reports whether a silent engine gives a sign of life after all. It is asked last:
 // where the link from here was full until a moment ago, others answer as well by now. One
 // whose answer is lost, or that has been silent for long, is not asked.
-func (r *relay) answers(ctx context.Context, a *attempt, why error) bool {
+func (r *relay) isResponsive(ctx context.Context, a *attempt, why error) bool {
 	long := time.Since(r.lastEventAt) >= takeover.MaxSilence(false, r.in.route.GapTarget)
 	if errors.Is(why, errResponseLost) || errors.Is(why, errStreamIdle) && long {
 		return false
@@ -102,11 +102,11 @@
 	return err == nil
 }
 
-// unreachable reports whether nothing more is to be expected of a silent engine: its answer
+// isUnreachable reports whether nothing more is to be expected of a silent engine: its answer
 // was found lost more than once, or it answers neither of two questions, one after the other,
 // while others answer both times: one lost packet does not show that, nor a link from here that
 // is free again in the middle of a question. Servers that are no engines cannot be asked.
-func (r *relay) unreachable(ctx context.Context, a *attempt, why error) bool {
+func (r *relay) isUnreachable(ctx context.Context, a *attempt, why error) bool {
 	if errors.Is(why, errResponseLost) {
 		a.timesFoundLost++
 		return a.timesFoundLost >= maxFailedProbes
@@ -115,12 +115,12 @@
 	if view.Config.Engine(r.service) == nil {
 		return false
 	}
-	others := r.h.pool.readers(time.Now(), view, r.service, "", SampleSize, []routing.Life{a.target.server.Life()})
+	others := r.h.pool.prefillCandidates(time.Now(), view, r.service, "", SampleSize, []routing.Life{a.target.server.Life()})
 	for range maxFailedProbes {
 		var silent error
 		var all sync.WaitGroup
 		all.Go(func() { _, silent = r.h.probe(ctx, a.target.server, fastProbeTimeout) })
-		answered := r.h.questions().sampleLoads(ctx, others, 0)
+		answered := r.h.newProbeRound().sampleLoads(ctx, others, 0)
 		all.Wait()
 		if silent == nil || len(answered) == 0 {
 			return false
@@ -130,19 +130,19 @@
 }
 
 // livingHolder is the engine that holds a copy of an attempt's run, if it answers.
-func (r *relay) livingHolder(ctx context.Context, a *attempt) (choice, kept, bool) {
+func (r *relay) livingHolder(ctx context.Context, a *attempt) (choice, replica, bool) {
 	held := r.heldCopy
 	if a.spare != nil {
-		if copied := a.spare.copied.Load(); copied != nil {
+		if copied := a.spare.remade.Load(); copied != nil {
 			held = *copied
 		}
 	}
 	if held.at.load == nil {
-		return choice{}, kept{}, false
+		return choice{}, replica{}, false
 	}
 	c, ok := r.findCopyHolder(r.h.opts.Feed.View(), held)
 	if !ok {
-		return choice{}, kept{}, false
+		return choice{}, replica{}, false
 	}
 	_, err := r.h.probe(ctx, c.server, signOfLife)
 	return c, held, err == nil
--- a/serve/forward/endings.go
+++ b/serve/forward/endings.go
@@ -54,39 +54,39 @@
 	return hex.EncodeToString(hash.Sum(nil)[:digestBytes])
 }
 
-// ending is a send that a server broke off.
-type ending struct {
+// brokenSend is a send that a server broke off.
+type brokenSend struct {
 	in *inbound
 	at choice
-	// sent is when the request was sent, begun when its first event arrived, zero before.
-	sent, begun time.Time
-	from        string // the copy that it went on from
-	err         error
+	// sentAt is when the request was sent, begun when its first event arrived, zero before.
+	sentAt, firstEventAt time.Time
+	fromReplica          string // the copy that it went on from
+	err                  error
 }
 
-// state is what a server is found to be after it broke off a connection.
-type state string
+// processState is what a server is found to be after it broke off a connection.
+type processState string
 
 const (
-	stateEnded  state = "ended" // another process answers at its address, or none
-	stateLives  state = "lives"
-	stateSilent state = "silent" // nobody knows
+	stateEnded  processState = "ended" // another process answers at its address, or none
+	stateLives  processState = "lives"
+	stateSilent processState = "silent" // nobody knows
 )
 
-// inspect finds out whether the server of a send has ended, and logs it.
-func (h *Handler) inspect(e ending) {
+// checkForCrash finds out whether the server of a send has ended, and logs it.
+func (h *Handler) checkForCrash(e brokenSend) {
 	if !brokenOff(e.err) {
 		return
 	}
 	now := time.Now()
 	running := time.Duration(0)
-	if !e.begun.IsZero() {
-		running = now.Sub(e.begun)
+	if !e.firstEventAt.IsZero() {
+		running = now.Sub(e.firstEventAt)
 	}
 	found := h.stateOf(e)
 	end := poison.Termination{
-		Planned:      h.leaves(e.at.server),
-		PromptUnread: e.from == "" && h.pressure.hopeless(e.at.server.Service, e.in.call.PromptTokens, now.Sub(e.sent)),
+		Planned:      h.isLeaving(e.at.server),
+		PromptUnread: e.fromReplica == "" && h.pressure.isPrefillTooLate(e.at.server.Service, e.in.call.PromptTokens, now.Sub(e.sentAt)),
 		Streamed:     running,
 	}
 	if found == stateEnded && end.Attribute() == poison.Attributed {
@@ -94,14 +94,14 @@
 	}
 	finding := end.Attribute()
 	h.opts.Log.Emit(event.BackendBroke, e.in.call.ID, e.in.digests, e.in.call.PromptKey, e.in.accountName(),
-		e.at.server.ID, e.at.server.Zone, string(found), finding.String(), end.PeersChecked, end.PeersDown, now.Sub(e.sent), running, e.from, e.err)
+		e.at.server.ID, e.at.server.Zone, string(found), finding.String(), end.PeersChecked, end.PeersDown, now.Sub(e.sentAt), running, e.fromReplica, e.err)
 	if found == stateEnded && finding == poison.Attributed {
-		h.poisoned.ended(context.Background(), e.in, e.at.server.Life())
+		h.poisoned.recordCrash(context.Background(), e.in, e.at.server.Life())
 	}
 }
 
-// leaves reports whether a server is known to leave, alone or with all of its version.
-func (h *Handler) leaves(s routing.Server) bool {
+// isLeaving reports whether a server is known to leave, alone or with all of its version.
+func (h *Handler) isLeaving(s routing.Server) bool {
 	view := h.opts.Feed.View()
 	if h.versions.Barred(view, s) {
 		return true
@@ -116,14 +116,14 @@
 
 // stateOf finds out whether the server of a send has ended: a process that ended leaves a port
 // at which nobody listens.
-func (h *Handler) stateOf(e ending) state {
+func (h *Handler) stateOf(e brokenSend) processState {
 	if errors.Is(e.err, errRestarted) {
 		return stateEnded
 	}
 	return h.stateAt(e.at.server.Address)
 }
 
-func (h *Handler) stateAt(address string) state {
+func (h *Handler) stateAt(address string) processState {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	conn, err := h.dial(ctx, "tcp", address)
--- a/serve/forward/engines.go
+++ b/serve/forward/engines.go
@@ -12,29 +12,29 @@
 	"mallowwind.dev/decision/prompts"
 )
 
-func (p *pool) engines(now time.Time, l *layout, exclude []routing.Life) []prompts.Engine {
+func (p *pool) engineStates(now time.Time, l *serverSet, exclude []routing.Life) []prompts.Engine {
 	engines := make([]prompts.Engine, len(l.servers))
 	for i, s := range l.servers {
 		one := l.loads[i]
 		engines[i] = prompts.Engine{
-			Zone: s.Zone, Home: l.home[i], Reading: one.reading, Running: one.running, Copies: one.copies,
-			Suspect: one.suspect(now), Excluded: slices.Contains(exclude, s.Life()),
+			Zone: s.Zone, Home: l.home[i], Reading: one.prefilling, Running: one.running, Copies: one.replicas,
+			Suspect: one.isSuspect(now), Excluded: slices.Contains(exclude, s.Life()),
 		}
 	}
 	return engines
 }
 
-// readers returns the engines that may read a prompt, the best first and n at most. part
+// prefillCandidates returns the engines that may read a prompt, the best first and n at most. part
 // is the prompt's own part; "" stands for any prompt.
-func (p *pool) readers(now time.Time, view *feed.View, service, part string, n int, exclude []routing.Life) []choice {
+func (p *pool) prefillCandidates(now time.Time, view *feed.View, service, part string, n int, exclude []routing.Life) []choice {
 	var list []choice
-	p.in(view, service, func(l *layout) (choice, bool) {
-		engines := p.engines(now, l, exclude)
+	p.choose(view, service, func(l *serverSet) (choice, bool) {
+		engines := p.engineStates(now, l, exclude)
 		for i, home := range l.homesOf(part) {
 			engines[i].Home = home
 		}
 		for _, c := range p.readOpen(now, l, engines, n, false) {
-			one, _ := l.choose(c.Index, string(c.Reason))
+			one, _ := l.choiceAt(c.Index, string(c.Reason))
 			list = append(list, one)
 		}
 		return choice{}, false
@@ -42,40 +42,40 @@
 	return list
 }
 
-// reader returns the engine that is the first to read a prompt where others is what all
+// reservePrefill returns the engine that is the first to read a prompt where others is what all
 // other daemons have under way, with the prompts known to be read there, and counts the
 // prompt there at once: a daemon that asks in the next moment must know of it. among is
 // true where only the engines in others are known, and chosen from.
-func (p *pool) reader(now time.Time, view *feed.View, service string, others workAt, among bool, exclude []routing.Life) (c choice, unread int, ok bool) {
-	c, ok = p.in(view, service, func(l *layout) (choice, bool) {
-		engines := p.engines(now, l, exclude)
+func (p *pool) reservePrefill(now time.Time, view *feed.View, service string, others workloads, among bool, exclude []routing.Life) (c choice, unread int, ok bool) {
+	c, ok = p.choose(view, service, func(l *serverSet) (choice, bool) {
+		engines := p.engineStates(now, l, exclude)
 		for i, s := range l.servers {
 			theirs, known := others[s.Life()]
-			engines[i].Reading += theirs.reading
+			engines[i].Reading += theirs.prefilling
 			engines[i].Running += theirs.running
 			engines[i].Excluded = engines[i].Excluded || among && !known
 		}
 		for _, best := range p.readOpen(now, l, engines, 1, true) {
 			unread = engines[best.Index].Reading
-			l.loads[best.Index].reading++
-			return l.choose(best.Index, string(best.Reason))
+			l.loads[best.Index].prefilling++
+			return l.choiceAt(best.Index, string(best.Reason))
 		}
 		return choice{}, false
 	})
 	if ok {
-		p.changed(c.server)
+		p.onWorkChanged(c.server)
 	}
 	return c, unread, ok
 }
 
 // readOpen returns the engines that may read a prompt, the best first and n at most, without
 // those that may not be sent to now by the limits that they name.
-func (p *pool) readOpen(now time.Time, l *layout, engines []prompts.Engine, n int, known bool) []prompts.Choice {
+func (p *pool) readOpen(now time.Time, l *serverSet, engines []prompts.Engine, n int, known bool) []prompts.Choice {
 	for {
 		list := prompts.Read(engines, n, known, rand.Uint64())
 		closed := false
 		for _, c := range list {
-			if !p.limits.open(now, l.servers[c.Index]) {
+			if !p.limits.canRequestPermit(now, l.servers[c.Index]) {
 				engines[c.Index].Excluded, closed = true, true
 			}
 		}
@@ -91,31 +91,31 @@
 	if part != "" {
 		prompt = xxhash.Sum64String(part)
 	}
-	p.in(view, service, func(l *layout) (choice, bool) {
-		servers = l.list(prompts.Window(prompt, l.seats))
+	p.choose(view, service, func(l *serverSet) (choice, bool) {
+		servers = l.serversAt(prompts.Window(prompt, l.seats))
 		return choice{}, false
 	})
 	return servers
 }
 
-// note is what this daemon has under way at one server, and for how long it suspects it.
-func (p *pool) note(now time.Time, life routing.Life) prompts.Note {
+// workReport is what this daemon has under way at one server, and for how long it suspects it.
+func (p *pool) workReport(now time.Time, life routing.Life) prompts.Note {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	one := p.loads[life]
 	if one == nil {
 		return prompts.Note{}
 	}
-	return prompts.Note{Reading: one.reading, Running: one.running, Suspect: max(0, one.suspectUntil.Sub(now))}
+	return prompts.Note{Reading: one.prefilling, Running: one.running, Suspect: max(0, one.suspectUntil.Sub(now))}
 }
 
-// work is what this daemon has under way at the engines of a service.
-func (p *pool) work(view *feed.View, service string) workAt {
-	at := workAt{}
-	p.in(view, service, func(l *layout) (choice, bool) {
+// localWork is what this daemon has under way at the engines of a service.
+func (p *pool) localWork(view *feed.View, service string) workloads {
+	at := workloads{}
+	p.choose(view, service, func(l *serverSet) (choice, bool) {
 		for i, s := range l.servers {
-			if one := l.loads[i]; one.reading > 0 || one.running > 0 {
-				at[s.Life()] = work{reading: one.reading, running: one.running}
+			if one := l.loads[i]; one.prefilling > 0 || one.running > 0 {
+				at[s.Life()] = workload{prefilling: one.prefilling, running: one.running}
 			}
 		}
 		return choice{}, false
@@ -123,56 +123,56 @@
 	return at
 }
 
-// reading is how many prompts of this daemon a server reads.
-func (p *pool) reading(c choice) int {
+// prefillCount is how many prompts of this daemon a server reads.
+func (p *pool) prefillCount(c choice) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return c.load.reading
+	return c.load.prefilling
 }
 
-// copyPlace chooses the engine that keeps a copy of a run at another.
-func (p *pool) copyPlace(now time.Time, view *feed.View, at routing.Server, exclude []routing.Life) (choice, bool) {
-	return p.in(view, at.Service, func(l *layout) (choice, bool) {
-		engines := p.engines(now, l, append(slices.Clone(exclude), at.Life()))
-		return l.choose(prompts.Copy(engines, at.Zone, rand.Uint64()), "")
+// chooseReplicaEngine chooses the engine that keeps a copy of a run at another.
+func (p *pool) chooseReplicaEngine(now time.Time, view *feed.View, at routing.Server, exclude []routing.Life) (choice, bool) {
+	return p.choose(view, at.Service, func(l *serverSet) (choice, bool) {
+		engines := p.engineStates(now, l, append(slices.Clone(exclude), at.Life()))
+		return l.choiceAt(prompts.Copy(engines, at.Zone, rand.Uint64()), "")
 	})
 }
 
-// at returns the server that has an address now.
-func (p *pool) at(view *feed.View, service, address string) (choice, bool) {
-	return p.in(view, service, func(l *layout) (choice, bool) {
+// serverAt returns the server that has an address now.
+func (p *pool) serverAt(view *feed.View, service, address string) (choice, bool) {
+	return p.choose(view, service, func(l *serverSet) (choice, bool) {
 		i := slices.IndexFunc(l.servers, func(s routing.Server) bool { return s.Address == address })
-		return l.choose(i, "holds_copy")
+		return l.choiceAt(i, "holds_copy")
 	})
 }
 
 // mayHold returns the engines of which one holds a prompt, if any does; few is false
 // where that may be any engine of the service.
 func (p *pool) mayHold(view *feed.View, service, part string) (servers []routing.Server, few bool) {
-	p.in(view, service, func(l *layout) (choice, bool) {
+	p.choose(view, service, func(l *serverSet) (choice, bool) {
 		if few = windowed(len(l.servers)); !few {
 			return choice{}, false
 		}
-		servers = l.list(prompts.LookedAt(xxhash.Sum64String(part), l.seats))
+		servers = l.serversAt(prompts.LookedAt(xxhash.Sum64String(part), l.seats))
 		return choice{}, false
 	})
 	return servers, few
 }
 
-// server returns a server whose life has not ended.
-func (p *pool) server(view *feed.View, service string, life routing.Life) (choice, bool) {
-	return p.in(view, service, func(l *layout) (choice, bool) {
-		return l.choose(l.find(life), "holds_prompt")
+// findServer returns a server whose life has not ended.
+func (p *pool) findServer(view *feed.View, service string, life routing.Life) (choice, bool) {
+	return p.choose(view, service, func(l *serverSet) (choice, bool) {
+		return l.choiceAt(l.indexOf(life), "holds_prompt")
 	})
 }
 
-// lives reports whether a server is still the one it was: neither leaving or gone
+// isHealthy reports whether a server is still the one it was: neither leaving or gone
 // nor started anew or replaced at its address, and not suspect. A zero choice does
 // not live.
-func (p *pool) lives(now time.Time, view *feed.View, c choice) bool {
-	if c.load == nil || p.suspect(now, c.server.Life()) {
+func (p *pool) isHealthy(now time.Time, view *feed.View, c choice) bool {
+	if c.load == nil || p.isSuspect(now, c.server.Life()) {
 		return false
 	}
-	_, ok := p.server(view, c.server.Service, c.server.Life())
+	_, ok := p.findServer(view, c.server.Service, c.server.Life())
 	return ok || p.staysFor(view, c.server)
 }
--- a/serve/forward/finish_test.go
+++ b/serve/forward/finish_test.go
@@ -14,33 +14,33 @@
 // Cause: whether the answer can be whole was judged before the look, as if the prompt were
 // held. The caller hears at once, and no engine reads for nobody.
 func TestAnswerWhosePromptIsLostIsRefusedWhereItCannotBeWhole(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		reading := time.Second
 		handle := func(rw http.ResponseWriter, r *http.Request) {
-			streaming(101, reading, 30*time.Millisecond)(rw, r)
+			streamEvents(101, reading, 30*time.Millisecond)(rw, r)
 		}
 		for _, id := range []string{"e-1", "e-2", "e-3"} {
 			w.add(id, "llm", "a", handle)
 		}
 		for range 5 { // the daemon learns how answers are made here
-			must.NoError(t, w.ask(http.MethodPost, "/s/1", with(map[string]string{hTokens: "8000"}), "prompt").err)
+			must.NoError(t, w.request(http.MethodPost, "/s/1", withHeaders(map[string]string{hTokens: "8000"}), "prompt").err)
 		}
 		ran := func() (n int) {
 			for _, s := range w.servers {
-				n += s.requests()
+				n += s.requestCount()
 			}
 			return n
 		}
 		before := ran()
 		late := map[string]string{hAfter: "60", hPart: "p7", hTokens: "8000", hWait: "900"}
-		got := w.ask(http.MethodPost, "/s/1", with(late), "prompt")
+		got := w.request(http.MethodPost, "/s/1", withHeaders(late), "prompt")
 		must.Eq(t, http.StatusServiceUnavailable, got.status)
 		must.Less(t, 500*time.Millisecond, got.took)
 		must.Eq(t, before, ran())
 
-		w.servers["e-2"].holds("p7") // then there is time enough
+		w.servers["e-2"].setCache("p7") // then there is time enough
 		reading, late[hAfter] = 0, "90"
-		must.Eq(t, events(91, 101), w.ask(http.MethodPost, "/s/1", with(late), "prompt").body)
+		must.Eq(t, events(91, 101), w.request(http.MethodPost, "/s/1", withHeaders(late), "prompt").body)
 	})
 }
 
@@ -48,16 +48,16 @@
 // has seen no whole answer yet, and knows nothing of the engines' pace. Others have seen
 // answers: the callers must not wait for what cannot be whole.
 func TestDaemonThatKnowsNothingHearsThePace(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		w.add("e-1", "llm", "a", streaming(101, time.Second, 30*time.Millisecond))
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		w.add("e-1", "llm", "a", streamEvents(101, time.Second, 30*time.Millisecond))
 		other := w.addDaemon("vm-2")
 		for range 5 {
-			other.pressure.wasRead("llm", 8000, time.Second)
-			other.pressure.made("llm", 101, 3*time.Second)
+			other.pressure.recordPrefill("llm", 8000, time.Second)
+			other.pressure.recordAnswer("llm", 101, 3*time.Second)
 		}
-		late := with(map[string]string{hAfter: "60", hPart: "p7", hTokens: "8000", hWait: "900"})
-		got := w.ask(http.MethodPost, "/s/1", late, "prompt")
+		late := withHeaders(map[string]string{hAfter: "60", hPart: "p7", hTokens: "8000", hWait: "900"})
+		got := w.request(http.MethodPost, "/s/1", late, "prompt")
 		must.Eq(t, http.StatusServiceUnavailable, got.status)
-		must.Zero(t, w.servers["e-1"].requests())
+		must.Zero(t, w.servers["e-1"].requestCount())
 	})
 }
--- a/serve/forward/handler.go
+++ b/serve/forward/handler.go
@@ -83,12 +83,12 @@
 	transport  http.RoundTripper
 	pool       *pool
 	pressure   *pressure
-	keepers    *keepers
+	keepers    *workTracker
 	locator    *locator
-	borrower   *borrower
-	neighbours *neighbours
-	poisoned   *poisoned
-	limits     *limits
+	borrower   *retryBorrower
+	neighbours *peerClient
+	poisoned   *poisonRegistry
+	limits     *rateLimits
 	versions   *versions.Manager
 	metrics    *metrics
 	running    atomic.Int64
@@ -107,12 +107,12 @@
 	}
 	h := &Handler{
 		opts: o, dial: o.Dial, transport: newTransport(o.Dial), pool: newPool(o.Self, o.RetryBudget, o.Versions), pressure: newPressure(),
-		borrower: newBorrower(o), neighbours: newNeighbours(o), versions: o.Versions,
+		borrower: newRetryBorrower(o), neighbours: newPeerClient(o), versions: o.Versions,
 	}
-	h.versions.CountUnderWay(h.pool.underWay)
-	h.locator, h.keepers, h.poisoned = newLocator(h), newKeepers(h), newPoisoned(h)
-	h.limits = newLimits(h)
-	h.pool.changed, h.pool.limits = h.keepers.changed, h.limits
+	h.versions.CountUnderWay(h.pool.runningAtOldVersions)
+	h.locator, h.keepers, h.poisoned = newLocator(h), newWorkTracker(h), newPoisonRegistry(h)
+	h.limits = newRateLimits(h)
+	h.pool.onWorkChanged, h.pool.limits = h.keepers.workChanged, h.limits
 	h.SetBounds(o.MaxKeyAge, o.RetryBudget)
 	h.metrics = newMetrics(o.Registerer, h.Running)
 	return h
@@ -171,7 +171,7 @@
 	h.setWriteDeadline(w, in.deadline)
 	ctx, cancel := context.WithDeadline(r.Context(), in.deadline)
 	defer cancel()
-	ctx, leave, err := h.poisoned.enter(ctx, in)
+	ctx, leave, err := h.poisoned.begin(ctx, in)
 	if err != nil {
 		h.refuse(w, in, err)
 		return
--- a/serve/forward/heldup_test.go
+++ b/serve/forward/heldup_test.go
@@ -28,16 +28,16 @@
 // gate holds up new connections while it is shut, as a full link does.
 type gate struct {
 	mu   sync.Mutex
-	free chan struct{} // closed while connections are made
+	open chan struct{} // closed while connections are made
 }
 
-// dialsThrough makes the daemon's new connections to servers wait at a gate, open at first.
-func (w *world) dialsThrough() *gate {
-	g := &gate{free: make(chan struct{})}
-	close(g.free)
+// gateDials makes the daemon's new connections to servers wait at a gate, open at first.
+func (w *testCluster) gateDials() *gate {
+	g := &gate{open: make(chan struct{})}
+	close(g.open)
 	w.handler.transport = newTransport(func(ctx context.Context, network, address string) (net.Conn, error) {
 		g.mu.Lock()
-		free := g.free
+		free := g.open
 		g.mu.Unlock()
 		select {
 		case <-free:
@@ -49,11 +49,11 @@
 	return g
 }
 
-// shut holds up connections for a time.
-func (g *gate) shut(d time.Duration) {
+// block holds up connections for a time.
+func (g *gate) block(d time.Duration) {
 	free := make(chan struct{})
 	g.mu.Lock()
-	g.free = free
+	g.open = free
 	g.mu.Unlock()
 	time.Sleep(d)
 	close(free)
@@ -61,7 +61,7 @@
 
 // holdLink holds everything between the daemon and all servers for a time, without
 // losing any of it.
-func (w *world) holdLink(after, d time.Duration) {
+func (w *testCluster) holdLink(after, d time.Duration) {
 	time.Sleep(after)
 	for _, s := range w.servers {
 		s.listener.Stall()
@@ -90,12 +90,12 @@
 		{"before the first event, repeats left", repeatsRule, 200 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inWorld(t, streamRoute(), func(w *world) {
+			withTestCluster(t, streamRoute(), func(w *testCluster) {
 				for _, id := range []string{"a", "b", "c"} {
-					w.add("e-"+id, "llm", id, streaming(60, time.Second, 40*time.Millisecond))
+					w.add("e-"+id, "llm", id, streamEvents(60, time.Second, 40*time.Millisecond))
 				}
 				w.setRetryBudget(c.rule)
-				w.during(func() { w.holdLink(c.held, 1200*time.Millisecond) })
+				w.background(func() { w.holdLink(c.held, 1200*time.Millisecond) })
 				for _, got := range w.askMany(4) {
 					must.NoError(w.t, got.err)
 					must.Eq(w.t, http.StatusOK, got.status)
@@ -112,15 +112,15 @@
 // all are as good as before. Evidence: during such a second daemons named dozens of engines
 // suspect that worked, and chose among suspects only for seconds after.
 func TestEnginesBehindALinkHeldUpAreNotSuspect(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		for _, id := range []string{"a", "b", "c", "d"} {
-			w.add("e-"+id, "llm", id, streaming(20, 100*time.Millisecond, 40*time.Millisecond))
+			w.add("e-"+id, "llm", id, streamEvents(20, 100*time.Millisecond, 40*time.Millisecond))
 		}
-		w.during(func() { w.holdLink(0, time.Second) })
+		w.background(func() { w.holdLink(0, time.Second) })
 		time.Sleep(time.Millisecond)
 		w.askMany(4)
 		for _, s := range w.servers {
-			must.False(t, w.handler.pool.suspect(time.Now(), s.server.Life()), must.Sprint(s.server.ID))
+			must.False(t, w.handler.pool.isSuspect(time.Now(), s.server.Life()), must.Sprint(s.server.ID))
 		}
 	})
 }
@@ -128,15 +128,15 @@
 // The link of the daemon's VM is full in the middle of answers: what is on its way waits, and
 // no connection is made in time either. Four answers of a service with engines must go on.
 func TestAnswersBehindALinkThatMakesNoConnections(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		for _, id := range []string{"a", "b", "c"} {
-			w.add("e-"+id, "llm", id, streaming(60, time.Second, 40*time.Millisecond))
+			w.add("e-"+id, "llm", id, streamEvents(60, time.Second, 40*time.Millisecond))
 		}
-		link := w.dialsThrough()
-		w.during(func() { w.holdLink(1500*time.Millisecond, 1200*time.Millisecond) })
-		w.during(func() {
+		link := w.gateDials()
+		w.background(func() { w.holdLink(1500*time.Millisecond, 1200*time.Millisecond) })
+		w.background(func() {
 			time.Sleep(1500 * time.Millisecond)
-			link.shut(1200 * time.Millisecond)
+			link.block(1200 * time.Millisecond)
 		})
 		for _, got := range w.askMany(4) {
 			must.NoError(w.t, got.err)
@@ -152,17 +152,17 @@
 func TestStreamWithoutEnginesBehindALinkHeldUp(t *testing.T) {
 	route := streamRoute()
 	route[0].Targets = []routing.Target{{Service: "desk", Weight: 1}}
-	inWorld(t, route, func(w *world) {
+	withTestCluster(t, route, func(w *testCluster) {
 		for _, id := range []string{"a", "b", "c"} {
-			w.add("d-"+id, "desk", id, streaming(60, time.Second, 40*time.Millisecond))
+			w.add("d-"+id, "desk", id, streamEvents(60, time.Second, 40*time.Millisecond))
 		}
-		link := w.dialsThrough()
-		w.during(func() { w.holdLink(1500*time.Millisecond, 2*time.Second) })
-		w.during(func() {
+		link := w.gateDials()
+		w.background(func() { w.holdLink(1500*time.Millisecond, 2*time.Second) })
+		w.background(func() {
 			time.Sleep(1500 * time.Millisecond)
-			link.shut(2 * time.Second)
+			link.block(2 * time.Second)
 		})
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(1, 60), got.body)
 		must.Eq(w.t, 1, w.totalRequests())
@@ -173,10 +173,10 @@
 // nothing was sent, so the copy is still there. A daemon that believes it used reads the whole
 // prompt anew, for a second of an engine, and the caller's pause is as long.
 func TestCopyThatWasNotAskedForIsNotForgotten(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		handle := func(rw http.ResponseWriter, r *http.Request) {
 			if r.Header.Get(hCopyAt) != "" || r.Header.Get(hAfter) != "0" {
-				streaming(20, time.Second, 40*time.Millisecond)(rw, r)
+				streamEvents(20, time.Second, 40*time.Millisecond)(rw, r)
 				return
 			}
 			rw.Header().Set(hProof, "p")
@@ -186,17 +186,17 @@
 		for _, id := range []string{"a", "b", "c"} {
 			w.add("e-"+id, "llm", id, handle)
 		}
-		link := w.dialsThrough()
-		w.during(func() {
+		link := w.gateDials()
+		w.background(func() {
 			time.Sleep(351 * time.Millisecond) // the question is answered, the request is next
-			link.shut(450 * time.Millisecond)
+			link.block(450 * time.Millisecond)
 		})
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(1, 20), got.body)
 		anew := 0
 		for _, s := range w.servers {
-			for _, r := range s.asked() {
+			for _, r := range s.requests() {
 				if r.Header.Get(hCopyAt) == "" {
 					anew++
 				}
@@ -212,21 +212,21 @@
 // fills its link again. Evidence: after 15 of 42 looks that found the engine the first leg there
 // was not sent; one request looked 11 times in eight seconds.
 func TestPromptThatWasFoundIsNotLookedForAgain(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		for _, id := range []string{"e-1", "e-2", "e-3", "e-4", "e-5"} {
-			w.add(id, "llm", "a", streaming(12, time.Second, 40*time.Millisecond)).tellsLate(10 * time.Millisecond)
+			w.add(id, "llm", "a", streamEvents(12, time.Second, 40*time.Millisecond)).setCacheDelay(10 * time.Millisecond)
 		}
-		w.servers["e-4"].holds("p7")
-		link := w.dialsThrough()
-		w.during(func() {
+		w.servers["e-4"].setCache("p7")
+		link := w.gateDials()
+		w.background(func() {
 			time.Sleep(5 * time.Millisecond)
-			link.shut(1500 * time.Millisecond)
+			link.block(1500 * time.Millisecond)
 		})
-		got := w.ask(http.MethodPost, "/s/1", with(map[string]string{hAfter: "9", hPart: "p7"}), "prompt")
+		got := w.request(http.MethodPost, "/s/1", withHeaders(map[string]string{hAfter: "9", hPart: "p7"}), "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(10, 12), got.body)
 		looks := testutil.ToFloat64(w.handler.metrics.cacheScans)
-		at := w.servers["e-4"].requests()
+		at := w.servers["e-4"].requestCount()
 		if looks != 1 || at != 1 {
 			w.t.Fatalf("%v looks, %d requests at the engine that holds the prompt, %d elsewhere", looks, at, w.totalRequests()-at)
 		}
@@ -238,24 +238,24 @@
 // good as before. Evidence: 581 times a server of calls was named suspect in 90 s of planned
 // restarts in which none failed, each time because a connection was not made in time.
 func TestServersOfCallsBehindALinkHeldUpAreNotSuspect(t *testing.T) {
-	inWorld(t, plainRoutes(), func(w *world) {
+	withTestCluster(t, plainRoutes(), func(w *testCluster) {
 		for _, id := range []string{"a", "b", "c"} {
-			w.add("d-"+id, "desk", id, proven("ok"))
+			w.add("d-"+id, "desk", id, respondProven("ok"))
 		}
-		link := w.dialsThrough()
-		w.during(func() { link.shut(time.Second) })
+		link := w.gateDials()
+		w.background(func() { link.block(time.Second) })
 		time.Sleep(time.Millisecond)
-		w.ask(http.MethodPost, "/again/1", caller, "x")
+		w.request(http.MethodPost, "/again/1", callerHeaders, "x")
 		time.Sleep(time.Second)
 		for _, s := range w.servers {
-			must.False(t, w.handler.pool.suspect(time.Now(), s.server.Life()), must.Sprint(s.server.ID))
+			must.False(t, w.handler.pool.isSuspect(time.Now(), s.server.Life()), must.Sprint(s.server.ID))
 		}
 	})
 }
 
 // losesSYN makes the next connection to the server at an address wait for a second, as after
 // a lost SYN.
-func (w *world) losesSYN(lossy *atomic.Value) {
+func (w *testCluster) losesSYN(lossy *atomic.Value) {
 	w.handler.transport = newTransport(func(ctx context.Context, network, address string) (net.Conn, error) {
 		if at, _ := lossy.Load().(string); at == address {
 			lossy.Store("") // one packet
@@ -275,22 +275,22 @@
 func TestOneLostPacketIsNoDarkEngine(t *testing.T) {
 	route := streamRoute()
 	route[0].Attempts = 1
-	inWorld(t, route, func(w *world) {
+	withTestCluster(t, route, func(w *testCluster) {
 		var lossy atomic.Value
 		handle := func(rw http.ResponseWriter, r *http.Request) { pausing(rw, r, 600*time.Millisecond) }
 		for _, id := range []string{"a", "b", "c"} {
 			w.add("e-"+id, "llm", id, handle)
 		}
 		w.losesSYN(&lossy)
-		w.during(func() {
+		w.background(func() {
 			time.Sleep(600 * time.Millisecond)
 			for _, s := range w.servers {
-				if s.requests() > 0 {
+				if s.requestCount() > 0 {
 					lossy.Store(s.server.Address)
 				}
 			}
 		})
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(1, 20), got.body)
 	})
@@ -300,7 +300,7 @@
 // held up for 450 ms, so that neither is heard of. A daemon that lets go of the working engine
 // for that has nothing left when the other turns the request away, and no repeat.
 func TestLinkHeldUpWhileBothHaveTheRequest(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		asked := make(chan struct{}, 1)
 		handle := func(rw http.ResponseWriter, r *http.Request) {
 			if r.Header.Get(hCopyAt) != "" {
@@ -315,11 +315,11 @@
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
 		w.setRetryBudget(repeats.Policy{Slack: 1.2, Window: 10 * time.Second}) // one repeat
-		w.during(func() {
+		w.background(func() {
 			<-asked
 			w.holdLink(20*time.Millisecond, 450*time.Millisecond)
 		})
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(1, 20), got.body)
 	})
@@ -329,7 +329,7 @@
 // and again when it goes on a second time, seconds later. Each hold-up is one of its own: the
 // copy is used both times, and no prompt is read anew.
 func TestSecondHoldUpOfOneAnswer(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		var begun atomic.Int32
 		handle := func(rw http.ResponseWriter, r *http.Request) {
 			switch {
@@ -342,7 +342,7 @@
 				}
 				<-r.Context().Done()
 			case r.Header.Get(hCopyAt) != "" || r.Header.Get(hAfter) != "0":
-				streaming(90, time.Second, 40*time.Millisecond)(rw, r)
+				streamEvents(90, time.Second, 40*time.Millisecond)(rw, r)
 			default:
 				begun.Add(1)
 				rw.Header().Set(hProof, "p")
@@ -353,10 +353,10 @@
 		for _, id := range []string{"a", "b", "c"} {
 			w.add("e-"+id, "llm", id, handle)
 		}
-		link := w.dialsThrough()
+		link := w.gateDials()
 		anew := func() (n int) {
 			for _, s := range w.servers {
-				for _, r := range s.asked() {
+				for _, r := range s.requests() {
 					if r.Header.Get(hCopyAt) == "" {
 						n++
 					}
@@ -364,16 +364,16 @@
 			}
 			return n
 		}
-		w.during(func() {
+		w.background(func() {
 			time.Sleep(351 * time.Millisecond)
-			link.shut(450 * time.Millisecond)
+			link.block(450 * time.Millisecond)
 			for w.totalRequests() < 2 {
 				time.Sleep(time.Millisecond)
 			}
 			time.Sleep(78*40*time.Millisecond + 351*time.Millisecond)
-			link.shut(450 * time.Millisecond)
+			link.block(450 * time.Millisecond)
 		})
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(1, 90), got.body)
 		must.Eq(w.t, 1, anew(), must.Sprint("prompts read"))
@@ -385,30 +385,30 @@
 // where it was. The engine that runs the request dies a moment later. If the copy was forgotten
 // the prompt is read anew, and the caller's pause is a second.
 func TestCopyIsNotForgottenForTheOwnLink(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		handle := streaming(100, time.Second, 40*time.Millisecond)
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		handle := streamEvents(100, time.Second, 40*time.Millisecond)
 		a, b, c := w.add("e-a", "llm", "a", handle), w.add("e-b", "llm", "b", handle), w.add("e-c", "llm", "c", handle)
-		link := w.dialsThrough()
+		link := w.gateDials()
 		var third *fakeServer
-		w.during(func() {
-			runner, holder, other := running(a, b, c)
+		w.background(func() {
+			runner, holder, other := awaitRunner(a, b, c)
 			third = other
 			w.crash(holder)
 			w.remove("server/" + holder.server.ID)
 			for {
-				if targets, _ := runner.copies(); len(targets) > 0 {
+				if targets, _ := runner.copyCalls(); len(targets) > 0 {
 					break
 				}
 				time.Sleep(time.Millisecond)
 			}
 			time.Sleep(900 * time.Millisecond)
-			link.shut(400 * time.Millisecond)
+			link.block(400 * time.Millisecond)
 			time.Sleep(300 * time.Millisecond)
 			w.crash(runner)
 		})
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(w.t, got.err)
-		for _, r := range third.asked() {
+		for _, r := range third.requests() {
 			must.NotEq(w.t, "", r.Header.Get(hCopyAt))
 		}
 	})
@@ -417,18 +417,18 @@
 // A caller arrives while no connection is made for a second, and its prompt is sent to the
 // best known engine all the same. That this engine is not reached says nothing of it.
 func TestEngineThatIsTriedBlindIsNotSuspect(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		for _, id := range []string{"a", "b", "c"} {
-			w.add("e-"+id, "llm", id, streaming(20, 100*time.Millisecond, 40*time.Millisecond))
+			w.add("e-"+id, "llm", id, streamEvents(20, 100*time.Millisecond, 40*time.Millisecond))
 		}
-		link := w.dialsThrough()
-		w.during(func() { link.shut(time.Second) })
+		link := w.gateDials()
+		w.background(func() { link.block(time.Second) })
 		time.Sleep(time.Millisecond)
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(1, 20), got.body)
 		for _, s := range w.servers {
-			must.False(w.t, w.handler.pool.suspect(time.Now(), s.server.Life()), must.Sprint(s.server.ID))
+			must.False(w.t, w.handler.pool.isSuspect(time.Now(), s.server.Life()), must.Sprint(s.server.ID))
 		}
 	})
 }
@@ -440,7 +440,7 @@
 // one of some seventy seeds of the soak with links held up cut one answer; its cause was found
 // by reading, and was not seen at work there.
 func TestSilentEngineRespondsInTheLastMoment(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		asked := make(chan struct{}, 1)
 		handle := func(rw http.ResponseWriter, r *http.Request) {
 			if r.Header.Get(hCopyAt) != "" {
@@ -448,17 +448,17 @@
 				withCopyReleased(300*time.Millisecond, 0)(rw, r)
 				return
 			}
-			w.servers[r.Header.Get(hServer)].mute()
+			w.servers[r.Header.Get(hServer)].failStatus()
 			pausing(rw, r, 400*time.Millisecond)
 		}
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
 		w.setRetryBudget(repeats.Policy{Slack: 1.2, Window: 10 * time.Second}) // one repeat
-		w.during(func() {
+		w.background(func() {
 			<-asked
 			w.holdLink(20*time.Millisecond, 265*time.Millisecond)
 		})
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(1, 20), got.body)
 	})
--- a/serve/forward/keepers.go
+++ b/serve/forward/keepers.go
@@ -14,80 +14,80 @@
 	"mallowwind.dev/peer/peerpb"
 )
 
-// keepers tells the keepers of engines what this daemon has under way there, asks them
+// workTracker tells the keepers of engines what this daemon has under way there, asks them
 // what the others have, and keeps the notes on the engines that are this daemon's to keep.
 // It stands for neighbours.work where daemons are too many to ask all of them.
-type keepers struct {
+type workTracker struct {
 	h    *Handler
 	boot uint64 // of this process
 
-	mu       sync.Mutex // guards the rest
-	ledger   prompts.Ledger[routing.Life]
-	sequence uint64
-	telling  map[routing.Life]bool // true: changed again since the note under way
+	mu        sync.Mutex // guards the rest
+	ledger    prompts.Ledger[routing.Life]
+	sequence  uint64
+	reporting map[routing.Life]bool // true: changed again since the note under way
 }
 
-func newKeepers(h *Handler) *keepers {
-	return &keepers{h: h, boot: rand.Uint64(), telling: map[routing.Life]bool{}}
+func newWorkTracker(h *Handler) *workTracker {
+	return &workTracker{h: h, boot: rand.Uint64(), reporting: map[routing.Life]bool{}}
 }
 
 // applies reports whether the engines of a service have keepers.
-func (k *keepers) applies(view *feed.View, service string) bool {
+func (k *workTracker) applies(view *feed.View, service string) bool {
 	return k.h.neighbours.dialer != nil && view.Config != nil && view.Config.Engine(service) != nil &&
 		len(view.VMs) > 1 && !prompts.Asks(len(view.VMs))
 }
 
-// changed tells the keeper of an engine that this daemon's work there is another.
-func (k *keepers) changed(s routing.Server) {
+// workChanged tells the keeper of an engine that this daemon's work there is another.
+func (k *workTracker) workChanged(s routing.Server) {
 	if !k.applies(k.h.opts.Feed.View(), s.Service) {
 		return
 	}
 	k.mu.Lock()
-	_, under := k.telling[s.Life()]
-	k.telling[s.Life()] = under
+	_, under := k.reporting[s.Life()]
+	k.reporting[s.Life()] = under
 	k.mu.Unlock()
 	if !under {
-		go k.tell(s)
+		go k.reportUntilCurrent(s)
 	}
 }
 
-// tell sends notes on an engine until the last one says what holds.
-func (k *keepers) tell(s routing.Server) {
+// reportUntilCurrent sends notes on an engine until the last one says what holds.
+func (k *workTracker) reportUntilCurrent(s routing.Server) {
 	for {
-		k.send(s)
+		k.sendReport(s)
 		k.mu.Lock()
-		again := k.telling[s.Life()]
+		again := k.reporting[s.Life()]
 		if !again {
-			delete(k.telling, s.Life())
+			delete(k.reporting, s.Life())
 			k.mu.Unlock()
 			return
 		}
-		k.telling[s.Life()] = false
+		k.reporting[s.Life()] = false
 		k.mu.Unlock()
 	}
 }
 
-// send sends one note. One that is lost is mended by the next.
-func (k *keepers) send(s routing.Server) {
+// sendReport sends one note. One that is lost is mended by the next.
+func (k *workTracker) sendReport(s routing.Server) {
 	vms, hashes := routing.Serving(k.h.opts.Feed.View().VMs)
 	i := prompts.Keeper(xxhash.Sum64String(s.ID), hashes)
 	if i < 0 {
 		return
 	}
-	note := k.h.pool.note(time.Now(), s.Life())
+	note := k.h.pool.workReport(time.Now(), s.Life())
 	k.mu.Lock()
 	k.sequence++
 	note.Boot, note.Sequence = k.boot, k.sequence
 	k.mu.Unlock()
 	self := k.h.opts.Self.ID
 	if vms[i].ID == self {
-		k.take(s.Life(), self, note)
+		k.record(s.Life(), self, note)
 		return
 	}
-	if len(k.h.neighbours.heard(time.Now(), vms[i:i+1])) == 0 {
+	if len(k.h.neighbours.responsive(time.Now(), vms[i:i+1])) == 0 {
 		return
 	}
-	k.h.neighbours.note(context.Background(), vms[i], &peerpb.NoteRequest{
+	k.h.neighbours.sendReport(context.Background(), vms[i], &peerpb.NoteRequest{
 		Daemon: self, Boot: note.Boot, Sequence: note.Sequence,
 		Work: &peerpb.ServerWork{
 			Id: s.ID, Born: s.Born, Reading: int32(note.Reading), Running: int32(note.Running),
@@ -96,14 +96,14 @@
 	})
 }
 
-func (k *keepers) take(life routing.Life, daemon string, n prompts.Note) {
+func (k *workTracker) record(life routing.Life, daemon string, n prompts.Note) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.ledger.Take(time.Now(), life, daemon, n)
 }
 
 // noted is what all daemons but one have told this one of an engine.
-func (k *keepers) noted(life routing.Life, except string) prompts.Noted {
+func (k *workTracker) noted(life routing.Life, except string) prompts.Noted {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.ledger.At(time.Now(), life, except)
@@ -111,11 +111,13 @@
 
 // workOf is what is noted of an engine. Each daemon that suspects it counts for a prompt that
 // is read there: it goes behind engines that are free, and before those that are crowded.
-func workOf(n prompts.Noted) work { return work{reading: n.Reading + n.Suspects, running: n.Running} }
+func workOf(n prompts.Noted) workload {
+	return workload{prefilling: n.Reading + n.Suspects, running: n.Running}
+}
 
-// work is what the other daemons have under way at the engines of a prompt's window, as far
+// trackedWork is what the other daemons have under way at the engines of a prompt's window, as far
 // as their keepers answer; ok is false where too few do for a choice.
-func (k *keepers) work(ctx context.Context, view *feed.View, service, part string) (sum workAt, ok bool) {
+func (k *workTracker) trackedWork(ctx context.Context, view *feed.View, service, part string) (sum workloads, ok bool) {
 	if !k.applies(view, service) {
 		return nil, false
 	}
@@ -128,10 +130,10 @@
 	}
 	var all sync.WaitGroup
 	var mu sync.Mutex
-	sum = workAt{}
+	sum = workloads{}
 	for i, lives := range asked {
 		all.Go(func() {
-			told := k.ask(ctx, vms[i], lives)
+			told := k.query(ctx, vms[i], lives)
 			mu.Lock()
 			defer mu.Unlock()
 			for life, w := range told {
@@ -143,21 +145,21 @@
 	return sum, len(sum) >= SampleSize
 }
 
-// ask asks one keeper, which may be this daemon; nil where it does not answer.
-func (k *keepers) ask(ctx context.Context, vm routing.VM, lives []routing.Life) workAt {
-	self, told := k.h.opts.Self.ID, workAt{}
+// query asks one keeper, which may be this daemon; nil where it does not answer.
+func (k *workTracker) query(ctx context.Context, vm routing.VM, lives []routing.Life) workloads {
+	self, told := k.h.opts.Self.ID, workloads{}
 	if vm.ID == self {
 		for _, life := range lives {
 			told[life] = workOf(k.noted(life, self))
 		}
 		return told
 	}
-	if len(k.h.neighbours.heard(time.Now(), []routing.VM{vm})) == 0 {
+	if len(k.h.neighbours.responsive(time.Now(), []routing.VM{vm})) == 0 {
 		return nil
 	}
 	q := &peerpb.NotedRequest{Daemon: self}
 	for _, life := range lives {
-		q.Servers = append(q.Servers, serverWork(life, work{}))
+		q.Servers = append(q.Servers, serverWork(life, workload{}))
 	}
 	reply, err := k.h.neighbours.noted(ctx, vm, q)
 	if err != nil {
@@ -171,14 +173,14 @@
 	return told
 }
 
-func serverWork(life routing.Life, w work) *peerpb.ServerWork {
-	return &peerpb.ServerWork{Id: life.ID, Born: life.Born, Reading: int32(w.reading), Running: int32(w.running)}
+func serverWork(life routing.Life, w workload) *peerpb.ServerWork {
+	return &peerpb.ServerWork{Id: life.ID, Born: life.Born, Reading: int32(w.prefilling), Running: int32(w.running)}
 }
 
 // Note implements peerpb.Work.
-func (t telling) Note(_ context.Context, q *peerpb.NoteRequest) (*peerpb.NoteReply, error) {
+func (t workService) Note(_ context.Context, q *peerpb.NoteRequest) (*peerpb.NoteReply, error) {
 	w := q.GetWork()
-	t.h.keepers.take(routing.Life{ID: w.GetId(), Born: w.GetBorn()}, q.GetDaemon(), prompts.Note{
+	t.h.keepers.record(routing.Life{ID: w.GetId(), Born: w.GetBorn()}, q.GetDaemon(), prompts.Note{
 		Boot: q.GetBoot(), Sequence: q.GetSequence(),
 		Reading: int(max(w.GetReading(), 0)), Running: int(max(w.GetRunning(), 0)),
 		Suspect: time.Duration(w.GetSuspectMs()) * time.Millisecond,
@@ -187,7 +189,7 @@
 }
 
 // Noted implements peerpb.Work. It names each server that was asked about.
-func (t telling) Noted(_ context.Context, q *peerpb.NotedRequest) (*peerpb.WorkReply, error) {
+func (t workService) Noted(_ context.Context, q *peerpb.NotedRequest) (*peerpb.WorkReply, error) {
 	reply := &peerpb.WorkReply{}
 	for _, s := range q.GetServers() {
 		life := routing.Life{ID: s.GetId(), Born: s.GetBorn()}
--- a/serve/forward/layout.go
+++ b/serve/forward/layout.go
@@ -10,46 +10,46 @@
 	"mallowwind.dev/serve/versions"
 )
 
-// layout is one service's servers in one view.
-type layout struct {
+// serverSet is one service's servers in one view.
+type serverSet struct {
 	servers []routing.Server
-	loads   []*load
+	loads   []*serverLoad
 	home    []bool
 	seats   []prompts.Seat
 	table   *route.Table
 	index   map[string]int // by id
 }
 
-// follow builds the layouts of a new view, or of other versions that may serve. It is called
+// updateView builds the layouts of a new view, or of other versions that may serve. It is called
 // under the lock.
-func (p *pool) follow(view *feed.View, now *versions.Snapshot) {
+func (p *pool) updateView(view *feed.View, now *versions.Snapshot) {
 	if p.view == view && p.snapshot == now {
 		return
 	}
 	p.view, p.snapshot = view, now
-	p.layouts = make(map[string]*layout, len(view.Servers))
-	used := make(map[routing.Life]*load, len(p.loads))
+	p.layouts = make(map[string]*serverSet, len(view.Servers))
+	used := make(map[routing.Life]*serverLoad, len(p.loads))
 	for service, servers := range view.Servers {
 		state := now.Of(service)
 		steady, trial := split(servers, state)
-		p.layouts[service] = p.layout(steady, used)
+		p.layouts[service] = p.buildServerSet(steady, used)
 		if state.Stage.IsRunning() {
-			p.layouts[trialOf(service)] = p.layout(trial, used)
+			p.layouts[trialOf(service)] = p.buildServerSet(trial, used)
 			for _, s := range servers { // what is under way at all of them is still counted
-				p.use(s, used)
+				p.currentServer(s, used)
 			}
 		}
 	}
 	p.loads = used
 	p.forgetSuccessors()
-	p.returned()
+	p.recordReturns()
 }
 
-func (p *pool) layout(servers []routing.Server, used map[routing.Life]*load) *layout {
-	l := &layout{index: map[string]int{}}
+func (p *pool) buildServerSet(servers []routing.Server, used map[routing.Life]*serverLoad) *serverSet {
+	l := &serverSet{index: map[string]int{}}
 	var candidates []route.Candidate
 	for _, s := range servers {
-		s, one, ok := p.use(s, used)
+		s, one, ok := p.currentServer(s, used)
 		if !ok || s.Leaving {
 			continue
 		}
@@ -58,16 +58,16 @@
 		l.loads = append(l.loads, one)
 		hash := xxhash.Sum64String(s.ID)
 		l.seats = append(l.seats, prompts.Seat{Zone: s.Zone, Hash: hash})
-		candidates = append(candidates, route.Candidate{ID: s.ID, Hash: hash, Rank: p.rank(s), Load: &one.plain})
+		candidates = append(candidates, route.Candidate{ID: s.ID, Hash: hash, Rank: p.rank(s), Load: &one.calls})
 	}
 	l.table = route.NewTable(candidates)
 	l.home = p.homes(l.servers)
 	return l
 }
 
-// use returns the server that is at the place of one in the view, with this daemon's work there,
+// currentServer returns the server that is at the place of one in the view, with this daemon's work there,
 // which it adds to that in use; ok is false where there is none any more.
-func (p *pool) use(s routing.Server, used map[routing.Life]*load) (at routing.Server, one *load, ok bool) {
+func (p *pool) currentServer(s routing.Server, used map[routing.Life]*serverLoad) (at routing.Server, one *serverLoad, ok bool) {
 	if next, ok := p.successors[s.Life()]; ok {
 		if p.view.Departed(next.ID) {
 			return s, nil, false // the entry is of a life that ended before
@@ -76,7 +76,7 @@
 	}
 	if one = used[s.Life()]; one == nil {
 		if one = p.loads[s.Life()]; one == nil {
-			one = &load{}
+			one = &serverLoad{}
 		}
 		used[s.Life()] = one
 	}
@@ -119,7 +119,7 @@
 
 // homesOf are the engines that go first for a prompt whose own part is given: this daemon's
 // homes, or where the engines are too many to be asked all, those of the prompt's window.
-func (l *layout) homesOf(part string) []bool {
+func (l *serverSet) homesOf(part string) []bool {
 	if part == "" || !windowed(len(l.servers)) {
 		return l.home
 	}
@@ -130,8 +130,8 @@
 	return home
 }
 
-// list are the servers at indices.
-func (l *layout) list(indices []int) []routing.Server {
+// serversAt are the servers at indices.
+func (l *serverSet) serversAt(indices []int) []routing.Server {
 	servers := make([]routing.Server, len(indices))
 	for n, i := range indices {
 		servers[n] = l.servers[i]
@@ -143,27 +143,27 @@
 // hold, so that prompts are placed, and looked for, in windows of their own.
 func windowed(engines int) bool { return engines > maxScanned }
 
-// find is the index of the server whose present life is given, -1 if there is none.
-func (l *layout) find(life routing.Life) int {
+// indexOf is the index of the server whose present life is given, -1 if there is none.
+func (l *serverSet) indexOf(life routing.Life) int {
 	if i, ok := l.index[life.ID]; ok && l.servers[i].Life() == life {
 		return i
 	}
 	return -1
 }
 
-// ids are those of the servers here among the lives given.
-func (l *layout) ids(lives []routing.Life) []string {
+// idsOf are those of the servers here among the lives given.
+func (l *serverSet) idsOf(lives []routing.Life) []string {
 	var ids []string
 	for _, life := range lives {
-		if l.find(life) >= 0 {
+		if l.indexOf(life) >= 0 {
 			ids = append(ids, life.ID)
 		}
 	}
 	return ids
 }
 
-// choose returns the server at index i, none for a negative one.
-func (l *layout) choose(i int, reason string) (choice, bool) {
+// choiceAt returns the server at index i, none for a negative one.
+func (l *serverSet) choiceAt(i int, reason string) (choice, bool) {
 	if i < 0 {
 		return choice{}, false
 	}
--- a/serve/forward/leg.go
+++ b/serve/forward/leg.go
@@ -48,11 +48,11 @@
 			leaves = nil
 			again.Reset(0)
 		case <-again.C:
-			if r.moveOn(ctx, a) {
+			if r.migrate(ctx, a) {
 				r.h.opts.Log.Emit(event.StreamMoved, r.in.call.ID, a.target.server.ID, r.replacement.target.server.ID, r.lastEventID)
 				return segmentMoved, nil
 			}
-			again.Reset(moveAgain)
+			again.Reset(migrationRetryInterval)
 		case s := <-a.nextParts():
 			if end, err, over := r.handlePart(ctx, a, s); over {
 				return end, err
@@ -89,7 +89,7 @@
 		return end, err, true
 	}
 	a.markPrefilled()
-	a.nextEvent()
+	a.recordNextEvent()
 	r.heldCopy = a.runCopy()
 	if err := r.forwardEvent(a.response, s.event); err != nil {
 		return segmentAborted, err, true
@@ -101,7 +101,7 @@
 func (r *relay) handleHead(ctx context.Context, a *attempt, o responseHead) (end segmentEnd, err error, over bool) {
 	a.response, a.rateLimit = o.resp, o.reply.RateLimit
 	if o.err == nil {
-		r.h.heardLimit(a.target.server, a.sentAt, o.reply)
+		r.h.recordLimit(a.target.server, a.sentAt, o.reply)
 	}
 	switch {
 	case o.err != nil:
@@ -208,8 +208,8 @@
 	if now.Sub(r.linkStalledSince) >= takeover.MaxLinkStall {
 		return false
 	}
-	others := r.h.pool.readers(now, view, r.service, "", SampleSize, []routing.Life{l.target.server.Life()})
-	return len(others) > 0 && len(r.h.questions().sampleLoads(ctx, others, 0)) == 0
+	others := r.h.pool.prefillCandidates(now, view, r.service, "", SampleSize, []routing.Life{l.target.server.Life()})
+	return len(others) > 0 && len(r.h.newProbeRound().sampleLoads(ctx, others, 0)) == 0
 }
 
 // handleRejection handles a server's word that it did not run the request.
@@ -223,7 +223,7 @@
 	case succeeded && l.resumeFrom != "":
 		r.misdirectedLife = l.target.server.Life()
 		l.target.server.ID, l.target.server.Born = next.ID, next.Born
-		r.heldCopy = kept{at: l.target, name: l.resumeFrom}
+		r.heldCopy = replica{at: l.target, name: l.resumeFrom}
 	case !succeeded && l.resumeFrom == "":
 		r.exclude(l)
 	}
@@ -246,7 +246,7 @@
 		return routing.Life{}, false
 	}
 	next := routing.Life{ID: instance, Born: report.Born}
-	r.h.pool.succeed(view, old.Life(), next)
+	r.h.pool.recordSuccessor(view, old.Life(), next)
 	r.h.opts.Log.Emit(event.BackendSucceeded, r.in.call.ID, old.ID, next.ID, next.Born)
 	return next, true
 }
@@ -280,14 +280,14 @@
 
 // finishAttempt ends an attempt, and has it found out whether its server ended.
 func (r *relay) finishAttempt(a *attempt, end segmentEnd, err error) {
-	a.ended(end, errors.Is(err, errErrorResponse) || end == segmentNonStream && a.response != nil && a.response.StatusCode >= http.StatusInternalServerError)
+	a.recordEnd(end, errors.Is(err, errErrorResponse) || end == segmentNonStream && a.response != nil && a.response.StatusCode >= http.StatusInternalServerError)
 	a.end(end)
 	r.logSegment(a, end, err)
 	switch end {
 	case segmentBroken:
-		go r.h.inspect(ending{in: r.in, at: a.target, sent: a.sentAt, begun: a.firstEventAt, from: a.resumeFrom, err: err})
+		go r.h.checkForCrash(brokenSend{in: r.in, at: a.target, sentAt: a.sentAt, firstEventAt: a.firstEventAt, fromReplica: a.resumeFrom, err: err})
 	case segmentComplete, segmentNonStream:
-		r.h.poisoned.whole(r.in)
+		r.h.poisoned.recordCompletion(r.in)
 	}
 }
 
--- a/serve/forward/lending.go
+++ b/serve/forward/lending.go
@@ -19,13 +19,13 @@
 // pause that a stream may make (700 ms), of which finding the loss takes half.
 const lendTimeout = 60 * time.Millisecond
 
-// borrower asks other daemons for repeats that they do not need.
+// retryBorrower asks other daemons for repeats that they do not need.
 //
 // The failure it answers: engines of a zone die, one daemon has more broken
 // streams than its part of the fleet's budget, and cuts them although its
 // neighbours have repeats left. Their callers come back and the prompts are read
 // a second time.
-type borrower struct {
+type retryBorrower struct {
 	dialer *link.Dialer // nil: nobody is asked
 	log    *event.Log
 	self   string
@@ -34,34 +34,34 @@
 	lenders map[string]*repeats.PeerSelector // by service
 }
 
-func newBorrower(o Options) *borrower {
-	return &borrower{dialer: o.Dialer, log: o.Log, self: o.Self.ID, lenders: map[string]*repeats.PeerSelector{}}
+func newRetryBorrower(o Options) *retryBorrower {
+	return &retryBorrower{dialer: o.Dialer, log: o.Log, self: o.Self.ID, lenders: map[string]*repeats.PeerSelector{}}
 }
 
 // borrow reports whether another daemon lent one repeat of a request to a service.
-func (b *borrower) borrow(ctx context.Context, view *feed.View, request, service string) bool {
+func (b *retryBorrower) borrow(ctx context.Context, view *feed.View, request, service string) bool {
 	if b.dialer == nil {
 		return false
 	}
-	daemons, peers := b.others(view)
+	daemons, peers := b.lenderCandidates(view)
 	var asked []string
 	for ctx.Err() == nil {
-		id, ok := b.next(service, daemons, asked)
+		id, ok := b.nextLender(service, daemons, asked)
 		if !ok {
 			return false
 		}
 		asked = append(asked, id)
-		if b.ask(ctx, peers[id], service) {
+		if b.requestRetry(ctx, peers[id], service) {
 			b.log.Emit(event.RepeatBorrowed, request, id, service)
 			return true
 		}
-		b.refused(service, id)
+		b.recordRefusal(service, id)
 	}
 	return false
 }
 
-// others are the daemons that serve beside this one, and where they are asked.
-func (b *borrower) others(view *feed.View) (ids []string, peers map[string]string) {
+// lenderCandidates are the daemons that serve beside this one, and where they are asked.
+func (b *retryBorrower) lenderCandidates(view *feed.View) (ids []string, peers map[string]string) {
 	peers = make(map[string]string, len(view.VMs))
 	for _, vm := range routing.Peers(view.VMs, b.self) {
 		if !vm.Leaving {
@@ -72,19 +72,19 @@
 	return ids, peers
 }
 
-func (b *borrower) next(service string, daemons, asked []string) (string, bool) {
+func (b *retryBorrower) nextLender(service string, daemons, asked []string) (string, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return getOrCreate(b.lenders, service).Next(time.Now(), daemons, asked, rand.Uint64())
 }
 
-func (b *borrower) refused(service, id string) {
+func (b *retryBorrower) recordRefusal(service, id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	getOrCreate(b.lenders, service).MarkRefused(time.Now(), id)
 }
 
-func (b *borrower) ask(ctx context.Context, address, service string) bool {
+func (b *retryBorrower) requestRetry(ctx context.Context, address, service string) bool {
 	ctx, cancel := context.WithTimeout(ctx, lendTimeout)
 	defer cancel()
 	client := peerpb.NewRepeatsProtobufClient(b.dialer.URL(address), b.dialer.Client)
@@ -106,8 +106,8 @@
 	return &peerpb.LendReply{Granted: l.pool.tryTakeRetry(time.Now(), q.GetService())}, nil
 }
 
-// Lending returns the twirp service that other daemons call, and its path prefix.
-func (h *Handler) Lending() (prefix string, handler http.Handler) {
+// RetryBudgetService returns the twirp service that other daemons call, and its path prefix.
+func (h *Handler) RetryBudgetService() (prefix string, handler http.Handler) {
 	s := peerpb.NewRepeatsServer(lending{h.pool})
 	return s.PathPrefix(), s
 }
--- a/serve/forward/lending_test.go
+++ b/serve/forward/lending_test.go
@@ -24,7 +24,7 @@
 		return nil, errors.New("no such daemon")
 	}
 	w := httptest.NewRecorder()
-	_, h := (&Handler{pool: p}).Lending()
+	_, h := (&Handler{pool: p}).RetryBudgetService()
 	h.ServeHTTP(w, r)
 	return w.Result(), nil
 }
@@ -44,26 +44,26 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			inWorld(t, streamRoute(), func(w *world) {
+			withTestCluster(t, streamRoute(), func(w *testCluster) {
 				lender := newPool(routing.VM{ID: "vm-3"}, repeats.Policy{Slack: c.slack, Window: 10 * time.Second}, w.handler.versions)
 				w.handler.SetBounds(5*time.Second, repeats.Policy{Window: 10 * time.Second})
 				w.handler.borrower.dialer = link.NewDialerWith(&http.Client{Transport: otherPools{"three:1": lender}})
-				lender.began = lender.began.Add(-10 * time.Second)
-				w.handler.pool.began = lender.began
+				lender.startedAt = lender.startedAt.Add(-10 * time.Second)
+				w.handler.pool.startedAt = lender.startedAt
 				w.put("mallowwind/vm/vm-2", `{"id":"vm-2","zone":"b","address":"two:2","peer":"two:1"}`) // died
 				w.put("mallowwind/vm/vm-3", `{"id":"vm-3","zone":"c","address":"three:2","peer":"three:1"}`)
-				handle := streaming(40, time.Second, 40*time.Millisecond)
+				handle := streamEvents(40, time.Second, 40*time.Millisecond)
 				a := w.add("e-a", "llm", "a", handle)
 				b := w.add("e-b", "llm", "b", handle)
 				go func() {
 					time.Sleep(1500 * time.Millisecond)
-					if a.requests() > 0 {
+					if a.requestCount() > 0 {
 						w.crash(a)
 					} else {
 						w.crash(b)
 					}
 				}()
-				got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+				got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 				must.Eq(t, c.whole, got.err == nil)
 				must.Eq(t, c.whole, got.body == events(1, 40))
 				must.Eq(t, c.remain, lender.tryTakeRetry(time.Now(), "llm"))
--- a/serve/forward/lives.go
+++ b/serve/forward/lives.go
@@ -23,13 +23,13 @@
 	lifeAfter
 )
 
-// said compares the start that a message of an engine names with the one known, and
+// observeIncarnation compares the start that a message of an engine names with the one known, and
 // remembers a later one: the store may show it seconds later.
 //
 // The failure it guards against: an engine crashes and starts again under its id while a
 // connection to it is silent. Its new life answers every question, so that a stream whose
 // prompt was lost waits until its caller leaves, and copies are believed to lie there.
-func (h *Handler) said(s routing.Server, born int64) lifeOrder {
+func (h *Handler) observeIncarnation(s routing.Server, born int64) lifeOrder {
 	life := routing.Life{ID: s.ID, Born: born}
 	switch {
 	case life.Before(s.Life()):
@@ -50,7 +50,7 @@
 	if err != nil {
 		return Report{}, err
 	}
-	switch h.said(s, report.Born) {
+	switch h.observeIncarnation(s, report.Born) {
 	case lifeBefore:
 		return Report{Born: report.Born}, nil
 	case lifeAfter:
@@ -59,8 +59,8 @@
 	return report, nil
 }
 
-// unreadable records that an engine's message cannot be used.
-func (h *Handler) unreadable(s routing.Server, err error) {
+// recordUnreadable records that an engine's message cannot be used.
+func (h *Handler) recordUnreadable(s routing.Server, err error) {
 	h.metrics.unreadableMessages.Inc()
 	h.opts.Log.Emit(event.MessageRefused, s.ID, s.Address, err)
 }
--- a/serve/forward/lives_test.go
+++ b/serve/forward/lives_test.go
@@ -15,7 +15,7 @@
 const firstLife = 1_796_266_800_000
 
 // addBorn starts an engine that says when it started, and waits until the handler knows it.
-func (w *world) addBorn(id, zone string, handle http.HandlerFunc) *fakeServer {
+func (w *testCluster) addBorn(id, zone string, handle http.HandlerFunc) *fakeServer {
 	w.t.Helper()
 	s := w.start(routing.Server{ID: id, Service: "llm", Zone: zone, Address: id + ":80", Slots: 4, Born: firstLife}, handle)
 	w.register(s)
@@ -28,15 +28,15 @@
 // probe. The caller waits until its time is over, unless the start that the answer names
 // shows that nothing of its request is left there.
 func TestEngineRestartsUnderItsIDBehindASilentConnection(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		handle := streaming(5, time.Second, 40*time.Millisecond)
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		handle := streamEvents(5, time.Second, 40*time.Millisecond)
 		a, b := w.addBorn("e-a", "a", handle), w.addBorn("e-b", "b", handle)
 		go func() {
 			time.Sleep(500 * time.Millisecond)
-			runner, _ := roles(a, b)
+			runner, _ := runnerAndHolder(a, b)
 			w.reborn(runner, true)
 		}()
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(t, got.err)
 		must.Eq(t, events(1, 5), got.body)
 		must.Less(t, 4*time.Second, got.took)
@@ -47,29 +47,29 @@
 // seconds later the engine that runs the request dies. The copy was gone, though its id
 // was still there; another was made in time, and the answer goes on from it.
 func TestCopyAtAnEngineThatRestartedUnderItsID(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		var fromCopy atomic.Int32
 		handle := func(rw http.ResponseWriter, r *http.Request) {
 			if r.Header.Get(hCopyAt) != "" {
 				fromCopy.Add(1)
 			}
-			streaming(100, time.Second, 40*time.Millisecond)(rw, r)
+			streamEvents(100, time.Second, 40*time.Millisecond)(rw, r)
 		}
 		a, b, c := w.addBorn("e-a", "a", handle), w.addBorn("e-b", "b", handle), w.addBorn("e-c", "c", handle)
 		runners := make(chan *fakeServer, 1)
 		go func() {
-			runner, holder, _ := running(a, b, c)
+			runner, holder, _ := awaitRunner(a, b, c)
 			runners <- runner
 			w.register(w.reborn(holder, false))
 			time.Sleep(2 * time.Second)
 			w.crash(runner)
 		}()
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(t, got.err)
 		must.Eq(t, events(1, 100), got.body)
 		must.Less(t, 6*time.Second, got.took)
 		must.Eq(t, 1, fromCopy.Load())
-		targets, _ := (<-runners).copies()
+		targets, _ := (<-runners).copyCalls()
 		must.Positive(t, len(targets))
 	})
 }
@@ -78,19 +78,19 @@
 // there, the request would be turned away at best, and at worst go on from whatever the
 // new life keeps under the same name. It is sent to read its prompt instead.
 func TestCopyMadeOnDemandIsLostWithItsLife(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		s := w.addBorn("e-a", "a", streaming(5, time.Second, 40*time.Millisecond))
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		s := w.addBorn("e-a", "a", streamEvents(5, time.Second, 40*time.Millisecond))
 		view := w.feed.View()
-		c, ok := w.handler.pool.at(view, "llm", s.server.Address)
+		c, ok := w.handler.pool.serverAt(view, "llm", s.server.Address)
 		must.True(t, ok)
 		r := &relay{h: w.handler, service: "llm"}
-		_, ok = r.findCopyHolder(view, kept{at: c, once: true})
+		_, ok = r.findCopyHolder(view, replica{at: c, onDemand: true})
 		must.True(t, ok)
 		w.register(w.reborn(s, false))
 		time.Sleep(time.Second)
-		_, ok = r.findCopyHolder(w.feed.View(), kept{at: c, once: true})
+		_, ok = r.findCopyHolder(w.feed.View(), replica{at: c, onDemand: true})
 		must.False(t, ok)
-		at, ok := r.findCopyHolder(w.feed.View(), kept{at: c})
+		at, ok := r.findCopyHolder(w.feed.View(), replica{at: c})
 		must.True(t, ok) // one that grows is sent to the new life too
 		must.Eq(t, int64(firstLife+1), at.server.Born)
 	})
@@ -99,18 +99,18 @@
 // An engine has failed and is a last resort. It restarts under its id: what was known of
 // its health was of a process that is gone, and callers need not wait for a while more.
 func TestSuspicionEndsWithTheLife(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		s := w.addBorn("e-a", "a", streaming(5, time.Second, 40*time.Millisecond))
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		s := w.addBorn("e-a", "a", streamEvents(5, time.Second, 40*time.Millisecond))
 		pool := w.handler.pool
-		pool.readers(time.Now(), w.feed.View(), "llm", "", 1, nil)
-		pool.failed(time.Now(), s.server)
-		must.True(t, pool.suspect(time.Now(), s.server.Life()))
+		pool.prefillCandidates(time.Now(), w.feed.View(), "llm", "", 1, nil)
+		pool.recordFailure(time.Now(), s.server)
+		must.True(t, pool.isSuspect(time.Now(), s.server.Life()))
 		again := w.reborn(s, false)
 		w.register(again)
 		time.Sleep(time.Second)
-		list := pool.readers(time.Now(), w.feed.View(), "llm", "", 1, nil)
+		list := pool.prefillCandidates(time.Now(), w.feed.View(), "llm", "", 1, nil)
 		must.SliceLen(t, 1, list)
-		must.False(t, pool.suspect(time.Now(), list[0].server.Life()))
+		must.False(t, pool.isSuspect(time.Now(), list[0].server.Life()))
 		must.Eq(t, again.server.Life(), list[0].server.Life())
 	})
 }
@@ -119,14 +119,14 @@
 // What the engine says counts, and a report of the life before that was on its way for
 // long undoes nothing: it shows neither load nor runs of the present life.
 func TestReportsOfTwoLives(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		s := w.addBorn("e-a", "a", streaming(5, time.Second, 40*time.Millisecond))
-		s.reports("run-1 full")
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		s := w.addBorn("e-a", "a", streamEvents(5, time.Second, 40*time.Millisecond))
+		s.setRuns("run-1 full")
 		again := w.reborn(s, false)
-		again.reports("run-2")
+		again.setRuns("run-2")
 		_, err := w.handler.probe(w.t.Context(), s.server, time.Second)
 		must.ErrorIs(t, err, errRestarted)
-		list := w.handler.pool.readers(time.Now(), w.feed.View(), "llm", "", 1, nil)
+		list := w.handler.pool.prefillCandidates(time.Now(), w.feed.View(), "llm", "", 1, nil)
 		must.Eq(t, again.server.Life(), list[0].server.Life())
 		report, err := w.handler.probe(w.t.Context(), list[0].server, time.Second)
 		must.NoError(t, err)
@@ -147,21 +147,21 @@
 // restarted under its id since; its old list of prompts, which lags, still names it. The
 // request must not be sent there for that: it takes the first engine that is free.
 func TestPromptsOfAnEarlierLifeAreNotFound(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		s := w.addBorn("e-a", "a", streaming(12, time.Second, 40*time.Millisecond))
-		s.holds("p7")
-		life, parts, err := w.handler.cached(w.t.Context(), s.server)
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		s := w.addBorn("e-a", "a", streamEvents(12, time.Second, 40*time.Millisecond))
+		s.setCache("p7")
+		life, parts, err := w.handler.cachedParts(w.t.Context(), s.server)
 		must.NoError(t, err)
 		must.Eq(t, []string{"p7"}, parts)
 		must.Eq(t, s.server.Life(), life)
 		known := s.server
 		known.Born += 5
-		_, parts, err = w.handler.cached(w.t.Context(), known)
+		_, parts, err = w.handler.cachedParts(w.t.Context(), known)
 		must.NoError(t, err)
 		must.SliceEmpty(t, parts)
 		again := w.reborn(s, false)
-		again.holds("p8")
-		life, parts, err = w.handler.cached(w.t.Context(), s.server)
+		again.setCache("p8")
+		life, parts, err = w.handler.cachedParts(w.t.Context(), s.server)
 		must.NoError(t, err)
 		must.Eq(t, []string{"p8"}, parts)
 		must.Eq(t, again.server.Life(), life)
@@ -170,18 +170,18 @@
 
 // An engine that took the place of a crashed one leaves before this daemon has seen its entry, whose end comes in the same batch.
 func TestSuccessorThatLeavesAtOnceGetsNothing(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		old := w.add("e-a", "llm", "a", streaming(5, time.Second, 40*time.Millisecond))
-		next := w.restart(old, "e-new", "llm")
-		must.Eq(t, http.StatusOK, w.ask(http.MethodPost, "/s/1", caller, "prompt").status)
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		old := w.add("e-a", "llm", "a", streamEvents(5, time.Second, 40*time.Millisecond))
+		next := w.replaceServer(old, "e-new", "llm")
+		must.Eq(t, http.StatusOK, w.request(http.MethodPost, "/s/1", callerHeaders, "prompt").status)
 		w.put("config", "{}") // the next batch begins a pause after this one
 		time.Sleep(10 * time.Millisecond)
 		w.register(next)
 		w.remove("server/e-new")
 		time.Sleep(time.Second)
 		must.True(t, w.feed.View().Departed("e-new"))
-		asked := next.requests()
-		must.NotEq(t, http.StatusOK, w.ask(http.MethodPost, "/s/1", caller, "prompt").status)
-		must.Eq(t, asked, next.requests())
+		asked := next.requestCount()
+		must.NotEq(t, http.StatusOK, w.request(http.MethodPost, "/s/1", callerHeaders, "prompt").status)
+		must.Eq(t, asked, next.requestCount())
 	})
 }
--- a/serve/forward/locate.go
+++ b/serve/forward/locate.go
@@ -54,23 +54,23 @@
 
 // scan is one look at the caches of a service's engines.
 type scan struct {
-	at      time.Time
-	mu      sync.Mutex
-	holders map[string][]routing.Life // by part
-	ended   bool
-	changed chan struct{} // closed and replaced with each answer, and at the end
+	startedAt time.Time
+	mu        sync.Mutex
+	holders   map[string][]routing.Life // by part
+	finished  bool
+	updated   chan struct{} // closed and replaced with each answer, and at the end
 }
 
 func newScan(now time.Time) *scan {
-	return &scan{at: now, holders: map[string][]routing.Life{}, changed: make(chan struct{})}
+	return &scan{startedAt: now, holders: map[string][]routing.Life{}, updated: make(chan struct{})}
 }
 
-// find returns the holders known of a part, whether more may come, and what is closed
+// holdersOf returns the holders known of a part, whether more may come, and what is closed
 // when there is news.
-func (s *scan) find(part string) (holders []routing.Life, ended bool, news <-chan struct{}) {
+func (s *scan) holdersOf(part string) (holders []routing.Life, ended bool, news <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.holders[part], s.ended, s.changed
+	return s.holders[part], s.finished, s.updated
 }
 
 // add records what one engine holds.
@@ -83,18 +83,18 @@
 	s.wake()
 }
 
-// end says that no more comes.
-func (s *scan) end() {
+// finish says that no more comes.
+func (s *scan) finish() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended = true
+	s.finished = true
 	s.wake()
 }
 
 // wake tells those that wait; s.mu is held.
 func (s *scan) wake() {
-	close(s.changed)
-	s.changed = make(chan struct{})
+	close(s.updated)
+	s.updated = make(chan struct{})
 }
 
 func newLocator(h *Handler) *locator { return &locator{h: h, scans: map[string]*scan{}} }
@@ -103,7 +103,7 @@
 func (l *locator) holders(ctx context.Context, service, part string) []routing.Life {
 	s := l.scan(service, part)
 	for {
-		holders, ended, news := s.find(part)
+		holders, ended, news := s.holdersOf(part)
 		if len(holders) > 0 || ended {
 			return holders
 		}
@@ -123,20 +123,20 @@
 	view := l.h.opts.Feed.View()
 	if servers, few := l.h.pool.mayHold(view, service, part); few {
 		s := newScan(now)
-		go l.look(service, s, servers)
+		go l.runScan(service, s, servers)
 		return s
 	}
-	if s := l.scans[service]; s != nil && now.Sub(s.at) < scanAge {
+	if s := l.scans[service]; s != nil && now.Sub(s.startedAt) < scanAge {
 		return s
 	}
 	s := newScan(now)
 	l.scans[service] = s
-	go l.look(service, s, view.Servers[service])
+	go l.runScan(service, s, view.Servers[service])
 	return s
 }
 
-func (l *locator) look(service string, s *scan, servers []routing.Server) {
-	defer s.end()
+func (l *locator) runScan(service string, s *scan, servers []routing.Server) {
+	defer s.finish()
 	l.h.metrics.cacheScans.Inc()
 	ctx, cancel := context.WithTimeout(context.Background(), scanTimeout)
 	defer cancel()
@@ -148,12 +148,12 @@
 		}
 		answers <- cacheAnswer{bytes, err}
 	}
-	var cost looked
+	var cost scanProgress
 	for _, i := range rand.Perm(len(servers)) { // no engine is left out each time
-		for !cost.affords() && cost.pending() > 0 {
+		for !cost.canAsk() && cost.pending() > 0 {
 			cost.add(<-answers)
 		}
-		if !cost.affords() {
+		if !cost.canAsk() {
 			break
 		}
 		cost.asked++
@@ -162,7 +162,7 @@
 	for cost.pending() > 0 {
 		cost.add(<-answers)
 	}
-	l.h.opts.Log.Emit(event.CachesRead, service, cost.asked, cost.answered, cost.late, cost.bytes, time.Since(s.at))
+	l.h.opts.Log.Emit(event.CachesRead, service, cost.asked, cost.answered, cost.timeouts, cost.bytes, time.Since(s.startedAt))
 }
 
 // cacheAnswer is what came of a question to one engine.
@@ -171,22 +171,22 @@
 	err   error
 }
 
-// looked is what a look has taken so far. Engines that are not asked would have been too much.
-type looked struct {
+// scanProgress is what a look has taken so far. Engines that are not asked would have been too much.
+type scanProgress struct {
 	asked    int
 	answered int
 	failed   int
-	late     int // of those that failed: no answer when the look ended
+	timeouts int // of those that failed: no answer when the look ended
 	bytes    int // of all answers
 	largest  int // of the answers, in bytes
 }
 
 // pending are the questions without an answer.
-func (l *looked) pending() int { return l.asked - l.answered - l.failed }
+func (l *scanProgress) pending() int { return l.asked - l.answered - l.failed }
 
-// affords reports whether one more engine may be asked: the answers that are on their way
+// canAsk reports whether one more engine may be asked: the answers that are on their way
 // are taken to be as large as the largest so far.
-func (l *looked) affords() bool {
+func (l *scanProgress) canAsk() bool {
 	size := scanAnswer
 	if l.answered > 0 {
 		size = l.largest
@@ -194,7 +194,7 @@
 	return l.bytes+(l.pending()+1)*size <= scanBytes
 }
 
-func (l *looked) add(one cacheAnswer) {
+func (l *scanProgress) add(one cacheAnswer) {
 	l.bytes += one.bytes
 	l.largest = max(l.largest, one.bytes)
 	if one.err == nil {
@@ -203,15 +203,15 @@
 	}
 	l.failed++
 	if errors.Is(one.err, context.DeadlineExceeded) {
-		l.late++
+		l.timeouts++
 	}
 }
 
 // errLong means that an engine holds more than is read of its answer.
 var errLong = errors.New("forward: the engine holds too much to tell")
 
-// cached asks an engine what it holds, and which of its lives holds that.
-func (h *Handler) cached(ctx context.Context, server routing.Server) (routing.Life, []string, error) {
+// cachedParts asks an engine what it holds, and which of its lives holds that.
+func (h *Handler) cachedParts(ctx context.Context, server routing.Server) (routing.Life, []string, error) {
 	life, parts, _, err := h.readCache(ctx, server)
 	return life, parts, err
 }
@@ -229,10 +229,10 @@
 	}
 	cache, err := h.opts.Codec.Cache(body)
 	if err != nil {
-		h.unreadable(server, err)
+		h.recordUnreadable(server, err)
 		return life, nil, len(body), err
 	}
-	switch h.said(server, cache.Born) {
+	switch h.observeIncarnation(server, cache.Born) {
 	case lifeBefore:
 		return life, nil, len(body), nil
 	case lifeAfter:
--- a/serve/forward/place.go
+++ b/serve/forward/place.go
@@ -35,10 +35,10 @@
 // request all the same: the link from here may be at fault, and it loses nothing to try.
 func (r *relay) place(ctx context.Context, view *feed.View) (sampledEngine, bool) {
 	if view.Config.Engine(r.service) != nil {
-		others, all := r.h.neighbours.work(ctx, view, r.service)
+		others, all := r.h.neighbours.totalWork(ctx, view, r.service)
 		known := all
 		if !all {
-			others, known = r.h.keepers.work(ctx, view, r.service, r.in.call.PromptKey)
+			others, known = r.h.keepers.trackedWork(ctx, view, r.service, r.in.call.PromptKey)
 		}
 		if known {
 			if c, ok := r.placeByFleetWork(ctx, view, others, !all); ok {
@@ -47,7 +47,7 @@
 		}
 	}
 	c, ok := r.placeByReports(ctx, view)
-	r.h.pool.count(c.choice, 1, 0, 0)
+	r.h.pool.addLoad(c.choice, 1, 0, 0)
 	return c, ok
 }
 
@@ -55,12 +55,12 @@
 // the same: it may be dead, or full of what nobody told. Where none of the first few is
 // free the choice is left to the reports of more. among says that the engines in others are
 // those to choose from.
-func (r *relay) placeByFleetWork(ctx context.Context, view *feed.View, others workAt, among bool) (sampledEngine, bool) {
+func (r *relay) placeByFleetWork(ctx context.Context, view *feed.View, others workloads, among bool) (sampledEngine, bool) {
 	excluded := slices.Clone(r.excluded)
-	asked := r.h.questions()
-	defer asked.judge()
+	asked := r.h.newProbeRound()
+	defer asked.markSilent()
 	for range maxSampleRounds {
-		c, unread, ok := r.h.pool.reader(time.Now(), view, r.service, others, among, excluded)
+		c, unread, ok := r.h.pool.reservePrefill(time.Now(), view, r.service, others, among, excluded)
 		if !ok {
 			return sampledEngine{}, false
 		}
@@ -72,7 +72,7 @@
 				return best, true
 			}
 		}
-		r.h.pool.count(c, -1, 0, 0)
+		r.h.pool.addLoad(c, -1, 0, 0)
 		excluded = append(excluded, c.server.Life())
 	}
 	return sampledEngine{}, false
@@ -80,18 +80,18 @@
 
 // placeByReports chooses by the reports of engines.
 func (r *relay) placeByReports(ctx context.Context, view *feed.View) (sampledEngine, bool) {
-	first := r.h.pool.readers(time.Now(), view, r.service, r.in.call.PromptKey, SampleSize, r.excluded)
+	first := r.h.pool.prefillCandidates(time.Now(), view, r.service, r.in.call.PromptKey, SampleSize, r.excluded)
 	if len(first) == 0 || view.Config.Engine(r.service) == nil {
 		return firstChoice(first)
 	}
 	excluded := slices.Clone(r.excluded)
-	asked := r.h.questions()
-	defer asked.judge()
+	asked := r.h.newProbeRound()
+	defer asked.markSilent()
 	var seen []sampledEngine
 	candidates := first
 	for round := range maxSampleRounds {
 		if round > 0 {
-			candidates = r.h.pool.readers(time.Now(), view, r.service, r.in.call.PromptKey, SampleSize, excluded)
+			candidates = r.h.pool.prefillCandidates(time.Now(), view, r.service, r.in.call.PromptKey, SampleSize, excluded)
 		}
 		for _, c := range candidates {
 			excluded = append(excluded, c.server.Life())
@@ -129,17 +129,17 @@
 
 // sampleLoads asks engines for their load and returns those that answer, in the order given.
 // counted is how many prompts that were not sent yet are counted at each.
-func (q *questions) sampleLoads(ctx context.Context, candidates []choice, counted int) []sampledEngine {
+func (q *probeRound) sampleLoads(ctx context.Context, candidates []choice, counted int) []sampledEngine {
 	answers := make([]*sampledEngine, len(candidates))
 	var all sync.WaitGroup
 	for i, c := range candidates {
 		all.Go(func() {
-			report, err := q.ask(ctx, c.server, fastProbeTimeout)
+			report, err := q.probe(ctx, c.server, fastProbeTimeout)
 			if err != nil {
 				return
 			}
 			load := report.loadReport()
-			load.Unread = max(load.Unread, q.h.pool.reading(c)-counted) // a report lags
+			load.Unread = max(load.Unread, q.h.pool.prefillCount(c)-counted) // a report lags
 			answers[i] = &sampledEngine{choice: c, report: load, answered: true}
 		})
 	}
--- a/serve/forward/plain.go
+++ b/serve/forward/plain.go
@@ -76,7 +76,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel() // ends the sends that lost
 	now := time.Now()
-	if lasted, refused := h.pressure.throttled(now, service); refused {
+	if lasted, refused := h.pressure.throttle(now, service); refused {
 		back := retryafter.AfterOverload(lasted, in.route.Objective, rand.Float64())
 		h.metrics.overloadRefusals.WithLabelValues(reasonTurnedAway).Inc()
 		h.opts.Log.Emit(event.CallThrottled, in.call.ID, service, lasted)
@@ -85,7 +85,7 @@
 	x := &exchanges{h: h, in: in, service: service, results: make(chan *outcome, 8)}
 	last, err := x.run(ctx)
 	if x.rejectedFull > 0 || x.possibleRuns > 0 {
-		h.pressure.fate(time.Now(), service, x.possibleRuns > 0)
+		h.pressure.recordCall(time.Now(), service, x.possibleRuns > 0)
 	}
 	if err != nil {
 		return err
@@ -144,7 +144,7 @@
 	var c choice
 	ok := false
 	if len(x.tried) == 0 {
-		c, ok = x.h.drawnCall(ctx, view, x.service, x.in.routeName())
+		c, ok = x.h.chooseCanary(ctx, view, x.service, x.in.routeName())
 	}
 	if !ok {
 		c, ok = x.h.choosePlainWithPermit(ctx, view, x.service, x.tried)
@@ -223,7 +223,7 @@
 
 // isOverloaded reports whether the servers turn requests away, so that what is sent a
 // second time takes the place of another.
-func (x *exchanges) isOverloaded() bool { return x.h.pressure.turnsAway(time.Now(), x.service) }
+func (x *exchanges) isOverloaded() bool { return x.h.pressure.isRejecting(time.Now(), x.service) }
 
 // finalOutcome is the answer when nothing more can be tried.
 func (x *exchanges) finalOutcome(best, last *outcome) (*outcome, error) {
@@ -238,16 +238,16 @@
 
 // noServerError says that the request ran nowhere.
 func (x *exchanges) noServerError() error {
-	if wait, limited := x.h.limits.full(x.service); limited && len(x.tried) == 0 {
+	if wait, limited := x.h.limits.permitWait(x.service); limited && len(x.tried) == 0 {
 		return x.h.rateLimitedError(x.in, x.service, verdict.NotRun, wait)
 	}
-	return verdict.New(verdict.NotRun, verdict.CodeNoBackend, "no backend server takes the request").After(x.h.pool.back(x.service))
+	return verdict.New(verdict.NotRun, verdict.CodeNoBackend, "no backend server takes the request").After(x.h.pool.retryAfter(x.service))
 }
 
 // rateLimitedError refuses a request because the servers of its service take no more now, by the limits
 // that they name. The caller comes back when there may be room.
 func (h *Handler) rateLimitedError(in *inbound, service string, v verdict.Verdict, wait time.Duration) error {
-	lasted, _ := h.pressure.refused(time.Now(), service)
+	lasted, _ := h.pressure.recordRefusal(time.Now(), service)
 	back := max(wait, retryafter.AfterOverload(lasted, in.route.Objective, rand.Float64()))
 	h.metrics.overloadRefusals.WithLabelValues(reasonRateLimited).Inc()
 	return verdict.New(v, verdict.CodeOverloaded, "the backend servers take no more requests now").After(back)
@@ -266,7 +266,7 @@
 	started := time.Now()
 	trial := h.versions.Try(c.server, in.routeName(), rollout.ResponseTime)
 	defer func() {
-		if result, ok := o.trial(ctx); ok {
+		if result, ok := o.trialOutcome(ctx); ok {
 			trial.Done(result)
 		} else {
 			trial.Drop()
@@ -283,7 +283,7 @@
 		return o
 	}
 	o.status, o.header, o.rateLimit = resp.StatusCode, resp.Header, reply.RateLimit
-	h.heardLimit(c.server, started, reply)
+	h.recordLimit(c.server, started, reply)
 	o.notRun, o.rejected = reply.NotRun, reply.NotRun
 	o.full = reply.NotRun && !reply.Misdirected
 	o.body, o.bodyRest, o.err = readResponse(resp)
@@ -294,9 +294,9 @@
 		h.inspectBroken(ctx, in, o, started)
 		return o
 	}
-	h.pool.worked(c)
+	h.pool.recordSuccess(c)
 	if o.hasResponse() {
-		h.poisoned.whole(in)
+		h.poisoned.recordCompletion(in)
 	}
 	return o
 }
@@ -304,7 +304,7 @@
 // inspectBroken has it found out whether a server ended that broke off an exchange.
 func (h *Handler) inspectBroken(ctx context.Context, in *inbound, o *outcome, started time.Time) {
 	if ctx.Err() == nil && !o.notRun {
-		go h.inspect(ending{in: in, at: o.choice, sent: started, err: o.err})
+		go h.checkForCrash(brokenSend{in: in, at: o.choice, sentAt: started, err: o.err})
 	}
 }
 
@@ -313,8 +313,8 @@
 	if ctx.Err() != nil {
 		return
 	}
-	h.pool.failed(time.Now(), c.server)
-	h.opts.Log.Emit(event.BackendSuspected, in.call.ID, c.server.ID, err, suspicion)
+	h.pool.recordFailure(time.Now(), c.server)
+	h.opts.Log.Emit(event.BackendSuspected, in.call.ID, c.server.ID, err, minSuspicion)
 }
 
 // readResponse reads an answer to its end, or its beginning if it is long.
--- a/serve/forward/plain_test.go
+++ b/serve/forward/plain_test.go
@@ -42,29 +42,29 @@
 		body   string // "" is not compared
 		runs   [2]int // at the first and second server
 	}{
-		{"answered", "/once/1", proven("ok"), proven("other"), 200, "ok", [2]int{1, 0}},
-		{"failure passed on once", "/once/1", failing(500), proven("ok"), 500, "", [2]int{1, 0}},
-		{"failure repeated where it may be", "/again/1", failing(500), proven("ok"), 200, "ok", [2]int{1, 1}},
-		{"rejected, so sent elsewhere", "/once/1", rejecting, proven("ok"), 200, "ok", [2]int{1, 1}},
+		{"answered", "/once/1", respondProven("ok"), respondProven("other"), 200, "ok", [2]int{1, 0}},
+		{"failure passed on once", "/once/1", failing(500), respondProven("ok"), 500, "", [2]int{1, 0}},
+		{"failure repeated where it may be", "/again/1", failing(500), respondProven("ok"), 200, "ok", [2]int{1, 1}},
+		{"rejected, so sent elsewhere", "/once/1", rejecting, respondProven("ok"), 200, "ok", [2]int{1, 1}},
 		{"rejected by all: nothing ran", "/once/1", rejecting, rejecting, 503, "", [2]int{1, 1}},
-		{"broken off: may have run", "/once/1", breaking, proven("ok"), 502, "", [2]int{1, 0}},
-		{"broken off, repeated", "/again/1", breaking, proven("ok"), 200, "ok", [2]int{1, 1}},
-		{"promise without the server's word", "/once/1", failing(503), proven("ok"), 502, "", [2]int{1, 0}},
+		{"broken off: may have run", "/once/1", breaking, respondProven("ok"), 502, "", [2]int{1, 0}},
+		{"broken off, repeated", "/again/1", breaking, respondProven("ok"), 200, "ok", [2]int{1, 1}},
+		{"promise without the server's word", "/once/1", failing(503), respondProven("ok"), 502, "", [2]int{1, 0}},
 		{"both fail: the last answer", "/again/1", failing(500), failing(500), 500, "", [2]int{1, 1}},
-		{"no route", "/none/1", proven("ok"), proven("ok"), 404, "", [2]int{0, 0}},
+		{"no route", "/none/1", respondProven("ok"), respondProven("ok"), 404, "", [2]int{0, 0}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			inWorld(t, plainRoutes(), func(w *world) {
+			withTestCluster(t, plainRoutes(), func(w *testCluster) {
 				near := w.add("d-1", "desk", "a", c.first)
 				far := w.add("d-2", "desk", "b", c.second)
-				got := w.ask(http.MethodPost, c.path, caller, "x")
+				got := w.request(http.MethodPost, c.path, callerHeaders, "x")
 				must.NoError(t, got.err)
 				must.Eq(t, c.status, got.status)
 				if c.body != "" {
 					must.Eq(t, c.body, got.body)
 				}
-				must.Eq(t, c.runs, [2]int{near.requests(), far.requests()})
+				must.Eq(t, c.runs, [2]int{near.requestCount(), far.requestCount()})
 			})
 		})
 	}
@@ -73,23 +73,23 @@
 // A server hangs. The caller of a call that may not be repeated hears at the
 // route's timeout, not later, and no second server runs it.
 func TestTimeoutIsAnsweredAtOnce(t *testing.T) {
-	inWorld(t, plainRoutes(), func(w *world) {
+	withTestCluster(t, plainRoutes(), func(w *testCluster) {
 		w.add("d-1", "desk", "a", func(_ http.ResponseWriter, r *http.Request) { sleep(r, time.Hour) })
-		far := w.add("d-2", "desk", "b", proven("ok"))
-		got := w.ask(http.MethodPost, "/once/1", caller, "x")
+		far := w.add("d-2", "desk", "b", respondProven("ok"))
+		got := w.request(http.MethodPost, "/once/1", callerHeaders, "x")
 		must.Eq(t, http.StatusGatewayTimeout, got.status)
 		must.Eq(t, 600*time.Millisecond, got.took)
-		must.Eq(t, 0, far.requests())
+		must.Eq(t, 0, far.requestCount())
 	})
 }
 
 // A server hangs on an idempotent request. The second server is asked early
 // enough to answer within the route's objective of 100 ms.
 func TestHangingServerIsHedged(t *testing.T) {
-	inWorld(t, plainRoutes(), func(w *world) {
+	withTestCluster(t, plainRoutes(), func(w *testCluster) {
 		w.add("d-1", "desk", "a", func(_ http.ResponseWriter, r *http.Request) { sleep(r, time.Hour) })
-		w.add("d-2", "desk", "b", proven("ok"))
-		got := w.ask(http.MethodGet, "/again/1", caller, "")
+		w.add("d-2", "desk", "b", respondProven("ok"))
+		got := w.request(http.MethodGet, "/again/1", callerHeaders, "")
 		must.Eq(t, http.StatusOK, got.status)
 		must.Less(t, 100*time.Millisecond, got.took)
 	})
@@ -99,11 +99,11 @@
 // know whether a key still holds, so it says that the request has not run; it
 // serves again as soon as the store answers.
 func TestKeysAreRefusedOnceTheConfigurationIsOld(t *testing.T) {
-	inWorld(t, plainRoutes(), func(w *world) {
-		w.add("d-1", "desk", "a", proven("ok"))
-		ask := func() int { return w.ask(http.MethodPost, "/once/1", caller, "x").status }
+	withTestCluster(t, plainRoutes(), func(w *testCluster) {
+		w.add("d-1", "desk", "a", respondProven("ok"))
+		ask := func() int { return w.request(http.MethodPost, "/once/1", callerHeaders, "x").status }
 		must.Eq(t, http.StatusOK, ask())
-		must.Eq(t, http.StatusUnauthorized, w.ask(http.MethodPost, "/once/1", with(map[string]string{hKey: "no"}), "x").status)
+		must.Eq(t, http.StatusUnauthorized, w.request(http.MethodPost, "/once/1", withHeaders(map[string]string{hKey: "no"}), "x").status)
 		w.cancel()
 		time.Sleep(3 * time.Second)
 		must.Eq(t, http.StatusOK, ask())
@@ -115,11 +115,11 @@
 // Callers' headers that are the system's to set never reach a server, and the
 // path arrives byte by byte.
 func TestRequestArrivesUnchanged(t *testing.T) {
-	inWorld(t, plainRoutes(), func(w *world) {
-		s := w.add("d-1", "desk", "a", proven("ok"))
+	withTestCluster(t, plainRoutes(), func(w *testCluster) {
+		s := w.add("d-1", "desk", "a", respondProven("ok"))
 		for _, path := range []string{"/once/a%2Fb?x=%20&&y", "/once//c/../d?"} {
-			w.ask(http.MethodPost, path, with(map[string]string{hAccount: "thief", "Connection": "X-Hop", "X-Hop": "1"}), "x")
-			r := s.asked()[s.requests()-1]
+			w.request(http.MethodPost, path, withHeaders(map[string]string{hAccount: "thief", "Connection": "X-Hop", "X-Hop": "1"}), "x")
+			r := s.requests()[s.requestCount()-1]
 			must.Eq(t, path, r.RequestURI)
 			must.Eq(t, "mill", r.Header.Get(hAccount))
 			must.Eq(t, "", r.Header.Get("X-Hop"))
@@ -131,8 +131,8 @@
 // A caller announces a body and sends half of it. Once its time is over the
 // daemon answers that nothing ran and keeps nothing of it.
 func TestSlowSenderIsGivenUp(t *testing.T) {
-	inWorld(t, plainRoutes(), func(w *world) {
-		s := w.add("d-1", "desk", "a", proven("ok"))
+	withTestCluster(t, plainRoutes(), func(w *testCluster) {
+		s := w.add("d-1", "desk", "a", respondProven("ok"))
 		listener := faultnet.Pipe()
 		server := &http.Server{Handler: w.handler}
 		go server.Serve(listener)
@@ -147,7 +147,7 @@
 		must.NoError(t, err)
 		must.Eq(t, http.StatusGatewayTimeout, resp.StatusCode)
 		must.Eq(t, 600*time.Millisecond, time.Since(began))
-		must.Eq(t, 0, s.requests())
+		must.Eq(t, 0, s.requestCount())
 		must.Eq(t, 0, w.handler.Running())
 	})
 }
@@ -156,22 +156,22 @@
 func TestPriorityOfTheAccountGoesFirst(t *testing.T) {
 	routes := plainRoutes()
 	routes[0].Priority = 1
-	inWorld(t, routes, func(w *world) {
-		s := w.add("d-1", "desk", "a", proven("ok"))
+	withTestCluster(t, routes, func(w *testCluster) {
+		s := w.add("d-1", "desk", "a", respondProven("ok"))
 		for key, want := range map[string]string{"key-1": "1", "key-2": "3"} {
-			w.ask(http.MethodPost, "/once/1", with(map[string]string{hKey: key}), "x")
-			must.Eq(t, want, s.asked()[s.requests()-1].Header.Get(hPriority))
+			w.request(http.MethodPost, "/once/1", withHeaders(map[string]string{hKey: key}), "x")
+			must.Eq(t, want, s.requests()[s.requestCount()-1].Header.Get(hPriority))
 		}
 	})
 }
 
 func TestAnswerToHeadKeepsItsLength(t *testing.T) {
-	inWorld(t, plainRoutes(), func(w *world) {
+	withTestCluster(t, plainRoutes(), func(w *testCluster) {
 		w.add("d-1", "desk", "a", func(rw http.ResponseWriter, _ *http.Request) {
 			rw.Header().Set(hProof, "p")
 			rw.Header().Set("Content-Length", "1234")
 		})
-		got := w.ask(http.MethodHead, "/again/1", caller, "")
+		got := w.request(http.MethodHead, "/again/1", callerHeaders, "")
 		must.NoError(t, got.err)
 		must.Eq(t, "1234", got.header.Get("Content-Length"))
 	})
@@ -182,21 +182,21 @@
 // learn nothing sooner. After some the daemon says so itself, at once, that nothing ran
 // and when to come back; once the servers have room again it sends as before.
 func TestFullServiceIsNotAskedAgain(t *testing.T) {
-	inWorld(t, plainRoutes(), func(w *world) {
+	withTestCluster(t, plainRoutes(), func(w *testCluster) {
 		var room atomic.Bool
 		handle := func(rw http.ResponseWriter, r *http.Request) {
 			if room.Load() {
-				proven("ok")(rw, r)
+				respondProven("ok")(rw, r)
 				return
 			}
 			sleep(r, 100*time.Millisecond)
 			rejecting(rw, r)
 		}
 		servers := []*fakeServer{w.add("d-1", "desk", "a", handle), w.add("d-2", "desk", "b", handle)}
-		sent := func() int { return servers[0].requests() + servers[1].requests() }
+		sent := func() int { return servers[0].requestCount() + servers[1].requestCount() }
 		statuses := map[int]int{}
 		for range 20 {
-			got := w.ask(http.MethodPost, "/once/1", caller, "x")
+			got := w.request(http.MethodPost, "/once/1", callerHeaders, "x")
 			statuses[got.status]++
 			must.StrContains(t, got.body, "not_run")
 			must.NotEq(t, "", got.header.Get("Retry-After"))
@@ -206,7 +206,7 @@
 		room.Store(true)
 		time.Sleep(2 * time.Second)
 		for range 20 {
-			must.Eq(t, http.StatusOK, w.ask(http.MethodPost, "/once/1", caller, "x").status)
+			must.Eq(t, http.StatusOK, w.request(http.MethodPost, "/once/1", callerHeaders, "x").status)
 		}
 	})
 }
@@ -214,11 +214,11 @@
 // A server of two turns away whatever it gets, and the other takes it. No caller
 // notices, and none is refused.
 func TestServerThatTurnsAwayAloneIsNoCrowd(t *testing.T) {
-	inWorld(t, plainRoutes(), func(w *world) {
+	withTestCluster(t, plainRoutes(), func(w *testCluster) {
 		w.add("d-1", "desk", "a", rejecting)
-		w.add("d-2", "desk", "b", proven("ok"))
+		w.add("d-2", "desk", "b", respondProven("ok"))
 		for range 40 {
-			must.Eq(t, http.StatusOK, w.ask(http.MethodPost, "/once/1", caller, "x").status)
+			must.Eq(t, http.StatusOK, w.request(http.MethodPost, "/once/1", callerHeaders, "x").status)
 		}
 	})
 }
@@ -227,11 +227,11 @@
 // what is meant for the one before it. That says nothing of their load. Once the
 // entries are right nobody is refused.
 func TestRestartedServersAreNoCrowd(t *testing.T) {
-	inWorld(t, plainRoutes(), func(w *world) {
+	withTestCluster(t, plainRoutes(), func(w *testCluster) {
 		var known atomic.Bool
 		handle := func(rw http.ResponseWriter, r *http.Request) {
 			if known.Load() {
-				proven("ok")(rw, r)
+				respondProven("ok")(rw, r)
 				return
 			}
 			rw.WriteHeader(http.StatusMisdirectedRequest)
@@ -239,11 +239,11 @@
 		w.add("d-1", "desk", "a", handle)
 		w.add("d-2", "desk", "b", handle)
 		for range 10 {
-			must.Eq(t, http.StatusServiceUnavailable, w.ask(http.MethodPost, "/once/1", caller, "x").status)
+			must.Eq(t, http.StatusServiceUnavailable, w.request(http.MethodPost, "/once/1", callerHeaders, "x").status)
 		}
 		known.Store(true)
 		for range 20 {
-			must.Eq(t, http.StatusOK, w.ask(http.MethodPost, "/once/1", caller, "x").status)
+			must.Eq(t, http.StatusOK, w.request(http.MethodPost, "/once/1", callerHeaders, "x").status)
 		}
 	})
 }
--- a/serve/forward/poisoned.go
+++ b/serve/forward/poisoned.go
@@ -15,9 +15,9 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// poisoned knows which requests end the servers that run them. Those that are refused lie in
+// poisonRegistry knows which requests end the servers that run them. Those that are refused lie in
 // the store, and daemons tell each other at once.
-type poisoned struct {
+type poisonRegistry struct {
 	h *Handler
 
 	mu      sync.Mutex // guards the rest
@@ -33,8 +33,8 @@
 // underway is one request in progress.
 type underway struct{ cancel context.CancelCauseFunc }
 
-func newPoisoned(h *Handler) *poisoned {
-	return &poisoned{
+func newPoisonRegistry(h *Handler) *poisonRegistry {
+	return &poisonRegistry{
 		h: h, view: &feed.View{}, running: map[string]map[*underway]bool{}, details: map[string]*peerpb.Poisonous{},
 		pending: map[string]*peerpb.Poisonous{}, roused: make(chan struct{}, 1),
 	}
@@ -46,11 +46,11 @@
 	return verdict.New(verdict.MayHaveRun, verdict.CodePoison, "backend servers end when they run this request, so it is sent to none (%s)", digest)
 }
 
-// enter begins a request, unless it is refused. Its context ends if it is refused later.
-func (p *poisoned) enter(ctx context.Context, in *inbound) (_ context.Context, leave func(), err error) {
+// begin begins a request, unless it is refused. Its context ends if it is refused later.
+func (p *poisonRegistry) begin(ctx context.Context, in *inbound) (_ context.Context, leave func(), err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.settle(p.h.opts.Feed.View())
+	p.syncView(p.h.opts.Feed.View())
 	for _, digest := range in.digests {
 		if p.mark(digest) == poison.Refused {
 			p.h.metrics.poisonRefusals.Inc()
@@ -67,11 +67,11 @@
 	}
 	return ctx, func() {
 		cancel(nil)
-		p.left(in.digests, one)
+		p.finish(in.digests, one)
 	}, nil
 }
 
-func (p *poisoned) left(digests []string, one *underway) {
+func (p *poisonRegistry) finish(digests []string, one *underway) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, digest := range digests {
@@ -82,9 +82,9 @@
 	}
 }
 
-// settle forgets what was told and counted of requests that lie in the store from now on: an
+// syncView forgets what was told and counted of requests that lie in the store from now on: an
 // operator lifts their refusal there.
-func (p *poisoned) settle(view *feed.View) {
+func (p *poisonRegistry) syncView(view *feed.View) {
 	if p.view == view {
 		return
 	}
@@ -93,19 +93,19 @@
 		p.marks.Delete(digest)
 		p.ledger.Clear(digest)
 		delete(p.details, digest)
-		p.stop(digest)
+		p.cancelRunning(digest)
 	}
 }
 
-// stop ends the attempts of a request that are in progress.
-func (p *poisoned) stop(digest string) {
+// cancelRunning ends the attempts of a request that are in progress.
+func (p *poisonRegistry) cancelRunning(digest string) {
 	for one := range p.running[digest] {
 		one.cancel(errPoison(digest))
 	}
 }
 
 // mark is what is held of a request.
-func (p *poisoned) mark(digest string) poison.Mark {
+func (p *poisonRegistry) mark(digest string) poison.Mark {
 	if p.stored(digest) {
 		return poison.Refused
 	}
@@ -113,32 +113,32 @@
 }
 
 // stored reports whether the refusal of a request lies in the store.
-func (p *poisoned) stored(digest string) bool {
+func (p *poisonRegistry) stored(digest string) bool {
 	_, ok := p.view.Refused[digest]
 	return ok
 }
 
-// ended counts the end of a server under a request here and at the request's keepers.
-func (p *poisoned) ended(ctx context.Context, in *inbound, life routing.Life) {
+// recordCrash counts the end of a server under a request here and at the request's keepers.
+func (p *poisonRegistry) recordCrash(ctx context.Context, in *inbound, life routing.Life) {
 	for _, digest := range in.digests {
 		q := &peerpb.EndedRequest{Digest: digest, Server: life.ID, Born: life.Born, Account: in.accountName(), Route: in.routeName()}
-		p.count(q)
+		p.countCrash(q)
 		p.toKeepers(digest, func(vm routing.VM) {
-			reply, err := request(ctx, p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Ended, q, poisonTimeout)
+			reply, err := callPeer(ctx, p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Ended, q, poisonTimeout)
 			if err == nil {
-				p.told(reply.GetRequest(), markOf(reply.GetMark()))
+				p.observeMark(reply.GetRequest(), markOf(reply.GetMark()))
 			}
 		})
 	}
 }
 
-// count records the end of a server under a request, and marks the request by all that is
+// countCrash records the end of a server under a request, and marks the request by all that is
 // counted here.
-func (p *poisoned) count(q *peerpb.EndedRequest) {
+func (p *poisonRegistry) countCrash(q *peerpb.EndedRequest) {
 	digest, life := q.GetDigest(), routing.Life{ID: q.GetServer(), Born: q.GetBorn()}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.settle(p.h.opts.Feed.View())
+	p.syncView(p.h.opts.Feed.View())
 	if p.stored(digest) {
 		return
 	}
@@ -164,7 +164,7 @@
 }
 
 // trim forgets the details of requests that nothing is known of any more.
-func (p *poisoned) trim() {
+func (p *poisonRegistry) trim() {
 	if len(p.details) <= poison.MaxTrackedRequests {
 		return
 	}
@@ -176,20 +176,20 @@
 
 // raise sets a mark, and ends the requests in progress that are refused now. It reports
 // whether the mark is new here.
-func (p *poisoned) raise(one *peerpb.Poisonous, mark poison.Mark) bool {
+func (p *poisonRegistry) raise(one *peerpb.Poisonous, mark poison.Mark) bool {
 	digest := one.GetDigest()
 	if mark == poison.Unmarked || !p.marks.Raise(time.Now(), digest, mark) {
 		return false
 	}
 	p.h.metrics.poisonMarks.WithLabelValues(mark.String()).Inc()
 	if mark == poison.Refused {
-		p.stop(digest)
+		p.cancelRunning(digest)
 	}
 	return true
 }
 
-// told takes in what another daemon says of a request.
-func (p *poisoned) told(one *peerpb.Poisonous, mark poison.Mark) {
+// observeMark takes in what another daemon says of a request.
+func (p *poisonRegistry) observeMark(one *peerpb.Poisonous, mark poison.Mark) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	digest := one.GetDigest()
@@ -197,7 +197,7 @@
 		p.forget(digest)
 		return
 	}
-	p.settle(p.h.opts.Feed.View())
+	p.syncView(p.h.opts.Feed.View())
 	if p.stored(digest) || !p.raise(one, mark) {
 		return
 	}
@@ -205,25 +205,25 @@
 	p.h.opts.Log.Emit(event.PoisonTold, digest, one.GetAccount(), one.GetRoute(), mark.String(), one.GetServers())
 }
 
-// whole clears a request of which an answer is whole: other answers beside it ended its
+// recordCompletion clears a request of which an answer is whole: other answers beside it ended its
 // servers.
-func (p *poisoned) whole(in *inbound) {
+func (p *poisonRegistry) recordCompletion(in *inbound) {
 	for _, digest := range in.digests {
-		if !p.clear(digest) {
+		if !p.clearCounts(digest) {
 			continue
 		}
 		p.h.opts.Log.Emit(event.PoisonCleared, in.call.ID, digest)
 		p.toKeepers(digest, func(vm routing.VM) {
 			q := &peerpb.ClearedRequest{Digest: digest}
 			// A failure is logged by judge; the next whole answer clears the request there.
-			_, _ = request(context.Background(), p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Cleared, q, poisonTimeout)
+			_, _ = callPeer(context.Background(), p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Cleared, q, poisonTimeout)
 		})
 	}
 }
 
-// clear forgets what is counted of a request and that it is watched, which the other daemons
+// clearCounts forgets what is counted of a request and that it is watched, which the other daemons
 // are told. It reports whether there was anything.
-func (p *poisoned) clear(digest string) bool {
+func (p *poisonRegistry) clearCounts(digest string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	counted, watched := p.forget(digest)
@@ -235,7 +235,7 @@
 
 // forget forgets what is counted of a request and that it is watched. It reports whether either
 // was so. The caller holds the lock.
-func (p *poisoned) forget(digest string) (counted, watched bool) {
+func (p *poisonRegistry) forget(digest string) (counted, watched bool) {
 	counted, watched = p.ledger.Clear(digest), p.marks.ClearWatched(digest)
 	if counted || watched {
 		delete(p.details, digest)
--- a/serve/forward/poisonfleet.go
+++ b/serve/forward/poisonfleet.go
@@ -25,7 +25,7 @@
 )
 
 // toKeepers calls tell for each keeper of a request but this daemon.
-func (p *poisoned) toKeepers(digest string, tell func(routing.VM)) {
+func (p *poisonRegistry) toKeepers(digest string, tell func(routing.VM)) {
 	if p.h.neighbours.dialer == nil {
 		return
 	}
@@ -39,18 +39,18 @@
 
 // spread tells all other daemons of a request. One that does not hear of it learns of a
 // refusal from the store, or from a keeper when it counts the end of a server itself.
-func (p *poisoned) spread(q *peerpb.MarkedRequest) {
+func (p *poisonRegistry) spread(q *peerpb.MarkedRequest) {
 	p.h.neighbours.tellAll(p.h.opts.Feed.View(), func(ctx context.Context, vm routing.VM) error {
-		_, err := request(ctx, p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Marked, q, poisonTimeout)
+		_, err := callPeer(ctx, p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Marked, q, poisonTimeout)
 		return err
 	})
 }
 
-// learn asks some daemons for the marks that they were told.
+// fetchMarks asks some daemons for the marks that they were told.
 //
 // The failure it guards against: a request is refused while the store is away, and a daemon
 // that starts reads the store's state of before from a neighbour.
-func (p *poisoned) learn(ctx context.Context) {
+func (p *poisonRegistry) fetchMarks(ctx context.Context) {
 	if p.h.neighbours.dialer == nil {
 		return
 	}
@@ -58,12 +58,12 @@
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	for _, vm := range peers[:min(marksAsked, len(peers))] {
 		go func() {
-			reply, err := request(ctx, p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Marks, &peerpb.MarksRequest{}, poisonTimeout)
+			reply, err := callPeer(ctx, p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Marks, &peerpb.MarksRequest{}, poisonTimeout)
 			if err != nil {
 				return // it is logged by judge
 			}
 			for _, one := range reply.GetRefused() {
-				p.told(one, poison.Refused)
+				p.observeMark(one, poison.Refused)
 			}
 		}()
 	}
@@ -81,23 +81,23 @@
 }
 
 // poisonTelling implements peerpb.Poison.
-type poisonTelling struct{ p *poisoned }
+type poisonTelling struct{ p *poisonRegistry }
 
 // Ended implements peerpb.Poison.
 func (t poisonTelling) Ended(_ context.Context, q *peerpb.EndedRequest) (*peerpb.EndedReply, error) {
-	t.p.count(q)
-	return t.p.held(q.GetDigest()), nil
+	t.p.countCrash(q)
+	return t.p.status(q.GetDigest()), nil
 }
 
 // Cleared implements peerpb.Poison.
 func (t poisonTelling) Cleared(_ context.Context, q *peerpb.ClearedRequest) (*peerpb.ClearedReply, error) {
-	t.p.clear(q.GetDigest())
+	t.p.clearCounts(q.GetDigest())
 	return &peerpb.ClearedReply{}, nil
 }
 
 // Marked implements peerpb.Poison.
 func (t poisonTelling) Marked(_ context.Context, q *peerpb.MarkedRequest) (*peerpb.MarkedReply, error) {
-	t.p.told(q.GetRequest(), markOf(q.GetMark()))
+	t.p.observeMark(q.GetRequest(), markOf(q.GetMark()))
 	return &peerpb.MarkedReply{}, nil
 }
 
@@ -113,8 +113,8 @@
 	return reply, nil
 }
 
-// held is what is known here of a request.
-func (p *poisoned) held(digest string) *peerpb.EndedReply {
+// status is what is known here of a request.
+func (p *poisonRegistry) status(digest string) *peerpb.EndedReply {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	one := p.details[digest]
@@ -124,8 +124,8 @@
 	return &peerpb.EndedReply{Request: one, Mark: peerpb.Mark(p.mark(digest))}
 }
 
-// Poisoned returns the twirp service that other daemons call, and its path prefix.
-func (h *Handler) Poisoned() (prefix string, handler http.Handler) {
+// PoisonService returns the twirp service that other daemons call, and its path prefix.
+func (h *Handler) PoisonService() (prefix string, handler http.Handler) {
 	s := peerpb.NewPoisonServer(poisonTelling{h.poisoned})
 	return s.PathPrefix(), s
 }
--- a/serve/forward/poisonstore.go
+++ b/serve/forward/poisonstore.go
@@ -21,7 +21,7 @@
 )
 
 // rouse has run look at what is pending.
-func (p *poisoned) rouse() {
+func (p *poisonRegistry) rouse() {
 	select {
 	case p.roused <- struct{}{}:
 	default:
@@ -30,10 +30,10 @@
 
 // run asks other daemons what they were told, once some are known, and writes refusals to
 // the store until ctx ends.
-func (p *poisoned) run(ctx context.Context) {
+func (p *poisonRegistry) run(ctx context.Context) {
 	select {
 	case <-p.h.opts.Feed.Known():
-		p.learn(ctx)
+		p.fetchMarks(ctx)
 	case <-ctx.Done():
 	}
 	look := time.NewTicker(settleEvery)
@@ -41,12 +41,12 @@
 	for {
 		select {
 		case <-p.roused:
-			if !p.write(ctx) {
+			if !p.writePending(ctx) {
 				time.AfterFunc(writeAgain/2+rand.N(writeAgain), p.rouse)
 			}
 		case <-look.C:
 			p.mu.Lock()
-			p.settle(p.h.opts.Feed.View())
+			p.syncView(p.h.opts.Feed.View())
 			p.mu.Unlock()
 		case <-ctx.Done():
 			return
@@ -54,8 +54,8 @@
 	}
 }
 
-// write writes what is pending to the store. It reports whether nothing is pending any more.
-func (p *poisoned) write(ctx context.Context) bool {
+// writePending writes what is pending to the store. It reports whether nothing is pending any more.
+func (p *poisonRegistry) writePending(ctx context.Context) bool {
 	p.mu.Lock()
 	pending := slices.Collect(maps.Values(p.pending))
 	p.mu.Unlock()
--- a/serve/forward/pressure.go
+++ b/serve/forward/pressure.go
@@ -26,109 +26,109 @@
 
 func newPressure() *pressure { return &pressure{services: map[string]*servicePressure{}} }
 
-// on locks what is known of a service; the caller unlocks it.
-func (p *pressure) on(service string) *servicePressure {
+// lockService locks what is known of a service; the caller unlocks it.
+func (p *pressure) lockService(service string) *servicePressure {
 	p.mu.Lock()
 	return getOrCreate(p.services, service)
 }
 
-// hopeless reports whether a prompt cannot be read in the time that is left.
-func (p *pressure) hopeless(service string, tokens int, left time.Duration) bool {
+// isPrefillTooLate reports whether a prompt cannot be read in the time that is left.
+func (p *pressure) isPrefillTooLate(service string, tokens int, left time.Duration) bool {
 	defer p.mu.Unlock()
-	return p.on(service).pace.Hopeless(tokens, left)
+	return p.lockService(service).pace.Hopeless(tokens, left)
 }
 
-// unfinishable reports whether an answer cannot be whole in the time that is left, where
+// isAnswerTooLate reports whether an answer cannot be whole in the time that is left, where
 // its prompt is still to be read or not.
-func (p *pressure) unfinishable(service string, c Call, unread bool, left time.Duration) bool {
+func (p *pressure) isAnswerTooLate(service string, c Call, unread bool, left time.Duration) bool {
 	defer p.mu.Unlock()
-	return p.on(service).pace.Unfinishable(c.PromptTokens, unread, c.LastEventID, left)
+	return p.lockService(service).pace.Unfinishable(c.PromptTokens, unread, c.LastEventID, left)
 }
 
-// knows reports whether enough answers were seen to tell which cannot be whole in time.
-func (p *pressure) knows(service string) bool {
+// hasEstimates reports whether enough answers were seen to tell which cannot be whole in time.
+func (p *pressure) hasEstimates(service string) bool {
 	defer p.mu.Unlock()
-	return p.on(service).pace.Knows()
+	return p.lockService(service).pace.Knows()
 }
 
 // learned is what was learned of the engines of a service, here and from others.
 func (p *pressure) learned(service string) prompts.Learned {
 	defer p.mu.Unlock()
-	return p.on(service).pace.Learned()
+	return p.lockService(service).pace.Learned()
 }
 
-// hear takes in what another daemon learned.
-func (p *pressure) hear(service string, l prompts.Learned) {
+// mergeEstimates takes in what another daemon learned.
+func (p *pressure) mergeEstimates(service string, l prompts.Learned) {
 	defer p.mu.Unlock()
-	p.on(service).pace.Hear(l)
+	p.lockService(service).pace.Hear(l)
 }
 
-// made records a whole answer: the ids of its events from first to last are counted, and
+// recordAnswer records a whole answer: the ids of its events from first to last are counted, and
 // the time that those after the first took.
-func (p *pressure) made(service string, events int64, took time.Duration) {
+func (p *pressure) recordAnswer(service string, events int64, took time.Duration) {
 	defer p.mu.Unlock()
-	p.on(service).pace.Made(events, took)
+	p.lockService(service).pace.Made(events, took)
 }
 
-// asked records that a prompt is to be read.
-func (p *pressure) asked(service string, tokens int) {
+// recordPrompt records that a prompt is to be read.
+func (p *pressure) recordPrompt(service string, tokens int) {
 	defer p.mu.Unlock()
-	p.on(service).pace.Asked(tokens)
+	p.lockService(service).pace.Asked(tokens)
 }
 
-// wasRead records the time that a prompt took to its first event.
-func (p *pressure) wasRead(service string, tokens int, took time.Duration) {
+// recordPrefill records the time that a prompt took to its first event.
+func (p *pressure) recordPrefill(service string, tokens int, took time.Duration) {
 	defer p.mu.Unlock()
-	p.on(service).pace.Observe(tokens, took)
+	p.lockService(service).pace.Observe(tokens, took)
 }
 
-// ended records how long an answer took.
-func (p *pressure) ended(service string, took time.Duration) {
+// recordDuration records how long an answer took.
+func (p *pressure) recordDuration(service string, took time.Duration) {
 	defer p.mu.Unlock()
-	p.on(service).pace.Ended(took)
+	p.lockService(service).pace.Ended(took)
 }
 
 // admit decides whether a prompt is sent to an engine that reports r.
 func (p *pressure) admit(service string, r prompts.Report, tokens int, due time.Duration) prompts.Admission {
 	defer p.mu.Unlock()
-	return p.on(service).pace.Admit(r, tokens, due)
+	return p.lockService(service).pace.Admit(r, tokens, due)
 }
 
-// due is how long the first event of a request may still take.
-func (p *pressure) due(service string, in *inbound, left time.Duration) time.Duration {
+// firstEventBudget is how long the first event of a request may still take.
+func (p *pressure) firstEventBudget(service string, in *inbound, left time.Duration) time.Duration {
 	defer p.mu.Unlock()
-	return p.on(service).pace.Due(in.call.PromptTokens, in.route.Objective, in.route.Timeout, left)
+	return p.lockService(service).pace.Due(in.call.PromptTokens, in.route.Objective, in.route.Timeout, left)
 }
 
-// refused records that a prompt is refused for want of room. It returns for how long
+// recordRefusal records that a prompt is refused for want of room. It returns for how long
 // that has been so, and how long answers take.
-func (p *pressure) refused(now time.Time, service string) (lasted, answer time.Duration) {
+func (p *pressure) recordRefusal(now time.Time, service string) (lasted, answer time.Duration) {
 	defer p.mu.Unlock()
-	s := p.on(service)
+	s := p.lockService(service)
 	return s.refusing.Extend(now), s.pace.Answer()
 }
 
-// throttled reports whether a call is refused because the servers turn calls away,
+// throttle reports whether a call is refused because the servers turn calls away,
 // and how long that has been so.
-func (p *pressure) throttled(now time.Time, service string) (lasted time.Duration, refused bool) {
+func (p *pressure) throttle(now time.Time, service string) (lasted time.Duration, refused bool) {
 	defer p.mu.Unlock()
-	s := p.on(service)
+	s := p.lockService(service)
 	if !s.throttle.ShouldRefuse(now, rand.Float64()) {
 		return 0, false
 	}
 	return s.refusing.Extend(now), true
 }
 
-// turnsAway reports whether the servers of a service turn calls away now.
-func (p *pressure) turnsAway(now time.Time, service string) bool {
+// isRejecting reports whether the servers of a service turn calls away now.
+func (p *pressure) isRejecting(now time.Time, service string) bool {
 	defer p.mu.Unlock()
-	return p.on(service).throttle.IsRefusing(now)
+	return p.lockService(service).throttle.IsRefusing(now)
 }
 
-// fate records what became of a call: taken by a server, or turned away by all tried.
-func (p *pressure) fate(now time.Time, service string, taken bool) {
+// recordCall records what became of a call: taken by a server, or turned away by all tried.
+func (p *pressure) recordCall(now time.Time, service string, taken bool) {
 	defer p.mu.Unlock()
-	s := p.on(service)
+	s := p.lockService(service)
 	if taken {
 		s.throttle.RecordAccepted(now)
 		return
--- a/serve/forward/questions.go
+++ b/serve/forward/questions.go
@@ -10,48 +10,48 @@
 	"mallowwind.dev/control/routing"
 )
 
-// questions are those that one choice asks of engines, and what they show of the engines
+// probeRound are those that one choice asks of engines, and what they show of the engines
 // that do not answer.
 //
 // The failure it guards against: the link of the VM is held up for a second, no engine
 // answers, and the daemon takes dozens of engines for dead that work. It chooses among
 // suspects only for seconds after. It holds because an engine that does not answer in time
 // is suspect only where the way to another has worked for a question of the same choice.
-type questions struct {
-	h      *Handler
-	mu     sync.Mutex
-	works  bool // the way to an engine works
-	silent []routing.Server
+type probeRound struct {
+	h         *Handler
+	mu        sync.Mutex
+	linkWorks bool // the way to an engine works
+	silent    []routing.Server
 }
 
-func (h *Handler) questions() *questions { return &questions{h: h} }
+func (h *Handler) newProbeRound() *probeRound { return &probeRound{h: h} }
 
-// ask asks an engine for a sign of life.
-func (q *questions) ask(ctx context.Context, s routing.Server, limit time.Duration) (Report, error) {
+// probe asks an engine for a sign of life.
+func (q *probeRound) probe(ctx context.Context, s routing.Server, limit time.Duration) (Report, error) {
 	report, err := q.h.probe(ctx, s, limit)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	switch {
 	case err == nil, errors.Is(err, errRestarted): // a later life is as good as any
-		q.works = true
+		q.linkWorks = true
 	case ctx.Err() != nil: // the question was ended from here
 	case isTimeout(err):
 		q.silent = append(q.silent, s)
 	default:
-		q.works = true
-		q.h.pool.failed(time.Now(), s)
+		q.linkWorks = true
+		q.h.pool.recordFailure(time.Now(), s)
 	}
 	return report, err
 }
 
-// judge makes the engines suspect that were silent while the way to another worked.
-func (q *questions) judge() {
+// markSilent makes the engines suspect that were silent while the way to another worked.
+func (q *probeRound) markSilent() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if !q.works {
+	if !q.linkWorks {
 		return
 	}
 	for _, s := range q.silent {
-		q.h.pool.failed(time.Now(), s)
+		q.h.pool.recordFailure(time.Now(), s)
 	}
 }
--- a/serve/forward/silent_test.go
+++ b/serve/forward/silent_test.go
@@ -17,21 +17,21 @@
 var noRetries = repeats.Policy{Window: 10 * time.Second}
 
 // setRetryBudget replaces the fleet's budget of repeats, with the daemon's part of the slack.
-func (w *world) setRetryBudget(rule repeats.Policy) {
+func (w *testCluster) setRetryBudget(rule repeats.Policy) {
 	w.handler.pool.mu.Lock()
 	defer w.handler.pool.mu.Unlock()
-	w.handler.pool.rule, w.handler.pool.began = rule, time.Now().Add(-rule.Window)
+	w.handler.pool.retryRule, w.handler.pool.startedAt = rule, time.Now().Add(-rule.Window)
 	clear(w.handler.pool.budgets)
 }
 
 // askMany sends n streams a moment apart and returns what their callers got.
-func (w *world) askMany(n int) []answer {
-	got := make([]answer, n)
+func (w *testCluster) askMany(n int) []response {
+	got := make([]response, n)
 	var all sync.WaitGroup
 	for i := range n {
 		all.Go(func() {
 			time.Sleep(time.Duration(i) * 5 * time.Millisecond)
-			got[i] = w.ask(http.MethodPost, "/s/1", with(map[string]string{hID: fmt.Sprintf("r%d", i)}), "prompt")
+			got[i] = w.request(http.MethodPost, "/s/1", withHeaders(map[string]string{hID: fmt.Sprintf("r%d", i)}), "prompt")
 		})
 	}
 	all.Wait()
@@ -39,10 +39,10 @@
 }
 
 // totalRequests is how many requests all servers were asked to run.
-func (w *world) totalRequests() int {
+func (w *testCluster) totalRequests() int {
 	n := 0
 	for _, s := range w.servers {
-		n += s.requests()
+		n += s.requestCount()
 	}
 	return n
 }
@@ -53,12 +53,12 @@
 // budget affords no further repeat. Evidence: the engine's run ended well 0.6 s before the
 // engine with the copy was asked, and the caller's connection was closed half a second later.
 func TestSilentAnswerWhoseCopyIsGone(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		handle := withCopyReleased(0, 600*time.Millisecond)
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
 		w.setRetryBudget(repeats.Policy{Slack: 1.2, Window: 10 * time.Second}) // one repeat
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(1, 20), got.body)
 	})
@@ -98,18 +98,18 @@
 // later and the caller waits for two. Evidence: 744 repeats denied in 90 s of restarts, each
 // of which ended an answer.
 func TestSilentAnswerGoesOnOnceARepeatIsFree(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		handle := streaming(40, time.Second, 40*time.Millisecond)
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		handle := streamEvents(40, time.Second, 40*time.Millisecond)
 		a := w.add("e-a", "llm", "a", handle)
 		b := w.add("e-b", "llm", "b", handle)
 		w.setRetryBudget(repeats.Policy{Slack: 1.2, Window: 1500 * time.Millisecond})
-		w.during(func() {
+		w.background(func() {
 			time.Sleep(1500 * time.Millisecond)
-			runner, _ := roles(a, b)
+			runner, _ := runnerAndHolder(a, b)
 			runner.listener.Stall()
 			w.handler.pool.tryTakeRetry(time.Now(), "llm") // another stream's
 		})
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(1, 40), got.body)
 		must.Less(w.t, 5*time.Second, got.took)
@@ -123,27 +123,27 @@
 func TestSilentRunEndsOnceAnotherHasTheRequest(t *testing.T) {
 	for _, alive := range []bool{false, true} {
 		t.Run(fmt.Sprint("gives a sign of life: ", alive), func(t *testing.T) {
-			inWorld(t, streamRoute(), func(w *world) {
+			withTestCluster(t, streamRoute(), func(w *testCluster) {
 				asked, began, ended := make(chan time.Time, 1), make(chan time.Time, 1), make(chan time.Time, 1)
 				handle := func(rw http.ResponseWriter, r *http.Request) {
 					if r.Header.Get(hCopyAt) != "" {
 						asked <- time.Now()
 						sleep(r, time.Second)
 						began <- time.Now()
-						streaming(20, 0, 40*time.Millisecond)(rw, r)
+						streamEvents(20, 0, 40*time.Millisecond)(rw, r)
 						return
 					}
 					rw.Header().Set(hProof, "p")
 					writeEvent(rw, 1)
 					if !alive {
-						w.servers[r.Header.Get(hServer)].mute()
+						w.servers[r.Header.Get(hServer)].failStatus()
 					}
 					<-r.Context().Done()
 					ended <- time.Now()
 				}
 				w.add("e-a", "llm", "a", handle)
 				w.add("e-b", "llm", "b", handle)
-				got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+				got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 				must.NoError(w.t, got.err)
 				must.Eq(w.t, events(1, 20), got.body)
 				from := <-asked
@@ -159,7 +159,7 @@
 // A silent engine speaks again while the one with the copy has the request already. The
 // answer stays where it was, the caller has each event once, and the second run is ended.
 func TestSilentEngineSpeaksAgain(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		ended := make(chan struct{})
 		handle := func(rw http.ResponseWriter, r *http.Request) {
 			if r.Header.Get(hCopyAt) == "" {
@@ -168,18 +168,18 @@
 			}
 			defer close(ended)
 			sleep(r, 150*time.Millisecond)
-			streaming(20, 0, 40*time.Millisecond)(rw, r)
+			streamEvents(20, 0, 40*time.Millisecond)(rw, r)
 		}
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(t, got.err)
 		must.Eq(t, events(1, 20), got.body)
 		<-ended
 		for _, s := range w.servers {
-			must.Eq(t, 1, s.requests())
-			must.Eq(t, 0, w.handler.pool.work(w.feed.View(), "llm")[s.server.Life()].running)
-			must.Eq(t, 0, w.handler.pool.work(w.feed.View(), "llm")[s.server.Life()].reading)
+			must.Eq(t, 1, s.requestCount())
+			must.Eq(t, 0, w.handler.pool.localWork(w.feed.View(), "llm")[s.server.Life()].running)
+			must.Eq(t, 0, w.handler.pool.localWork(w.feed.View(), "llm")[s.server.Life()].prefilling)
 		}
 	})
 }
@@ -187,15 +187,15 @@
 // An engine goes dark while others answer. It is suspect then, so that the next callers do
 // not wait for it.
 func TestEngineThatIsSilentAloneIsSuspect(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		for _, id := range []string{"a", "b", "c"} {
-			w.add("e-"+id, "llm", id, streaming(3, 10*time.Millisecond, 10*time.Millisecond))
+			w.add("e-"+id, "llm", id, streamEvents(3, 10*time.Millisecond, 10*time.Millisecond))
 		}
 		dark := w.servers["e-a"]
 		dark.listener.Stall()
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.Eq(t, events(1, 3), got.body)
-		must.True(t, w.handler.pool.suspect(time.Now(), dark.server.Life()))
+		must.True(t, w.handler.pool.isSuspect(time.Now(), dark.server.Life()))
 	})
 }
 
@@ -203,12 +203,12 @@
 // is busy. The silent engine pauses for 900 ms and gives signs of life. A daemon that lets go
 // of it meanwhile has no repeat left, and the caller sees its answer cut.
 func TestSilentAnswerTurnedAwayLate(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		handle := withCopyReleased(300*time.Millisecond, 900*time.Millisecond)
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
 		w.setRetryBudget(repeats.Policy{Slack: 1.2, Window: 10 * time.Second}) // one repeat
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(1, 20), got.body)
 	})
@@ -220,19 +220,19 @@
 func TestCallerOfADeadEngineIsTold(t *testing.T) {
 	route := streamRoute()
 	route[0].Attempts = 1
-	inWorld(t, route, func(w *world) {
+	withTestCluster(t, route, func(w *testCluster) {
 		for _, id := range []string{"a", "b", "c"} {
-			w.add("e-"+id, "llm", id, streaming(60, 100*time.Millisecond, 40*time.Millisecond))
+			w.add("e-"+id, "llm", id, streamEvents(60, 100*time.Millisecond, 40*time.Millisecond))
 		}
-		w.during(func() {
+		w.background(func() {
 			time.Sleep(time.Second)
 			for _, s := range w.servers {
-				if s.requests() > 0 {
+				if s.requestCount() > 0 {
 					s.listener.Stall()
 				}
 			}
 		})
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.Error(w.t, got.err)
 		must.Less(w.t, 5*time.Second, got.took)
 	})
@@ -242,24 +242,24 @@
 // engine has been chosen. The request that was not sent must not stay counted as one that the
 // next engine reads, or prompts avoid that engine until the daemon ends.
 func TestCountsOfATryThatWasNotNeeded(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		handle := func(rw http.ResponseWriter, r *http.Request) { pausing(rw, r, 360*time.Millisecond) }
 		for _, id := range []string{"a", "b", "c"} {
 			w.add("e-"+id, "llm", id, handle)
 		}
-		link := w.dialsThrough()
-		w.during(func() {
+		link := w.gateDials()
+		w.background(func() {
 			time.Sleep(712 * time.Millisecond) // the tenth event came at 360 ms
-			link.shut(200 * time.Millisecond)
+			link.block(200 * time.Millisecond)
 		})
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(1, 20), got.body)
 		must.Eq(w.t, 1, w.totalRequests())
 		time.Sleep(time.Second)
 		for _, s := range w.servers {
 			one := w.handler.pool.loads[s.server.Life()]
-			must.Eq(w.t, [3]int{}, [3]int{one.reading, one.running, one.copies}, must.Sprint(s.server.ID))
+			must.Eq(w.t, [3]int{}, [3]int{one.prefilling, one.running, one.replicas}, must.Sprint(s.server.ID))
 		}
 	})
 }
@@ -270,14 +270,14 @@
 func TestLostAnswerThatCannotGoOnIsTold(t *testing.T) {
 	route := streamRoute()
 	route[0].Attempts = 1
-	inWorld(t, route, func(w *world) {
+	withTestCluster(t, route, func(w *testCluster) {
 		handle := func(_ http.ResponseWriter, r *http.Request) {
-			w.servers[r.Header.Get(hServer)].reports(r.Header.Get(hID))
+			w.servers[r.Header.Get(hServer)].setRuns(r.Header.Get(hID))
 			sleep(r, time.Hour)
 		}
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.Less(w.t, 5*time.Second, got.took)
 	})
 }
@@ -287,11 +287,11 @@
 // held until its time is over.
 func TestDarkEngineWhileAllOthersTurnAway(t *testing.T) {
 	for _, n := range []int{2, 4, 7} {
-		inWorld(t, streamRoute(), func(w *world) {
+		withTestCluster(t, streamRoute(), func(w *testCluster) {
 			var begun atomic.Int32
 			handle := func(rw http.ResponseWriter, r *http.Request) {
 				if begun.Add(1) == 1 {
-					streaming(60, 100*time.Millisecond, 40*time.Millisecond)(rw, r)
+					streamEvents(60, 100*time.Millisecond, 40*time.Millisecond)(rw, r)
 					return
 				}
 				rw.Header().Set(hNotRun, "1")
@@ -300,15 +300,15 @@
 			for _, id := range []string{"a", "b", "c", "d", "e", "f", "g"}[:n] {
 				w.add("e-"+id, "llm", id, handle)
 			}
-			w.during(func() {
+			w.background(func() {
 				time.Sleep(time.Second)
 				for _, s := range w.servers {
-					if s.requests() > 0 {
+					if s.requestCount() > 0 {
 						s.listener.Stall()
 					}
 				}
 			})
-			got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+			got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 			if got.took > 5*time.Second {
 				t.Errorf("%d engines: held for %s", n, got.took)
 			}
@@ -319,15 +319,15 @@
 // The copy is gone and repeats are left. The engine with the copy is asked once and no more:
 // each further question is a repeat of the whole system spent in vain.
 func TestCopyThatIsGoneIsAskedForOnce(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		handle := withCopyReleased(0, 600*time.Millisecond)
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(w.t, got.err)
 		copies := map[string]int{}
 		for _, s := range w.servers {
-			for _, r := range s.asked() {
+			for _, r := range s.requests() {
 				copies[r.Header.Get(hCopyAt)]++
 			}
 		}
--- a/serve/forward/spare.go
+++ b/serve/forward/spare.go
@@ -27,55 +27,55 @@
 	dropTimeout = 500 * time.Millisecond
 )
 
-// kept is a copy of a run's memory.
-type kept struct {
+// replica is a copy of a run's memory.
+type replica struct {
 	at   choice // its server is zero if there is none
 	name string // by which the engine there finds it
-	// once says that it was made on demand. Unlike one that grows with its run it is
+	// onDemand says that it was made on demand. Unlike one that grows with its run it is
 	// not sent again to an engine that starts anew: it is lost with the life it lies at.
-	once bool
+	onDemand bool
 }
 
-// copyName is the name of a copy: of one that grows with its run the engine that
+// replicaName is the name of a copy: of one that grows with its run the engine that
 // keeps it and the request, of one made on demand the engine that ran the request
 // and the handle.
-func copyName(s routing.Server, id string) string { return s.Address + "/" + id }
+func replicaName(s routing.Server, id string) string { return s.Address + "/" + id }
 
-// spare makes another copy of a run whose first copy is lost.
+// replicator makes another copy of a run whose first copy is lost.
 //
 // The failure it answers: the engine that keeps the copy dies before the one that
 // runs the request. Nothing is seen of it until the second dies too; then the
 // prompt is read anew, for a second, and the caller's pause is too long. With a
 // loss of some engines every three seconds half of all copies were lost so.
-type spare struct {
+type replicator struct {
 	r      *relay
 	l      segment
 	mover  RunCopier
 	failed []routing.Life // engines that the run's request failed at before
 
 	// Used by run alone.
-	place choice    // where the copy lies, the first one to begin with
-	made  bool      // that copy was made here and is to be brought up to date
-	due   time.Time // of the next copying, or of the next search for a place
-	late  int       // copyings in a row that had no answer in time
-
-	used   atomic.Bool // the first copy was asked for
-	copied atomic.Pointer[kept]
-	handle atomic.Pointer[string] // frees the copy; nil if there is none
+	target     choice    // where the copy lies, the first one to begin with
+	madeHere   bool      // that copy was made here and is to be brought up to date
+	nextCopyAt time.Time // of the next copying, or of the next search for a place
+	timeouts   int       // copyings in a row that had no answer in time
+
+	firstUsed atomic.Bool // the first copy was asked for
+	remade    atomic.Pointer[replica]
+	handle    atomic.Pointer[string] // frees the copy; nil if there is none
 }
 
-// newSpare returns nil where engines cannot copy a run on demand.
-func (r *relay) newSpare(l segment) *spare {
+// newReplicator returns nil where engines cannot copy a run on demand.
+func (r *relay) newReplicator(l segment) *replicator {
 	mover, ok := r.h.opts.Codec.(RunCopier)
 	engine := r.h.opts.Feed.View().Config.Engine(r.service)
 	if !ok || engine == nil || !engine.Moves || !r.in.route.Resumable {
 		return nil
 	}
-	return &spare{r: r, l: l, mover: mover, failed: slices.Clone(r.excluded), place: l.copyTo}
+	return &replicator{r: r, l: l, mover: mover, failed: slices.Clone(r.excluded), target: l.copyTo}
 }
 
 // run looks after the copy until the leg ends.
-func (s *spare) run(ctx context.Context) {
+func (s *replicator) run(ctx context.Context) {
 	tick := time.NewTicker(spareEvery)
 	defer tick.Stop()
 	for {
@@ -83,36 +83,36 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			s.look(ctx, time.Now())
+			s.check(ctx, time.Now())
 		}
 	}
 }
 
-// look makes another copy where there is none, and brings one made here up to date.
-func (s *spare) look(ctx context.Context, now time.Time) {
-	lives := s.r.h.pool.lives(now, s.r.h.opts.Feed.View(), s.place) && (s.made || !s.used.Load())
-	if lives && !s.made {
+// check makes another copy where there is none, and brings one made here up to date.
+func (s *replicator) check(ctx context.Context, now time.Time) {
+	lives := s.r.h.pool.isHealthy(now, s.r.h.opts.Feed.View(), s.target) && (s.madeHere || !s.firstUsed.Load())
+	if lives && !s.madeHere {
 		return // the engine that runs the request keeps that copy itself
 	}
 	if !lives {
-		s.copied.Store(nil)
+		s.remade.Store(nil)
 	}
-	if now.Before(s.due) {
+	if now.Before(s.nextCopyAt) {
 		return
 	}
-	s.due = now.Add(s.refresh())
+	s.nextCopyAt = now.Add(s.refresh())
 	if !lives {
-		place, ok := s.r.copyPlace(ctx, s.l.target.server, s.failed)
+		place, ok := s.r.chooseReplicaEngine(ctx, s.l.target.server, s.failed)
 		if !ok {
 			return
 		}
-		s.place, s.made = place, true
+		s.target, s.madeHere = place, true
 	}
-	s.copy(ctx)
+	s.copyRun(ctx)
 }
 
 // refresh is the time between two copyings: well before an unused copy is freed.
-func (s *spare) refresh() time.Duration {
+func (s *replicator) refresh() time.Duration {
 	engine := s.r.h.opts.Feed.View().Config.Engine(s.r.service)
 	if engine == nil || engine.CopyKept <= 0 {
 		return spareRefresh
@@ -120,40 +120,40 @@
 	return min(spareRefresh, engine.CopyKept/3)
 }
 
-// copy has the run's memory copied to its place.
-func (s *spare) copy(ctx context.Context) {
+// copyRun has the run's memory copied to its place.
+func (s *replicator) copyRun(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, spareTimeout)
 	defer cancel()
-	handle, err := s.move(ctx, s.place.server)
+	handle, err := s.move(ctx, s.target.server)
 	if err != nil {
 		s.notCopied(ctx, err)
 		return
 	}
-	s.late = 0
-	if s.copied.Load() == nil {
+	s.timeouts = 0
+	if s.remade.Load() == nil {
 		s.r.h.metrics.copiesRemade.Inc()
-		s.r.h.opts.Log.Emit(event.CopyMade, s.r.in.call.ID, s.l.target.server.ID, s.place.server.ID)
+		s.r.h.opts.Log.Emit(event.CopyMade, s.r.in.call.ID, s.l.target.server.ID, s.target.server.ID)
 	}
 	s.handle.Store(&handle)
-	s.copied.Store(&kept{at: s.place, name: copyName(s.l.target.server, handle), once: true})
+	s.remade.Store(&replica{at: s.target, name: replicaName(s.l.target.server, handle), onDemand: true})
 }
 
 // notCopied judges a copying that failed. The copy before still lies there; one call without
 // an answer in time may be due to the link from here, a second one is due to an engine.
-func (s *spare) notCopied(ctx context.Context, err error) {
+func (s *replicator) notCopied(ctx context.Context, err error) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return // the leg has ended
 	}
-	s.r.h.opts.Log.Emit(event.CopyFailed, s.r.in.call.ID, s.l.target.server.ID, s.place.server.ID, err)
+	s.r.h.opts.Log.Emit(event.CopyFailed, s.r.in.call.ID, s.l.target.server.ID, s.target.server.ID, err)
 	if isTimeout(err) {
-		if s.late++; s.late < maxFailedProbes {
+		if s.timeouts++; s.timeouts < maxFailedProbes {
 			return
 		}
 	}
-	s.place, s.late = choice{}, 0 // another place next time
+	s.target, s.timeouts = choice{}, 0 // another place next time
 }
 
-func (s *spare) move(ctx context.Context, target routing.Server) (string, error) {
+func (s *replicator) move(ctx context.Context, target routing.Server) (string, error) {
 	path, body, err := s.mover.CopyRequest(s.r.in.call.ID, target.Address)
 	if err != nil {
 		return "", err
@@ -165,12 +165,12 @@
 	return s.mover.ParseCopyReply(answer)
 }
 
-// drop frees the copy of a run that has ended: it holds a place in the batch of
+// free frees the copy of a run that has ended: it holds a place in the batch of
 // its engine until then. An engine that has started anew since knows nothing of the
 // handle, or another copy by it.
-func (s *spare) drop() {
+func (s *replicator) free() {
 	handle := s.handle.Load()
-	_, same := s.r.h.pool.server(s.r.h.opts.Feed.View(), s.r.service, s.l.target.server.Life())
+	_, same := s.r.h.pool.findServer(s.r.h.opts.Feed.View(), s.r.service, s.l.target.server.Life())
 	if handle == nil || !same {
 		return
 	}
@@ -185,20 +185,20 @@
 	}()
 }
 
-// copyPlace chooses an engine for a copy of a run at another, one that gives a
+// chooseReplicaEngine chooses an engine for a copy of a run at another, one that gives a
 // sign of life, since the entry of an engine that died stays for seconds, and has
 // room: a copy takes as much memory as the run, and where memory runs out an engine
 // throws out runs. Under a load of three times the usual no copy is worth that.
-func (r *relay) copyPlace(ctx context.Context, at routing.Server, failed []routing.Life) (choice, bool) {
+func (r *relay) chooseReplicaEngine(ctx context.Context, at routing.Server, failed []routing.Life) (choice, bool) {
 	excluded := slices.Clone(failed)
-	asked := r.h.questions()
-	defer asked.judge()
+	asked := r.h.newProbeRound()
+	defer asked.markSilent()
 	for range maxCopyProbes {
-		c, ok := r.h.pool.copyPlace(time.Now(), r.h.opts.Feed.View(), at, excluded)
+		c, ok := r.h.pool.chooseReplicaEngine(time.Now(), r.h.opts.Feed.View(), at, excluded)
 		if !ok {
 			return choice{}, false
 		}
-		report, err := asked.ask(ctx, c.server, fastProbeTimeout)
+		report, err := asked.probe(ctx, c.server, fastProbeTimeout)
 		if err == nil && report.loadReport().Fits(r.in.call.PromptTokens) {
 			return c, true
 		}
--- a/serve/forward/spare_test.go
+++ b/serve/forward/spare_test.go
@@ -9,13 +9,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// running waits until one of the engines runs a request, and returns it with the
+// awaitRunner waits until one of the engines runs a request, and returns it with the
 // engine that keeps the copy and the others.
-func running(engines ...*fakeServer) (runner, holder, other *fakeServer) {
+func awaitRunner(engines ...*fakeServer) (runner, holder, other *fakeServer) {
 	time.Sleep(1500 * time.Millisecond)
 	to := ""
 	for _, e := range engines {
-		if asked := e.asked(); len(asked) > 0 {
+		if asked := e.requests(); len(asked) > 0 {
 			runner, to = e, asked[0].Header.Get(hCopyTo)
 		}
 	}
@@ -36,28 +36,28 @@
 // the prompt would be read anew, and the caller waits for it in mid-answer. A
 // second copy was made in time, and the answer goes on there.
 func TestLostCopyIsMadeAgain(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		handle := streaming(100, time.Second, 40*time.Millisecond)
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		handle := streamEvents(100, time.Second, 40*time.Millisecond)
 		a, b, c := w.add("e-a", "llm", "a", handle), w.add("e-b", "llm", "b", handle), w.add("e-c", "llm", "c", handle)
 		engines := make(chan [2]*fakeServer, 1)
 		go func() {
-			runner, holder, other := running(a, b, c)
+			runner, holder, other := awaitRunner(a, b, c)
 			engines <- [2]*fakeServer{runner, other}
 			w.crash(holder)
 			w.remove("server/" + holder.server.ID)
 			time.Sleep(2 * time.Second)
 			w.crash(runner)
 		}()
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(t, got.err)
 		must.Eq(t, events(1, 100), got.body)
 		must.Less(t, 6*time.Second, got.took)
 		e := <-engines
 		runner, other := e[0], e[1]
-		must.Eq(t, 1, other.requests())
-		at := other.asked()[0].Header.Get(hCopyAt)
+		must.Eq(t, 1, other.requestCount())
+		at := other.requests()[0].Header.Get(hCopyAt)
 		must.True(t, strings.HasPrefix(at, runner.server.Address+"/h"))
-		targets, _ := runner.copies()
+		targets, _ := runner.copyCalls()
 		must.Greater(t, 1, len(targets)) // brought up to date
 		for _, target := range targets {
 			must.Eq(t, other.server.Address, target)
@@ -70,22 +70,22 @@
 func TestCopyMadeAgainIsFreed(t *testing.T) {
 	for name, lost := range map[string]bool{"first copy lost": true, "first copy kept": false} {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, streamRoute(), func(w *world) {
-				handle := streaming(60, time.Second, 40*time.Millisecond)
+			withTestCluster(t, streamRoute(), func(w *testCluster) {
+				handle := streamEvents(60, time.Second, 40*time.Millisecond)
 				a, b, c := w.add("e-a", "llm", "a", handle), w.add("e-b", "llm", "b", handle), w.add("e-c", "llm", "c", handle)
 				runners := make(chan *fakeServer, 1)
 				go func() {
-					runner, holder, _ := running(a, b, c)
+					runner, holder, _ := awaitRunner(a, b, c)
 					runners <- runner
 					if lost {
 						w.crash(holder)
 						w.remove("server/" + holder.server.ID)
 					}
 				}()
-				got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+				got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 				must.Eq(t, events(1, 60), got.body)
 				time.Sleep(time.Second)
-				targets, dropped := (<-runners).copies()
+				targets, dropped := (<-runners).copyCalls()
 				must.Eq(t, lost, len(targets) > 0)
 				must.Eq(t, lost, len(dropped) == 1)
 			})
@@ -96,23 +96,23 @@
 // The engine chosen for the second copy has no room for it after all. Another is
 // asked a second later, so that the run is without a copy for no longer.
 func TestCopyThatFailsIsMadeElsewhere(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		handle := streaming(120, time.Second, 40*time.Millisecond)
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		handle := streamEvents(120, time.Second, 40*time.Millisecond)
 		engines := []*fakeServer{
 			w.add("e-a", "llm", "a", handle), w.add("e-b", "llm", "b", handle),
 			w.add("e-c", "llm", "c", handle), w.add("e-d", "llm", "c", handle),
 		}
 		runners := make(chan *fakeServer, 1)
 		go func() {
-			runner, holder, _ := running(engines...)
+			runner, holder, _ := awaitRunner(engines...)
 			runner.refuseCopies(1)
 			runners <- runner
 			w.crash(holder)
 			w.remove("server/" + holder.server.ID)
 		}()
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.Eq(t, events(1, 120), got.body)
-		targets, _ := (<-runners).copies()
+		targets, _ := (<-runners).copyCalls()
 		must.Greater(t, 1, len(targets))
 	})
 }
--- a/serve/forward/stream.go
+++ b/serve/forward/stream.go
@@ -46,7 +46,7 @@
 	headersSent bool  // headers and an event were released
 	lastEventID int64 // id of the last event released
 	// heldCopy is a copy of the present run.
-	heldCopy kept
+	heldCopy replica
 	// resetBy is the engine that reset the connection before the first event; it may
 	// live and hold the prompt. Its server is zero if there is none.
 	resetBy choice
@@ -94,11 +94,11 @@
 }
 
 // incrementalCopy is the copy that is kept while the run grows, if there is one.
-func (l segment) incrementalCopy(id string) kept {
+func (l segment) incrementalCopy(id string) replica {
 	if l.copyTo.load == nil {
-		return kept{}
+		return replica{}
 	}
-	return kept{at: l.copyTo, name: copyName(l.copyTo.server, id)}
+	return replica{at: l.copyTo, name: replicaName(l.copyTo.server, id)}
 }
 
 // segmentEnd says how a leg ended.
@@ -122,12 +122,12 @@
 func (h *Handler) forwardStream(ctx context.Context, w http.ResponseWriter, in *inbound, service string) error {
 	r := &relay{h: h, in: in, service: service, w: w, lastEventID: in.call.LastEventID, lastEventAt: time.Now()}
 	if in.call.LastEventID > 0 {
-		h.learnPace(ctx, service)
+		h.fetchPace(ctx, service)
 	}
 	if err := r.checkTimeLeft(in.call.LastEventID == 0); err != nil {
 		return err
 	}
-	h.pressure.asked(service, in.call.PromptTokens)
+	h.pressure.recordPrompt(service, in.call.PromptTokens)
 	defer func() {
 		if r.replacement != nil { // the caller left in that moment
 			r.replacement.end(segmentAborted)
@@ -142,7 +142,7 @@
 		r.finishAttempt(a, end, err)
 		switch end {
 		case segmentComplete:
-			h.pressure.ended(service, time.Since(in.arrived))
+			h.pressure.recordDuration(service, time.Since(in.arrived))
 			r.recordPace()
 			h.metrics.countAnswer(in, http.StatusOK, sourceServer)
 			return nil
@@ -164,7 +164,7 @@
 // checkTimeLeft returns an error where the answer cannot be whole in the time that is left.
 // unread says that its prompt has to be read first.
 func (r *relay) checkTimeLeft(unread bool) error {
-	if !r.h.pressure.unfinishable(r.service, r.in.call, unread, time.Until(r.in.deadline)) {
+	if !r.h.pressure.isAnswerTooLate(r.service, r.in.call, unread, time.Until(r.in.deadline)) {
 		return nil
 	}
 	return verdict.New(r.verdict(), verdict.CodeOverloaded, "the answer cannot be whole in the time that is left")
@@ -173,7 +173,7 @@
 // recordPace takes what a whole answer shows of the service. The ids of events count them.
 func (r *relay) recordPace() {
 	if r.in.call.LastEventID == 0 && r.sends == 1 {
-		r.h.pressure.made(r.service, r.lastEventID, r.lastEventAt.Sub(r.in.arrived)-r.timeToFirstEvent)
+		r.h.pressure.recordAnswer(r.service, r.lastEventID, r.lastEventAt.Sub(r.in.arrived)-r.timeToFirstEvent)
 	}
 }
 
@@ -207,18 +207,18 @@
 	}
 	view := r.h.opts.Feed.View()
 	if held := r.heldCopy; held.at.load != nil {
-		r.heldCopy = kept{}
+		r.heldCopy = replica{}
 		if c, ok := r.findCopyHolder(view, held); ok && r.tryAcquirePermit(ctx, c) {
-			r.h.pool.count(c, 1, 0, 0)
+			r.h.pool.addLoad(c, 1, 0, 0)
 			return r.withCopyTarget(ctx, segment{target: c, resumeFrom: held.name}), nil
 		}
 	}
 	if c, ok := r.retrySameEngine(ctx, view); ok && r.tryAcquirePermit(ctx, c) {
-		r.h.pool.count(c, 1, 0, 0)
+		r.h.pool.addLoad(c, 1, 0, 0)
 		return r.withCopyTarget(ctx, segment{target: c}), nil
 	}
 	if c, ok := r.findPromptHolder(ctx, now, view); ok && r.tryAcquirePermit(ctx, c) {
-		r.h.pool.count(c, 1, 0, 0)
+		r.h.pool.addLoad(c, 1, 0, 0)
 		return r.withCopyTarget(ctx, segment{target: c}), nil
 	}
 	if r.sends == 0 {
@@ -226,10 +226,10 @@
 			return segment{}, err
 		}
 	}
-	if r.h.pressure.hopeless(r.service, r.in.call.PromptTokens, r.in.deadline.Sub(now)) {
+	if r.h.pressure.isPrefillTooLate(r.service, r.in.call.PromptTokens, r.in.deadline.Sub(now)) {
 		return segment{}, verdict.New(r.verdict(), verdict.CodeOverloaded, "the prompt cannot be read in the time that is left")
 	}
-	if c, ok := r.placeDrawn(ctx, view); ok {
+	if c, ok := r.placeCanary(ctx, view); ok {
 		return r.withCopyTarget(ctx, segment{target: c}), nil
 	}
 	c, ok := r.placeWithPermit(ctx, view)
@@ -237,7 +237,7 @@
 		return segment{}, r.noServerError()
 	}
 	if err := r.admit(c); err != nil {
-		r.h.pool.count(c.choice, -1, 0, 0)
+		r.h.pool.addLoad(c.choice, -1, 0, 0)
 		return segment{}, err
 	}
 	blind := !c.answered && view.Config.Engine(r.service) != nil
@@ -251,7 +251,7 @@
 	owed := r.sends > 0 || r.in.call.LastEventID > 0
 	due = time.Until(r.in.deadline)
 	if !owed {
-		due = r.h.pressure.due(r.service, r.in, due)
+		due = r.h.pressure.firstEventBudget(r.service, r.in, due)
 	}
 	admission = r.h.pressure.admit(r.service, best.report, r.in.call.PromptTokens, due)
 	if owed && admission == prompts.NoRoom {
@@ -266,7 +266,7 @@
 	if admission == prompts.Admitted {
 		return nil
 	}
-	lasted, answer := r.h.pressure.refused(time.Now(), r.service)
+	lasted, answer := r.h.pressure.recordRefusal(time.Now(), r.service)
 	back := retryafter.AfterOverload(lasted, max(answer, r.in.route.Objective), rand.Float64())
 	r.h.metrics.overloadRefusals.WithLabelValues(admission.String()).Inc()
 	r.h.opts.Log.Emit(event.PromptRefused, r.in.call.ID, best.server.ID, admission.String(), r.in.call.PromptTokens,
@@ -300,7 +300,7 @@
 		if !ok || r.tryAcquirePermit(ctx, c.choice) {
 			return c, ok
 		}
-		r.h.pool.count(c.choice, -1, 0, 0)
+		r.h.pool.addLoad(c.choice, -1, 0, 0)
 	}
 	return sampledEngine{}, false
 }
@@ -308,24 +308,24 @@
 // tryAcquirePermit reports whether a request may be sent to an engine by the limit that it names. A
 // permit is for a request that is sent at once.
 func (r *relay) tryAcquirePermit(ctx context.Context, c choice) bool {
-	return r.h.limits.take(ctx, c.server)
+	return r.h.limits.acquire(ctx, c.server)
 }
 
 // noServerError says that no engine takes the request now.
 func (r *relay) noServerError() error {
-	if wait, limited := r.h.limits.full(r.service); limited && r.sends == 0 {
-		return r.h.rateLimitedError(r.in, r.service, r.verdict(), max(wait, r.h.pool.back(r.service)))
+	if wait, limited := r.h.limits.permitWait(r.service); limited && r.sends == 0 {
+		return r.h.rateLimitedError(r.in, r.service, r.verdict(), max(wait, r.h.pool.retryAfter(r.service)))
 	}
-	return verdict.New(r.verdict(), verdict.CodeNoBackend, "no engine takes the request").After(r.h.pool.back(r.service))
+	return verdict.New(r.verdict(), verdict.CodeNoBackend, "no engine takes the request").After(r.h.pool.retryAfter(r.service))
 }
 
 // findCopyHolder is the engine that holds a copy now. It may have started anew at its
 // address since the copy was asked for: the view shows that, or its own word. A copy
 // that grows with its run is sent on to the new life, one made on demand is gone.
-func (r *relay) findCopyHolder(view *feed.View, held kept) (choice, bool) {
+func (r *relay) findCopyHolder(view *feed.View, held replica) (choice, bool) {
 	at := held.at
-	if c, ok := r.h.pool.at(view, r.service, at.server.Address); ok && c.server.Life() != r.misdirectedLife {
-		if held.once && c.server.Life() != at.server.Life() {
+	if c, ok := r.h.pool.serverAt(view, r.service, at.server.Address); ok && c.server.Life() != r.misdirectedLife {
+		if held.onDemand && c.server.Life() != at.server.Life() {
 			return at, false
 		}
 		at = c
@@ -342,13 +342,13 @@
 	if last.load == nil || r.in.call.PromptKey == "" {
 		return choice{}, false
 	}
-	c, ok := r.h.pool.server(view, r.service, last.server.Life())
+	c, ok := r.h.pool.findServer(view, r.service, last.server.Life())
 	if !ok {
 		return choice{}, false // it leaves, or has started anew
 	}
 	ctx, cancel := context.WithTimeout(ctx, fastProbeTimeout)
 	defer cancel()
-	life, parts, err := r.h.cached(ctx, c.server)
+	life, parts, err := r.h.cachedParts(ctx, c.server)
 	c.reason = "same_again"
 	return c, err == nil && life == c.server.Life() && slices.Contains(parts, r.in.call.PromptKey)
 }
@@ -364,10 +364,10 @@
 		r.h.opts.Log.Emit(event.PromptLocated, r.in.call.ID, r.in.call.PromptKey, serverIDs(r.promptHolders))
 	}
 	for _, life := range r.promptHolders {
-		if slices.Contains(r.excluded, life) || r.h.pool.suspect(now, life) {
+		if slices.Contains(r.excluded, life) || r.h.pool.isSuspect(now, life) {
 			continue
 		}
-		if c, ok := r.h.pool.server(view, r.service, life); ok {
+		if c, ok := r.h.pool.findServer(view, r.service, life); ok {
 			return c, true
 		}
 	}
@@ -390,6 +390,6 @@
 	if engine == nil || !engine.Copies || !r.in.route.Resumable {
 		return l
 	}
-	l.copyTo, _ = r.copyPlace(ctx, l.target.server, r.excluded)
+	l.copyTo, _ = r.chooseReplicaEngine(ctx, l.target.server, r.excluded)
 	return l
 }
--- a/serve/forward/stream_test.go
+++ b/serve/forward/stream_test.go
@@ -17,25 +17,25 @@
 // one whole answer without a repeated or missing event; the second part comes
 // from the engine that holds the copy.
 func TestStreamGoesOnFromCopy(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		var first *fakeServer
-		handle := streaming(40, time.Second, 40*time.Millisecond)
+		handle := streamEvents(40, time.Second, 40*time.Millisecond)
 		a := w.add("e-a", "llm", "a", handle)
 		b := w.add("e-b", "llm", "b", handle)
 		go func() {
 			time.Sleep(1500 * time.Millisecond)
 			first = a
-			if b.requests() > 0 {
+			if b.requestCount() > 0 {
 				first = b
 			}
 			w.crash(first)
 		}()
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(t, got.err)
 		must.Eq(t, http.StatusOK, got.status)
 		must.Eq(t, events(1, 40), got.body)
-		must.Eq(t, 1, a.requests())
-		must.Eq(t, 1, b.requests())
+		must.Eq(t, 1, a.requestCount())
+		must.Eq(t, 1, b.requestCount())
 		must.Less(t, 3*time.Second, got.took)
 	})
 }
@@ -43,10 +43,10 @@
 // An engine falls silent in the middle of an answer; its connections stay open.
 // The answer goes on elsewhere within the 700 ms that callers accept as a pause.
 func TestSilentStreamGoesOnInTime(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		quiet := func(rw http.ResponseWriter, r *http.Request) {
 			if r.Header.Get(hCopyAt) != "" {
-				streaming(20, 0, 40*time.Millisecond)(rw, r)
+				streamEvents(20, 0, 40*time.Millisecond)(rw, r)
 				return
 			}
 			rw.Header().Set(hProof, "p")
@@ -55,7 +55,7 @@
 		}
 		w.add("e-a", "llm", "a", quiet)
 		w.add("e-b", "llm", "b", quiet)
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(t, got.err)
 		must.Eq(t, events(1, 20), got.body)
 		must.Less(t, 19*40*time.Millisecond+700*time.Millisecond, got.took)
@@ -65,20 +65,20 @@
 // An engine goes dark while it reads a prompt: nothing is reset and nothing
 // arrives. Probes find it and another engine reads the prompt.
 func TestDarkEngineBeforeFirstEvent(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		handle := func(rw http.ResponseWriter, r *http.Request) {
 			if r.Header.Get(hCopyAt) != "" {
 				rw.Header().Set(hNotRun, "1")
 				rw.WriteHeader(http.StatusServiceUnavailable)
 				return
 			}
-			streaming(5, time.Second, 40*time.Millisecond)(rw, r)
+			streamEvents(5, time.Second, 40*time.Millisecond)(rw, r)
 		}
 		a := w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
 		a.listener.Stall()
 		for range 4 { // whichever engine is chosen first
-			got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+			got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 			must.NoError(t, got.err)
 			must.Eq(t, events(1, 5), got.body)
 			must.Less(t, 3500*time.Millisecond, got.took)
@@ -90,18 +90,18 @@
 // run. The engine that read the prompt still holds it; sent anywhere else, the
 // prompt would be read a second time and the answer wait for a second.
 func TestResumedStreamFindsThePrompt(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		handle := streaming(12, time.Second, 40*time.Millisecond)
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		handle := streamEvents(12, time.Second, 40*time.Millisecond)
 		for _, id := range []string{"e-1", "e-2", "e-3", "e-4", "e-5"} {
 			w.add(id, "llm", "a", handle)
 		}
-		w.servers["e-4"].holds("p9 p7")
+		w.servers["e-4"].setCache("p9 p7")
 		for range 5 {
-			got := w.ask(http.MethodPost, "/s/1", with(map[string]string{hAfter: "9", hPart: "p7"}), "prompt")
+			got := w.request(http.MethodPost, "/s/1", withHeaders(map[string]string{hAfter: "9", hPart: "p7"}), "prompt")
 			must.NoError(t, got.err)
 			must.Eq(t, events(10, 12), got.body)
 		}
-		must.Eq(t, 5, w.servers["e-4"].requests())
+		must.Eq(t, 5, w.servers["e-4"].requestCount())
 	})
 }
 
@@ -110,16 +110,16 @@
 // sooner, half of the prompts were read anew, each for a second of an engine. The one
 // that holds the prompt is used as soon as it has answered, without the others.
 func TestPromptIsFoundBehindASlowLink(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		handle := streaming(12, 20*time.Millisecond, 40*time.Millisecond)
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		handle := streamEvents(12, 20*time.Millisecond, 40*time.Millisecond)
 		for _, id := range []string{"e-1", "e-2", "e-3", "e-4", "e-5"} {
-			w.add(id, "llm", "a", handle).tellsLate(time.Minute)
+			w.add(id, "llm", "a", handle).setCacheDelay(time.Minute)
 		}
-		w.servers["e-4"].holds("p7")
-		w.servers["e-4"].tellsLate(250 * time.Millisecond)
-		got := w.ask(http.MethodPost, "/s/1", with(map[string]string{hAfter: "9", hPart: "p7"}), "prompt")
+		w.servers["e-4"].setCache("p7")
+		w.servers["e-4"].setCacheDelay(250 * time.Millisecond)
+		got := w.request(http.MethodPost, "/s/1", withHeaders(map[string]string{hAfter: "9", hPart: "p7"}), "prompt")
 		must.Eq(t, events(10, 12), got.body)
-		must.Eq(t, 1, w.servers["e-4"].requests())
+		must.Eq(t, 1, w.servers["e-4"].requestCount())
 		must.Less(t, 600*time.Millisecond, got.took)
 	})
 }
@@ -133,13 +133,13 @@
 func TestLookLeavesTheLinkToStreams(t *testing.T) {
 	const linkPerTenth = 125_000 // bytes
 	var read int64
-	inWorld(t, streamRoute(), func(w *world) {
-		handle := streaming(12, 20*time.Millisecond, 40*time.Millisecond)
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		handle := streamEvents(12, 20*time.Millisecond, 40*time.Millisecond)
 		for n := range 120 {
-			w.add(fmt.Sprintf("e-%d", n), "llm", "a", handle).holds(strings.Repeat("p1 ", 14_000/len("p1 ")))
+			w.add(fmt.Sprintf("e-%d", n), "llm", "a", handle).setCache(strings.Repeat("p1 ", 14_000/len("p1 ")))
 		}
 		before := w.received.Load()
-		got := w.ask(http.MethodPost, "/s/1", with(map[string]string{hAfter: "9", hPart: "p7"}), "prompt")
+		got := w.request(http.MethodPost, "/s/1", withHeaders(map[string]string{hAfter: "9", hPart: "p7"}), "prompt")
 		must.NoError(t, got.err)
 		must.Eq(t, events(10, 12), got.body)
 		read = w.received.Load() - before
@@ -152,17 +152,17 @@
 // the few engines among which every daemon places that prompt, and only those are asked.
 func TestPromptIsFoundAmongHundredsOfEngines(t *testing.T) {
 	const engines, streams = 200, 20
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		handle := func(rw http.ResponseWriter, r *http.Request) {
-			w.servers[r.Header.Get(hServer)].holds(r.Header.Get(hPart))
-			streaming(3, 0, time.Millisecond)(rw, r)
+			w.servers[r.Header.Get(hServer)].setCache(r.Header.Get(hPart))
+			streamEvents(3, 0, time.Millisecond)(rw, r)
 		}
 		for n := range engines {
 			w.add(fmt.Sprintf("e-%d", n), "llm", string(rune('a'+n%5)), handle)
 		}
 		ran := func(part string) (at []string) {
 			for id, s := range w.servers {
-				for _, r := range s.asked() {
+				for _, r := range s.requests() {
 					if r.Header.Get(hPart) == part {
 						at = append(at, id)
 					}
@@ -172,15 +172,15 @@
 		}
 		for n := range streams {
 			part := fmt.Sprintf("p%d", n)
-			must.NoError(t, w.ask(http.MethodPost, "/s/1", with(map[string]string{hPart: part}), "prompt").err)
-			before := w.cachesAsked()
-			got := w.ask(http.MethodPost, "/s/1", with(map[string]string{hAfter: "1", hPart: part}), "prompt")
+			must.NoError(t, w.request(http.MethodPost, "/s/1", withHeaders(map[string]string{hPart: part}), "prompt").err)
+			before := w.cacheRequests()
+			got := w.request(http.MethodPost, "/s/1", withHeaders(map[string]string{hAfter: "1", hPart: part}), "prompt")
 			must.NoError(t, got.err)
 			must.Eq(t, events(2, 3), got.body)
 			at := ran(part)
 			must.SliceLen(t, 2, at)
 			must.Eq(t, at[0], at[1])
-			must.LessEq(t, engines/10, w.cachesAsked()-before)
+			must.LessEq(t, engines/10, w.cacheRequests()-before)
 		}
 	})
 }
@@ -188,13 +188,13 @@
 // A stream ends in the middle of an event and no engine is left to go on. The
 // caller gets the whole events only, and the answer does not look complete.
 func TestTornStreamIsCut(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		w.add("e-a", "llm", "a", func(rw http.ResponseWriter, _ *http.Request) {
 			rw.Header().Set(hProof, "p")
 			writeEvent(rw, 1)
 			_, _ = rw.Write([]byte("id: 2\ndata: pie"))
 		})
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.Error(t, got.err)
 		must.Eq(t, events(1, 1), got.body)
 	})
@@ -207,19 +207,19 @@
 func TestCopyAtAnEngineThatRestarted(t *testing.T) {
 	for _, service := range []string{"llm", "desk"} {
 		t.Run(service, func(t *testing.T) {
-			inWorld(t, streamRoute(), func(w *world) {
-				handle := streaming(40, time.Second, 40*time.Millisecond)
+			withTestCluster(t, streamRoute(), func(w *testCluster) {
+				handle := streamEvents(40, time.Second, 40*time.Millisecond)
 				a := w.add("e-a", "llm", "a", handle)
 				b := w.add("e-b", "llm", "b", handle)
 				var successor *fakeServer
 				go func() {
 					time.Sleep(500 * time.Millisecond)
-					runner, holder := roles(a, b)
-					successor = w.restart(holder, "e-new", service)
+					runner, holder := runnerAndHolder(a, b)
+					successor = w.replaceServer(holder, "e-new", service)
 					time.Sleep(time.Second)
 					w.crash(runner)
 				}()
-				got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+				got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 				if service == "llm" {
 					must.NoError(t, got.err)
 					must.Eq(t, events(1, 40), got.body)
@@ -227,7 +227,7 @@
 					return
 				}
 				must.Error(t, got.err)
-				for _, r := range successor.asked() {
+				for _, r := range successor.requests() {
 					must.NotEq(t, "e-new", r.Header.Get(hServer))
 				}
 			})
@@ -238,15 +238,15 @@
 // A caller comes back after an outage with less time than its prompt takes to
 // read. It hears at once that nothing ran, and no engine reads in vain.
 func TestHopelessPromptIsRefusedAtOnce(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		a := w.add("e-a", "llm", "a", streaming(3, time.Second, 40*time.Millisecond))
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		a := w.add("e-a", "llm", "a", streamEvents(3, time.Second, 40*time.Millisecond))
 		long := map[string]string{hTokens: "8000", hPart: "p1"}
-		must.Eq(t, http.StatusOK, w.ask(http.MethodPost, "/s/1", with(long), "prompt").status)
+		must.Eq(t, http.StatusOK, w.request(http.MethodPost, "/s/1", withHeaders(long), "prompt").status)
 		long[hWait], long[hAfter] = "500", "2"
-		got := w.ask(http.MethodPost, "/s/1", with(long), "prompt")
+		got := w.request(http.MethodPost, "/s/1", withHeaders(long), "prompt")
 		must.Eq(t, http.StatusServiceUnavailable, got.status)
 		must.Less(t, 150*time.Millisecond, got.took)
-		must.Eq(t, 1, a.requests())
+		must.Eq(t, 1, a.requestCount())
 	})
 }
 
@@ -257,15 +257,15 @@
 func TestCopyAtAnEngineThatLeaves(t *testing.T) {
 	for _, removed := range []bool{false, true} {
 		t.Run(fmt.Sprintf("removed %v", removed), func(t *testing.T) {
-			inWorld(t, streamRoute(), func(w *world) {
-				handle := streaming(100, time.Second, 40*time.Millisecond)
+			withTestCluster(t, streamRoute(), func(w *testCluster) {
+				handle := streamEvents(100, time.Second, 40*time.Millisecond)
 				a := w.add("e-a", "llm", "a", handle)
 				b := w.add("e-b", "llm", "b", handle)
 				var successor *fakeServer
 				go func() {
 					time.Sleep(500 * time.Millisecond)
-					runner, holder := roles(a, b)
-					successor = w.restart(holder, "e-new", "llm")
+					runner, holder := runnerAndHolder(a, b)
+					successor = w.replaceServer(holder, "e-new", "llm")
 					w.register(successor)
 					time.Sleep(time.Second)
 					w.remove("server/" + holder.server.ID)
@@ -278,9 +278,9 @@
 					}
 					w.crash(runner)
 				}()
-				got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+				got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 				must.Error(t, got.err)
-				for _, r := range successor.asked() {
+				for _, r := range successor.requests() {
 					must.NotEq(t, "e-new", r.Header.Get(hServer))
 				}
 			})
@@ -291,11 +291,11 @@
 // A caller stops reading in the middle of an answer and keeps its connection.
 // Once its time is over nothing of the request is left at the daemon or at an engine.
 func TestCallerThatStopsReadingIsGivenUp(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		ended := make(chan struct{})
 		w.add("e-a", "llm", "a", func(rw http.ResponseWriter, r *http.Request) {
 			defer close(ended)
-			streaming(1000, 0, 10*time.Millisecond)(rw, r)
+			streamEvents(1000, 0, 10*time.Millisecond)(rw, r)
 		})
 		listener := faultnet.Pipe()
 		server := &http.Server{Handler: w.handler}
@@ -306,7 +306,7 @@
 		defer conn.Close()
 		req, err := http.NewRequestWithContext(w.t.Context(), http.MethodPost, "http://host/s/1", nil)
 		must.NoError(t, err)
-		for k, v := range with(map[string]string{hWait: "2000"}) {
+		for k, v := range withHeaders(map[string]string{hWait: "2000"}) {
 			req.Header.Set(k, v)
 		}
 		must.NoError(t, req.Write(conn))
@@ -321,9 +321,9 @@
 // A caller holds all events but not the end of the answer and asks for the rest.
 // The engine has no event left; the caller gets its proven, empty answer.
 func TestStreamWithoutEventsIsPassedOn(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		w.add("e-a", "llm", "a", streaming(9, 0, 0))
-		got := w.ask(http.MethodPost, "/s/1", with(map[string]string{hAfter: "9"}), "prompt")
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		w.add("e-a", "llm", "a", streamEvents(9, 0, 0))
+		got := w.request(http.MethodPost, "/s/1", withHeaders(map[string]string{hAfter: "9"}), "prompt")
 		must.NoError(t, got.err)
 		must.Eq(t, http.StatusOK, got.status)
 		must.Eq(t, "p", got.header.Get(hProof))
@@ -337,12 +337,12 @@
 	routes := streamRoute()
 	routes[0].Resumable = false
 	routes[0].Targets[0].Service = "desk"
-	inWorld(t, routes, func(w *world) {
-		s := w.add("d-1", "desk", "a", streaming(4, 5*time.Second, 3*time.Second))
-		got := w.ask(http.MethodPost, "/s/1", caller, "x")
+	withTestCluster(t, routes, func(w *testCluster) {
+		s := w.add("d-1", "desk", "a", streamEvents(4, 5*time.Second, 3*time.Second))
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "x")
 		must.NoError(t, got.err)
 		must.Eq(t, events(1, 4), got.body)
-		must.Eq(t, 1, s.requests())
+		must.Eq(t, 1, s.requestCount())
 	})
 }
 
@@ -350,13 +350,13 @@
 // that arrives then gets its answer from one that lives, however many are tried
 // in vain before.
 func TestManyDeadEnginesBeforeOneThatLives(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		handle := streaming(3, 10*time.Millisecond, 10*time.Millisecond)
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		handle := streamEvents(3, 10*time.Millisecond, 10*time.Millisecond)
 		for n := range 40 {
 			w.crash(w.add(fmt.Sprintf("e-%d", n), "llm", "a", handle))
 		}
 		w.add("e-alive", "llm", "b", handle)
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(t, got.err)
 		must.Eq(t, events(1, 3), got.body)
 	})
@@ -366,18 +366,18 @@
 // says nothing, while the engine is alive. Its report shows that it makes events;
 // the answer goes on from the copy and not after the caller's whole time.
 func TestLostAnswerGoesOnFromCopy(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		handle := func(rw http.ResponseWriter, r *http.Request) {
 			if r.Header.Get(hCopyAt) == "" {
-				w.servers[r.Header.Get(hServer)].reports(r.Header.Get(hID))
+				w.servers[r.Header.Get(hServer)].setRuns(r.Header.Get(hID))
 				sleep(r, time.Hour)
 				return
 			}
-			streaming(5, 0, 40*time.Millisecond)(rw, r)
+			streamEvents(5, 0, 40*time.Millisecond)(rw, r)
 		}
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
-		got := w.ask(http.MethodPost, "/s/1", caller, "prompt")
+		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(t, got.err)
 		must.Eq(t, events(1, 5), got.body)
 		must.Less(t, time.Second, got.took)
@@ -388,25 +388,25 @@
 // and lives on. The prompt is still there: the request goes to the same engine
 // again, where it needs no reading.
 func TestResetAfterReadingGoesToTheSameEngine(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		var tries atomic.Int32
 		handle := func(rw http.ResponseWriter, r *http.Request) {
 			s := w.servers[r.Header.Get(hServer)]
 			if tries.Add(1) == 1 {
-				s.holds(r.Header.Get(hPart))
+				s.setCache(r.Header.Get(hPart))
 				panic(http.ErrAbortHandler)
 			}
-			streaming(3, 0, 10*time.Millisecond)(rw, r)
+			streamEvents(3, 0, 10*time.Millisecond)(rw, r)
 		}
 		for _, id := range []string{"e-1", "e-2", "e-3", "e-4"} {
 			w.add(id, "llm", "a", handle)
 		}
-		got := w.ask(http.MethodPost, "/s/1", with(map[string]string{hPart: "p1"}), "prompt")
+		got := w.request(http.MethodPost, "/s/1", withHeaders(map[string]string{hPart: "p1"}), "prompt")
 		must.NoError(t, got.err)
 		must.Eq(t, events(1, 3), got.body)
 		must.Eq(t, 2, int(tries.Load()))
 		for _, s := range w.servers {
-			must.True(t, s.requests() == 0 || s.requests() == 2)
+			must.True(t, s.requestCount() == 0 || s.requestCount() == 2)
 		}
 	})
 }
@@ -414,18 +414,18 @@
 // The engine chosen for a copy has died and its entry is still there. The copy
 // goes to one that lives, or the answer would have none when its engine dies.
 func TestCopyIsSentToAnEngineThatLives(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
-		handle := streaming(40, time.Second, 40*time.Millisecond)
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
+		handle := streamEvents(40, time.Second, 40*time.Millisecond)
 		runner := w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
 		dead := w.add("e-c", "llm", "c", handle)
 		w.crash(dead)
 		for range 6 {
-			w.ask(http.MethodPost, "/s/1", with(map[string]string{hWait: "100"}), "prompt")
+			w.request(http.MethodPost, "/s/1", withHeaders(map[string]string{hWait: "100"}), "prompt")
 			time.Sleep(10 * time.Second)
 		}
 		for _, s := range []*fakeServer{runner, w.servers["e-b"]} {
-			for _, r := range s.asked() {
+			for _, r := range s.requests() {
 				must.NotEq(t, dead.server.Address, r.Header.Get(hCopyTo))
 			}
 		}
@@ -435,7 +435,7 @@
 // An answer outlasts the graceful shutdown and is cut when the daemon ends. Who looks for
 // the cause must not read that the caller left.
 func TestAnswerThatOutlastsTheDaemonSaysSo(t *testing.T) {
-	inWorld(t, streamRoute(), func(w *world) {
+	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		r := &relay{h: w.handler, in: &inbound{deadline: time.Now().Add(time.Minute)}}
 		must.ErrorIs(t, r.expiryError(), errCallerGone)
 		w.handler.BeginShutdown(ShutdownSchedule{ExitAt: time.Now().Add(time.Second)})
--- a/serve/forward/successors.go
+++ b/serve/forward/successors.go
@@ -18,17 +18,17 @@
 	maps.DeleteFunc(p.successors, func(old, _ routing.Life) bool { return !listed[old] })
 }
 
-// succeed notes that a server of the view has started anew at its address. The view
+// recordSuccessor notes that a server of the view has started anew at its address. The view
 // shows that later, and not at all while the store is out of reach: what the life
 // before held would be asked for in vain, and where the id has changed every request
 // to that address would be turned away.
-func (p *pool) succeed(view *feed.View, old, next routing.Life) {
+func (p *pool) recordSuccessor(view *feed.View, old, next routing.Life) {
 	now := p.versions.Now(view)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.successors[p.listed(old)] = next
 	p.view = nil // the layouts are built anew
-	p.follow(view, now)
+	p.updateView(view, now)
 }
 
 // renewed notes that a server has begun another life under its id; it reports whether
@@ -37,7 +37,7 @@
 	now := p.versions.Now(view)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.follow(view, now)
+	p.updateView(view, now)
 	listed := p.listed(old)
 	if known, ok := p.successors[listed]; ok && known.ID == next.ID && known.Born >= next.Born {
 		return false
@@ -51,7 +51,7 @@
 	}
 	p.successors[listed] = next
 	p.view = nil // the layouts are built anew
-	p.follow(view, now)
+	p.updateView(view, now)
 	return true
 }
 
