--- a/serve/forward/takeover.go
+++ b/serve/forward/takeover.go
@@ -52,7 +52,7 @@
 			return true
 		}
 	}
-	r.cannotContinue = takeover.ShouldGiveUp(outcome, time.Since(r.lastEventAt)) && r.unreachable(ctx, a, why) &&
+	r.cannotContinue = takeover.ShouldGiveUp(outcome, time.Since(r.lastEventAt)) && r.isUnreachable(ctx, a, why) &&
 		r.awaitLatePart(ctx, a) == takeover.Silent
 	r.h.metrics.segmentsKept.WithLabelValues(outcome.String()).Inc()
 	r.h.opts.Log.Emit(event.LegKept, r.in.call.ID, a.target.server.ID, why, outcome.String(), r.cannotContinue, r.lastEventID, time.Since(r.lastEventAt))
@@ -70,7 +70,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		l, outcome = r.reserve(asking, a, why)
+		l, outcome = r.reserveFailover(asking, a, why)
 	}()
 	select {
 	case <-done:
@@ -79,7 +79,7 @@
 		stop()
 		<-done
 		if outcome == takeover.TakenOver {
-			r.uncount(l)
+			r.releaseLeg(l)
 		}
 		return takeover.NotNeeded, nil
 	}
@@ -163,7 +163,7 @@
 // probeBoth asks the engines of two attempts for a sign of life.
 func (r *relay) probeBoth(ctx context.Context, a, next *attempt, why error) (silent, other bool) {
 	var both sync.WaitGroup
-	both.Go(func() { silent = r.answers(ctx, a, why) })
+	both.Go(func() { silent = r.isResponsive(ctx, a, why) })
 	both.Go(func() {
 		_, err := r.h.probe(ctx, next.target.server, fastProbeTimeout)
 		other = err == nil
--- a/serve/forward/trial.go
+++ b/serve/forward/trial.go
@@ -72,9 +72,9 @@
 // reasonNew is the reason of a choice that was drawn for a new version.
 const reasonNew = "new_version"
 
-// drawnCall chooses a server of the new version for a call that is drawn for it; ok is false where
+// chooseCanary chooses a server of the new version for a call that is drawn for it; ok is false where
 // it goes to the others.
-func (h *Handler) drawnCall(ctx context.Context, view *feed.View, service, route string) (choice, bool) {
+func (h *Handler) chooseCanary(ctx context.Context, view *feed.View, service, route string) (choice, bool) {
 	now := time.Now()
 	if !h.versions.Drawn(view, service, route) {
 		return choice{}, false
@@ -83,7 +83,7 @@
 	if !ok {
 		return c, false
 	}
-	if h.pool.suspect(now, c.server.Life()) || !h.limits.take(ctx, c.server) {
+	if h.pool.isSuspect(now, c.server.Life()) || !h.limits.acquire(ctx, c.server) {
 		h.pool.release(c)
 		return choice{}, false
 	}
@@ -91,15 +91,15 @@
 	return c, true
 }
 
-// placeDrawn chooses the engine of the new version for a prompt that is drawn for it, and counts
+// placeCanary chooses the engine of the new version for a prompt that is drawn for it, and counts
 // the prompt there; ok is false where it goes to the others.
-func (r *relay) placeDrawn(ctx context.Context, view *feed.View) (choice, bool) {
+func (r *relay) placeCanary(ctx context.Context, view *feed.View) (choice, bool) {
 	if r.starts > 0 || r.in.call.LastEventID > 0 || !r.h.versions.Drawn(view, r.service, r.in.routeName()) {
 		return choice{}, false
 	}
-	list := r.h.pool.readers(time.Now(), view, trialOf(r.service), r.in.call.PromptKey, SampleSize, nil)
-	asked := r.h.questions()
-	defer asked.judge()
+	list := r.h.pool.prefillCandidates(time.Now(), view, trialOf(r.service), r.in.call.PromptKey, SampleSize, nil)
+	asked := r.h.newProbeRound()
+	defer asked.markSilent()
 	best, ok := r.leastLoaded(asked.sampleLoads(ctx, list, 0))
 	if !ok || !best.report.Free(r.in.call.PromptTokens) || !r.tryAcquirePermit(ctx, best.choice) {
 		return choice{}, false
@@ -108,7 +108,7 @@
 		return choice{}, false
 	}
 	best.reason = reasonNew
-	r.h.pool.count(best.choice, 1, 0, 0)
+	r.h.pool.addLoad(best.choice, 1, 0, 0)
 	return best.choice, true
 }
 
@@ -122,32 +122,32 @@
 		})
 }
 
-// underWay is how many requests of this daemon are under way at servers of a service that have
+// runningAtOldVersions is how many requests of this daemon are under way at servers of a service that have
 // another version than the target.
-func (p *pool) underWay(service string, s rollout.State) (n int) {
+func (p *pool) runningAtOldVersions(service string, s rollout.State) (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.view == nil {
 		return 0
 	}
 	for _, server := range p.view.Servers[service] {
-		if one := p.loads[p.present(server.Life())]; one != nil && server.Version != s.Target {
-			n += int(one.plain.InFlight) + one.reading + one.running
+		if one := p.loads[p.currentIncarnation(server.Life())]; one != nil && server.Version != s.Target {
+			n += int(one.calls.InFlight) + one.prefilling + one.running
 		}
 	}
 	return n
 }
 
-// present is the life that has followed one of the view, or that life. The caller holds the lock.
-func (p *pool) present(life routing.Life) routing.Life {
+// currentIncarnation is the life that has followed one of the view, or that life. The caller holds the lock.
+func (p *pool) currentIncarnation(life routing.Life) routing.Life {
 	if next, ok := p.successors[life]; ok {
 		return next
 	}
 	return life
 }
 
-// trial is what an exchange shows of its server; ok is false where it shows nothing.
-func (o *outcome) trial(ctx context.Context) (result rollout.Outcome, ok bool) {
+// trialOutcome is what an exchange shows of its server; ok is false where it shows nothing.
+func (o *outcome) trialOutcome(ctx context.Context) (result rollout.Outcome, ok bool) {
 	switch {
 	case ctx.Err() != nil && o.err != nil:
 		return rollout.Unanswered, true // another server was faster, or the caller left
@@ -164,30 +164,30 @@
 // paceAfter is how many events of a stream show its pace.
 const paceAfter = 24
 
-// watchLeg begins to watch a leg for a comparison of versions: one that makes an answer from its
+// startTrial begins to watch a leg for a comparison of versions: one that makes an answer from its
 // beginning.
-func (a *attempt) watchLeg(l segment, route string) {
+func (a *attempt) startTrial(l segment, route string) {
 	if l.resumeFrom == "" && a.r.in.call.LastEventID == 0 && a.r.lastEventID == 0 {
 		a.trial = a.r.h.versions.Try(l.target.server, route, rollout.TimeToFirstEvent)
 	}
 }
 
-// firstEvent records the time to the first event, and begins to watch what follows.
-func (a *attempt) firstEvent() {
+// recordFirstEvent records the time to the first event, and begins to watch what follows.
+func (a *attempt) recordFirstEvent() {
 	whole := a.trial.Also(rollout.ResponseTime)
 	a.trial.Done(rollout.Succeeded)
 	a.trial, a.pace = whole, whole.Also(rollout.EventInterval)
 }
 
-// nextEvent records the pace of a stream once it has made enough events.
-func (a *attempt) nextEvent() {
+// recordNextEvent records the pace of a stream once it has made enough events.
+func (a *attempt) recordNextEvent() {
 	if a.eventCount++; a.eventCount == paceAfter {
 		a.pace.DoneIn(rollout.Succeeded, time.Since(a.firstEventAt)/paceAfter)
 	}
 }
 
-// ended records how the attempt ended.
-func (a *attempt) ended(end segmentEnd, failed bool) {
+// recordEnd records how the attempt ended.
+func (a *attempt) recordEnd(end segmentEnd, failed bool) {
 	switch {
 	case end == segmentComplete:
 		a.trial.Done(rollout.Succeeded)
@@ -201,12 +201,12 @@
 	a.pace.Drop()
 }
 
-// moveAgain is the time between two attempts to let an answer go on at another version.
-const moveAgain = 150 * time.Millisecond
+// migrationRetryInterval is the time between two attempts to let an answer go on at another version.
+const migrationRetryInterval = 150 * time.Millisecond
 
-// moveOn lets an answer go on from its copy, because the version of its server leaves, and reports
+// migrate lets an answer go on from its copy, because the version of its server leaves, and reports
 // whether it does. The connection is closed first: both servers would run the request otherwise.
-func (r *relay) moveOn(ctx context.Context, a *attempt) bool {
+func (r *relay) migrate(ctx context.Context, a *attempt) bool {
 	if a.prefilling || !r.canResume() || r.starts >= maxStarts {
 		return false
 	}
@@ -215,9 +215,9 @@
 	if !ok || !r.h.versions.Now(view).Of(r.service).ServesByDefault(c.server.Version) || !r.tryAcquirePermit(ctx, c) || !r.tryAcquireRetry(ctx, time.Now()) {
 		return false
 	}
-	r.h.pool.count(c, 1, 0, 0)
+	r.h.pool.addLoad(c, 1, 0, 0)
 	l := r.withCopyTarget(ctx, segment{target: c, resumeFrom: held.name})
-	r.heldCopy = kept{}
+	r.heldCopy = replica{}
 	a.cancel()
 	r.replacement = r.start(ctx, l)
 	return true
--- a/serve/forward/upstream.go
+++ b/serve/forward/upstream.go
@@ -182,7 +182,7 @@
 	}
 	report, err := h.opts.Codec.Report(body)
 	if err != nil {
-		h.unreadable(s, err)
+		h.recordUnreadable(s, err)
 	}
 	return report, err
 }
--- a/serve/forward/world_test.go
+++ b/serve/forward/world_test.go
@@ -143,21 +143,21 @@
 	server     routing.Server
 	listener   *faultnet.Listener
 	mu         sync.Mutex
-	cached     string        // answer to the question what it holds
+	cacheReply string        // answer to the question what it holds
 	cacheLag   time.Duration // before that answer
-	runs       string        // ids of the runs that it reports
+	runReport  string        // ids of the runs that it reports
 	muted      bool          // it does not tell what it does
 	moves      []string      // targets of copies made on demand
 	dropped    []string      // handles of copies freed
 	refusing   int           // copies that it refuses to make
-	seen       []*http.Request
+	received   []*http.Request
 	handle     http.HandlerFunc
 	http       *http.Server
 	cacheAsked int // how many times it was asked what it holds
 }
 
 // dial connects to a fake server by its address.
-func (w *world) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (w *testCluster) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	w.mu.Lock()
 	s := w.hosts[address]
 	w.mu.Unlock()
@@ -193,23 +193,23 @@
 				w.WriteHeader(http.StatusInternalServerError)
 				return
 			}
-			fmt.Fprint(w, s.start(), "engine ", s.runs)
+			fmt.Fprint(w, s.bornPrefix(), "engine ", s.runReport)
 		}
 		return
 	case "/cache":
 		s.mu.Lock()
-		cached, lag := s.cached, s.cacheLag
+		cached, lag := s.cacheReply, s.cacheLag
 		s.cacheAsked++
 		s.mu.Unlock()
 		sleep(r, lag)
-		fmt.Fprint(w, s.start(), cached)
+		fmt.Fprint(w, s.bornPrefix(), cached)
 		return
 	}
 	if s.copying(w, r) {
 		return
 	}
 	s.mu.Lock()
-	s.seen = append(s.seen, r)
+	s.received = append(s.received, r)
 	s.mu.Unlock()
 	// The server notices a caller that leaves only once the body is read.
 	_, _ = io.Copy(io.Discard, r.Body)
@@ -222,8 +222,8 @@
 	s.handle(w, r)
 }
 
-// start is what the server says of its start, before anything else.
-func (s *fakeServer) start() string {
+// bornPrefix is what the server says of its start, before anything else.
+func (s *fakeServer) bornPrefix() string {
 	if s.server.Born == 0 {
 		return ""
 	}
@@ -253,8 +253,8 @@
 	return drop
 }
 
-// copies returns the targets of copies made on demand and the handles freed.
-func (s *fakeServer) copies() (targets, dropped []string) {
+// copyCalls returns the targets of copies made on demand and the handles freed.
+func (s *fakeServer) copyCalls() (targets, dropped []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.moves), slices.Clone(s.dropped)
@@ -266,41 +266,41 @@
 	s.refusing = n
 }
 
-// asked returns the requests that a server was asked to run.
-func (s *fakeServer) asked() []*http.Request {
+// requests returns the requests that a server was asked to run.
+func (s *fakeServer) requests() []*http.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.seen)
+	return slices.Clone(s.received)
 }
 
-// holds and reports set what a server tells of itself.
-func (s *fakeServer) holds(parts string) {
+// setCache and reports set what a server tells of itself.
+func (s *fakeServer) setCache(parts string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cached = parts
+	s.cacheReply = parts
 }
 
-// tellsLate sets how long a server takes to tell what it holds.
-func (s *fakeServer) tellsLate(lag time.Duration) {
+// setCacheDelay sets how long a server takes to tell what it holds.
+func (s *fakeServer) setCacheDelay(lag time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cacheLag = lag
 }
 
-func (s *fakeServer) reports(runs string) {
+func (s *fakeServer) setRuns(runs string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.runs = runs
+	s.runReport = runs
 }
 
-func (s *fakeServer) mute() {
+func (s *fakeServer) failStatus() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.muted = true
 }
 
-// cachesAsked is how many times servers were asked what they hold.
-func (w *world) cachesAsked() (n int) {
+// cacheRequests is how many times servers were asked what they hold.
+func (w *testCluster) cacheRequests() (n int) {
 	for _, s := range w.servers {
 		s.mu.Lock()
 		n += s.cacheAsked
@@ -309,24 +309,24 @@
 	return n
 }
 
-// requests are those that a server was asked to run.
-func (s *fakeServer) requests() int {
+// requestCount are those that a server was asked to run.
+func (s *fakeServer) requestCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.seen)
-}
-
-// world is a handler before fake servers, in virtual time.
-type world struct {
-	t       *testing.T
-	schema  testSchema
-	store   *store.Memory
-	reach   *store.Faulty // the store as the daemon reaches it
-	mu      sync.Mutex
-	hosts   map[string]*fakeServer // by address
-	feed    *feed.Manager
-	handler *Handler
-	servers map[string]*fakeServer
+	return len(s.received)
+}
+
+// testCluster is a handler before fake servers, in virtual time.
+type testCluster struct {
+	t           *testing.T
+	schema      testSchema
+	store       *store.Memory
+	daemonStore *store.Faulty // the store as the daemon reaches it
+	mu          sync.Mutex
+	hosts       map[string]*fakeServer // by address
+	feed        *feed.Manager
+	handler     *Handler
+	servers     map[string]*fakeServer
 	// received are the bytes that servers have sent to the handler.
 	received atomic.Int64
 	buried   []*fakeServer // whose connections stay open though a later life has their place
@@ -334,8 +334,8 @@
 	done     sync.WaitGroup
 }
 
-// inWorld runs test in virtual time with the routes given.
-func inWorld(t *testing.T, routes []*routing.Route, test func(*world)) {
+// withTestCluster runs test in virtual time with the routes given.
+func withTestCluster(t *testing.T, routes []*routing.Route, test func(*testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, routes)
 		defer w.close() // also of a test that fails, or what it left ends the other tests with it
@@ -345,40 +345,40 @@
 
 var repeatsRule = repeats.Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 
-func newWorld(t *testing.T, routes []*routing.Route) *world {
+func newWorld(t *testing.T, routes []*routing.Route) *testCluster {
 	services := []*routing.Service{
 		{Name: "llm", Engine: &routing.Engine{Slots: 4, Copies: true, Moves: true}}, {Name: "desk"},
 	}
 	accounts := map[string]*routing.Account{
 		"key-1": {Name: "mill", Priority: -1}, "key-2": {Name: "depot", Priority: 3},
 	}
-	w := &world{
+	w := &testCluster{
 		t: t, schema: testSchema{config: routing.New(1, routing.Limits{BodyBytes: 1 << 20}, services, routes, accounts)}, store: store.NewMemory(), servers: map[string]*fakeServer{},
 		hosts: map[string]*fakeServer{},
 	}
-	w.reach = store.NewFaulty(w.store)
+	w.daemonStore = store.NewFaulty(w.store)
 	w.assemble()
 	w.put("config", "{}")
-	w.run()
+	w.startFeed()
 	synctest.Wait()
 	return w
 }
 
 // assemble makes the daemon's feed and handler.
-func (w *world) assemble() {
+func (w *testCluster) assemble() {
 	start := time.Now()
 	clock := func() time.Duration { return time.Since(start) + time.Hour }
 	self := routing.VM{ID: "vm-1", Zone: "a"}
-	w.feed = feed.New(feed.Options{Store: storesim.Confirming{Store: w.reach, Hold: time.Second}, Schema: w.schema, Clock: clock, Log: event.Discard()})
+	w.feed = feed.New(feed.Options{Store: storesim.Confirming{Store: w.daemonStore, Hold: time.Second}, Schema: w.schema, Clock: clock, Log: event.Discard()})
 	w.handler = New(Options{
 		Feed: w.feed, Codec: testCodec{}, Log: event.Discard(), Self: self, MaxKeyAge: 5 * time.Second,
 		RetryBudget: repeatsRule, Dial: w.dial,
 	})
-	w.handler.pool.began = start.Add(-repeatsRule.Window) // the daemon has its part of the slack
+	w.handler.pool.startedAt = start.Add(-repeatsRule.Window) // the daemon has its part of the slack
 }
 
-// run starts the feed.
-func (w *world) run() {
+// startFeed starts the feed.
+func (w *testCluster) startFeed() {
 	ctx, cancel := context.WithCancel(w.t.Context())
 	w.cancel = cancel
 	w.done.Go(func() { w.feed.Run(ctx) })
@@ -386,15 +386,15 @@
 
 // restartDaemon replaces the daemon by one that has just started, and whose reads of
 // the store take some time.
-func (w *world) restartDaemon(reads time.Duration) {
+func (w *testCluster) restartDaemon(reads time.Duration) {
 	w.cancel()
 	w.done.Wait()
-	w.reach.SetDelay(reads)
+	w.daemonStore.SetDelay(reads)
 	w.assemble()
-	w.run()
+	w.startFeed()
 }
 
-func (w *world) put(key, value string) {
+func (w *testCluster) put(key, value string) {
 	w.t.Helper()
 	var version int64
 	if kv, err := w.store.Get(w.t.Context(), key); err == nil {
@@ -405,7 +405,7 @@
 }
 
 // add starts a server and waits until the handler knows it.
-func (w *world) add(id, service, zone string, handle http.HandlerFunc) *fakeServer {
+func (w *testCluster) add(id, service, zone string, handle http.HandlerFunc) *fakeServer {
 	w.t.Helper()
 	s := w.start(routing.Server{ID: id, Service: service, Zone: zone, Address: id + ":80", Slots: 4}, handle)
 	w.register(s)
@@ -414,7 +414,7 @@
 }
 
 // register writes a server's entry.
-func (w *world) register(s *fakeServer) {
+func (w *testCluster) register(s *fakeServer) {
 	w.t.Helper()
 	raw, err := json.Marshal(s.server)
 	must.NoError(w.t, err)
@@ -422,7 +422,7 @@
 }
 
 // remove deletes a key of the store.
-func (w *world) remove(key string) {
+func (w *testCluster) remove(key string) {
 	w.t.Helper()
 	kv, err := w.store.Get(w.t.Context(), key)
 	must.NoError(w.t, err)
@@ -430,7 +430,7 @@
 }
 
 // start runs a server that the store does not know.
-func (w *world) start(server routing.Server, handle http.HandlerFunc) *fakeServer {
+func (w *testCluster) start(server routing.Server, handle http.HandlerFunc) *fakeServer {
 	s := &fakeServer{server: server, listener: faultnet.Pipe(), handle: handle}
 	s.http = &http.Server{Handler: s}
 	w.mu.Lock()
@@ -441,8 +441,8 @@
 	return s
 }
 
-// restart puts a new server at the address of an old one, unknown to the store.
-func (w *world) restart(old *fakeServer, id, service string) *fakeServer {
+// replaceServer puts a new server at the address of an old one, unknown to the store.
+func (w *testCluster) replaceServer(old *fakeServer, id, service string) *fakeServer {
 	w.crash(old)
 	server := old.server
 	server.ID, server.Service = id, service
@@ -451,7 +451,7 @@
 
 // reborn puts another life of a server at its address, under its id and unknown to the
 // store. Connections to the life before stay open and say nothing more if silently.
-func (w *world) reborn(old *fakeServer, silently bool) *fakeServer {
+func (w *testCluster) reborn(old *fakeServer, silently bool) *fakeServer {
 	server := old.server
 	server.Born++
 	if silently {
@@ -466,7 +466,7 @@
 }
 
 // crash resets the connections of a server and refuses new ones.
-func (w *world) crash(s *fakeServer) {
+func (w *testCluster) crash(s *fakeServer) {
 	s.listener.Cut()
 	s.http.Close()
 }
@@ -474,22 +474,22 @@
 // nothingCounted checks that what requests were counted for at servers was taken back once
 // they are over, whichever way they ended. What stays counted keeps later requests away
 // from a server until the daemon ends.
-func (w *world) nothingCounted() {
+func (w *testCluster) nothingCounted() {
 	time.Sleep(writeGrace) // requests whose callers left end
 	synctest.Wait()
 	w.handler.pool.mu.Lock()
 	defer w.handler.pool.mu.Unlock()
 	for life, one := range w.handler.pool.loads {
-		if counted := [3]int{one.reading, one.running, one.copies}; counted != [3]int{} {
+		if counted := [3]int{one.prefilling, one.running, one.replicas}; counted != [3]int{} {
 			w.t.Errorf("%s: %v prompts read, runs and copies are counted at the end", life.ID, counted)
 		}
 	}
 }
 
-// during plays a part of the story beside the test, which waits for its end.
-func (w *world) during(play func()) { w.done.Go(play) }
+// background plays a part of the story beside the test, which waits for its end.
+func (w *testCluster) background(play func()) { w.done.Go(play) }
 
-func (w *world) close() {
+func (w *testCluster) close() {
 	w.nothingCounted()
 	w.cancel()
 	for _, s := range w.servers {
@@ -501,8 +501,8 @@
 	w.done.Wait()
 }
 
-// answer is what a caller got.
-type answer struct {
+// response is what a caller got.
+type response struct {
 	status int
 	header http.Header
 	body   string
@@ -510,8 +510,8 @@
 	took   time.Duration
 }
 
-// ask sends a request through a real HTTP server over a pipe.
-func (w *world) ask(method, path string, header map[string]string, body string) answer {
+// request sends a request through a real HTTP server over a pipe.
+func (w *testCluster) request(method, path string, header map[string]string, body string) response {
 	w.t.Helper()
 	start := time.Now()
 	listener := faultnet.Pipe()
@@ -529,31 +529,31 @@
 	go req.Write(here)
 	resp, err := http.ReadResponse(bufio.NewReader(here), req)
 	if err != nil {
-		return answer{err: err, took: time.Since(start)}
+		return response{err: err, took: time.Since(start)}
 	}
 	raw, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, header: resp.Header, body: string(raw), err: err, took: time.Since(start)}
+	return response{status: resp.StatusCode, header: resp.Header, body: string(raw), err: err, took: time.Since(start)}
 }
 
-// roles says which of two engines runs the one request there is; the other keeps the copy.
-func roles(a, b *fakeServer) (runner, holder *fakeServer) {
-	if b.requests() > 0 {
+// runnerAndHolder says which of two engines runs the one request there is; the other keeps the copy.
+func runnerAndHolder(a, b *fakeServer) (runner, holder *fakeServer) {
+	if b.requestCount() > 0 {
 		return b, a
 	}
 	return a, b
 }
 
-// proven answers with a proof.
-func proven(body string) http.HandlerFunc {
+// respondProven answers with a proof.
+func respondProven(body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(hProof, "p")
 		fmt.Fprint(w, body)
 	}
 }
 
-// streaming makes events first+1 to last at a pace, after a wait for the first.
+// streamEvents makes events first+1 to last at a pace, after a wait for the first.
 // It goes on after the event that the request names.
-func streaming(last int, first, pace time.Duration) http.HandlerFunc {
+func streamEvents(last int, first, pace time.Duration) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		after, _ := strconv.Atoi(r.Header.Get(hAfter))
 		if r.Header.Get(hCopyAt) == "" {
@@ -611,12 +611,12 @@
 	return []*routing.Route{route("once", routing.AtMostOnce, 1), route("again", routing.Idempotent, 2)}
 }
 
-var caller = map[string]string{hID: "r1", hWait: "25000", hKey: "key-1"}
+var callerHeaders = map[string]string{hID: "r1", hWait: "25000", hKey: "key-1"}
 
-// with returns the caller's headers with more.
-func with(more map[string]string) map[string]string {
+// withHeaders returns the caller's headers with more.
+func withHeaders(more map[string]string) map[string]string {
 	all := map[string]string{}
-	for _, m := range []map[string]string{caller, more} {
+	for _, m := range []map[string]string{callerHeaders, more} {
 		for k, v := range m {
 			all[k] = v
 		}
--- a/serve/gateway/gateway.go
+++ b/serve/gateway/gateway.go
@@ -219,7 +219,7 @@
 // peerHandler answers other daemons.
 func (g *Gateway) peerHandler() http.Handler {
 	router := mux.NewRouter()
-	for _, of := range []func() (string, http.Handler){g.feed.Handler, g.handler.Lending, g.handler.Telling, g.handler.Poisoned, g.handler.Rationing, g.versions.Handler} {
+	for _, of := range []func() (string, http.Handler){g.feed.Handler, g.handler.RetryBudgetService, g.handler.WorkService, g.handler.PoisonService, g.handler.QuotaService, g.versions.Handler} {
 		prefix, service := of()
 		router.PathPrefix(prefix).Handler(service)
 	}
