--- a/serve/forward/place.go
+++ b/serve/forward/place.go
@@ -58,7 +58,7 @@
 func (r *relay) placeByFleetWork(ctx context.Context, view *feed.View, others workloads, among bool) (sampledEngine, bool) {
 	excluded := slices.Clone(r.excluded)
 	asked := r.h.newProbeRound()
-	defer asked.markSilent()
+	defer asked.suspectSilent()
 	for range maxSampleRounds {
 		c, unread, ok := r.h.pool.reservePrefill(time.Now(), view, r.service, others, among, excluded)
 		if !ok {
@@ -86,7 +86,7 @@
 	}
 	excluded := slices.Clone(r.excluded)
 	asked := r.h.newProbeRound()
-	defer asked.markSilent()
+	defer asked.suspectSilent()
 	var seen []sampledEngine
 	candidates := first
 	for round := range maxSampleRounds {
--- a/serve/forward/questions.go
+++ b/serve/forward/questions.go
@@ -44,8 +44,8 @@
 	return report, err
 }
 
-// markSilent makes the engines suspect that were silent while the way to another worked.
-func (q *probeRound) markSilent() {
+// suspectSilent makes the engines suspect that were silent while the way to another worked.
+func (q *probeRound) suspectSilent() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if !q.linkWorks {
--- a/serve/forward/spare.go
+++ b/serve/forward/spare.go
@@ -192,7 +192,7 @@
 func (r *relay) chooseReplicaEngine(ctx context.Context, at routing.Server, failed []routing.Life) (choice, bool) {
 	excluded := slices.Clone(failed)
 	asked := r.h.newProbeRound()
-	defer asked.markSilent()
+	defer asked.suspectSilent()
 	for range maxCopyProbes {
 		c, ok := r.h.pool.chooseReplicaEngine(time.Now(), r.h.opts.Feed.View(), at, excluded)
 		if !ok {
--- a/serve/forward/trial.go
+++ b/serve/forward/trial.go
@@ -99,7 +99,7 @@
 	}
 	list := r.h.pool.prefillCandidates(time.Now(), view, trialOf(r.service), r.in.call.PromptKey, SampleSize, nil)
 	asked := r.h.newProbeRound()
-	defer asked.markSilent()
+	defer asked.suspectSilent()
 	best, ok := r.leastLoaded(asked.sampleLoads(ctx, list, 0))
 	if !ok || !best.report.Free(r.in.call.PromptTokens) || !r.tryAcquirePermit(ctx, best.choice) {
 		return choice{}, false
