--- a/serve/forward/heldup_test.go
+++ b/serve/forward/heldup_test.go
@@ -85,9 +85,9 @@
 		held time.Duration // before the link is held up: while prompts are read, or in mid-answer
 	}{
 		{"in mid-answer, repeats used up", noRetries, 1500 * time.Millisecond},
-		{"in mid-answer, repeats left", repeatsRule, 1500 * time.Millisecond},
+		{"in mid-answer, repeats left", testRetryRule, 1500 * time.Millisecond},
 		{"before the first event, repeats used up", noRetries, 200 * time.Millisecond},
-		{"before the first event, repeats left", repeatsRule, 200 * time.Millisecond},
+		{"before the first event, repeats left", testRetryRule, 200 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			withTestCluster(t, streamRoute(), func(w *testCluster) {
--- a/serve/forward/place_test.go
+++ b/serve/forward/place_test.go
@@ -259,7 +259,7 @@
 func (w *testCluster) addDaemon(id string) *Handler {
 	other := New(Options{
 		Feed: w.feed, Codec: testCodec{}, Log: event.Discard(), Self: routing.VM{ID: id, Zone: "b"},
-		RetryBudget: repeatsRule, Dial: w.dial,
+		RetryBudget: testRetryRule, Dial: w.dial,
 	})
 	w.handler.neighbours.dialer = link.NewDialerWith(&http.Client{Transport: peerDaemons{id + ":1": other}})
 	w.put("mallowwind/vm/vm-1", `{"id":"vm-1","zone":"a","address":"vm-1:2","peer":"vm-1:1"}`)
@@ -307,7 +307,7 @@
 		view := w.feed.View()
 		first, _, ok := w.handler.pool.reservePrefill(time.Now(), view, "llm", nil, false, nil)
 		must.True(t, ok)
-		other := newPool(routing.VM{ID: "vm-2"}, repeatsRule, w.handler.versions)
+		other := newPool(routing.VM{ID: "vm-2"}, testRetryRule, w.handler.versions)
 		second, _, ok := other.reservePrefill(time.Now(), view, "llm", w.handler.pool.localWork(view, "llm"), false, nil)
 		must.True(t, ok)
 		must.NotEq(t, first.server.ID, second.server.ID)
--- a/serve/forward/world_test.go
+++ b/serve/forward/world_test.go
@@ -343,7 +343,7 @@
 	})
 }
 
-var repeatsRule = repeats.Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
+var testRetryRule = repeats.Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 
 func newWorld(t *testing.T, routes []*routing.Route) *testCluster {
 	services := []*routing.Service{
@@ -372,9 +372,9 @@
 	w.feed = feed.New(feed.Options{Store: storesim.Confirming{Store: w.daemonStore, Hold: time.Second}, Schema: w.schema, Clock: clock, Log: event.Discard()})
 	w.handler = New(Options{
 		Feed: w.feed, Codec: testCodec{}, Log: event.Discard(), Self: self, MaxKeyAge: 5 * time.Second,
-		RetryBudget: repeatsRule, Dial: w.dial,
+		RetryBudget: testRetryRule, Dial: w.dial,
 	})
-	w.handler.pool.startedAt = start.Add(-repeatsRule.Window) // the daemon has its part of the slack
+	w.handler.pool.startedAt = start.Add(-testRetryRule.Window) // the daemon has its part of the slack
 }
 
 // startFeed starts the feed.
