--- a/control/membership/convert.go
+++ b/control/membership/convert.go
@@ -17,20 +17,20 @@
 func toMember(r gossip.Record) Member {
 	return Member{
 		ID: r.ID, Incarnation: r.Incarnation, Zone: r.Zone, Region: r.Region,
-		Caller: r.Caller, Peer: r.Peer, State: State(r.State),
+		Caller: r.CallerAddr, Peer: r.PeerAddr, State: State(r.State),
 	}
 }
 
 func toRecord(m Member) gossip.Record {
 	return gossip.Record{
 		ID: m.ID, Incarnation: m.Incarnation, Zone: m.Zone, Region: m.Region,
-		Caller: m.Caller, Peer: m.Peer, State: gossip.State(m.State),
+		CallerAddr: m.Caller, PeerAddr: m.Peer, State: gossip.State(m.State),
 	}
 }
 
 func toPB(r gossip.Record) *peerpb.MemberRecord {
 	return &peerpb.MemberRecord{
-		Id: r.ID, Zone: r.Zone, Region: r.Region, Caller: r.Caller, Peer: r.Peer,
+		Id: r.ID, Zone: r.Zone, Region: r.Region, Caller: r.CallerAddr, Peer: r.PeerAddr,
 		Incarnation: r.Incarnation, Refutation: r.Refutation, State: uint32(r.State),
 	}
 }
@@ -45,7 +45,7 @@
 
 func fromPB(r *peerpb.MemberRecord) gossip.Record {
 	return gossip.Record{
-		ID: r.Id, Zone: r.Zone, Region: r.Region, Caller: r.Caller, Peer: r.Peer,
+		ID: r.Id, Zone: r.Zone, Region: r.Region, CallerAddr: r.Caller, PeerAddr: r.Peer,
 		Incarnation: r.Incarnation, Refutation: r.Refutation, State: gossip.State(min(r.State, 255)),
 	}
 }
--- a/control/membership/exchange.go
+++ b/control/membership/exchange.go
@@ -40,7 +40,7 @@
 		return
 	}
 	m.mu.Lock()
-	c, ok := m.table.ProbeFailed(target, time.Now())
+	c, ok := m.table.RecordProbeFailure(target, time.Now())
 	m.mu.Unlock()
 	if ok {
 		m.changed([]gossip.Change{c}, "")
@@ -52,7 +52,7 @@
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.IndirectTimeout)
 	defer cancel()
 	m.mu.Lock()
-	helpers := m.table.HelpersFor(target.ID)
+	helpers := m.table.IndirectProbers(target.ID)
 	m.mu.Unlock()
 	reached := make(chan bool, len(helpers))
 	for _, helper := range helpers {
@@ -70,7 +70,7 @@
 }
 
 func (m *Manager) client(to gossip.Record) peerpb.Membership {
-	return peerpb.NewMembershipProtobufClient(m.deps.Dial.URL(to.Peer), m.deps.Dial.Client)
+	return peerpb.NewMembershipProtobufClient(m.deps.Dial.URL(to.PeerAddr), m.deps.Dial.Client)
 }
 
 // exchange passes news both ways with one daemon.
@@ -95,18 +95,18 @@
 func (m *Manager) agrees(root uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if root != m.table.Root() {
+	if root != m.table.RootHash() {
 		return false
 	}
-	m.table.Agreed()
+	m.table.RecordInSync()
 	return true
 }
 
 // sync repairs a few parts of the table in which the other daemon differs.
 func (m *Manager) sync(ctx context.Context, target gossip.Record, hashes []uint64) {
 	m.mu.Lock()
-	parts := m.table.Differing(hashes, time.Now())
-	records := m.table.In(parts)
+	parts := m.table.BucketsToSync(hashes, time.Now())
+	records := m.table.RecordsIn(parts)
 	m.mu.Unlock()
 	if len(parts) == 0 {
 		return
@@ -129,7 +129,7 @@
 	g := &peerpb.Gossip{
 		From:    toPB(m.table.Self()),
 		Updates: toPBs(m.table.Updates()),
-		Root:    m.table.Root(),
+		Root:    m.table.RootHash(),
 	}
 	m.addNews(g)
 	if rec, ok := m.table.Get(to); ok && rec.State != gossip.Alive {
@@ -198,5 +198,5 @@
 	m.merge(r.Records, "")
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return &peerpb.SyncReply{Records: toPBs(m.table.In(r.Buckets))}, nil
+	return &peerpb.SyncReply{Records: toPBs(m.table.RecordsIn(r.Buckets))}, nil
 }
--- a/control/membership/manager.go
+++ b/control/membership/manager.go
@@ -121,7 +121,7 @@
 // part without being named to callers.
 func (m *Manager) Serve(caller string) {
 	m.mu.Lock()
-	c := m.table.Serve(caller)
+	c := m.table.SetCallerAddr(caller)
 	m.mu.Unlock()
 	m.changed([]gossip.Change{c}, "")
 }
@@ -186,13 +186,13 @@
 func (m *Manager) firstRound() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return time.Duration(m.rng.Int64N(int64(m.cfg.Gossip.Interval)))
+	return time.Duration(m.rng.Int64N(int64(m.cfg.Gossip.ProbeInterval)))
 }
 
 func (m *Manager) interval() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return time.Duration(float64(m.cfg.Gossip.Interval) * (1 + m.cfg.Jitter*(2*m.rng.Float64()-1)))
+	return time.Duration(float64(m.cfg.Gossip.ProbeInterval) * (1 + m.cfg.Jitter*(2*m.rng.Float64()-1)))
 }
 
 func (m *Manager) readList(ctx context.Context) {
@@ -202,17 +202,17 @@
 	if err != nil {
 		return // whoever reads the platform's list has logged it
 	}
-	var listed []gossip.Listed
+	var listed []gossip.ListedVM
 	for _, vm := range rows {
 		if vm.Role == vmlist.RoleEntry {
-			listed = append(listed, gossip.Listed{
+			listed = append(listed, gossip.ListedVM{
 				ID: vm.ID, Zone: vm.Zone, Region: vm.Region,
-				Peer: m.deps.PeerAddress(vm), Leaving: vm.State == vmlist.Leaving,
+				PeerAddr: m.deps.PeerAddress(vm), Leaving: vm.State == vmlist.Leaving,
 			})
 		}
 	}
 	m.mu.Lock()
-	m.table.SetList(listed)
+	m.table.SetVMList(listed)
 	m.mu.Unlock()
 	m.publish()
 }
@@ -222,7 +222,7 @@
 	now := time.Now()
 	m.mu.Lock()
 	changes := m.table.Tick(now)
-	targets := m.table.Targets()
+	targets := m.table.ExchangeTargets()
 	m.mu.Unlock()
 	m.changed(changes, "")
 	for _, target := range targets {
@@ -233,7 +233,7 @@
 // spread passes news on at once.
 func (m *Manager) spread(ctx context.Context) {
 	m.mu.Lock()
-	targets := m.table.Fanout()
+	targets := m.table.FanoutTargets()
 	m.mu.Unlock()
 	for _, target := range targets {
 		m.probes.Go(func() { _ = m.exchange(ctx, target) })
--- a/control/roster/encoding.go
+++ b/control/roster/encoding.go
@@ -36,9 +36,9 @@
 		r := row{int64(a.Term), -1, -1, -1}
 		if a.Term > 0 {
 			r[rowOwner] = index(&d.Members, members, a.Owner)
-			r[rowChange] = index(&d.Changes, changes, a.Change)
+			r[rowChange] = index(&d.Changes, changes, a.ChangeID)
 		}
-		if !a.Witness.None() {
+		if !a.Witness.IsNone() {
 			r[rowWitness] = index(&d.Members, members, a.Witness)
 		}
 		d.Slots = append(d.Slots, r)
@@ -88,7 +88,7 @@
 	if a.Term == 0 {
 		return a, nil
 	}
-	a.Owner, a.Change = d.Members[r[rowOwner]], d.Changes[r[rowChange]]
+	a.Owner, a.ChangeID = d.Members[r[rowOwner]], d.Changes[r[rowChange]]
 	if r[rowWitness] >= 0 {
 		a.Witness = d.Members[r[rowWitness]]
 	}
--- a/control/roster/roster.go
+++ b/control/roster/roster.go
@@ -120,8 +120,8 @@
 // merge keeps the higher term. The caller holds mu.
 func (m *Manager) merge(a slot.Assignment) {
 	have := &m.table[a.Slot]
-	if a.Term == have.Term && a.Change != have.Change && m.violated != nil {
-		m.violated(fmt.Sprintf("slot %d term %d", a.Slot, a.Term), have.Change+" and "+a.Change)
+	if a.Term == have.Term && a.ChangeID != have.ChangeID && m.violated != nil {
+		m.violated(fmt.Sprintf("slot %d term %d", a.Slot, a.Term), have.ChangeID+" and "+a.ChangeID)
 	}
 	if a.Term > have.Term {
 		*have = a
@@ -248,7 +248,7 @@
 	for _, p := range proposals {
 		have := table[p.Slot]
 		switch {
-		case have.Term == p.Term && have.Change == p.Change:
+		case have.Term == p.Term && have.ChangeID == p.ChangeID:
 			won = append(won, p)
 		case have.Term+1 == p.Term:
 			open = append(open, p)
--- a/control/roster/roster_test.go
+++ b/control/roster/roster_test.go
@@ -17,8 +17,8 @@
 )
 
 var (
-	vm1 = slot.Member{ID: "vm1", Incarnation: 1, Zone: "z1", Peer: "10.0.0.1:1"}
-	vm2 = slot.Member{ID: "vm2", Incarnation: 1, Zone: "z2", Peer: "10.0.0.2:1"}
+	vm1 = slot.Member{ID: "vm1", Incarnation: 1, Zone: "z1", PeerAddr: "10.0.0.1:1"}
+	vm2 = slot.Member{ID: "vm2", Incarnation: 1, Zone: "z2", PeerAddr: "10.0.0.2:1"}
 )
 
 func newManager(s store.Store) *Manager {
@@ -27,7 +27,7 @@
 }
 
 func first(change string, owner slot.Member) []slot.Assignment {
-	return []slot.Assignment{{Slot: 5, Term: 1, Owner: owner, Witness: vm2, Change: change}}
+	return []slot.Assignment{{Slot: 5, Term: 1, Owner: owner, Witness: vm2, ChangeID: change}}
 }
 
 func TestCommitReadsBackALostConfirmation(t *testing.T) {
@@ -77,12 +77,12 @@
 func TestLearnNeverGoesBack(t *testing.T) {
 	// A peer that lags passes an old assignment on after a newer one is known.
 	m := newManager(store.NewMemory())
-	m.Learn(slot.Assignment{Slot: 5, Term: 3, Owner: vm1, Change: "c"})
-	m.Learn(slot.Assignment{Slot: 5, Term: 2, Owner: vm2, Change: "b"})
+	m.Learn(slot.Assignment{Slot: 5, Term: 3, Owner: vm1, ChangeID: "c"})
+	m.Learn(slot.Assignment{Slot: 5, Term: 2, Owner: vm2, ChangeID: "b"})
 	must.EqOp(t, vm1, m.Slot(5).Owner)
 	var violated int
 	m.OnViolation(func(string, string) { violated++ })
-	m.Learn(slot.Assignment{Slot: 5, Term: 3, Owner: vm2, Change: "x"})
+	m.Learn(slot.Assignment{Slot: 5, Term: 3, Owner: vm2, ChangeID: "x"})
 	must.EqOp(t, 1, violated)
 	must.EqOp(t, vm1, m.Slot(5).Owner)
 }
@@ -107,8 +107,8 @@
 
 func TestEncodeDecode(t *testing.T) {
 	table := empty()
-	table[7] = slot.Assignment{Slot: 7, Term: 9, Owner: vm1, Witness: vm2, Change: "x"}
-	table[8] = slot.Assignment{Slot: 8, Term: 1, Owner: vm2, Change: "y"}
+	table[7] = slot.Assignment{Slot: 7, Term: 9, Owner: vm1, Witness: vm2, ChangeID: "x"}
+	table[8] = slot.Assignment{Slot: 8, Term: 1, Owner: vm2, ChangeID: "y"}
 	b, err := encode(table)
 	must.NoError(t, err)
 	back, err := decode(b)
@@ -140,12 +140,12 @@
 	table := empty()
 	members := make([]slot.Member, 390)
 	for i := range members {
-		members[i] = slot.Member{ID: fmt.Sprintf("entry-%04d", i), Incarnation: 1764700000000000000, Zone: "zone-1", Peer: "10.11.12.13:7443"}
+		members[i] = slot.Member{ID: fmt.Sprintf("entry-%04d", i), Incarnation: 1764700000000000000, Zone: "zone-1", PeerAddr: "10.11.12.13:7443"}
 	}
 	for i := range table {
 		table[i] = slot.Assignment{
 			Slot: i, Term: 40, Owner: members[i%390], Witness: members[(i*7+1)%390],
-			Change: fmt.Sprintf("7f9c2ba4-e88f-427d-8b5c-%012d", i/3),
+			ChangeID: fmt.Sprintf("7f9c2ba4-e88f-427d-8b5c-%012d", i/3),
 		}
 	}
 	m := newManager(store.NewMemory())
@@ -175,7 +175,7 @@
 		for i := range 20 {
 			wg.Go(func() {
 				time.Sleep(time.Duration(i) * 5 * time.Millisecond)
-				a := slot.Assignment{Slot: i, Term: 1, Owner: vm1, Witness: vm2, Change: fmt.Sprint("c", i)}
+				a := slot.Assignment{Slot: i, Term: 1, Owner: vm1, Witness: vm2, ChangeID: fmt.Sprint("c", i)}
 				must.NoError(t, m.Gather(t.Context(), []slot.Assignment{a}))
 				must.EqOp(t, a, m.Slot(i))
 			})
--- a/decision/admit/admit.go
+++ b/decision/admit/admit.go
@@ -97,8 +97,8 @@
 	prev, next *Item
 }
 
-// Waiting reports whether the item is in a queue.
-func (it *Item) Waiting() bool { return it.flow != nil }
+// IsWaiting reports whether the item is in a queue.
+func (it *Item) IsWaiting() bool { return it.flow != nil }
 
 // Action is what becomes of an offered item.
 type Action uint8
@@ -115,21 +115,21 @@
 
 // The reasons.
 const (
-	ReasonFree      Reason = "slot_free"
-	ReasonQueued    Reason = "queued"
-	ReasonLate      Reason = "cannot_start_in_time"
-	ReasonBusy      Reason = "urgent_would_wait"
-	ReasonExpired   Reason = "expired"
-	ReasonNoServers Reason = "no_capacity"
-	ReasonHopeless  Reason = "became_hopeless"
+	ReasonSlotFree            Reason = "slot_free"
+	ReasonQueued              Reason = "queued"
+	ReasonCannotStartInTime   Reason = "cannot_start_in_time"
+	ReasonUrgentWouldWait     Reason = "urgent_would_wait"
+	ReasonExpired             Reason = "expired"
+	ReasonNoCapacity          Reason = "no_capacity"
+	ReasonDeadlineUnreachable Reason = "became_hopeless"
 )
 
 // Decision is the answer to an offer.
 type Decision struct {
 	Action Action
 	Reason Reason
-	// Wait is the predicted time until the item starts.
-	Wait time.Duration
+	// PredictedWait is the predicted time until the item starts.
+	PredictedWait time.Duration
 	// RetryAfter is when an equal request is expected to be let in; 0 where the
 	// queue knows of no capacity at all.
 	RetryAfter time.Duration
@@ -144,10 +144,10 @@
 		return q.refuse(now, it, slots, 0, ReasonExpired)
 	}
 	if slots <= 0 {
-		return q.refuse(now, it, slots, 0, ReasonNoServers)
+		return q.refuse(now, it, slots, 0, ReasonNoCapacity)
 	}
 	if q.waitingUpTo(it.Class) == 0 && q.allowed(now, it.Class, slots) {
-		return Decision{Action: Start, Reason: ReasonFree}
+		return Decision{Action: Start, Reason: ReasonSlotFree}
 	}
 	return q.enqueue(now, it, slots)
 }
@@ -157,18 +157,18 @@
 	wait := q.predict(now, it, q.aheadOf(it), slots)
 	patience := it.Deadline.Sub(now)
 	if it.Class == Urgent && float64(wait) > urgentPatience*float64(patience) {
-		return q.refuse(now, it, slots, wait, ReasonBusy)
+		return q.refuse(now, it, slots, wait, ReasonUrgentWouldWait)
 	}
 	if float64(wait) > queuePatience*float64(patience) && it.Class != Resumed {
-		return q.refuse(now, it, slots, wait, ReasonLate)
+		return q.refuse(now, it, slots, wait, ReasonCannotStartInTime)
 	}
 	q.push(it)
-	return Decision{Action: Wait, Reason: ReasonQueued, Wait: wait}
+	return Decision{Action: Wait, Reason: ReasonQueued, PredictedWait: wait}
 }
 
 func (q *Queue) refuse(now time.Time, it *Item, slots int, wait time.Duration, why Reason) Decision {
 	return Decision{
-		Action: Refuse, Reason: why, Wait: wait,
+		Action: Refuse, Reason: why, PredictedWait: wait,
 		RetryAfter: q.retryAfter(now, it, wait, slots),
 	}
 }
@@ -198,10 +198,10 @@
 	return float64(q.running[Long]) < float64(slots)-keep
 }
 
-// SetSpare tells how many more than slots may run for the sake of urgent work,
+// SetUrgentOverflow tells how many more than slots may run for the sake of urgent work,
 // because backend servers reported room that this daemon has no share of. A
 // daemon's part of a small pool is exceeded by chance long before the pool is full.
-func (q *Queue) SetSpare(n int) { q.spare = n }
+func (q *Queue) SetUrgentOverflow(n int) { q.spare = n }
 
 // reserve is the number of slots kept for class c: what its arrivals need, none
 // where it sent nothing lately, and never the last slot.
--- a/decision/admit/admit_test.go
+++ b/decision/admit/admit_test.go
@@ -22,8 +22,8 @@
 	q := NewQueue()
 	for _, c := range []Class{Resumed, Urgent, Normal, Long} {
 		it := item("t", c, cost, time.Hour)
-		q.Started(it)
-		q.Finished(c, cost, held)
+		q.RecordStart(it)
+		q.RecordFinish(c, cost, held)
 	}
 	return q
 }
@@ -31,7 +31,7 @@
 // fill starts work until slots are taken.
 func fill(q *Queue, class Class, n int) {
 	for range n {
-		q.Started(item("fill", class, 100, time.Hour))
+		q.RecordStart(item("fill", class, 100, time.Hour))
 	}
 }
 
@@ -44,8 +44,8 @@
 	must.Eq(t, Wait, q.Offer(epoch, item("a", Normal, 100, 40*time.Second), 2).Action)
 	d := q.Offer(epoch, item("a", Normal, 100, 30*time.Second), 2)
 	test.Eq(t, Refuse, d.Action)
-	test.Eq(t, ReasonLate, d.Reason)
-	test.Eq(t, 10*time.Second, d.Wait)
+	test.Eq(t, ReasonCannotStartInTime, d.Reason)
+	test.Eq(t, 10*time.Second, d.PredictedWait)
 	test.Between(t, 10*time.Second, d.RetryAfter, 20*time.Second)
 }
 
@@ -61,7 +61,7 @@
 	}
 	started := 0
 	for q.Offer(now, item("mill", Long, 100, time.Hour), 100).Action == Start {
-		q.Started(item("mill", Long, 100, time.Hour))
+		q.RecordStart(item("mill", Long, 100, time.Hour))
 		started++
 	}
 	test.Between(t, 70, started, 90)
@@ -81,7 +81,7 @@
 	must.Eq(t, Wait, q.Offer(epoch, light, 1).Action)
 	for k := 0; ; k++ {
 		must.Less(t, 3, k)
-		q.Finished(Normal, 100, time.Second)
+		q.RecordFinish(Normal, 100, time.Second)
 		if q.Next(epoch, 1, always) == light {
 			break
 		}
@@ -96,12 +96,12 @@
 	fill(q, Normal, 1)
 	long, normal := 0, 0
 	for range 400 {
-		q.Hold(item("a", Normal, 100, time.Hour))
-		q.Hold(item("b", Long, 100, time.Hour))
+		q.Enqueue(item("a", Normal, 100, time.Hour))
+		q.Enqueue(item("b", Long, 100, time.Hour))
 	}
 	class := Normal
 	for range 400 {
-		q.Finished(class, 100, time.Second)
+		q.RecordFinish(class, 100, time.Second)
 		it := q.Next(epoch, 1, always)
 		must.NotNil(t, it)
 		class = it.Class
@@ -126,8 +126,8 @@
 	shed := q.Shed(epoch, 3)
 	test.Between(t, 5, len(shed), 9)
 	for _, it := range shed {
-		test.False(t, it.Waiting())
-		test.Eq(t, ReasonHopeless, q.Refusal(epoch, it, 3).Reason)
+		test.False(t, it.IsWaiting())
+		test.Eq(t, ReasonDeadlineUnreachable, q.RefusalFor(epoch, it, 3).Reason)
 	}
 }
 
@@ -139,7 +139,7 @@
 	must.Eq(t, Wait, q.Offer(epoch, item("a", Urgent, 100, 20*time.Second), 2).Action)
 	d := q.Offer(epoch, item("a", Urgent, 100, 20*time.Second), 2)
 	test.Eq(t, Refuse, d.Action)
-	test.Eq(t, ReasonBusy, d.Reason)
+	test.Eq(t, ReasonUrgentWouldWait, d.Reason)
 }
 
 // Whatever is offered, started and finished: nothing starts beyond the slots
@@ -185,7 +185,7 @@
 				it.Deadline = now.Add(time.Duration(rapid.IntRange(0, 20000).Draw(t, "patience")) * time.Millisecond)
 				switch q.Offer(now, it, slots).Action {
 				case Start:
-					q.Started(it)
+					q.RecordStart(it)
 					begin(it)
 				case Wait:
 					waiting[it] = true
@@ -193,7 +193,7 @@
 			} else {
 				it := running[0]
 				running = running[1:]
-				q.Finished(it.Class, it.Cost, time.Second)
+				q.RecordFinish(it.Class, it.Cost, time.Second)
 			}
 			settle()
 		}
@@ -214,7 +214,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				q.Finished(Normal, 100, time.Millisecond)
+				q.RecordFinish(Normal, 100, time.Millisecond)
 				it := q.Next(epoch, 1, always)
 				q.Offer(epoch, it, 1)
 			}
--- a/decision/admit/queue.go
+++ b/decision/admit/queue.go
@@ -128,9 +128,9 @@
 	}
 }
 
-// Hold lets an item wait although nothing can run it yet: capacity is about to
+// Enqueue lets an item wait although nothing can run it yet: capacity is about to
 // appear, or the only free slots are on servers it excludes.
-func (q *Queue) Hold(it *Item) { q.push(it) }
+func (q *Queue) Enqueue(it *Item) { q.push(it) }
 
 // Remove takes a waiting item out, for instance because its caller left.
 func (q *Queue) Remove(it *Item) {
@@ -163,9 +163,9 @@
 	}
 }
 
-// Started records that it runs now. An item that was offered with Action
+// RecordStart records that it runs now. An item that was offered with Action
 // Start and one returned by Next are both reported here.
-func (q *Queue) Started(it *Item) {
+func (q *Queue) RecordStart(it *Item) {
 	c := &q.class[it.Class]
 	f := c.flowOf(it)
 	c.charge(f, it.Cost)
@@ -183,8 +183,8 @@
 	}
 }
 
-// Finished records the end of work that ran for held and cost that many tokens.
-func (q *Queue) Finished(class Class, cost float64, held time.Duration) {
+// RecordFinish records the end of work that ran for held and cost that many tokens.
+func (q *Queue) RecordFinish(class Class, cost float64, held time.Duration) {
 	q.running[class]--
 	q.drain.finished(class, cost, held)
 }
@@ -206,7 +206,7 @@
 			continue
 		}
 		q.Remove(it)
-		q.Started(it)
+		q.RecordStart(it)
 		return it
 	}
 	return nil
@@ -251,9 +251,9 @@
 	return float64(q.predict(now, it, ahead, slots)) > shedSlack*float64(patience)
 }
 
-// Refusal is the decision for an item that Shed returned.
-func (q *Queue) Refusal(now time.Time, it *Item, slots int) Decision {
-	why := ReasonHopeless
+// RefusalFor is the decision for an item that Shed returned.
+func (q *Queue) RefusalFor(now time.Time, it *Item, slots int) Decision {
+	why := ReasonDeadlineUnreachable
 	if !it.Deadline.After(now) {
 		why = ReasonExpired
 	}
@@ -286,5 +286,5 @@
 	return n
 }
 
-// Idle reports whether nothing waits.
-func (q *Queue) Idle() bool { return q.waitingUpTo(Long) == 0 }
+// IsEmpty reports whether nothing waits.
+func (q *Queue) IsEmpty() bool { return q.waitingUpTo(Long) == 0 }
--- a/decision/budget/budget.go
+++ b/decision/budget/budget.go
@@ -12,10 +12,10 @@
 import "time"
 
 const (
-	// DefaultShare is the share of useful tokens that may be spent again. One in
+	// DefaultRatio is the share of useful tokens that may be spent again. One in
 	// ten carries the loss of one engine of 18 a minute, and keeps
 	// the worst case at a tenth more load.
-	DefaultShare = 0.10
+	DefaultRatio = 0.10
 	// window is how much past work the budget can draw on, in seconds of income:
 	// long enough to take over what one dead engine ran, short enough that a
 	// quiet hour does not pay for many repeats at once.
@@ -38,8 +38,8 @@
 	Saturated Reason = "saturated"
 )
 
-// Expense is what the budget is asked to pay.
-type Expense struct {
+// Withdrawal is what the budget is asked to pay.
+type Withdrawal struct {
 	Tokens float64
 	// Forced marks the continuation of an answer whose backend server is
 	// certainly gone: it is always granted, and paid for by the next ones.
@@ -67,9 +67,9 @@
 	prefillCost = 0.1
 )
 
-// TakeoverShare is the share of a service's generated tokens that takeovers may
+// TakeoverRatio is the share of a service's generated tokens that takeovers may
 // cost, by its weight of resume latency from 0 to 1.
-func TakeoverShare(weight float64) float64 {
+func TakeoverRatio(weight float64) float64 {
 	weight = min(max(weight, 0), 1)
 	return minTakeoverShare + weight*weight*(maxTakeoverShare-minTakeoverShare)
 }
@@ -78,16 +78,16 @@
 // another engine read this many tokens of prompt and answer.
 func TakeoverCost(tokens int) float64 { return prefillCost * float64(tokens) }
 
-// Earn credits a share of useful tokens.
-func (b *Budget) Earn(now time.Time, tokens, share float64) {
+// Deposit credits a share of useful tokens.
+func (b *Budget) Deposit(now time.Time, tokens, share float64) {
 	b.advance(now)
 	earned := share * tokens
 	b.income += earned / window
 	b.balance = min(b.balance+earned, b.most())
 }
 
-// Spend asks for an expense.
-func (b *Budget) Spend(now time.Time, e Expense) Reason {
+// Withdraw asks for an expense.
+func (b *Budget) Withdraw(now time.Time, e Withdrawal) Reason {
 	b.advance(now)
 	switch {
 	case e.Forced:
--- a/decision/budget/budget_test.go
+++ b/decision/budget/budget_test.go
@@ -18,30 +18,30 @@
 	now := epoch
 	for range 600 {
 		now = now.Add(100 * time.Millisecond)
-		b.Earn(now, 1000, DefaultShare) // 10,000 tokens a second
+		b.Deposit(now, 1000, DefaultRatio) // 10,000 tokens a second
 	}
 	spent := 0.0
-	for b.Spend(now, Expense{Tokens: 500}) == Granted {
+	for b.Withdraw(now, Withdrawal{Tokens: 500}) == Granted {
 		spent += 500
 	}
-	test.Between(t, 0.05*600*1000, spent, DefaultShare*600*1000+floorTokens)
-	test.Eq(t, Exhausted, b.Spend(now, Expense{Tokens: 500}))
+	test.Between(t, 0.05*600*1000, spent, DefaultRatio*600*1000+floorTokens)
+	test.Eq(t, Exhausted, b.Withdraw(now, Withdrawal{Tokens: 500}))
 	test.Between(t, 0, b.Wait(500), time.Second)
 }
 
 func TestNoRetryAgainstAQueue(t *testing.T) {
 	var b Budget
-	test.Eq(t, Saturated, b.Spend(epoch, Expense{Tokens: 1, Saturated: true}))
-	test.Eq(t, Granted, b.Spend(epoch, Expense{Tokens: 1}))
+	test.Eq(t, Saturated, b.Withdraw(epoch, Withdrawal{Tokens: 1, Saturated: true}))
+	test.Eq(t, Granted, b.Withdraw(epoch, Withdrawal{Tokens: 1}))
 }
 
 func TestForcedContinuationIsPaidByLaterOnes(t *testing.T) {
 	var b Budget
-	must.Eq(t, Forced, b.Spend(epoch, Expense{Tokens: 7000, Forced: true, Saturated: true}))
+	must.Eq(t, Forced, b.Withdraw(epoch, Withdrawal{Tokens: 7000, Forced: true, Saturated: true}))
 	test.Negative(t, b.Balance())
-	test.Eq(t, Exhausted, b.Spend(epoch, Expense{Tokens: 1}))
+	test.Eq(t, Exhausted, b.Withdraw(epoch, Withdrawal{Tokens: 1}))
 	wait := b.Wait(1000)
-	test.Eq(t, Granted, b.Spend(epoch.Add(wait+time.Second), Expense{Tokens: 1000}))
+	test.Eq(t, Granted, b.Withdraw(epoch.Add(wait+time.Second), Withdrawal{Tokens: 1000}))
 }
 
 // A service that weighs cost sees a long hour of false suspicions. What its
@@ -52,11 +52,11 @@
 	now, spent := epoch, 0.0
 	for range 3600 {
 		now = now.Add(time.Second)
-		b.Earn(now, perSecond, TakeoverShare(0.2))
-		for b.Spend(now, Expense{Tokens: cost}) == Granted {
+		b.Deposit(now, perSecond, TakeoverRatio(0.2))
+		for b.Withdraw(now, Withdrawal{Tokens: cost}) == Granted {
 			spent += cost
 		}
 	}
 	test.Between(t, 0.005*3600*perSecond, spent, 0.01*3600*perSecond)
-	test.Eq(t, TakeoverShare(1), TakeoverShare(3))
+	test.Eq(t, TakeoverRatio(1), TakeoverRatio(3))
 }
--- a/decision/entries/entries.go
+++ b/decision/entries/entries.go
@@ -24,20 +24,20 @@
 	"sort"
 )
 
-// Rule says how many VMs an account is told.
-type Rule struct {
-	// Least is told to every account. Fewer leave VMs with uneven load, because
+// SubsetRule says how many VMs an account is told.
+type SubsetRule struct {
+	// MinVMs is told to every account. Fewer leave VMs with uneven load, because
 	// each then carries few accounts, and lose more when a zone goes.
-	Least int
-	// Spread is how many times the number of VMs that an account would fill on
+	MinVMs int
+	// Oversubscription is how many times the number of VMs that an account would fill on
 	// its own it is told: callers pick among them unevenly.
-	Spread float64
+	Oversubscription float64
 }
 
-// Default is the rule in use. Its values come from the study "entries" of
+// DefaultRule is the rule in use. Its values come from the study "entries" of
 // bench load, in docs/design/33-load-entries.md: with up to sixteen VMs
 // everybody is told all.
-var Default = Rule{Least: 16, Spread: 8}
+var DefaultRule = SubsetRule{MinVMs: 16, Oversubscription: 8}
 
 // hysteresis is the part by which an account's load must shrink before it
 // is told fewer VMs, so that noise does not move its callers.
@@ -61,13 +61,13 @@
 
 // Query asks for an account's answer.
 type Query struct {
-	// Part is the account's share of the whole load, 0 to 1, and Before that of
+	// LoadShare is the account's share of the whole load, 0 to 1, and Before that of
 	// all accounts before it in an order that every VM computes alike.
-	Part, Before float64
-	// Told is how many VMs the last answer named, 0 if none.
-	Told int
-	// Turn rotates the order, so that callers that use the first address spread.
-	Turn uint64
+	LoadShare, ShareBefore float64
+	// PreviousCount is how many VMs the last answer named, 0 if none.
+	PreviousCount int
+	// Rotation rotates the order, so that callers that use the first address spread.
+	Rotation uint64
 }
 
 // Reason says how the number of VMs came about.
@@ -75,40 +75,40 @@
 
 // The reasons.
 const (
-	ReasonLeast Reason = "least"
-	ReasonPart  Reason = "by_load"
-	ReasonKept  Reason = "kept"
-	ReasonAll   Reason = "all"
-	ReasonNone  Reason = "none"
-	ReasonAny   Reason = "account_unknown"
+	ReasonMinimum        Reason = "least"
+	ReasonByLoad         Reason = "by_load"
+	ReasonHysteresis     Reason = "kept"
+	ReasonAll            Reason = "all"
+	ReasonNone           Reason = "none"
+	ReasonAccountUnknown Reason = "account_unknown"
 )
 
-// Answer names VMs by index, in the order the caller should try them.
-type Answer struct {
+// Selection names VMs by index, in the order the caller should try them.
+type Selection struct {
 	VMs    []int
 	Reason Reason
 }
 
-// Answers computes the answer to q from the VMs in view by the default rule.
-func Answers(vms []VM, q Query) Answer { return Default.Answers(vms, q) }
+// Select computes the answer to q from the VMs in view by the default rule.
+func Select(vms []VM, q Query) Selection { return DefaultRule.Select(vms, q) }
 
-// Answers computes the answer to q from the VMs in view.
-func (r Rule) Answers(vms []VM, q Query) Answer {
+// Select computes the answer to q from the VMs in view.
+func (r SubsetRule) Select(vms []VM, q Query) Selection {
 	ring := Ring(vms)
 	if len(ring) == 0 {
-		return Answer{Reason: ReasonNone}
+		return Selection{Reason: ReasonNone}
 	}
 	n, why := r.count(len(ring), q)
 	first := r.begin(len(ring), n, q)
-	turn := int(q.Turn % uint64(n))
+	turn := int(q.Rotation % uint64(n))
 	told := make([]int, n)
 	for k := range told {
 		told[k] = ring[(first+(k+turn)%n)%len(ring)]
 	}
-	return Answer{VMs: told, Reason: why}
+	return Selection{VMs: told, Reason: why}
 }
 
-// Any computes the turn-th answer that the daemon on VM own, an index of vms, gives
+// SelectForUnknownAccount computes the turn-th answer that the daemon on VM own, an index of vms, gives
 // callers of whose account nothing is known.
 //
 // It guards against callers that all meet at a few VMs. That shows as links that are
@@ -117,13 +117,13 @@
 // different VMs, and those of one daemon follow each other round the ring. In as many
 // answers as there are VMs each VM is named equally often, and first once, for callers
 // that use the first address.
-func Any(vms []VM, own int, turn uint64) Answer {
+func SelectForUnknownAccount(vms []VM, own int, turn uint64) Selection {
 	ring := Ring(vms)
 	size := len(ring)
 	if size == 0 {
-		return Answer{Reason: ReasonNone}
+		return Selection{Reason: ReasonNone}
 	}
-	n, why := anyTold, ReasonAny
+	n, why := anyTold, ReasonAccountUnknown
 	if n >= size {
 		n, why = size, ReasonAll
 	}
@@ -136,7 +136,7 @@
 	for k := range told {
 		told[k] = ring[(first+k)%size]
 	}
-	return Answer{VMs: told, Reason: why}
+	return Selection{VMs: told, Reason: why}
 }
 
 // step is how far on the next window of n out of size VMs begins: the least number
@@ -158,26 +158,26 @@
 
 // begin is where an account's window of n out of size VMs starts: where the
 // parts before it end, when all parts together go round the ring Spread times.
-func (r Rule) begin(size, n int, q Query) int {
+func (r SubsetRule) begin(size, n int, q Query) int {
 	if n >= size {
 		return 0
 	}
-	turns := q.Before * max(r.Spread, 1)
+	turns := q.ShareBefore * max(r.Oversubscription, 1)
 	return int((turns-math.Floor(turns))*float64(size)) % size
 }
 
 // count is the number of VMs to tell out of n.
-func (r Rule) count(n int, q Query) (int, Reason) {
-	want := min(n, max(r.Least, ceil(r.Spread*q.Part*float64(n))))
-	why := ReasonPart
+func (r SubsetRule) count(n int, q Query) (int, Reason) {
+	want := min(n, max(r.MinVMs, ceil(r.Oversubscription*q.LoadShare*float64(n))))
+	why := ReasonByLoad
 	switch {
 	case want == n:
 		why = ReasonAll
-	case want == min(n, r.Least):
-		why = ReasonLeast
+	case want == min(n, r.MinVMs):
+		why = ReasonMinimum
 	}
-	if q.Told > want && float64(want) > hysteresis*float64(q.Told) && q.Told <= n {
-		return q.Told, ReasonKept
+	if q.PreviousCount > want && float64(want) > hysteresis*float64(q.PreviousCount) && q.PreviousCount <= n {
+		return q.PreviousCount, ReasonHysteresis
 	}
 	return want, why
 }
@@ -219,17 +219,17 @@
 	return ring
 }
 
-// Share is one account's weight in the load.
-type Share struct {
+// AccountLoad is one account's weight in the load.
+type AccountLoad struct {
 	Name   string
 	Hash   uint64 // of Name
 	Weight float64
 }
 
-// Position returns an account's part of the load and the parts before it, in
+// LoadPosition returns an account's part of the load and the parts before it, in
 // the order of the hash of the names.
-func Position(shares []Share, name string) (part, before float64) {
-	var self Share
+func LoadPosition(shares []AccountLoad, name string) (part, before float64) {
+	var self AccountLoad
 	for _, s := range shares {
 		if s.Name == name {
 			self = s
@@ -248,10 +248,10 @@
 	return self.Weight / sum, before / sum
 }
 
-// Member reports whether VM i is among those that q's account is told, and how
+// IsSelected reports whether VM i is among those that q's account is told, and how
 // many that are. An entry VM uses it to know its part of the account's limit.
-func (r Rule) Member(vms []VM, q Query, i int) (told int, member bool) {
-	a := r.Answers(vms, q)
+func (r SubsetRule) IsSelected(vms []VM, q Query, i int) (told int, member bool) {
+	a := r.Select(vms, q)
 	for _, j := range a.VMs {
 		member = member || j == i
 	}
--- a/decision/entries/entries_test.go
+++ b/decision/entries/entries_test.go
@@ -23,7 +23,7 @@
 	fleet := vms(7, 3)
 	first := map[int]int{}
 	for turn := range uint64(70) {
-		a := Answers(fleet, Query{Part: 0.1, Turn: turn})
+		a := Select(fleet, Query{LoadShare: 0.1, Rotation: turn})
 		must.SliceLen(t, 7, a.VMs)
 		must.Eq(t, ReasonAll, a.Reason)
 		first[a.VMs[0]]++
@@ -39,17 +39,17 @@
 	fleet := vms(40, 5)
 	fleet[3].Usable = false
 	for part := range 20 {
-		a := Answers(fleet, Query{Part: 0.05, Before: 0.05 * float64(part)})
+		a := Select(fleet, Query{LoadShare: 0.05, ShareBefore: 0.05 * float64(part)})
 		test.SliceNotContains(t, a.VMs, 3)
 	}
-	must.Eq(t, ReasonNone, Answers(nil, Query{}).Reason)
+	must.Eq(t, ReasonNone, Select(nil, Query{}).Reason)
 }
 
 func TestEveryAnswerSpansTheZones(t *testing.T) {
 	fleet := vms(390, 7)
 	for k := range 100 {
 		zones := map[string]bool{}
-		for _, i := range Answers(fleet, Query{Part: 0.001, Before: float64(k) / 100}).VMs {
+		for _, i := range Select(fleet, Query{LoadShare: 0.001, ShareBefore: float64(k) / 100}).VMs {
 			zones[fleet[i].Zone] = true
 		}
 		test.MapLen(t, 7, zones)
@@ -60,15 +60,15 @@
 // Windows that follow each other's parts must load the VMs evenly.
 func TestLargeAccountsLoadTheVMsEvenly(t *testing.T) {
 	fleet := vms(390, 7)
-	var shares []Share
+	var shares []AccountLoad
 	for k := range 810 {
 		name := fmt.Sprintf("a%d", k)
-		shares = append(shares, Share{Name: name, Hash: xxhash.Sum64String(name), Weight: 1 / float64(k+1)})
+		shares = append(shares, AccountLoad{Name: name, Hash: xxhash.Sum64String(name), Weight: 1 / float64(k+1)})
 	}
 	load := make([]float64, len(fleet))
 	for _, s := range shares {
-		part, before := Position(shares, s.Name)
-		a := Answers(fleet, Query{Part: part, Before: before})
+		part, before := LoadPosition(shares, s.Name)
+		a := Select(fleet, Query{LoadShare: part, ShareBefore: before})
 		for _, i := range a.VMs {
 			load[i] += part / float64(len(a.VMs))
 		}
@@ -80,21 +80,21 @@
 
 func TestAnswerShrinksOnlyWhenTheLoadClearlyDid(t *testing.T) {
 	fleet := vms(390, 7)
-	told := len(Answers(fleet, Query{Part: 0.02}).VMs)
-	a := Answers(fleet, Query{Part: 0.018, Told: told})
-	test.Eq(t, ReasonKept, a.Reason)
+	told := len(Select(fleet, Query{LoadShare: 0.02}).VMs)
+	a := Select(fleet, Query{LoadShare: 0.018, PreviousCount: told})
+	test.Eq(t, ReasonHysteresis, a.Reason)
 	test.SliceLen(t, told, a.VMs)
-	test.Less(t, told, len(Answers(fleet, Query{Part: 0.005, Told: told}).VMs))
+	test.Less(t, told, len(Select(fleet, Query{LoadShare: 0.005, PreviousCount: told}).VMs))
 }
 
 func TestMember(t *testing.T) {
 	fleet := vms(40, 5)
-	q := Query{Part: 0.001}
-	inside := Answers(fleet, q).VMs[0]
-	told, member := Default.Member(fleet, q, inside)
-	test.Eq(t, Default.Least, told)
+	q := Query{LoadShare: 0.001}
+	inside := Select(fleet, q).VMs[0]
+	told, member := DefaultRule.IsSelected(fleet, q, inside)
+	test.Eq(t, DefaultRule.MinVMs, told)
 	test.True(t, member)
-	_, member = Default.Member(fleet, q, -1)
+	_, member = DefaultRule.IsSelected(fleet, q, -1)
 	test.False(t, member)
 }
 
@@ -116,7 +116,7 @@
 			for k := range size {
 				own, turn := question(k)
 				own = min(own, size-1)
-				a := Any(fleet, own, turn)
+				a := SelectForUnknownAccount(fleet, own, turn)
 				told = len(a.VMs)
 				must.Eq(t, min(size, anyTold), told)
 				for _, i := range a.VMs {
@@ -139,13 +139,13 @@
 	first := map[int]bool{}
 	for own := range 20 {
 		fleet[own].Usable = false
-		a := Any(fleet, own, 1)
+		a := SelectForUnknownAccount(fleet, own, 1)
 		must.SliceNotContains(t, a.VMs, own)
 		first[a.VMs[0]] = true
 		fleet[own].Usable = true
 	}
 	test.Greater(t, 10, len(first))
-	must.Eq(t, ReasonNone, Any(nil, -1, 1).Reason)
+	must.Eq(t, ReasonNone, SelectForUnknownAccount(nil, -1, 1).Reason)
 }
 
 // A zone is lost while callers keep an answer, or VMs leave in turn. No more of an
@@ -156,7 +156,7 @@
 		for zones := 4; zones > 1; zones-- {
 			for own := range fleet {
 				in := map[string]int{}
-				for _, i := range Any(fleet, own, 7).VMs {
+				for _, i := range SelectForUnknownAccount(fleet, own, 7).VMs {
 					must.True(t, fleet[i].Usable)
 					in[fleet[i].Zone]++
 				}
--- a/decision/gossip/choose.go
+++ b/decision/gossip/choose.go
@@ -62,19 +62,19 @@
 	}
 }
 
-// Targets returns whom to exchange with in this round: one neighbour in turn
+// ExchangeTargets returns whom to exchange with in this round: one neighbour in turn
 // and a VM that the list shows but that is not believed alive. The latter is
 // how a daemon joins and how the parts of a healed partition find each other;
 // it is tried every StrayEvery rounds, or each round while less than half of
 // the listed VMs are known.
-func (t *Table) Targets() []Record {
+func (t *Table) ExchangeTargets() []Record {
 	t.round++
 	var out []Record
 	if n := t.Neighbours(); len(n) > 0 {
 		t.turn = (t.turn + 1) % len(n)
 		out = append(out, t.members[n[t.turn]].rec)
 	}
-	if len(out) > 0 && t.round%t.cfg.StrayEvery != 0 && !t.ignorant() {
+	if len(out) > 0 && t.round%t.cfg.ReconnectRounds != 0 && !t.ignorant() {
 		return out
 	}
 	if stray, ok := t.stray(); ok {
@@ -94,17 +94,17 @@
 		}
 		seen++
 		if t.rng.IntN(seen) == 0 {
-			pick = Record{ID: row.ID, Zone: row.Zone, Region: row.Region, Peer: row.Peer, State: Gone}
+			pick = Record{ID: row.ID, Zone: row.Zone, Region: row.Region, PeerAddr: row.PeerAddr, State: Gone}
 		}
 	}
 	return pick, seen > 0
 }
 
-// Fanout returns the members that are told of news at once.
-func (t *Table) Fanout() []Record { return t.pick(t.cfg.Fanout, "") }
+// FanoutTargets returns the members that are told of news at once.
+func (t *Table) FanoutTargets() []Record { return t.pick(t.cfg.Fanout, "") }
 
-// HelpersFor returns the members that are asked to repeat a probe of target.
-func (t *Table) HelpersFor(target string) []Record { return t.pick(t.cfg.Helpers, target) }
+// IndirectProbers returns the members that are asked to repeat a probe of target.
+func (t *Table) IndirectProbers(target string) []Record { return t.pick(t.cfg.IndirectProbes, target) }
 
 // pick returns up to n neighbours, then other members at random, that are
 // alive and not except.
@@ -157,18 +157,18 @@
 	return out
 }
 
-// Agreed records that an exchange found both tables equal. Where tables agree
+// RecordInSync records that an exchange found both tables equal. Where tables agree
 // everybody is likely to know, so what is still to be passed on is halved.
 // After 390 daemons start together the rest would otherwise go on for minutes,
 // at several times the traffic of a steady state.
-func (t *Table) Agreed() {
+func (t *Table) RecordInSync() {
 	for _, m := range t.members {
 		m.sends /= 2
 	}
 }
 
-// Root returns a hash over the whole table; equal tables have equal roots.
-func (t *Table) Root() uint64 {
+// RootHash returns a hash over the whole table; equal tables have equal roots.
+func (t *Table) RootHash() uint64 {
 	var root uint64
 	for _, b := range t.buckets {
 		root ^= b
@@ -182,16 +182,16 @@
 // maxDiffer bounds the parts repaired at once to a few kilobytes.
 const maxDiffer = 4
 
-// Differing returns the parts in which this table differs from the hashes of
+// BucketsToSync returns the parts in which this table differs from the hashes of
 // another and that are to be repaired now, and counts the repair as made.
 // Passing news makes tables differ for moments, and comparing each time would
 // cost more than the news: a repair is due every SyncEvery and takes four
 // parts from a random one on. A daemon that knows less than half of the listed
 // VMs, because it joins or a partition heals, takes all parts each Interval.
-func (t *Table) Differing(hashes []uint64, now time.Time) []uint32 {
-	limit, every := maxDiffer, t.cfg.SyncEvery
+func (t *Table) BucketsToSync(hashes []uint64, now time.Time) []uint32 {
+	limit, every := maxDiffer, t.cfg.SyncInterval
 	if t.ignorant() {
-		limit, every = Buckets, t.cfg.Interval
+		limit, every = Buckets, t.cfg.ProbeInterval
 	}
 	if len(hashes) != Buckets || (!t.lastSync.IsZero() && now.Sub(t.lastSync) < every) {
 		return nil
@@ -219,8 +219,8 @@
 	return 2*known < len(t.listed)
 }
 
-// In returns all records in the given parts, those of gone members included.
-func (t *Table) In(parts []uint32) []Record {
+// RecordsIn returns all records in the given parts, those of gone members included.
+func (t *Table) RecordsIn(parts []uint32) []Record {
 	var out []Record
 	for id, m := range t.members {
 		if slices.Contains(parts, uint32(bucketOf(id))) {
--- a/decision/gossip/record.go
+++ b/decision/gossip/record.go
@@ -29,11 +29,11 @@
 
 // Record is one claim about a member, as it travels between daemons.
 type Record struct {
-	ID     string
-	Zone   string
-	Region string
-	Caller string // address for callers
-	Peer   string // address for other daemons
+	ID         string
+	Zone       string
+	Region     string
+	CallerAddr string // address for callers
+	PeerAddr   string // address for other daemons
 	// Incarnation is the start of the process, unix nanoseconds. It names the
 	// process: a daemon that was taken for dead and is not keeps it.
 	Incarnation uint64
@@ -72,10 +72,10 @@
 	return d.Sum64()
 }
 
-// Listed is one entry VM of the platform's list.
-type Listed struct {
-	ID, Zone, Region, Peer string
-	Leaving                bool
+// ListedVM is one entry VM of the platform's list.
+type ListedVM struct {
+	ID, Zone, Region, PeerAddr string
+	Leaving                    bool
 }
 
 // Reason says why a belief changed.
@@ -83,15 +83,15 @@
 
 // The reasons of changes.
 const (
-	ReasonJoined     Reason = "joined"
-	ReasonNews       Reason = "news from another entry VM"
-	ReasonProbe      Reason = "direct and indirect probes failed"
-	ReasonSuspicion  Reason = "a suspicion was not contradicted in time"
-	ReasonUnlisted   Reason = "silent and no longer in the VM list"
-	ReasonRefuted    Reason = "contradicted a claim about itself"
-	ReasonLeave      Reason = "leaves"
-	ReasonServes     Reason = "serves callers"
-	ReasonSuperseded Reason = "another process runs under this VM id"
+	ReasonJoined           Reason = "joined"
+	ReasonGossip           Reason = "news from another entry VM"
+	ReasonProbeFailed      Reason = "direct and indirect probes failed"
+	ReasonSuspicionTimeout Reason = "a suspicion was not contradicted in time"
+	ReasonUnlisted         Reason = "silent and no longer in the VM list"
+	ReasonRefuted          Reason = "contradicted a claim about itself"
+	ReasonLeaving          Reason = "leaves"
+	ReasonServing          Reason = "serves callers"
+	ReasonSuperseded       Reason = "another process runs under this VM id"
 )
 
 // Change is one change of belief.
@@ -103,23 +103,23 @@
 
 // Config holds the thresholds; the package comment gives their reasons.
 type Config struct {
-	Interval    time.Duration // between two probes by one daemon
-	Suspicion   time.Duration // a suspect's time to contradict
-	Forget      time.Duration // how long a gone member's record is kept
-	SyncEvery   time.Duration // between two repairs of differing tables
-	ZoneRings   int
-	GlobalRings int
-	Helpers     int // members asked to repeat a failed probe
-	Fanout      int // exchanges made at once for news
-	MaxUpdates  int // records carried by one exchange
-	StrayEvery  int // every how many rounds a VM not believed alive is tried
-	PauseAfter  int // rounds missed before a daemon concludes that it was paused itself
+	ProbeInterval    time.Duration // between two probes by one daemon
+	SuspicionTimeout time.Duration // a suspect's time to contradict
+	GoneRetention    time.Duration // how long a gone member's record is kept
+	SyncInterval     time.Duration // between two repairs of differing tables
+	ZoneRings        int
+	GlobalRings      int
+	IndirectProbes   int // members asked to repeat a failed probe
+	Fanout           int // exchanges made at once for news
+	MaxUpdates       int // records carried by one exchange
+	ReconnectRounds  int // every how many rounds a VM not believed alive is tried
+	PauseRounds      int // rounds missed before a daemon concludes that it was paused itself
 }
 
 // DefaultConfig returns the values in use.
 func DefaultConfig() Config {
 	return Config{
-		Interval: 2 * time.Second, Suspicion: 5 * time.Second, Forget: time.Hour, SyncEvery: 5 * time.Second,
-		ZoneRings: 3, GlobalRings: 2, Helpers: 3, Fanout: 4, MaxUpdates: 16, StrayEvery: 5, PauseAfter: 3,
+		ProbeInterval: 2 * time.Second, SuspicionTimeout: 5 * time.Second, GoneRetention: time.Hour, SyncInterval: 5 * time.Second,
+		ZoneRings: 3, GlobalRings: 2, IndirectProbes: 3, Fanout: 4, MaxUpdates: 16, ReconnectRounds: 5, PauseRounds: 3,
 	}
 }
--- a/decision/gossip/table.go
+++ b/decision/gossip/table.go
@@ -36,7 +36,7 @@
 	rng     *rand.Rand
 	self    *member
 	members map[string]*member // includes self
-	listed  []Listed
+	listed  []ListedVM
 	buckets [Buckets]uint64
 	version uint64
 
@@ -131,7 +131,7 @@
 	} else if !rec.Supersedes(m.rec) {
 		return Change{}, false
 	}
-	reason := ReasonNews
+	reason := ReasonGossip
 	if !known {
 		reason = ReasonJoined
 	}
@@ -144,7 +144,7 @@
 	t.put(m, rec)
 	switch rec.State {
 	case Suspect:
-		m.deadline = now.Add(t.cfg.Suspicion)
+		m.deadline = now.Add(t.cfg.SuspicionTimeout)
 	case Gone:
 		m.goneAt = now
 	}
@@ -172,13 +172,13 @@
 	return Change{Record: own, From: claim.State, Reason: ReasonRefuted}, true
 }
 
-// Serve says where callers reach this daemon from now on.
-func (t *Table) Serve(caller string) Change {
+// SetCallerAddr says where callers reach this daemon from now on.
+func (t *Table) SetCallerAddr(caller string) Change {
 	rec := t.self.rec
-	rec.Caller = caller
+	rec.CallerAddr = caller
 	rec.Refutation++ // newer than what others hold of this incarnation
 	t.put(t.self, rec)
-	return Change{Record: rec, From: rec.State, Reason: ReasonServes}
+	return Change{Record: rec, From: rec.State, Reason: ReasonServing}
 }
 
 // Leave marks this daemon as leaving or, in the last message it sends, gone.
@@ -187,13 +187,13 @@
 	from := rec.State
 	rec.State = state
 	t.put(t.self, rec)
-	return Change{Record: rec, From: from, Reason: ReasonLeave}
+	return Change{Record: rec, From: from, Reason: ReasonLeaving}
 }
 
-// ProbeFailed records that neither this daemon nor its helpers reached id at
+// RecordProbeFailure records that neither this daemon nor its helpers reached id at
 // the incarnation and refutation of rec. A leaving member is given up at once:
 // it had said goodbye.
-func (t *Table) ProbeFailed(rec Record, now time.Time) (Change, bool) {
+func (t *Table) RecordProbeFailure(rec Record, now time.Time) (Change, bool) {
 	m, ok := t.members[rec.ID]
 	if !ok || m == t.self || m.rec.Incarnation != rec.Incarnation || m.rec.Refutation != rec.Refutation {
 		return Change{}, false
@@ -207,7 +207,7 @@
 	default:
 		return Change{}, false
 	}
-	return t.set(m, next, ReasonProbe, now), true
+	return t.set(m, next, ReasonProbeFailed, now), true
 }
 
 // Tick advances the time and returns suspicions that became certain.
@@ -218,7 +218,7 @@
 // rounds every suspicion therefore starts anew.
 func (t *Table) Tick(now time.Time) []Change {
 	gap := now.Sub(t.lastTick)
-	paused := !t.lastTick.IsZero() && gap > time.Duration(t.cfg.PauseAfter)*t.cfg.Interval
+	paused := !t.lastTick.IsZero() && gap > time.Duration(t.cfg.PauseRounds)*t.cfg.ProbeInterval
 	t.lastTick = now
 	var changes []Change
 	for id, m := range t.members {
@@ -228,7 +228,7 @@
 				changes = append(changes, c)
 			}
 		case Gone:
-			if now.Sub(m.goneAt) > t.cfg.Forget {
+			if now.Sub(m.goneAt) > t.cfg.GoneRetention {
 				delete(t.members, id)
 			}
 		}
@@ -239,10 +239,10 @@
 
 func (t *Table) judge(m *member, paused bool, now time.Time) (Change, bool) {
 	if paused {
-		m.deadline = now.Add(t.cfg.Suspicion)
+		m.deadline = now.Add(t.cfg.SuspicionTimeout)
 		return Change{}, false
 	}
-	reason := ReasonSuspicion
+	reason := ReasonSuspicionTimeout
 	if m.absent >= 2 {
 		reason = ReasonUnlisted
 	} else if now.Before(m.deadline) {
@@ -253,12 +253,12 @@
 	return t.set(m, rec, reason, now), true
 }
 
-// SetList takes the entry VMs of the platform's list. The list lags both
+// SetVMList takes the entry VMs of the platform's list. The list lags both
 // ways, so it only adds: whom to try, who leaves, and, once two reads lack a
 // VM, that a suspect needs no more time.
-func (t *Table) SetList(rows []Listed) {
+func (t *Table) SetVMList(rows []ListedVM) {
 	t.listed = rows
-	byRow := make(map[string]Listed, len(rows))
+	byRow := make(map[string]ListedVM, len(rows))
 	for _, r := range rows {
 		byRow[r.ID] = r
 	}
--- a/decision/gossip/table_test.go
+++ b/decision/gossip/table_test.go
@@ -13,7 +13,7 @@
 var start = time.Unix(1000, 0)
 
 func record(i, zones int) Record {
-	return Record{ID: fmt.Sprintf("vm%03d", i), Zone: fmt.Sprint("z", i%zones), Peer: fmt.Sprint(i), Incarnation: 1}
+	return Record{ID: fmt.Sprintf("vm%03d", i), Zone: fmt.Sprint("z", i%zones), PeerAddr: fmt.Sprint(i), Incarnation: 1}
 }
 
 // full returns the table of member i in a fleet that knows itself.
@@ -104,7 +104,7 @@
 		rng.Shuffle(len(news), func(i, j int) { news[i], news[j] = news[j], news[i] })
 		b.Merge(append(news, news...), start)
 		must.Eq(t, a.Members(), b.Members(), must.Sprint("seed ", seed))
-		must.Eq(t, a.Root(), b.Root(), must.Sprint("seed ", seed))
+		must.Eq(t, a.RootHash(), b.RootHash(), must.Sprint("seed ", seed))
 	}
 }
 
@@ -114,7 +114,7 @@
 	table := full(0, 3, 1)
 	now := start
 	table.Tick(now)
-	_, ok := table.ProbeFailed(record(1, 1), now)
+	_, ok := table.RecordProbeFailure(record(1, 1), now)
 	must.True(t, ok)
 	must.SliceEmpty(t, table.Tick(now.Add(time.Minute)))
 	rec, _ := table.Get("vm001")
@@ -126,7 +126,7 @@
 		changes = append(changes, table.Tick(now)...)
 	}
 	must.Len(t, 1, changes)
-	must.Eq(t, ReasonSuspicion, changes[0].Reason)
+	must.Eq(t, ReasonSuspicionTimeout, changes[0].Reason)
 }
 
 // A claim that this daemon is gone is contradicted so that it loses wherever
@@ -152,11 +152,11 @@
 func TestUnlistedSuspectIsGone(t *testing.T) {
 	table := full(0, 3, 1)
 	table.Tick(start)
-	table.ProbeFailed(record(1, 1), start)
-	rows := []Listed{{ID: "vm000"}, {ID: "vm002"}}
-	table.SetList(rows)
+	table.RecordProbeFailure(record(1, 1), start)
+	rows := []ListedVM{{ID: "vm000"}, {ID: "vm002"}}
+	table.SetVMList(rows)
 	must.SliceEmpty(t, table.Tick(start.Add(time.Second)))
-	table.SetList(rows)
+	table.SetVMList(rows)
 	changes := table.Tick(start.Add(2 * time.Second))
 	must.Len(t, 1, changes)
 	must.Eq(t, ReasonUnlisted, changes[0].Reason)
--- a/decision/health/health.go
+++ b/decision/health/health.go
@@ -53,8 +53,8 @@
 const (
 	Healthy State = iota
 	Ejected
-	Trial   // one request at a time
-	Warming // slow start
+	Probation // one request at a time
+	Warming   // slow start
 )
 
 // String returns the lower-case name.
@@ -67,18 +67,18 @@
 
 // The reasons.
 const (
-	ReasonSlow     Reason = "slower_than_peers"
-	ReasonFailing  Reason = "failures_in_a_row"
-	ReasonTrialDue Reason = "trial_due"
-	ReasonTrialOK  Reason = "trial_succeeded"
-	ReasonTrialBad Reason = "trial_failed"
-	ReasonRestart  Reason = "restarted"
-	ReasonWarm     Reason = "warm"
+	ReasonSlowerThanPeers     Reason = "slower_than_peers"
+	ReasonConsecutiveFailures Reason = "failures_in_a_row"
+	ReasonProbationDue        Reason = "trial_due"
+	ReasonProbationPassed     Reason = "trial_succeeded"
+	ReasonProbationFailed     Reason = "trial_failed"
+	ReasonRestart             Reason = "restarted"
+	ReasonWarm                Reason = "warm"
 )
 
-// Peer is what one daemon knows of one server. The zero value is a healthy
+// Server is what one daemon knows of one server. The zero value is a healthy
 // server of which nothing is known. It is not safe for concurrent use.
-type Peer struct {
+type Server struct {
 	state    State
 	since    time.Time
 	until    time.Time // end of the ejection
@@ -89,10 +89,10 @@
 }
 
 // State returns the present state.
-func (p *Peer) State() State { return p.state }
+func (p *Server) State() State { return p.state }
 
-// Gap records the time between two tokens, or per token of a plain answer.
-func (p *Peer) Gap(gap time.Duration) {
+// ObserveTokenGap records the time between two tokens, or per token of a plain answer.
+func (p *Server) ObserveTokenGap(gap time.Duration) {
 	g := gap.Seconds()
 	if p.samples == 0 {
 		p.gap = g
@@ -101,24 +101,24 @@
 	p.gap += (g - p.gap) / memory
 }
 
-// Succeeded records an attempt that ended well.
-func (p *Peer) Succeeded() { p.failures = 0 }
+// RecordSuccess records an attempt that ended well.
+func (p *Server) RecordSuccess() { p.failures = 0 }
 
-// Failed records an attempt that the server did not finish.
-func (p *Peer) Failed() { p.failures++ }
+// RecordFailure records an attempt that the server did not finish.
+func (p *Server) RecordFailure() { p.failures++ }
 
-// Restarted begins a slow start, because the caches are cold.
-func (p *Peer) Restarted(now time.Time) Transition {
+// RecordRestart begins a slow start, because the caches are cold.
+func (p *Server) RecordRestart(now time.Time) Transition {
 	p.samples, p.failures = 0, 0
 	return p.become(now, Warming, ReasonRestart)
 }
 
 // Weight is the share of its usual work the server gets now.
-func (p *Peer) Weight(now time.Time) float64 {
+func (p *Server) Weight(now time.Time) float64 {
 	switch p.state {
 	case Ejected:
 		return 0
-	case Trial:
+	case Probation:
 		return rampFloor
 	case Warming:
 		part := now.Sub(p.since).Seconds() / rampTime.Seconds()
@@ -129,11 +129,11 @@
 }
 
 // Limit is the number of requests that may be in flight out of limit.
-func (p *Peer) Limit(now time.Time, limit int) int {
+func (p *Server) Limit(now time.Time, limit int) int {
 	switch p.state {
 	case Ejected:
 		return 0
-	case Trial:
+	case Probation:
 		return min(1, limit)
 	case Warming:
 		return max(1, int(float64(limit)*p.Weight(now)+0.5))
@@ -152,7 +152,7 @@
 	Median time.Duration
 }
 
-func (p *Peer) become(now time.Time, to State, why Reason) Transition {
+func (p *Server) become(now time.Time, to State, why Reason) Transition {
 	t := Transition{From: p.state, To: to, Reason: why}
 	p.state, p.since = to, now
 	return t
@@ -167,12 +167,12 @@
 
 // Evaluate moves each peer's state and returns what changed. The slice is
 // valid until the next call.
-func (e *Evaluator) Evaluate(now time.Time, peers []*Peer) []Transition {
+func (e *Evaluator) Evaluate(now time.Time, peers []*Server) []Transition {
 	e.transitions = e.transitions[:0]
 	median := e.median(peers)
 	out := 0
 	for _, p := range peers {
-		if p.state == Ejected || p.state == Trial {
+		if p.state == Ejected || p.state == Probation {
 			out++
 		}
 	}
@@ -181,7 +181,7 @@
 		if !changed {
 			continue
 		}
-		if t.To == Ejected && t.From != Trial {
+		if t.To == Ejected && t.From != Probation {
 			out++
 		}
 		t.Index = i
@@ -198,15 +198,15 @@
 	return max(1, int(maxEjected*float64(peers)))
 }
 
-func (p *Peer) step(now time.Time, median float64, mayEject bool) (Transition, bool) {
+func (p *Server) step(now time.Time, median float64, mayEject bool) (Transition, bool) {
 	switch p.state {
 	case Ejected:
 		if now.Before(p.until) {
 			return Transition{}, false
 		}
 		p.samples, p.failures = 0, 0
-		return p.become(now, Trial, ReasonTrialDue), true
-	case Trial:
+		return p.become(now, Probation, ReasonProbationDue), true
+	case Probation:
 		return p.judgeTrial(now, median)
 	case Warming:
 		if now.Sub(p.since) >= rampTime {
@@ -218,35 +218,35 @@
 	case !mayEject:
 		return Transition{}, false
 	case p.failures >= failureStreak:
-		return p.eject(now, ReasonFailing), true
+		return p.eject(now, ReasonConsecutiveFailures), true
 	case p.samples >= minSamples && median > 0 && p.gap > slowFactor*median:
-		return p.eject(now, ReasonSlow), true
+		return p.eject(now, ReasonSlowerThanPeers), true
 	}
 	return Transition{}, false
 }
 
 // judgeTrial ends a trial once enough tokens were seen. A trial on which no
 // request falls stays open and costs nothing.
-func (p *Peer) judgeTrial(now time.Time, median float64) (Transition, bool) {
+func (p *Server) judgeTrial(now time.Time, median float64) (Transition, bool) {
 	switch {
 	case p.failures > 0:
-		return p.eject(now, ReasonTrialBad), true
+		return p.eject(now, ReasonProbationFailed), true
 	case p.samples < minSamples:
 		return Transition{}, false
 	case median > 0 && p.gap > trialFactor*median:
-		return p.eject(now, ReasonTrialBad), true
+		return p.eject(now, ReasonProbationFailed), true
 	}
-	return p.become(now, Warming, ReasonTrialOK), true
+	return p.become(now, Warming, ReasonProbationPassed), true
 }
 
-func (p *Peer) eject(now time.Time, why Reason) Transition {
+func (p *Server) eject(now time.Time, why Reason) Transition {
 	p.pause = min(max(2*p.pause, firstPause), longestPause)
 	p.until = now.Add(p.pause)
 	return p.become(now, Ejected, why)
 }
 
 // median of the gaps of peers that serve normally and are known well enough.
-func (e *Evaluator) median(peers []*Peer) float64 {
+func (e *Evaluator) median(peers []*Server) float64 {
 	e.gaps = e.gaps[:0]
 	for _, p := range peers {
 		if p.samples >= minSamples && (p.state == Healthy || p.state == Warming) {
--- a/decision/health/health_test.go
+++ b/decision/health/health_test.go
@@ -13,18 +13,18 @@
 
 var epoch = time.Unix(1000, 0)
 
-func peers(n int) []*Peer {
-	ps := make([]*Peer, n)
+func peers(n int) []*Server {
+	ps := make([]*Server, n)
 	for i := range ps {
-		ps[i] = &Peer{}
+		ps[i] = &Server{}
 		gaps(ps[i], 50, usualGap)
 	}
 	return ps
 }
 
-func gaps(p *Peer, n int, gap time.Duration) {
+func gaps(p *Server, n int, gap time.Duration) {
 	for range n {
-		p.Gap(gap)
+		p.ObserveTokenGap(gap)
 	}
 }
 
@@ -37,11 +37,11 @@
 	ts := e.Evaluate(now, ps)
 	must.SliceLen(t, 1, ts)
 	test.Eq(t, 3, ts[0].Index)
-	test.Eq(t, ReasonSlow, ts[0].Reason)
+	test.Eq(t, ReasonSlowerThanPeers, ts[0].Reason)
 	test.Zero(t, ps[3].Limit(now, 16))
 	must.SliceEmpty(t, e.Evaluate(now.Add(firstPause-1), ps))
 	now = now.Add(firstPause)
-	must.Eq(t, Trial, e.Evaluate(now, ps)[0].To)
+	must.Eq(t, Probation, e.Evaluate(now, ps)[0].To)
 	test.Eq(t, 1, ps[3].Limit(now, 16))
 	gaps(ps[3], minSamples, usualGap)
 	must.Eq(t, Warming, e.Evaluate(now, ps)[0].To)
@@ -55,15 +55,15 @@
 func TestFailedTrialDoublesThePause(t *testing.T) {
 	ps, e, now := peers(5), Evaluator{}, epoch
 	for range failureStreak {
-		ps[0].Failed()
+		ps[0].RecordFailure()
 	}
-	must.Eq(t, ReasonFailing, e.Evaluate(now, ps)[0].Reason)
+	must.Eq(t, ReasonConsecutiveFailures, e.Evaluate(now, ps)[0].Reason)
 	now = now.Add(firstPause)
-	must.Eq(t, Trial, e.Evaluate(now, ps)[0].To)
+	must.Eq(t, Probation, e.Evaluate(now, ps)[0].To)
 	gaps(ps[0], minSamples, 3*usualGap)
-	must.Eq(t, ReasonTrialBad, e.Evaluate(now, ps)[0].Reason)
+	must.Eq(t, ReasonProbationFailed, e.Evaluate(now, ps)[0].Reason)
 	must.SliceEmpty(t, e.Evaluate(now.Add(2*firstPause-1), ps))
-	must.Eq(t, Trial, e.Evaluate(now.Add(2*firstPause), ps)[0].To)
+	must.Eq(t, Probation, e.Evaluate(now.Add(2*firstPause), ps)[0].To)
 }
 
 // All engines stall or slow down together, for instance under saturation.
@@ -83,16 +83,16 @@
 			now = now.Add(time.Duration(rapid.IntRange(100, 5000).Draw(t, "ms")) * time.Millisecond)
 			p := ps[rapid.IntRange(0, len(ps)-1).Draw(t, "peer")]
 			if rapid.Bool().Draw(t, "fails") {
-				p.Failed()
-				p.Failed()
-				p.Failed()
+				p.RecordFailure()
+				p.RecordFailure()
+				p.RecordFailure()
 			} else {
 				gaps(p, 20, time.Duration(rapid.IntRange(1, 500).Draw(t, "gap"))*time.Millisecond)
 			}
 			e.Evaluate(now, ps)
 			out := 0
 			for _, p := range ps {
-				if p.State() == Ejected || p.State() == Trial {
+				if p.State() == Ejected || p.State() == Probation {
 					out++
 				}
 			}
@@ -104,8 +104,8 @@
 }
 
 func TestRestartBeginsSlowly(t *testing.T) {
-	p := &Peer{}
-	tr := p.Restarted(epoch)
+	p := &Server{}
+	tr := p.RecordRestart(epoch)
 	test.Eq(t, ReasonRestart, tr.Reason)
 	test.Eq(t, 2, p.Limit(epoch, 16))
 	test.Eq(t, 16, p.Limit(epoch.Add(rampTime), 16))
--- a/decision/limit/account.go
+++ b/decision/limit/account.go
@@ -7,18 +7,18 @@
 // with ten seconds an account that asks exactly its limit gets two thirds of it.
 const burst = 60.0
 
-// Account is the token bucket of one account at one entry VM. The zero value
+// TokenBucket is the token bucket of one account at one entry VM. The zero value
 // is a full bucket. It is not safe for concurrent use.
-type Account struct {
+type TokenBucket struct {
 	debt    float64 // tokens taken and not yet refilled
 	updated time.Time
 }
 
-// Share is this VM's part of an account's limit, with no message between VMs:
+// AccountShare is this VM's part of an account's limit, with no message between VMs:
 // each of the VMs that the account is told gives an equal part, and a VM that
 // it was not told, or is told no longer, gives a tenth of such a part, because
 // answers are kept for a while. told is how many VMs the account is told.
-func Share(told int, member bool) float64 {
+func AccountShare(told int, member bool) float64 {
 	share := 1 / float64(max(told, 1))
 	if !member {
 		share /= 10
@@ -31,7 +31,7 @@
 // granted while anything is left, and its whole cost is then owed: a part of a
 // limit is often smaller than one long request, and a bucket that had to hold
 // the whole cost would refuse half of what is within the limit.
-func (a *Account) Take(now time.Time, cost, rate float64) time.Duration {
+func (a *TokenBucket) Take(now time.Time, cost, rate float64) time.Duration {
 	a.refill(now, rate)
 	if over := a.debt - burst*rate; over >= 0 && a.debt > 0 {
 		return time.Duration((over + 1) / rate * float64(time.Second))
@@ -40,7 +40,7 @@
 	return 0
 }
 
-func (a *Account) refill(now time.Time, rate float64) {
+func (a *TokenBucket) refill(now time.Time, rate float64) {
 	if !a.updated.IsZero() {
 		a.debt = max(0, a.debt-rate*now.Sub(a.updated).Seconds())
 	}
--- a/decision/limit/limit_test.go
+++ b/decision/limit/limit_test.go
@@ -11,10 +11,10 @@
 var epoch = time.Unix(1000, 0)
 
 // settle shows s one gap for 30 s, which end at the returned time.
-func settle(s *Server, now time.Time, gap time.Duration, inFlight func() int) time.Time {
+func settle(s *Concurrency, now time.Time, gap time.Duration, inFlight func() int) time.Time {
 	for range 120 {
 		for range gapMemory {
-			s.Gap(gap)
+			s.ObserveTokenGap(gap)
 		}
 		now = now.Add(adjustEvery)
 		s.Adjust(now, inFlight())
@@ -23,7 +23,7 @@
 }
 
 func TestLimitFallsWithTheGapAndRecovers(t *testing.T) {
-	s := NewServer(32, 1, 0)
+	s := NewConcurrency(32, 1, 0)
 	must.Eq(t, 32, s.Limit())
 	full := func() int { return s.Limit() }
 	now := settle(&s, epoch, 20*time.Millisecond, full)
@@ -35,7 +35,7 @@
 }
 
 func TestUnusedLimitDoesNotGrow(t *testing.T) {
-	s := NewServer(32, 1, 0)
+	s := NewConcurrency(32, 1, 0)
 	now := settle(&s, epoch, 20*time.Millisecond, func() int { return 0 })
 	now = settle(&s, now, 80*time.Millisecond, func() int { return s.Limit() })
 	low := s.Limit()
@@ -50,9 +50,9 @@
 // stays unused is less than one request for each daemon that might come.
 func TestDaemonsThatReadTheSameReportShareWhatIsFree(t *testing.T) {
 	const slots, daemons = 20, 7
-	servers := make([]Server, daemons)
+	servers := make([]Concurrency, daemons)
 	for i := range servers {
-		servers[i] = NewServer(slots, daemons, float64(i)/daemons)
+		servers[i] = NewConcurrency(slots, daemons, float64(i)/daemons)
 	}
 	own := make([]int, daemons)
 	own[0] = 2 // six others idle; daemon 0 wants all it may have
@@ -62,9 +62,9 @@
 			running += n
 		}
 		for i := range servers {
-			servers[i].Reported(Report{
-				Taken: epoch.Add(time.Duration(k) * time.Second), Running: running,
-				Own: own[i], Sharers: daemons, Readers: daemons,
+			servers[i].ApplyReport(Report{
+				TakenAt: epoch.Add(time.Duration(k) * time.Second), Running: running,
+				OwnInFlight: own[i], SharingDaemons: daemons, ReadingDaemons: daemons,
 			}, slots)
 		}
 		servers[0].limit = slots
@@ -78,20 +78,20 @@
 	const slots, daemons = 20, 7
 	sum := 0
 	for i := range daemons {
-		s := NewServer(slots, daemons, float64(i)/daemons)
+		s := NewConcurrency(slots, daemons, float64(i)/daemons)
 		sum += s.Limit()
 	}
 	test.Between(t, slots-1, sum, slots+1)
 }
 
 func TestEngineThatQueuesLowersTheLimit(t *testing.T) {
-	s := NewServer(16, 1, 0)
-	s.Reported(Report{Taken: epoch, Running: 16, Waiting: 4, Own: 20, Sharers: 1, Readers: 1}, 16)
+	s := NewConcurrency(16, 1, 0)
+	s.ApplyReport(Report{TakenAt: epoch, Running: 16, Waiting: 4, OwnInFlight: 20, SharingDaemons: 1, ReadingDaemons: 1}, 16)
 	test.Less(t, 16, s.Limit())
 }
 
 func TestAccountGetsItsRateHoweverLargeItsRequests(t *testing.T) {
-	var a Account
+	var a TokenBucket
 	now, granted := epoch, 0.0
 	for range 6000 {
 		now = now.Add(100 * time.Millisecond)
@@ -103,7 +103,7 @@
 }
 
 func TestRefusedAccountIsLetInWhenItWasTold(t *testing.T) {
-	var a Account
+	var a TokenBucket
 	must.Zero(t, a.Take(epoch, 50000, 100))
 	wait := a.Take(epoch, 10, 100)
 	must.Positive(t, wait)
@@ -112,6 +112,6 @@
 }
 
 func TestShareOfAVMThatWasNotTold(t *testing.T) {
-	test.Eq(t, 0.125, Share(8, true))
-	test.Eq(t, 0.0125, Share(8, false))
+	test.Eq(t, 0.125, AccountShare(8, true))
+	test.Eq(t, 0.0125, AccountShare(8, false))
 }
--- a/decision/limit/server.go
+++ b/decision/limit/server.go
@@ -37,11 +37,11 @@
 	minLimit = 1.0
 )
 
-// Server learns how many requests one daemon may have at one backend server.
+// Concurrency learns how many requests one daemon may have at one backend server.
 // Its own requests in flight are counted exactly; what other daemons do shows
 // in the token gap and, with a lag, in the engine's report. The zero value is
 // not usable. It is not safe for concurrent use.
-type Server struct {
+type Concurrency struct {
 	phase   float64
 	limit   float64
 	ceiling float64
@@ -52,13 +52,13 @@
 	report  time.Time // of the last report taken in
 }
 
-// NewServer starts at this daemon's even share of slots among daemons. phase,
+// NewConcurrency starts at this daemon's even share of slots among daemons. phase,
 // in [0, 1), differs between the daemons of one backend server: a share of 3.3
 // then means four at a third of the daemons and three at the others, and their
 // sum is what the server can take.
-func NewServer(slots, daemons int, phase float64) Server {
+func NewConcurrency(slots, daemons int, phase float64) Concurrency {
 	share := even(slots, daemons)
-	return Server{limit: share, ceiling: share, phase: phase}
+	return Concurrency{limit: share, ceiling: share, phase: phase}
 }
 
 // even is the even share. With daemons 0 there is none: the server is far away
@@ -72,12 +72,12 @@
 
 // Limit is the number of requests this daemon may have there. It is 0 only
 // where the even share is less than one request and others use the server.
-func (s *Server) Limit() int {
+func (s *Concurrency) Limit() int {
 	return int(min(s.limit, s.ceiling) + s.phase)
 }
 
-// Gap records the time between two tokens of one stream.
-func (s *Server) Gap(gap time.Duration) {
+// ObserveTokenGap records the time between two tokens of one stream.
+func (s *Concurrency) ObserveTokenGap(gap time.Duration) {
 	g := gap.Seconds()
 	if g <= 0 {
 		return
@@ -92,43 +92,43 @@
 
 // Report is what the engine said of itself, some time ago.
 type Report struct {
-	Taken   time.Time
-	Running int
-	Waiting int
-	Slots   int // 0 if unknown
-	Own     int // requests of this daemon when the report was taken
-	// Sharers is how many daemons have an even share, Readers how many act on
+	TakenAt     time.Time
+	Running     int
+	Waiting     int
+	Slots       int // 0 if unknown
+	OwnInFlight int // requests of this daemon when the report was taken
+	// SharingDaemons is how many daemons have an even share, Readers how many act on
 	// the same report.
-	Sharers, Readers int
+	SharingDaemons, ReadingDaemons int
 }
 
-// Reported takes in a report. slots is the operators' bound on the whole
+// ApplyReport takes in a report. slots is the operators' bound on the whole
 // backend server. The
 // ceiling becomes what this daemon had then and its even part of what was
 // free, never less than the even share. Each daemon reads the same old report:
 // if each took all that was free, their sum would swing between too much and
 // too little with the period of the reports.
-func (s *Server) Reported(r Report, slots int) {
+func (s *Concurrency) ApplyReport(r Report, slots int) {
 	if r.Slots > 0 && (slots <= 0 || r.Slots < slots) {
 		slots = r.Slots
 	}
-	share := even(slots, r.Sharers)
-	if r.Taken.IsZero() {
+	share := even(slots, r.SharingDaemons)
+	if r.TakenAt.IsZero() {
 		s.ceiling = share
 		return
 	}
 	free := float64(slots - r.Running - r.Waiting)
-	s.ceiling = max(share, float64(r.Own)+free/float64(max(r.Readers, 1)))
-	if r.Waiting > 0 && r.Taken.After(s.report) && r.Own > 0 {
+	s.ceiling = max(share, float64(r.OwnInFlight)+free/float64(max(r.ReadingDaemons, 1)))
+	if r.Waiting > 0 && r.TakenAt.After(s.report) && r.OwnInFlight > 0 {
 		s.limit = max(share/2, min(minLimit, share), s.limit*waitingBackoff)
 	}
-	s.report = r.Taken
+	s.report = r.TakenAt
 }
 
 // Adjust moves the limit when it is due, and reports whether it changed. A
 // limit that is not used says nothing, so it only grows when at least half of
 // it is in flight.
-func (s *Server) Adjust(now time.Time, inFlight int) bool {
+func (s *Concurrency) Adjust(now time.Time, inFlight int) bool {
 	if now.Before(s.next) {
 		return false
 	}
--- a/decision/lineage/lineage.go
+++ b/decision/lineage/lineage.go
@@ -24,8 +24,8 @@
 // the same generation from two copies never share an epoch.
 type Epoch uint64
 
-// First returns the epoch of a generation's first owner.
-func First(random uint64) Epoch { return Epoch(0).Next(random) }
+// FirstEpoch returns the epoch of a generation's first owner.
+func FirstEpoch(random uint64) Epoch { return Epoch(0).Next(random) }
 
 // Next returns an epoch that follows e.
 func (e Epoch) Next(random uint64) Epoch {
@@ -33,28 +33,28 @@
 	return (e>>epochCountShift+1)<<epochCountShift | Epoch(random&mask)
 }
 
-// Count returns how many owners there were up to and including e.
-func (e Epoch) Count() int { return int(e >> epochCountShift) }
+// OwnerCount returns how many owners there were up to and including e.
+func (e Epoch) OwnerCount() int { return int(e >> epochCountShift) }
 
 // Fork is the begin of an epoch at a token offset.
 type Fork struct {
-	Epoch Epoch
-	From  int    // tokens before From belong to earlier epochs
-	Owner string // VM id
+	Epoch      Epoch
+	FromOffset int    // tokens before From belong to earlier epochs
+	Owner      string // VM id
 }
 
-// Line is the ownership history of one answer, oldest first. It is never empty.
-type Line []Fork
+// History is the ownership history of one answer, oldest first. It is never empty.
+type History []Fork
 
 // Epoch returns the newest epoch.
-func (l Line) Epoch() Epoch { return l[len(l)-1].Epoch }
+func (l History) Epoch() Epoch { return l[len(l)-1].Epoch }
 
 // Owner returns the newest owner.
-func (l Line) Owner() string { return l[len(l)-1].Owner }
+func (l History) Owner() string { return l[len(l)-1].Owner }
 
 // Extend returns a new line with one more fork; l is left alone.
-func (l Line) Extend(f Fork) Line {
-	out := make(Line, 0, len(l)+1)
+func (l History) Extend(f Fork) History {
+	out := make(History, 0, len(l)+1)
 	out = append(out, l...)
 	return append(out, f)
 }
@@ -86,8 +86,8 @@
 	return [...]string{"prefix", "behind", "superseded", "diverged"}[r]
 }
 
-// Relate compares p with an answer of length tokens on line l.
-func (l Line) Relate(p Position, length int) Relation {
+// Compare compares p with an answer of length tokens on line l.
+func (l History) Compare(p Position, length int) Relation {
 	if p.Offset == 0 {
 		return Prefix
 	}
@@ -95,7 +95,7 @@
 		if f.Epoch != p.Epoch {
 			continue
 		}
-		if i+1 < len(l) && p.Offset > l[i+1].From {
+		if i+1 < len(l) && p.Offset > l[i+1].FromOffset {
 			return Diverged
 		}
 		if p.Offset > length {
@@ -103,17 +103,17 @@
 		}
 		return Prefix
 	}
-	if p.Epoch.Count() > l.Epoch().Count() {
+	if p.Epoch.OwnerCount() > l.Epoch().OwnerCount() {
 		return Superseded
 	}
 	return Diverged
 }
 
-// At returns the epoch that the token before offset came from.
-func (l Line) At(offset int) Epoch {
+// EpochAt returns the epoch that the token before offset came from.
+func (l History) EpochAt(offset int) Epoch {
 	e := l[0].Epoch
 	for _, f := range l {
-		if f.From < offset {
+		if f.FromOffset < offset {
 			e = f.Epoch
 		}
 	}
@@ -127,8 +127,8 @@
 	Position   Position
 }
 
-// ErrCursor is returned for text that is not a cursor.
-var ErrCursor = errors.New("not an event id of this system")
+// ErrInvalidCursor is returned for text that is not a cursor.
+var ErrInvalidCursor = errors.New("not an event id of this system")
 
 // String returns generation:epoch:offset with the epoch in hexadecimal.
 func (c Cursor) String() string {
@@ -141,16 +141,16 @@
 // ParseCursor reads the form written by String.
 func ParseCursor(s string) (Cursor, error) {
 	parts := strings.Split(s, ":")
-	if len(parts) != 3 || !ValidID(parts[0]) {
-		return Cursor{}, fmt.Errorf("%q: %w", s, ErrCursor)
+	if len(parts) != 3 || !IsValidID(parts[0]) {
+		return Cursor{}, fmt.Errorf("%q: %w", s, ErrInvalidCursor)
 	}
 	epoch, err := strconv.ParseUint(parts[1], 16, 64)
 	if err != nil {
-		return Cursor{}, fmt.Errorf("%q: %w", s, ErrCursor)
+		return Cursor{}, fmt.Errorf("%q: %w", s, ErrInvalidCursor)
 	}
 	offset, err := strconv.ParseUint(parts[2], 10, 32)
 	if err != nil || offset > maxOffset {
-		return Cursor{}, fmt.Errorf("%q: %w", s, ErrCursor)
+		return Cursor{}, fmt.Errorf("%q: %w", s, ErrInvalidCursor)
 	}
 	return Cursor{Generation: parts[0], Position: Position{Epoch: Epoch(epoch), Offset: int(offset)}}, nil
 }
@@ -158,9 +158,9 @@
 // idLength is the number of characters of a generation id after its first.
 const idLength = 32
 
-// ValidID reports whether s has the form of a generation id: g or k and 32
+// IsValidID reports whether s has the form of a generation id: g or k and 32
 // lower-case hexadecimal digits.
-func ValidID(s string) bool {
+func IsValidID(s string) bool {
 	if len(s) != idLength+1 || (s[0] != 'g' && s[0] != 'k') {
 		return false
 	}
--- a/decision/lineage/lineage_test.go
+++ b/decision/lineage/lineage_test.go
@@ -7,9 +7,9 @@
 )
 
 func TestRelate(t *testing.T) {
-	first := First(1)
+	first := FirstEpoch(1)
 	second := first.Next(2)
-	line := Line{{Epoch: first, Owner: "a"}}.Extend(Fork{Epoch: second, From: 10, Owner: "b"})
+	line := History{{Epoch: first, Owner: "a"}}.Extend(Fork{Epoch: second, FromOffset: 10, Owner: "b"})
 	for _, c := range []struct {
 		name   string
 		at     Position
@@ -24,10 +24,10 @@
 		{"of a rival successor", Position{first.Next(3), 15}, 20, Diverged},
 		{"of a later owner", Position{second.Next(4), 15}, 20, Superseded},
 	} {
-		must.Eq(t, c.want, line.Relate(c.at, c.length), must.Sprint(c.name))
+		must.Eq(t, c.want, line.Compare(c.at, c.length), must.Sprint(c.name))
 	}
-	must.Eq(t, first, line.At(10))
-	must.Eq(t, second, line.At(11))
+	must.Eq(t, first, line.EpochAt(10))
+	must.Eq(t, second, line.EpochAt(11))
 	must.Eq(t, "b", line.Owner())
 }
 
@@ -40,10 +40,10 @@
 	f.Fuzz(func(t *testing.T, s string) {
 		c, err := ParseCursor(s)
 		if err != nil {
-			must.ErrorIs(t, err, ErrCursor)
+			must.ErrorIs(t, err, ErrInvalidCursor)
 			return
 		}
-		must.True(t, ValidID(c.Generation))
+		must.True(t, IsValidID(c.Generation))
 		must.Between(t, 0, c.Position.Offset, maxOffset)
 		again, err := ParseCursor(c.String())
 		must.NoError(t, err)
--- a/decision/resume/decide.go
+++ b/decision/resume/decide.go
@@ -11,10 +11,10 @@
 
 // The actions.
 const (
-	Wait     Action = iota // let the running attempts go on
-	Reattach               // read the leading attempt again on a fresh connection
-	Attempt                // start one more attempt
-	Fail                   // tell the caller that the answer stops here
+	Wait         Action = iota // let the running attempts go on
+	Reattach                   // read the leading attempt again on a fresh connection
+	StartAttempt               // start one more attempt
+	Fail                       // tell the caller that the answer stops here
 )
 
 // Reason explains an Action, for logs and metrics.
@@ -22,15 +22,15 @@
 
 // The reasons.
 const (
-	ReasonHealthy   Reason = "healthy"
-	ReasonProbe     Reason = "probe"
-	ReasonSuspected Reason = "suspected"
-	ReasonCertain   Reason = "silent_too_long"
-	ReasonBroken    Reason = "broken"
-	ReasonStalled   Reason = "global_stall"
-	ReasonRacing    Reason = "already_racing"
-	ReasonExhausted Reason = "attempts_exhausted"
-	ReasonDeadline  Reason = "resume_deadline"
+	ReasonHealthy           Reason = "healthy"
+	ReasonProbe             Reason = "probe"
+	ReasonSuspected         Reason = "suspected"
+	ReasonSilentTooLong     Reason = "silent_too_long"
+	ReasonNoAttemptRunning  Reason = "broken"
+	ReasonGlobalStall       Reason = "global_stall"
+	ReasonAlreadyRacing     Reason = "already_racing"
+	ReasonAttemptsExhausted Reason = "attempts_exhausted"
+	ReasonDeadline          Reason = "resume_deadline"
 )
 
 const (
@@ -54,76 +54,76 @@
 	Silence silence.Config
 	// MaxAttempts bounds attempts in a row that delivered nothing.
 	MaxAttempts int
-	// MaxRacing bounds attempts that run at once. 1 means that a suspected
+	// MaxConcurrentAttempts bounds attempts that run at once. 1 means that a suspected
 	// attempt is given up before its successor starts.
-	MaxRacing int
+	MaxConcurrentAttempts int
 	// Deadline bounds the time without any token before the answer fails.
 	Deadline time.Duration
-	// Certain is the silence from which a takeover is no longer speculative.
-	Certain time.Duration
+	// CertainAfter is the silence from which a takeover is no longer speculative.
+	CertainAfter time.Duration
 	// Reattach allows reading an attempt again on a fresh connection.
 	Reattach bool
-	// Standby is how many tokens apart another engine is made to read the
+	// StandbyIntervalTokens is how many tokens apart another engine is made to read the
 	// answer so far, so that a takeover there needs no prefill; 0 means never.
-	Standby int
+	StandbyIntervalTokens int
 }
 
-// ForService returns the policy of a service by its weight of resume latency
+// PolicyForService returns the policy of a service by its weight of resume latency
 // against extra resources and the time it may wait for its first token.
-func ForService(weight float64, deadline time.Duration) Policy {
-	s := silence.ForWeight(weight)
+func PolicyForService(weight float64, deadline time.Duration) Policy {
+	s := silence.ConfigForWeight(weight)
 	return Policy{
-		Silence:     s,
-		MaxAttempts: maxAttempts,
-		MaxRacing:   maxRacing,
+		Silence:               s,
+		MaxAttempts:           maxAttempts,
+		MaxConcurrentAttempts: maxRacing,
 		// A service that may wait long for its first token may also wait as long
 		// for a continuation: its answer is owed, and the engines may come back.
-		Deadline: max(minDeadline, deadline),
-		Certain:  certainCeilings * s.Ceiling,
-		Reattach: true,
+		Deadline:     max(minDeadline, deadline),
+		CertainAfter: certainCeilings * s.Ceiling,
+		Reattach:     true,
 	}
 }
 
-// View is what is known about an answer when a decision is due. Silent and
+// AnswerState is what is known about an answer when a decision is due. Silent and
 // Threshold are those of the attempt that is least suspicious, since as long as
 // one is healthy the answer goes on.
-type View struct {
-	Running     int           // attempts that may still win, those waiting for a backend server included
-	Racing      int           // those of them that do not merely read an engine again
-	Silent      time.Duration // since the attempt last delivered or was granted its engine
-	Stopped     time.Duration // since the last accepted token or, before it, since the start
-	Threshold   time.Duration // silence at which the attempt is suspected
-	Fruitless   int           // attempts since the last accepted token that an engine took and that failed
-	GlobalStall bool
-	// Reattachable says that the leading attempt may still run at its engine
+type AnswerState struct {
+	RunningAttempts int           // attempts that may still win, those waiting for a backend server included
+	RacingAttempts  int           // those of them that do not merely read an engine again
+	SilentFor       time.Duration // since the attempt last delivered or was granted its engine
+	StalledFor      time.Duration // since the last accepted token or, before it, since the start
+	SuspectAfter    time.Duration // silence at which the attempt is suspected
+	FailedAttempts  int           // attempts since the last accepted token that an engine took and that failed
+	GlobalStall     bool
+	// CanReattach says that the leading attempt may still run at its engine
 	// and was not yet read again since it last delivered.
-	Reattachable bool
+	CanReattach bool
 }
 
 // Decide chooses the next action. Whether extra work is affordable is decided
 // in one place for all of it, where a backend server is asked for.
-func Decide(p Policy, v View) (Action, Reason) {
+func Decide(p Policy, v AnswerState) (Action, Reason) {
 	switch {
-	case v.Stopped >= p.Deadline:
+	case v.StalledFor >= p.Deadline:
 		return Fail, ReasonDeadline
-	case v.Running == 0 && v.Fruitless >= p.MaxAttempts:
-		return Fail, ReasonExhausted
-	case v.Running == 0 && p.Reattach && v.Reattachable:
-		return Reattach, ReasonBroken
-	case v.Running == 0:
-		return Attempt, ReasonBroken
-	case p.Reattach && v.Reattachable && v.Silent >= p.ProbeAfter(v.Threshold) && v.Silent < v.Threshold:
+	case v.RunningAttempts == 0 && v.FailedAttempts >= p.MaxAttempts:
+		return Fail, ReasonAttemptsExhausted
+	case v.RunningAttempts == 0 && p.Reattach && v.CanReattach:
+		return Reattach, ReasonNoAttemptRunning
+	case v.RunningAttempts == 0:
+		return StartAttempt, ReasonNoAttemptRunning
+	case p.Reattach && v.CanReattach && v.SilentFor >= p.ProbeAfter(v.SuspectAfter) && v.SilentFor < v.SuspectAfter:
 		return Reattach, ReasonProbe
-	case v.Silent < v.Threshold:
+	case v.SilentFor < v.SuspectAfter:
 		return Wait, ReasonHealthy
-	case p.MaxRacing > 1 && v.Racing >= p.MaxRacing && v.Silent < p.Certain:
-		return Wait, ReasonRacing
-	case v.Silent >= p.Certain && !v.GlobalStall:
-		return Attempt, ReasonCertain
-	case v.GlobalStall && v.Silent < p.Certain:
-		return Wait, ReasonStalled
+	case p.MaxConcurrentAttempts > 1 && v.RacingAttempts >= p.MaxConcurrentAttempts && v.SilentFor < p.CertainAfter:
+		return Wait, ReasonAlreadyRacing
+	case v.SilentFor >= p.CertainAfter && !v.GlobalStall:
+		return StartAttempt, ReasonSilentTooLong
+	case v.GlobalStall && v.SilentFor < p.CertainAfter:
+		return Wait, ReasonGlobalStall
 	default:
-		return Attempt, ReasonSuspected
+		return StartAttempt, ReasonSuspected
 	}
 }
 
--- a/decision/resume/resume.go
+++ b/decision/resume/resume.go
@@ -22,20 +22,20 @@
 	base     map[uint64]int
 }
 
-// Drop says why tokens were not accepted.
-type Drop uint8
+// DropReason says why tokens were not accepted.
+type DropReason uint8
 
 // The reasons for dropping tokens.
 const (
-	Accepted    Drop = iota
-	Outrun           // another attempt extended the answer first
-	Repeated         // the whole chunk lies before the next offset
-	Gap              // the chunk begins after the next offset
-	AfterFinish      // the answer is already whole
+	Accepted    DropReason = iota
+	Superseded             // another attempt extended the answer first
+	Duplicate              // the whole chunk lies before the next offset
+	Gap                    // the chunk begins after the next offset
+	AfterFinish            // the answer is already whole
 )
 
 // String returns the lower-case name.
-func (d Drop) String() string {
+func (d DropReason) String() string {
 	return [...]string{"accepted", "outrun", "repeated", "gap", "after_finish"}[d]
 }
 
@@ -50,44 +50,44 @@
 // Leader returns the attempt that delivered last, 0 if none did.
 func (r *Race) Leader() uint64 { return r.leader }
 
-// Finished reports whether the answer is whole.
-func (r *Race) Finished() bool { return r.finished }
+// IsFinished reports whether the answer is whole.
+func (r *Race) IsFinished() bool { return r.finished }
 
-// Start enters an attempt whose prefix is the answer as it stands.
-func (r *Race) Start(attempt uint64) {
+// AddAttempt enters an attempt whose prefix is the answer as it stands.
+func (r *Race) AddAttempt(attempt uint64) {
 	if r.base == nil {
 		r.base = make(map[uint64]int)
 	}
 	r.base[attempt] = r.length
 }
 
-// Reattach enters an attempt that produced the last accepted tokens itself.
-func (r *Race) Reattach(attempt uint64) {
-	r.Start(attempt)
+// AddReattached enters an attempt that produced the last accepted tokens itself.
+func (r *Race) AddReattached(attempt uint64) {
+	r.AddAttempt(attempt)
 	r.leader = attempt
 }
 
-// Stop removes an attempt: it failed or was cancelled.
-func (r *Race) Stop(attempt uint64) { delete(r.base, attempt) }
+// RemoveAttempt removes an attempt: it failed or was cancelled.
+func (r *Race) RemoveAttempt(attempt uint64) { delete(r.base, attempt) }
 
 // Running returns the number of attempts that may still win.
 func (r *Race) Running() int { return len(r.base) }
 
 // Offer decides about a chunk of n tokens at offset, the last one if finish is
 // set. On Accepted, skip is the number of leading tokens already held.
-func (r *Race) Offer(attempt uint64, offset, n int, finish bool) (skip int, drop Drop) {
+func (r *Race) Offer(attempt uint64, offset, n int, finish bool) (skip int, drop DropReason) {
 	base, running := r.base[attempt]
 	switch {
 	case r.finished:
 		return 0, AfterFinish
 	case !running || (r.length > base && r.leader != attempt):
-		return 0, Outrun
+		return 0, Superseded
 	case offset > r.length:
 		return 0, Gap
 	case offset+n <= r.length && !finish:
-		return 0, Repeated
+		return 0, Duplicate
 	case offset+n < r.length:
-		return 0, Repeated
+		return 0, Duplicate
 	}
 	skip = r.length - offset
 	r.length = offset + n
--- a/decision/silence/silence.go
+++ b/decision/silence/silence.go
@@ -28,50 +28,50 @@
 	// Ceiling is the longest silence tolerated, and the threshold before
 	// enough gaps were seen.
 	Ceiling time.Duration
-	// FirstFloor and FirstCeiling bound the wait for the first chunk of an
+	// FirstChunkFloor and FirstCeiling bound the wait for the first chunk of an
 	// attempt, which also covers queueing at the engine and the prompt's prefill.
-	FirstFloor, FirstCeiling time.Duration
+	FirstChunkFloor, FirstChunkCeiling time.Duration
 	// Deviations is how many smoothed deviations above the smoothed gap are normal.
 	Deviations int
-	// FirstDeviations is the same for first chunks. A gap is judged at each of
+	// FirstChunkDeviations is the same for first chunks. A gap is judged at each of
 	// hundreds of chunks of an answer and must be wrong far more rarely than the
 	// wait for a first chunk, which is judged once an attempt.
-	FirstDeviations int
+	FirstChunkDeviations int
 	// TakeoverDeviations is the same for the first chunk of a takeover. Its answer
 	// stands still already, and the engine it landed on may be lost like the
 	// first, in the same zone; one more prefill is worth less than that wait.
 	TakeoverDeviations int
 }
 
-// ForWeight returns the bounds for a service's weight of resume latency, from
+// ConfigForWeight returns the bounds for a service's weight of resume latency, from
 // 0 (spend no extra resources) to 1 (resume as soon as possible). A suspicion
 // that proves wrong costs a prefill, so services that weigh cost wait longer.
-func ForWeight(weight float64) Config {
+func ConfigForWeight(weight float64) Config {
 	weight = min(max(weight, 0), 1)
 	between := func(cost, latency time.Duration) time.Duration {
 		return cost + time.Duration(weight*float64(latency-cost))
 	}
 	return Config{
-		Floor:        between(800*time.Millisecond, 250*time.Millisecond),
-		Ceiling:      between(4*time.Second, 2*time.Second),
-		FirstFloor:   between(2*time.Second, 800*time.Millisecond),
-		FirstCeiling: between(10*time.Second, 4*time.Second),
-		Deviations:   8,
+		Floor:             between(800*time.Millisecond, 250*time.Millisecond),
+		Ceiling:           between(4*time.Second, 2*time.Second),
+		FirstChunkFloor:   between(2*time.Second, 800*time.Millisecond),
+		FirstChunkCeiling: between(10*time.Second, 4*time.Second),
+		Deviations:        8,
 		// The multiple of RFC 6298.
-		FirstDeviations:    4,
-		TakeoverDeviations: 1,
+		FirstChunkDeviations: 4,
+		TakeoverDeviations:   1,
 	}
 }
 
-// Gaps learns the gaps of one stream or one engine. The zero value knows
+// GapEstimator learns the gaps of one stream or one engine. The zero value knows
 // nothing. It is not safe for concurrent use.
-type Gaps struct {
+type GapEstimator struct {
 	n         int
 	mean, dev time.Duration
 }
 
 // Observe adds one gap between two consecutive chunks.
-func (g *Gaps) Observe(gap time.Duration) {
+func (g *GapEstimator) Observe(gap time.Duration) {
 	if gap < 0 {
 		return
 	}
@@ -89,15 +89,15 @@
 	g.n++
 }
 
-// Known reports whether enough gaps were seen to trust them.
-func (g *Gaps) Known() bool { return g.n >= warmup }
+// HasEnoughSamples reports whether enough gaps were seen to trust them.
+func (g *GapEstimator) HasEnoughSamples() bool { return g.n >= warmup }
 
 // Mean returns the smoothed gap.
-func (g *Gaps) Mean() time.Duration { return g.mean }
+func (g *GapEstimator) Mean() time.Duration { return g.mean }
 
 // limit returns the learned limit, or ceiling while nothing is known.
-func (g *Gaps) limit(floor, ceiling time.Duration, deviations int) time.Duration {
-	if !g.Known() {
+func (g *GapEstimator) limit(floor, ceiling time.Duration, deviations int) time.Duration {
+	if !g.HasEnoughSamples() {
 		return ceiling
 	}
 	return min(max(g.mean+time.Duration(deviations)*g.dev, floor), ceiling)
@@ -107,13 +107,13 @@
 // before it is suspected. It combines what the stream itself showed with what
 // its engine showed on other streams: a stream alone is blind to a batch that
 // just grew, an engine alone to a stream that is always slow.
-func Threshold(c Config, stream, engine *Gaps) time.Duration {
+func Threshold(c Config, stream, engine *GapEstimator) time.Duration {
 	s := stream.limit(c.Floor, c.Ceiling, c.Deviations)
-	if engine == nil || !engine.Known() {
+	if engine == nil || !engine.HasEnoughSamples() {
 		return s
 	}
 	e := engine.limit(c.Floor, c.Ceiling, c.Deviations)
-	if !stream.Known() {
+	if !stream.HasEnoughSamples() {
 		return e
 	}
 	return max(s, e)
@@ -127,23 +127,23 @@
 // prefillScale is how much longer than for an empty prompt the first chunk may take.
 func prefillScale(tokens int) float64 { return 1 + float64(tokens)/prefillUnit }
 
-// PerPrompt reduces the time to a first chunk to that of an empty prompt, so
+// NormalizeFirstChunkWait reduces the time to a first chunk to that of an empty prompt, so
 // that the times of long and short prompts can be learned together.
-func PerPrompt(wait time.Duration, tokens int) time.Duration {
+func NormalizeFirstChunkWait(wait time.Duration, tokens int) time.Duration {
 	return time.Duration(float64(wait) / prefillScale(tokens))
 }
 
-// FirstThreshold returns how long an attempt over tokens of prompt and prefix
+// FirstChunkThreshold returns how long an attempt over tokens of prompt and prefix
 // may take to its first chunk, given the times seen at its engine, each reduced
 // by PerPrompt (nil where none are kept).
-func FirstThreshold(c Config, engine *Gaps, tokens int, takeover bool) time.Duration {
-	deviations := c.FirstDeviations
+func FirstChunkThreshold(c Config, engine *GapEstimator, tokens int, takeover bool) time.Duration {
+	deviations := c.FirstChunkDeviations
 	if takeover {
 		deviations = c.TakeoverDeviations
 	}
-	limit := c.FirstCeiling
+	limit := c.FirstChunkCeiling
 	if engine != nil {
-		limit = engine.limit(c.FirstFloor, c.FirstCeiling, deviations)
+		limit = engine.limit(c.FirstChunkFloor, c.FirstChunkCeiling, deviations)
 	}
 	return time.Duration(float64(limit) * prefillScale(tokens))
 }
@@ -152,10 +152,10 @@
 // process itself is taken to have been paused.
 const overslept = 150 * time.Millisecond
 
-// Overslept reports whether a process that meant to look at due and looks at
+// WasPaused reports whether a process that meant to look at due and looks at
 // now was paused or starved itself. All streams seem silent to it then, while
 // their chunks wait in its own buffers; silence must be counted anew.
-func Overslept(due, now time.Time) bool { return !due.IsZero() && now.Sub(due) > overslept }
+func WasPaused(due, now time.Time) bool { return !due.IsZero() && now.Sub(due) > overslept }
 
 // stallShare is the share of streams silent at once above which the cause is
 // taken to lie outside single engines: here, or in the network near here. A
@@ -165,10 +165,10 @@
 // stallStreams is the least number of streams for which a share means anything.
 const stallStreams = 4
 
-// GlobalStall reports whether so many streams are silent at once that taking
+// IsGlobalStall reports whether so many streams are silent at once that taking
 // over would only add load: many prompts read anew by engines that are all
 // slow. silent and total count streams on engines other than the one suspected,
 // so that the death of the one engine in use is not mistaken for a stall.
-func GlobalStall(silent, total int) bool {
+func IsGlobalStall(silent, total int) bool {
 	return total >= stallStreams && float64(silent) > stallShare*float64(total)
 }
--- a/decision/slot/plan.go
+++ b/decision/slot/plan.go
@@ -5,8 +5,8 @@
 
 // The reasons of moves, most urgent first.
 const (
-	// Fresh slots were never assigned.
-	Fresh Reason = iota
+	// NeverAssigned slots were never assigned.
+	NeverAssigned Reason = iota
 	// OwnerLost: the owner is gone or leaving; the witness takes over.
 	OwnerLost
 	// WitnessLost: the owner needs a new witness.
@@ -25,8 +25,8 @@
 	return [...]string{"fresh", "owner_lost", "witness_lost", "sealed", "both_lost", "rebalance"}[r]
 }
 
-// Peer is a member of the view with its health.
-type Peer struct {
+// MemberStatus is a member of the view with its health.
+type MemberStatus struct {
 	Member
 	Leaving bool
 }
@@ -35,16 +35,16 @@
 type Snapshot struct {
 	Self    Member
 	Leaving bool // this daemon leaves: it takes nothing
-	Members []Peer
+	Members []MemberStatus
 	Slots   []Assignment // indexed by slot
-	// Sealed marks slots owned by Self that refuse new keys.
-	Sealed func(slot int) bool
+	// IsSealed marks slots owned by Self that refuse new keys.
+	IsSealed func(slot int) bool
 	// Rebalance asks for moves that can wait, too.
 	Rebalance bool
-	// Calm marks slots that did not change hands lately.
-	Calm func(slot int) bool
-	// Avoid holds ids of members that did not answer as witnesses lately.
-	Avoid map[string]bool
+	// IsStable marks slots that did not change hands lately.
+	IsStable func(slot int) bool
+	// AvoidWitnesses holds ids of members that did not answer as witnesses lately.
+	AvoidWitnesses map[string]bool
 }
 
 // Move is one change that this daemon should make: to become (or stay) the
@@ -102,7 +102,7 @@
 }
 
 func (p *planner) isHealthy(m Member) bool {
-	return !m.None() && p.healthy[m.ID].Same(m)
+	return !m.IsNone() && p.healthy[m.ID].IsSameProcess(m)
 }
 
 // move decides about one slot.
@@ -110,7 +110,7 @@
 	owner, witness := p.isHealthy(a.Owner), p.isHealthy(a.Witness)
 	switch {
 	case a.Term == 0:
-		return p.take(a, Fresh, p.rank.owner(a.Slot))
+		return p.take(a, NeverAssigned, p.rank.owner(a.Slot))
 	case owner && witness:
 		return p.improve(a)
 	case owner:
@@ -124,20 +124,20 @@
 
 // take makes the move if the responsible member is this daemon.
 func (p *planner) take(a Assignment, why Reason, responsible Member) (Move, bool) {
-	if !responsible.Same(p.Self) {
+	if !responsible.IsSameProcess(p.Self) {
 		return Move{}, false
 	}
-	w := p.rank.witness(a.Slot, p.Self, p.Avoid)
+	w := p.rank.witness(a.Slot, p.Self, p.AvoidWitnesses)
 	return Move{From: a, Witness: w, Reason: why}, true
 }
 
 // replaceWitness covers a witness that is gone, leaving or was never there.
 func (p *planner) replaceWitness(a Assignment) (Move, bool) {
-	if !a.Owner.Same(p.Self) {
+	if !a.Owner.IsSameProcess(p.Self) {
 		return Move{}, false
 	}
-	w := p.rank.witness(a.Slot, p.Self, p.Avoid)
-	if w.None() && a.Witness.None() && !p.Sealed(a.Slot) {
+	w := p.rank.witness(a.Slot, p.Self, p.AvoidWitnesses)
+	if w.IsNone() && a.Witness.IsNone() && !p.IsSealed(a.Slot) {
 		return Move{}, false
 	}
 	return Move{From: a, Witness: w, Reason: WitnessLost}, true
@@ -145,23 +145,23 @@
 
 // improve covers slots whose pair is healthy.
 func (p *planner) improve(a Assignment) (Move, bool) {
-	own := a.Owner.Same(p.Self)
-	if own && p.Sealed(a.Slot) {
+	own := a.Owner.IsSameProcess(p.Self)
+	if own && p.IsSealed(a.Slot) {
 		return p.take(a, Sealed, p.Self)
 	}
-	if own && p.Avoid[a.Witness.ID] {
+	if own && p.AvoidWitnesses[a.Witness.ID] {
 		return p.take(a, WitnessLost, p.Self)
 	}
-	if !p.Rebalance || !p.Calm(a.Slot) {
+	if !p.Rebalance || !p.IsStable(a.Slot) {
 		return Move{}, false
 	}
 	target := p.rank.owner(a.Slot)
 	if !own {
 		return p.take(a, Rebalance, target)
 	}
-	if !target.Same(p.Self) {
+	if !target.IsSameProcess(p.Self) {
 		return Move{}, false
 	}
-	w := p.rank.witness(a.Slot, p.Self, p.Avoid)
-	return Move{From: a, Witness: w, Reason: Rebalance}, !w.Same(a.Witness)
+	w := p.rank.witness(a.Slot, p.Self, p.AvoidWitnesses)
+	return Move{From: a, Witness: w, Reason: Rebalance}, !w.IsSameProcess(a.Witness)
 }
--- a/decision/slot/plan_test.go
+++ b/decision/slot/plan_test.go
@@ -7,23 +7,23 @@
 	"github.com/shoenig/test/must"
 )
 
-func members(n int) []Peer {
-	out := make([]Peer, n)
+func members(n int) []MemberStatus {
+	out := make([]MemberStatus, n)
 	for i := range out {
-		out[i] = Peer{Member: Member{ID: fmt.Sprint("vm", i), Incarnation: 1, Zone: fmt.Sprint("z", i%3)}}
+		out[i] = MemberStatus{Member: Member{ID: fmt.Sprint("vm", i), Incarnation: 1, Zone: fmt.Sprint("z", i%3)}}
 	}
 	return out
 }
 
-func snapshot(self Peer, all []Peer, slots []Assignment) Snapshot {
+func snapshot(self MemberStatus, all []MemberStatus, slots []Assignment) Snapshot {
 	return Snapshot{
 		Self: self.Member, Members: all, Slots: slots, Rebalance: true,
-		Sealed: func(int) bool { return false }, Calm: func(int) bool { return true },
+		IsSealed: func(int) bool { return false }, IsStable: func(int) bool { return true },
 	}
 }
 
 // settle applies every daemon's moves to fresh slots until nobody moves.
-func settle(t *testing.T, all []Peer, slots []Assignment) []Assignment {
+func settle(t *testing.T, all []MemberStatus, slots []Assignment) []Assignment {
 	slots = append([]Assignment(nil), slots...)
 	for range 5 {
 		moved := 0
@@ -74,12 +74,12 @@
 	for _, self := range all[:6] {
 		s.Self = self.Member
 		for _, m := range Plan(s) {
-			must.True(t, m.From.Has(all[6].Member))
+			must.True(t, m.From.Includes(all[6].Member))
 			must.NotEqOp(t, all[6].ID, m.Witness.ID)
 		}
 	}
 	for _, a := range settle(t, all[:6], before) {
-		must.False(t, a.Has(all[6].Member))
+		must.False(t, a.Includes(all[6].Member))
 	}
 }
 
@@ -98,7 +98,7 @@
 		}
 	}
 	for _, a := range before {
-		if a.Has(all[0].Member) || a.Has(all[1].Member) {
+		if a.Includes(all[0].Member) || a.Includes(all[1].Member) {
 			must.MapContainsKey(t, by, a.Slot)
 		}
 	}
@@ -112,7 +112,7 @@
 	s.Leaving = true
 	must.SliceEmpty(t, Plan(s))
 	for _, a := range settle(t, all, before) {
-		must.False(t, a.Has(all[3].Member))
+		must.False(t, a.Includes(all[3].Member))
 	}
 }
 
--- a/decision/slot/slot.go
+++ b/decision/slot/slot.go
@@ -42,8 +42,8 @@
 	return Key(h.Sum(nil))
 }
 
-// Of returns the slot of k, in [0, Count).
-func Of(k Key) int { return int(binary.BigEndian.Uint16(k[:]) % Count) }
+// ForKey returns the slot of k, in [0, Count).
+func ForKey(k Key) int { return int(binary.BigEndian.Uint16(k[:]) % Count) }
 
 // Member is one incarnation of the daemon on an entry VM. The zero Member
 // stands for nobody.
@@ -51,14 +51,14 @@
 	ID          string `json:"id"`
 	Incarnation uint64 `json:"inc"`
 	Zone        string `json:"zone"`
-	Peer        string `json:"peer"` // address other daemons connect to
+	PeerAddr    string `json:"peer"` // address other daemons connect to
 }
 
-// None reports whether m stands for nobody.
-func (m Member) None() bool { return m.ID == "" }
+// IsNone reports whether m stands for nobody.
+func (m Member) IsNone() bool { return m.ID == "" }
 
-// Same reports whether m and o are the same process.
-func (m Member) Same(o Member) bool {
+// IsSameProcess reports whether m and o are the same process.
+func (m Member) IsSameProcess(o Member) bool {
 	return m.ID == o.ID && m.Incarnation == o.Incarnation
 }
 
@@ -69,14 +69,14 @@
 	Term    uint64
 	Owner   Member
 	Witness Member
-	// Change is unique to the attempt that wrote the assignment, so that a
+	// ChangeID is unique to the attempt that wrote the assignment, so that a
 	// writer whose confirmation was lost recognises its own write.
-	Change string
+	ChangeID string
 }
 
-// Has reports whether m is owner or witness.
-func (a Assignment) Has(m Member) bool {
-	return a.Owner.Same(m) || a.Witness.Same(m)
+// Includes reports whether m is owner or witness.
+func (a Assignment) Includes(m Member) bool {
+	return a.Owner.IsSameProcess(m) || a.Witness.IsSameProcess(m)
 }
 
 // weigh is the rendezvous weight of a member for a slot. It uses the VM id and
@@ -109,7 +109,7 @@
 	var best Member
 	var most uint64
 	for i, m := range r.members {
-		if w := weigh(r.hashes[i], slot); best.None() || w > most {
+		if w := weigh(r.hashes[i], slot); best.IsNone() || w > most {
 			best, most = m, w
 		}
 	}
@@ -141,8 +141,8 @@
 	return best
 }
 
-// First returns the n members of highest weight for a slot.
-func First(members []Member, i, n int) []Member {
+// HighestRanked returns the n members of highest weight for a slot.
+func HighestRanked(members []Member, i, n int) []Member {
 	r := newRanker(append([]Member(nil), members...))
 	var out []Member
 	for len(out) < n && len(out) < len(members) {
--- a/decision/verdict/verdict.go
+++ b/decision/verdict/verdict.go
@@ -49,28 +49,28 @@
 
 // The codes that callers may rely on. docs/errors.md explains each.
 const (
-	CodeBadRequest         Code = "bad_request"
-	CodeBodyTooLarge       Code = "body_too_large"
-	CodeUnauthorized       Code = "unauthorized"
-	CodeUnknownService     Code = "unknown_service"
-	CodeUnknownGeneration  Code = "unknown_generation"
-	CodeKeyRequired        Code = "idempotency_key_required"
-	CodeKeyReused          Code = "idempotency_key_reused"
-	CodeOverloaded         Code = "overloaded"
-	CodeAccountLimit       Code = "account_limit"
-	CodeDeadline           Code = "deadline"
-	CodeNoBackend          Code = "no_backend_server"
-	CodeBackendFailed      Code = "backend_server_failed"
-	CodeLost               Code = "generation_lost"
-	CodeUnreachable        Code = "generation_unreachable"
-	CodeShuttingDown       Code = "shutting_down"
-	CodeUnconfigured       Code = "no_configuration"
-	CodeUnconfirmed        Code = "configuration_unconfirmed"
-	CodeInvariantViolation Code = "invariant_violation"
-	CodeKeyUndecided       Code = "idempotency_key_undecided"
-	CodeKeyInvalid         Code = "idempotency_key_invalid"
-	CodeAnswerGone         Code = "answer_not_kept"
-	CodePoison             Code = "ends_backend_servers"
+	CodeBadRequest            Code = "bad_request"
+	CodeBodyTooLarge          Code = "body_too_large"
+	CodeUnauthorized          Code = "unauthorized"
+	CodeUnknownService        Code = "unknown_service"
+	CodeUnknownGeneration     Code = "unknown_generation"
+	CodeKeyRequired           Code = "idempotency_key_required"
+	CodeKeyReused             Code = "idempotency_key_reused"
+	CodeOverloaded            Code = "overloaded"
+	CodeAccountLimit          Code = "account_limit"
+	CodeDeadlineExceeded      Code = "deadline"
+	CodeNoBackend             Code = "no_backend_server"
+	CodeBackendFailed         Code = "backend_server_failed"
+	CodeGenerationLost        Code = "generation_lost"
+	CodeGenerationUnreachable Code = "generation_unreachable"
+	CodeShuttingDown          Code = "shutting_down"
+	CodeNoConfiguration       Code = "no_configuration"
+	CodeUnconfirmed           Code = "configuration_unconfirmed"
+	CodeInvariantViolation    Code = "invariant_violation"
+	CodeKeyUndecided          Code = "idempotency_key_undecided"
+	CodeKeyInvalid            Code = "idempotency_key_invalid"
+	CodeAnswerNotKept         Code = "answer_not_kept"
+	CodePoison                Code = "ends_backend_servers"
 )
 
 // Error is a failure with its verdict. RetryAfter is zero where waiting does
@@ -100,24 +100,24 @@
 // Unwrap returns the cause, if any.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// After sets RetryAfter and returns e.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter sets RetryAfter and returns e.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
 
-// Because sets the cause and returns e.
-func (e *Error) Because(err error) *Error {
+// WithCause sets the cause and returns e.
+func (e *Error) WithCause(err error) *Error {
 	e.Cause = err
 	return e
 }
 
-// Of returns the Error inside err, or wraps err as MayHaveRun when there is
+// FromError returns the Error inside err, or wraps err as MayHaveRun when there is
 // none: an unclassified failure promises nothing.
-func Of(err error) *Error {
+func FromError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
 		return e
 	}
-	return New(MayHaveRun, CodeBackendFailed, "the request failed").Because(err)
+	return New(MayHaveRun, CodeBackendFailed, "the request failed").WithCause(err)
 }
--- a/decision/verdict/verdict_test.go
+++ b/decision/verdict/verdict_test.go
@@ -29,10 +29,10 @@
 }
 
 func TestUnclassifiedFailuresPromiseNothing(t *testing.T) {
-	must.EqOp(t, MayHaveRun, Of(errors.New("x")).Verdict)
+	must.EqOp(t, MayHaveRun, FromError(errors.New("x")).Verdict)
 	must.EqOp(t, MayHaveRun, new(Error).Verdict)
-	known := New(NotRun, CodeOverloaded, "busy").After(time.Second)
-	must.EqOp(t, known, Of(errors.Join(errors.New("x"), known)))
+	known := New(NotRun, CodeOverloaded, "busy").WithRetryAfter(time.Second)
+	must.EqOp(t, known, FromError(errors.Join(errors.New("x"), known)))
 }
 
 func TestParseReadsWhatStringWrites(t *testing.T) {
--- a/lab/bench/load/limits.go
+++ b/lab/bench/load/limits.go
@@ -39,7 +39,7 @@
 	for _, s := range callerSpreads() {
 		for _, told := range []int{7, 16} {
 			for _, demand := range []float64{0.5, 1, 2, 5} {
-				part := limit.Share(told, true)
+				part := limit.AccountShare(told, true)
 				t.Add(report.Text(s.name), report.Count(told), report.Num(demand),
 					report.Num(round(granted(s, told, demand, part, seed))),
 					report.Num(round(granted(s, told, demand, 1, seed))),
@@ -54,7 +54,7 @@
 func granted(s spreadOf, n int, demand, part float64, seed uint64) float64 {
 	const mean, span = 2000.0, 600.0
 	random := rand.New(rand.NewPCG(seed, 11))
-	buckets := make([]limit.Account, n)
+	buckets := make([]limit.TokenBucket, n)
 	begin := time.Unix(0, 0)
 	now, taken := 0.0, 0.0
 	for now < span {
--- a/lab/bench/load/spread.go
+++ b/lab/bench/load/spread.go
@@ -24,7 +24,7 @@
 		report.Col("most over mean, a zone lost", ""), report.Col("accounts moved by one VM less", "%"))
 	for _, size := range []struct{ vms, zones, accounts int }{{7, 3, 10}, {scaleDaemons, scaleZones, scaleAccounts}} {
 		parts := zipf(size.accounts)
-		for _, rule := range []entries.Rule{{Least: 3, Spread: 1}, {Least: 3, Spread: 2}, {Least: 8, Spread: 2}, {Least: 8, Spread: 4}, {Least: 16, Spread: 4}, {Least: 16, Spread: 8}} {
+		for _, rule := range []entries.SubsetRule{{MinVMs: 3, Oversubscription: 1}, {MinVMs: 3, Oversubscription: 2}, {MinVMs: 8, Oversubscription: 2}, {MinVMs: 8, Oversubscription: 4}, {MinVMs: 16, Oversubscription: 4}, {MinVMs: 16, Oversubscription: 8}} {
 			for _, at := range []string{"parts", "random"} {
 				spreadRow(t, size.vms, size.zones, at, parts, rule)
 			}
@@ -47,7 +47,7 @@
 	return parts
 }
 
-func spreadRow(t *report.Table, n, zones int, at string, parts []float64, rule entries.Rule) {
+func spreadRow(t *report.Table, n, zones int, at string, parts []float64, rule entries.SubsetRule) {
 	vms := make([]entries.VM, n)
 	for i := range vms {
 		id := fmt.Sprintf("entry-%d", i)
@@ -73,24 +73,24 @@
 	}
 	lost, _ := vmLoad(left, at, parts, rule)
 	lostMost, _ := overMean(lost, remaining)
-	t.Add(report.Count(n), report.Count(zones), report.Count(len(parts)), report.Text(at), report.Count(rule.Least), report.Num(rule.Spread),
+	t.Add(report.Count(n), report.Count(zones), report.Count(len(parts)), report.Text(at), report.Count(rule.MinVMs), report.Num(rule.Oversubscription),
 		report.Num(round(most)), report.Num(round(p99)), report.Num(round(told)), report.Num(round(lostMost)),
 		report.Num(round(100*float64(moved)/float64(len(parts)))))
 }
 
 // answer is what account a is told. Its window begins where the parts before
 // it end or, as the baseline, anywhere.
-func answer(vms []entries.VM, at string, parts []float64, a int, rule entries.Rule) []int {
-	q := entries.Query{Part: parts[a]}
+func answer(vms []entries.VM, at string, parts []float64, a int, rule entries.SubsetRule) []int {
+	q := entries.Query{LoadShare: parts[a]}
 	if at == "random" {
 		hash := xxhash.Sum64String(fmt.Sprintf("account-%d", a))
-		q.Before = float64(hash>>11) / (1 << 53) / rule.Spread
+		q.ShareBefore = float64(hash>>11) / (1 << 53) / rule.Oversubscription
 	} else {
 		for _, p := range parts[:a] {
-			q.Before += p
+			q.ShareBefore += p
 		}
 	}
-	return rule.Answers(vms, q).VMs
+	return rule.Select(vms, q).VMs
 }
 
 // sameButFor reports whether after holds all of before except gone.
@@ -108,7 +108,7 @@
 }
 
 // vmLoad is each VM's part of the load, and the mean number of VMs told.
-func vmLoad(vms []entries.VM, at string, parts []float64, rule entries.Rule) ([]float64, float64) {
+func vmLoad(vms []entries.VM, at string, parts []float64, rule entries.SubsetRule) ([]float64, float64) {
 	load, told := make([]float64, len(vms)), 0
 	for a := range parts {
 		names := answer(vms, at, parts, a, rule)
--- a/lab/bench/load/world.go
+++ b/lab/bench/load/world.go
@@ -255,16 +255,16 @@
 	for i, d := range w.daemons {
 		vms[i] = entries.VM{ID: d.id, Hash: xxhash.Sum64String(d.id), Zone: zoneName(d.zone), Usable: !d.dead}
 	}
-	shares := make([]entries.Share, len(w.accounts))
+	shares := make([]entries.AccountLoad, len(w.accounts))
 	for i, x := range w.accounts {
-		shares[i] = entries.Share{Name: x.site.Name, Hash: x.hash, Weight: x.demand}
+		shares[i] = entries.AccountLoad{Name: x.site.Name, Hash: x.hash, Weight: x.demand}
 	}
-	part, before := entries.Position(shares, a.site.Name)
-	q := entries.Query{Part: part, Before: before}
+	part, before := entries.LoadPosition(shares, a.site.Name)
+	q := entries.Query{LoadShare: part, ShareBefore: before}
 	if w.policy != Product {
-		q.Part = 1
+		q.LoadShare = 1
 	}
-	return entries.Answers(vms, q).VMs
+	return entries.Select(vms, q).VMs
 }
 
 func (w *world) anyEntry() int {
--- a/lab/bench/losses/policy.go
+++ b/lab/bench/losses/policy.go
@@ -28,28 +28,28 @@
 
 // fixed suspects after the same time always.
 func fixed(timeout time.Duration) silence.Config {
-	return silence.Config{Floor: timeout, Ceiling: timeout, FirstFloor: timeout, FirstCeiling: timeout, Deviations: 1}
+	return silence.Config{Floor: timeout, Ceiling: timeout, FirstChunkFloor: timeout, FirstChunkCeiling: timeout, Deviations: 1}
 }
 
 // variants are the baselines and, at each weight, what is built on them.
 func variants(timeout time.Duration, weights []float64) []variant {
-	base := resume.ForService(0, time.Minute)
-	base.MaxRacing, base.Reattach, base.Silence = 1, false, fixed(timeout)
+	base := resume.PolicyForService(0, time.Minute)
+	base.MaxConcurrentAttempts, base.Reattach, base.Silence = 1, false, fixed(timeout)
 	// No attempt follows a lost one: the caller sends its request again.
 	restart := base
 	restart.MaxAttempts, restart.Deadline = 0, timeout
 	list := []variant{{"restart", 0, restart}, {"cold, fixed", 0, base}}
 	for _, w := range []float64{CostWeight, LatencyWeight} {
-		adaptive := resume.ForService(w, time.Minute)
-		adaptive.MaxRacing, adaptive.Reattach = 1, false
+		adaptive := resume.PolicyForService(w, time.Minute)
+		adaptive.MaxConcurrentAttempts, adaptive.Reattach = 1, false
 		list = append(list, variant{"cold, adaptive", w, adaptive})
 	}
 	for _, w := range weights {
-		list = append(list, variant{"takeover", w, resume.ForService(w, time.Minute)})
+		list = append(list, variant{"takeover", w, resume.PolicyForService(w, time.Minute)})
 	}
 	for _, w := range []float64{CostWeight, LatencyWeight} {
-		standby := resume.ForService(w, time.Minute)
-		standby.Standby = standbyEvery
+		standby := resume.PolicyForService(w, time.Minute)
+		standby.StandbyIntervalTokens = standbyEvery
 		list = append(list, variant{"takeover, standby", w, standby})
 	}
 	return list
--- a/lab/bench/slopes/roster.go
+++ b/lab/bench/slopes/roster.go
@@ -44,14 +44,14 @@
 	vms := fleet(n, 0)
 	member := func(i int) slot.Member {
 		vm := vms[i%n]
-		return slot.Member{ID: vm.ID, Incarnation: 1_790_000_000_000_000_000 + uint64(i%n), Zone: vm.Zone, Peer: vm.Address}
+		return slot.Member{ID: vm.ID, Incarnation: 1_790_000_000_000_000_000 + uint64(i%n), Zone: vm.Zone, PeerAddr: vm.Address}
 	}
 	out := make([]slot.Assignment, slot.Count)
 	for i := range out {
 		owner := rng.IntN(n)
 		out[i] = slot.Assignment{
 			Slot: i, Term: 1, Owner: member(owner), Witness: member(owner + 1 + rng.IntN(n-1)),
-			Change: fmt.Sprintf("%032x", owner),
+			ChangeID: fmt.Sprintf("%032x", owner),
 		}
 	}
 	return out
--- a/serve/api/api.go
+++ b/serve/api/api.go
@@ -111,7 +111,7 @@
 		err := a.serve(w, r, e)
 		outcome := "ok"
 		if err != nil {
-			refusal := verdict.Of(err)
+			refusal := verdict.FromError(err)
 			outcome = string(refusal.Code)
 			writeError(w, refusal)
 		}
@@ -122,7 +122,7 @@
 func (a *API) serve(w http.ResponseWriter, r *http.Request, e endpoint) error {
 	s := a.Site.Current()
 	if s == nil {
-		return a.elsewhere(r, verdict.CodeUnconfigured, "this entry VM has no configuration yet; use another one")
+		return a.elsewhere(r, verdict.CodeNoConfiguration, "this entry VM has no configuration yet; use another one")
 	}
 	account := authenticate(s, r)
 	if account == nil {
@@ -141,7 +141,7 @@
 	case a.Refusing():
 		return a.elsewhere(r, verdict.CodeShuttingDown, "this entry VM is shutting down; ask /v1/entries for another one")
 	case a.Starting():
-		return a.elsewhere(r, verdict.CodeUnconfigured, "this entry VM is starting; use another one")
+		return a.elsewhere(r, verdict.CodeNoConfiguration, "this entry VM is starting; use another one")
 	}
 	return nil
 }
@@ -155,7 +155,7 @@
 	if r.Header.Get(keyHeader) != "" {
 		v = verdict.MayHaveRun
 	}
-	return verdict.New(v, code, "%s", text).After(retryElsewhere)
+	return verdict.New(v, code, "%s", text).WithRetryAfter(retryElsewhere)
 }
 
 func (a *API) readyz(w http.ResponseWriter, _ *http.Request) {
--- a/serve/api/completions.go
+++ b/serve/api/completions.go
@@ -74,7 +74,7 @@
 // resume continues a stream whose connection broke, on any entry VM.
 func (a *API) resume(w http.ResponseWriter, r *http.Request, _ *site.Site, account *site.Account) error {
 	id := mux.Vars(r)["id"]
-	if !lineage.ValidID(id) {
+	if !lineage.IsValidID(id) {
 		return badRequest("%q is not the id of a generation", id)
 	}
 	var pos lineage.Position
--- a/serve/api/request.go
+++ b/serve/api/request.go
@@ -69,7 +69,7 @@
 	case errors.As(err, &tooLarge):
 		return nil, verdict.New(verdict.NotRun, verdict.CodeBodyTooLarge, "the body is larger than %d bytes", limit)
 	case err != nil:
-		return nil, badRequest("the body could not be read").Because(err)
+		return nil, badRequest("the body could not be read").WithCause(err)
 	}
 	return body, nil
 }
--- a/serve/api/stream.go
+++ b/serve/api/stream.go
@@ -112,7 +112,7 @@
 	if !s.begun {
 		return err
 	}
-	body, _ := json.Marshal(bodyOf(verdict.Of(err)))
+	body, _ := json.Marshal(bodyOf(verdict.FromError(err)))
 	m := &sse.Message{Type: sse.Type("error")}
 	m.AppendData(string(body))
 	_ = s.send(m) // the caller sees the missing terminal event in any case
--- a/serve/daemon/entries.go
+++ b/serve/daemon/entries.go
@@ -32,8 +32,8 @@
 			Usable: m.State == membership.Alive && m.Caller != "",
 		})
 	}
-	part, before := ask.Position(shares(e.site.Current()), account.Name)
-	a := ask.Answers(vms, ask.Query{Part: part, Before: before, Turn: e.turn.Add(1)})
+	part, before := ask.LoadPosition(shares(e.site.Current()), account.Name)
+	a := ask.Select(vms, ask.Query{LoadShare: part, ShareBefore: before, Rotation: e.turn.Add(1)})
 	e.log.Emit(event.EntriesAnswered, account.Name, len(a.VMs), len(vms), a.Reason)
 	out := make([]api.Entry, 0, len(a.VMs))
 	for _, i := range a.VMs {
@@ -43,10 +43,10 @@
 }
 
 // shares are the accounts' declared weights in the load.
-func shares(s *site.Site) []ask.Share {
-	out := make([]ask.Share, 0, len(s.Accounts))
+func shares(s *site.Site) []ask.AccountLoad {
+	out := make([]ask.AccountLoad, 0, len(s.Accounts))
 	for name, a := range s.Accounts {
-		out = append(out, ask.Share{Name: name, Hash: xxhash.Sum64String(name), Weight: a.Share})
+		out = append(out, ask.AccountLoad{Name: name, Hash: xxhash.Sum64String(name), Weight: a.Share})
 	}
 	return out
 }
--- a/serve/flow/core.go
+++ b/serve/flow/core.go
@@ -28,8 +28,8 @@
 	random   *rand.Rand
 	site     *site.Site
 	fleet    Fleet
-	shares   []entries.Share    // of the accounts of site, built when first needed
-	snapshot *backends.Snapshot // of the last Update, nil before
+	shares   []entries.AccountLoad // of the accounts of site, built when first needed
+	snapshot *backends.Snapshot    // of the last Update, nil before
 	servers  map[string]*server
 	hints    hints
 	groups   map[groupKey]*group
@@ -76,7 +76,7 @@
 	queue   *admit.Queue
 	table   *route.Table
 	servers []*server // in the order of the table
-	peers   []*health.Peer
+	peers   []*health.Server
 	eval    health.Evaluator
 	slots   int
 	// loading is the shortest time until a server that loads the model is
@@ -146,10 +146,10 @@
 	switch d.Action {
 	case admit.Start:
 		if c.start(now, w) {
-			w.group.queue.Started(&w.item)
+			w.group.queue.RecordStart(&w.item)
 			return w
 		}
-		w.group.queue.Hold(&w.item)
+		w.group.queue.Enqueue(&w.item)
 		fallthrough
 	case admit.Wait:
 		w.group.waiters[&w.item] = w
@@ -222,7 +222,7 @@
 	for _, s := range w.group.servers {
 		if s.backend.ID == w.ask.Prefer {
 			c.grant(now, w, s, route.ReasonPreferred)
-			w.group.queue.Started(&w.item)
+			w.group.queue.RecordStart(&w.item)
 			return
 		}
 	}
@@ -236,7 +236,7 @@
 
 // Cancel takes a waiting request out; false when it was already decided.
 func (c *Core) Cancel(w *Waiter) bool {
-	if !w.item.Waiting() {
+	if !w.item.IsWaiting() {
 		return false
 	}
 	w.group.queue.Remove(&w.item)
@@ -249,6 +249,6 @@
 	if !c.Cancel(w) {
 		return false
 	}
-	c.refuse(now, w, refusal(w.group.queue.Refusal(now, &w.item, w.group.expected())))
+	c.refuse(now, w, refusal(w.group.queue.RefusalFor(now, &w.item, w.group.expected())))
 	return true
 }
--- a/serve/flow/fleet.go
+++ b/serve/flow/fleet.go
@@ -101,22 +101,22 @@
 // VMs that the account is told.
 func (c *Core) share(account string) float64 {
 	if c.site == nil || len(c.fleet.VMs) == 0 {
-		return limit.Share(c.fleet.count(), true)
+		return limit.AccountShare(c.fleet.count(), true)
 	}
 	if c.shares == nil {
 		for _, a := range c.site.Accounts {
-			c.shares = append(c.shares, entries.Share{
+			c.shares = append(c.shares, entries.AccountLoad{
 				Name: a.Name, Hash: xxhash.Sum64String(a.Name), Weight: a.Share,
 			})
 		}
 	}
-	part, before := entries.Position(c.shares, account)
+	part, before := entries.LoadPosition(c.shares, account)
 	self := -1
 	for i := range c.fleet.VMs {
 		if c.fleet.VMs[i].ID == c.place.VM {
 			self = i
 		}
 	}
-	told, member := entries.Default.Member(c.fleet.VMs, entries.Query{Part: part, Before: before}, self)
-	return limit.Share(told, member)
+	told, member := entries.DefaultRule.IsSelected(c.fleet.VMs, entries.Query{LoadShare: part, ShareBefore: before}, self)
+	return limit.AccountShare(told, member)
 }
--- a/serve/flow/lease.go
+++ b/serve/flow/lease.go
@@ -38,19 +38,19 @@
 		return
 	}
 	per := gap / time.Duration(n)
-	l.server.limit.Gap(per)
-	l.server.peer.Gap(per)
+	l.server.limit.ObserveTokenGap(per)
+	l.server.peer.ObserveTokenGap(per)
 	if l.item.Class != admit.Resumed {
-		l.core.budget(l.service.Name).Earn(now, float64(n), l.share())
+		l.core.budget(l.service.Name).Deposit(now, float64(n), l.share())
 	}
 }
 
 // share is the part of the tokens that pays for repeated work.
 func (l *Lease) share() float64 {
 	if l.plain() {
-		return budget.DefaultShare
+		return budget.DefaultRatio
 	}
-	return budget.TakeoverShare(l.service.LatencyWeight)
+	return budget.TakeoverRatio(l.service.LatencyWeight)
 }
 
 // plain reports whether this is a call of a plain service: one answer, no tokens.
@@ -64,7 +64,7 @@
 	}
 	l.ended = true
 	l.server.load.InFlight--
-	l.group.queue.Finished(l.item.Class, l.item.Cost, now.Sub(l.started))
+	l.group.queue.RecordFinish(l.item.Class, l.item.Cost, now.Sub(l.started))
 	l.judge(now, o)
 	l.core.observe.done(l, o)
 	l.core.wake(now, l.server)
@@ -78,9 +78,9 @@
 	switch {
 	case o.Cancelled, errors.Is(o.Err, engine.ErrNotReady):
 	case o.Err != nil:
-		l.server.peer.Failed()
+		l.server.peer.RecordFailure()
 	default:
-		l.server.peer.Succeeded()
+		l.server.peer.RecordSuccess()
 		if l.plain() {
 			l.judgePlain(now, o)
 		}
@@ -88,13 +88,13 @@
 }
 
 func (l *Lease) judgePlain(now time.Time, o Outcome) {
-	l.core.budget(l.service.Name).Earn(now, l.item.Cost, l.share())
+	l.core.budget(l.service.Name).Deposit(now, l.item.Cost, l.share())
 	took := o.FirstToken
 	if took <= 0 {
 		took = now.Sub(l.started)
 	}
-	l.server.peer.Gap(took)
-	l.server.limit.Gap(took)
+	l.server.peer.ObserveTokenGap(took)
+	l.server.limit.ObserveTokenGap(took)
 }
 
 // wake starts what may start now that a slot of s came free.
@@ -106,7 +106,7 @@
 
 // drainGroup starts waiting work until nothing more fits.
 func (c *Core) drainGroup(now time.Time, g *group) {
-	if g.queue.Idle() {
+	if g.queue.IsEmpty() {
 		return
 	}
 	try := func(it *admit.Item) bool { return c.start(now, g.waiters[it]) }
@@ -163,6 +163,6 @@
 	for _, it := range g.queue.Shed(now, slots) {
 		w := g.waiters[it]
 		delete(g.waiters, it)
-		c.refuse(now, w, refusal(g.queue.Refusal(now, it, slots)))
+		c.refuse(now, w, refusal(g.queue.RefusalFor(now, it, slots)))
 	}
 }
--- a/serve/flow/manager.go
+++ b/serve/flow/manager.go
@@ -146,8 +146,8 @@
 			r.lease.Done(time.Now(), Outcome{Cancelled: true})
 		}
 	}
-	return nil, verdict.New(verdict.NotRun, verdict.CodeDeadline,
-		"the caller left before a backend server was free").Because(ctx.Err())
+	return nil, verdict.New(verdict.NotRun, verdict.CodeDeadlineExceeded,
+		"the caller left before a backend server was free").WithCause(ctx.Err())
 }
 
 func (m *Manager) grant(r result) (Grant, error) {
--- a/serve/flow/manager_test.go
+++ b/serve/flow/manager_test.go
@@ -136,7 +136,7 @@
 		begin := time.Now()
 		_, err = m.Acquire(t.Context(), a)
 		e := refusal(t, err)
-		test.Eq(t, verdict.CodeDeadline, e.Code)
+		test.Eq(t, verdict.CodeDeadlineExceeded, e.Code)
 		test.Positive(t, e.RetryAfter)
 		test.Eq(t, 1500*time.Millisecond, time.Since(begin))
 	})
--- a/serve/flow/observe.go
+++ b/serve/flow/observe.go
@@ -77,7 +77,7 @@
 
 func (o *observer) queued(w *Waiter, d admit.Decision) {
 	o.log.Emit(event.RequestQueued, w.ask.Request, accountName(w), w.ask.Service.Name,
-		w.item.Class.String(), d.Reason, d.Wait)
+		w.item.Class.String(), d.Reason, d.PredictedWait)
 }
 
 func (o *observer) refused(_ time.Time, w *Waiter, err *verdict.Error) {
--- a/serve/flow/precheck.go
+++ b/serve/flow/precheck.go
@@ -12,7 +12,7 @@
 
 // accountBucket is one account's limit at this VM.
 type accountBucket struct {
-	limit.Account
+	limit.TokenBucket
 	share float64 // of the account's limit
 	fleet uint64  // version for which share holds
 }
@@ -40,7 +40,7 @@
 	rate := a.TokensPerS * bucket.share
 	if wait := bucket.Take(now, w.item.Cost, rate); wait > 0 {
 		return verdict.New(verdict.NotRun, verdict.CodeAccountLimit,
-			"account %s is above its limit of %g tokens a second", a.Name, a.TokensPerS).After(wait)
+			"account %s is above its limit of %g tokens a second", a.Name, a.TokensPerS).WithRetryAfter(wait)
 	}
 	return nil
 }
@@ -68,7 +68,7 @@
 		cost = w.item.Cost
 	}
 	b := c.budget(w.ask.Service.Name)
-	why := b.Spend(now, budget.Expense{
+	why := b.Withdraw(now, budget.Withdrawal{
 		Tokens:    cost,
 		Forced:    w.ask.Resume && !w.ask.Speculative,
 		Saturated: waiting > 0,
@@ -78,7 +78,7 @@
 		return nil
 	}
 	return verdict.New(verdict.NotRun, verdict.CodeOverloaded,
-		"no room for repeated work: %s", why).After(b.Wait(cost))
+		"no room for repeated work: %s", why).WithRetryAfter(b.Wait(cost))
 }
 
 // budget returns the balance of a service.
@@ -96,12 +96,12 @@
 	code, text := verdict.CodeOverloaded, "cannot start before its deadline"
 	switch d.Reason {
 	case admit.ReasonExpired:
-		code, text = verdict.CodeDeadline, "the deadline passed before a backend server was free"
-	case admit.ReasonNoServers:
+		code, text = verdict.CodeDeadlineExceeded, "the deadline passed before a backend server was free"
+	case admit.ReasonNoCapacity:
 		code, text = verdict.CodeNoBackend, "no backend server is ready for this service"
 		if d.RetryAfter == 0 {
 			d.RetryAfter = noServerRetry
 		}
 	}
-	return verdict.New(verdict.NotRun, code, "%s (%s)", text, d.Reason).After(d.RetryAfter)
+	return verdict.New(verdict.NotRun, code, "%s (%s)", text, d.Reason).WithRetryAfter(d.RetryAfter)
 }
--- a/serve/flow/server.go
+++ b/serve/flow/server.go
@@ -21,8 +21,8 @@
 	slots       int // operators' bound on the whole server, 0 if none
 	incarnation string
 	load        route.Load
-	limit       limit.Server
-	peer        health.Peer
+	limit       limit.Concurrency
+	peer        health.Server
 	groups      []*group
 	present     bool // in the snapshot and not leaving
 	inFlightAt  history
@@ -61,7 +61,7 @@
 func newServer(b *backends.Backend, slots, sharers int, vm string) *server {
 	mixed := route.Mix(xxhash.Sum64String(vm) ^ route.Mix(xxhash.Sum64String(b.VM.ID)))
 	phase := float64(mixed>>11) / (1 << 53)
-	return &server{limit: limit.NewServer(slots, sharers, phase), pool: b.VM.Pool, slots: slots}
+	return &server{limit: limit.NewConcurrency(slots, sharers, phase), pool: b.VM.Pool, slots: slots}
 }
 
 // observe takes in one row of the snapshot.
@@ -72,15 +72,15 @@
 		taken = b.Seen.Add(-b.Status.Age)
 	}
 	own := s.inFlightAt.before(taken)
-	s.limit.Reported(limit.Report{
-		Taken: taken, Running: b.Status.Running, Waiting: b.Status.Waiting,
-		Slots: b.Status.Slots, Own: own, Sharers: sharers, Readers: readers,
+	s.limit.ApplyReport(limit.Report{
+		TakenAt: taken, Running: b.Status.Running, Waiting: b.Status.Waiting,
+		Slots: b.Status.Slots, OwnInFlight: own, SharingDaemons: sharers, ReadingDaemons: readers,
 	}, s.slots)
 	s.load.Others = int32(max(0, b.Status.Running+b.Status.Waiting-own))
 	was := s.incarnation
 	s.incarnation = b.Status.Incarnation
 	if was != "" && was != s.incarnation {
-		return s.peer.Restarted(now), true
+		return s.peer.RecordRestart(now), true
 	}
 	return health.Transition{}, false
 }
--- a/serve/flow/update.go
+++ b/serve/flow/update.go
@@ -179,7 +179,7 @@
 		g.slots += int(s.load.Limit)
 		spare += int(s.load.Spare())
 	}
-	g.queue.SetSpare(spare)
+	g.queue.SetUrgentOverflow(spare)
 }
 
 // expected is the number of slots that waiting work may count on.
@@ -199,8 +199,8 @@
 	})
 	c.observe.loading(w, d)
 	if !d.Wait {
-		return admit.Decision{Action: admit.Refuse, Reason: admit.ReasonNoServers, RetryAfter: d.RetryAfter}
+		return admit.Decision{Action: admit.Refuse, Reason: admit.ReasonNoCapacity, RetryAfter: d.RetryAfter}
 	}
-	g.queue.Hold(&w.item)
-	return admit.Decision{Action: admit.Wait, Reason: admit.ReasonQueued, Wait: max(g.loading.Sub(now), 0)}
+	g.queue.Enqueue(&w.item)
+	return admit.Decision{Action: admit.Wait, Reason: admit.ReasonQueued, PredictedWait: max(g.loading.Sub(now), 0)}
 }
--- a/serve/forward/accept.go
+++ b/serve/forward/accept.go
@@ -29,7 +29,7 @@
 	}
 	age, known := h.opts.Feed.Age()
 	if !known {
-		return in, verdict.New(verdict.NotRun, verdict.CodeUnconfigured, "no configuration is known yet").After(unconfiguredRetryAfter)
+		return in, verdict.New(verdict.NotRun, verdict.CodeNoConfiguration, "no configuration is known yet").WithRetryAfter(unconfiguredRetryAfter)
 	}
 	in.configVersion, in.configAge = view.Config.Version, age
 	if err != nil {
@@ -45,7 +45,7 @@
 	}
 	in.deadline = in.arrived.Add(requestTimeout(in))
 	if stop := h.shutdown.Load(); stop != nil && !stop.accepts(in) {
-		return in, verdict.New(verdict.NotRun, verdict.CodeShuttingDown, "this daemon is stopping").After(shutdownRetryAfter)
+		return in, verdict.New(verdict.NotRun, verdict.CodeShuttingDown, "this daemon is stopping").WithRetryAfter(shutdownRetryAfter)
 	}
 	if err := h.readBody(w, r, in, view.Config.Limits.BodyBytes); err != nil {
 		return in, err
@@ -85,7 +85,7 @@
 	}
 	if age > time.Duration(h.maxKeyAge.Load())-keyAgeMargin {
 		return verdict.New(verdict.NotRun, verdict.CodeUnconfirmed,
-			"the configuration was last confirmed %v ago", age.Round(time.Millisecond)).After(retryafter.AfterStoreOutage(age, h.opts.Feed.Outage(), rand.Float64()))
+			"the configuration was last confirmed %v ago", age.Round(time.Millisecond)).WithRetryAfter(retryafter.AfterStoreOutage(age, h.opts.Feed.Outage(), rand.Float64()))
 	}
 	in.account = config.Account(in.call.Key)
 	if in.account == nil {
@@ -124,9 +124,9 @@
 	case errors.As(err, &large):
 		return verdict.New(verdict.NotRun, verdict.CodeBodyTooLarge, "more than %d bytes", limit)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return verdict.New(verdict.NotRun, verdict.CodeDeadline, "the body did not arrive in time")
+		return verdict.New(verdict.NotRun, verdict.CodeDeadlineExceeded, "the body did not arrive in time")
 	case err != nil:
-		return verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the body is incomplete").Because(err)
+		return verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the body is incomplete").WithCause(err)
 	}
 	return nil
 }
--- a/serve/forward/leg.go
+++ b/serve/forward/leg.go
@@ -275,7 +275,7 @@
 	case now.Before(r.in.deadline):
 		return errCallerGone
 	}
-	return verdict.New(r.verdict(), verdict.CodeDeadline, "the answer was not finished in time")
+	return verdict.New(r.verdict(), verdict.CodeDeadlineExceeded, "the answer was not finished in time")
 }
 
 // finishAttempt ends an attempt, and has it found out whether its server ended.
--- a/serve/forward/plain.go
+++ b/serve/forward/plain.go
@@ -80,7 +80,7 @@
 		back := retryafter.AfterOverload(lasted, in.route.Objective, rand.Float64())
 		h.metrics.overloadRefusals.WithLabelValues(reasonTurnedAway).Inc()
 		h.opts.Log.Emit(event.CallThrottled, in.call.ID, service, lasted)
-		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the backend servers turn requests away").After(back)
+		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the backend servers turn requests away").WithRetryAfter(back)
 	}
 	x := &exchanges{h: h, in: in, service: service, results: make(chan *outcome, 8)}
 	last, err := x.run(ctx)
@@ -233,7 +233,7 @@
 	if x.possibleRuns == 0 {
 		return nil, x.noServerError()
 	}
-	return nil, verdict.New(verdict.MayHaveRun, verdict.CodeBackendFailed, "the backend server gave no whole answer").Because(last.err)
+	return nil, verdict.New(verdict.MayHaveRun, verdict.CodeBackendFailed, "the backend server gave no whole answer").WithCause(last.err)
 }
 
 // noServerError says that the request ran nowhere.
@@ -241,7 +241,7 @@
 	if wait, limited := x.h.limits.permitWait(x.service); limited && len(x.tried) == 0 {
 		return x.h.rateLimitedError(x.in, x.service, verdict.NotRun, wait)
 	}
-	return verdict.New(verdict.NotRun, verdict.CodeNoBackend, "no backend server takes the request").After(x.h.pool.retryAfter(x.service))
+	return verdict.New(verdict.NotRun, verdict.CodeNoBackend, "no backend server takes the request").WithRetryAfter(x.h.pool.retryAfter(x.service))
 }
 
 // rateLimitedError refuses a request because the servers of its service take no more now, by the limits
@@ -250,14 +250,14 @@
 	lasted, _ := h.pressure.recordRefusal(time.Now(), service)
 	back := max(wait, retryafter.AfterOverload(lasted, in.route.Objective, rand.Float64()))
 	h.metrics.overloadRefusals.WithLabelValues(reasonRateLimited).Inc()
-	return verdict.New(v, verdict.CodeOverloaded, "the backend servers take no more requests now").After(back)
+	return verdict.New(v, verdict.CodeOverloaded, "the backend servers take no more requests now").WithRetryAfter(back)
 }
 
 func (x *exchanges) deadlineError(ctx context.Context) error {
 	if x.possibleRuns == 0 {
-		return verdict.New(verdict.NotRun, verdict.CodeDeadline, "no backend server took the request in time")
+		return verdict.New(verdict.NotRun, verdict.CodeDeadlineExceeded, "no backend server took the request in time")
 	}
-	return verdict.New(verdict.MayHaveRun, verdict.CodeDeadline, "no answer in time").Because(ctx.Err())
+	return verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "no answer in time").WithCause(ctx.Err())
 }
 
 // exchange sends the request to one server and reads the answer.
--- a/serve/forward/refuse.go
+++ b/serve/forward/refuse.go
@@ -25,7 +25,7 @@
 		return http.StatusNotFound
 	case verdict.CodeBodyTooLarge:
 		return http.StatusRequestEntityTooLarge
-	case verdict.CodeDeadline:
+	case verdict.CodeDeadlineExceeded:
 		return http.StatusGatewayTimeout
 	}
 	if e.Verdict == verdict.NotRun {
@@ -48,7 +48,7 @@
 		h.opts.Log.Emit(event.AnswerCut, in.call.ID, in.call.PromptKey, in.routeName(), in.accountName(), in.configVersion, err, time.Since(in.arrived))
 		panic(http.ErrAbortHandler) // ends the connection, so that the answer does not look whole
 	}
-	e := verdict.Of(err)
+	e := verdict.FromError(err)
 	status := statusOf(e)
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
--- a/serve/forward/stream.go
+++ b/serve/forward/stream.go
@@ -155,7 +155,7 @@
 		case segmentBroken:
 			r.interrupted = r.headersSent
 			if r.replacement == nil && (r.cannotContinue || !r.canResume()) {
-				return r.giveUp(verdict.New(verdict.MayHaveRun, verdict.CodeBackendFailed, "the answer broke off").Because(err))
+				return r.giveUp(verdict.New(verdict.MayHaveRun, verdict.CodeBackendFailed, "the answer broke off").WithCause(err))
 			}
 		}
 	}
@@ -271,7 +271,7 @@
 	r.h.metrics.overloadRefusals.WithLabelValues(admission.String()).Inc()
 	r.h.opts.Log.Emit(event.PromptRefused, r.in.call.ID, best.server.ID, admission.String(), r.in.call.PromptTokens,
 		best.report.Unread, best.report.Used, best.report.Memory, due, lasted, answer)
-	return verdict.New(r.verdict(), verdict.CodeOverloaded, "engines have no room for the prompt (%s)", admission).After(back)
+	return verdict.New(r.verdict(), verdict.CodeOverloaded, "engines have no room for the prompt (%s)", admission).WithRetryAfter(back)
 }
 
 // tryAcquireRetry asks this daemon's part of the shared budget for one more send, and
@@ -316,7 +316,7 @@
 	if wait, limited := r.h.limits.permitWait(r.service); limited && r.sends == 0 {
 		return r.h.rateLimitedError(r.in, r.service, r.verdict(), max(wait, r.h.pool.retryAfter(r.service)))
 	}
-	return verdict.New(r.verdict(), verdict.CodeNoBackend, "no engine takes the request").After(r.h.pool.retryAfter(r.service))
+	return verdict.New(r.verdict(), verdict.CodeNoBackend, "no engine takes the request").WithRetryAfter(r.h.pool.retryAfter(r.service))
 }
 
 // findCopyHolder is the engine that holds a copy now. It may have started anew at its
--- a/serve/gateway/gateway.go
+++ b/serve/gateway/gateway.go
@@ -147,7 +147,7 @@
 		self = len(vms)
 		vms = append(vms, entry(g.opts.Self, g.Ready()))
 	}
-	a := entries.Any(vms, self, g.turn.Add(1))
+	a := entries.SelectForUnknownAccount(vms, self, g.turn.Add(1))
 	list := make([]string, 0, len(a.VMs))
 	for _, i := range a.VMs {
 		list = append(list, vms[i].Address)
--- a/serve/generation/accept.go
+++ b/serve/generation/accept.go
@@ -50,7 +50,7 @@
 		a.reads = promptTokens(l.spec.Prompt) + len(l.accepted)
 		l.m.metrics.prefills.Inc()
 	}
-	l.race.Start(a.number)
+	l.race.AddAttempt(a.number)
 	l.m.watch.start(l.spec.ID, a)
 	a.begin <- begin{prefix: slices.Clone(l.accepted), reattach: a.reattach}
 }
@@ -62,7 +62,7 @@
 	if a.reattach {
 		return
 	}
-	e := verdict.Of(err)
+	e := verdict.FromError(err)
 	l.notBefore = time.Now().Add(min(max(refusedPause, e.RetryAfter), longestRefusedPause))
 	if len(l.attempts) > 0 {
 		l.m.metrics.heldBack.WithLabelValues(string(e.Code)).Inc()
@@ -111,7 +111,7 @@
 	if !l.mayHaveRun {
 		return e
 	}
-	return verdict.New(verdict.MayHaveRun, e.Code, "%s", e.Message).After(e.RetryAfter)
+	return verdict.New(verdict.MayHaveRun, e.Code, "%s", e.Message).WithRetryAfter(e.RetryAfter)
 }
 
 func (l *loop) failed(a *attempt, err error) {
@@ -176,7 +176,7 @@
 	gap := now.Sub(a.last)
 	switch {
 	case a.chunks == 0 && !a.reattach && !a.suspected:
-		l.m.watch.observeFirst(l.spec.Service.Pool, a.backend.ID, silence.PerPrompt(gap, a.reads))
+		l.m.watch.observeFirst(l.spec.Service.Pool, a.backend.ID, silence.NormalizeFirstChunkWait(gap, a.reads))
 	case a.chunks > 0 && !a.suspected:
 		l.gaps.Observe(gap)
 		l.m.watch.observe(a.backend.ID, gap)
@@ -188,7 +188,7 @@
 
 // dropped deals with tokens that may not be used. A gap inside one attempt's
 // own stream means that tokens were lost on the way: the attempt is useless.
-func (l *loop) dropped(a *attempt, c engine.Chunk, why resume.Drop) {
+func (l *loop) dropped(a *attempt, c engine.Chunk, why resume.DropReason) {
 	l.m.metrics.dropped.WithLabelValues(why.String()).Inc()
 	l.m.log.Emit(event.ChunkDropped, l.spec.ID, a.number, c.Offset, why.String())
 	if why == resume.Gap {
@@ -216,7 +216,7 @@
 // drop stops reading an attempt.
 func (l *loop) drop(a *attempt) {
 	delete(l.attempts, a.number)
-	l.race.Stop(a.number)
+	l.race.RemoveAttempt(a.number)
 	l.m.watch.stop(l.spec.ID, a)
 	a.cancel()
 }
--- a/serve/generation/copier.go
+++ b/serve/generation/copier.go
@@ -29,7 +29,7 @@
 type copier struct {
 	m        *Manager
 	spec     *Spec
-	line     lineage.Line
+	line     lineage.History
 	holder   membership.Member
 	open     bool                    // holder has the copy
 	excluded map[holderKey]time.Time // until when
@@ -89,7 +89,7 @@
 			c.open = true
 			c.dropStale()
 			return done
-		case res.Epoch != c.line.Epoch() && res.Epoch.Count() >= c.line.Epoch().Count():
+		case res.Epoch != c.line.Epoch() && res.Epoch.OwnerCount() >= c.line.Epoch().OwnerCount():
 			done.fenced = res.Epoch
 			return done
 		case res.Unknown && c.open:
--- a/serve/generation/decide.go
+++ b/serve/generation/decide.go
@@ -32,7 +32,7 @@
 		return nil
 	}
 	now := time.Now()
-	if silence.Overslept(l.due, now) {
+	if silence.WasPaused(l.due, now) {
 		l.restartSilence(now)
 	}
 	action, reason := resume.Decide(l.policy, l.view(now))
@@ -44,12 +44,12 @@
 		l.reread = true
 		l.m.metrics.reattached.Inc()
 		l.startAttempt(ctx, start{reattach: l.leaderAt})
-	case resume.Attempt:
+	case resume.StartAttempt:
 		if !now.Before(l.notBefore) {
 			l.takeOver(ctx, now, reason)
 		}
 	default:
-		if reason == resume.ReasonStalled {
+		if reason == resume.ReasonGlobalStall {
 			l.m.metrics.heldBack.WithLabelValues(string(reason)).Inc()
 		}
 	}
@@ -57,24 +57,24 @@
 }
 
 // view collects what the resume policy looks at.
-func (l *loop) view(now time.Time) resume.View {
-	v := resume.View{
-		Running:      len(l.attempts),
-		Racing:       l.racing(),
-		Fruitless:    l.fruitless,
-		Threshold:    l.policy.Deadline,
-		Reattachable: l.reattachable(),
+func (l *loop) view(now time.Time) resume.AnswerState {
+	v := resume.AnswerState{
+		RunningAttempts: len(l.attempts),
+		RacingAttempts:  l.racing(),
+		FailedAttempts:  l.fruitless,
+		SuspectAfter:    l.policy.Deadline,
+		CanReattach:     l.reattachable(),
 	}
 	if l.queued() {
 		return v
 	}
-	v.Stopped = now.Sub(l.lastToken)
+	v.StalledFor = now.Sub(l.lastToken)
 	a := l.liveliest(now)
 	if a == nil || !a.granted {
 		return v
 	}
-	v.Silent, v.Threshold = now.Sub(a.last), l.threshold(a)
-	if v.Silent >= v.Threshold {
+	v.SilentFor, v.SuspectAfter = now.Sub(a.last), l.threshold(a)
+	if v.SilentFor >= v.SuspectAfter {
 		v.GlobalStall = l.m.watch.globalStall(now, a.backend.ID)
 	}
 	return v
@@ -175,11 +175,11 @@
 	if l.lostAt.IsZero() {
 		l.lostAt = now
 	}
-	if reason != resume.ReasonBroken {
+	if reason != resume.ReasonNoAttemptRunning {
 		l.suspect(now)
 	}
 	l.makeRoom()
-	l.startAttempt(ctx, start{owed: reason == resume.ReasonCertain})
+	l.startAttempt(ctx, start{owed: reason == resume.ReasonSilentTooLong})
 }
 
 // suspect marks the running attempts, whose engines the next one avoids.
@@ -209,7 +209,7 @@
 
 // makeRoom gives up the oldest attempts until one more may run.
 func (l *loop) makeRoom() {
-	for l.racing() >= l.policy.MaxRacing {
+	for l.racing() >= l.policy.MaxConcurrentAttempts {
 		var oldest *attempt
 		for _, a := range l.attempts {
 			if oldest == nil || a.number < oldest.number {
--- a/serve/generation/generation.go
+++ b/serve/generation/generation.go
@@ -32,7 +32,7 @@
 	taken  chan struct{}      // signals the loop that furthest grew
 
 	mu       sync.Mutex
-	line     lineage.Line
+	line     lineage.History
 	tokens   []string // released: callers may hold them
 	finish   engine.FinishReason
 	failure  *verdict.Error
@@ -43,7 +43,7 @@
 	furthest int       // largest offset any reader has taken
 }
 
-func newGeneration(spec *Spec, line lineage.Line, tokens []string, finish engine.FinishReason) *Generation {
+func newGeneration(spec *Spec, line lineage.History, tokens []string, finish engine.FinishReason) *Generation {
 	return &Generation{
 		spec:     spec,
 		line:     line,
@@ -103,7 +103,7 @@
 func (g *Generation) poll(pos lineage.Position) (Batch, <-chan struct{}, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	switch rel := g.line.Relate(pos, len(g.tokens)); {
+	switch rel := g.line.Compare(pos, len(g.tokens)); {
 	case rel == lineage.Prefix:
 	case rel == lineage.Superseded || g.fenced:
 		return Batch{}, nil, errFenced{}
@@ -127,7 +127,7 @@
 	n := len(g.tokens)
 	b := Batch{
 		Tokens:   g.tokens[from:n:n],
-		Position: lineage.Position{Epoch: g.line.At(n), Offset: n},
+		Position: lineage.Position{Epoch: g.line.EpochAt(n), Offset: n},
 	}
 	if g.failure == nil && !g.fenced {
 		b.Finish = g.finish
@@ -242,5 +242,5 @@
 }
 
 func errLost(message string) *verdict.Error {
-	return verdict.New(verdict.MayHaveRun, verdict.CodeLost, "%s; send the request again for a new answer", message)
+	return verdict.New(verdict.MayHaveRun, verdict.CodeGenerationLost, "%s; send the request again for a new answer", message)
 }
--- a/serve/generation/handle.go
+++ b/serve/generation/handle.go
@@ -83,8 +83,8 @@
 // VMs are cut off or not yet known to be dead: told that nobody knows it, the
 // caller would throw away minutes of work that are there again in seconds.
 func errUnreachable() *verdict.Error {
-	return verdict.New(verdict.MayHaveRun, verdict.CodeUnreachable,
-		"the entry VMs that may know this generation do not answer now; ask again with Last-Event-ID").After(retryReach)
+	return verdict.New(verdict.MayHaveRun, verdict.CodeGenerationUnreachable,
+		"the entry VMs that may know this generation do not answer now; ask again with Last-Event-ID").WithRetryAfter(retryReach)
 }
 
 // retryReach is the wait told to such callers: about the time in which a VM
@@ -133,7 +133,7 @@
 			h.reject(h.at, differs)
 		}
 		if h.tries >= relocateTries {
-			return b, h.lost().Because(err)
+			return b, h.lost().WithCause(err)
 		}
 		if err := h.relocate(ctx, pos); err != nil {
 			return b, err
--- a/serve/generation/locate.go
+++ b/serve/generation/locate.go
@@ -59,7 +59,7 @@
 		members = owners(v, places, asked)
 	}
 	if err := ctx.Err(); err != nil {
-		return f, verdict.New(verdict.NotRun, verdict.CodeDeadline, "the caller went away").Because(err)
+		return f, verdict.New(verdict.NotRun, verdict.CodeDeadlineExceeded, "the caller went away").WithCause(err)
 	}
 	f.settle()
 	return f, nil
@@ -70,8 +70,8 @@
 func (f *found) settle() {
 	slices.SortStableFunc(f.places, func(a, b place) int {
 		switch {
-		case a.epoch.Count() != b.epoch.Count():
-			return b.epoch.Count() - a.epoch.Count()
+		case a.epoch.OwnerCount() != b.epoch.OwnerCount():
+			return b.epoch.OwnerCount() - a.epoch.OwnerCount()
 		case a.running != b.running:
 			if a.running {
 				return -1
--- a/serve/generation/loop.go
+++ b/serve/generation/loop.go
@@ -57,7 +57,7 @@
 	// tried are the versions whose backend servers all turned the request away.
 	tried []string
 	due   time.Time // when the next decision is due
-	gaps  silence.Gaps
+	gaps  silence.GapEstimator
 	held  bool // readers were too far behind
 
 	// unwanted are losers to be cancelled at their engines once a write shows
@@ -70,7 +70,7 @@
 	copiedAt engine.FinishReason
 }
 
-func newLoop(m *Manager, g *Generation, line lineage.Line, tokens []string, finish engine.FinishReason) *loop {
+func newLoop(m *Manager, g *Generation, line lineage.History, tokens []string, finish engine.FinishReason) *loop {
 	l := &loop{
 		m:         m,
 		g:         g,
@@ -82,7 +82,7 @@
 		accepted:  slices.Clone(tokens),
 		finish:    finish,
 		attempts:  make(map[uint64]*attempt),
-		number:    uint64(line.Epoch().Count()) << attemptShift,
+		number:    uint64(line.Epoch().OwnerCount()) << attemptShift,
 		lastToken: time.Now(),
 		copied:    len(tokens),
 		copiedAt:  finish,
--- a/serve/generation/manager.go
+++ b/serve/generation/manager.go
@@ -101,7 +101,7 @@
 		m.linger = linger
 	}
 	if m.policy == nil {
-		m.policy = func(s *site.Service) resume.Policy { return resume.ForService(s.LatencyWeight, s.Deadline) }
+		m.policy = func(s *site.Service) resume.Policy { return resume.PolicyForService(s.LatencyWeight, s.Deadline) }
 	}
 	if m.version == nil {
 		m.version = func(s *site.Service, _ ...string) *site.Service { return s }
@@ -223,12 +223,12 @@
 }
 
 // firstLine begins the history of a generation whose id had epochs up to after.
-func (m *Manager) firstLine(after lineage.Epoch) lineage.Line {
-	return lineage.Line{{Epoch: after.Next(randomEpoch()), Owner: m.members.Current().Self.ID}}
+func (m *Manager) firstLine(after lineage.Epoch) lineage.History {
+	return lineage.History{{Epoch: after.Next(randomEpoch()), Owner: m.members.Current().Self.ID}}
 }
 
 // start registers a new generation and runs its loop.
-func (m *Manager) start(spec *Spec, line lineage.Line) *Generation {
+func (m *Manager) start(spec *Spec, line lineage.History) *Generation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if g := m.owned[spec.ID]; g != nil && g.serves() {
@@ -242,7 +242,7 @@
 }
 
 // runLocked starts the loop of g; m.mu is held.
-func (m *Manager) runLocked(g *Generation, line lineage.Line, reattach *peerpb.Attempt) {
+func (m *Manager) runLocked(g *Generation, line lineage.History, reattach *peerpb.Attempt) {
 	ctx, cancel := context.WithCancel(m.base)
 	g.cancel = cancel
 	l := newLoop(m, g, line, g.tokens, g.finish)
@@ -274,7 +274,7 @@
 func (m *Manager) adopt(c journal.Copy) *Generation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if g := m.owned[c.Spec.GetId()]; g != nil && g.serves() && g.state().epoch.Count() >= c.Line.Epoch().Count() {
+	if g := m.owned[c.Spec.GetId()]; g != nil && g.serves() && g.state().epoch.OwnerCount() >= c.Line.Epoch().OwnerCount() {
 		return g
 	}
 	spec := specFromWire(c.Spec, m.site.Current())
--- a/serve/generation/release.go
+++ b/serve/generation/release.go
@@ -81,10 +81,10 @@
 func (l *loop) giveUp(err error) {
 	if err == nil {
 		l.m.log.Emit(event.GenerationCancelled, l.spec.ID, len(l.accepted))
-		l.g.fail(verdict.New(verdict.MayHaveRun, verdict.CodeLost, "the answer was cancelled because nobody read it"))
+		l.g.fail(verdict.New(verdict.MayHaveRun, verdict.CodeGenerationLost, "the answer was cancelled because nobody read it"))
 		return
 	}
-	e := verdict.Of(err)
+	e := verdict.FromError(err)
 	if e.Verdict != verdict.NotRun {
 		// A refusal before anything ran is logged where it was decided.
 		l.m.log.Emit(event.GenerationFailed, l.spec.ID, len(l.accepted), string(e.Code))
--- a/serve/generation/server.go
+++ b/serve/generation/server.go
@@ -46,7 +46,7 @@
 		return 0, false
 	}
 	s, next := g.state(), c.Line.Epoch()
-	if s.failure != nil || s.epoch.Count() != next.Count() || s.epoch >= next {
+	if s.failure != nil || s.epoch.OwnerCount() != next.OwnerCount() || s.epoch >= next {
 		return 0, false
 	}
 	return s.epoch, true
--- a/serve/generation/standby.go
+++ b/serve/generation/standby.go
@@ -25,7 +25,7 @@
 		s.busy = false
 	default:
 	}
-	every := l.policy.Standby
+	every := l.policy.StandbyIntervalTokens
 	if every == 0 || s.busy || l.finish != "" || len(l.accepted) < s.primed+every {
 		return
 	}
--- a/serve/generation/watch.go
+++ b/serve/generation/watch.go
@@ -18,7 +18,7 @@
 }
 
 type engineGaps struct {
-	gaps, first silence.Gaps
+	gaps, first silence.GapEstimator
 	seen        time.Time
 	suspected   time.Time // when a stream was, zero after any chunk since
 }
@@ -94,7 +94,7 @@
 	return p
 }
 
-func (w *watch) threshold(c silence.Config, stream *silence.Gaps, backend string) time.Duration {
+func (w *watch) threshold(c silence.Config, stream *silence.GapEstimator, backend string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return silence.Threshold(c, stream, &w.engine(backend).gaps)
@@ -108,10 +108,10 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	first := &w.engine(a.backend.ID).first
-	if !first.Known() {
+	if !first.HasEnoughSamples() {
 		first = &w.pool(pool).first
 	}
-	return silence.FirstThreshold(c, first, a.reads, a.takeover)
+	return silence.FirstChunkThreshold(c, first, a.reads, a.takeover)
 }
 
 // globalStall reports whether the streams on other engines than suspect are
@@ -131,7 +131,7 @@
 			silent++
 		}
 	}
-	return silence.GlobalStall(silent, total)
+	return silence.IsGlobalStall(silent, total)
 }
 
 // suspectFor is how long an engine is avoided by takeovers after a stream of it
--- a/serve/journal/holder.go
+++ b/serve/journal/holder.go
@@ -12,7 +12,7 @@
 // Copy is one generation as its owner last copied it here.
 type Copy struct {
 	Spec    *peerpb.GenerationSpec
-	Line    lineage.Line
+	Line    lineage.History
 	Tokens  []string
 	Attempt *peerpb.Attempt
 	Finish  string
@@ -99,13 +99,13 @@
 			// next continues what is held, unless it left the line before the
 			// held end: then callers may hold tokens that next does not have, of
 			// an owner that was cut off while its answer was taken over.
-			return next.Line[i+1].From < len(held.Tokens)
+			return next.Line[i+1].FromOffset < len(held.Tokens)
 		}
 	}
-	if held.Finish != "" && next.Line.Epoch().Count() == held.Line.Epoch().Count() {
+	if held.Finish != "" && next.Line.Epoch().OwnerCount() == held.Line.Epoch().OwnerCount() {
 		return true
 	}
-	return next.Line.Epoch().Count() <= held.Line.Epoch().Count()
+	return next.Line.Epoch().OwnerCount() <= held.Line.Epoch().OwnerCount()
 }
 
 // Append adds tokens at offset under epoch. Tokens already held are skipped, so
@@ -170,13 +170,13 @@
 	if e == nil {
 		return Copy{}, lineage.Prefix, false
 	}
-	if rel := e.Line.Relate(seen, len(e.Tokens)); rel != lineage.Prefix {
+	if rel := e.Line.Compare(seen, len(e.Tokens)); rel != lineage.Prefix {
 		return Copy{}, rel, true
 	}
 	e.Line = e.Line.Extend(lineage.Fork{
-		Epoch: e.Line.Epoch().Next(h.random()),
-		From:  len(e.Tokens),
-		Owner: newOwner,
+		Epoch:      e.Line.Epoch().Next(h.random()),
+		FromOffset: len(e.Tokens),
+		Owner:      newOwner,
 	})
 	h.touch(e)
 	return e.clone(), lineage.Prefix, true
--- a/serve/journal/holder_test.go
+++ b/serve/journal/holder_test.go
@@ -23,7 +23,7 @@
 func copyOf(id string, epoch lineage.Epoch, tokens int, finish string) Copy {
 	c := Copy{
 		Spec: &peerpb.GenerationSpec{Id: id}, Finish: finish,
-		Line:    lineage.Line{{Epoch: epoch, Owner: "vm0"}},
+		Line:    lineage.History{{Epoch: epoch, Owner: "vm0"}},
 		Attempt: &peerpb.Attempt{Number: 1},
 	}
 	for i := range tokens {
@@ -36,7 +36,7 @@
 // message was only late. It must neither shorten the copy nor bring back the
 // attempt it names, whose engine goes on with another text.
 func TestLateMessages(t *testing.T) {
-	h, epoch := newHolder(1<<20), lineage.First(9)
+	h, epoch := newHolder(1<<20), lineage.FirstEpoch(9)
 	must.True(t, h.Open(copyOf("g", epoch, 4, "")).Accepted)
 	must.True(t, h.Append("g", epoch, 4, []string{"a", "b"}, &peerpb.Attempt{Number: 2}, "").Accepted)
 	must.Eq(t, 6, h.Open(copyOf("g", epoch, 3, "")).Length)
@@ -50,7 +50,7 @@
 // A paused owner returns after its answer was taken over and writes on. The
 // holder refuses and names the newer epoch.
 func TestAdoptFencesTheOldOwner(t *testing.T) {
-	h, first := newHolder(1<<20), lineage.First(9)
+	h, first := newHolder(1<<20), lineage.FirstEpoch(9)
 	h.Open(copyOf("g", first, 4, ""))
 	c, rel, ok := h.Adopt("g", "vm1", lineage.Position{Epoch: first, Offset: 3})
 	must.True(t, ok)
@@ -71,14 +71,14 @@
 	one := size(copyOf("x", 1, 10, ""))
 	h := newHolder(3 * one)
 	for i, finish := range []string{"stop", "stop", ""} {
-		must.True(t, h.Open(copyOf(fmt.Sprint("g", i), lineage.First(uint64(i)), 10, finish)).Accepted)
+		must.True(t, h.Open(copyOf(fmt.Sprint("g", i), lineage.FirstEpoch(uint64(i)), 10, finish)).Accepted)
 	}
 	h.Adopt("g0", "vm1", lineage.Position{})
-	must.True(t, h.Open(copyOf("g3", lineage.First(3), 10, "")).Accepted)
+	must.True(t, h.Open(copyOf("g3", lineage.FirstEpoch(3), 10, "")).Accepted)
 	_, there := h.Peek("g1")
 	must.False(t, there)
-	must.True(t, h.Open(copyOf("g4", lineage.First(4), 10, "")).Accepted)
-	must.False(t, h.Open(copyOf("g5", lineage.First(5), 10, "")).Accepted)
+	must.True(t, h.Open(copyOf("g4", lineage.FirstEpoch(4), 10, "")).Accepted)
+	must.False(t, h.Open(copyOf("g5", lineage.FirstEpoch(5), 10, "")).Accepted)
 	n, bytes := h.Size()
 	must.Eq(t, 3, n)
 	must.Eq(t, 3*one, bytes)
--- a/serve/journal/wire.go
+++ b/serve/journal/wire.go
@@ -22,18 +22,18 @@
 	if r.GetSpec() == nil || len(r.GetForks()) == 0 {
 		return Copy{}, false
 	}
-	line := make(lineage.Line, 0, len(r.GetForks()))
+	line := make(lineage.History, 0, len(r.GetForks()))
 	for _, f := range r.GetForks() {
-		line = append(line, lineage.Fork{Epoch: lineage.Epoch(f.GetEpoch()), From: int(f.GetOffset()), Owner: f.GetOwner()})
+		line = append(line, lineage.Fork{Epoch: lineage.Epoch(f.GetEpoch()), FromOffset: int(f.GetOffset()), Owner: f.GetOwner()})
 	}
 	return Copy{Spec: r.GetSpec(), Line: line, Tokens: r.GetTokens(), Attempt: r.GetAttempt(), Finish: r.GetFinish()}, true
 }
 
 // ForksToWire returns the message form of a line.
-func ForksToWire(l lineage.Line) []*peerpb.Fork {
+func ForksToWire(l lineage.History) []*peerpb.Fork {
 	out := make([]*peerpb.Fork, 0, len(l))
 	for _, f := range l {
-		out = append(out, &peerpb.Fork{Epoch: uint64(f.Epoch), Offset: uint32(f.From), Owner: f.Owner})
+		out = append(out, &peerpb.Fork{Epoch: uint64(f.Epoch), Offset: uint32(f.FromOffset), Owner: f.Owner})
 	}
 	return out
 }
--- a/serve/once/bench_test.go
+++ b/serve/once/bench_test.go
@@ -89,7 +89,7 @@
 	for range 300 {
 		time.Sleep(100 * time.Millisecond)
 		slots, _ := daemons[0].Roster.All()
-		if !slices.ContainsFunc(slots, func(a slot.Assignment) bool { return a.Witness.None() }) {
+		if !slices.ContainsFunc(slots, func(a slot.Assignment) bool { return a.Witness.IsNone() }) {
 			return
 		}
 	}
--- a/serve/once/dispatch.go
+++ b/serve/once/dispatch.go
@@ -49,7 +49,7 @@
 	var since time.Time
 	for {
 		a := s.Roster.Slot(c.slot)
-		if !a.Owner.Same(s.self) {
+		if !a.Owner.IsSameProcess(s.self) {
 			return bindMoved
 		}
 		if a != asked {
@@ -71,10 +71,10 @@
 
 // consent asks the witness of a, if there is one.
 func (s *Service) consent(ctx context.Context, c *call, r record, a slot.Assignment) bool {
-	if a.Witness.None() {
+	if a.Witness.IsNone() {
 		return s.tables[c.slot].active(a.Term)
 	}
-	return s.askWitness(ctx, c.slot, r, a.Witness.Peer, a.Term)
+	return s.askWitness(ctx, c.slot, r, a.Witness.PeerAddr, a.Term)
 }
 
 // stillHeld guards against a slot that went to another daemon and came back
@@ -173,7 +173,7 @@
 	for range maxSends {
 		grant, err := s.Flow.Acquire(ctx, newAsk(req.Key, req.Account, req.Service, exclude))
 		if err != nil {
-			last = verdict.Of(err)
+			last = verdict.FromError(err)
 			break
 		}
 		answer, err := s.Caller.Do(ctx, grant.Backend().Address, req.Call)
@@ -190,7 +190,7 @@
 	}
 	if sent {
 		// A later refusal does not undo what an earlier attempt sent.
-		last = verdict.New(verdict.MayHaveRun, last.Code, "%s", last.Message).After(last.RetryAfter)
+		last = verdict.New(verdict.MayHaveRun, last.Code, "%s", last.Message).WithRetryAfter(last.RetryAfter)
 	}
 	return plain.Answer{}, last
 }
--- a/serve/once/entry.go
+++ b/serve/once/entry.go
@@ -59,10 +59,10 @@
 
 // ask sends a copy to the owner of a, which may be this daemon.
 func (s *Service) ask(ctx context.Context, a slot.Assignment, e execution) reply {
-	if a.Owner.None() {
+	if a.Owner.IsNone() {
 		return reply{outcome: outcome{moved: true}}
 	}
-	if a.Owner.Same(s.self) {
+	if a.Owner.IsSameProcess(s.self) {
 		ctx, cancel := context.WithTimeout(ctx, slice)
 		defer cancel()
 		r := s.execute(ctx, e)
@@ -132,7 +132,7 @@
 func (s *Service) askPeers(ctx context.Context, a slot.Assignment) {
 	ctx, cancel := context.WithTimeout(ctx, sliceGrace)
 	defer cancel()
-	for _, m := range slot.First(s.peers(), a.Slot, peersAsked) {
+	for _, m := range slot.HighestRanked(s.peers(), a.Slot, peersAsked) {
 		w, err := s.client(m).Learn(ctx, &pb.SlotAssignments{Assignments: []*pb.SlotAssignment{assignmentToWire(a)}})
 		if err == nil && len(w.GetAssignments()) == 1 {
 			s.Roster.Learn(assignmentFromWire(w.GetAssignments()[0]))
@@ -141,5 +141,5 @@
 }
 
 func (s *Service) client(m slot.Member) pb.Once {
-	return pb.NewOnceProtobufClient(s.Dialer.URL(m.Peer), s.Dialer.Client)
+	return pb.NewOnceProtobufClient(s.Dialer.URL(m.PeerAddr), s.Dialer.Client)
 }
--- a/serve/once/errors.go
+++ b/serve/once/errors.go
@@ -14,7 +14,7 @@
 // errUndecided says that the call may have run, or may still run elsewhere.
 func errUndecided(why string, after time.Duration) *verdict.Error {
 	return verdict.New(verdict.MayHaveRun, verdict.CodeKeyUndecided,
-		"%s; send it again with the same key to learn more", why).After(after)
+		"%s; send it again with the same key to learn more", why).WithRetryAfter(after)
 }
 
 // errStale answers a copy that may have been held up since before its key was
@@ -30,7 +30,7 @@
 }
 
 func errAnswerGone() *verdict.Error {
-	return verdict.New(verdict.Ran, verdict.CodeAnswerGone,
+	return verdict.New(verdict.Ran, verdict.CodeAnswerNotKept,
 		"the call ran once; its answer is no longer kept")
 }
 
@@ -41,18 +41,18 @@
 
 func errNotSent(err error) *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.CodeNoBackend,
-		"no backend server could be reached").After(retrySoon).Because(err)
+		"no backend server could be reached").WithRetryAfter(retrySoon).WithCause(err)
 }
 
 func errNoAnswer(err error) *verdict.Error {
 	return verdict.New(verdict.MayHaveRun, verdict.CodeBackendFailed,
-		"the call was sent and no whole answer came back").Because(err)
+		"the call was sent and no whole answer came back").WithCause(err)
 }
 
 // notRun turns an error of the flow, which sent nothing, into one that says so
 // and when to come back.
 func notRun(err error) *verdict.Error {
-	e := verdict.Of(err)
+	e := verdict.FromError(err)
 	after := max(e.RetryAfter, retrySoon)
-	return verdict.New(verdict.NotRun, e.Code, "%s", e.Message).After(after).Because(err)
+	return verdict.New(verdict.NotRun, e.Code, "%s", e.Message).WithRetryAfter(after).WithCause(err)
 }
--- a/serve/once/keeper.go
+++ b/serve/once/keeper.go
@@ -105,9 +105,9 @@
 
 func (s *Service) plan(rebalance bool) []slot.Move {
 	view := s.Members.Current()
-	peers := make([]slot.Peer, 0, len(view.Members))
+	peers := make([]slot.MemberStatus, 0, len(view.Members))
 	for _, m := range view.Members {
-		peers = append(peers, slot.Peer{Member: toMember(m), Leaving: m.State == membership.Leaving})
+		peers = append(peers, slot.MemberStatus{Member: toMember(m), Leaving: m.State == membership.Leaving})
 	}
 	slots, known := s.Roster.All()
 	if !known {
@@ -116,15 +116,15 @@
 	avoid, _ := s.silent.ids(time.Now())
 	return slot.Plan(slot.Snapshot{
 		Self: s.self, Leaving: s.leaving.Load() || view.Self.State == membership.Leaving,
-		Members: peers, Slots: slots, Avoid: avoid,
+		Members: peers, Slots: slots, AvoidWitnesses: avoid,
 		Rebalance: rebalance,
-		Sealed:    func(i int) bool { return s.history.stuck(i) },
-		Calm:      func(i int) bool { return s.history.calm(i) },
+		IsSealed:  func(i int) bool { return s.history.stuck(i) },
+		IsStable:  func(i int) bool { return s.history.calm(i) },
 	})
 }
 
 func toMember(m membership.Member) slot.Member {
-	return slot.Member{ID: m.ID, Incarnation: m.Incarnation, Zone: m.Zone, Peer: m.Peer}
+	return slot.Member{ID: m.ID, Incarnation: m.Incarnation, Zone: m.Zone, PeerAddr: m.Peer}
 }
 
 // peers returns the other members.
@@ -173,7 +173,7 @@
 	}
 	var wg sync.WaitGroup
 	for m, assignments := range news {
-		if !m.None() && !m.Same(s.self) {
+		if !m.IsNone() && !m.IsSameProcess(s.self) {
 			wg.Go(func() { _, _ = s.client(m).Learn(ctx, &pb.SlotAssignments{Assignments: assignments}) })
 		}
 	}
@@ -196,7 +196,7 @@
 	slots, _ := s.Roster.All()
 	owned, keys, stuck := 0, 0, 0
 	for i, a := range slots {
-		own := a.Owner.Same(s.self)
+		own := a.Owner.IsSameProcess(s.self)
 		s.history.observe(i, a.Term, !own || s.tables[i].active(a.Term), now)
 		if own {
 			owned++
@@ -204,7 +204,7 @@
 		if s.history.stuck(i) {
 			stuck++
 		}
-		if a.Term > 0 && !a.Has(s.self) {
+		if a.Term > 0 && !a.Includes(s.self) {
 			s.tables[i].drop(a.Term)
 		}
 	}
@@ -243,7 +243,7 @@
 func (s *Service) holds() int {
 	n := 0
 	for i := range s.tables {
-		if s.Roster.Slot(i).Has(s.self) {
+		if s.Roster.Slot(i).Includes(s.self) {
 			n++
 		}
 	}
--- a/serve/once/once.go
+++ b/serve/once/once.go
@@ -88,7 +88,7 @@
 	self := d.Members.Current().Self
 	s := &Service{
 		Deps:    d,
-		self:    slot.Member{ID: self.ID, Incarnation: self.Incarnation, Zone: self.Zone, Peer: self.Peer},
+		self:    slot.Member{ID: self.ID, Incarnation: self.Incarnation, Zone: self.Zone, PeerAddr: self.Peer},
 		metrics: newMetrics(d.Registry),
 	}
 	for i := range s.tables {
@@ -148,7 +148,7 @@
 func newExecution(req Request) execution {
 	key := slot.KeyOf(req.Account.Name, req.Service.Name, req.Key)
 	return execution{
-		slot: slot.Of(key), key: key, digest: digestOf(req.Call),
+		slot: slot.ForKey(key), key: key, digest: digestOf(req.Call),
 		account: req.Account.Name, service: req.Service.Name, call: req.Call,
 	}
 }
--- a/serve/once/owner.go
+++ b/serve/once/owner.go
@@ -18,13 +18,13 @@
 // which goes on when ctx ends, and all wait for its outcome until ctx ends.
 func (s *Service) execute(ctx context.Context, e execution) reply {
 	a := s.Roster.Slot(e.slot)
-	if !a.Owner.Same(s.self) {
+	if !a.Owner.IsSameProcess(s.self) {
 		return reply{outcome: outcome{moved: true}}
 	}
 	account, service := s.resolve(e)
 	if service == nil {
 		return reply{outcome: outcome{err: verdict.New(verdict.MayHaveRun, verdict.CodeUnknownService,
-			"the owner of this key knows no such account and service yet").After(retrySoon)}}
+			"the owner of this key knows no such account and service yet").WithRetryAfter(retrySoon)}}
 	}
 	t := &s.tables[e.slot]
 	c := &call{slot: e.slot, key: e.key, req: e, done: make(chan struct{})}
@@ -75,7 +75,7 @@
 			case <-ctx.Done():
 				return reply{running: true}
 			}
-		case r.dispatcher.Same(s.self) || !s.alive(r.dispatcher):
+		case r.dispatcher.IsSameProcess(s.self) || !s.alive(r.dispatcher):
 			return reply{outcome: outcome{err: errNoOutcome()}}
 		}
 		select {
@@ -109,7 +109,7 @@
 	}
 	c.end(out)
 	// The next owner may have received the key as bound.
-	if a := s.Roster.Slot(c.slot); !a.Owner.Same(s.self) {
+	if a := s.Roster.Slot(c.slot); !a.Owner.IsSameProcess(s.self) {
 		s.reportToOwner(record{key: c.key, attempt: c.attempt, state: abandoned}, c.slot)
 	}
 }
@@ -143,7 +143,7 @@
 // ownTerm is the term at which this daemon owns the slot as far as it knows,
 // or 0.
 func (s *Service) ownTerm(i int) uint64 {
-	if a := s.Roster.Slot(i); a.Owner.Same(s.self) {
+	if a := s.Roster.Slot(i); a.Owner.IsSameProcess(s.self) {
 		return a.Term
 	}
 	return 0
--- a/serve/once/peer.go
+++ b/serve/once/peer.go
@@ -26,7 +26,7 @@
 	}
 	copy(e.key[:], w.GetKey())
 	copy(e.digest[:], w.GetBodyDigest())
-	if e.slot != slot.Of(e.key) {
+	if e.slot != slot.ForKey(e.key) {
 		return nil, errBadSlot()
 	}
 	wait := min(time.Duration(w.GetWaitMs())*time.Millisecond, slice)
--- a/serve/once/propose.go
+++ b/serve/once/propose.go
@@ -20,7 +20,7 @@
 // more writes and to nothing worse: the store's compare-and-swap decides between
 // writers, and a change is recognised by its id however often it is proposed.
 func (s *Service) propose(ctx context.Context, proposals []slot.Assignment) ([]slot.Assignment, error) {
-	if w := s.writer(); !w.Same(s.self) && s.proposeTo(ctx, w, proposals) == nil {
+	if w := s.writer(); !w.IsSameProcess(s.self) && s.proposeTo(ctx, w, proposals) == nil {
 		return s.accepted(proposals), nil
 	}
 	err := s.Roster.Gather(ctx, proposals)
@@ -64,7 +64,7 @@
 func (s *Service) accepted(proposals []slot.Assignment) []slot.Assignment {
 	var won []slot.Assignment
 	for _, p := range proposals {
-		if a := s.Roster.Slot(p.Slot); a.Term == p.Term && a.Change == p.Change {
+		if a := s.Roster.Slot(p.Slot); a.Term == p.Term && a.ChangeID == p.ChangeID {
 			won = append(won, p)
 		}
 	}
--- a/serve/once/random_test.go
+++ b/serve/once/random_test.go
@@ -264,7 +264,7 @@
 
 // explain shows what each daemon knows of an order's slot.
 func (c *chaos) explain(order string) string {
-	i := slot.Of(slot.KeyOf("depot", "desk", order))
+	i := slot.ForKey(slot.KeyOf("depot", "desk", order))
 	out := fmt.Sprintf("\n  slot %d", i)
 	for id, d := range c.daemons {
 		a, t := d.Roster.Slot(i), &d.tables[i]
@@ -281,7 +281,7 @@
 // slot then waits for proof, or unknown keys wait for the retention to end; both
 // take longer than a run.
 func (c *chaos) lost(order string) bool {
-	a := c.newest(slot.Of(slot.KeyOf("depot", "desk", order)))
+	a := c.newest(slot.ForKey(slot.KeyOf("depot", "desk", order)))
 	for _, d := range c.daemons {
 		if d.tables[a.Slot].undecidedFor(time.Now()) > 0 {
 			return true
@@ -289,7 +289,7 @@
 	}
 	alive := func(m slot.Member) bool {
 		d := c.daemon(m.ID)
-		return d != nil && !d.dead.Load() && d.self.Same(m)
+		return d != nil && !d.dead.Load() && d.self.IsSameProcess(m)
 	}
 	return !alive(a.Owner) && !alive(a.Witness)
 }
--- a/serve/once/report.go
+++ b/serve/once/report.go
@@ -23,11 +23,11 @@
 	if !ok || r.state == bound {
 		return
 	}
-	if !a.Owner.Same(s.self) {
+	if !a.Owner.IsSameProcess(s.self) {
 		s.reportToOwner(r, i)
 		return
 	}
-	if a.Witness.None() {
+	if a.Witness.IsNone() {
 		return
 	}
 	s.report(a.Witness, i, a.Term, &r)
@@ -45,12 +45,12 @@
 	defer cancel()
 	for {
 		a := s.Roster.Slot(i)
-		if a.Owner.Same(s.self) {
+		if a.Owner.IsSameProcess(s.self) {
 			if s.tables[i].active(a.Term) {
 				s.tables[i].finish(end, a.Term, 0)
 				return
 			}
-		} else if !a.Owner.None() && s.report(a.Owner, i, 0, &end) && s.Roster.Slot(i).Term == a.Term {
+		} else if !a.Owner.IsNone() && s.report(a.Owner, i, 0, &end) && s.Roster.Slot(i).Term == a.Term {
 			return
 		}
 		select {
--- a/serve/once/story_test.go
+++ b/serve/once/story_test.go
@@ -38,7 +38,7 @@
 		Call: plain.Call{Method: "POST", Path: "/orders", Body: []byte(body)},
 	})
 	if err != nil {
-		return "", verdict.Of(err)
+		return "", verdict.FromError(err)
 	}
 	return string(answer.Body), nil
 }
@@ -53,7 +53,7 @@
 
 // pair returns the owner and the witness of key, and another daemon.
 func (w *world) pair(key string) (owner, witness, other *daemon) {
-	i := slot.Of(slot.KeyOf("depot", "desk", key))
+	i := slot.ForKey(slot.KeyOf("depot", "desk", key))
 	a := w.newest(i)
 	owner, witness = w.daemon(a.Owner.ID), w.daemon(a.Witness.ID)
 	for _, d := range w.daemons {
@@ -372,7 +372,7 @@
 	story(t, 6, func(t *testing.T, w *world) {
 		owner, _, _ := w.pair("k10")
 		key := slot.KeyOf("depot", "desk", "k10")
-		c := &call{slot: slot.Of(key), key: key, attempt: 1, done: make(chan struct{})}
+		c := &call{slot: slot.ForKey(key), key: key, attempt: 1, done: make(chan struct{})}
 		r := record{key: key, attempt: 1, dispatcher: owner.self, expires: time.Now().Add(time.Hour)}
 		must.EqOp(t, bindMoved, owner.bind(context.Background(), c, r))
 		answer, err := owner.send("k10", "4 rollers")
@@ -388,7 +388,7 @@
 	for _, sealOwner := range []bool{true, false} {
 		story(t, 6, func(t *testing.T, w *world) {
 			owner, witness, other := w.pair("k11")
-			i := slot.Of(slot.KeyOf("depot", "desk", "k11"))
+			i := slot.ForKey(slot.KeyOf("depot", "desk", "k11"))
 			sealed := witness
 			if sealOwner {
 				sealed = owner
@@ -414,7 +414,7 @@
 		time.Sleep(time.Minute)
 		shared := 0.0
 		for i := range slot.Count {
-			if !other.Roster.Slot(i).Has(other.self) {
+			if !other.Roster.Slot(i).Includes(other.self) {
 				shared++
 			}
 		}
@@ -423,7 +423,7 @@
 		must.Less(t, 20*shared, failed)
 		for i := range slot.Count {
 			a := other.Roster.Slot(i)
-			must.True(t, a.Owner.Same(other.self) || !a.Has(other.self), must.Sprintf("slot %d was not taken", i))
+			must.True(t, a.Owner.IsSameProcess(other.self) || !a.Includes(other.self), must.Sprintf("slot %d was not taken", i))
 		}
 	})
 }
--- a/serve/once/suspects.go
+++ b/serve/once/suspects.go
@@ -146,7 +146,7 @@
 }
 
 func (d *deaths) dead(view *membership.View, m slot.Member) bool {
-	if m.None() {
+	if m.IsNone() {
 		return false
 	}
 	if have, ok := view.Find(m.ID); ok {
--- a/serve/once/table_test.go
+++ b/serve/once/table_test.go
@@ -14,7 +14,7 @@
 )
 
 var (
-	owner1 = slot.Member{ID: "vm1", Incarnation: 1, Zone: "z1", Peer: "vm1"}
+	owner1 = slot.Member{ID: "vm1", Incarnation: 1, Zone: "z1", PeerAddr: "vm1"}
 	hour   = time.Hour
 )
 
@@ -152,7 +152,7 @@
 		"naïve":                  verdict.CodeKeyInvalid,
 		strings.Repeat("k", 256): verdict.CodeKeyInvalid,
 	} {
-		err := verdict.Of(CheckKey(key))
+		err := verdict.FromError(CheckKey(key))
 		must.EqOp(t, code, err.Code)
 		must.EqOp(t, verdict.NotRun, err.Verdict)
 	}
@@ -171,9 +171,9 @@
 		}
 		must.EqOp(t, visible, err == nil)
 		if err != nil {
-			must.EqOp(t, verdict.NotRun, verdict.Of(err).Verdict)
+			must.EqOp(t, verdict.NotRun, verdict.FromError(err).Verdict)
 		}
-		must.Between(t, 0, slot.Of(slot.KeyOf("a", "s", key)), slot.Count-1)
+		must.Between(t, 0, slot.ForKey(slot.KeyOf("a", "s", key)), slot.Count-1)
 	})
 }
 
--- a/serve/once/transfer.go
+++ b/serve/once/transfer.go
@@ -38,7 +38,7 @@
 	for i, m := range moves {
 		changes[i] = &change{move: m, next: slot.Assignment{
 			Slot: m.From.Slot, Term: m.From.Term + 1,
-			Owner: s.self, Witness: m.Witness, Change: id,
+			Owner: s.self, Witness: m.Witness, ChangeID: id,
 		}}
 	}
 	s.gather(ctx, changes)
@@ -67,7 +67,7 @@
 	}
 	s.gatherFrom(ctx, changes, s.likelySource)
 	s.gatherFrom(ctx, changes, func(a slot.Assignment) slot.Member {
-		if s.likelySource(a).Same(a.Owner) {
+		if s.likelySource(a).IsSameProcess(a.Owner) {
 			return a.Witness
 		}
 		return a.Owner
@@ -90,7 +90,7 @@
 func (s *Service) gatherHere(c *change) {
 	t, from := &s.tables[c.next.Slot], c.move.From
 	if from.Term > 0 {
-		if !from.Has(s.self) {
+		if !from.Includes(s.self) {
 			return
 		}
 		if complete, _, _ := t.seal(from.Term); !complete {
@@ -117,7 +117,7 @@
 func (s *Service) each(changes []*change, when func(*change) bool, pick func(*change) slot.Member, f func(slot.Member, []*change)) {
 	groups := make(map[slot.Member][]*change)
 	for _, c := range changes {
-		if m := pick(c); when(c) && !m.None() && !m.Same(s.self) {
+		if m := pick(c); when(c) && !m.IsNone() && !m.IsSameProcess(s.self) {
 			groups[m] = append(groups[m], c)
 		}
 	}
--- a/serve/once/wire.go
+++ b/serve/once/wire.go
@@ -12,26 +12,26 @@
 )
 
 func memberToWire(m slot.Member) *pb.SlotMember {
-	if m.None() {
+	if m.IsNone() {
 		return nil
 	}
-	return &pb.SlotMember{Id: m.ID, Incarnation: m.Incarnation, Zone: m.Zone, Peer: m.Peer}
+	return &pb.SlotMember{Id: m.ID, Incarnation: m.Incarnation, Zone: m.Zone, Peer: m.PeerAddr}
 }
 
 func memberFromWire(m *pb.SlotMember) slot.Member {
-	return slot.Member{ID: m.GetId(), Incarnation: m.GetIncarnation(), Zone: m.GetZone(), Peer: m.GetPeer()}
+	return slot.Member{ID: m.GetId(), Incarnation: m.GetIncarnation(), Zone: m.GetZone(), PeerAddr: m.GetPeer()}
 }
 
 func assignmentToWire(a slot.Assignment) *pb.SlotAssignment {
 	return &pb.SlotAssignment{
-		Slot: uint32(a.Slot), Term: a.Term, Change: a.Change,
+		Slot: uint32(a.Slot), Term: a.Term, Change: a.ChangeID,
 		Owner: memberToWire(a.Owner), Witness: memberToWire(a.Witness),
 	}
 }
 
 func assignmentFromWire(a *pb.SlotAssignment) slot.Assignment {
 	return slot.Assignment{
-		Slot: int(a.GetSlot()), Term: a.GetTerm(), Change: a.GetChange(),
+		Slot: int(a.GetSlot()), Term: a.GetTerm(), ChangeID: a.GetChange(),
 		Owner: memberFromWire(a.GetOwner()), Witness: memberFromWire(a.GetWitness()),
 	}
 }
@@ -92,7 +92,7 @@
 	}
 	v, _ := verdict.Parse(e.GetVerdict())
 	out := verdict.New(v, verdict.Code(e.GetCode()), "%s", e.GetMessage())
-	return out.After(time.Duration(e.GetRetryAfterMs()) * time.Millisecond)
+	return out.WithRetryAfter(time.Duration(e.GetRetryAfterMs()) * time.Millisecond)
 }
 
 func recordToWire(r *record, now time.Time) *pb.KeyRecord {
--- a/serve/once/world_test.go
+++ b/serve/once/world_test.go
@@ -391,7 +391,7 @@
 		<-*hold
 	}
 	if f.refuse.Load() || ctx.Err() != nil {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "busy").After(time.Second)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "busy").WithRetryAfter(time.Second)
 	}
 	return grant{}, nil
 }
