--- a/control/feed/fleet_test.go
+++ b/control/feed/fleet_test.go
@@ -266,7 +266,7 @@
 			must.Eq(t, "2", m.View().Servers["s"][0].ID)
 		}
 		time.Sleep(9 * time.Second)
-		must.LessEq(t, watching.Everyone, int(calls()-before)) // no watch was opened anew
+		must.LessEq(t, watching.SmallFleetSize, int(calls()-before)) // no watch was opened anew
 		for _, id := range f.feeds[0].View().plan.Watchers() {
 			n, err := strconv.Atoi(id)
 			must.NoError(t, err)
@@ -350,9 +350,9 @@
 			asked[near[0]]++
 		}
 	}
-	must.MapLen(t, size/watching.AskersEach, asked)
+	must.MapLen(t, size/watching.ClientsPerRelay, asked)
 	for _, n := range asked {
-		must.LessEq(t, 5*watching.AskersEach*3/2, n)
+		must.LessEq(t, 5*watching.ClientsPerRelay*3/2, n)
 	}
 }
 
--- a/control/feed/follow.go
+++ b/control/feed/follow.go
@@ -108,11 +108,11 @@
 	switch {
 	case !known:
 		return min(retryPause<<min(failures, 8), unknownPause)
-	case len(view.VMs) <= watching.Everyone:
+	case len(view.VMs) <= watching.SmallFleetSize:
 		return retryPause
-	case view.plan.Watches(m.opts.Self) && failures >= someFailures:
+	case view.plan.IsWatcher(m.opts.Self) && failures >= someFailures:
 		return watcherPause
-	case view.plan.Watches(m.opts.Self):
+	case view.plan.IsWatcher(m.opts.Self):
 		return retryPause
 	case m.Outage():
 		return max(outagePause, time.Duration(all/outageTries*float64(time.Second)))
--- a/control/feed/lines_test.go
+++ b/control/feed/lines_test.go
@@ -102,7 +102,7 @@
 // theirs: a daemon that asks others hears of a later revision each time. Only what changes
 // servers or configuration is worth a line.
 func TestLearnedIsLoggedWhereItChangesSomething(t *testing.T) {
-	const size = watching.Everyone + 4
+	const size = watching.SmallFleetSize + 4
 	inFleet(t, size, func(f *fleet) {
 		logs := make([]*lines, size)
 		for n := range f.feeds {
--- a/control/feed/peers.go
+++ b/control/feed/peers.go
@@ -69,13 +69,13 @@
 // seconds before.
 func (m *Manager) watches() bool {
 	view := m.View()
-	if m.opts.Dialer == nil || len(view.VMs) <= watching.Everyone || m.alone() {
+	if m.opts.Dialer == nil || len(view.VMs) <= watching.SmallFleetSize || m.alone() {
 		return true
 	}
 	if age, known := m.storeAge(); !known || age > watchAge {
 		return true
 	}
-	return view.plan.Watches(m.opts.Self)
+	return view.plan.IsWatcher(m.opts.Self)
 }
 
 // alone reports whether none of those that watch for this daemon could tell lately.
--- a/control/reconcile/observe.go
+++ b/control/reconcile/observe.go
@@ -200,14 +200,14 @@
 
 // plan asks the decision package for the next step.
 func (m *Manager) plan(ctx context.Context, hold lease.Hold, text *site.Site) placement.Step {
-	in := placement.Input{Services: desired(text, m.deps.Zone), FreeFetches: m.freeFetches(ctx, text), Now: time.Now()}
+	in := placement.Input{Services: desired(text, m.deps.Zone), LoadBudget: m.freeFetches(ctx, text), Now: time.Now()}
 	for id, o := range m.engines {
 		b := placement.Backend{
 			ID: id, Pool: o.vm.Pool, Health: m.healthFor(o, text), Leaving: o.vm.State == vmlist.Leaving,
-			Running: o.status.Running, Full: o.full, HoldUntil: m.earliest(o, hold, text),
+			Running: o.status.Running, Full: o.full, NotBefore: m.earliest(o, hold, text),
 		}
 		for _, l := range o.status.Models {
-			b.Held = append(b.Held, placement.Held{Ref: fromEngine(l.Ref), State: loadStates[l.State]})
+			b.Models = append(b.Models, placement.ModelStatus{Ref: fromEngine(l.Ref), State: loadStates[l.State]})
 		}
 		in.Backends = append(in.Backends, b)
 	}
@@ -245,7 +245,7 @@
 	if h := m.health(o); h != placement.Up || o.fenced || !fencing(text, o.vm.Pool) {
 		return h
 	}
-	return placement.Doubtful
+	return placement.Suspect
 }
 
 func (m *Manager) health(o *observed) placement.Health {
@@ -253,7 +253,7 @@
 	case o.silent.IsZero() && !o.seen.IsZero():
 		return placement.Up
 	case o.silent.IsZero() || time.Since(o.silent) < m.cfg.LostAfter:
-		return placement.Doubtful
+		return placement.Suspect
 	}
 	return placement.Lost
 }
--- a/control/reconcile/reconcile.go
+++ b/control/reconcile/reconcile.go
@@ -233,7 +233,7 @@
 // step decides and carries out one order. It reports whether another may follow.
 func (m *Manager) step(ctx context.Context, hold lease.Hold, text *site.Site) bool {
 	step := m.plan(ctx, hold, text)
-	if step.Breaks && m.observe(ctx, text, m.cfg.Fresh) == nil {
+	if step.ReducesCapacity && m.observe(ctx, text, m.cfg.Fresh) == nil {
 		step = m.plan(ctx, hold, text)
 	}
 	m.set(Report{Holds: true, Fence: hold.Fence, Revision: text.Revision, Step: step, At: time.Now()})
--- a/decision/absence/absence.go
+++ b/decision/absence/absence.go
@@ -42,14 +42,14 @@
 	longest = 8 * time.Second
 )
 
-// Absence is what one entry VM knows of one service. The zero value has seen nothing. It is
+// Estimator is what one entry VM knows of one service. The zero value has seen nothing. It is
 // not safe for concurrent use.
-type Absence struct {
+type Estimator struct {
 	mean float64 // nanoseconds
 }
 
-// Returned records that a server is back that was away for so long.
-func (a *Absence) Returned(away time.Duration) {
+// ObserveReturn records that a server is back that was away for so long.
+func (a *Estimator) ObserveReturn(away time.Duration) {
 	if away <= 0 || away > longest {
 		return
 	}
@@ -60,16 +60,16 @@
 	a.mean += meanWeight * (float64(away) - a.mean)
 }
 
-// Wait is how long a request waits for a server to return. objective is its route's.
-func (a *Absence) Wait(objective time.Duration) time.Duration {
+// MaxWait is how long a request waits for a server to return. objective is its route's.
+func (a *Estimator) MaxWait(objective time.Duration) time.Duration {
 	if a.mean == 0 {
 		return time.Duration(unknownShare * float64(objective))
 	}
 	return min(time.Duration(margin*a.mean), time.Duration(objectiveShare*float64(objective)))
 }
 
-// Back is when a caller comes back that was refused after such a wait, or without one. draw
+// RetryAfter is when a caller comes back that was refused after such a wait, or without one. draw
 // is in [0, 1).
-func (a *Absence) Back(draw float64) time.Duration {
+func (a *Estimator) RetryAfter(draw float64) time.Duration {
 	return retryafter.Jitter(max(shortest, time.Duration(a.mean)), draw)
 }
--- a/decision/absence/absence_test.go
+++ b/decision/absence/absence_test.go
@@ -12,13 +12,13 @@
 // All servers are gone and nothing is known of how long that lasts: a request waits for a
 // moment, and its caller comes back when a restart may be over.
 func TestNothingKnown(t *testing.T) {
-	var a Absence
-	must.Eq(t, objective/8, a.Wait(objective))
-	must.Between(t, 375*time.Millisecond, a.Back(0), 375*time.Millisecond)
-	must.Between(t, 600*time.Millisecond, a.Back(0.99), 625*time.Millisecond)
-	a.Returned(0)
-	a.Returned(9 * time.Second) // says nothing
-	must.Eq(t, objective/8, a.Wait(objective))
+	var a Estimator
+	must.Eq(t, objective/8, a.MaxWait(objective))
+	must.Between(t, 375*time.Millisecond, a.RetryAfter(0), 375*time.Millisecond)
+	must.Between(t, 600*time.Millisecond, a.RetryAfter(0.99), 625*time.Millisecond)
+	a.ObserveReturn(0)
+	a.ObserveReturn(9 * time.Second) // says nothing
+	must.Eq(t, objective/8, a.MaxWait(objective))
 }
 
 func TestWaitAndBack(t *testing.T) {
@@ -34,22 +34,22 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var a Absence
+			var a Estimator
 			for _, d := range c.away {
-				a.Returned(d)
+				a.ObserveReturn(d)
 			}
-			must.Eq(t, c.wait, a.Wait(objective))
-			must.Eq(t, c.backLeast, a.Back(0))
+			must.Eq(t, c.wait, a.MaxWait(objective))
+			must.Eq(t, c.backLeast, a.RetryAfter(0))
 		})
 	}
 }
 
 // Servers that took long to return take short now: a dozen of them are believed.
 func TestAbsencesThatBecomeShorter(t *testing.T) {
-	var a Absence
-	a.Returned(8 * time.Second)
+	var a Estimator
+	a.ObserveReturn(8 * time.Second)
 	for range 24 {
-		a.Returned(time.Second)
+		a.ObserveReturn(time.Second)
 	}
-	must.Less(t, 2*time.Second, a.Wait(objective))
+	must.Less(t, 2*time.Second, a.MaxWait(objective))
 }
--- a/decision/loading/loading.go
+++ b/decision/loading/loading.go
@@ -35,9 +35,9 @@
 
 // Input is what is known about one request that nothing ready can run.
 type Input struct {
-	Loading   bool          // some server loads the model
-	Remaining time.Duration // until the first of them is ready, 0 if unknown
-	Patience  time.Duration // until the request's deadline
+	Loading        bool          // some server loads the model
+	LoadRemaining  time.Duration // until the first of them is ready, 0 if unknown
+	TimeToDeadline time.Duration // until the request's deadline
 }
 
 // Decision is the choice with its reason.
@@ -53,10 +53,10 @@
 	switch {
 	case !in.Loading:
 		return Decision{Reason: ReasonNowhere}
-	case in.Remaining <= 0:
+	case in.LoadRemaining <= 0:
 		return Decision{Wait: true, Reason: ReasonUnknown}
-	case float64(in.Remaining) <= slack*float64(in.Patience):
+	case float64(in.LoadRemaining) <= slack*float64(in.TimeToDeadline):
 		return Decision{Wait: true, Reason: ReasonInTime}
 	}
-	return Decision{Reason: ReasonTooLate, RetryAfter: in.Remaining}
+	return Decision{Reason: ReasonTooLate, RetryAfter: in.LoadRemaining}
 }
--- a/decision/loading/loading_test.go
+++ b/decision/loading/loading_test.go
@@ -12,11 +12,11 @@
 		in   Input
 		want Decision
 	}{
-		{Input{Patience: time.Minute}, Decision{Reason: ReasonNowhere}},
-		{Input{Loading: true, Patience: time.Minute}, Decision{Wait: true, Reason: ReasonUnknown}},
-		{Input{Loading: true, Remaining: 40 * time.Second, Patience: time.Minute}, Decision{Wait: true, Reason: ReasonInTime}},
+		{Input{TimeToDeadline: time.Minute}, Decision{Reason: ReasonNowhere}},
+		{Input{Loading: true, TimeToDeadline: time.Minute}, Decision{Wait: true, Reason: ReasonUnknown}},
+		{Input{Loading: true, LoadRemaining: 40 * time.Second, TimeToDeadline: time.Minute}, Decision{Wait: true, Reason: ReasonInTime}},
 		{
-			Input{Loading: true, Remaining: 55 * time.Second, Patience: time.Minute},
+			Input{Loading: true, LoadRemaining: 55 * time.Second, TimeToDeadline: time.Minute},
 			Decision{Reason: ReasonTooLate, RetryAfter: 55 * time.Second},
 		},
 	} {
--- a/decision/placement/count.go
+++ b/decision/placement/count.go
@@ -24,7 +24,7 @@
 
 // state is how far the engine is with ref; false where it holds nothing of it.
 func (b *Backend) state(ref Ref) (LoadState, bool) {
-	for _, h := range b.Held {
+	for _, h := range b.Models {
 		if h.Ref == ref {
 			return h.State, true
 		}
@@ -65,7 +65,7 @@
 		return false
 	}
 	unloading, ready := false, false
-	for _, h := range b.Held {
+	for _, h := range b.Models {
 		switch h.State {
 		case Loading:
 			return true
@@ -90,7 +90,7 @@
 		case !holds || state == Unloading:
 		case state == Failed:
 			c.failed++
-		case state == Loading || b.Health == Doubtful:
+		case state == Loading || b.Health == Suspect:
 			c.coming++
 		default:
 			c.ready++
@@ -107,7 +107,7 @@
 	if b.Pool != s.Pool {
 		return false
 	}
-	for _, h := range b.Held {
+	for _, h := range b.Models {
 		if h.State == Ready && (h.Ref == s.Ref || z.older(h.Ref, s)) {
 			return true
 		}
--- a/decision/placement/plan.go
+++ b/decision/placement/plan.go
@@ -48,7 +48,7 @@
 		return z.makeRoom(s)
 	case rank == rankKeep:
 		return load(s, best, ReasonKeep)
-	case z.FreeFetches <= 0:
+	case z.LoadBudget <= 0:
 		return wait(s, ReasonBudget)
 	case rank <= rankRetry:
 		return load(s, best, reasons[rank])
@@ -91,8 +91,8 @@
 }
 
 func lighter(a, b *Backend) bool {
-	if len(a.Held) != len(b.Held) {
-		return len(a.Held) < len(b.Held)
+	if len(a.Models) != len(b.Models) {
+		return len(a.Models) < len(b.Models)
 	}
 	if a.Running != b.Running {
 		return a.Running < b.Running
@@ -101,7 +101,7 @@
 }
 
 func (z *zone) rank(b *Backend, s *Service) int {
-	if b.Pool != s.Pool || !b.usable() || z.Now.Before(b.HoldUntil) {
+	if b.Pool != s.Pool || !b.usable() || z.Now.Before(b.NotBefore) {
 		return rankNone
 	}
 	state, holds := b.state(s.Ref)
@@ -110,9 +110,9 @@
 		return rankKeep
 	case holds && state != Failed:
 		return rankNone
-	case len(b.Held) == 0:
+	case len(b.Models) == 0:
 		return rankEmpty
-	case holds && len(b.Held) == 1:
+	case holds && len(b.Models) == 1:
 		return rankRetry
 	case b.Full && !holds:
 		return rankNone
@@ -123,7 +123,7 @@
 // rankBeside ranks an engine that holds something else.
 func (z *zone) rankBeside(b *Backend, s *Service) int {
 	rank := rankUnwanted
-	for _, h := range b.Held {
+	for _, h := range b.Models {
 		switch {
 		case z.older(h.Ref, s):
 			return rankOlder
@@ -143,13 +143,13 @@
 	old := false
 	for i := range z.Backends {
 		b := &z.Backends[i]
-		if b.Pool != s.Pool || !b.usable() || !b.Full || z.Now.Before(b.HoldUntil) {
+		if b.Pool != s.Pool || !b.usable() || !b.Full || z.Now.Before(b.NotBefore) {
 			continue
 		}
 		if _, holds := b.state(s.Ref); holds {
 			continue
 		}
-		for _, h := range b.Held {
+		for _, h := range b.Models {
 			switch {
 			case h.State == Unloading:
 			case z.unwanted(b, h.Ref):
@@ -176,16 +176,16 @@
 	var ref Ref
 	for i := range z.Backends {
 		b := &z.Backends[i]
-		if b.Pool != s.Pool || !b.usable() || !b.Full || z.Now.Before(b.HoldUntil) || b.ready(s.Ref) {
+		if b.Pool != s.Pool || !b.usable() || !b.Full || z.Now.Before(b.NotBefore) || b.ready(s.Ref) {
 			continue
 		}
-		for _, h := range b.Held {
+		for _, h := range b.Models {
 			if h.State != Unloading && z.older(h.Ref, s) && (best == nil || lighter(b, best)) {
 				best, ref = b, h.Ref
 			}
 		}
 	}
-	return Step{Kind: Unload, Backend: best.ID, Service: s.Name, Ref: ref, Reason: ReasonRoom, Breaks: true}
+	return Step{Kind: Unload, Backend: best.ID, Service: s.Name, Ref: ref, Reason: ReasonRoom, ReducesCapacity: true}
 }
 
 // remove returns the unload of an older version that has been replaced, or of
@@ -201,20 +201,20 @@
 	var best *Backend
 	for i := range z.Backends {
 		b := &z.Backends[i]
-		if b.Pool == s.Pool && b.usable() && b.ready(s.Ref) && !z.Now.Before(b.HoldUntil) && (best == nil || crowded(b, best)) {
+		if b.Pool == s.Pool && b.usable() && b.ready(s.Ref) && !z.Now.Before(b.NotBefore) && (best == nil || crowded(b, best)) {
 			best = b
 		}
 	}
 	if best == nil {
 		return Step{}
 	}
-	return Step{Kind: Unload, Backend: best.ID, Service: s.Name, Ref: s.Ref, Reason: ReasonSurplus, Breaks: true}
+	return Step{Kind: Unload, Backend: best.ID, Service: s.Name, Ref: s.Ref, Reason: ReasonSurplus, ReducesCapacity: true}
 }
 
 // crowded prefers to unload from the engine that holds most and runs least.
 func crowded(a, b *Backend) bool {
-	if len(a.Held) != len(b.Held) {
-		return len(a.Held) > len(b.Held)
+	if len(a.Models) != len(b.Models) {
+		return len(a.Models) > len(b.Models)
 	}
 	if a.Running != b.Running {
 		return a.Running < b.Running
@@ -228,17 +228,17 @@
 	c := z.counts[s.Name]
 	for i := range z.Backends {
 		b := &z.Backends[i]
-		if b.Pool != s.Pool || !b.usable() || z.Now.Before(b.HoldUntil) {
+		if b.Pool != s.Pool || !b.usable() || z.Now.Before(b.NotBefore) {
 			continue
 		}
-		for _, h := range b.Held {
+		for _, h := range b.Models {
 			if h.State == Unloading || h.State == Loading || !z.older(h.Ref, s) {
 				continue
 			}
 			covered := b.ready(s.Ref) || h.State == Failed
 			replaced := c.ready >= s.Replicas && !z.progress
 			if covered || replaced {
-				return Step{Kind: Unload, Backend: b.ID, Service: s.Name, Ref: h.Ref, Reason: ReasonOld, Breaks: !covered}
+				return Step{Kind: Unload, Backend: b.ID, Service: s.Name, Ref: h.Ref, Reason: ReasonOld, ReducesCapacity: !covered}
 			}
 		}
 	}
@@ -249,10 +249,10 @@
 func (z *zone) tidy() Step {
 	for i := range z.Backends {
 		b := &z.Backends[i]
-		if !b.usable() || z.Now.Before(b.HoldUntil) {
+		if !b.usable() || z.Now.Before(b.NotBefore) {
 			continue
 		}
-		for _, h := range b.Held {
+		for _, h := range b.Models {
 			if h.State != Unloading && z.unwanted(b, h.Ref) {
 				return Step{Kind: Unload, Backend: b.ID, Ref: h.Ref, Reason: ReasonUnwanted}
 			}
--- a/decision/placement/plan_test.go
+++ b/decision/placement/plan_test.go
@@ -15,10 +15,10 @@
 	dp = Ref{Model: "d", Version: "1"}
 )
 
-func engines(n int, held ...Held) []Backend {
+func engines(n int, held ...ModelStatus) []Backend {
 	out := make([]Backend, n)
 	for i := range out {
-		out[i] = Backend{ID: fmt.Sprintf("b%d", i), Pool: "p", Held: append([]Held(nil), held...)}
+		out[i] = Backend{ID: fmt.Sprintf("b%d", i), Pool: "p", Models: append([]ModelStatus(nil), held...)}
 	}
 	return out
 }
@@ -29,15 +29,15 @@
 
 // The rules one by one: what Plan says first in a given zone.
 func TestFirstStep(t *testing.T) {
-	ready := func(r Ref) Held { return Held{r, Ready} }
+	ready := func(r Ref) ModelStatus { return ModelStatus{r, Ready} }
 	full := func(bs []Backend) []Backend {
 		for i := range bs {
 			bs[i].Full = true
 		}
 		return bs
 	}
-	with := func(bs []Backend, i int, held ...Held) []Backend {
-		bs[i].Held = held
+	with := func(bs []Backend, i int, held ...ModelStatus) []Backend {
+		bs[i].Models = held
 		return bs
 	}
 	cases := []struct {
@@ -47,29 +47,29 @@
 		why  Reason
 	}{
 		{"as desired", Input{Services: []Service{service(v1, 2, 1)}, Backends: engines(2, ready(v1))}, None, ReasonConverged},
-		{"empty engine", Input{Services: []Service{service(v1, 2, 1)}, Backends: engines(2), FreeFetches: 1}, Load, ReasonSpare},
+		{"empty engine", Input{Services: []Service{service(v1, 2, 1)}, Backends: engines(2), LoadBudget: 1}, Load, ReasonSpare},
 		{"weight store busy", Input{Services: []Service{service(v1, 2, 1)}, Backends: engines(2)}, Wait, ReasonBudget},
 		{
 			"dependency first",
-			Input{Services: []Service{service(v1, 1, 1, "s-d"), service(dp, 1, 1)}, Backends: with(engines(2), 0, Held{dp, Loading}), FreeFetches: 1},
+			Input{Services: []Service{service(v1, 1, 1, "s-d"), service(dp, 1, 1)}, Backends: with(engines(2), 0, ModelStatus{dp, Loading}), LoadBudget: 1},
 			Wait, ReasonComing,
 		},
-		{"new version beside old", Input{Services: []Service{service(v2, 2, 2)}, Backends: engines(2, ready(v1)), FreeFetches: 1}, Load, ReasonReplace},
-		{"room above floor", Input{Services: []Service{service(v2, 2, 1)}, Backends: full(engines(2, ready(v1))), FreeFetches: 1}, Unload, ReasonRoom},
-		{"no room at floor", Input{Services: []Service{service(v2, 2, 2)}, Backends: full(engines(2, ready(v1))), FreeFetches: 1}, Wait, ReasonFloor},
+		{"new version beside old", Input{Services: []Service{service(v2, 2, 2)}, Backends: engines(2, ready(v1)), LoadBudget: 1}, Load, ReasonReplace},
+		{"room above floor", Input{Services: []Service{service(v2, 2, 1)}, Backends: full(engines(2, ready(v1))), LoadBudget: 1}, Unload, ReasonRoom},
+		{"no room at floor", Input{Services: []Service{service(v2, 2, 2)}, Backends: full(engines(2, ready(v1))), LoadBudget: 1}, Wait, ReasonFloor},
 		{
 			"failed version stops",
 			Input{
-				Services: []Service{service(v2, 2, 0)}, FreeFetches: 1, Now: time.Unix(0, 0),
+				Services: []Service{service(v2, 2, 0)}, LoadBudget: 1, Now: time.Unix(0, 0),
 				Backends: func() []Backend {
-					b := with(engines(2, ready(v1)), 0, ready(v1), Held{v2, Failed})
-					b[0].HoldUntil = time.Unix(9, 0)
+					b := with(engines(2, ready(v1)), 0, ready(v1), ModelStatus{v2, Failed})
+					b[0].NotBefore = time.Unix(9, 0)
 					return b
 				}(),
 			},
 			Wait, ReasonLoadFailed,
 		},
-		{"unload taken back", Input{Services: []Service{service(v1, 2, 1)}, Backends: with(engines(2, ready(v1)), 0, Held{v1, Unloading})}, Load, ReasonKeep},
+		{"unload taken back", Input{Services: []Service{service(v1, 2, 1)}, Backends: with(engines(2, ready(v1)), 0, ModelStatus{v1, Unloading})}, Load, ReasonKeep},
 		{"old beside new", Input{Services: []Service{service(v2, 2, 2)}, Backends: with(engines(2, ready(v2)), 0, ready(v1), ready(v2))}, Unload, ReasonOld},
 		{"surplus", Input{Services: []Service{service(v1, 1, 1)}, Backends: engines(2, ready(v1))}, Unload, ReasonSurplus},
 		{"unwanted last", Input{Services: []Service{service(v1, 1, 1)}, Backends: with(engines(1, ready(v1)), 0, ready(v1), ready(dp))}, Unload, ReasonUnwanted},
@@ -84,9 +84,9 @@
 // An engine stops answering. Its replicas must not be replaced at the first
 // missed poll, nor counted as serving when another is to be unloaded.
 func TestDoubtfulEngine(t *testing.T) {
-	b := engines(3, Held{v1, Ready})
-	b[0].Health = Doubtful
-	in := Input{Services: []Service{service(v1, 3, 2)}, Backends: append(b, Backend{ID: "spare", Pool: "p"}), FreeFetches: 1}
+	b := engines(3, ModelStatus{v1, Ready})
+	b[0].Health = Suspect
+	in := Input{Services: []Service{service(v1, 3, 2)}, Backends: append(b, Backend{ID: "spare", Pool: "p"}), LoadBudget: 1}
 	must.Eq(t, ReasonComing, Plan(in).Reason)
 	in.Backends[0].Health = Lost
 	must.Eq(t, "spare", Plan(in).Backend)
@@ -125,9 +125,9 @@
 
 func (z *sim) carryOut(step Step) {
 	b := z.backend(step.Backend)
-	held := b.Held[:0:0]
+	held := b.Models[:0:0]
 	had := false
-	for _, h := range b.Held {
+	for _, h := range b.Models {
 		if h.Ref == step.Ref {
 			had = true
 			switch {
@@ -141,13 +141,13 @@
 		}
 		held = append(held, h)
 	}
-	b.Held = held
+	b.Models = held
 	if step.Kind == Load && !had {
-		if len(b.Held) >= z.limit {
+		if len(b.Models) >= z.limit {
 			b.Full = true
 			return
 		}
-		b.Held = append(b.Held, Held{step.Ref, Loading})
+		b.Models = append(b.Models, ModelStatus{step.Ref, Loading})
 	}
 }
 
@@ -155,8 +155,8 @@
 func (z *sim) progress() {
 	for i := range z.in.Backends {
 		b := &z.in.Backends[i]
-		held := b.Held[:0:0]
-		for _, h := range b.Held {
+		held := b.Models[:0:0]
+		for _, h := range b.Models {
 			if z.rng.IntN(3) == 0 && h.State == Loading {
 				h.State = Ready
 			}
@@ -166,7 +166,7 @@
 			}
 			held = append(held, h)
 		}
-		b.Held = held
+		b.Models = held
 	}
 }
 
@@ -178,14 +178,14 @@
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		z := &sim{rng: rng, limit: 1 + rng.IntN(3)}
-		z.in = Input{Backends: engines(6), FreeFetches: 2}
+		z.in = Input{Backends: engines(6), LoadBudget: 2}
 		for round := range 600 {
 			if round < 400 && rng.IntN(40) == 0 {
 				z.in.Services = randomServices(rng)
 			}
 			for i := range z.in.Backends {
 				if b := &z.in.Backends[i]; round < 400 && rng.IntN(100) == 0 {
-					b.Held, b.Full = nil, false // died and came back empty
+					b.Models, b.Full = nil, false // died and came back empty
 				}
 			}
 			z.check(t, seed, Plan(z.in))
@@ -211,7 +211,7 @@
 	for i, s := range z.in.Services {
 		if now := z.serving(s); now < before[i] {
 			must.GreaterEq(t, s.floor(), now, must.Sprint("seed ", seed, step, s))
-			must.True(t, step.Breaks, must.Sprint("seed ", seed, step))
+			must.True(t, step.ReducesCapacity, must.Sprint("seed ", seed, step))
 		}
 	}
 }
--- a/decision/placement/types.go
+++ b/decision/placement/types.go
@@ -28,8 +28,8 @@
 	Failed
 )
 
-// Held is one set of weights on an engine.
-type Held struct {
+// ModelStatus is one set of weights on an engine.
+type ModelStatus struct {
 	Ref   Ref
 	State LoadState
 }
@@ -39,9 +39,9 @@
 
 // The healths of an engine.
 const (
-	Up       Health = iota
-	Doubtful        // has not answered for a short while
-	Lost            // has not answered for long, or is not listed
+	Up      Health = iota
+	Suspect        // has not answered for a short while
+	Lost           // has not answered for long, or is not listed
 )
 
 // Backend is one engine of the zone as observed.
@@ -50,12 +50,12 @@
 	Pool    string
 	Health  Health
 	Leaving bool
-	Held    []Held // the last known, also when Doubtful
+	Models  []ModelStatus // the last known, also when Doubtful
 	Running int
 	// Full says that the engine refused to hold more than it does now.
 	Full bool
-	// HoldUntil is when it may be given orders again after one failed.
-	HoldUntil time.Time
+	// NotBefore is when it may be given orders again after one failed.
+	NotBefore time.Time
 }
 
 // Service is one service as desired in the zone.
@@ -73,9 +73,9 @@
 	Services []Service
 	// Backends are the engines of the zone in pools of the site text.
 	Backends []Backend
-	// FreeFetches is how many more loads this zone may start now.
-	FreeFetches int
-	Now         time.Time
+	// LoadBudget is how many more loads this zone may start now.
+	LoadBudget int
+	Now        time.Time
 }
 
 // Kind is what to do.
@@ -126,7 +126,7 @@
 	Service string
 	Ref     Ref
 	Reason  Reason
-	// Breaks says that the step takes serving capacity away; the observation
+	// ReducesCapacity says that the step takes serving capacity away; the observation
 	// it rests on must be fresh.
-	Breaks bool
+	ReducesCapacity bool
 }
--- a/decision/poison/fleet_test.go
+++ b/decision/poison/fleet_test.go
@@ -192,7 +192,7 @@
 // countCrash records a termination at the daemons that count for the request, and tells all daemons
 // of a new mark.
 func (p *simulation) countCrash(s *stream, incarnation [2]int) {
-	keepers := append([]int{s.daemon}, rendezvous.Nearest(route.Mix(uint64(s.digest)), p.hashes, 2)...)
+	keepers := append([]int{s.daemon}, rendezvous.Select(route.Mix(uint64(s.digest)), p.hashes, 2)...)
 	digest := string(rune(s.digest))
 	for _, d := range keepers {
 		if d != s.daemon {
--- a/decision/prompts/admit.go
+++ b/decision/prompts/admit.go
@@ -11,8 +11,8 @@
 	Admitted Admission = iota
 	// TooLate means that other prompts are read for longer than the first event may take.
 	TooLate
-	// NoRoom means that the engine's memory is full once the prompts there are read.
-	NoRoom
+	// NoMemory means that the engine's memory is full once the prompts there are read.
+	NoMemory
 )
 
 // String returns the word used in logs.
@@ -25,12 +25,12 @@
 // make as its prompt to read, and a late one is worth as much at any time.
 const lateShare = 0.5
 
-// Due is how long the first event of an answer may still take. objective and timeout
+// FirstEventBudget is how long the first event of an answer may still take. objective and timeout
 // are the route's, left is what the caller waits for yet: one that was refused and
 // came back has less of it left. The objective does not count where it is missed in any
 // case, as by a prompt that takes longer to read alone: refused for that, the largest
 // prompts would be turned away again and again beside idle engines.
-func (p *Pace) Due(tokens int, objective, timeout, left time.Duration) time.Duration {
+func (p *Estimator) FirstEventBudget(tokens int, objective, timeout, left time.Duration) time.Duration {
 	if onTime := objective - max(timeout-left, 0); onTime > p.Wait(0, tokens) {
 		return onTime
 	}
@@ -52,12 +52,12 @@
 // Thresholds: the objective itself, since an answer that misses it takes the place of
 // one that does not; and the whole memory, with the prompts that still wait there
 // counted as the mean of all.
-func (p *Pace) Admit(r Report, tokens int, due time.Duration) Admission {
+func (p *Estimator) Admit(r Report, tokens int, due time.Duration) Admission {
 	switch {
-	case r.Unread > 0 && p.Wait(r.Unread, tokens) > due:
+	case r.PendingPrompts > 0 && p.Wait(r.PendingPrompts, tokens) > due:
 		return TooLate
-	case r.Memory > 0 && r.Used+r.Unread*int(p.tokens)+tokens > r.Memory:
-		return NoRoom
+	case r.CapacityTokens > 0 && r.UsedTokens+r.PendingPrompts*int(p.tokens)+tokens > r.CapacityTokens:
+		return NoMemory
 	}
 	return Admitted
 }
--- a/decision/prompts/asks.go
+++ b/decision/prompts/asks.go
@@ -4,7 +4,7 @@
 // grow with its square.
 const maxAsked = 10
 
-// Asks reports whether a daemon asks the others of a fleet of so many daemons, itself
+// ShouldPollPeers reports whether a daemon asks the others of a fleet of so many daemons, itself
 // counted, what they have under way before it places a prompt.
 //
 // Load it answers: prompts that arrive at a handful of daemons before two dozen engines
@@ -14,4 +14,4 @@
 // Without it a daemon knows its own requests and the reports of the three engines that it
 // asked, a tenth of a second old: every third prompt meets another at its engine, and nine
 // of ten delay an answer.
-func Asks(daemons int) bool { return daemons > 1 && daemons <= maxAsked }
+func ShouldPollPeers(daemons int) bool { return daemons > 1 && daemons <= maxAsked }
--- a/decision/prompts/ledger.go
+++ b/decision/prompts/ledger.go
@@ -14,7 +14,7 @@
 	sweepEvery = 30 * time.Second
 )
 
-// Keeper returns the index of the daemon that keeps the notes on an engine, by rendezvous
+// Tracker returns the index of the daemon that keeps the notes on an engine, by rendezvous
 // hashing of the hashes of both; -1 where there is no daemon.
 //
 // Load it answers: dozens to hundreds of daemons before as many engines. Each daemon sees
@@ -32,40 +32,40 @@
 // and draw the prompts of all: so a note says too whether its daemon suspects the engine.
 // Notes are no promise: the engine chosen is asked for its report all the same, and where
 // keepers are lost the choice is left to reports.
-func Keeper(engine uint64, daemons []uint64) int {
-	for _, i := range rendezvous.Nearest(engine, daemons, 1) {
+func Tracker(engine uint64, daemons []uint64) int {
+	for _, i := range rendezvous.Select(engine, daemons, 1) {
 		return i
 	}
 	return -1
 }
 
-// Note is what one daemon has under way at an engine: prompts without an event, and
+// DaemonLoad is what one daemon has under way at an engine: prompts without an event, and
 // answers that have begun. Sequence orders the notes of one process, Boot names it.
-type Note struct {
-	Boot, Sequence   uint64
-	Reading, Running int
-	// Suspect is for how long the daemon still suspects the engine, which failed it.
-	Suspect time.Duration
+type DaemonLoad struct {
+	Incarnation, Sequence uint64
+	Prefilling, Running   int
+	// SuspectFor is for how long the daemon still suspects the engine, which failed it.
+	SuspectFor time.Duration
 }
 
-// Noted is what daemons have under way at an engine, and how many of them suspect it.
-type Noted struct{ Reading, Running, Suspects int }
+// LoadSum is what daemons have under way at an engine, and how many of them suspect it.
+type LoadSum struct{ Prefilling, Running, SuspectedBy int }
 
 // noted is a note with its time.
 type noted struct {
-	Note
+	DaemonLoad
 	at time.Time
 }
 
-// Ledger keeps the notes on engines, by a key of the engine's present life. The zero value
+// LoadTable keeps the notes on engines, by a key of the engine's present life. The zero value
 // is empty. It is not safe for concurrent use.
-type Ledger[K comparable] struct {
+type LoadTable[K comparable] struct {
 	engines map[K]map[string]noted // by daemon
 	swept   time.Time
 }
 
-// Take records a note of a daemon, unless a later one of the same process is known.
-func (l *Ledger[K]) Take(now time.Time, engine K, daemon string, n Note) {
+// Update records a note of a daemon, unless a later one of the same process is known.
+func (l *LoadTable[K]) Update(now time.Time, engine K, daemon string, n DaemonLoad) {
 	if l.engines == nil {
 		l.engines = map[K]map[string]noted{}
 	}
@@ -75,30 +75,30 @@
 		notes = map[string]noted{}
 		l.engines[engine] = notes
 	}
-	if old, known := notes[daemon]; known && old.Boot == n.Boot && n.Sequence <= old.Sequence {
+	if old, known := notes[daemon]; known && old.Incarnation == n.Incarnation && n.Sequence <= old.Sequence {
 		return
 	}
-	notes[daemon] = noted{Note: n, at: now}
+	notes[daemon] = noted{DaemonLoad: n, at: now}
 }
 
-// At is what all daemons but one have noted of an engine.
-func (l *Ledger[K]) At(now time.Time, engine K, except string) (sum Noted) {
+// Sum is what all daemons but one have noted of an engine.
+func (l *LoadTable[K]) Sum(now time.Time, engine K, except string) (sum LoadSum) {
 	for daemon, n := range l.engines[engine] {
 		age := now.Sub(n.at)
 		if daemon == except || age >= noteKept {
 			continue
 		}
-		sum.Reading += n.Reading
+		sum.Prefilling += n.Prefilling
 		sum.Running += n.Running
-		if age < n.Suspect {
-			sum.Suspects++
+		if age < n.SuspectFor {
+			sum.SuspectedBy++
 		}
 	}
 	return sum
 }
 
 // sweep forgets what does not count any more.
-func (l *Ledger[K]) sweep(now time.Time) {
+func (l *LoadTable[K]) sweep(now time.Time) {
 	if now.Sub(l.swept) < sweepEvery {
 		return
 	}
--- a/decision/prompts/pace.go
+++ b/decision/prompts/pace.go
@@ -21,13 +21,13 @@
 	halfRead = 0.5
 )
 
-// Pace learns how fast the engines of one service read prompts and make answers.
+// Estimator learns how fast the engines of one service read prompts and make answers.
 //
 // Load it answers: callers that come back after an outage with little time
 // left. Without it their prompts are read for a second each and the answers
 // come when nobody waits, while the prompts behind them miss their time too.
 // The zero value knows nothing. It is not safe for concurrent use.
-type Pace struct {
+type Estimator struct {
 	perToken float64 // nanoseconds, of the fastest reading
 	tokens   float64 // mean length of the prompts
 	answer   float64 // nanoseconds, mean time of the answers from arrival to end
@@ -36,20 +36,20 @@
 	answers  int     // whole ones seen
 }
 
-// Asked records that a prompt of so many tokens is to be read; 0 means that its caller
+// ObservePrompt records that a prompt of so many tokens is to be read; 0 means that its caller
 // does not say.
-func (p *Pace) Asked(tokens int) {
+func (p *Estimator) ObservePrompt(tokens int) {
 	if tokens <= 0 {
 		return
 	}
 	p.tokens = moved(p.tokens, float64(tokens))
 }
 
-// Ended records that an answer took so long from its request to its end.
-func (p *Pace) Ended(took time.Duration) { p.answer = moved(p.answer, float64(took)) }
+// ObserveAnswerTime records that an answer took so long from its request to its end.
+func (p *Estimator) ObserveAnswerTime(took time.Duration) { p.answer = moved(p.answer, float64(took)) }
 
-// Answer is how long answers take; 0 before the first.
-func (p *Pace) Answer() time.Duration { return time.Duration(p.answer) }
+// MeanAnswerTime is how long answers take; 0 before the first.
+func (p *Estimator) MeanAnswerTime() time.Duration { return time.Duration(p.answer) }
 
 // moved is a mean with one more value; the first stands for itself.
 func moved(mean, value float64) float64 {
@@ -61,13 +61,13 @@
 
 // Wait is about how long the first event of a prompt takes at an engine that reads
 // unread others before it; 0 where no prompt was seen to be read yet.
-func (p *Pace) Wait(unread, tokens int) time.Duration {
+func (p *Estimator) Wait(unread, tokens int) time.Duration {
 	others := max(float64(unread)-halfRead, 0) * p.tokens
 	return time.Duration(besideRuns * p.perToken * (others + float64(tokens)))
 }
 
-// Observe records that the first event of a prompt took so long.
-func (p *Pace) Observe(tokens int, took time.Duration) {
+// ObservePrefill records that the first event of a prompt took so long.
+func (p *Estimator) ObservePrefill(tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
@@ -83,9 +83,9 @@
 	return min(known*forget, value)
 }
 
-// Made records that a whole answer had so many events, and that those after the first
+// ObserveAnswer records that a whole answer had so many events, and that those after the first
 // took so long.
-func (p *Pace) Made(events int64, took time.Duration) {
+func (p *Estimator) ObserveAnswer(events int64, took time.Duration) {
 	if events < 2 || took <= 0 {
 		return
 	}
@@ -94,12 +94,12 @@
 	p.perEvent = least(p.perEvent, float64(took)/float64(events-1))
 }
 
-// Hopeless reports whether a prompt certainly cannot be read in what is left.
-func (p *Pace) Hopeless(tokens int, left time.Duration) bool {
+// CannotPrefillWithin reports whether a prompt certainly cannot be read in what is left.
+func (p *Estimator) CannotPrefillWithin(tokens int, left time.Duration) bool {
 	return float64(left) < leastPart*p.perToken*float64(tokens)
 }
 
-// Unfinishable reports whether an answer certainly cannot be whole in what is left: not
+// CannotFinishWithin reports whether an answer certainly cannot be whole in what is left: not
 // if it were shorter by leastPart than the shortest seen lately and made as fast as the
 // fastest. have is how many of its events the caller holds; unread says that its prompt of
 // so many tokens has to be read first, as no engine is known to hold it.
@@ -107,7 +107,7 @@
 // Load it answers: callers whose connections hung when a VM lost its power, and who come
 // back seconds later. Without it engines read prompts and make answers of which nobody
 // gets the end, and the callers wait for that until their time is over.
-func (p *Pace) Unfinishable(tokens int, unread bool, have int64, left time.Duration) bool {
+func (p *Estimator) CannotFinishWithin(tokens int, unread bool, have int64, left time.Duration) bool {
 	if p.answers < fewAnswers {
 		return false
 	}
@@ -118,35 +118,35 @@
 	return float64(left) < need
 }
 
-// Knows reports whether enough answers were seen to tell which cannot be whole in time.
-func (p *Pace) Knows() bool { return p.answers >= fewAnswers }
+// HasEnoughAnswers reports whether enough answers were seen to tell which cannot be whole in time.
+func (p *Estimator) HasEnoughAnswers() bool { return p.answers >= fewAnswers }
 
-// Learned is what a daemon tells others of the engines of a service: of the fastest
+// Estimates is what a daemon tells others of the engines of a service: of the fastest
 // reading and the fastest and shortest whole answers, and how many of those it saw.
-type Learned struct {
-	PerToken, PerEvent float64 // nanoseconds
-	Events             float64
-	Answers            int
+type Estimates struct {
+	PrefillNsPerToken, NsPerEvent float64 // nanoseconds
+	Events                        float64
+	Answers                       int
 }
 
-// Learned returns what was seen here and heard from others.
-func (p *Pace) Learned() Learned {
-	return Learned{PerToken: p.perToken, PerEvent: p.perEvent, Events: p.events, Answers: p.answers}
+// Estimates returns what was seen here and heard from others.
+func (p *Estimator) Estimates() Estimates {
+	return Estimates{PrefillNsPerToken: p.perToken, NsPerEvent: p.perEvent, Events: p.events, Answers: p.answers}
 }
 
-// Hear takes in what another daemon learned. What makes no sense is left out.
+// Merge takes in what another daemon learned. What makes no sense is left out.
 //
 // Load it answers: hundreds of daemons that started at once. Each sees an answer in
 // several seconds, and would know nothing when callers come back with little time left,
 // although all together have seen hundreds.
-func (p *Pace) Hear(l Learned) {
-	if !(l.PerEvent > 0) || !(l.Events > 0) || l.Answers <= 0 {
+func (p *Estimator) Merge(l Estimates) {
+	if !(l.NsPerEvent > 0) || !(l.Events > 0) || l.Answers <= 0 {
 		return
 	}
 	p.answers += l.Answers
-	p.perEvent = least(p.perEvent, l.PerEvent)
+	p.perEvent = least(p.perEvent, l.NsPerEvent)
 	p.events = least(p.events, l.Events)
-	if l.PerToken > 0 {
-		p.perToken = least(p.perToken, l.PerToken)
+	if l.PrefillNsPerToken > 0 {
+		p.perToken = least(p.perToken, l.PrefillNsPerToken)
 	}
 }
--- a/decision/prompts/prompts.go
+++ b/decision/prompts/prompts.go
@@ -33,12 +33,12 @@
 // Engine is one candidate as this daemon sees it.
 type Engine struct {
 	Zone string
-	// Home marks an engine of this daemon's own window.
-	Home bool
+	// Preferred marks an engine of this daemon's own window.
+	Preferred bool
 	// Reading, Running and Copies are the requests known there, this daemon's and what
 	// others told of theirs: before their first event, after it, and copies of runs
 	// elsewhere.
-	Reading, Running, Copies int
+	Prefilling, Running, Copies int
 	// Suspect marks an engine that failed a moment ago; it is a last resort.
 	Suspect bool
 	// Excluded engines are not chosen.
@@ -95,16 +95,16 @@
 	index int
 }
 
-// Read returns the engines that may read a prompt, the best first and n at most. known
+// ChoosePrefillEngines returns the engines that may read a prompt, the best first and n at most. known
 // says that the counts are those of all daemons. draw breaks ties at random.
-func Read(engines []Engine, n int, known bool, draw uint64) []Choice {
+func ChoosePrefillEngines(engines []Engine, n int, known bool, draw uint64) []Choice {
 	var best []ranked
 	for i, e := range engines {
 		if e.Excluded {
 			continue
 		}
 		r := rank{
-			suspect: e.Suspect, reading: e.Reading, away: !e.Home,
+			suspect: e.Suspect, reading: e.Prefilling, away: !e.Preferred,
 			load: e.Running + e.Copies, draw: route.Mix(draw + uint64(i)),
 		}
 		if known {
@@ -148,17 +148,17 @@
 	return ReasonHome
 }
 
-// Copy chooses the engine that keeps the copy of a run in zone, -1 if none. It
+// ChooseCopyEngine chooses the engine that keeps the copy of a run in zone, -1 if none. It
 // is in another zone where there is one, since zones are lost whole, and reads
 // no prompt, since an answer that goes on there would wait between its chunks.
-func Copy(engines []Engine, zone string, draw uint64) int {
+func ChooseCopyEngine(engines []Engine, zone string, draw uint64) int {
 	best, at, bestNear := rank{}, -1, false
 	for i, e := range engines {
 		if e.Excluded || e.Suspect {
 			continue
 		}
 		near := e.Zone == zone
-		r := rank{reading: e.Reading, away: !e.Home, load: e.Copies + e.Running, draw: route.Mix(draw + uint64(i))}
+		r := rank{reading: e.Prefilling, away: !e.Preferred, load: e.Copies + e.Running, draw: route.Mix(draw + uint64(i))}
 		better := at < 0 || near != bestNear && !near || near == bestNear && r.before(best)
 		if better {
 			best, at, bestNear = r, i, near
@@ -170,13 +170,13 @@
 // Report is what an engine says of itself when it is asked, as of a fifth of a
 // second ago.
 type Report struct {
-	// Unread are the prompts that it reads or that wait there.
-	Unread int
+	// PendingPrompts are the prompts that it reads or that wait there.
+	PendingPrompts int
 	// Running are the runs that make events.
 	Running int
-	// Used and Memory are the tokens that it holds and cannot give up, and all that
+	// UsedTokens and Memory are the tokens that it holds and cannot give up, and all that
 	// it can hold; Memory is 0 where it does not say.
-	Used, Memory int
+	UsedTokens, CapacityTokens int
 }
 
 // fullShare is the share of an engine's memory beyond which no copy is placed there,
@@ -188,16 +188,16 @@
 // it throws out the newest of the runs there, in the middle of its answer, and
 // reads that one's prompt again.
 func (r Report) Fits(tokens int) bool {
-	return r.Memory == 0 || float64(r.Used+tokens) <= fullShare*float64(r.Memory)
+	return r.CapacityTokens == 0 || float64(r.UsedTokens+tokens) <= fullShare*float64(r.CapacityTokens)
 }
 
-// Free reports whether a prompt of so many tokens would be read at once.
-func (r Report) Free(tokens int) bool { return r.Unread == 0 && r.Fits(tokens) }
+// CanPrefillNow reports whether a prompt of so many tokens would be read at once.
+func (r Report) CanPrefillNow(tokens int) bool { return r.PendingPrompts == 0 && r.Fits(tokens) }
 
-// Quietest returns the index of the engine that has room for a prompt, where it
+// LeastLoaded returns the index of the engine that has room for a prompt, where it
 // waits least, and among equals the one where reading it delays the fewest running
 // answers; -1 without reports. The reports are in the order of preference.
-func Quietest(reports []Report, tokens int) int {
+func LeastLoaded(reports []Report, tokens int) int {
 	best := -1
 	for i, r := range reports {
 		if best < 0 || r.before(reports[best], tokens) {
@@ -211,8 +211,8 @@
 	if fits := r.Fits(tokens); fits != other.Fits(tokens) {
 		return fits
 	}
-	if r.Unread != other.Unread {
-		return r.Unread < other.Unread
+	if r.PendingPrompts != other.PendingPrompts {
+		return r.PendingPrompts < other.PendingPrompts
 	}
 	return r.Running < other.Running
 }
--- a/decision/prompts/window.go
+++ b/decision/prompts/window.go
@@ -16,14 +16,14 @@
 	windowSpare = 1
 )
 
-// Seat is an engine as a place for prompts: its zone, and the hash of the id that it has
+// HashedEngine is an engine as a place for prompts: its zone, and the hash of the id that it has
 // for this life.
-type Seat struct {
+type HashedEngine struct {
 	Zone string
 	Hash uint64
 }
 
-// Window returns the indices of the engines among which a prompt with the given hash is
+// PlacementCandidates returns the indices of the engines among which a prompt with the given hash is
 // placed, the same at every daemon that knows the same engines: as many in each zone, by
 // rendezvous hashing. An engine more or less changes the windows of the few prompts that
 // have it among their engines.
@@ -33,13 +33,15 @@
 // Without it a daemon asks all engines what they hold, so that questions grow with the
 // product of both and the answers fill its link; or it asks none and each prompt is read
 // a second time.
-func Window(prompt uint64, seats []Seat) []int { return window(prompt, seats, 0) }
+func PlacementCandidates(prompt uint64, seats []HashedEngine) []int { return window(prompt, seats, 0) }
 
-// LookedAt returns the indices of the engines that may hold a prompt which another daemon
+// LookupCandidates returns the indices of the engines that may hold a prompt which another daemon
 // placed in its window.
-func LookedAt(prompt uint64, seats []Seat) []int { return window(prompt, seats, windowSpare) }
+func LookupCandidates(prompt uint64, seats []HashedEngine) []int {
+	return window(prompt, seats, windowSpare)
+}
 
-func window(prompt uint64, seats []Seat, spare int) []int {
+func window(prompt uint64, seats []HashedEngine, spare int) []int {
 	zones := map[string][]int{}
 	for i, s := range seats {
 		zones[s.Zone] = append(zones[s.Zone], i)
--- a/decision/prompts/window_test.go
+++ b/decision/prompts/window_test.go
@@ -10,10 +10,10 @@
 	"mallowwind.dev/decision/route"
 )
 
-func seats(size, zones int) []Seat {
-	list := make([]Seat, size)
+func seats(size, zones int) []HashedEngine {
+	list := make([]HashedEngine, size)
 	for i := range list {
-		list[i] = Seat{Zone: fmt.Sprintf("z%d", i%zones), Hash: route.Mix(uint64(i) + 1)}
+		list[i] = HashedEngine{Zone: fmt.Sprintf("z%d", i%zones), Hash: route.Mix(uint64(i) + 1)}
 	}
 	return list
 }
@@ -35,12 +35,12 @@
 		missed, living, looked := 0, 0, 0
 		for p := range uint64(prompts) {
 			at := map[uint64]bool{}
-			for _, i := range LookedAt(route.Mix(p), now) {
+			for _, i := range LookupCandidates(route.Mix(p), now) {
 				at[now[i].Hash] = true
 				looked++
 			}
-			for _, i := range Window(route.Mix(p), then) {
-				if !slices.ContainsFunc(now, func(s Seat) bool { return s.Hash == then[i].Hash }) {
+			for _, i := range PlacementCandidates(route.Mix(p), then) {
+				if !slices.ContainsFunc(now, func(s HashedEngine) bool { return s.Hash == then[i].Hash }) {
 					continue
 				}
 				living++
@@ -61,7 +61,7 @@
 	in := make([]int, len(all))
 	for p := range uint64(5200) {
 		zones := map[string]int{}
-		for _, i := range Window(route.Mix(p), all) {
+		for _, i := range PlacementCandidates(route.Mix(p), all) {
 			in[i]++
 			zones[all[i].Zone]++
 		}
@@ -72,5 +72,5 @@
 	}
 	must.Between(t, 140, slices.Min(in), 200)
 	must.Between(t, 200, slices.Max(in), 260)
-	must.SliceEmpty(t, Window(1, nil))
+	must.SliceEmpty(t, PlacementCandidates(1, nil))
 }
--- a/decision/rendezvous/rendezvous.go
+++ b/decision/rendezvous/rendezvous.go
@@ -10,9 +10,9 @@
 	"mallowwind.dev/decision/route"
 )
 
-// Nearest returns the indices of the n members nearest to a key, the nearest first, by
+// Select returns the indices of the n members nearest to a key, the nearest first, by
 // rendezvous hashing; fewer where there are fewer.
-func Nearest(key uint64, members []uint64, n int) []int {
+func Select(key uint64, members []uint64, n int) []int {
 	if n <= 0 || len(members) == 0 {
 		return nil
 	}
--- a/decision/rendezvous/rendezvous_test.go
+++ b/decision/rendezvous/rendezvous_test.go
@@ -17,15 +17,15 @@
 }
 
 func TestNearestWithoutMembers(t *testing.T) {
-	must.SliceEmpty(t, Nearest(1, nil, 2))
-	must.SliceEmpty(t, Nearest(1, members(3), 0))
-	must.SliceLen(t, 3, Nearest(1, members(3), 5))
+	must.SliceEmpty(t, Select(1, nil, 2))
+	must.SliceEmpty(t, Select(1, members(3), 0))
+	must.SliceLen(t, 3, Select(1, members(3), 5))
 }
 
 func TestFirstOfSeveralIsTheNearest(t *testing.T) {
 	all := members(40)
 	for key := range uint64(200) {
-		must.Eq(t, Nearest(key, all, 1)[0], Nearest(key, all, 3)[0])
+		must.Eq(t, Select(key, all, 1)[0], Select(key, all, 3)[0])
 	}
 }
 
@@ -33,7 +33,7 @@
 func TestMemberThatLeavesMovesItsOwnKeysOnly(t *testing.T) {
 	all := members(40)
 	for key := range uint64(500) {
-		before, after := Nearest(key, all, 2), Nearest(key, all[:39], 2)
+		before, after := Select(key, all, 2), Select(key, all[:39], 2)
 		if before[0] != 39 && before[1] != 39 {
 			must.Eq(t, before, after)
 		}
--- a/decision/route/pick.go
+++ b/decision/route/pick.go
@@ -39,12 +39,12 @@
 	Urgent bool
 	// Overshoot lets a continuation go beyond the limit by an eighth.
 	Overshoot bool
-	// Spread looks at all zones of the region at once, and at the candidate that
+	// AllZones looks at all zones of the region at once, and at the candidate that
 	// holds the prefix, but not where prefixes are sent by default. The work
 	// of a lost server comes from one zone mostly: kept there, its prefills meet
 	// on the few servers left and each waits for the others, which costs far
 	// more than a millisecond between zones.
-	Spread bool
+	AllZones bool
 }
 
 // Result is the choice; Index is -1 when none has room.
@@ -58,7 +58,7 @@
 	if i, ok := t.index[q.Prefer]; q.Prefer != "" && ok && t.usable(i, q) {
 		return Result{i, ReasonPreferred}
 	}
-	if end := t.ends[SameRegion]; q.Spread && end > 0 {
+	if end := t.ends[SameRegion]; q.AllZones && end > 0 {
 		if res := t.spread(q, end); res.Index >= 0 {
 			return res
 		}
@@ -184,14 +184,14 @@
 	if weight <= 0 {
 		weight = 1
 	}
-	return (float32(l.InFlight) + 0.5*float32(l.Others) + 1) / (float32(max(l.Limit, 1)) * weight)
+	return (float32(l.InFlight) + 0.5*float32(l.OtherInFlight) + 1) / (float32(max(l.Limit, 1)) * weight)
 }
 
 func (t *Table) usable(i int, q *Query) bool {
 	c := &t.candidates[i]
-	room := c.Load.Room()
+	room := c.Load.HasCapacity()
 	if !room && q.Urgent {
-		room = c.Load.Limit > 0 && c.Load.InFlight+c.Load.Others < c.Load.Slots
+		room = c.Load.Limit > 0 && c.Load.InFlight+c.Load.OtherInFlight < c.Load.Slots
 	}
 	if !room && q.Overshoot && c.Load.Limit > 0 {
 		room = c.Load.InFlight < c.Load.Limit+1+c.Load.Limit/8
--- a/decision/route/route.go
+++ b/decision/route/route.go
@@ -26,24 +26,24 @@
 // Load is the state of one candidate that changes between two snapshots. The
 // owner of the picker writes it; it outlives snapshots.
 type Load struct {
-	InFlight int32 // requests of this daemon, exact
-	Limit    int32 // how many there may be; 0 while ejected
-	Others   int32 // what others were last reported to run there, lagging
-	Slots    int32 // bound on the whole server
+	InFlight      int32 // requests of this daemon, exact
+	Limit         int32 // how many there may be; 0 while ejected
+	OtherInFlight int32 // what others were last reported to run there, lagging
+	Slots         int32 // bound on the whole server
 	// Weight falls below 1 while a server warms up; 0 counts as 1.
 	Weight float32
 }
 
-// Room reports whether one more request may be sent.
-func (l *Load) Room() bool { return l.InFlight < l.Limit }
+// HasCapacity reports whether one more request may be sent.
+func (l *Load) HasCapacity() bool { return l.InFlight < l.Limit }
 
-// Spare is how many more urgent requests the server had room for by its last
+// UrgentCapacity is how many more urgent requests the server had room for by its last
 // report, beyond this daemon's limit there.
-func (l *Load) Spare() int32 {
+func (l *Load) UrgentCapacity() int32 {
 	if l.Limit == 0 {
 		return 0
 	}
-	return max(0, l.Slots-l.Others-max(l.InFlight, l.Limit))
+	return max(0, l.Slots-l.OtherInFlight-max(l.InFlight, l.Limit))
 }
 
 // Candidate is one backend server that can run the work.
--- a/decision/route/route_test.go
+++ b/decision/route/route_test.go
@@ -79,7 +79,7 @@
 		for i := range cs {
 			cs[i].Load.Limit = int32(rapid.IntRange(0, 3).Draw(t, "limit"))
 			cs[i].Load.InFlight = int32(rapid.IntRange(0, 3).Draw(t, "inflight"))
-			if i > 0 && cs[i].Load.Room() {
+			if i > 0 && cs[i].Load.HasCapacity() {
 				room++
 			}
 		}
@@ -89,7 +89,7 @@
 		if (r.Index >= 0) != (room > 0) {
 			t.Fatalf("picked %d with %d servers that have room", r.Index, room)
 		}
-		if r.Index >= 0 && (!table.At(r.Index).Load.Room() || table.At(r.Index).ID == exclude[0]) {
+		if r.Index >= 0 && (!table.At(r.Index).Load.HasCapacity() || table.At(r.Index).ID == exclude[0]) {
 			t.Fatalf("picked %v", table.At(r.Index))
 		}
 	})
@@ -165,12 +165,12 @@
 	random := rand.New(rand.NewPCG(5, 5))
 	counts := map[int]int{}
 	for range 900 {
-		counts[table.Pick(&Query{Prefix: 42, Random: random.Uint64(), Overshoot: true, Spread: true}).Index]++
+		counts[table.Pick(&Query{Prefix: 42, Random: random.Uint64(), Overshoot: true, AllZones: true}).Index]++
 	}
 	for i := range 9 {
 		must.Between(t, 60, counts[i], 150)
 	}
-	r := table.Pick(&Query{Prefix: 42, Cached: "b0007", Random: 1, Spread: true})
+	r := table.Pick(&Query{Prefix: 42, Cached: "b0007", Random: 1, AllZones: true})
 	must.Eq(t, "b0007", table.At(r.Index).ID)
 	must.Eq(t, ReasonCached, r.Reason)
 }
--- a/decision/watching/watching.go
+++ b/decision/watching/watching.go
@@ -23,15 +23,15 @@
 )
 
 const (
-	// Everyone is the size of a fleet up to which all daemons watch: there is nothing
+	// SmallFleetSize is the size of a fleet up to which all daemons watch: there is nothing
 	// to save.
-	Everyone = 8
+	SmallFleetSize = 8
 	// Watchers is how many daemons of a larger fleet watch: several zones can be lost
 	// and some are left.
 	Watchers = 5
-	// AskersEach is how many daemons ask one relay. More fill the link of a small VM
+	// ClientsPerRelay is how many daemons ask one relay. More fill the link of a small VM
 	// when a zone is lost and all its servers change at once.
-	AskersEach = 20
+	ClientsPerRelay = 20
 )
 
 // VM is one daemon that serves.
@@ -74,7 +74,7 @@
 // the loss of a zone takes as few as can be.
 func (p *Plan) chooseWatchers(size int) {
 	wanted := Watchers
-	if size <= Everyone {
+	if size <= SmallFleetSize {
 		wanted = size
 	}
 	names := p.zoneNames()
@@ -103,7 +103,7 @@
 
 func (p *Plan) chooseRelays() {
 	for zone, members := range p.zones {
-		count := (len(members) + AskersEach - 1) / AskersEach
+		count := (len(members) + ClientsPerRelay - 1) / ClientsPerRelay
 		for place, vm := range members {
 			if place < count || p.watching[vm.ID] {
 				p.relays[zone] = append(p.relays[zone], vm.ID)
@@ -112,8 +112,8 @@
 	}
 }
 
-// Watches reports whether a daemon watches the store.
-func (p *Plan) Watches(id string) bool { return p.watching[id] }
+// IsWatcher reports whether a daemon watches the store.
+func (p *Plan) IsWatcher(id string) bool { return p.watching[id] }
 
 // Watchers returns the daemons that watch.
 func (p *Plan) Watchers() []string { return slices.Clone(p.watchers) }
@@ -147,9 +147,9 @@
 	return append(slices.Clone(list[k:]), list[:k]...)
 }
 
-// Count is how many daemons of a fleet watch.
-func Count(daemons int) int {
-	if daemons <= Everyone {
+// CountWatchers is how many daemons of a fleet watch.
+func CountWatchers(daemons int) int {
+	if daemons <= SmallFleetSize {
 		return daemons
 	}
 	return Watchers
--- a/decision/watching/watching_test.go
+++ b/decision/watching/watching_test.go
@@ -31,9 +31,9 @@
 	} {
 		p := New(fleet(c.size, c.zones))
 		must.SliceLen(t, c.want, p.Watchers(), must.Sprintf("%d daemons", c.size))
-		must.Eq(t, c.want, Count(c.size))
+		must.Eq(t, c.want, CountWatchers(c.size))
 		for _, id := range p.Watchers() {
-			must.True(t, p.Watches(id))
+			must.True(t, p.IsWatcher(id))
 		}
 	}
 }
@@ -60,7 +60,7 @@
 		p := New(vms)
 		askers, across := map[string]int{}, 0
 		for _, vm := range vms {
-			if p.Watches(vm.ID) {
+			if p.IsWatcher(vm.ID) {
 				continue
 			}
 			first := sources(p, vm)[0]
@@ -70,9 +70,9 @@
 			}
 		}
 		for id, n := range askers {
-			must.LessEq(t, 2*AskersEach, n, must.Sprintf("%s of %d daemons", id, c.size))
+			must.LessEq(t, 2*ClientsPerRelay, n, must.Sprintf("%s of %d daemons", id, c.size))
 		}
-		must.LessEq(t, c.size/AskersEach+c.zones, across)
+		must.LessEq(t, c.size/ClientsPerRelay+c.zones, across)
 	}
 }
 
@@ -85,7 +85,7 @@
 		p := New(vms)
 		for _, vm := range vms {
 			at := vm.ID
-			for steps := 0; !p.Watches(at); steps++ {
+			for steps := 0; !p.IsWatcher(at); steps++ {
 				must.Less(t, 3, steps)
 				at = sources(p, VM{ID: at, Hash: vm.Hash})[0]
 			}
--- a/lab/bench/prompts/known.go
+++ b/lab/bench/prompts/known.go
@@ -33,12 +33,12 @@
 	engines := make([]decide.Engine, len(w.engines))
 	for i, e := range w.engines {
 		engines[i] = decide.Engine{
-			Zone: string(rune('a' + e.zone)), Home: w.homes[daemon][i] && w.p.homes,
-			Reading: w.reading[daemon][i], Running: w.running[daemon][i], Copies: w.copies[daemon][i],
+			Zone: string(rune('a' + e.zone)), Preferred: w.homes[daemon][i] && w.p.homes,
+			Prefilling: w.reading[daemon][i], Running: w.running[daemon][i], Copies: w.copies[daemon][i],
 			Suspect: now < w.suspect[daemon][i],
 		}
 		if reads && w.told() {
-			engines[i].Reading, engines[i].Running = w.allAt(i)
+			engines[i].Prefilling, engines[i].Running = w.allAt(i)
 		}
 		if w.p.split {
 			engines[i].Excluded = reads != (i%2 == 0)
@@ -48,7 +48,7 @@
 }
 
 // told reports whether daemons ask each other what they have under way.
-func (w *world) told() bool { return w.p.told && decide.Asks(w.d.daemons) }
+func (w *world) told() bool { return w.p.told && decide.ShouldPollPeers(w.d.daemons) }
 
 // allAt is what all daemons have under way at an engine.
 func (w *world) allAt(i int) (reading, running int) {
@@ -87,6 +87,6 @@
 	}
 	w.reports = make([]decide.Report, len(w.engines))
 	for i, e := range w.engines {
-		w.reports[i] = decide.Report{Unread: len(e.reading), Running: len(e.running), Used: e.used(), Memory: e.memory}
+		w.reports[i] = decide.Report{PendingPrompts: len(e.reading), Running: len(e.running), UsedTokens: e.used(), CapacityTokens: e.memory}
 	}
 }
--- a/lab/bench/prompts/prompts.go
+++ b/lab/bench/prompts/prompts.go
@@ -46,7 +46,7 @@
 }
 
 func byRank(w *world, engines []decide.Engine, _ *request) int {
-	return decide.Read(engines, 1, false, w.random.Uint64())[0].Index
+	return decide.ChoosePrefillEngines(engines, 1, false, w.random.Uint64())[0].Index
 }
 
 func anywhere(w *world, engines []decide.Engine, _ *request) int { return w.random.IntN(len(engines)) }
@@ -56,8 +56,8 @@
 func byReport(w *world, engines []decide.Engine, r *request) int {
 	var order []int
 	var reports []decide.Report
-	for _, c := range decide.Read(engines, 3*forward.SampleSize, false, w.random.Uint64()) {
-		if len(order) >= forward.SampleSize && reports[decide.Quietest(reports, r.prompt)].Free(r.prompt) {
+	for _, c := range decide.ChoosePrefillEngines(engines, 3*forward.SampleSize, false, w.random.Uint64()) {
+		if len(order) >= forward.SampleSize && reports[decide.LeastLoaded(reports, r.prompt)].CanPrefillNow(r.prompt) {
 			break
 		}
 		if !w.engines[c.Index].down {
@@ -68,15 +68,15 @@
 	if len(order) == 0 {
 		return byRank(w, engines, r)
 	}
-	return order[decide.Quietest(reports, r.prompt)]
+	return order[decide.LeastLoaded(reports, r.prompt)]
 }
 
 // asTold takes the engine that reads nothing and makes the fewest answers, if it says so
 // itself, and else one of those that are asked for their reports.
 func asTold(w *world, engines []decide.Engine, r *request) int {
 	if w.told() {
-		for _, c := range decide.Read(engines, 3, true, w.random.Uint64()) {
-			if !w.engines[c.Index].down && w.reports[c.Index].Free(r.prompt) {
+		for _, c := range decide.ChoosePrefillEngines(engines, 3, true, w.random.Uint64()) {
+			if !w.engines[c.Index].down && w.reports[c.Index].CanPrefillNow(r.prompt) {
 				return c.Index
 			}
 		}
--- a/lab/bench/prompts/world.go
+++ b/lab/bench/prompts/world.go
@@ -61,8 +61,8 @@
 	reading  [][]int
 	running  [][]int
 	copies   [][]int
-	reports  []decide.Report // of the engines
-	paces    []*decide.Pace  // of the daemons
+	reports  []decide.Report     // of the engines
+	paces    []*decide.Estimator // of the daemons
 	crowds   []*retryafter.Streak
 	pending  []pending
 	requests []*request
@@ -97,7 +97,7 @@
 		w.reading = append(w.reading, make([]int, d.engines))
 		w.running = append(w.running, make([]int, d.engines))
 		w.copies = append(w.copies, make([]int, d.engines))
-		w.paces = append(w.paces, &decide.Pace{})
+		w.paces = append(w.paces, &decide.Estimator{})
 		w.crowds = append(w.crowds, &retryafter.Streak{})
 	}
 	return w
@@ -166,7 +166,7 @@
 		events: max(20, int(130*math.Exp(0.2*w.load.NormFloat64()-0.02))),
 	}
 	w.requests = append(w.requests, r)
-	w.paces[r.daemon].Asked(r.prompt)
+	w.paces[r.daemon].ObservePrompt(r.prompt)
 	w.read(now, r)
 }
 
@@ -177,7 +177,7 @@
 		return false
 	}
 	pace := w.paces[r.daemon]
-	due := pace.Due(r.prompt, firstObjective, w.d.patience, w.d.patience-(now-r.arrived))
+	due := pace.FirstEventBudget(r.prompt, firstObjective, w.d.patience, w.d.patience-(now-r.arrived))
 	if pace.Admit(w.reports[e], r.prompt, due) == decide.Admitted {
 		return false
 	}
@@ -186,7 +186,7 @@
 		r.over = true
 		return true
 	}
-	back := retryafter.AfterOverload(lasted, max(pace.Answer(), firstObjective), w.random.Float64())
+	back := retryafter.AfterOverload(lasted, max(pace.MeanAnswerTime(), firstObjective), w.random.Float64())
 	w.pending = append(w.pending, pending{at: now + back, r: r, back: true})
 	return true
 }
@@ -220,7 +220,7 @@
 	for i, report := range w.reports {
 		engines[i].Excluded = engines[i].Excluded || !report.Fits(r.prompt)
 	}
-	i := decide.Copy(engines, string(rune('a'+r.at.zone)), w.random.Uint64())
+	i := decide.ChooseCopyEngine(engines, string(rune('a'+r.at.zone)), w.random.Uint64())
 	if i >= 0 {
 		r.copyAt = w.engines[i]
 		w.copies[r.daemon][i]++
@@ -231,7 +231,7 @@
 func (w *world) event(now time.Duration, r *request) bool {
 	if r.first == 0 {
 		r.first = now
-		w.paces[r.daemon].Observe(r.prompt, now-r.sent)
+		w.paces[r.daemon].ObservePrefill(r.prompt, now-r.sent)
 	} else {
 		r.pause = max(r.pause, now-r.last)
 	}
@@ -244,7 +244,7 @@
 		return w.p.split && r.made == splitEvents && w.split(now, r)
 	}
 	r.end = now
-	w.paces[r.daemon].Ended(now - r.arrived)
+	w.paces[r.daemon].ObserveAnswerTime(now - r.arrived)
 	w.leave(r)
 	w.drop(r)
 	return true
--- a/lab/bench/slopes/placement.go
+++ b/lab/bench/slopes/placement.go
@@ -27,7 +27,7 @@
 }
 
 func zoneAsDesired(n int) placement.Input {
-	in := placement.Input{FreeFetches: 4}
+	in := placement.Input{LoadBudget: 4}
 	for i := range models {
 		in.Services = append(in.Services, placement.Service{
 			Name: modelOf(i), Pool: modelOf(i), Ref: placement.Ref{Model: modelOf(i)}, Replicas: n / models, Floor: 1,
@@ -36,7 +36,7 @@
 	for _, vm := range fleet(0, n) {
 		in.Backends = append(in.Backends, placement.Backend{
 			ID: vm.ID, Pool: vm.Pool,
-			Held: []placement.Held{{Ref: placement.Ref{Model: vm.Pool}, State: placement.Ready}},
+			Models: []placement.ModelStatus{{Ref: placement.Ref{Model: vm.Pool}, State: placement.Ready}},
 		})
 	}
 	return in
--- a/serve/flow/core.go
+++ b/serve/flow/core.go
@@ -193,7 +193,7 @@
 func (c *Core) start(now time.Time, w *Waiter) bool {
 	q := route.Query{
 		Prefix: w.ask.PrefixHash, Cached: c.hints.holder(w.ask.PrefixHash), Prefer: w.ask.Prefer, Exclude: w.ask.Exclude,
-		Random: c.random.Uint64(), Urgent: w.item.Class <= admit.Urgent, Overshoot: w.ask.Resume, Spread: w.ask.Resume,
+		Random: c.random.Uint64(), Urgent: w.item.Class <= admit.Urgent, Overshoot: w.ask.Resume, AllZones: w.ask.Resume,
 	}
 	if w.group.table == nil {
 		return false
--- a/serve/flow/server.go
+++ b/serve/flow/server.go
@@ -76,7 +76,7 @@
 		TakenAt: taken, Running: b.Status.Running, Waiting: b.Status.Waiting,
 		Slots: b.Status.Slots, OwnInFlight: own, SharingDaemons: sharers, ReadingDaemons: readers,
 	}, s.slots)
-	s.load.Others = int32(max(0, b.Status.Running+b.Status.Waiting-own))
+	s.load.OtherInFlight = int32(max(0, b.Status.Running+b.Status.Waiting-own))
 	was := s.incarnation
 	s.incarnation = b.Status.Incarnation
 	if was != "" && was != s.incarnation {
--- a/serve/flow/update.go
+++ b/serve/flow/update.go
@@ -177,7 +177,7 @@
 	spare := 0
 	for _, s := range g.servers {
 		g.slots += int(s.load.Limit)
-		spare += int(s.load.Spare())
+		spare += int(s.load.UrgentCapacity())
 	}
 	g.queue.SetUrgentOverflow(spare)
 }
@@ -194,8 +194,8 @@
 func (c *Core) offerLoading(now time.Time, w *Waiter) admit.Decision {
 	g := w.group
 	d := loading.Decide(loading.Input{
-		Loading: g.loadingSlots > 0, Remaining: max(g.loading.Sub(now), 0),
-		Patience: w.item.Deadline.Sub(now),
+		Loading: g.loadingSlots > 0, LoadRemaining: max(g.loading.Sub(now), 0),
+		TimeToDeadline: w.item.Deadline.Sub(now),
 	})
 	c.observe.loading(w, d)
 	if !d.Wait {
--- a/serve/forward/absences.go
+++ b/serve/forward/absences.go
@@ -18,7 +18,7 @@
 const forgetAway = 2 * time.Minute
 
 // absence is what is known of how long servers of a service are away. The caller holds p.mu.
-func (p *pool) absence(service string) *absence.Absence {
+func (p *pool) absence(service string) *absence.Estimator {
 	return getOrCreate(p.absences, service)
 }
 
@@ -32,7 +32,7 @@
 			listed[s.Address] = true
 			before, ok := p.down[s.Address]
 			if ok && s.Life() != before.incarnation {
-				p.absence(service).Returned(now.Sub(before.since))
+				p.absence(service).ObserveReturn(now.Sub(before.since))
 				delete(p.down, s.Address)
 			}
 		}
@@ -48,14 +48,14 @@
 func (p *pool) recoveryWait(service string, objective time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.absence(service).Wait(objective)
+	return p.absence(service).MaxWait(objective)
 }
 
 // retryAfter is when a caller comes back that found no server of a service.
 func (p *pool) retryAfter(service string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.absence(service).Back(rand.Float64())
+	return p.absence(service).RetryAfter(rand.Float64())
 }
 
 // anyThere reports whether a server of a service has not failed lately.
@@ -98,7 +98,7 @@
 		r.excluded = nil // what refused a connection may be back
 		c, ok := r.place(ctx, view)
 		switch {
-		case ok && c.report.Unread == 0:
+		case ok && c.report.PendingPrompts == 0:
 			return c, true
 		case ok:
 			r.h.pool.addLoad(c.choice, -1, 0, 0)
--- a/serve/forward/codec.go
+++ b/serve/forward/codec.go
@@ -80,10 +80,10 @@
 
 // loadReport is what matters for placing one more prompt.
 func (r Report) loadReport() prompts.Report {
-	load := prompts.Report{Unread: r.Queued, Used: r.UsedTokens, Memory: r.CapacityTokens}
+	load := prompts.Report{PendingPrompts: r.Queued, UsedTokens: r.UsedTokens, CapacityTokens: r.CapacityTokens}
 	for _, events := range r.Events {
 		if events == 0 {
-			load.Unread++
+			load.PendingPrompts++
 		} else {
 			load.Running++
 		}
--- a/serve/forward/engines.go
+++ b/serve/forward/engines.go
@@ -17,7 +17,7 @@
 	for i, s := range l.servers {
 		one := l.loads[i]
 		engines[i] = prompts.Engine{
-			Zone: s.Zone, Home: l.home[i], Reading: one.prefilling, Running: one.running, Copies: one.replicas,
+			Zone: s.Zone, Preferred: l.home[i], Prefilling: one.prefilling, Running: one.running, Copies: one.replicas,
 			Suspect: one.isSuspect(now), Excluded: slices.Contains(exclude, s.Life()),
 		}
 	}
@@ -31,7 +31,7 @@
 	p.choose(view, service, func(l *serverSet) (choice, bool) {
 		engines := p.engineStates(now, l, exclude)
 		for i, home := range l.homesOf(part) {
-			engines[i].Home = home
+			engines[i].Preferred = home
 		}
 		for _, c := range p.readOpen(now, l, engines, n, false) {
 			one, _ := l.choiceAt(c.Index, string(c.Reason))
@@ -51,12 +51,12 @@
 		engines := p.engineStates(now, l, exclude)
 		for i, s := range l.servers {
 			theirs, known := others[s.Life()]
-			engines[i].Reading += theirs.prefilling
+			engines[i].Prefilling += theirs.prefilling
 			engines[i].Running += theirs.running
 			engines[i].Excluded = engines[i].Excluded || among && !known
 		}
 		for _, best := range p.readOpen(now, l, engines, 1, true) {
-			unread = engines[best.Index].Reading
+			unread = engines[best.Index].Prefilling
 			l.loads[best.Index].prefilling++
 			return l.choiceAt(best.Index, string(best.Reason))
 		}
@@ -72,7 +72,7 @@
 // those that may not be sent to now by the limits that they name.
 func (p *pool) readOpen(now time.Time, l *serverSet, engines []prompts.Engine, n int, known bool) []prompts.Choice {
 	for {
-		list := prompts.Read(engines, n, known, rand.Uint64())
+		list := prompts.ChoosePrefillEngines(engines, n, known, rand.Uint64())
 		closed := false
 		for _, c := range list {
 			if !p.limits.canRequestPermit(now, l.servers[c.Index]) {
@@ -92,21 +92,21 @@
 		prompt = xxhash.Sum64String(part)
 	}
 	p.choose(view, service, func(l *serverSet) (choice, bool) {
-		servers = l.serversAt(prompts.Window(prompt, l.seats))
+		servers = l.serversAt(prompts.PlacementCandidates(prompt, l.seats))
 		return choice{}, false
 	})
 	return servers
 }
 
 // workReport is what this daemon has under way at one server, and for how long it suspects it.
-func (p *pool) workReport(now time.Time, life routing.Life) prompts.Note {
+func (p *pool) workReport(now time.Time, life routing.Life) prompts.DaemonLoad {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	one := p.loads[life]
 	if one == nil {
-		return prompts.Note{}
+		return prompts.DaemonLoad{}
 	}
-	return prompts.Note{Reading: one.prefilling, Running: one.running, Suspect: max(0, one.suspectUntil.Sub(now))}
+	return prompts.DaemonLoad{Prefilling: one.prefilling, Running: one.running, SuspectFor: max(0, one.suspectUntil.Sub(now))}
 }
 
 // localWork is what this daemon has under way at the engines of a service.
@@ -134,7 +134,7 @@
 func (p *pool) chooseReplicaEngine(now time.Time, view *feed.View, at routing.Server, exclude []routing.Life) (choice, bool) {
 	return p.choose(view, at.Service, func(l *serverSet) (choice, bool) {
 		engines := p.engineStates(now, l, append(slices.Clone(exclude), at.Life()))
-		return l.choiceAt(prompts.Copy(engines, at.Zone, rand.Uint64()), "")
+		return l.choiceAt(prompts.ChooseCopyEngine(engines, at.Zone, rand.Uint64()), "")
 	})
 }
 
@@ -153,7 +153,7 @@
 		if few = windowed(len(l.servers)); !few {
 			return choice{}, false
 		}
-		servers = l.serversAt(prompts.LookedAt(xxhash.Sum64String(part), l.seats))
+		servers = l.serversAt(prompts.LookupCandidates(xxhash.Sum64String(part), l.seats))
 		return choice{}, false
 	})
 	return servers, few
--- a/serve/forward/keepers.go
+++ b/serve/forward/keepers.go
@@ -22,7 +22,7 @@
 	boot uint64 // of this process
 
 	mu        sync.Mutex // guards the rest
-	ledger    prompts.Ledger[routing.Life]
+	ledger    prompts.LoadTable[routing.Life]
 	sequence  uint64
 	reporting map[routing.Life]bool // true: changed again since the note under way
 }
@@ -34,7 +34,7 @@
 // applies reports whether the engines of a service have keepers.
 func (k *workTracker) applies(view *feed.View, service string) bool {
 	return k.h.neighbours.dialer != nil && view.Config != nil && view.Config.Engine(service) != nil &&
-		len(view.VMs) > 1 && !prompts.Asks(len(view.VMs))
+		len(view.VMs) > 1 && !prompts.ShouldPollPeers(len(view.VMs))
 }
 
 // workChanged tells the keeper of an engine that this daemon's work there is another.
@@ -70,14 +70,14 @@
 // sendReport sends one note. One that is lost is mended by the next.
 func (k *workTracker) sendReport(s routing.Server) {
 	vms, hashes := routing.Serving(k.h.opts.Feed.View().VMs)
-	i := prompts.Keeper(xxhash.Sum64String(s.ID), hashes)
+	i := prompts.Tracker(xxhash.Sum64String(s.ID), hashes)
 	if i < 0 {
 		return
 	}
 	note := k.h.pool.workReport(time.Now(), s.Life())
 	k.mu.Lock()
 	k.sequence++
-	note.Boot, note.Sequence = k.boot, k.sequence
+	note.Incarnation, note.Sequence = k.boot, k.sequence
 	k.mu.Unlock()
 	self := k.h.opts.Self.ID
 	if vms[i].ID == self {
@@ -88,31 +88,31 @@
 		return
 	}
 	k.h.neighbours.sendReport(context.Background(), vms[i], &peerpb.NoteRequest{
-		Daemon: self, Boot: note.Boot, Sequence: note.Sequence,
+		Daemon: self, Boot: note.Incarnation, Sequence: note.Sequence,
 		Work: &peerpb.ServerWork{
-			Id: s.ID, Born: s.Born, Reading: int32(note.Reading), Running: int32(note.Running),
-			SuspectMs: note.Suspect.Milliseconds(),
+			Id: s.ID, Born: s.Born, Reading: int32(note.Prefilling), Running: int32(note.Running),
+			SuspectMs: note.SuspectFor.Milliseconds(),
 		},
 	})
 }
 
-func (k *workTracker) record(life routing.Life, daemon string, n prompts.Note) {
+func (k *workTracker) record(life routing.Life, daemon string, n prompts.DaemonLoad) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.ledger.Take(time.Now(), life, daemon, n)
+	k.ledger.Update(time.Now(), life, daemon, n)
 }
 
 // noted is what all daemons but one have told this one of an engine.
-func (k *workTracker) noted(life routing.Life, except string) prompts.Noted {
+func (k *workTracker) noted(life routing.Life, except string) prompts.LoadSum {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.ledger.At(time.Now(), life, except)
+	return k.ledger.Sum(time.Now(), life, except)
 }
 
 // workOf is what is noted of an engine. Each daemon that suspects it counts for a prompt that
 // is read there: it goes behind engines that are free, and before those that are crowded.
-func workOf(n prompts.Noted) workload {
-	return workload{prefilling: n.Reading + n.Suspects, running: n.Running}
+func workOf(n prompts.LoadSum) workload {
+	return workload{prefilling: n.Prefilling + n.SuspectedBy, running: n.Running}
 }
 
 // trackedWork is what the other daemons have under way at the engines of a prompt's window, as far
@@ -124,7 +124,7 @@
 	vms, hashes := routing.Serving(view.VMs)
 	asked := map[int][]routing.Life{} // by place in vms
 	for _, s := range k.h.pool.window(view, service, part) {
-		if i := prompts.Keeper(xxhash.Sum64String(s.ID), hashes); i >= 0 {
+		if i := prompts.Tracker(xxhash.Sum64String(s.ID), hashes); i >= 0 {
 			asked[i] = append(asked[i], s.Life())
 		}
 	}
@@ -166,8 +166,8 @@
 		return nil
 	}
 	for _, s := range reply.GetServers() {
-		told[routing.Life{ID: s.GetId(), Born: s.GetBorn()}] = workOf(prompts.Noted{
-			Reading: int(max(s.GetReading(), 0)), Running: int(max(s.GetRunning(), 0)), Suspects: int(max(s.GetSuspects(), 0)),
+		told[routing.Life{ID: s.GetId(), Born: s.GetBorn()}] = workOf(prompts.LoadSum{
+			Prefilling: int(max(s.GetReading(), 0)), Running: int(max(s.GetRunning(), 0)), SuspectedBy: int(max(s.GetSuspects(), 0)),
 		})
 	}
 	return told
@@ -180,10 +180,10 @@
 // Note implements peerpb.Work.
 func (t workService) Note(_ context.Context, q *peerpb.NoteRequest) (*peerpb.NoteReply, error) {
 	w := q.GetWork()
-	t.h.keepers.record(routing.Life{ID: w.GetId(), Born: w.GetBorn()}, q.GetDaemon(), prompts.Note{
-		Boot: q.GetBoot(), Sequence: q.GetSequence(),
-		Reading: int(max(w.GetReading(), 0)), Running: int(max(w.GetRunning(), 0)),
-		Suspect: time.Duration(w.GetSuspectMs()) * time.Millisecond,
+	t.h.keepers.record(routing.Life{ID: w.GetId(), Born: w.GetBorn()}, q.GetDaemon(), prompts.DaemonLoad{
+		Incarnation: q.GetBoot(), Sequence: q.GetSequence(),
+		Prefilling: int(max(w.GetReading(), 0)), Running: int(max(w.GetRunning(), 0)),
+		SuspectFor: time.Duration(w.GetSuspectMs()) * time.Millisecond,
 	})
 	return &peerpb.NoteReply{}, nil
 }
@@ -195,7 +195,7 @@
 		life := routing.Life{ID: s.GetId(), Born: s.GetBorn()}
 		n := t.h.keepers.noted(life, q.GetDaemon())
 		reply.Servers = append(reply.Servers, &peerpb.ServerWork{
-			Id: life.ID, Born: life.Born, Reading: int32(n.Reading), Running: int32(n.Running), Suspects: int32(n.Suspects),
+			Id: life.ID, Born: life.Born, Reading: int32(n.Prefilling), Running: int32(n.Running), Suspects: int32(n.SuspectedBy),
 		})
 	}
 	return reply, nil
--- a/serve/forward/layout.go
+++ b/serve/forward/layout.go
@@ -15,7 +15,7 @@
 	servers []routing.Server
 	loads   []*serverLoad
 	home    []bool
-	seats   []prompts.Seat
+	seats   []prompts.HashedEngine
 	table   *route.Table
 	index   map[string]int // by id
 }
@@ -57,7 +57,7 @@
 		l.servers = append(l.servers, s)
 		l.loads = append(l.loads, one)
 		hash := xxhash.Sum64String(s.ID)
-		l.seats = append(l.seats, prompts.Seat{Zone: s.Zone, Hash: hash})
+		l.seats = append(l.seats, prompts.HashedEngine{Zone: s.Zone, Hash: hash})
 		candidates = append(candidates, route.Candidate{ID: s.ID, Hash: hash, Rank: p.rank(s), Load: &one.calls})
 	}
 	l.table = route.NewTable(candidates)
@@ -124,7 +124,7 @@
 		return l.home
 	}
 	home := make([]bool, len(l.servers))
-	for _, i := range prompts.Window(xxhash.Sum64String(part), l.seats) {
+	for _, i := range prompts.PlacementCandidates(xxhash.Sum64String(part), l.seats) {
 		home[i] = true
 	}
 	return home
--- a/serve/forward/neighbours.go
+++ b/serve/forward/neighbours.go
@@ -56,7 +56,7 @@
 // totalWork is the sum of what the others have under way at the engines of a service; ok is
 // false where they are too many to be asked, or none of them answered.
 func (n *peerClient) totalWork(ctx context.Context, view *feed.View, service string) (sum workloads, ok bool) {
-	if n.dialer == nil || !prompts.Asks(len(view.VMs)) {
+	if n.dialer == nil || !prompts.ShouldPollPeers(len(view.VMs)) {
 		return nil, false
 	}
 	var all sync.WaitGroup
@@ -182,8 +182,8 @@
 	for _, vm := range peers[:min(paceAsked, len(peers))] {
 		all.Go(func() {
 			if reply, err := h.neighbours.queryPace(ctx, vm, service); err == nil {
-				h.pressure.mergeEstimates(service, prompts.Learned{
-					PerToken: reply.GetPerToken(), PerEvent: reply.GetPerEvent(),
+				h.pressure.mergeEstimates(service, prompts.Estimates{
+					PrefillNsPerToken: reply.GetPerToken(), NsPerEvent: reply.GetPerEvent(),
 					Events: reply.GetEvents(), Answers: int(min(reply.GetAnswers(), math.MaxInt32)),
 				})
 			}
@@ -207,7 +207,7 @@
 // Pace implements peerpb.Work.
 func (t workService) Pace(_ context.Context, q *peerpb.WorkRequest) (*peerpb.PaceReply, error) {
 	l := t.h.pressure.learned(q.GetService())
-	return &peerpb.PaceReply{PerToken: l.PerToken, PerEvent: l.PerEvent, Events: l.Events, Answers: int64(l.Answers)}, nil
+	return &peerpb.PaceReply{PerToken: l.PrefillNsPerToken, PerEvent: l.NsPerEvent, Events: l.Events, Answers: int64(l.Answers)}, nil
 }
 
 // WorkService returns the twirp service that other daemons call, and its path prefix.
--- a/serve/forward/permits.go
+++ b/serve/forward/permits.go
@@ -81,7 +81,7 @@
 	if l.h.neighbours.dialer == nil {
 		hashes = nil
 	}
-	for _, i := range rendezvous.Nearest(xxhash.Sum64String(one.server.ID), hashes, permitGivers) {
+	for _, i := range rendezvous.Select(xxhash.Sum64String(one.server.ID), hashes, permitGivers) {
 		if vms[i].ID == l.h.opts.Self.ID {
 			if l.acknowledged(one) {
 				return l.issue(one, q.GetLimit().GetRate())
--- a/serve/forward/place.go
+++ b/serve/forward/place.go
@@ -67,8 +67,8 @@
 		// The prompt itself is counted there by now.
 		if seen := asked.sampleLoads(ctx, []choice{c}, 1); len(seen) == 1 {
 			best := seen[0]
-			best.report.Unread = max(best.report.Unread, unread) // a report lags
-			if best.report.Free(r.in.call.PromptTokens) {
+			best.report.PendingPrompts = max(best.report.PendingPrompts, unread) // a report lags
+			if best.report.CanPrefillNow(r.in.call.PromptTokens) {
 				return best, true
 			}
 		}
@@ -97,7 +97,7 @@
 			excluded = append(excluded, c.server.Life())
 		}
 		seen = append(seen, asked.sampleLoads(ctx, candidates, 0)...)
-		if c, ok := r.leastLoaded(seen); ok && c.report.Free(r.in.call.PromptTokens) {
+		if c, ok := r.leastLoaded(seen); ok && c.report.CanPrefillNow(r.in.call.PromptTokens) {
 			return c, true
 		}
 	}
@@ -120,7 +120,7 @@
 	for i, s := range seen {
 		reports[i] = s.report
 	}
-	i := prompts.Quietest(reports, r.in.call.PromptTokens)
+	i := prompts.LeastLoaded(reports, r.in.call.PromptTokens)
 	if i < 0 {
 		return sampledEngine{}, false
 	}
@@ -139,7 +139,7 @@
 				return
 			}
 			load := report.loadReport()
-			load.Unread = max(load.Unread, q.h.pool.prefillCount(c)-counted) // a report lags
+			load.PendingPrompts = max(load.PendingPrompts, q.h.pool.prefillCount(c)-counted) // a report lags
 			answers[i] = &sampledEngine{choice: c, report: load, answered: true}
 		})
 	}
--- a/serve/forward/poisonfleet.go
+++ b/serve/forward/poisonfleet.go
@@ -30,7 +30,7 @@
 		return
 	}
 	vms, hashes := routing.Serving(p.h.opts.Feed.View().VMs)
-	for _, i := range rendezvous.Nearest(xxhash.Sum64String(digest), hashes, poisonKeepers) {
+	for _, i := range rendezvous.Select(xxhash.Sum64String(digest), hashes, poisonKeepers) {
 		if vms[i].ID != p.h.opts.Self.ID {
 			go tell(vms[i])
 		}
--- a/serve/forward/pool.go
+++ b/serve/forward/pool.go
@@ -51,7 +51,7 @@
 	successors map[routing.Life]routing.Life
 	// down are the servers that failed and have not been back since, by address.
 	down     map[string]downServer
-	absences map[string]*absence.Absence // by service
+	absences map[string]*absence.Estimator // by service
 	// onWorkChanged is told of servers at which this daemon's prompts, answers or suspicion are
 	// others than before. It is called without the lock.
 	onWorkChanged func(routing.Server)
@@ -72,7 +72,7 @@
 		self: self, startedAt: time.Now(), retryRule: rule, layouts: map[string]*serverSet{},
 		loads: map[routing.Life]*serverLoad{}, budgets: map[string]*repeats.Budget{},
 		successors: map[routing.Life]routing.Life{},
-		down:       map[string]downServer{}, absences: map[string]*absence.Absence{},
+		down:       map[string]downServer{}, absences: map[string]*absence.Estimator{},
 		onWorkChanged: func(routing.Server) {}, versions: versions,
 	}
 }
--- a/serve/forward/pressure.go
+++ b/serve/forward/pressure.go
@@ -19,7 +19,7 @@
 
 // servicePressure is what was learned of one service.
 type servicePressure struct {
-	pace     prompts.Pace
+	pace     prompts.Estimator
 	throttle throttle.Throttle
 	refusing retryafter.Streak // of refusals by this daemon
 }
@@ -35,57 +35,57 @@
 // isPrefillTooLate reports whether a prompt cannot be read in the time that is left.
 func (p *pressure) isPrefillTooLate(service string, tokens int, left time.Duration) bool {
 	defer p.mu.Unlock()
-	return p.lockService(service).pace.Hopeless(tokens, left)
+	return p.lockService(service).pace.CannotPrefillWithin(tokens, left)
 }
 
 // isAnswerTooLate reports whether an answer cannot be whole in the time that is left, where
 // its prompt is still to be read or not.
 func (p *pressure) isAnswerTooLate(service string, c Call, unread bool, left time.Duration) bool {
 	defer p.mu.Unlock()
-	return p.lockService(service).pace.Unfinishable(c.PromptTokens, unread, c.LastEventID, left)
+	return p.lockService(service).pace.CannotFinishWithin(c.PromptTokens, unread, c.LastEventID, left)
 }
 
 // hasEstimates reports whether enough answers were seen to tell which cannot be whole in time.
 func (p *pressure) hasEstimates(service string) bool {
 	defer p.mu.Unlock()
-	return p.lockService(service).pace.Knows()
+	return p.lockService(service).pace.HasEnoughAnswers()
 }
 
 // learned is what was learned of the engines of a service, here and from others.
-func (p *pressure) learned(service string) prompts.Learned {
+func (p *pressure) learned(service string) prompts.Estimates {
 	defer p.mu.Unlock()
-	return p.lockService(service).pace.Learned()
+	return p.lockService(service).pace.Estimates()
 }
 
 // mergeEstimates takes in what another daemon learned.
-func (p *pressure) mergeEstimates(service string, l prompts.Learned) {
+func (p *pressure) mergeEstimates(service string, l prompts.Estimates) {
 	defer p.mu.Unlock()
-	p.lockService(service).pace.Hear(l)
+	p.lockService(service).pace.Merge(l)
 }
 
 // recordAnswer records a whole answer: the ids of its events from first to last are counted, and
 // the time that those after the first took.
 func (p *pressure) recordAnswer(service string, events int64, took time.Duration) {
 	defer p.mu.Unlock()
-	p.lockService(service).pace.Made(events, took)
+	p.lockService(service).pace.ObserveAnswer(events, took)
 }
 
 // recordPrompt records that a prompt is to be read.
 func (p *pressure) recordPrompt(service string, tokens int) {
 	defer p.mu.Unlock()
-	p.lockService(service).pace.Asked(tokens)
+	p.lockService(service).pace.ObservePrompt(tokens)
 }
 
 // recordPrefill records the time that a prompt took to its first event.
 func (p *pressure) recordPrefill(service string, tokens int, took time.Duration) {
 	defer p.mu.Unlock()
-	p.lockService(service).pace.Observe(tokens, took)
+	p.lockService(service).pace.ObservePrefill(tokens, took)
 }
 
 // recordDuration records how long an answer took.
 func (p *pressure) recordDuration(service string, took time.Duration) {
 	defer p.mu.Unlock()
-	p.lockService(service).pace.Ended(took)
+	p.lockService(service).pace.ObserveAnswerTime(took)
 }
 
 // admit decides whether a prompt is sent to an engine that reports r.
@@ -97,7 +97,7 @@
 // firstEventBudget is how long the first event of a request may still take.
 func (p *pressure) firstEventBudget(service string, in *inbound, left time.Duration) time.Duration {
 	defer p.mu.Unlock()
-	return p.lockService(service).pace.Due(in.call.PromptTokens, in.route.Objective, in.route.Timeout, left)
+	return p.lockService(service).pace.FirstEventBudget(in.call.PromptTokens, in.route.Objective, in.route.Timeout, left)
 }
 
 // recordRefusal records that a prompt is refused for want of room. It returns for how long
@@ -105,7 +105,7 @@
 func (p *pressure) recordRefusal(now time.Time, service string) (lasted, answer time.Duration) {
 	defer p.mu.Unlock()
 	s := p.lockService(service)
-	return s.refusing.Extend(now), s.pace.Answer()
+	return s.refusing.Extend(now), s.pace.MeanAnswerTime()
 }
 
 // throttle reports whether a call is refused because the servers turn calls away,
--- a/serve/forward/stream.go
+++ b/serve/forward/stream.go
@@ -254,7 +254,7 @@
 		due = r.h.pressure.firstEventBudget(r.service, r.in, due)
 	}
 	admission = r.h.pressure.admit(r.service, best.report, r.in.call.PromptTokens, due)
-	if owed && admission == prompts.NoRoom {
+	if owed && admission == prompts.NoMemory {
 		admission = prompts.Admitted
 	}
 	return admission, due
@@ -270,7 +270,7 @@
 	back := retryafter.AfterOverload(lasted, max(answer, r.in.route.Objective), rand.Float64())
 	r.h.metrics.overloadRefusals.WithLabelValues(admission.String()).Inc()
 	r.h.opts.Log.Emit(event.PromptRefused, r.in.call.ID, best.server.ID, admission.String(), r.in.call.PromptTokens,
-		best.report.Unread, best.report.Used, best.report.Memory, due, lasted, answer)
+		best.report.PendingPrompts, best.report.UsedTokens, best.report.CapacityTokens, due, lasted, answer)
 	return verdict.New(r.verdict(), verdict.CodeOverloaded, "engines have no room for the prompt (%s)", admission).WithRetryAfter(back)
 }
 
--- a/serve/forward/trial.go
+++ b/serve/forward/trial.go
@@ -101,7 +101,7 @@
 	asked := r.h.newProbeRound()
 	defer asked.suspectSilent()
 	best, ok := r.leastLoaded(asked.sampleLoads(ctx, list, 0))
-	if !ok || !best.report.Free(r.in.call.PromptTokens) || !r.tryAcquirePermit(ctx, best.choice) {
+	if !ok || !best.report.CanPrefillNow(r.in.call.PromptTokens) || !r.tryAcquirePermit(ctx, best.choice) {
 		return choice{}, false
 	}
 	if admission, _ := r.admission(best); admission != prompts.Admitted {
--- a/serve/versions/report.go
+++ b/serve/versions/report.go
@@ -68,7 +68,7 @@
 func nearest(view *feed.View, service string) []routing.VM {
 	vms, hashes := routing.Serving(view.VMs)
 	var list []routing.VM
-	for _, i := range rendezvous.Nearest(xxhash.Sum64String(service), hashes, deciders) {
+	for _, i := range rendezvous.Select(xxhash.Sum64String(service), hashes, deciders) {
 		list = append(list, vms[i])
 	}
 	return list
