--- a/decision/prompts/admit.go
+++ b/decision/prompts/admit.go
@@ -31,7 +31,7 @@
 // case, as by a prompt that takes longer to read alone: refused for that, the largest
 // prompts would be turned away again and again beside idle engines.
 func (p *Estimator) FirstEventBudget(tokens int, objective, timeout, left time.Duration) time.Duration {
-	if onTime := objective - max(timeout-left, 0); onTime > p.Wait(0, tokens) {
+	if onTime := objective - max(timeout-left, 0); onTime > p.TimeToFirstEvent(0, tokens) {
 		return onTime
 	}
 	return time.Duration(lateShare * float64(left))
@@ -54,7 +54,7 @@
 // counted as the mean of all.
 func (p *Estimator) Admit(r Report, tokens int, due time.Duration) Admission {
 	switch {
-	case r.PendingPrompts > 0 && p.Wait(r.PendingPrompts, tokens) > due:
+	case r.PendingPrompts > 0 && p.TimeToFirstEvent(r.PendingPrompts, tokens) > due:
 		return TooLate
 	case r.CapacityTokens > 0 && r.UsedTokens+r.PendingPrompts*int(p.tokens)+tokens > r.CapacityTokens:
 		return NoMemory
--- a/decision/prompts/pace.go
+++ b/decision/prompts/pace.go
@@ -59,9 +59,9 @@
 	return mean + meanWeight*(value-mean)
 }
 
-// Wait is about how long the first event of a prompt takes at an engine that reads
+// TimeToFirstEvent is about how long the first event of a prompt takes at an engine that reads
 // unread others before it; 0 where no prompt was seen to be read yet.
-func (p *Estimator) Wait(unread, tokens int) time.Duration {
+func (p *Estimator) TimeToFirstEvent(unread, tokens int) time.Duration {
 	others := max(float64(unread)-halfRead, 0) * p.tokens
 	return time.Duration(besideRuns * p.perToken * (others + float64(tokens)))
 }
--- a/decision/prompts/prompts.go
+++ b/decision/prompts/prompts.go
@@ -184,15 +184,15 @@
 // after they were placed, answers grow by a tenth of their prompts, and reports lag.
 const fullShare = 0.75
 
-// Fits reports whether the engine has room for so many more tokens. Without room
+// HasCapacity reports whether the engine has room for so many more tokens. Without room
 // it throws out the newest of the runs there, in the middle of its answer, and
 // reads that one's prompt again.
-func (r Report) Fits(tokens int) bool {
+func (r Report) HasCapacity(tokens int) bool {
 	return r.CapacityTokens == 0 || float64(r.UsedTokens+tokens) <= fullShare*float64(r.CapacityTokens)
 }
 
 // CanPrefillNow reports whether a prompt of so many tokens would be read at once.
-func (r Report) CanPrefillNow(tokens int) bool { return r.PendingPrompts == 0 && r.Fits(tokens) }
+func (r Report) CanPrefillNow(tokens int) bool { return r.PendingPrompts == 0 && r.HasCapacity(tokens) }
 
 // LeastLoaded returns the index of the engine that has room for a prompt, where it
 // waits least, and among equals the one where reading it delays the fewest running
@@ -208,7 +208,7 @@
 }
 
 func (r Report) before(other Report, tokens int) bool {
-	if fits := r.Fits(tokens); fits != other.Fits(tokens) {
+	if fits := r.HasCapacity(tokens); fits != other.HasCapacity(tokens) {
 		return fits
 	}
 	if r.PendingPrompts != other.PendingPrompts {
--- a/decision/prompts/prompts_test.go
+++ b/decision/prompts/prompts_test.go
@@ -88,8 +88,8 @@
 }
 
 func TestFits(t *testing.T) {
-	must.True(t, Report{}.Fits(8000))
-	must.True(t, Report{UsedTokens: 52000, CapacityTokens: 80000}.Fits(8000))
-	must.False(t, Report{UsedTokens: 52001, CapacityTokens: 80000}.Fits(8000))
+	must.True(t, Report{}.HasCapacity(8000))
+	must.True(t, Report{UsedTokens: 52000, CapacityTokens: 80000}.HasCapacity(8000))
+	must.False(t, Report{UsedTokens: 52001, CapacityTokens: 80000}.HasCapacity(8000))
 	must.False(t, Report{PendingPrompts: 1, CapacityTokens: 80000}.CanPrefillNow(8000))
 }
--- a/lab/bench/prompts/world.go
+++ b/lab/bench/prompts/world.go
@@ -218,7 +218,7 @@
 	engines := w.view(now, r.daemon, false)
 	engines[r.at.id].Excluded = true
 	for i, report := range w.reports {
-		engines[i].Excluded = engines[i].Excluded || !report.Fits(r.prompt)
+		engines[i].Excluded = engines[i].Excluded || !report.HasCapacity(r.prompt)
 	}
 	i := decide.ChooseCopyEngine(engines, string(rune('a'+r.at.zone)), w.random.Uint64())
 	if i >= 0 {
--- a/serve/forward/spare.go
+++ b/serve/forward/spare.go
@@ -199,7 +199,7 @@
 			return choice{}, false
 		}
 		report, err := asked.probe(ctx, c.server, fastProbeTimeout)
-		if err == nil && report.loadReport().Fits(r.in.call.PromptTokens) {
+		if err == nil && report.loadReport().HasCapacity(r.in.call.PromptTokens) {
 			return c, true
 		}
 		excluded = append(excluded, c.server.Life())
