--- a/cmd/mallowctl/refused.go
+++ b/cmd/mallowctl/refused.go
@@ -67,7 +67,7 @@
 	return nil
 }
 
-func writeRefused(out io.Writer, list []feed.Refused) {
+func writeRefused(out io.Writer, list []feed.RefusedRequest) {
 	if len(list) == 0 {
 		fmt.Fprintln(out, "no request is refused")
 	}
@@ -90,7 +90,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
-	err = feed.Lift(ctx, s, c.Digest)
+	err = feed.DeleteRefused(ctx, s, c.Digest)
 	if errors.Is(err, store.ErrNotFound) {
 		return usageError{errors.Errorf("no request is refused with the digest %q", c.Digest)}
 	}
--- a/cmd/mallowctl/rollout.go
+++ b/cmd/mallowctl/rollout.go
@@ -63,8 +63,8 @@
 				r.Status.Share, time.UnixMilli(r.Status.Due).UTC().Format(time.RFC3339))
 		case r.Order != nil:
 			fmt.Fprintf(out, "%s  ordered  to %s  in %v\n", service, r.Order.Target, r.Order.Period)
-		case r.Refused != nil:
-			fmt.Fprintf(out, "%s  order cannot be carried out: %v\n", service, r.Refused)
+		case r.OrderErr != nil:
+			fmt.Fprintf(out, "%s  order cannot be carried out: %v\n", service, r.OrderErr)
 		}
 	}
 }
--- a/control/feed/feed.go
+++ b/control/feed/feed.go
@@ -40,21 +40,21 @@
 	// VMs are the entry VMs that serve.
 	VMs []routing.VM
 	// Refused are the requests that are sent to no server, by digest.
-	Refused map[string]Refused
+	Refused map[string]RefusedRequest
 	// Rollouts are those of which something lies in the store, by service.
 	Rollouts map[string]Rollout
-	// Before is the Clock when all before this view was last confirmed; 0 before the first.
-	Before time.Duration
-	// Published is when this became the view; zero before the first.
-	Published time.Time
+	// PreviousConfirmedAt is the Clock when all before this view was last confirmed; 0 before the first.
+	PreviousConfirmedAt time.Duration
+	// PublishedAt is when this became the view; zero before the first.
+	PublishedAt time.Time
 	// departed are the servers that leave or are gone.
 	departed map[string]time.Duration
 	// plan says which of VMs watch the store and who asks whom; nil before the first.
 	plan *watching.Plan
 }
 
-// Departed reports whether a server is known to leave or to be gone.
-func (v *View) Departed(id string) bool {
+// HasDeparted reports whether a server is known to leave or to be gone.
+func (v *View) HasDeparted(id string) bool {
 	_, ok := v.departed[id]
 	return ok
 }
@@ -121,9 +121,9 @@
 // View returns the present view.
 func (m *Manager) View() *View { return m.view.Load() }
 
-// Age is how long ago the configuration in the view was certainly the newest;
+// ConfigAge is how long ago the configuration in the view was certainly the newest;
 // ok is false where none was ever seen.
-func (m *Manager) Age() (age time.Duration, ok bool) {
+func (m *Manager) ConfigAge() (age time.Duration, ok bool) {
 	age, ok = m.storeAge()
 	return age, ok && m.View().Config != nil
 }
@@ -164,7 +164,7 @@
 func (m *Manager) publish() {
 	if m.table.expire(m.opts.Clock()) || m.table.dirty {
 		view := m.table.view()
-		view.Published, view.Before = time.Now(), time.Duration(m.confirmed.Load())
+		view.PublishedAt, view.PreviousConfirmedAt = time.Now(), time.Duration(m.confirmed.Load())
 		m.view.Store(view)
 		m.table.dirty = false
 	}
@@ -189,8 +189,8 @@
 	m.publish()
 }
 
-// Known is closed once a configuration is in force.
-func (m *Manager) Known() <-chan struct{} { return m.known }
+// ConfigReady is closed once a configuration is in force.
+func (m *Manager) ConfigReady() <-chan struct{} { return m.known }
 
 // lost notes that the store does not answer. Servers kept in doubt still end.
 func (m *Manager) lost(err error) {
--- a/control/feed/fleet_test.go
+++ b/control/feed/fleet_test.go
@@ -137,7 +137,7 @@
 		time.Sleep(4 * time.Second)
 		must.Eq(t, int64(2), f.version(1))
 		must.MapLen(t, 1, f.feeds[1].View().Servers)
-		age, known := f.feeds[1].Age()
+		age, known := f.feeds[1].ConfigAge()
 		must.True(t, known)
 		must.Less(t, 3*time.Second, age)
 		f.ways[1].SetDown(false)
@@ -197,15 +197,15 @@
 		}
 		time.Sleep(10 * time.Second)
 		for _, m := range f.feeds {
-			age, known := m.Age()
+			age, known := m.ConfigAge()
 			must.True(t, known)
 			must.GreaterEq(t, 10*time.Second, age)
-			must.True(t, m.Outage())
+			must.True(t, m.IsStoreDown())
 		}
 		f.ways[0].SetDown(false)
 		time.Sleep(3 * time.Second)
 		for _, m := range f.feeds {
-			must.False(t, m.Outage())
+			must.False(t, m.IsStoreDown())
 		}
 	})
 }
@@ -275,7 +275,7 @@
 		for range 10 {
 			time.Sleep(500 * time.Millisecond)
 			for _, m := range f.feeds {
-				age, known := m.Age()
+				age, known := m.ConfigAge()
 				must.True(t, known)
 				must.Less(t, 4500*time.Millisecond, age)
 			}
@@ -443,7 +443,7 @@
 		f.ways[0].SetDown(false)
 		for time.Since(written) < 8*time.Second {
 			time.Sleep(time.Millisecond)
-			if age, known := f.feeds[1].Age(); known && f.version(1) < 2 {
+			if age, known := f.feeds[1].ConfigAge(); known && f.version(1) < 2 {
 				must.GreaterEq(f.t, time.Since(written), age)
 			}
 		}
--- a/control/feed/follow.go
+++ b/control/feed/follow.go
@@ -48,8 +48,8 @@
 	settleTime = 500 * time.Millisecond
 )
 
-// Batches is how many batches of changes a daemon that watches takes a second at most.
-const Batches = float64(time.Second) / float64(batchPause)
+// MaxBatchesPerSecond is how many batches of changes a daemon that watches takes a second at most.
+const MaxBatchesPerSecond = float64(time.Second) / float64(batchPause)
 
 // Run follows the store, and other daemons while the store is out of reach,
 // until ctx ends.
@@ -114,7 +114,7 @@
 		return watcherPause
 	case view.plan.IsWatcher(m.opts.Self):
 		return retryPause
-	case m.Outage():
+	case m.IsStoreDown():
 		return max(outagePause, time.Duration(all/outageTries*float64(time.Second)))
 	case m.alone():
 		return outagePause
--- a/control/feed/metrics.go
+++ b/control/feed/metrics.go
@@ -24,8 +24,8 @@
 	}, []string{"purpose", "result"})
 }
 
-// CountCall counts a call to the store and logs it. It is a store.Observer.
-func (m *Manager) CountCall(c store.Call) {
+// ObserveCall counts a call to the store and logs it. It is a store.Observer.
+func (m *Manager) ObserveCall(c store.Call) {
 	m.calls.WithLabelValues(string(c.Purpose), c.Result()).Inc()
 	m.opts.Log.Emit(event.StoreCall, c.Purpose, c.Path, c.Result(), c.Took)
 }
@@ -46,7 +46,7 @@
 			return 0
 		}),
 		gauge("config_age_seconds", "Time since the configuration was certainly the newest; -1 while none is known.", func() float64 {
-			age, ok := m.Age()
+			age, ok := m.ConfigAge()
 			if !ok {
 				return -1
 			}
--- a/control/feed/peers.go
+++ b/control/feed/peers.go
@@ -196,9 +196,9 @@
 	return !reply.GetLost() && !old && reply.GetRevision() != 0
 }
 
-// Outage reports whether the store seems to be out of reach for every daemon: a
+// IsStoreDown reports whether the store seems to be out of reach for every daemon: a
 // daemon that was asked has waited for it as long as this one.
-func (m *Manager) Outage() bool {
+func (m *Manager) IsStoreDown() bool {
 	age, known := m.storeAge()
 	return m.outage.Load() && (!known || age >= askAge)
 }
--- a/control/feed/refused.go
+++ b/control/feed/refused.go
@@ -21,8 +21,8 @@
 	refuseTimeout = 2 * time.Second
 )
 
-// Refused is a request that is sent to no server, because it ends those that run it.
-type Refused struct {
+// RefusedRequest is a request that is sent to no server, because it ends those that run it.
+type RefusedRequest struct {
 	// Digest names the request in all its attempts; it is the end of the key.
 	Digest  string `json:"digest"`
 	Account string `json:"account,omitempty"`
@@ -40,26 +40,26 @@
 
 // readRefused reads the entry of a refused request, of which the key alone decides. What
 // cannot be read leaves it without details.
-func readRefused(kv store.KV) Refused {
-	var r Refused
+func readRefused(kv store.KV) RefusedRequest {
+	var r RefusedRequest
 	if err := json.Unmarshal(kv.Value, &r); err != nil {
-		r = Refused{}
+		r = RefusedRequest{}
 	}
 	r.Digest = strings.TrimPrefix(kv.Key, refusedPrefix)
 	return r
 }
 
-// ErrRefusedFull means that as many requests are refused as the store is to hold.
-var ErrRefusedFull = errors.New("feed: too many refused requests")
+// ErrTooManyRefused means that as many requests are refused as the store is to hold.
+var ErrTooManyRefused = errors.New("feed: too many refused requests")
 
-// Refuse writes the entry of a request that is to be refused, unless there is one.
-func (m *Manager) Refuse(ctx context.Context, r Refused) error {
+// AddRefused writes the entry of a request that is to be refused, unless there is one.
+func (m *Manager) AddRefused(ctx context.Context, r RefusedRequest) error {
 	refused := m.View().Refused
 	if _, known := refused[r.Digest]; known {
 		return nil
 	}
 	if len(refused) >= maxRefused {
-		return ErrRefusedFull
+		return ErrTooManyRefused
 	}
 	r.By, r.At = m.opts.Self, time.Now()
 	raw, err := json.Marshal(r)
@@ -77,20 +77,20 @@
 
 // ListRefused returns the requests that are refused by entries in a store, in the order of
 // their digests. An entry that cannot be read has nothing but its digest.
-func ListRefused(ctx context.Context, s store.Store) ([]Refused, error) {
+func ListRefused(ctx context.Context, s store.Store) ([]RefusedRequest, error) {
 	kvs, _, err := s.List(ctx, refusedPrefix)
 	if err != nil {
 		return nil, err
 	}
-	list := make([]Refused, len(kvs))
+	list := make([]RefusedRequest, len(kvs))
 	for i, kv := range kvs {
 		list[i] = readRefused(kv)
 	}
 	return list, nil
 }
 
-// Lift removes the entry of a refused request; store.ErrNotFound means that there is none.
-func Lift(ctx context.Context, s store.Store, digest string) error {
+// DeleteRefused removes the entry of a refused request; store.ErrNotFound means that there is none.
+func DeleteRefused(ctx context.Context, s store.Store, digest string) error {
 	kv, err := s.Get(ctx, RefusedKey(digest))
 	if err != nil {
 		return err
--- a/control/feed/refused_test.go
+++ b/control/feed/refused_test.go
@@ -27,7 +27,7 @@
 		f.startRegistered()
 		time.Sleep(3 * time.Second)
 		for _, m := range f.feeds[:2] {
-			must.NoError(t, m.Refuse(f.ctx, Refused{Digest: "abc", Route: "r"}))
+			must.NoError(t, m.AddRefused(f.ctx, RefusedRequest{Digest: "abc", Route: "r"}))
 		}
 		time.Sleep(2 * time.Second)
 		for _, m := range f.feeds {
@@ -44,10 +44,10 @@
 	}
 	list, err := ListRefused(t.Context(), s)
 	must.NoError(t, err)
-	must.Eq(t, []Refused{
+	must.Eq(t, []RefusedRequest{
 		{Digest: "a", Account: "mill", Route: "r", Servers: []string{"s-1"}},
 		{Digest: "b", Account: "mill", Route: "r", Servers: []string{"s-1"}},
 	}, list)
-	must.NoError(t, Lift(t.Context(), s, "a"))
-	must.ErrorIs(t, Lift(t.Context(), s, "a"), store.ErrNotFound)
+	must.NoError(t, DeleteRefused(t.Context(), s, "a"))
+	must.ErrorIs(t, DeleteRefused(t.Context(), s, "a"), store.ErrNotFound)
 }
--- a/control/feed/register.go
+++ b/control/feed/register.go
@@ -46,8 +46,8 @@
 	Store store.Store
 	VM    routing.VM
 	Log   *event.Log
-	// LeaseMin is the shortest lease that the store grants.
-	LeaseMin time.Duration
+	// MinLeaseTTL is the shortest lease that the store grants.
+	MinLeaseTTL time.Duration
 	// Feed knows the entry that the process before left, and whether the present one is
 	// still there. It may be nil.
 	Feed *Manager
@@ -90,7 +90,7 @@
 		return
 	}
 	began := r.Feed.opts.Clock()
-	for r.Feed.Outage() && r.Feed.opts.Clock()-began < outageRegisterPause {
+	for r.Feed.IsStoreDown() && r.Feed.opts.Clock()-began < outageRegisterPause {
 		if !pause.For(ctx, outageCheck/2+rand.N(outageCheck)) {
 			return
 		}
@@ -98,7 +98,7 @@
 }
 
 // ttl is how long the entry outlives its last renewal.
-func (r *Registrar) ttl() time.Duration { return max(leaseTTL, r.LeaseMin) }
+func (r *Registrar) ttl() time.Duration { return max(leaseTTL, r.MinLeaseTTL) }
 
 // adopt goes on with the entry and the lease that the process before left, if they say
 // what is to be said. Without it a fleet whose daemons all start again writes all entries
--- a/control/feed/register_test.go
+++ b/control/feed/register_test.go
@@ -129,6 +129,6 @@
 // shorter time would be renewed too often, one that is refused never registered.
 func TestLeaseIsNoShorterThanTheStoreGrants(t *testing.T) {
 	for least, want := range map[time.Duration]time.Duration{0: leaseTTL, time.Second: leaseTTL, time.Minute: time.Minute} {
-		must.Eq(t, want, (&Registrar{LeaseMin: least}).ttl())
+		must.Eq(t, want, (&Registrar{MinLeaseTTL: least}).ttl())
 	}
 }
--- a/control/feed/rollouts.go
+++ b/control/feed/rollouts.go
@@ -17,12 +17,12 @@
 type RolloutSchema interface {
 	// RolloutPrefixes begin all keys that concern roll-outs.
 	RolloutPrefixes() []string
-	// RolloutOrder returns the service whose roll-out the entry of a key orders, if any.
-	RolloutOrder(key string) (service string, ok bool)
+	// RolloutOrderService returns the service whose roll-out the entry of a key orders, if any.
+	RolloutOrderService(key string) (service string, ok bool)
 	DecodeRolloutOrder(service string, raw []byte) (routing.RolloutOrder, error)
-	// RolloutStatus returns the service of whose roll-out a key holds the status, if any, and
+	// RolloutStatusService returns the service of whose roll-out a key holds the status, if any, and
 	// RolloutStatusKey the key.
-	RolloutStatus(key string) (service string, ok bool)
+	RolloutStatusService(key string) (service string, ok bool)
 	RolloutStatusKey(service string) string
 	DecodeRolloutStatus(raw []byte) (routing.RolloutStatus, error)
 	EncodeRolloutStatus(routing.RolloutStatus) ([]byte, error)
@@ -31,8 +31,8 @@
 // Rollout is what lies in the store of a service's roll-out.
 type Rollout struct {
 	// Order is nil where there is none that can be read; Refused says why.
-	Order   *routing.RolloutOrder
-	Refused error
+	Order    *routing.RolloutOrder
+	OrderErr error
 	// Status is nil where there is none that can be read. StatusRevision is that of its entry all
 	// the same.
 	Status         *routing.RolloutStatus
@@ -41,7 +41,7 @@
 
 // putRollout takes in an entry of a roll-out, if it is one.
 func (t *table) putRollout(kv store.KV) bool {
-	if service, ok := t.schema.RolloutOrder(kv.Key); ok {
+	if service, ok := t.schema.RolloutOrderService(kv.Key); ok {
 		one := t.rollouts[service]
 		order, err := t.schema.DecodeRolloutOrder(service, kv.Value)
 		if err == nil {
@@ -49,17 +49,17 @@
 		}
 		if err != nil {
 			t.refuse(kv.Key, err)
-			one.Order, one.Refused = nil, err
+			one.Order, one.OrderErr = nil, err
 		} else {
 			delete(t.refusals, kv.Key)
 			order.Revision = kv.Version
-			one.Order, one.Refused = &order, nil
+			one.Order, one.OrderErr = &order, nil
 		}
 		t.rollouts[service] = one
 		t.changes++
 		return true
 	}
-	service, ok := t.schema.RolloutStatus(kv.Key)
+	service, ok := t.schema.RolloutStatusService(kv.Key)
 	if !ok {
 		return false
 	}
@@ -111,12 +111,12 @@
 
 // removeRollout takes away an entry of a roll-out.
 func (t *table) removeRollout(key string) {
-	if service, ok := t.schema.RolloutOrder(key); ok {
+	if service, ok := t.schema.RolloutOrderService(key); ok {
 		one := t.rollouts[service]
-		one.Order, one.Refused = nil, nil
+		one.Order, one.OrderErr = nil, nil
 		t.rollouts[service] = one
 	}
-	if service, ok := t.schema.RolloutStatus(key); ok {
+	if service, ok := t.schema.RolloutStatusService(key); ok {
 		one := t.rollouts[service]
 		one.Status, one.StatusRevision = nil, 0
 		t.rollouts[service] = one
@@ -141,8 +141,8 @@
 // RolloutPrefixes implements RolloutSchema.
 func (OwnRollouts) RolloutPrefixes() []string { return []string{ownOrderPrefix, ownStatusPrefix} }
 
-// RolloutOrder implements RolloutSchema.
-func (OwnRollouts) RolloutOrder(key string) (string, bool) {
+// RolloutOrderService implements RolloutSchema.
+func (OwnRollouts) RolloutOrderService(key string) (string, bool) {
 	return strings.CutPrefix(key, ownOrderPrefix)
 }
 
@@ -164,8 +164,8 @@
 // OwnRolloutOrderKey is the key of the order of a service's roll-out.
 func OwnRolloutOrderKey(service string) string { return ownOrderPrefix + service }
 
-// RolloutStatus implements RolloutSchema.
-func (OwnRollouts) RolloutStatus(key string) (string, bool) {
+// RolloutStatusService implements RolloutSchema.
+func (OwnRollouts) RolloutStatusService(key string) (string, bool) {
 	return strings.CutPrefix(key, ownStatusPrefix)
 }
 
--- a/control/feed/table.go
+++ b/control/feed/table.go
@@ -32,7 +32,7 @@
 	written map[string]int64
 	vms     map[string]routing.VM
 	// barred are the refused requests, by key.
-	barred map[string]Refused
+	barred map[string]RefusedRequest
 	// rollouts are those of which something lies in the store, by service.
 	rollouts map[string]Rollout
 	// doubtful holds when servers cease to be usable whose entries vanished
@@ -65,7 +65,7 @@
 		refused:  newRefused(),
 		written:  map[string]int64{},
 		vms:      map[string]routing.VM{},
-		barred:   map[string]Refused{},
+		barred:   map[string]RefusedRequest{},
 		rollouts: map[string]Rollout{},
 		doubtful: map[string]time.Duration{},
 		departed: map[string]time.Duration{},
--- a/control/feed/table_test.go
+++ b/control/feed/table_test.go
@@ -140,7 +140,7 @@
 		tab.change(0, []store.Event{put("server/1", late, 3)})
 		must.Eq(t, routing.Life{ID: "1", Born: 20}, tab.view().Servers["s"][0].Life())
 		must.Eq(t, "a:1", tab.view().Servers["s"][0].Address)
-		must.False(t, tab.view().Departed("1"))
+		must.False(t, tab.view().HasDeparted("1"))
 	}
 }
 
@@ -150,9 +150,9 @@
 	tab := newTable(lineSchema{}, event.Discard())
 	tab.reached(time.Second, time.Second)
 	tab.change(time.Second, []store.Event{put("server/1", "@10 leaving a:1", 1), gone("server/1")})
-	must.True(t, tab.view().Departed("1"))
+	must.True(t, tab.view().HasDeparted("1"))
 	tab.change(time.Second, []store.Event{put("server/1", "@20 a:1", 2)})
-	must.False(t, tab.view().Departed("1"))
+	must.False(t, tab.view().HasDeparted("1"))
 	must.Eq(t, "1", ids(tab))
 	tab.change(time.Second, []store.Event{gone("server/1"), put("server/1", "@10 a:1", 3)})
 	must.Eq(t, "", ids(tab))
@@ -187,7 +187,7 @@
 	must.Eq(t, 2, strings.Count(out.String(), "entry_refused"))
 	tab.change(0, []store.Event{put("server/1", "a:1", 10)})
 	must.Eq(t, "1 2", ids(tab))
-	must.False(t, tab.view().Departed("1"))
+	must.False(t, tab.view().HasDeparted("1"))
 }
 
 // An entry claims the address of a server for a service that the configuration does not
--- a/control/feed/usable.go
+++ b/control/feed/usable.go
@@ -30,7 +30,7 @@
 	for _, key := range slices.Sorted(maps.Keys(t.vms)) {
 		v.VMs = append(v.VMs, t.vms[key])
 	}
-	v.Refused = make(map[string]Refused, len(t.barred))
+	v.Refused = make(map[string]RefusedRequest, len(t.barred))
 	for _, r := range t.barred {
 		v.Refused[r.Digest] = r
 	}
--- a/lab/capacity/forward.go
+++ b/lab/capacity/forward.go
@@ -20,11 +20,11 @@
 		},
 		{
 			Role: Forward, Kind: Messages, What: "questions of other daemons to one that passes on what the store tells", Unit: PerS, Carrier: "`control/feed`",
-			Factors: []Factor{given(watching.ClientsPerRelay, "daemons that ask it"), given(feed.Batches, "batches/s at most")},
+			Factors: []Factor{given(watching.ClientsPerRelay, "daemons that ask it"), given(feed.MaxBatchesPerSecond, "batches/s at most")},
 		},
 		{
 			Role: Store, Kind: Messages, What: "waiting watches of daemons that forward, with a change in each", Unit: PerS, Carrier: "`control/feed`",
-			Factors: []Factor{given(watchers, "daemons that watch"), given(feed.Batches, "batches/s at most")},
+			Factors: []Factor{given(watchers, "daemons that watch"), given(feed.MaxBatchesPerSecond, "batches/s at most")},
 			Limit:   s.Store.ReadsPerS, LimitOf: "reads of the store",
 		},
 		{
--- a/serve/forward/absences.go
+++ b/serve/forward/absences.go
@@ -25,7 +25,7 @@
 // recordReturns learns from the servers of a new view how long those were away that failed at
 // their addresses. The caller holds p.mu.
 func (p *pool) recordReturns() {
-	now := p.view.Published
+	now := p.view.PublishedAt
 	listed := map[string]bool{}
 	for service, servers := range p.view.Servers {
 		for _, s := range servers {
--- a/serve/forward/accept.go
+++ b/serve/forward/accept.go
@@ -27,7 +27,7 @@
 	if view.Config == nil {
 		view = h.awaitFirstConfig(r.Context(), call.Timeout)
 	}
-	age, known := h.opts.Feed.Age()
+	age, known := h.opts.Feed.ConfigAge()
 	if !known {
 		return in, verdict.New(verdict.NotRun, verdict.CodeNoConfiguration, "no configuration is known yet").WithRetryAfter(unconfiguredRetryAfter)
 	}
@@ -69,7 +69,7 @@
 	wait := time.NewTimer(most)
 	defer wait.Stop()
 	select {
-	case <-h.opts.Feed.Known():
+	case <-h.opts.Feed.ConfigReady():
 	case <-wait.C:
 	case <-ctx.Done():
 	}
@@ -85,7 +85,7 @@
 	}
 	if age > time.Duration(h.maxKeyAge.Load())-keyAgeMargin {
 		return verdict.New(verdict.NotRun, verdict.CodeUnconfirmed,
-			"the configuration was last confirmed %v ago", age.Round(time.Millisecond)).WithRetryAfter(retryafter.AfterStoreOutage(age, h.opts.Feed.Outage(), rand.Float64()))
+			"the configuration was last confirmed %v ago", age.Round(time.Millisecond)).WithRetryAfter(retryafter.AfterStoreOutage(age, h.opts.Feed.IsStoreDown(), rand.Float64()))
 	}
 	in.account = config.Account(in.call.Key)
 	if in.account == nil {
--- a/serve/forward/endings.go
+++ b/serve/forward/endings.go
@@ -111,7 +111,7 @@
 			return now.Leaving
 		}
 	}
-	return view.Departed(s.ID)
+	return view.HasDeparted(s.ID)
 }
 
 // stateOf finds out whether the server of a send has ended: a process that ended leaves a port
--- a/serve/forward/layout.go
+++ b/serve/forward/layout.go
@@ -69,7 +69,7 @@
 // which it adds to that in use; ok is false where there is none any more.
 func (p *pool) currentServer(s routing.Server, used map[routing.Life]*serverLoad) (at routing.Server, one *serverLoad, ok bool) {
 	if next, ok := p.successors[s.Life()]; ok {
-		if p.view.Departed(next.ID) {
+		if p.view.HasDeparted(next.ID) {
 			return s, nil, false // the entry is of a life that ended before
 		}
 		s.ID, s.Born = next.ID, next.Born
--- a/serve/forward/leg.go
+++ b/serve/forward/leg.go
@@ -238,7 +238,7 @@
 // used again.
 func (r *relay) findSuccessor(ctx context.Context, old routing.Server, instance string) (routing.Life, bool) {
 	view := r.h.opts.Feed.View()
-	if instance == "" || instance == old.ID || view.Departed(instance) || view.Config.OnlyEngines() != r.service {
+	if instance == "" || instance == old.ID || view.HasDeparted(instance) || view.Config.OnlyEngines() != r.service {
 		return routing.Life{}, false
 	}
 	report, err := r.h.fetchReport(ctx, old, probeTimeout)
--- a/serve/forward/lives_test.go
+++ b/serve/forward/lives_test.go
@@ -179,7 +179,7 @@
 		w.register(next)
 		w.remove("server/e-new")
 		time.Sleep(time.Second)
-		must.True(t, w.feed.View().Departed("e-new"))
+		must.True(t, w.feed.View().HasDeparted("e-new"))
 		asked := next.requestCount()
 		must.NotEq(t, http.StatusOK, w.request(http.MethodPost, "/s/1", callerHeaders, "prompt").status)
 		must.Eq(t, asked, next.requestCount())
--- a/serve/forward/poisonstore.go
+++ b/serve/forward/poisonstore.go
@@ -32,7 +32,7 @@
 // the store until ctx ends.
 func (p *poisonRegistry) run(ctx context.Context) {
 	select {
-	case <-p.h.opts.Feed.Known():
+	case <-p.h.opts.Feed.ConfigReady():
 		p.fetchMarks(ctx)
 	case <-ctx.Done():
 	}
@@ -61,11 +61,11 @@
 	p.mu.Unlock()
 	done := true
 	for _, one := range pending {
-		err := p.h.opts.Feed.Refuse(ctx, feed.Refused{
+		err := p.h.opts.Feed.AddRefused(ctx, feed.RefusedRequest{
 			Digest: one.GetDigest(), Account: one.GetAccount(), Route: one.GetRoute(), Servers: one.GetServers(),
 		})
 		p.h.opts.Log.Emit(event.PoisonWritten, one.GetDigest(), err)
-		if err != nil && !errors.Is(err, feed.ErrRefusedFull) {
+		if err != nil && !errors.Is(err, feed.ErrTooManyRefused) {
 			done = false
 			continue
 		}
--- a/serve/forward/stream.go
+++ b/serve/forward/stream.go
@@ -330,7 +330,7 @@
 		}
 		at = c
 	}
-	return at, !view.Departed(at.server.ID) && !slices.Contains(r.excluded, at.server.Life()) && !r.h.versions.Barred(view, at.server)
+	return at, !view.HasDeparted(at.server.ID) && !slices.Contains(r.excluded, at.server.Life()) && !r.h.versions.Barred(view, at.server)
 }
 
 // retrySameEngine is the engine that reset the connection before the first event, if it
--- a/serve/gateway/gateway.go
+++ b/serve/gateway/gateway.go
@@ -91,7 +91,7 @@
 		Self: o.Self.ID, Seeds: o.Seeds, Dialer: o.Dialer,
 	})
 	if s, ok := o.Store.(interface{ Observe(store.Observer) }); ok {
-		s.Observe(f.CountCall)
+		s.Observe(f.ObserveCall)
 	}
 	v := versions.New(versions.Options{
 		Feed: f, Clock: o.Clock, Log: o.Log, Self: o.Self, Dialer: o.Dialer, Limits: o.Rollouts, Registerer: o.Registry,
@@ -171,7 +171,7 @@
 	registered := make(chan struct{})
 	go func() {
 		defer close(registered)
-		r := feed.Registrar{Store: g.opts.Store, VM: g.opts.Self, Log: g.opts.Log, LeaseMin: g.opts.LeaseMin, Feed: g.feed}
+		r := feed.Registrar{Store: g.opts.Store, VM: g.opts.Self, Log: g.opts.Log, MinLeaseTTL: g.opts.LeaseMin, Feed: g.feed}
 		r.Run(soft)
 	}()
 	g.opts.Log.Emit(event.DaemonStarted, g.opts.Self.Address, g.opts.Self.Peer, "")
--- a/serve/versions/service.go
+++ b/serve/versions/service.go
@@ -79,7 +79,9 @@
 }
 
 // unwritten reports whether the end of a roll-out does not lie in the store yet.
-func (s *service) unwritten() bool { return s.state.Stage.IsTerminal() && s.written != s.state.OrderRevision }
+func (s *service) unwritten() bool {
+	return s.state.Stage.IsTerminal() && s.written != s.state.OrderRevision
+}
 
 // take takes in what the store says.
 func (s *service) take(m *Manager, view *feed.View, servers []routing.Server) {
@@ -119,7 +121,7 @@
 	}
 	now := m.opts.Clock()
 	s.began = now - seenLate
-	if before := view.Before; before > 0 && now-before > outOfDate {
+	if before := view.PreviousConfirmedAt; before > 0 && now-before > outOfDate {
 		s.began = before // it may have been given at any time since
 	}
 	if r.Status != nil && r.Status.OrderRevision == next.OrderRevision && r.Status.Due > 0 {
--- a/serve/versions/versions.go
+++ b/serve/versions/versions.go
@@ -97,7 +97,7 @@
 // Now is what holds for a view of the store.
 func (m *Manager) Now(view *feed.View) *Snapshot {
 	now := m.current.Load()
-	if now.view == view || now.view != nil && view.Published.Before(now.view.Published) {
+	if now.view == view || now.view != nil && view.PublishedAt.Before(now.view.PublishedAt) {
 		return now
 	}
 	m.mu.Lock()
@@ -159,7 +159,7 @@
 
 // inTouch reports whether what this daemon knows of the store is not out of date.
 func (m *Manager) inTouch() bool {
-	age, known := m.opts.Feed.Age()
+	age, known := m.opts.Feed.ConfigAge()
 	return known && age < touchAge
 }
 
