--- a/cmd/mallowctl/diff.go
+++ b/cmd/mallowctl/diff.go
@@ -23,7 +23,7 @@
 		return err
 	}
 	if c.From == 0 {
-		c.From = to.Previous
+		c.From = to.BaseRevision
 	}
 	oldText := ""
 	if c.From > 0 {
--- a/cmd/mallowctl/rollout.go
+++ b/cmd/mallowctl/rollout.go
@@ -60,7 +60,7 @@
 		switch {
 		case r.Status != nil:
 			fmt.Fprintf(out, "%s  %s  from %s to %s  share %.3f  due %s\n", service, r.Status.Stage, r.Status.Baseline, r.Status.Target,
-				r.Status.Share, time.UnixMilli(r.Status.Due).UTC().Format(time.RFC3339))
+				r.Status.Share, time.UnixMilli(r.Status.DeadlineMS).UTC().Format(time.RFC3339))
 		case r.Order != nil:
 			fmt.Fprintf(out, "%s  ordered  to %s  in %v\n", service, r.Order.Target, r.Order.Period)
 		case r.OrderErr != nil:
@@ -86,7 +86,7 @@
 	if f.Platform != "" {
 		return usageError{errors.New("orders on the platform are its operators' to write")}
 	}
-	if err := o.Check(); err != nil {
+	if err := o.Validate(); err != nil {
 		return usageError{err}
 	}
 	s, err := f.open()
--- a/cmd/mallowctl/rollout_test.go
+++ b/cmd/mallowctl/rollout_test.go
@@ -21,7 +21,7 @@
 	state := rollout.State{Baseline: "v1", Target: "v2", Stage: rollout.Canary, Share: 0.05}
 	writeRollouts(&out, map[string]feed.Rollout{
 		"b": {Order: &routing.RolloutOrder{Target: "v3", Period: time.Minute}},
-		"a": {Status: &routing.RolloutStatus{State: state, Due: 1_796_266_800_000}},
+		"a": {Status: &routing.RolloutStatus{State: state, DeadlineMS: 1_796_266_800_000}},
 		"c": {OrderErr: errors.New("no target")},
 	})
 	must.Eq(t, "a  few  from v1 to v2  share 0.050  due 2026-12-03T03:00:00Z\nb  ordered  to v3  in 1m0s\nc  order cannot be carried out: no target\n", out.String())
--- a/cmd/mallowwind/forward.go
+++ b/cmd/mallowwind/forward.go
@@ -88,7 +88,7 @@
 func gatewayOptions(s *nodefile.Settings, events *event.Log) (gateway.Options, error) {
 	keep := min(keepAnswers, s.AddressAge)
 	o := gateway.Options{
-		Self:         routing.VM{ID: s.VM, Zone: s.Zone, Address: s.Callers, Peer: s.Peers},
+		Self:         routing.VM{ID: s.VM, Zone: s.Zone, Address: s.Callers, PeerAddress: s.Peers},
 		Store:        kv.New(s.Store),
 		Schema:       wire.Schema{},
 		Codec:        wire.Codec{},
--- a/cmd/mallowwind/forwardown.go
+++ b/cmd/mallowwind/forwardown.go
@@ -57,7 +57,7 @@
 		return gateway.Options{}, errors.Wrap(err, "store")
 	}
 	o := gateway.Options{
-		Self:   routing.VM{ID: s.VM, Zone: s.Zone, Address: s.Listen, Peer: s.PeerListen},
+		Self:   routing.VM{ID: s.VM, Zone: s.Zone, Address: s.Listen, PeerAddress: s.PeerListen},
 		Store:  store.Confirmed{Store: client, Key: feed.OwnConfigKey, Hold: ownHold},
 		Prefix: feed.OwnPrefix, Schema: feed.OwnSchema{}, Codec: forward.DefaultCodec{},
 		Clock: bootClock, Log: events, Registry: metric.NewCatalogue(),
--- a/control/feed/calls_test.go
+++ b/control/feed/calls_test.go
@@ -180,7 +180,7 @@
 // begin starts daemon n as a new process.
 func (c *town) begin(n int) {
 	id := strconv.Itoa(n)
-	vm := routing.VM{ID: id, Zone: fmt.Sprintf("z%d", n%c.zones), Address: id + ":2", Peer: id + ":1"}
+	vm := routing.VM{ID: id, Zone: fmt.Sprintf("z%d", n%c.zones), Address: id + ":2", PeerAddress: id + ":1"}
 	faults := store.NewFaulty(c.store)
 	faults.SetDelay(4 * time.Millisecond)
 	life, kill := context.WithCancel(c.ctx)
--- a/control/feed/departures.go
+++ b/control/feed/departures.go
@@ -46,7 +46,7 @@
 		t.removeServer(now, id)
 		return
 	}
-	if vm, ok := t.vms[key]; ok && !vm.Leaving && now < t.doubtUntil {
+	if vm, ok := t.vms[key]; ok && !vm.Draining && now < t.doubtUntil {
 		// Daemons that register again must not seem gone meanwhile: each would take
 		// the whole budget of repeats and all engines for its own.
 		t.doubtfulVMs[key] = now + reregister
@@ -70,7 +70,7 @@
 	if !ok {
 		return
 	}
-	if now < t.doubtUntil && !s.Leaving {
+	if now < t.doubtUntil && !s.Draining {
 		if _, kept := t.doubtful[id]; !kept {
 			t.doubtful[id] = now + doubtTime
 			t.log.Emit(event.ServerGone, id, s.Service, doubtTime)
--- a/control/feed/fleet_test.go
+++ b/control/feed/fleet_test.go
@@ -329,9 +329,9 @@
 	view := &View{Config: &routing.Config{}}
 	zone := map[string]string{}
 	for n := range size {
-		vm := routing.VM{ID: "vm-" + strconv.Itoa(n), Zone: string(rune('a' + n%3)), Peer: strconv.Itoa(n) + ":1"}
+		vm := routing.VM{ID: "vm-" + strconv.Itoa(n), Zone: string(rune('a' + n%3)), PeerAddress: strconv.Itoa(n) + ":1"}
 		view.VMs = append(view.VMs, vm)
-		zone[vm.Peer] = vm.Zone
+		zone[vm.PeerAddress] = vm.Zone
 	}
 	view.plan = planOf(view.VMs)
 	asked := map[string]int{}
@@ -396,7 +396,7 @@
 		m := f.feeds[0]
 		m.apply(time.Hour, 9, func() { m.table.change(0, []store.Event{put("server/1", "leaving a:1", 9)}) })
 		m.apply(time.Hour, 5, func() { m.table.change(0, []store.Event{put("server/1", "a:1", 5)}) })
-		must.True(t, m.View().Servers["s"][0].Leaving)
+		must.True(t, m.View().Servers["s"][0].Draining)
 	})
 }
 
@@ -404,7 +404,7 @@
 func TestRegistrationReturns(t *testing.T) {
 	inFleet(t, 1, func(f *fleet) {
 		f.start(0)
-		r := &Registrar{Store: f.ways[0], VM: routing.VM{ID: "vm-7", Address: "x:2", Peer: "x:1"}, Log: event.Discard()}
+		r := &Registrar{Store: f.ways[0], VM: routing.VM{ID: "vm-7", Address: "x:2", PeerAddress: "x:1"}, Log: event.Discard()}
 		ctx, cancel := context.WithCancel(f.t.Context())
 		f.done.Go(func() { r.Run(ctx) })
 		registered := func() bool {
--- a/control/feed/peers.go
+++ b/control/feed/peers.go
@@ -85,7 +85,7 @@
 func planOf(vms []routing.VM) *watching.Plan {
 	list := make([]watching.VM, 0, len(vms))
 	for _, vm := range vms {
-		if !vm.Leaving {
+		if !vm.Draining {
 			list = append(list, watching.VM{ID: vm.ID, Hash: xxhash.Sum64String(vm.ID), Zone: vm.Zone})
 		}
 	}
@@ -148,14 +148,14 @@
 	peers := map[string]string{}
 	list := routing.Peers(view.VMs, m.opts.Self)
 	for _, vm := range list {
-		peers[vm.ID] = vm.Peer
+		peers[vm.ID] = vm.PeerAddress
 	}
 	if view.plan != nil {
 		nearIDs, otherIDs := view.plan.Sources(m.opts.Self, m.turn.Load())
 		near, others = addressesOf(peers, nearIDs), addressesOf(peers, otherIDs)
 	}
 	if !m.fresh() && len(list) > 0 {
-		others = slices.Insert(others, 0, list[rand.N(len(list))].Peer)
+		others = slices.Insert(others, 0, list[rand.N(len(list))].PeerAddress)
 		near = near[:min(len(near), 1)]
 	}
 	if len(near)+len(others) == 0 {
--- a/control/feed/register.go
+++ b/control/feed/register.go
@@ -201,7 +201,7 @@
 	defer cancel()
 	ctx = store.WithPurpose(ctx, store.PurposeLeave)
 	leaving := r.VM
-	leaving.Leaving = true
+	leaving.Draining = true
 	if err := r.write(ctx, leaving, r.lease); err != nil {
 		r.Log.Emit(event.RegistrationFailed, err)
 	}
--- a/control/feed/register_test.go
+++ b/control/feed/register_test.go
@@ -22,7 +22,7 @@
 
 func inRegistration(t *testing.T, test func(*registration)) {
 	inFleet(t, 2, func(f *fleet) {
-		r := &registration{fleet: f, vm: routing.VM{ID: "1", Zone: "z", Address: "x:2", Peer: "1:1"}}
+		r := &registration{fleet: f, vm: routing.VM{ID: "1", Zone: "z", Address: "x:2", PeerAddress: "1:1"}}
 		f.start(0)
 		r.run()
 		test(r)
--- a/control/feed/rollouts.go
+++ b/control/feed/rollouts.go
@@ -45,7 +45,7 @@
 		one := t.rollouts[service]
 		order, err := t.schema.DecodeRolloutOrder(service, kv.Value)
 		if err == nil {
-			err = order.Check()
+			err = order.Validate()
 		}
 		if err != nil {
 			t.refuse(kv.Key, err)
@@ -93,7 +93,7 @@
 
 // OrderRollout writes an order to a store that is ours to lay out, over the one before.
 func OrderRollout(ctx context.Context, s store.Store, o routing.RolloutOrder) error {
-	if err := o.Check(); err != nil {
+	if err := o.Validate(); err != nil {
 		return err
 	}
 	raw, err := EncodeRolloutOrder(o)
--- a/control/feed/schema.go
+++ b/control/feed/schema.go
@@ -40,8 +40,8 @@
 	if s.Service == "" || s.Address == "" {
 		return s, errors.New("server: no service or address")
 	}
-	if id == "" || s.Born < 0 || s.Slots < 0 {
-		return s, errors.Errorf("server: id %q, born %d, %d slots", id, s.Born, s.Slots)
+	if id == "" || s.StartedAtMS < 0 || s.Slots < 0 {
+		return s, errors.Errorf("server: id %q, born %d, %d slots", id, s.StartedAtMS, s.Slots)
 	}
 	if err := checkAddress(s.Address); err != nil {
 		return s, errors.Wrap(err, "server")
@@ -63,10 +63,10 @@
 	if err := checkAddress(vm.Address); err != nil {
 		return vm, errors.Wrap(err, "entry VM")
 	}
-	if vm.Peer == "" {
+	if vm.PeerAddress == "" {
 		return vm, nil // it answers no other daemon
 	}
-	return vm, errors.Wrap(checkAddress(vm.Peer), "entry VM: peer")
+	return vm, errors.Wrap(checkAddress(vm.PeerAddress), "entry VM: peer")
 }
 
 // checkAddress returns an error for what is no host with a port.
--- a/control/feed/table.go
+++ b/control/feed/table.go
@@ -101,7 +101,7 @@
 	services, leaving := map[string]int{}, 0
 	for _, s := range t.servers {
 		services[s.Service]++
-		if s.Leaving {
+		if s.Draining {
 			leaving++
 		}
 	}
@@ -183,22 +183,22 @@
 		return
 	}
 	delete(t.refusals, kv.Key)
-	if known := t.born[id]; s.Life().Before(routing.Life{ID: id, Born: known}) {
-		t.log.Emit(event.EntryOutdated, id, s.Born, known)
+	if known := t.born[id]; s.Incarnation().Before(routing.Incarnation{ID: id, StartedAtMS: known}) {
+		t.log.Emit(event.EntryOutdated, id, s.StartedAtMS, known)
 		return
 	}
 	delete(t.doubtful, id)
-	t.note(id, s.Leaving)
-	if _, known := t.written[id]; !known || t.born[id] != s.Born {
+	t.note(id, s.Draining)
+	if _, known := t.written[id]; !known || t.born[id] != s.StartedAtMS {
 		t.written[id] = kv.Version
 	}
-	t.born[id] = s.Born
+	t.born[id] = s.StartedAtMS
 	if t.servers[id] != s {
 		t.servers[id] = s
 		t.dirty = true
 		t.changes++
 		if !t.reading {
-			t.log.Emit(event.ServerSeen, id, s.Service, s.Zone, s.Address, s.Leaving, kv.Version)
+			t.log.Emit(event.ServerSeen, id, s.Service, s.Zone, s.Address, s.Draining, kv.Version)
 		}
 	}
 }
--- a/control/feed/table_test.go
+++ b/control/feed/table_test.go
@@ -41,9 +41,9 @@
 	}
 	if born, rest, found := strings.Cut(strings.TrimPrefix(text, "@"), " "); found && strings.HasPrefix(text, "@") {
 		text = rest
-		s.Born, _ = strconv.ParseInt(born, 10, 64)
+		s.StartedAtMS, _ = strconv.ParseInt(born, 10, 64)
 	}
-	s.Address, s.Leaving = strings.CutPrefix(text, "leaving ")
+	s.Address, s.Draining = strings.CutPrefix(text, "leaving ")
 	return s, nil
 }
 
@@ -135,10 +135,10 @@
 	tab := newTable(lineSchema{}, event.Discard())
 	tab.change(0, []store.Event{put("server/1", "@10 a:1", 1)})
 	tab.change(0, []store.Event{put("server/1", "@20 a:1", 2)})
-	must.Eq(t, routing.Life{ID: "1", Born: 20}, tab.view().Servers["s"][0].Life())
+	must.Eq(t, routing.Incarnation{ID: "1", StartedAtMS: 20}, tab.view().Servers["s"][0].Incarnation())
 	for _, late := range []string{"@10 a:1", "@10 leaving a:1", "@10 b:1"} {
 		tab.change(0, []store.Event{put("server/1", late, 3)})
-		must.Eq(t, routing.Life{ID: "1", Born: 20}, tab.view().Servers["s"][0].Life())
+		must.Eq(t, routing.Incarnation{ID: "1", StartedAtMS: 20}, tab.view().Servers["s"][0].Incarnation())
 		must.Eq(t, "a:1", tab.view().Servers["s"][0].Address)
 		must.False(t, tab.view().HasDeparted("1"))
 	}
@@ -221,7 +221,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if s, err := (OwnSchema{}).DecodeServer("1", raw); err == nil {
 			must.NoError(t, checkAddress(s.Address))
-			must.GreaterEq(t, 0, s.Born)
+			must.GreaterEq(t, 0, s.StartedAtMS)
 		}
 		if vm, err := decodeVM("1", raw); err == nil {
 			must.NoError(t, checkAddress(vm.Address))
--- a/control/inforce/adopt.go
+++ b/control/inforce/adopt.go
@@ -22,12 +22,12 @@
 	keptTexts = 8
 )
 
-// Refusal is a text that was not taken over.
-type Refusal struct {
-	Revision int64     `json:"revision"`
-	Source   string    `json:"source"`
-	Error    string    `json:"error"`
-	When     time.Time `json:"when"`
+// Rejection is a text that was not taken over.
+type Rejection struct {
+	Revision   int64     `json:"revision"`
+	Source     string    `json:"source"`
+	Error      string    `json:"error"`
+	RejectedAt time.Time `json:"when"`
 }
 
 // offer takes over what the store says is accepted. A record that continues
@@ -52,7 +52,7 @@
 // patched applies the difference that r carries to the text in force.
 func (m *Manager) patched(r *record.Record) (string, error) {
 	s := m.current.Load()
-	if s == nil || r.Patch == nil || s.record.Revision != r.Previous {
+	if s == nil || r.Patch == nil || s.record.Revision != r.BaseRevision {
 		return "", errors.New("no base for the difference")
 	}
 	text, err := r.Patch.Apply(s.site.Text)
@@ -107,7 +107,7 @@
 	}
 	m.mu.Unlock()
 	m.cost.adopted(source)
-	m.cfg.Log.Emit(event.ConfigInForce, r.Revision, previous, source, r.Who, r.Comment, next.since.Sub(r.When).String())
+	m.cfg.Log.Emit(event.ConfigInForce, r.Revision, previous, source, r.Author, r.Comment, next.since.Sub(r.AppliedAt).String())
 	m.announce()
 	return nil
 }
@@ -142,7 +142,7 @@
 func (m *Manager) refuse(r *record.Record, source string, err error) {
 	m.mu.Lock()
 	known := m.refused != nil && m.refused.Revision == r.Revision
-	m.refused = &Refusal{Revision: r.Revision, Source: source, Error: err.Error(), When: time.Now()}
+	m.refused = &Rejection{Revision: r.Revision, Source: source, Error: err.Error(), RejectedAt: time.Now()}
 	m.mu.Unlock()
 	if !known {
 		m.cfg.Log.Emit(event.ConfigRefused, r.Revision, source, err.Error())
--- a/control/inforce/fleet_test.go
+++ b/control/inforce/fleet_test.go
@@ -177,8 +177,8 @@
 		for _, n := range f.nodes {
 			peer := f.nodes[f.rng.IntN(len(f.nodes))]
 			if f.linked(n.member.Zone, peer.member.Zone) {
-				n.Learn(peer.member.ID, peer.Digest())
-				peer.Learn(n.member.ID, n.Digest())
+				n.ObserveRevision(peer.member.ID, peer.Digest())
+				peer.ObserveRevision(n.member.ID, n.Digest())
 			}
 		}
 		f.check()
@@ -202,19 +202,19 @@
 func (f *fleet) accept(text string) {
 	keys := record.KeysOf("yard")
 	r := &record.Record{
-		Revision: f.number + 1, ID: fmt.Sprint("change-", f.number+1), Previous: f.number,
-		SHA256: record.Hash(text), Who: "night", When: time.Now(),
+		Revision: f.number + 1, ID: fmt.Sprint("change-", f.number+1), BaseRevision: f.number,
+		SHA256: record.Hash(text), Author: "night", AppliedAt: time.Now(),
 	}
 	ctx := f.t.Context()
-	head, err := record.Head(ctx, f.store, keys)
+	head, err := record.ReadHead(ctx, f.store, keys)
 	if err == nil {
-		old, err := record.Text(ctx, f.store, keys, head.Record)
+		old, err := record.ReadText(ctx, f.store, keys, head.Record)
 		must.NoError(f.t, err)
 		r.Patch = patch.Make(old, text)
 	}
 	_, err = f.store.CompareAndSwap(ctx, keys.Body(r.ID), 0, []byte(text), 0)
 	must.NoError(f.t, err)
-	_, err = f.store.CompareAndSwap(ctx, keys.Text(), head.Version, r.Encode(), 0)
+	_, err = f.store.CompareAndSwap(ctx, keys.Head(), head.Version, r.Encode(), 0)
 	must.NoError(f.t, err)
 	f.number++
 }
--- a/control/inforce/inforce.go
+++ b/control/inforce/inforce.go
@@ -56,9 +56,9 @@
 
 	mu      sync.Mutex // guards what follows and every change of current
 	recent  []kept     // texts lately in force, the newest last, bases of patches
-	seen    map[string]Heard
+	seen    map[string]ObservedRevision
 	offered int64 // last lower revision logged
-	refused *Refusal
+	refused *Rejection
 	watch   watchState
 	outage  outage
 
@@ -90,7 +90,7 @@
 		cfg:  cfg,
 		keys: record.KeysOf(cfg.Site),
 		wake: make(chan struct{}, 1),
-		seen: map[string]Heard{},
+		seen: map[string]ObservedRevision{},
 		rng:  rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
 	}
 	if cfg.Metrics != nil {
--- a/control/inforce/inforce_test.go
+++ b/control/inforce/inforce_test.go
@@ -68,14 +68,14 @@
 		f.run(10 * time.Second)
 		f.converged()
 		ctx, keys := f.t.Context(), record.KeysOf("yard")
-		head, err := record.Head(ctx, f.store, keys)
+		head, err := record.ReadHead(ctx, f.store, keys)
 		must.NoError(t, err)
 		old := &record.Record{Revision: 1, ID: "change-1", SHA256: record.Hash(text(1))}
-		version, err := f.store.CompareAndSwap(ctx, keys.Text(), head.Version, old.Encode(), 0)
+		version, err := f.store.CompareAndSwap(ctx, keys.Head(), head.Version, old.Encode(), 0)
 		must.NoError(t, err)
 		f.run(3 * time.Minute)
 		f.converged()
-		must.NoError(t, f.store.Delete(ctx, keys.Text(), version))
+		must.NoError(t, f.store.Delete(ctx, keys.Head(), version))
 		f.run(3 * time.Minute)
 		f.converged()
 		must.StrContains(t, f.log.String(), "config_lower")
@@ -150,7 +150,7 @@
 		f.accept("[site]\nname = yard\nzones = A\nnonsense = 1\n")
 		f.run(5 * time.Second)
 		must.Eq(t, 1, f.nodes[0].Digest())
-		must.Eq(t, 2, f.nodes[0].Report().Refused.Revision)
+		must.Eq(t, 2, f.nodes[0].Report().Rejected.Revision)
 		f.accept("[site]\nname = other\nzones = A\n")
 		f.run(5 * time.Second)
 		must.Eq(t, 1, f.nodes[0].Digest())
@@ -193,18 +193,18 @@
 			must.Less(t, size.callsPerS, calls)
 			t.Logf("%d daemons, 5,200 changes a day: %.2f calls/s of all, %.1f B/s of values a daemon, %d of %d texts from peers",
 				len(f.nodes), calls, float64(used.StoreBytes-before.StoreBytes)/seconds/float64(len(f.nodes)),
-				used.FromPeers-before.FromPeers, used.FromPeers+used.FromStore-before.FromPeers-before.FromStore)
+				used.AdoptedFromPeers-before.AdoptedFromPeers, used.AdoptedFromPeers+used.AdoptedFromStore-before.AdoptedFromPeers-before.AdoptedFromStore)
 		})
 	}
 }
 
-func (f *fleet) cost() (sum Cost) {
+func (f *fleet) cost() (sum Stats) {
 	for _, n := range f.nodes {
-		c := n.Cost()
+		c := n.Stats()
 		sum.StoreCalls += c.StoreCalls
 		sum.StoreBytes += c.StoreBytes
-		sum.FromPeers += c.FromPeers
-		sum.FromStore += c.FromStore
+		sum.AdoptedFromPeers += c.AdoptedFromPeers
+		sum.AdoptedFromStore += c.AdoptedFromStore
 	}
 	return sum
 }
@@ -266,11 +266,11 @@
 		f.storeDown(true)
 		f.run(5 * time.Second)
 		r := f.nodes[0].Report()
-		must.False(t, r.StoreDown.IsZero())
+		must.False(t, r.StoreDownSince.IsZero())
 		must.NotEq(t, "", r.StoreError)
 		f.storeDown(false)
 		f.run(10 * time.Second)
-		must.True(t, f.nodes[0].Report().StoreDown.IsZero())
+		must.True(t, f.nodes[0].Report().StoreDownSince.IsZero())
 		must.False(t, errors.Is(f.nodes[0].poll(f.t.Context()), store.ErrUnavailable))
 	})
 }
--- a/control/inforce/record/record.go
+++ b/control/inforce/record/record.go
@@ -31,21 +31,21 @@
 	"mallowwind.dev/external/store"
 )
 
-// MaxPatch is the largest difference that a record carries, in bytes. A larger
+// MaxPatchBytes is the largest difference that a record carries, in bytes. A larger
 // one costs more at every watcher than one read of the body.
-const MaxPatch = 16 << 10
+const MaxPatchBytes = 16 << 10
 
 // Record describes one accepted text.
 type Record struct {
-	ID       string      `json:"id"`       // unique for each apply
-	Revision int64       `json:"revision"` // counts accepted texts from 1
-	Previous int64       `json:"previous"` // revision it was planned against, 0 for the first
-	SHA256   string      `json:"sha256"`   // of the text, lower-case hex
-	Who      string      `json:"who"`
-	When     time.Time   `json:"when"`
-	Comment  string      `json:"comment,omitempty"`
-	Restores int64       `json:"restores,omitempty"` // revision whose text a rollback brings back
-	Patch    patch.Patch `json:"patch,omitempty"`    // from the text of Previous
+	ID               string      `json:"id"`       // unique for each apply
+	Revision         int64       `json:"revision"` // counts accepted texts from 1
+	BaseRevision     int64       `json:"previous"` // revision it was planned against, 0 for the first
+	SHA256           string      `json:"sha256"`   // of the text, lower-case hex
+	Author           string      `json:"who"`
+	AppliedAt        time.Time   `json:"when"`
+	Comment          string      `json:"comment,omitempty"`
+	RestoredRevision int64       `json:"restores,omitempty"` // revision whose text a rollback brings back
+	Patch            patch.Patch `json:"patch,omitempty"`    // from the text of Previous
 }
 
 // ErrCorrupt means that a text is not the one that its record names.
@@ -89,8 +89,8 @@
 // KeysOf returns the keys of the site called name.
 func KeysOf(name string) Keys { return Keys{prefix: "/mallowwind/" + name + "/"} }
 
-// Text is the key of the newest record.
-func (k Keys) Text() string { return k.prefix + "text" }
+// Head is the key of the newest record.
+func (k Keys) Head() string { return k.prefix + "text" }
 
 // Body is the key of the text that record id names.
 func (k Keys) Body(id string) string { return k.prefix + "body/" + id }
@@ -98,14 +98,14 @@
 // History is the prefix of replaced records.
 func (k Keys) History() string { return k.prefix + "history/" }
 
-// Replaced is the key of the record that was accepted at revision. The number
+// HistoryEntry is the key of the record that was accepted at revision. The number
 // is padded so that keys sort as numbers do.
-func (k Keys) Replaced(revision int64) string {
+func (k Keys) HistoryEntry(revision int64) string {
 	return fmt.Sprintf("%s%020d", k.History(), revision)
 }
 
-// Revision returns the revision in a key made by Replaced.
-func (k Keys) Revision(key string) (int64, error) {
+// HistoryRevision returns the revision in a key made by Replaced.
+func (k Keys) HistoryRevision(key string) (int64, error) {
 	return strconv.ParseInt(strings.TrimPrefix(key, k.History()), 10, 64)
 }
 
@@ -116,9 +116,9 @@
 	Version int64
 }
 
-// Head reads the record in force. It returns store.ErrNotFound before the first.
-func Head(ctx context.Context, s store.Store, k Keys) (Accepted, error) {
-	kv, err := s.Get(ctx, k.Text())
+// ReadHead reads the record in force. It returns store.ErrNotFound before the first.
+func ReadHead(ctx context.Context, s store.Store, k Keys) (Accepted, error) {
+	kv, err := s.Get(ctx, k.Head())
 	if err != nil {
 		return Accepted{}, err
 	}
@@ -131,8 +131,8 @@
 	return Accepted{Record: r, Version: kv.Version}, err
 }
 
-// Text reads the text that r names and verifies it.
-func Text(ctx context.Context, s store.Store, k Keys, r *Record) (string, error) {
+// ReadText reads the text that r names and verifies it.
+func ReadText(ctx context.Context, s store.Store, k Keys, r *Record) (string, error) {
 	kv, err := s.Get(ctx, k.Body(r.ID))
 	if err != nil {
 		return "", errors.Wrap(err, "body of the site text")
--- a/control/inforce/report.go
+++ b/control/inforce/report.go
@@ -12,23 +12,23 @@
 
 // Report is what a daemon knows of the configuration, for operators.
 type Report struct {
-	Revision int64
-	Record   *record.Record // nil before any text
-	Source   string         // "store" or the VM id of a peer
-	Since    time.Time
-	Watching bool
-	// StoreDown is since when the store has not answered, zero while it does.
-	StoreDown  time.Time
-	StoreError string
-	Refused    *Refusal
-	// Members holds what was last heard of each member, this daemon included.
-	Members map[string]Heard
+	Revision    int64
+	Record      *record.Record // nil before any text
+	Source      string         // "store" or the VM id of a peer
+	ActiveSince time.Time
+	Watching    bool
+	// StoreDownSince is since when the store has not answered, zero while it does.
+	StoreDownSince time.Time
+	StoreError     string
+	Rejected       *Rejection
+	// MemberRevisions holds what was last heard of each member, this daemon included.
+	MemberRevisions map[string]ObservedRevision
 }
 
-// Heard is the revision that a member said it has in force.
-type Heard struct {
-	Revision int64
-	When     time.Time
+// ObservedRevision is the revision that a member said it has in force.
+type ObservedRevision struct {
+	Revision   int64
+	ObservedAt time.Time
 }
 
 // Report returns a copy of what is known now.
@@ -36,38 +36,38 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r := Report{
-		Watching: m.watch.cancel != nil, StoreDown: m.outage.since, StoreError: errorText(m.outage.err),
-		Refused: m.refused, Members: map[string]Heard{m.cfg.VM: {m.revision(), time.Now()}},
+		Watching: m.watch.cancel != nil, StoreDownSince: m.outage.since, StoreError: errorText(m.outage.err),
+		Rejected: m.refused, MemberRevisions: map[string]ObservedRevision{m.cfg.VM: {m.revision(), time.Now()}},
 	}
 	for _, member := range m.cfg.Members.Current().Members {
 		if heard, ok := m.seen[member.ID]; ok {
-			r.Members[member.ID] = heard
+			r.MemberRevisions[member.ID] = heard
 		}
 	}
 	if s := m.current.Load(); s != nil {
-		r.Revision, r.Record, r.Source, r.Since = s.record.Revision, s.record, s.source, s.since
+		r.Revision, r.Record, r.Source, r.ActiveSince = s.record.Revision, s.record, s.source, s.since
 	}
 	return r
 }
 
-// Cost counts what keeping the configuration takes. Bytes are those of values
+// Stats counts what keeping the configuration takes. Bytes are those of values
 // and messages, without the framing of HTTP.
-type Cost struct {
-	StoreCalls, StoreBytes int64
-	PeerCalls, PeerBytes   int64
-	FromStore, FromPeers   int64 // texts put in force
+type Stats struct {
+	StoreCalls, StoreBytes             int64
+	PeerCalls, PeerBytes               int64
+	AdoptedFromStore, AdoptedFromPeers int64 // texts put in force
 }
 
 type cost struct {
 	storeCalls, storeRead, peerCalls, peerBytes, fromStore, fromPeers atomic.Int64
 }
 
-// Cost returns the counts since the start.
-func (m *Manager) Cost() Cost {
-	return Cost{
+// Stats returns the counts since the start.
+func (m *Manager) Stats() Stats {
+	return Stats{
 		StoreCalls: m.cost.storeCalls.Load(), StoreBytes: m.cost.storeRead.Load(),
 		PeerCalls: m.cost.peerCalls.Load(), PeerBytes: m.cost.peerBytes.Load(),
-		FromStore: m.cost.fromStore.Load(), FromPeers: m.cost.fromPeers.Load(),
+		AdoptedFromStore: m.cost.fromStore.Load(), AdoptedFromPeers: m.cost.fromPeers.Load(),
 	}
 }
 
--- a/control/inforce/spread.go
+++ b/control/inforce/spread.go
@@ -22,14 +22,14 @@
 	fetchTries = 3
 )
 
-// Learn notes that member has revision in force, as gossip says. When that is
+// ObserveRevision notes that member has revision in force, as gossip says. When that is
 // newer the text is fetched from there soon; Learn itself does not wait.
-func (m *Manager) Learn(member string, revision uint64) {
+func (m *Manager) ObserveRevision(member string, revision uint64) {
 	if _, known := m.cfg.Members.Current().Find(member); !known || member == m.cfg.VM {
 		return
 	}
 	m.mu.Lock()
-	m.seen[member] = Heard{Revision: int64(revision), When: time.Now()}
+	m.seen[member] = ObservedRevision{Revision: int64(revision), ObservedAt: time.Now()}
 	m.mu.Unlock()
 	if int64(revision) > m.revision() {
 		signal(m.wake)
@@ -107,7 +107,7 @@
 func (m *Manager) take(reply *peerpb.FetchConfigReply, from string) error {
 	revision := int64(reply.GetRevision())
 	m.mu.Lock()
-	m.seen[from] = Heard{Revision: revision, When: time.Now()}
+	m.seen[from] = ObservedRevision{Revision: revision, ObservedAt: time.Now()}
 	m.mu.Unlock()
 	if revision <= m.revision() {
 		return nil
--- a/control/inforce/watch.go
+++ b/control/inforce/watch.go
@@ -69,7 +69,7 @@
 		return err
 	}
 	m.cost.storeCall(0)
-	w, err := m.cfg.Store.Watch(ctx, m.keys.Text(), from)
+	w, err := m.cfg.Store.Watch(ctx, m.keys.Head(), from)
 	if err != nil {
 		return err
 	}
@@ -92,7 +92,7 @@
 func (m *Manager) list(ctx context.Context) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	kvs, from, err := m.cfg.Store.List(ctx, m.keys.Text())
+	kvs, from, err := m.cfg.Store.List(ctx, m.keys.Head())
 	m.cost.storeCall(0)
 	if err != nil {
 		return 0, err
@@ -122,7 +122,7 @@
 // store failed on the way; a text that is refused is no such error.
 func (m *Manager) stored(ctx context.Context, kv store.KV) error {
 	m.cost.storeBytes(len(kv.Value))
-	if kv.Key != m.keys.Text() {
+	if kv.Key != m.keys.Head() {
 		return nil
 	}
 	a, err := record.FromKV(kv)
@@ -140,7 +140,7 @@
 func (m *Manager) readBody(ctx context.Context, r *record.Record) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	text, err := record.Text(ctx, m.cfg.Store, m.keys, r)
+	text, err := record.ReadText(ctx, m.cfg.Store, m.keys, r)
 	m.cost.storeCall(len(text))
 	return text, err
 }
@@ -149,7 +149,7 @@
 func (m *Manager) poll(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	kv, err := m.cfg.Store.Get(ctx, m.keys.Text())
+	kv, err := m.cfg.Store.Get(ctx, m.keys.Head())
 	m.cost.storeCall(0)
 	if err == nil {
 		err = m.stored(ctx, kv)
@@ -200,7 +200,7 @@
 		view := m.cfg.Members.Current()
 		m.mu.Lock()
 		cancel := m.watch.cancel
-		maps.DeleteFunc(m.seen, func(id string, _ Heard) bool {
+		maps.DeleteFunc(m.seen, func(id string, _ ObservedRevision) bool {
 			_, known := view.Find(id)
 			return !known
 		})
--- a/control/operate/apply.go
+++ b/control/operate/apply.go
@@ -79,16 +79,16 @@
 // next is the record of a change to head.
 func (c *Client) next(ctx context.Context, head record.Accepted, request Request) *record.Record {
 	r := &record.Record{
-		ID: uuid.NewString(), Revision: max(revisionOf(head), request.Above) + 1, Previous: revisionOf(head),
-		SHA256: record.Hash(request.Text), Who: c.Who, When: time.Now().UTC(),
-		Comment: request.Comment, Restores: request.Restores,
+		ID: uuid.NewString(), Revision: max(revisionOf(head), request.Above) + 1, BaseRevision: revisionOf(head),
+		SHA256: record.Hash(request.Text), Author: c.Who, AppliedAt: time.Now().UTC(),
+		Comment: request.Comment, RestoredRevision: request.Restores,
 	}
 	if head.Record == nil {
 		return r
 	}
 	// Without a difference watchers read the body: dearer, not wrong.
 	if old, err := c.withText(ctx, head); err == nil {
-		if p := patch.Make(old.Text, request.Text); p.Size() <= record.MaxPatch {
+		if p := patch.Make(old.Text, request.Text); p.Size() <= record.MaxPatchBytes {
 			r.Patch = p
 		}
 	}
@@ -105,7 +105,7 @@
 func (c *Client) accept(ctx context.Context, head record.Accepted, next *record.Record) (bool, error) {
 	unknown, accepted := false, false
 	err := retry(ctx, func(ctx context.Context) error {
-		_, err := c.Store.CompareAndSwap(ctx, c.keys().Text(), head.Version, next.Encode(), 0)
+		_, err := c.Store.CompareAndSwap(ctx, c.keys().Head(), head.Version, next.Encode(), 0)
 		if err == nil {
 			accepted = true
 			return nil
@@ -127,7 +127,7 @@
 // isAccepted looks for next as the newest record or, if another change was
 // accepted right after it, in the history, where that one put it first.
 func (c *Client) isAccepted(ctx context.Context, next *record.Record) (bool, error) {
-	now, err := record.Head(ctx, c.Store, c.keys())
+	now, err := record.ReadHead(ctx, c.Store, c.keys())
 	if err != nil {
 		return false, err
 	}
--- a/control/operate/apply_test.go
+++ b/control/operate/apply_test.go
@@ -60,7 +60,7 @@
 	_, err := night.Apply(t.Context(), Request{Text: text("2", 4), Against: 1})
 	var conflict *ConflictError
 	must.ErrorAs[error](t, err, &conflict)
-	must.Eq(t, "day", conflict.Head.Who)
+	must.Eq(t, "day", conflict.Head.Author)
 	must.StrContains(t, err.Error(), "replicas.Embakasi 4 -> 6 (load 2 more in Embakasi)")
 	must.Eq(t, text("1", 6), newest(t, day).Text)
 }
@@ -86,7 +86,7 @@
 func TestRaceAtTheSameMoment(t *testing.T) {
 	day, s := newClient("day")
 	apply(t, day, 0, text("1", 4))
-	g := &gate{Store: s, key: record.KeysOf("yard").Text(), first: func() { apply(t, day, 1, text("1", 5)) }}
+	g := &gate{Store: s, key: record.KeysOf("yard").Head(), first: func() { apply(t, day, 1, text("1", 5)) }}
 	night := &Client{Store: g, Site: "yard", Who: "night"}
 	_, err := night.Apply(t.Context(), Request{Text: text("2", 4), Against: 1})
 	must.ErrorContains(t, err, "revision 2 is accepted: day")
@@ -143,7 +143,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		day, s := newClient("day")
 		apply(t, day, 0, text("1", 4))
-		lost := &onWrite{Store: s, key: record.KeysOf("yard").Text(), do: s.LoseNextWrite}
+		lost := &onWrite{Store: s, key: record.KeysOf("yard").Head(), do: s.LoseNextWrite}
 		go func() {
 			time.Sleep(firstRetry / 2)
 			apply(t, day, 2, text("1", 9))
@@ -170,7 +170,7 @@
 		must.False(t, down.Unknown)
 		s.SetDown(false)
 
-		cut := &onWrite{Store: s, key: record.KeysOf("yard").Text()}
+		cut := &onWrite{Store: s, key: record.KeysOf("yard").Head()}
 		cut.do = func() {
 			s.LoseNextWrite()
 			time.AfterFunc(firstRetry/2, func() { s.SetDown(true) })
--- a/control/operate/handover.go
+++ b/control/operate/handover.go
@@ -54,14 +54,14 @@
 	fmt.Fprintf(c, "handover at %s\n", h.Time.Format(time.RFC3339))
 	if h.Record != nil {
 		fmt.Fprintf(c, "revision %d, accepted %s from %s: %s\n",
-			h.Record.Revision, h.Record.When.Format(time.RFC3339), h.Record.Who, h.Record.Comment)
+			h.Record.Revision, h.Record.AppliedAt.Format(time.RFC3339), h.Record.Author, h.Record.Comment)
 	}
 	h.Status.Write(c)
 	if len(h.Recent) > 0 {
 		fmt.Fprintln(c, "last changes:")
 	}
 	for _, r := range h.Recent {
-		fmt.Fprintf(c, "  %d %s %s %s\n", r.Revision, r.When.Format(time.RFC3339), r.Who, r.Comment)
+		fmt.Fprintf(c, "  %d %s %s %s\n", r.Revision, r.AppliedAt.Format(time.RFC3339), r.Author, r.Comment)
 	}
 	io.WriteString(out, "\n"+h.Text)
 }
--- a/control/operate/history.go
+++ b/control/operate/history.go
@@ -67,7 +67,7 @@
 	}
 	for _, old := range list[:len(list)-keptHistory] {
 		c.remove(ctx, c.keys().Body(old.ID))
-		c.remove(ctx, c.keys().Replaced(old.Revision))
+		c.remove(ctx, c.keys().HistoryEntry(old.Revision))
 	}
 }
 
@@ -91,7 +91,7 @@
 	}
 	kept := *head.Record
 	kept.Patch = nil
-	return c.create(ctx, c.keys().Replaced(head.Revision), kept.Encode())
+	return c.create(ctx, c.keys().HistoryEntry(head.Revision), kept.Encode())
 }
 
 // create writes a key that only ever gets this one value. A conflict means
--- a/control/operate/operate.go
+++ b/control/operate/operate.go
@@ -68,7 +68,7 @@
 // Error names who changed what.
 func (e *ConflictError) Error() string {
 	text := fmt.Sprintf("planned against revision %d, but revision %d is accepted: %s at %s: %q",
-		e.Planned, e.Head.Revision, e.Head.Who, e.Head.When.UTC().Format(time.RFC3339), e.Head.Comment)
+		e.Planned, e.Head.Revision, e.Head.Author, e.Head.AppliedAt.UTC().Format(time.RFC3339), e.Head.Comment)
 	for _, c := range e.Changes {
 		text += "\n  " + c.String()
 	}
@@ -115,7 +115,7 @@
 func (c *Client) head(ctx context.Context) (record.Accepted, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	head, err := record.Head(ctx, c.Store, c.keys())
+	head, err := record.ReadHead(ctx, c.Store, c.keys())
 	if errors.Is(err, store.ErrNotFound) {
 		return record.Accepted{}, nil
 	}
@@ -129,7 +129,7 @@
 func (c *Client) replaced(ctx context.Context, revision int64) (record.Accepted, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	kv, err := c.Store.Get(ctx, c.keys().Replaced(revision))
+	kv, err := c.Store.Get(ctx, c.keys().HistoryEntry(revision))
 	if err != nil {
 		return record.Accepted{}, err
 	}
@@ -139,7 +139,7 @@
 func (c *Client) withText(ctx context.Context, a record.Accepted) (*Current, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	text, err := record.Text(ctx, c.Store, c.keys(), a.Record)
+	text, err := record.ReadText(ctx, c.Store, c.keys(), a.Record)
 	if errors.Is(err, record.ErrCorrupt) || errors.Is(err, store.ErrNotFound) {
 		return nil, errors.Wrapf(err, "revision %d", a.Revision)
 	}
--- a/control/operate/statuspage/page.go
+++ b/control/operate/statuspage/page.go
@@ -70,23 +70,23 @@
 // Fill sets the parts of p that configuration and membership know. The
 // daemon adds its own changes and warnings.
 func (p *Page) Fill(r inforce.Report, view *membership.View) {
-	p.Config = Config{Revision: r.Revision, Source: r.Source, Since: r.Since, Watching: r.Watching}
+	p.Config = Config{Revision: r.Revision, Source: r.Source, Since: r.ActiveSince, Watching: r.Watching}
 	if r.Record != nil {
-		p.Config.Who, p.Config.Accepted, p.Config.Comment = r.Record.Who, r.Record.When, r.Record.Comment
+		p.Config.Who, p.Config.Accepted, p.Config.Comment = r.Record.Author, r.Record.AppliedAt, r.Record.Comment
 	}
 	p.Members = make([]Member, 0, len(view.Members))
 	for _, m := range view.Members {
-		heard := r.Members[m.ID]
+		heard := r.MemberRevisions[m.ID]
 		p.Members = append(p.Members, Member{
-			ID: m.ID, Zone: m.Zone, State: m.State.String(), Revision: heard.Revision, Heard: heard.When,
+			ID: m.ID, Zone: m.Zone, State: m.State.String(), Revision: heard.Revision, Heard: heard.ObservedAt,
 		})
 	}
-	if !r.StoreDown.IsZero() {
-		p.Warnings = append(p.Warnings, Warning{"store", "does not answer: " + r.StoreError, r.StoreDown})
+	if !r.StoreDownSince.IsZero() {
+		p.Warnings = append(p.Warnings, Warning{"store", "does not answer: " + r.StoreError, r.StoreDownSince})
 	}
-	if r.Refused != nil && r.Refused.Revision >= r.Revision {
-		text := fmt.Sprintf("revision %d was refused: %s", r.Refused.Revision, r.Refused.Error)
-		p.Warnings = append(p.Warnings, Warning{"site text", text, r.Refused.When})
+	if r.Rejected != nil && r.Rejected.Revision >= r.Revision {
+		text := fmt.Sprintf("revision %d was refused: %s", r.Rejected.Revision, r.Rejected.Error)
+		p.Warnings = append(p.Warnings, Warning{"site text", text, r.Rejected.RejectedAt})
 	}
 	if r.Revision == 0 {
 		p.Warnings = append(p.Warnings, Warning{Subject: "site text", Text: "none is in force"})
--- a/control/routing/encoding.go
+++ b/control/routing/encoding.go
@@ -111,7 +111,7 @@
 	return &Route{
 		Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: kind,
 		Timeout: time.Duration(r.Timeout), Objective: time.Duration(r.Objective), GapTarget: time.Duration(r.GapTarget),
-		Attempts: max(1, r.Attempts), Priority: r.Priority, Public: r.Public,
+		MaxAttempts: max(1, r.Attempts), Priority: r.Priority, Public: r.Public,
 		Resumable: r.Resumable, Targets: r.Targets,
 	}, nil
 }
--- a/control/routing/encoding_test.go
+++ b/control/routing/encoding_test.go
@@ -21,11 +21,11 @@
 	r := c.Match("desk.example", "/a/b")
 	must.Eq(t, Idempotent, r.Kind)
 	must.Eq(t, 600*time.Millisecond, r.Timeout)
-	must.Eq(t, "desk", r.Target(0.74))
-	must.Eq(t, "llm", r.Target(0.76))
+	must.Eq(t, "desk", r.PickService(0.74))
+	must.Eq(t, "llm", r.PickService(0.76))
 	must.Eq(t, 2, c.Account("k1").Priority)
 	must.Eq(t, -1, c.Account("k2").Priority)
-	must.Eq(t, "llm", c.OnlyEngines())
+	must.Eq(t, "llm", c.SoleEngineService())
 }
 
 // A configuration that cannot be used says which part is wrong.
--- a/control/routing/rollout.go
+++ b/control/routing/rollout.go
@@ -25,8 +25,8 @@
 	MaxRolloutPeriod = 30 * time.Minute
 )
 
-// Check returns an error for an order that cannot be carried out.
-func (o RolloutOrder) Check() error {
+// Validate returns an error for an order that cannot be carried out.
+func (o RolloutOrder) Validate() error {
 	switch {
 	case o.Target == "":
 		return errors.New("it names no target version")
@@ -39,25 +39,25 @@
 // RolloutStatus is what is written of a roll-out for operators, and for daemons that start.
 type RolloutStatus struct {
 	rollout.State
-	// Due is when the period ends, in Unix milliseconds.
-	Due int64
+	// DeadlineMS is when the period ends, in Unix milliseconds.
+	DeadlineMS int64
 }
 
 // RolloutRecord is a status as daemons write it for each other, in JSON.
 type RolloutRecord struct {
-	Stage  string  `json:"stage"` // as rollout.Stage prints itself
-	Target string  `json:"target"`
-	Base   string  `json:"base"`
-	Order  int64   `json:"order"`
-	Share  float64 `json:"share"`
-	Common string  `json:"common,omitempty"`
-	Due    int64   `json:"due"`
+	Stage         string  `json:"stage"` // as rollout.Stage prints itself
+	Target        string  `json:"target"`
+	Baseline      string  `json:"base"`
+	OrderRevision int64   `json:"order"`
+	Share         float64 `json:"share"`
+	CommonRoutes  string  `json:"common,omitempty"`
+	DeadlineMS    int64   `json:"due"`
 }
 
 // Record is what is written of a status.
 func (s RolloutStatus) Record() RolloutRecord {
 	return RolloutRecord{
-		Stage: s.Stage.String(), Target: s.Target, Base: s.Baseline, Order: s.OrderRevision, Share: s.Share, Common: s.CommonRoutes, Due: s.Due,
+		Stage: s.Stage.String(), Target: s.Target, Baseline: s.Baseline, OrderRevision: s.OrderRevision, Share: s.Share, CommonRoutes: s.CommonRoutes, DeadlineMS: s.DeadlineMS,
 	}
 }
 
@@ -68,6 +68,6 @@
 		return RolloutStatus{}, errors.Errorf("status of a roll-out: unknown stage %q", r.Stage)
 	}
 	return RolloutStatus{
-		State: rollout.State{OrderRevision: r.Order, Baseline: r.Base, Target: r.Target, Stage: stage, Share: r.Share, CommonRoutes: r.Common}, Due: r.Due,
+		State: rollout.State{OrderRevision: r.OrderRevision, Baseline: r.Baseline, Target: r.Target, Stage: stage, Share: r.Share, CommonRoutes: r.CommonRoutes}, DeadlineMS: r.DeadlineMS,
 	}, nil
 }
--- a/control/routing/routing.go
+++ b/control/routing/routing.go
@@ -43,8 +43,8 @@
 	Objective time.Duration
 	// GapTarget is the longest pause between events of a stream.
 	GapTarget time.Duration
-	// Attempts bounds the backend servers that may run one request.
-	Attempts int
+	// MaxAttempts bounds the backend servers that may run one request.
+	MaxAttempts int
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
 	// Public routes need no account key.
@@ -70,12 +70,12 @@
 // Engine describes the model engines of a service.
 type Engine struct {
 	Slots int `json:"slots"` // requests processed at once
-	// Copies says that an engine can send the memory of a run to another while it grows.
-	Copies bool `json:"copies"`
-	// Moves says that an engine can be asked to copy the memory of a run once.
-	Moves bool `json:"moves"`
-	// CopyKept is how long a copy is kept of which nothing more arrives.
-	CopyKept time.Duration `json:"-"`
+	// CanReplicate says that an engine can send the memory of a run to another while it grows.
+	CanReplicate bool `json:"copies"`
+	// CanCopy says that an engine can be asked to copy the memory of a run once.
+	CanCopy bool `json:"moves"`
+	// ReplicaTTL is how long a copy is kept of which nothing more arrives.
+	ReplicaTTL time.Duration `json:"-"`
 }
 
 // Limits bound what a caller may send and how long it may take. Zero fields
@@ -142,8 +142,8 @@
 	return strings.ToLower(host)
 }
 
-// NeedsKey reports whether requests on r must name an account.
-func (c *Config) NeedsKey(r *Route) bool { return c.accounts != nil && !r.Public }
+// RequiresKey reports whether requests on r must name an account.
+func (c *Config) RequiresKey(r *Route) bool { return c.accounts != nil && !r.Public }
 
 // Account returns the account that holds key, or nil.
 func (c *Config) Account(key string) *Account { return c.accounts[key] }
@@ -160,9 +160,9 @@
 	return nil
 }
 
-// UsualCall is the objective that half of the routes to a service do not exceed; 0 where a route
+// MedianObjective is the objective that half of the routes to a service do not exceed; 0 where a route
 // to it is a stream, whose objective says nothing of its end, or where there is none.
-func (c *Config) UsualCall(service string) time.Duration {
+func (c *Config) MedianObjective(service string) time.Duration {
 	var objectives []time.Duration
 	for _, routes := range c.routes {
 		for _, r := range routes {
@@ -182,9 +182,9 @@
 	return objectives[(len(objectives)-1)/2]
 }
 
-// OnlyEngines is the name of the one service that has model engines; "" where
+// SoleEngineService is the name of the one service that has model engines; "" where
 // none or several have.
-func (c *Config) OnlyEngines() string {
+func (c *Config) SoleEngineService() string {
 	only := ""
 	for name, s := range c.services {
 		if s.Engine == nil {
@@ -198,8 +198,8 @@
 	return only
 }
 
-// Target picks a service of r; draw is in [0, 1).
-func (r *Route) Target(draw float64) string {
+// PickService picks a service of r; draw is in [0, 1).
+func (r *Route) PickService(draw float64) string {
 	total := 0.0
 	for _, t := range r.Targets {
 		total += max(t.Weight, 0)
@@ -216,52 +216,52 @@
 	return r.Targets[0].Service
 }
 
-// Life is one run of a backend server's process, from its start to its end. A server
+// Incarnation is one run of a backend server's process, from its start to its end. A server
 // may start again under the id that it had; the new life holds and knows nothing of the
 // one before.
-type Life struct {
+type Incarnation struct {
 	ID string
-	// Born is when the process started, in Unix milliseconds of the server's own clock;
+	// StartedAtMS is when the process started, in Unix milliseconds of the server's own clock;
 	// 0 where the server does not say. Only lives of one id compare by it.
-	Born int64
+	StartedAtMS int64
 }
 
 // Before reports whether l ended before other began, as far as both are known.
-func (l Life) Before(other Life) bool {
-	return l.ID == other.ID && l.Born > 0 && l.Born < other.Born
+func (l Incarnation) Before(other Incarnation) bool {
+	return l.ID == other.ID && l.StartedAtMS > 0 && l.StartedAtMS < other.StartedAtMS
 }
 
 // Server is one backend server as it registered itself. An address may be used again
 // by another, and an id by a later life of the same.
 type Server struct {
-	ID      string `json:"id"`
-	Born    int64  `json:"born,omitempty"` // as Life.Born
-	Service string `json:"service"`
-	Address string `json:"address"` // IP:port
-	Zone    string `json:"zone"`
-	Slots   int    `json:"slots"`
+	ID          string `json:"id"`
+	StartedAtMS int64  `json:"born,omitempty"` // as Life.Born
+	Service     string `json:"service"`
+	Address     string `json:"address"` // IP:port
+	Zone        string `json:"zone"`
+	Slots       int    `json:"slots"`
 	// Version is that of the server's software; "" where it does not say.
 	Version string `json:"version,omitempty"`
-	// Leaving says that it takes no new work.
-	Leaving bool `json:"leaving,omitempty"`
+	// Draining says that it takes no new work.
+	Draining bool `json:"leaving,omitempty"`
 }
 
-// Life is the present run of the server's process.
-func (s Server) Life() Life { return Life{ID: s.ID, Born: s.Born} }
+// Incarnation is the present run of the server's process.
+func (s Server) Incarnation() Incarnation { return Incarnation{ID: s.ID, StartedAtMS: s.StartedAtMS} }
 
 // VM is one entry VM as it registered itself.
 type VM struct {
-	ID      string `json:"id"`
-	Zone    string `json:"zone"`
-	Address string `json:"address"` // for callers
-	Peer    string `json:"peer"`    // for other entry VMs
-	Leaving bool   `json:"leaving,omitempty"`
+	ID          string `json:"id"`
+	Zone        string `json:"zone"`
+	Address     string `json:"address"` // for callers
+	PeerAddress string `json:"peer"`    // for other entry VMs
+	Draining    bool   `json:"leaving,omitempty"`
 }
 
 // Serving returns the entry VMs that do not leave, with the hashes of their ids.
 func Serving(vms []VM) (serving []VM, hashes []uint64) {
 	for _, vm := range vms {
-		if !vm.Leaving {
+		if !vm.Draining {
 			serving = append(serving, vm)
 			hashes = append(hashes, xxhash.Sum64String(vm.ID))
 		}
@@ -273,7 +273,7 @@
 func Peers(vms []VM, self string) []VM {
 	var peers []VM
 	for _, vm := range vms {
-		if vm.ID != self && vm.Peer != "" {
+		if vm.ID != self && vm.PeerAddress != "" {
 			peers = append(peers, vm)
 		}
 	}
--- a/lab/bench/control/fleet.go
+++ b/lab/bench/control/fleet.go
@@ -126,7 +126,7 @@
 	})
 	members.OnDigest(func(from membership.Member, name string, version uint64) {
 		if name == inforce.DigestName {
-			config.Learn(from.ID, version)
+			config.ObserveRevision(from.ID, version)
 		}
 	})
 	mux := http.NewServeMux()
--- a/lab/soak/process/servers.go
+++ b/lab/soak/process/servers.go
@@ -113,7 +113,7 @@
 func (s *server) entry(leaving bool) routing.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return routing.Server{ID: s.id, Born: s.born, Service: s.service, Address: s.link.address(), Zone: s.zone, Slots: 32, Leaving: leaving, Version: s.version}
+	return routing.Server{ID: s.id, StartedAtMS: s.born, Service: s.service, Address: s.link.address(), Zone: s.zone, Slots: 32, Draining: leaving, Version: s.version}
 }
 
 // Born implements wire.Engine.
--- a/lab/soak/process/world.go
+++ b/lab/soak/process/world.go
@@ -267,7 +267,7 @@
 	route := func(kind callKind, k routing.Kind, service string, attempts int) *routing.Route {
 		return &routing.Route{
 			Name: strings.Trim(prefixes[kind], "/"), Host: host, Prefix: prefixes[kind], Kind: k, Timeout: patience[kind],
-			Objective: 200 * time.Millisecond, GapTarget: 700 * time.Millisecond, Attempts: attempts,
+			Objective: 200 * time.Millisecond, GapTarget: 700 * time.Millisecond, MaxAttempts: attempts,
 			Resumable: kind == callReview,
 			Targets:   []routing.Target{{Service: service, Weight: 1}},
 		}
@@ -275,7 +275,7 @@
 	d := wire.Desired{
 		Version: w.version, Limits: routing.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second},
 		Services: []*routing.Service{
-			{Name: "llm", Engine: &routing.Engine{Slots: 32, Copies: true, Moves: true, CopyKept: 4 * time.Second}}, {Name: "desk"}, {Name: "desk2"},
+			{Name: "llm", Engine: &routing.Engine{Slots: 32, CanReplicate: true, CanCopy: true, ReplicaTTL: 4 * time.Second}}, {Name: "desk"}, {Name: "desk2"},
 		},
 		Routes: []*routing.Route{
 			route(callReview, routing.Stream, "llm", 5), route(callOnce, routing.AtMostOnce, w.desk, 1), route(callAgain, routing.Idempotent, w.desk, 2),
--- a/serve/daemon/daemon.go
+++ b/serve/daemon/daemon.go
@@ -143,7 +143,7 @@
 	})
 	d.members.OnDigest(func(from membership.Member, name string, version uint64) {
 		if name == inforce.DigestName {
-			d.inforce.Learn(from.ID, version)
+			d.inforce.ObserveRevision(from.ID, version)
 		}
 	})
 }
--- a/serve/forward/absences.go
+++ b/serve/forward/absences.go
@@ -31,7 +31,7 @@
 		for _, s := range servers {
 			listed[s.Address] = true
 			before, ok := p.down[s.Address]
-			if ok && s.Life() != before.incarnation {
+			if ok && s.Incarnation() != before.incarnation {
 				p.absence(service).ObserveReturn(now.Sub(before.since))
 				delete(p.down, s.Address)
 			}
--- a/serve/forward/accept.go
+++ b/serve/forward/accept.go
@@ -80,7 +80,7 @@
 // longer than KeyAge, also where the store cannot be reached: the daemon then
 // refuses rather than trust what it last knew.
 func (h *Handler) authorize(in *inbound, config *routing.Config, age time.Duration) error {
-	if !config.NeedsKey(in.route) {
+	if !config.RequiresKey(in.route) {
 		return nil
 	}
 	if age > time.Duration(h.maxKeyAge.Load())-keyAgeMargin {
--- a/serve/forward/calls.go
+++ b/serve/forward/calls.go
@@ -15,11 +15,11 @@
 const defaultSlots = 16
 
 // choosePlain chooses a server for a request that is no prompt.
-func (p *pool) choosePlain(now time.Time, view *feed.View, service string, exclude []routing.Life) (choice, bool) {
+func (p *pool) choosePlain(now time.Time, view *feed.View, service string, exclude []routing.Incarnation) (choice, bool) {
 	return p.choose(view, service, func(l *serverSet) (choice, bool) { return p.choosePlainFrom(now, l, exclude) })
 }
 
-func (p *pool) choosePlainFrom(now time.Time, l *serverSet, exclude []routing.Life) (choice, bool) {
+func (p *pool) choosePlainFrom(now time.Time, l *serverSet, exclude []routing.Incarnation) (choice, bool) {
 	for i, one := range l.loads {
 		one.calls.Limit = int32(l.servers[i].Slots)
 		if l.servers[i].Slots <= 0 {
@@ -38,13 +38,13 @@
 		if p.limits.canRequestPermit(now, l.servers[i]) {
 			return p.reserve(l, i, reason)
 		}
-		exclude = append(exclude, l.servers[i].Life())
+		exclude = append(exclude, l.servers[i].Incarnation())
 	}
 }
 
 // choosePlainWithPermit chooses a server for a request that is no prompt, one that gives a permit
 // where it names a limit.
-func (h *Handler) choosePlainWithPermit(ctx context.Context, view *feed.View, service string, exclude []routing.Life) (choice, bool) {
+func (h *Handler) choosePlainWithPermit(ctx context.Context, view *feed.View, service string, exclude []routing.Incarnation) (choice, bool) {
 	exclude = slices.Clone(exclude)
 	for {
 		c, ok := h.pool.choosePlain(time.Now(), view, service, exclude)
@@ -52,12 +52,12 @@
 			return c, ok
 		}
 		h.pool.release(c)
-		exclude = append(exclude, c.server.Life())
+		exclude = append(exclude, c.server.Incarnation())
 	}
 }
 
 // bestPlain is the index of the server that is the first choice, -1 if there is none.
-func (p *pool) bestPlain(l *serverSet, exclude []routing.Life) (i int, reason string) {
+func (p *pool) bestPlain(l *serverSet, exclude []routing.Incarnation) (i int, reason string) {
 	r := l.table.Pick(&route.Query{Exclude: l.idsOf(exclude), Random: rand.Uint64()})
 	if r.Index < 0 {
 		return l.lastResort(exclude), "last_resort"
@@ -67,10 +67,10 @@
 
 // lastResort is any server that is not excluded, -1 if there is none: all are suspect or full,
 // and a server that is sends the request back itself.
-func (l *serverSet) lastResort(exclude []routing.Life) (best int) {
+func (l *serverSet) lastResort(exclude []routing.Incarnation) (best int) {
 	best = -1
 	for i, s := range l.servers {
-		if !slices.Contains(exclude, s.Life()) && (best < 0 || l.loads[i].calls.InFlight < l.loads[best].calls.InFlight) {
+		if !slices.Contains(exclude, s.Incarnation()) && (best < 0 || l.loads[i].calls.InFlight < l.loads[best].calls.InFlight) {
 			best = i
 		}
 	}
--- a/serve/forward/candidate.go
+++ b/serve/forward/candidate.go
@@ -115,7 +115,7 @@
 	if view.Config.Engine(r.service) == nil {
 		return false
 	}
-	others := r.h.pool.prefillCandidates(time.Now(), view, r.service, "", SampleSize, []routing.Life{a.target.server.Life()})
+	others := r.h.pool.prefillCandidates(time.Now(), view, r.service, "", SampleSize, []routing.Incarnation{a.target.server.Incarnation()})
 	for range maxFailedProbes {
 		var silent error
 		var all sync.WaitGroup
--- a/serve/forward/endings.go
+++ b/serve/forward/endings.go
@@ -96,7 +96,7 @@
 	h.opts.Log.Emit(event.BackendBroke, e.in.call.ID, e.in.digests, e.in.call.PromptKey, e.in.accountName(),
 		e.at.server.ID, e.at.server.Zone, string(found), finding.String(), end.PeersChecked, end.PeersDown, now.Sub(e.sentAt), running, e.fromReplica, e.err)
 	if found == stateEnded && finding == poison.Attributed {
-		h.poisoned.recordCrash(context.Background(), e.in, e.at.server.Life())
+		h.poisoned.recordCrash(context.Background(), e.in, e.at.server.Incarnation())
 	}
 }
 
@@ -108,7 +108,7 @@
 	}
 	for _, now := range view.Servers[s.Service] {
 		if now.ID == s.ID {
-			return now.Leaving
+			return now.Draining
 		}
 	}
 	return view.HasDeparted(s.ID)
--- a/serve/forward/engines.go
+++ b/serve/forward/engines.go
@@ -12,13 +12,13 @@
 	"mallowwind.dev/decision/prompts"
 )
 
-func (p *pool) engineStates(now time.Time, l *serverSet, exclude []routing.Life) []prompts.Engine {
+func (p *pool) engineStates(now time.Time, l *serverSet, exclude []routing.Incarnation) []prompts.Engine {
 	engines := make([]prompts.Engine, len(l.servers))
 	for i, s := range l.servers {
 		one := l.loads[i]
 		engines[i] = prompts.Engine{
 			Zone: s.Zone, Preferred: l.home[i], Prefilling: one.prefilling, Running: one.running, Copies: one.replicas,
-			Suspect: one.isSuspect(now), Excluded: slices.Contains(exclude, s.Life()),
+			Suspect: one.isSuspect(now), Excluded: slices.Contains(exclude, s.Incarnation()),
 		}
 	}
 	return engines
@@ -26,7 +26,7 @@
 
 // prefillCandidates returns the engines that may read a prompt, the best first and n at most. part
 // is the prompt's own part; "" stands for any prompt.
-func (p *pool) prefillCandidates(now time.Time, view *feed.View, service, part string, n int, exclude []routing.Life) []choice {
+func (p *pool) prefillCandidates(now time.Time, view *feed.View, service, part string, n int, exclude []routing.Incarnation) []choice {
 	var list []choice
 	p.choose(view, service, func(l *serverSet) (choice, bool) {
 		engines := p.engineStates(now, l, exclude)
@@ -46,11 +46,11 @@
 // other daemons have under way, with the prompts known to be read there, and counts the
 // prompt there at once: a daemon that asks in the next moment must know of it. among is
 // true where only the engines in others are known, and chosen from.
-func (p *pool) reservePrefill(now time.Time, view *feed.View, service string, others workloads, among bool, exclude []routing.Life) (c choice, unread int, ok bool) {
+func (p *pool) reservePrefill(now time.Time, view *feed.View, service string, others workloads, among bool, exclude []routing.Incarnation) (c choice, unread int, ok bool) {
 	c, ok = p.choose(view, service, func(l *serverSet) (choice, bool) {
 		engines := p.engineStates(now, l, exclude)
 		for i, s := range l.servers {
-			theirs, known := others[s.Life()]
+			theirs, known := others[s.Incarnation()]
 			engines[i].Prefilling += theirs.prefilling
 			engines[i].Running += theirs.running
 			engines[i].Excluded = engines[i].Excluded || among && !known
@@ -99,7 +99,7 @@
 }
 
 // workReport is what this daemon has under way at one server, and for how long it suspects it.
-func (p *pool) workReport(now time.Time, life routing.Life) prompts.DaemonLoad {
+func (p *pool) workReport(now time.Time, life routing.Incarnation) prompts.DaemonLoad {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	one := p.loads[life]
@@ -115,7 +115,7 @@
 	p.choose(view, service, func(l *serverSet) (choice, bool) {
 		for i, s := range l.servers {
 			if one := l.loads[i]; one.prefilling > 0 || one.running > 0 {
-				at[s.Life()] = workload{prefilling: one.prefilling, running: one.running}
+				at[s.Incarnation()] = workload{prefilling: one.prefilling, running: one.running}
 			}
 		}
 		return choice{}, false
@@ -131,9 +131,9 @@
 }
 
 // chooseReplicaEngine chooses the engine that keeps a copy of a run at another.
-func (p *pool) chooseReplicaEngine(now time.Time, view *feed.View, at routing.Server, exclude []routing.Life) (choice, bool) {
+func (p *pool) chooseReplicaEngine(now time.Time, view *feed.View, at routing.Server, exclude []routing.Incarnation) (choice, bool) {
 	return p.choose(view, at.Service, func(l *serverSet) (choice, bool) {
-		engines := p.engineStates(now, l, append(slices.Clone(exclude), at.Life()))
+		engines := p.engineStates(now, l, append(slices.Clone(exclude), at.Incarnation()))
 		return l.choiceAt(prompts.ChooseCopyEngine(engines, at.Zone, rand.Uint64()), "")
 	})
 }
@@ -160,7 +160,7 @@
 }
 
 // findServer returns a server whose life has not ended.
-func (p *pool) findServer(view *feed.View, service string, life routing.Life) (choice, bool) {
+func (p *pool) findServer(view *feed.View, service string, life routing.Incarnation) (choice, bool) {
 	return p.choose(view, service, func(l *serverSet) (choice, bool) {
 		return l.choiceAt(l.indexOf(life), "holds_prompt")
 	})
@@ -170,9 +170,9 @@
 // nor started anew or replaced at its address, and not suspect. A zero choice does
 // not live.
 func (p *pool) isHealthy(now time.Time, view *feed.View, c choice) bool {
-	if c.load == nil || p.isSuspect(now, c.server.Life()) {
+	if c.load == nil || p.isSuspect(now, c.server.Incarnation()) {
 		return false
 	}
-	_, ok := p.findServer(view, c.server.Service, c.server.Life())
+	_, ok := p.findServer(view, c.server.Service, c.server.Incarnation())
 	return ok || p.staysFor(view, c.server)
 }
--- a/serve/forward/handler.go
+++ b/serve/forward/handler.go
@@ -177,7 +177,7 @@
 		return
 	}
 	defer leave()
-	service := in.route.Target(rand.Float64())
+	service := in.route.PickService(rand.Float64())
 	h.pool.countRequest(in.arrived, service)
 	if in.route.Kind == routing.Stream {
 		err = h.forwardStream(ctx, w, in, service)
--- a/serve/forward/heldup_test.go
+++ b/serve/forward/heldup_test.go
@@ -120,7 +120,7 @@
 		time.Sleep(time.Millisecond)
 		w.askMany(4)
 		for _, s := range w.servers {
-			must.False(t, w.handler.pool.isSuspect(time.Now(), s.server.Life()), must.Sprint(s.server.ID))
+			must.False(t, w.handler.pool.isSuspect(time.Now(), s.server.Incarnation()), must.Sprint(s.server.ID))
 		}
 	})
 }
@@ -248,7 +248,7 @@
 		w.request(http.MethodPost, "/again/1", callerHeaders, "x")
 		time.Sleep(time.Second)
 		for _, s := range w.servers {
-			must.False(t, w.handler.pool.isSuspect(time.Now(), s.server.Life()), must.Sprint(s.server.ID))
+			must.False(t, w.handler.pool.isSuspect(time.Now(), s.server.Incarnation()), must.Sprint(s.server.ID))
 		}
 	})
 }
@@ -274,7 +274,7 @@
 // dead for it: the caller would see an answer cut that was on its way.
 func TestOneLostPacketIsNoDarkEngine(t *testing.T) {
 	route := streamRoute()
-	route[0].Attempts = 1
+	route[0].MaxAttempts = 1
 	withTestCluster(t, route, func(w *testCluster) {
 		var lossy atomic.Value
 		handle := func(rw http.ResponseWriter, r *http.Request) { pausing(rw, r, 600*time.Millisecond) }
@@ -428,7 +428,7 @@
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(1, 20), got.body)
 		for _, s := range w.servers {
-			must.False(w.t, w.handler.pool.isSuspect(time.Now(), s.server.Life()), must.Sprint(s.server.ID))
+			must.False(w.t, w.handler.pool.isSuspect(time.Now(), s.server.Incarnation()), must.Sprint(s.server.ID))
 		}
 	})
 }
--- a/serve/forward/keepers.go
+++ b/serve/forward/keepers.go
@@ -22,13 +22,13 @@
 	boot uint64 // of this process
 
 	mu        sync.Mutex // guards the rest
-	ledger    prompts.LoadTable[routing.Life]
+	ledger    prompts.LoadTable[routing.Incarnation]
 	sequence  uint64
-	reporting map[routing.Life]bool // true: changed again since the note under way
+	reporting map[routing.Incarnation]bool // true: changed again since the note under way
 }
 
 func newWorkTracker(h *Handler) *workTracker {
-	return &workTracker{h: h, boot: rand.Uint64(), reporting: map[routing.Life]bool{}}
+	return &workTracker{h: h, boot: rand.Uint64(), reporting: map[routing.Incarnation]bool{}}
 }
 
 // applies reports whether the engines of a service have keepers.
@@ -43,8 +43,8 @@
 		return
 	}
 	k.mu.Lock()
-	_, under := k.reporting[s.Life()]
-	k.reporting[s.Life()] = under
+	_, under := k.reporting[s.Incarnation()]
+	k.reporting[s.Incarnation()] = under
 	k.mu.Unlock()
 	if !under {
 		go k.reportUntilCurrent(s)
@@ -56,13 +56,13 @@
 	for {
 		k.sendReport(s)
 		k.mu.Lock()
-		again := k.reporting[s.Life()]
+		again := k.reporting[s.Incarnation()]
 		if !again {
-			delete(k.reporting, s.Life())
+			delete(k.reporting, s.Incarnation())
 			k.mu.Unlock()
 			return
 		}
-		k.reporting[s.Life()] = false
+		k.reporting[s.Incarnation()] = false
 		k.mu.Unlock()
 	}
 }
@@ -74,14 +74,14 @@
 	if i < 0 {
 		return
 	}
-	note := k.h.pool.workReport(time.Now(), s.Life())
+	note := k.h.pool.workReport(time.Now(), s.Incarnation())
 	k.mu.Lock()
 	k.sequence++
 	note.Incarnation, note.Sequence = k.boot, k.sequence
 	k.mu.Unlock()
 	self := k.h.opts.Self.ID
 	if vms[i].ID == self {
-		k.record(s.Life(), self, note)
+		k.record(s.Incarnation(), self, note)
 		return
 	}
 	if len(k.h.neighbours.responsive(time.Now(), vms[i:i+1])) == 0 {
@@ -90,20 +90,20 @@
 	k.h.neighbours.sendReport(context.Background(), vms[i], &peerpb.NoteRequest{
 		Daemon: self, Boot: note.Incarnation, Sequence: note.Sequence,
 		Work: &peerpb.ServerWork{
-			Id: s.ID, Born: s.Born, Reading: int32(note.Prefilling), Running: int32(note.Running),
+			Id: s.ID, Born: s.StartedAtMS, Reading: int32(note.Prefilling), Running: int32(note.Running),
 			SuspectMs: note.SuspectFor.Milliseconds(),
 		},
 	})
 }
 
-func (k *workTracker) record(life routing.Life, daemon string, n prompts.DaemonLoad) {
+func (k *workTracker) record(life routing.Incarnation, daemon string, n prompts.DaemonLoad) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.ledger.Update(time.Now(), life, daemon, n)
 }
 
 // noted is what all daemons but one have told this one of an engine.
-func (k *workTracker) noted(life routing.Life, except string) prompts.LoadSum {
+func (k *workTracker) noted(life routing.Incarnation, except string) prompts.LoadSum {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.ledger.Sum(time.Now(), life, except)
@@ -122,10 +122,10 @@
 		return nil, false
 	}
 	vms, hashes := routing.Serving(view.VMs)
-	asked := map[int][]routing.Life{} // by place in vms
+	asked := map[int][]routing.Incarnation{} // by place in vms
 	for _, s := range k.h.pool.window(view, service, part) {
 		if i := prompts.Tracker(xxhash.Sum64String(s.ID), hashes); i >= 0 {
-			asked[i] = append(asked[i], s.Life())
+			asked[i] = append(asked[i], s.Incarnation())
 		}
 	}
 	var all sync.WaitGroup
@@ -146,7 +146,7 @@
 }
 
 // query asks one keeper, which may be this daemon; nil where it does not answer.
-func (k *workTracker) query(ctx context.Context, vm routing.VM, lives []routing.Life) workloads {
+func (k *workTracker) query(ctx context.Context, vm routing.VM, lives []routing.Incarnation) workloads {
 	self, told := k.h.opts.Self.ID, workloads{}
 	if vm.ID == self {
 		for _, life := range lives {
@@ -166,21 +166,21 @@
 		return nil
 	}
 	for _, s := range reply.GetServers() {
-		told[routing.Life{ID: s.GetId(), Born: s.GetBorn()}] = workOf(prompts.LoadSum{
+		told[routing.Incarnation{ID: s.GetId(), StartedAtMS: s.GetBorn()}] = workOf(prompts.LoadSum{
 			Prefilling: int(max(s.GetReading(), 0)), Running: int(max(s.GetRunning(), 0)), SuspectedBy: int(max(s.GetSuspects(), 0)),
 		})
 	}
 	return told
 }
 
-func serverWork(life routing.Life, w workload) *peerpb.ServerWork {
-	return &peerpb.ServerWork{Id: life.ID, Born: life.Born, Reading: int32(w.prefilling), Running: int32(w.running)}
+func serverWork(life routing.Incarnation, w workload) *peerpb.ServerWork {
+	return &peerpb.ServerWork{Id: life.ID, Born: life.StartedAtMS, Reading: int32(w.prefilling), Running: int32(w.running)}
 }
 
 // Note implements peerpb.Work.
 func (t workService) Note(_ context.Context, q *peerpb.NoteRequest) (*peerpb.NoteReply, error) {
 	w := q.GetWork()
-	t.h.keepers.record(routing.Life{ID: w.GetId(), Born: w.GetBorn()}, q.GetDaemon(), prompts.DaemonLoad{
+	t.h.keepers.record(routing.Incarnation{ID: w.GetId(), StartedAtMS: w.GetBorn()}, q.GetDaemon(), prompts.DaemonLoad{
 		Incarnation: q.GetBoot(), Sequence: q.GetSequence(),
 		Prefilling: int(max(w.GetReading(), 0)), Running: int(max(w.GetRunning(), 0)),
 		SuspectFor: time.Duration(w.GetSuspectMs()) * time.Millisecond,
@@ -192,10 +192,10 @@
 func (t workService) Noted(_ context.Context, q *peerpb.NotedRequest) (*peerpb.WorkReply, error) {
 	reply := &peerpb.WorkReply{}
 	for _, s := range q.GetServers() {
-		life := routing.Life{ID: s.GetId(), Born: s.GetBorn()}
+		life := routing.Incarnation{ID: s.GetId(), StartedAtMS: s.GetBorn()}
 		n := t.h.keepers.noted(life, q.GetDaemon())
 		reply.Servers = append(reply.Servers, &peerpb.ServerWork{
-			Id: life.ID, Born: life.Born, Reading: int32(n.Prefilling), Running: int32(n.Running), Suspects: int32(n.SuspectedBy),
+			Id: life.ID, Born: life.StartedAtMS, Reading: int32(n.Prefilling), Running: int32(n.Running), Suspects: int32(n.SuspectedBy),
 		})
 	}
 	return reply, nil
--- a/serve/forward/layout.go
+++ b/serve/forward/layout.go
@@ -28,7 +28,7 @@
 	}
 	p.view, p.snapshot = view, now
 	p.layouts = make(map[string]*serverSet, len(view.Servers))
-	used := make(map[routing.Life]*serverLoad, len(p.loads))
+	used := make(map[routing.Incarnation]*serverLoad, len(p.loads))
 	for service, servers := range view.Servers {
 		state := now.Of(service)
 		steady, trial := split(servers, state)
@@ -45,12 +45,12 @@
 	p.recordReturns()
 }
 
-func (p *pool) buildServerSet(servers []routing.Server, used map[routing.Life]*serverLoad) *serverSet {
+func (p *pool) buildServerSet(servers []routing.Server, used map[routing.Incarnation]*serverLoad) *serverSet {
 	l := &serverSet{index: map[string]int{}}
 	var candidates []route.Candidate
 	for _, s := range servers {
 		s, one, ok := p.currentServer(s, used)
-		if !ok || s.Leaving {
+		if !ok || s.Draining {
 			continue
 		}
 		l.index[s.ID] = len(l.servers)
@@ -67,18 +67,18 @@
 
 // currentServer returns the server that is at the place of one in the view, with this daemon's work there,
 // which it adds to that in use; ok is false where there is none any more.
-func (p *pool) currentServer(s routing.Server, used map[routing.Life]*serverLoad) (at routing.Server, one *serverLoad, ok bool) {
-	if next, ok := p.successors[s.Life()]; ok {
+func (p *pool) currentServer(s routing.Server, used map[routing.Incarnation]*serverLoad) (at routing.Server, one *serverLoad, ok bool) {
+	if next, ok := p.successors[s.Incarnation()]; ok {
 		if p.view.HasDeparted(next.ID) {
 			return s, nil, false // the entry is of a life that ended before
 		}
-		s.ID, s.Born = next.ID, next.Born
+		s.ID, s.StartedAtMS = next.ID, next.StartedAtMS
 	}
-	if one = used[s.Life()]; one == nil {
-		if one = p.loads[s.Life()]; one == nil {
+	if one = used[s.Incarnation()]; one == nil {
+		if one = p.loads[s.Incarnation()]; one == nil {
 			one = &serverLoad{}
 		}
-		used[s.Life()] = one
+		used[s.Incarnation()] = one
 	}
 	return s, one, true
 }
@@ -95,7 +95,7 @@
 	self := xxhash.Sum64String(p.self.ID)
 	daemons := []uint64{self}
 	for _, vm := range p.view.VMs {
-		if vm.ID != p.self.ID && !vm.Leaving {
+		if vm.ID != p.self.ID && !vm.Draining {
 			daemons = append(daemons, xxhash.Sum64String(vm.ID))
 		}
 	}
@@ -144,15 +144,15 @@
 func windowed(engines int) bool { return engines > maxScanned }
 
 // indexOf is the index of the server whose present life is given, -1 if there is none.
-func (l *serverSet) indexOf(life routing.Life) int {
-	if i, ok := l.index[life.ID]; ok && l.servers[i].Life() == life {
+func (l *serverSet) indexOf(life routing.Incarnation) int {
+	if i, ok := l.index[life.ID]; ok && l.servers[i].Incarnation() == life {
 		return i
 	}
 	return -1
 }
 
 // idsOf are those of the servers here among the lives given.
-func (l *serverSet) idsOf(lives []routing.Life) []string {
+func (l *serverSet) idsOf(lives []routing.Incarnation) []string {
 	var ids []string
 	for _, life := range lives {
 		if l.indexOf(life) >= 0 {
--- a/serve/forward/leg.go
+++ b/serve/forward/leg.go
@@ -208,21 +208,21 @@
 	if now.Sub(r.linkStalledSince) >= takeover.MaxLinkStall {
 		return false
 	}
-	others := r.h.pool.prefillCandidates(now, view, r.service, "", SampleSize, []routing.Life{l.target.server.Life()})
+	others := r.h.pool.prefillCandidates(now, view, r.service, "", SampleSize, []routing.Incarnation{l.target.server.Incarnation()})
 	return len(others) > 0 && len(r.h.newProbeRound().sampleLoads(ctx, others, 0)) == 0
 }
 
 // handleRejection handles a server's word that it did not run the request.
 func (r *relay) handleRejection(ctx context.Context, l segment, o responseHead) (segmentEnd, error) {
 	err := errors.Errorf("status %d, instance %s", o.resp.StatusCode, o.reply.Instance)
-	next, succeeded := routing.Life{}, false
+	next, succeeded := routing.Incarnation{}, false
 	if o.reply.Misdirected {
 		next, succeeded = r.findSuccessor(ctx, l.target.server, o.reply.Instance)
 	}
 	switch {
 	case succeeded && l.resumeFrom != "":
-		r.misdirectedLife = l.target.server.Life()
-		l.target.server.ID, l.target.server.Born = next.ID, next.Born
+		r.misdirectedLife = l.target.server.Incarnation()
+		l.target.server.ID, l.target.server.StartedAtMS = next.ID, next.StartedAtMS
 		r.heldCopy = replica{at: l.target, name: l.resumeFrom}
 	case !succeeded && l.resumeFrom == "":
 		r.exclude(l)
@@ -236,18 +236,18 @@
 // sent to the address and lie at the new engine. Where one service alone has
 // engines, whatever speaks as an engine is of that service, also at an address
 // used again.
-func (r *relay) findSuccessor(ctx context.Context, old routing.Server, instance string) (routing.Life, bool) {
+func (r *relay) findSuccessor(ctx context.Context, old routing.Server, instance string) (routing.Incarnation, bool) {
 	view := r.h.opts.Feed.View()
-	if instance == "" || instance == old.ID || view.HasDeparted(instance) || view.Config.OnlyEngines() != r.service {
-		return routing.Life{}, false
+	if instance == "" || instance == old.ID || view.HasDeparted(instance) || view.Config.SoleEngineService() != r.service {
+		return routing.Incarnation{}, false
 	}
 	report, err := r.h.fetchReport(ctx, old, probeTimeout)
 	if err != nil {
-		return routing.Life{}, false
+		return routing.Incarnation{}, false
 	}
-	next := routing.Life{ID: instance, Born: report.Born}
-	r.h.pool.recordSuccessor(view, old.Life(), next)
-	r.h.opts.Log.Emit(event.BackendSucceeded, r.in.call.ID, old.ID, next.ID, next.Born)
+	next := routing.Incarnation{ID: instance, StartedAtMS: report.Born}
+	r.h.pool.recordSuccessor(view, old.Incarnation(), next)
+	r.h.opts.Log.Emit(event.BackendSucceeded, r.in.call.ID, old.ID, next.ID, next.StartedAtMS)
 	return next, true
 }
 
--- a/serve/forward/lending.go
+++ b/serve/forward/lending.go
@@ -64,9 +64,9 @@
 func (b *retryBorrower) lenderCandidates(view *feed.View) (ids []string, peers map[string]string) {
 	peers = make(map[string]string, len(view.VMs))
 	for _, vm := range routing.Peers(view.VMs, b.self) {
-		if !vm.Leaving {
+		if !vm.Draining {
 			ids = append(ids, vm.ID)
-			peers[vm.ID] = vm.Peer
+			peers[vm.ID] = vm.PeerAddress
 		}
 	}
 	return ids, peers
--- a/serve/forward/limits.go
+++ b/serve/forward/limits.go
@@ -21,7 +21,7 @@
 	h *Handler
 
 	mu      sync.Mutex // guards the rest
-	servers map[routing.Life]*serverLimit
+	servers map[routing.Incarnation]*serverLimit
 }
 
 // serverLimit is what is known of one life of a server that named a limit.
@@ -36,7 +36,7 @@
 }
 
 func newRateLimits(h *Handler) *rateLimits {
-	return &rateLimits{h: h, servers: map[routing.Life]*serverLimit{}}
+	return &rateLimits{h: h, servers: map[routing.Incarnation]*serverLimit{}}
 }
 
 // observeReply takes in what a server says in the answer to a request sent at a moment. ran says
@@ -52,7 +52,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !named && l.servers[s.Life()] == nil {
+	if !named && l.servers[s.Incarnation()] == nil {
 		return
 	}
 	one := l.entry(s)
@@ -86,21 +86,21 @@
 
 // entry is what is known of a server. The caller holds the lock.
 func (l *rateLimits) entry(s routing.Server) *serverLimit {
-	one := l.servers[s.Life()]
+	one := l.servers[s.Incarnation()]
 	if one == nil {
 		l.forgetGone()
 		one = &serverLimit{server: s, fallback: quota.NewDaemonBucket(rand.Float64())}
-		l.servers[s.Life()] = one
+		l.servers[s.Incarnation()] = one
 	}
 	return one
 }
 
 // forgetGone forgets servers whose lives have ended. The caller holds the lock.
 func (l *rateLimits) forgetGone() {
-	there := map[routing.Life]bool{}
+	there := map[routing.Incarnation]bool{}
 	for _, servers := range l.h.opts.Feed.View().Servers {
 		for _, s := range servers {
-			there[s.Life()] = true
+			there[s.Incarnation()] = true
 		}
 	}
 	for life := range l.servers {
@@ -120,7 +120,7 @@
 // message is what other daemons are told of a server. The caller holds the lock.
 func (one *serverLimit) message() *peerpb.Limit {
 	rate, named := one.limit.Rate()
-	return &peerpb.Limit{Server: one.server.ID, Born: one.server.Born, Named: named, Rate: rate}
+	return &peerpb.Limit{Server: one.server.ID, Born: one.server.StartedAtMS, Named: named, Rate: rate}
 }
 
 // spread tells all other daemons of a limit. One that does not hear of it learns it from its
@@ -135,7 +135,7 @@
 
 // observePeer takes in what another daemon says of a server.
 func (l *rateLimits) observePeer(m *peerpb.Limit) {
-	s, ok := l.h.findServer(routing.Life{ID: m.GetServer(), Born: m.GetBorn()})
+	s, ok := l.h.findServer(routing.Incarnation{ID: m.GetServer(), StartedAtMS: m.GetBorn()})
 	if !ok {
 		return // its entry has not arrived; its own answers will say it
 	}
@@ -150,7 +150,7 @@
 // limitedNow is what is known of a server that names a limit now, nil for any other. The caller
 // holds the lock.
 func (l *rateLimits) limitedNow(s routing.Server) *serverLimit {
-	one := l.servers[s.Life()]
+	one := l.servers[s.Incarnation()]
 	if one == nil {
 		return nil
 	}
@@ -161,10 +161,10 @@
 }
 
 // findServer is the server of a life, if the view shows it.
-func (h *Handler) findServer(life routing.Life) (routing.Server, bool) {
+func (h *Handler) findServer(life routing.Incarnation) (routing.Server, bool) {
 	for _, servers := range h.opts.Feed.View().Servers {
 		for _, s := range servers {
-			if s.Life() == life {
+			if s.Incarnation() == life {
 				return s, true
 			}
 		}
--- a/serve/forward/lives.go
+++ b/serve/forward/lives.go
@@ -30,15 +30,15 @@
 // connection to it is silent. Its new life answers every question, so that a stream whose
 // prompt was lost waits until its caller leaves, and copies are believed to lie there.
 func (h *Handler) observeIncarnation(s routing.Server, born int64) lifeOrder {
-	life := routing.Life{ID: s.ID, Born: born}
+	life := routing.Incarnation{ID: s.ID, StartedAtMS: born}
 	switch {
-	case life.Before(s.Life()):
+	case life.Before(s.Incarnation()):
 		return lifeBefore
-	case !s.Life().Before(life):
+	case !s.Incarnation().Before(life):
 		return lifeSame
 	}
-	if h.pool.renewed(h.opts.Feed.View(), s.Life(), life) {
-		h.opts.Log.Emit(event.BackendSucceeded, "", s.ID, life.ID, life.Born)
+	if h.pool.renewed(h.opts.Feed.View(), s.Incarnation(), life) {
+		h.opts.Log.Emit(event.BackendSucceeded, "", s.ID, life.ID, life.StartedAtMS)
 	}
 	return lifeAfter
 }
--- a/serve/forward/lives_test.go
+++ b/serve/forward/lives_test.go
@@ -17,7 +17,7 @@
 // addBorn starts an engine that says when it started, and waits until the handler knows it.
 func (w *testCluster) addBorn(id, zone string, handle http.HandlerFunc) *fakeServer {
 	w.t.Helper()
-	s := w.start(routing.Server{ID: id, Service: "llm", Zone: zone, Address: id + ":80", Slots: 4, Born: firstLife}, handle)
+	s := w.start(routing.Server{ID: id, Service: "llm", Zone: zone, Address: id + ":80", Slots: 4, StartedAtMS: firstLife}, handle)
 	w.register(s)
 	time.Sleep(time.Second)
 	return s
@@ -92,7 +92,7 @@
 		must.False(t, ok)
 		at, ok := r.findCopyHolder(w.feed.View(), replica{at: c})
 		must.True(t, ok) // one that grows is sent to the new life too
-		must.Eq(t, int64(firstLife+1), at.server.Born)
+		must.Eq(t, int64(firstLife+1), at.server.StartedAtMS)
 	})
 }
 
@@ -104,14 +104,14 @@
 		pool := w.handler.pool
 		pool.prefillCandidates(time.Now(), w.feed.View(), "llm", "", 1, nil)
 		pool.recordFailure(time.Now(), s.server)
-		must.True(t, pool.isSuspect(time.Now(), s.server.Life()))
+		must.True(t, pool.isSuspect(time.Now(), s.server.Incarnation()))
 		again := w.reborn(s, false)
 		w.register(again)
 		time.Sleep(time.Second)
 		list := pool.prefillCandidates(time.Now(), w.feed.View(), "llm", "", 1, nil)
 		must.SliceLen(t, 1, list)
-		must.False(t, pool.isSuspect(time.Now(), list[0].server.Life()))
-		must.Eq(t, again.server.Life(), list[0].server.Life())
+		must.False(t, pool.isSuspect(time.Now(), list[0].server.Incarnation()))
+		must.Eq(t, again.server.Incarnation(), list[0].server.Incarnation())
 	})
 }
 
@@ -127,19 +127,19 @@
 		_, err := w.handler.probe(w.t.Context(), s.server, time.Second)
 		must.ErrorIs(t, err, errRestarted)
 		list := w.handler.pool.prefillCandidates(time.Now(), w.feed.View(), "llm", "", 1, nil)
-		must.Eq(t, again.server.Life(), list[0].server.Life())
+		must.Eq(t, again.server.Incarnation(), list[0].server.Incarnation())
 		report, err := w.handler.probe(w.t.Context(), list[0].server, time.Second)
 		must.NoError(t, err)
 		must.MapContainsKey(t, report.Events, "run-2")
 
 		late := list[0].server
-		late.Born++ // a third life, known already when the second still answers
-		must.True(t, w.handler.pool.renewed(w.feed.View(), list[0].server.Life(), late.Life()))
+		late.StartedAtMS++ // a third life, known already when the second still answers
+		must.True(t, w.handler.pool.renewed(w.feed.View(), list[0].server.Incarnation(), late.Incarnation()))
 		report, err = w.handler.probe(w.t.Context(), late, time.Second)
 		must.NoError(t, err)
 		must.MapEmpty(t, report.Events)
 		must.Zero(t, report.CapacityTokens)
-		must.False(t, w.handler.pool.renewed(w.feed.View(), late.Life(), again.server.Life()))
+		must.False(t, w.handler.pool.renewed(w.feed.View(), late.Incarnation(), again.server.Incarnation()))
 	})
 }
 
@@ -153,9 +153,9 @@
 		life, parts, err := w.handler.cachedParts(w.t.Context(), s.server)
 		must.NoError(t, err)
 		must.Eq(t, []string{"p7"}, parts)
-		must.Eq(t, s.server.Life(), life)
+		must.Eq(t, s.server.Incarnation(), life)
 		known := s.server
-		known.Born += 5
+		known.StartedAtMS += 5
 		_, parts, err = w.handler.cachedParts(w.t.Context(), known)
 		must.NoError(t, err)
 		must.SliceEmpty(t, parts)
@@ -164,7 +164,7 @@
 		life, parts, err = w.handler.cachedParts(w.t.Context(), s.server)
 		must.NoError(t, err)
 		must.Eq(t, []string{"p8"}, parts)
-		must.Eq(t, again.server.Life(), life)
+		must.Eq(t, again.server.Incarnation(), life)
 	})
 }
 
--- a/serve/forward/locate.go
+++ b/serve/forward/locate.go
@@ -56,25 +56,25 @@
 type scan struct {
 	startedAt time.Time
 	mu        sync.Mutex
-	holders   map[string][]routing.Life // by part
+	holders   map[string][]routing.Incarnation // by part
 	finished  bool
 	updated   chan struct{} // closed and replaced with each answer, and at the end
 }
 
 func newScan(now time.Time) *scan {
-	return &scan{startedAt: now, holders: map[string][]routing.Life{}, updated: make(chan struct{})}
+	return &scan{startedAt: now, holders: map[string][]routing.Incarnation{}, updated: make(chan struct{})}
 }
 
 // holdersOf returns the holders known of a part, whether more may come, and what is closed
 // when there is news.
-func (s *scan) holdersOf(part string) (holders []routing.Life, ended bool, news <-chan struct{}) {
+func (s *scan) holdersOf(part string) (holders []routing.Incarnation, ended bool, news <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.holders[part], s.finished, s.updated
 }
 
 // add records what one engine holds.
-func (s *scan) add(life routing.Life, parts []string) {
+func (s *scan) add(life routing.Incarnation, parts []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, part := range parts {
@@ -100,7 +100,7 @@
 func newLocator(h *Handler) *locator { return &locator{h: h, scans: map[string]*scan{}} }
 
 // holders returns the engines that hold part, as soon as one is known.
-func (l *locator) holders(ctx context.Context, service, part string) []routing.Life {
+func (l *locator) holders(ctx context.Context, service, part string) []routing.Incarnation {
 	s := l.scan(service, part)
 	for {
 		holders, ended, news := s.holdersOf(part)
@@ -211,14 +211,14 @@
 var errLong = errors.New("forward: the engine holds too much to tell")
 
 // cachedParts asks an engine what it holds, and which of its lives holds that.
-func (h *Handler) cachedParts(ctx context.Context, server routing.Server) (routing.Life, []string, error) {
+func (h *Handler) cachedParts(ctx context.Context, server routing.Server) (routing.Incarnation, []string, error) {
 	life, parts, _, err := h.readCache(ctx, server)
 	return life, parts, err
 }
 
 // readCache is cached, and says how many bytes of the answer arrived.
-func (h *Handler) readCache(ctx context.Context, server routing.Server) (life routing.Life, parts []string, bytes int, err error) {
-	life = server.Life()
+func (h *Handler) readCache(ctx context.Context, server routing.Server) (life routing.Incarnation, parts []string, bytes int, err error) {
+	life = server.Incarnation()
 	body, err := h.callServerUpTo(ctx, scanAnswer, http.MethodGet, server, h.opts.Codec.CachePath(), nil)
 	h.metrics.cacheBytes.Add(float64(len(body)))
 	if err != nil {
@@ -236,7 +236,7 @@
 	case lifeBefore:
 		return life, nil, len(body), nil
 	case lifeAfter:
-		life.Born = cache.Born
+		life.StartedAtMS = cache.Born
 	}
 	return life, cache.PromptKeys, len(body), nil
 }
--- a/serve/forward/neighbours.go
+++ b/serve/forward/neighbours.go
@@ -37,7 +37,7 @@
 type workload struct{ prefilling, running int }
 
 // workloads is what is under way, by engine.
-type workloads map[routing.Life]workload
+type workloads map[routing.Incarnation]workload
 
 // peerClient asks the other daemons what they have under way.
 type peerClient struct {
@@ -126,7 +126,7 @@
 ) (R, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	reply, err := method(client(n.dialer.URL(vm.Peer), n.dialer.Client), ctx, q)
+	reply, err := method(client(n.dialer.URL(vm.PeerAddress), n.dialer.Client), ctx, q)
 	return reply, n.recordResult(vm, err)
 }
 
@@ -155,13 +155,13 @@
 		return nil
 	}
 	n.backoffUntil[vm.ID] = time.Now().Add(peerBackoff)
-	n.log.Emit(event.NeighbourSilent, vm.Peer, err)
+	n.log.Emit(event.NeighbourSilent, vm.PeerAddress, err)
 	return err
 }
 
 func (w workloads) add(reply *peerpb.WorkReply) {
 	for _, s := range reply.GetServers() {
-		life := routing.Life{ID: s.GetId(), Born: s.GetBorn()}
+		life := routing.Incarnation{ID: s.GetId(), StartedAtMS: s.GetBorn()}
 		one := w[life]
 		one.prefilling += int(max(s.GetReading(), 0))
 		one.running += int(max(s.GetRunning(), 0))
--- a/serve/forward/permits.go
+++ b/serve/forward/permits.go
@@ -65,7 +65,7 @@
 	defer l.mu.Unlock()
 	for _, s := range l.h.opts.Feed.View().Servers[service] {
 		one := l.limitedNow(s)
-		if one == nil || s.Leaving {
+		if one == nil || s.Draining {
 			continue
 		}
 		if next := one.permitRequests.Wait(now); !limited || next < wait {
@@ -125,7 +125,7 @@
 // Permit implements peerpb.Quota.
 func (r rationing) Permit(_ context.Context, q *peerpb.PermitRequest) (*peerpb.PermitReply, error) {
 	m := q.GetLimit()
-	s, ok := r.limits.h.findServer(routing.Life{ID: m.GetServer(), Born: m.GetBorn()})
+	s, ok := r.limits.h.findServer(routing.Incarnation{ID: m.GetServer(), StartedAtMS: m.GetBorn()})
 	if !ok {
 		return &peerpb.PermitReply{WaitMs: unknownServer.Milliseconds()}, nil
 	}
--- a/serve/forward/place.go
+++ b/serve/forward/place.go
@@ -73,7 +73,7 @@
 			}
 		}
 		r.h.pool.addLoad(c, -1, 0, 0)
-		excluded = append(excluded, c.server.Life())
+		excluded = append(excluded, c.server.Incarnation())
 	}
 	return sampledEngine{}, false
 }
@@ -94,7 +94,7 @@
 			candidates = r.h.pool.prefillCandidates(time.Now(), view, r.service, r.in.call.PromptKey, SampleSize, excluded)
 		}
 		for _, c := range candidates {
-			excluded = append(excluded, c.server.Life())
+			excluded = append(excluded, c.server.Incarnation())
 		}
 		seen = append(seen, asked.sampleLoads(ctx, candidates, 0)...)
 		if c, ok := r.leastLoaded(seen); ok && c.report.CanPrefillNow(r.in.call.PromptTokens) {
--- a/serve/forward/place_test.go
+++ b/serve/forward/place_test.go
@@ -202,7 +202,7 @@
 		others, cut := w.addDaemons(12)
 		view := w.feed.View()
 		for n := range 5 {
-			c, ok := others[n%2].pool.findServer(view, "llm", routing.Life{ID: fmt.Sprintf("e-%d", n)})
+			c, ok := others[n%2].pool.findServer(view, "llm", routing.Incarnation{ID: fmt.Sprintf("e-%d", n)})
 			must.True(t, ok)
 			others[n%2].pool.addLoad(c, n%2, 1-n%2, 0)
 		}
@@ -239,7 +239,7 @@
 		}
 		failing := w.servers[preferred].server
 		for _, other := range others[:2] {
-			_, ok := other.pool.findServer(w.feed.View(), "llm", failing.Life())
+			_, ok := other.pool.findServer(w.feed.View(), "llm", failing.Incarnation())
 			must.True(t, ok)
 			other.pool.recordFailure(time.Now(), failing)
 		}
@@ -280,7 +280,7 @@
 		other := w.addDaemon("vm-2")
 		view := w.feed.View()
 		engine := func(id string) choice {
-			c, ok := other.pool.findServer(view, "llm", routing.Life{ID: id})
+			c, ok := other.pool.findServer(view, "llm", routing.Incarnation{ID: id})
 			must.True(t, ok)
 			return c
 		}
--- a/serve/forward/plain.go
+++ b/serve/forward/plain.go
@@ -64,7 +64,7 @@
 	// possibleRuns counts sends that may have run, sends all that reached a server; rejected
 	// those that were turned away, and full those of them for want of room.
 	possibleRuns, sends, rejected, rejectedFull int
-	tried                                       []routing.Life
+	tried                                       []routing.Incarnation
 	// unconnected are those to which no connection was made in time, reached says that one
 	// was made to another.
 	unconnected []*outcome
@@ -120,7 +120,7 @@
 				return x.finalOutcome(best, o)
 			}
 		case <-hedge.C:
-			if x.in.route.Kind == routing.Idempotent && x.possibleRuns < x.in.route.Attempts && !x.isOverloaded() {
+			if x.in.route.Kind == routing.Idempotent && x.possibleRuns < x.in.route.MaxAttempts && !x.isOverloaded() {
 				x.sendToNext(ctx)
 			}
 		case <-ctx.Done():
@@ -157,7 +157,7 @@
 		x.h.pool.release(c)
 		return false
 	}
-	x.tried = append(x.tried, c.server.Life())
+	x.tried = append(x.tried, c.server.Incarnation())
 	x.sends++
 	x.possibleRuns++
 	x.pending++
@@ -218,7 +218,7 @@
 	if o.notRun {
 		return x.rejected < maxRejections && len(x.tried) < 2*maxRejections
 	}
-	return x.in.route.Kind == routing.Idempotent && x.possibleRuns < x.in.route.Attempts
+	return x.in.route.Kind == routing.Idempotent && x.possibleRuns < x.in.route.MaxAttempts
 }
 
 // isOverloaded reports whether the servers turn requests away, so that what is sent a
--- a/serve/forward/poisoned.go
+++ b/serve/forward/poisoned.go
@@ -22,7 +22,7 @@
 
 	mu      sync.Mutex // guards the rest
 	view    *feed.View // the last one seen here
-	ledger  poison.CrashCounter[routing.Life]
+	ledger  poison.CrashCounter[routing.Incarnation]
 	marks   poison.Marks
 	running map[string]map[*underway]bool // by digest
 	details map[string]*peerpb.Poisonous  // of requests that have a mark or had ends counted here
@@ -119,9 +119,9 @@
 }
 
 // recordCrash counts the end of a server under a request here and at the request's keepers.
-func (p *poisonRegistry) recordCrash(ctx context.Context, in *inbound, life routing.Life) {
+func (p *poisonRegistry) recordCrash(ctx context.Context, in *inbound, life routing.Incarnation) {
 	for _, digest := range in.digests {
-		q := &peerpb.EndedRequest{Digest: digest, Server: life.ID, Born: life.Born, Account: in.accountName(), Route: in.routeName()}
+		q := &peerpb.EndedRequest{Digest: digest, Server: life.ID, Born: life.StartedAtMS, Account: in.accountName(), Route: in.routeName()}
 		p.countCrash(q)
 		p.toKeepers(digest, func(vm routing.VM) {
 			reply, err := callPeer(ctx, p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Ended, q, poisonTimeout)
@@ -135,7 +135,7 @@
 // countCrash records the end of a server under a request, and marks the request by all that is
 // counted here.
 func (p *poisonRegistry) countCrash(q *peerpb.EndedRequest) {
-	digest, life := q.GetDigest(), routing.Life{ID: q.GetServer(), Born: q.GetBorn()}
+	digest, life := q.GetDigest(), routing.Incarnation{ID: q.GetServer(), StartedAtMS: q.GetBorn()}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.syncView(p.h.opts.Feed.View())
--- a/serve/forward/pool.go
+++ b/serve/forward/pool.go
@@ -44,11 +44,11 @@
 	view      *feed.View
 	layouts   map[string]*serverSet
 	// loads are by life: what was learned of a server ends with it.
-	loads   map[routing.Life]*serverLoad
+	loads   map[routing.Incarnation]*serverLoad
 	budgets map[string]*repeats.Budget
 	// successors are the lives that have begun at the address of one in the view, by
 	// the life there.
-	successors map[routing.Life]routing.Life
+	successors map[routing.Incarnation]routing.Incarnation
 	// down are the servers that failed and have not been back since, by address.
 	down     map[string]downServer
 	absences map[string]*absence.Estimator // by service
@@ -63,15 +63,15 @@
 
 // downServer is a server that failed.
 type downServer struct {
-	incarnation routing.Life
+	incarnation routing.Incarnation
 	since       time.Time
 }
 
 func newPool(self routing.VM, rule repeats.Policy, versions *versions.Manager) *pool {
 	return &pool{
 		self: self, startedAt: time.Now(), retryRule: rule, layouts: map[string]*serverSet{},
-		loads: map[routing.Life]*serverLoad{}, budgets: map[string]*repeats.Budget{},
-		successors: map[routing.Life]routing.Life{},
+		loads: map[routing.Incarnation]*serverLoad{}, budgets: map[string]*repeats.Budget{},
+		successors: map[routing.Incarnation]routing.Incarnation{},
 		down:       map[string]downServer{}, absences: map[string]*absence.Estimator{},
 		onWorkChanged: func(routing.Server) {}, versions: versions,
 	}
@@ -109,14 +109,14 @@
 func (p *pool) suspectFrom(now time.Time, s routing.Server) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	one := p.loads[s.Life()]
+	one := p.loads[s.Incarnation()]
 	if one == nil {
 		return false
 	}
 	one.suspectFor = min(max(2*one.suspectFor, minSuspicion), maxSuspicion)
 	one.suspectUntil = now.Add(one.suspectFor)
 	if _, known := p.down[s.Address]; !known {
-		p.down[s.Address] = downServer{incarnation: s.Life(), since: now}
+		p.down[s.Address] = downServer{incarnation: s.Incarnation(), since: now}
 	}
 	return true
 }
@@ -126,13 +126,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c.load.suspectFor = 0
-	if p.down[c.server.Address].incarnation == c.server.Life() {
+	if p.down[c.server.Address].incarnation == c.server.Incarnation() {
 		delete(p.down, c.server.Address) // it was there all the time
 	}
 }
 
 // isSuspect reports whether a server failed a moment ago.
-func (p *pool) isSuspect(now time.Time, life routing.Life) bool {
+func (p *pool) isSuspect(now time.Time, life routing.Incarnation) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	one := p.loads[life]
--- a/serve/forward/silent_test.go
+++ b/serve/forward/silent_test.go
@@ -178,8 +178,8 @@
 		<-ended
 		for _, s := range w.servers {
 			must.Eq(t, 1, s.requestCount())
-			must.Eq(t, 0, w.handler.pool.localWork(w.feed.View(), "llm")[s.server.Life()].running)
-			must.Eq(t, 0, w.handler.pool.localWork(w.feed.View(), "llm")[s.server.Life()].prefilling)
+			must.Eq(t, 0, w.handler.pool.localWork(w.feed.View(), "llm")[s.server.Incarnation()].running)
+			must.Eq(t, 0, w.handler.pool.localWork(w.feed.View(), "llm")[s.server.Incarnation()].prefilling)
 		}
 	})
 }
@@ -195,7 +195,7 @@
 		dark.listener.Stall()
 		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.Eq(t, events(1, 3), got.body)
-		must.True(t, w.handler.pool.isSuspect(time.Now(), dark.server.Life()))
+		must.True(t, w.handler.pool.isSuspect(time.Now(), dark.server.Incarnation()))
 	})
 }
 
@@ -219,7 +219,7 @@
 // not be held until its time is over.
 func TestCallerOfADeadEngineIsTold(t *testing.T) {
 	route := streamRoute()
-	route[0].Attempts = 1
+	route[0].MaxAttempts = 1
 	withTestCluster(t, route, func(w *testCluster) {
 		for _, id := range []string{"a", "b", "c"} {
 			w.add("e-"+id, "llm", id, streamEvents(60, 100*time.Millisecond, 40*time.Millisecond))
@@ -258,7 +258,7 @@
 		must.Eq(w.t, 1, w.totalRequests())
 		time.Sleep(time.Second)
 		for _, s := range w.servers {
-			one := w.handler.pool.loads[s.server.Life()]
+			one := w.handler.pool.loads[s.server.Incarnation()]
 			must.Eq(w.t, [3]int{}, [3]int{one.prefilling, one.running, one.replicas}, must.Sprint(s.server.ID))
 		}
 	})
@@ -269,7 +269,7 @@
 // be held until its time is over.
 func TestLostAnswerThatCannotGoOnIsTold(t *testing.T) {
 	route := streamRoute()
-	route[0].Attempts = 1
+	route[0].MaxAttempts = 1
 	withTestCluster(t, route, func(w *testCluster) {
 		handle := func(_ http.ResponseWriter, r *http.Request) {
 			w.servers[r.Header.Get(hServer)].setRuns(r.Header.Get(hID))
--- a/serve/forward/spare.go
+++ b/serve/forward/spare.go
@@ -51,7 +51,7 @@
 	r      *relay
 	l      segment
 	mover  RunCopier
-	failed []routing.Life // engines that the run's request failed at before
+	failed []routing.Incarnation // engines that the run's request failed at before
 
 	// Used by run alone.
 	target     choice    // where the copy lies, the first one to begin with
@@ -68,7 +68,7 @@
 func (r *relay) newReplicator(l segment) *replicator {
 	mover, ok := r.h.opts.Codec.(RunCopier)
 	engine := r.h.opts.Feed.View().Config.Engine(r.service)
-	if !ok || engine == nil || !engine.Moves || !r.in.route.Resumable {
+	if !ok || engine == nil || !engine.CanCopy || !r.in.route.Resumable {
 		return nil
 	}
 	return &replicator{r: r, l: l, mover: mover, failed: slices.Clone(r.excluded), target: l.copyTo}
@@ -114,10 +114,10 @@
 // refresh is the time between two copyings: well before an unused copy is freed.
 func (s *replicator) refresh() time.Duration {
 	engine := s.r.h.opts.Feed.View().Config.Engine(s.r.service)
-	if engine == nil || engine.CopyKept <= 0 {
+	if engine == nil || engine.ReplicaTTL <= 0 {
 		return spareRefresh
 	}
-	return min(spareRefresh, engine.CopyKept/3)
+	return min(spareRefresh, engine.ReplicaTTL/3)
 }
 
 // copyRun has the run's memory copied to its place.
@@ -170,7 +170,7 @@
 // handle, or another copy by it.
 func (s *replicator) free() {
 	handle := s.handle.Load()
-	_, same := s.r.h.pool.findServer(s.r.h.opts.Feed.View(), s.r.service, s.l.target.server.Life())
+	_, same := s.r.h.pool.findServer(s.r.h.opts.Feed.View(), s.r.service, s.l.target.server.Incarnation())
 	if handle == nil || !same {
 		return
 	}
@@ -189,7 +189,7 @@
 // sign of life, since the entry of an engine that died stays for seconds, and has
 // room: a copy takes as much memory as the run, and where memory runs out an engine
 // throws out runs. Under a load of three times the usual no copy is worth that.
-func (r *relay) chooseReplicaEngine(ctx context.Context, at routing.Server, failed []routing.Life) (choice, bool) {
+func (r *relay) chooseReplicaEngine(ctx context.Context, at routing.Server, failed []routing.Incarnation) (choice, bool) {
 	excluded := slices.Clone(failed)
 	asked := r.h.newProbeRound()
 	defer asked.suspectSilent()
@@ -202,7 +202,7 @@
 		if err == nil && report.loadReport().HasCapacity(r.in.call.PromptTokens) {
 			return c, true
 		}
-		excluded = append(excluded, c.server.Life())
+		excluded = append(excluded, c.server.Incarnation())
 	}
 	return choice{}, false
 }
--- a/serve/forward/stream.go
+++ b/serve/forward/stream.go
@@ -51,13 +51,13 @@
 	// live and hold the prompt. Its server is zero if there is none.
 	resetBy choice
 	// misdirectedLife is the life for which the holder was asked in vain.
-	misdirectedLife routing.Life
+	misdirectedLife routing.Incarnation
 	possibleRuns    int // servers that may have run it
 	starts          int
 	sends           int
-	excluded        []routing.Life
+	excluded        []routing.Incarnation
 	// promptHolders are the engines that hold the prompt, nil before they were looked for.
-	promptHolders []routing.Life
+	promptHolders []routing.Incarnation
 	// linkStalledSince is when the link from here was first found held up; zero if it was not.
 	linkStalledSince time.Time
 	// cannotContinue says that the answer was found unable to go on.
@@ -195,7 +195,7 @@
 
 // canResume reports whether a run that broke off may be followed by another.
 func (r *relay) canResume() bool {
-	return r.in.route.Resumable && r.possibleRuns < r.in.route.Attempts
+	return r.in.route.Resumable && r.possibleRuns < r.in.route.MaxAttempts
 }
 
 // nextSegment chooses the server of the next leg: the one with a copy of the run
@@ -324,13 +324,13 @@
 // that grows with its run is sent on to the new life, one made on demand is gone.
 func (r *relay) findCopyHolder(view *feed.View, held replica) (choice, bool) {
 	at := held.at
-	if c, ok := r.h.pool.serverAt(view, r.service, at.server.Address); ok && c.server.Life() != r.misdirectedLife {
-		if held.onDemand && c.server.Life() != at.server.Life() {
+	if c, ok := r.h.pool.serverAt(view, r.service, at.server.Address); ok && c.server.Incarnation() != r.misdirectedLife {
+		if held.onDemand && c.server.Incarnation() != at.server.Incarnation() {
 			return at, false
 		}
 		at = c
 	}
-	return at, !view.HasDeparted(at.server.ID) && !slices.Contains(r.excluded, at.server.Life()) && !r.h.versions.Barred(view, at.server)
+	return at, !view.HasDeparted(at.server.ID) && !slices.Contains(r.excluded, at.server.Incarnation()) && !r.h.versions.Barred(view, at.server)
 }
 
 // retrySameEngine is the engine that reset the connection before the first event, if it
@@ -342,7 +342,7 @@
 	if last.load == nil || r.in.call.PromptKey == "" {
 		return choice{}, false
 	}
-	c, ok := r.h.pool.findServer(view, r.service, last.server.Life())
+	c, ok := r.h.pool.findServer(view, r.service, last.server.Incarnation())
 	if !ok {
 		return choice{}, false // it leaves, or has started anew
 	}
@@ -350,7 +350,7 @@
 	defer cancel()
 	life, parts, err := r.h.cachedParts(ctx, c.server)
 	c.reason = "same_again"
-	return c, err == nil && life == c.server.Life() && slices.Contains(parts, r.in.call.PromptKey)
+	return c, err == nil && life == c.server.Incarnation() && slices.Contains(parts, r.in.call.PromptKey)
 }
 
 // findPromptHolder is an engine that holds the prompt of a stream which another daemon began. They are
@@ -360,7 +360,7 @@
 		return choice{}, false
 	}
 	if r.promptHolders == nil {
-		r.promptHolders = append([]routing.Life{}, r.h.locator.holders(ctx, r.service, r.in.call.PromptKey)...)
+		r.promptHolders = append([]routing.Incarnation{}, r.h.locator.holders(ctx, r.service, r.in.call.PromptKey)...)
 		r.h.opts.Log.Emit(event.PromptLocated, r.in.call.ID, r.in.call.PromptKey, serverIDs(r.promptHolders))
 	}
 	for _, life := range r.promptHolders {
@@ -375,7 +375,7 @@
 }
 
 // serverIDs are those of the servers whose lives are given.
-func serverIDs(lives []routing.Life) []string {
+func serverIDs(lives []routing.Incarnation) []string {
 	list := make([]string, len(lives))
 	for i, life := range lives {
 		list[i] = life.ID
@@ -387,7 +387,7 @@
 func (r *relay) withCopyTarget(ctx context.Context, l segment) segment {
 	view := r.h.opts.Feed.View()
 	engine := view.Config.Engine(r.service)
-	if engine == nil || !engine.Copies || !r.in.route.Resumable {
+	if engine == nil || !engine.CanReplicate || !r.in.route.Resumable {
 		return l
 	}
 	l.copyTo, _ = r.chooseReplicaEngine(ctx, l.target.server, r.excluded)
--- a/serve/forward/stream_test.go
+++ b/serve/forward/stream_test.go
@@ -269,7 +269,7 @@
 					w.register(successor)
 					time.Sleep(time.Second)
 					w.remove("server/" + holder.server.ID)
-					successor.server.Leaving = true
+					successor.server.Draining = true
 					w.register(successor)
 					time.Sleep(time.Second)
 					if removed {
--- a/serve/forward/takeover.go
+++ b/serve/forward/takeover.go
@@ -216,7 +216,7 @@
 
 // exclude keeps the server of a leg from being chosen again for this request.
 func (r *relay) exclude(l segment) {
-	if life := l.target.server.Life(); !slices.Contains(r.excluded, life) {
+	if life := l.target.server.Incarnation(); !slices.Contains(r.excluded, life) {
 		r.excluded = append(r.excluded, life)
 	}
 }
--- a/serve/forward/trial.go
+++ b/serve/forward/trial.go
@@ -35,7 +35,7 @@
 		switch {
 		case s.ServesByDefault(one.Version):
 			steady = append(steady, one)
-		case one.Version == s.Target && !one.Leaving:
+		case one.Version == s.Target && !one.Draining:
 			trial = append(trial, one)
 		}
 	}
@@ -83,7 +83,7 @@
 	if !ok {
 		return c, false
 	}
-	if h.pool.isSuspect(now, c.server.Life()) || !h.limits.acquire(ctx, c.server) {
+	if h.pool.isSuspect(now, c.server.Incarnation()) || !h.limits.acquire(ctx, c.server) {
 		h.pool.release(c)
 		return choice{}, false
 	}
@@ -118,7 +118,7 @@
 	state := p.versions.Now(view).Of(s.Service)
 	return state.Stage == rollout.Full && s.Version == state.Baseline &&
 		slices.ContainsFunc(view.Servers[s.Service], func(there routing.Server) bool {
-			return there.Life() == s.Life() && !there.Leaving
+			return there.Incarnation() == s.Incarnation() && !there.Draining
 		})
 }
 
@@ -131,7 +131,7 @@
 		return 0
 	}
 	for _, server := range p.view.Servers[service] {
-		if one := p.loads[p.currentIncarnation(server.Life())]; one != nil && server.Version != s.Target {
+		if one := p.loads[p.currentIncarnation(server.Incarnation())]; one != nil && server.Version != s.Target {
 			n += int(one.calls.InFlight) + one.prefilling + one.running
 		}
 	}
@@ -139,7 +139,7 @@
 }
 
 // currentIncarnation is the life that has followed one of the view, or that life. The caller holds the lock.
-func (p *pool) currentIncarnation(life routing.Life) routing.Life {
+func (p *pool) currentIncarnation(life routing.Incarnation) routing.Incarnation {
 	if next, ok := p.successors[life]; ok {
 		return next
 	}
--- a/serve/forward/world_test.go
+++ b/serve/forward/world_test.go
@@ -224,10 +224,10 @@
 
 // bornPrefix is what the server says of its start, before anything else.
 func (s *fakeServer) bornPrefix() string {
-	if s.server.Born == 0 {
+	if s.server.StartedAtMS == 0 {
 		return ""
 	}
-	return fmt.Sprintf("@%d ", s.server.Born)
+	return fmt.Sprintf("@%d ", s.server.StartedAtMS)
 }
 
 // copying answers the calls that make and free a copy on demand.
@@ -347,7 +347,7 @@
 
 func newWorld(t *testing.T, routes []*routing.Route) *testCluster {
 	services := []*routing.Service{
-		{Name: "llm", Engine: &routing.Engine{Slots: 4, Copies: true, Moves: true}}, {Name: "desk"},
+		{Name: "llm", Engine: &routing.Engine{Slots: 4, CanReplicate: true, CanCopy: true}}, {Name: "desk"},
 	}
 	accounts := map[string]*routing.Account{
 		"key-1": {Name: "mill", Priority: -1}, "key-2": {Name: "depot", Priority: 3},
@@ -453,7 +453,7 @@
 // store. Connections to the life before stay open and say nothing more if silently.
 func (w *testCluster) reborn(old *fakeServer, silently bool) *fakeServer {
 	server := old.server
-	server.Born++
+	server.StartedAtMS++
 	if silently {
 		old.listener.Silence()
 		w.mu.Lock()
@@ -595,7 +595,7 @@
 func streamRoute() []*routing.Route {
 	return []*routing.Route{{
 		Name: "s", Host: "host", Prefix: "/s/", Kind: routing.Stream, Timeout: 25 * time.Second,
-		Objective: 4500 * time.Millisecond, Attempts: 5, Resumable: true,
+		Objective: 4500 * time.Millisecond, MaxAttempts: 5, Resumable: true,
 		Targets: []routing.Target{{Service: "llm", Weight: 1}},
 	}}
 }
@@ -604,7 +604,7 @@
 	route := func(name string, kind routing.Kind, attempts int) *routing.Route {
 		return &routing.Route{
 			Name: name, Host: "host", Prefix: "/" + name + "/", Kind: kind, Timeout: 600 * time.Millisecond,
-			Objective: 100 * time.Millisecond, Attempts: attempts,
+			Objective: 100 * time.Millisecond, MaxAttempts: attempts,
 			Targets: []routing.Target{{Service: "desk", Weight: 1}},
 		}
 	}
--- a/serve/gateway/fleet_test.go
+++ b/serve/gateway/fleet_test.go
@@ -90,7 +90,7 @@
 func (f *fleet) start(n int) {
 	id := fmt.Sprintf("vm-%d", n)
 	d := &daemon{
-		vm:  routing.VM{ID: id, Zone: string(rune('a' + n%3)), Address: id + ":1", Peer: id + ":2"},
+		vm:  routing.VM{ID: id, Zone: string(rune('a' + n%3)), Address: id + ":1", PeerAddress: id + ":2"},
 		way: store.NewFaulty(f.store), callers: faultnet.Pipe(), peers: faultnet.Pipe(), stopped: make(chan struct{}),
 		dialer: &http.Transport{DialContext: f.dial, MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Second},
 	}
--- a/serve/gateway/gateway.go
+++ b/serve/gateway/gateway.go
@@ -140,7 +140,7 @@
 		if own {
 			self = len(vms)
 		}
-		usable := !vm.Leaving && (!own || g.Ready())
+		usable := !vm.Draining && (!own || g.Ready())
 		vms = append(vms, entry(vm, usable))
 	}
 	if self < 0 {
@@ -174,7 +174,7 @@
 		r := feed.Registrar{Store: g.opts.Store, VM: g.opts.Self, Log: g.opts.Log, MinLeaseTTL: g.opts.LeaseMin, Feed: g.feed}
 		r.Run(soft)
 	}()
-	g.opts.Log.Emit(event.DaemonStarted, g.opts.Self.Address, g.opts.Self.Peer, "")
+	g.opts.Log.Emit(event.DaemonStarted, g.opts.Self.Address, g.opts.Self.PeerAddress, "")
 	select {
 	case <-soft.Done():
 	case <-hard.Done():
--- a/serve/versions/decide.go
+++ b/serve/versions/decide.go
@@ -60,7 +60,7 @@
 	due := time.Now().Add(s.began + s.period - now).UnixMilli()
 	s.retry = now + writeAgain
 	m.mu.Unlock()
-	err := m.write(ctx, view, s, routing.RolloutStatus{State: step.State, Due: due})
+	err := m.write(ctx, view, s, routing.RolloutStatus{State: step.State, DeadlineMS: due})
 	if err != nil {
 		return
 	}
@@ -115,7 +115,7 @@
 	}
 	for _, one := range view.Servers[s.name] {
 		switch {
-		case one.Leaving:
+		case one.Draining:
 		case one.Version == s.state.Target:
 			in.TargetServers++
 		case one.Version == s.state.Baseline:
@@ -123,8 +123,8 @@
 		}
 	}
 	if engine := view.Config.Engine(s.name); engine != nil {
-		in.CanMigrate = engine.Copies
+		in.CanMigrate = engine.CanReplicate
 	}
-	in.DefaultResponseTime = view.Config.UsualCall(s.name)
+	in.DefaultResponseTime = view.Config.MedianObjective(s.name)
 	return in
 }
--- a/serve/versions/report.go
+++ b/serve/versions/report.go
@@ -54,12 +54,12 @@
 func (p *peers) call(ctx context.Context, vm routing.VM, do func(context.Context, peerpb.Rollout) (*peerpb.RolloutReply, error)) (*peerpb.RolloutReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	reply, err := do(ctx, peerpb.NewRolloutProtobufClient(p.opts.Dialer.URL(vm.Peer), p.opts.Dialer.Client))
+	reply, err := do(ctx, peerpb.NewRolloutProtobufClient(p.opts.Dialer.URL(vm.PeerAddress), p.opts.Dialer.Client))
 	if err != nil {
 		p.mu.Lock()
 		p.silent[vm.ID] = p.opts.Clock() + silentFor
 		p.mu.Unlock()
-		p.opts.Log.Emit(event.RolloutPeerSilent, vm.Peer, err)
+		p.opts.Log.Emit(event.RolloutPeerSilent, vm.PeerAddress, err)
 	}
 	return reply, err
 }
@@ -114,7 +114,7 @@
 		return
 	}
 	for _, vm := range nearest(m.opts.Feed.View(), s.name) {
-		if vm.ID == m.opts.Self.ID || vm.Peer == "" || !m.peers.there(vm.ID) {
+		if vm.ID == m.opts.Self.ID || vm.PeerAddress == "" || !m.peers.there(vm.ID) {
 			continue
 		}
 		q := m.nextReport(s, vm.ID)
--- a/serve/versions/service.go
+++ b/serve/versions/service.go
@@ -124,9 +124,9 @@
 	if before := view.PreviousConfirmedAt; before > 0 && now-before > outOfDate {
 		s.began = before // it may have been given at any time since
 	}
-	if r.Status != nil && r.Status.OrderRevision == next.OrderRevision && r.Status.Due > 0 {
+	if r.Status != nil && r.Status.OrderRevision == next.OrderRevision && r.Status.DeadlineMS > 0 {
 		// It runs already; the rest of its time is known by the time of day alone.
-		left := time.Until(time.UnixMilli(r.Status.Due))
+		left := time.Until(time.UnixMilli(r.Status.DeadlineMS))
 		s.began = now + min(max(left, 0), s.period) - s.period
 	}
 	s.counting = now
