--- a/cmd/mallowwind/forward.go
+++ b/cmd/mallowwind/forward.go
@@ -59,7 +59,7 @@
 	if c.Check {
 		return nil
 	}
-	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryBytes)))
+	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryLimitBytes)))
 	debug.SetGCPercent(collectAt)
 	return runGateway(c.LogLevel, s.VM, s.Zone, func(events *event.Log) (gateway.Options, error) {
 		o, err := gatewayOptions(s, events)
@@ -70,7 +70,7 @@
 		return o, errors.Wrap(err, "metrics")
 	}, func(g *gateway.Gateway, o gateway.Options) {
 		c.reload(hup, s, o.Log, func(now *nodefile.Settings) {
-			o.Store.(*kv.Client).SetAddress(now.Store)
+			o.Store.(*kv.Client).SetAddress(now.StoreAddress)
 			g.Apply(bounds(now))
 		})
 	})
@@ -79,33 +79,33 @@
 // bounds are the settings that may change while the daemon runs.
 func bounds(s *nodefile.Settings) gateway.Bounds {
 	return gateway.Bounds{
-		KeyAge: s.KeyAge, Grace: s.DrainGrace, Seeds: s.Seeds,
+		KeyAge: s.KeyRevocationDelay, Grace: s.DrainGrace, Seeds: s.Seeds,
 		Repeats:  repeats.Policy{Ratio: s.RetryRatio, Slack: s.RetrySlack, Window: s.RetryWindow},
-		Rollouts: rollout.Limits{Share: s.RolloutShare, Slack: s.RolloutSlack},
+		Rollouts: rollout.Limits{Share: s.CanaryRatio, Slack: s.CanarySlack},
 	}
 }
 
 func gatewayOptions(s *nodefile.Settings, events *event.Log) (gateway.Options, error) {
-	keep := min(keepAnswers, s.AddressAge)
+	keep := min(keepAnswers, s.MaxDirectoryTTL)
 	o := gateway.Options{
-		Self:         routing.VM{ID: s.VM, Zone: s.Zone, Address: s.Callers, PeerAddress: s.Peers},
-		Store:        kv.New(s.Store),
+		Self:         routing.VM{ID: s.VM, Zone: s.Zone, Address: s.CallerAddress, PeerAddress: s.PeerAddress},
+		Store:        kv.New(s.StoreAddress),
 		Schema:       wire.Schema{},
 		Codec:        wire.Codec{},
 		Clock:        bootClock,
 		Log:          events,
 		Bounds:       bounds(s),
 		Dialer:       link.NewDialer(nil),
-		LeaseMin:     s.LeaseMin,
+		LeaseMin:     s.MinLeaseTTL,
 		Registry:     metric.NewCatalogue(),
 		KeepAnswers:  keep,
 		ReadyHandler: wire.ReadyHandler,
 		DirectoryHandler: func(addresses func(zone string) []string) http.Handler {
-			return wire.DirectoryHandler(func(q wire.Question) []string { return addresses(q.Zone) }, keep)
+			return wire.DirectoryHandler(func(q wire.DirectoryRequest) []string { return addresses(q.Zone) }, keep)
 		},
 	}
 	err := listen([]socket{
-		{&o.Callers, s.Callers}, {&o.Readiness, s.Readiness}, {&o.Directory, s.Directory}, {&o.Peers, s.Peers},
+		{&o.Callers, s.CallerAddress}, {&o.Readiness, s.ReadinessAddress}, {&o.Directory, s.DirectoryAddress}, {&o.Peers, s.PeerAddress},
 	})
 	return o, err
 }
--- a/control/inforce/adopt.go
+++ b/control/inforce/adopt.go
@@ -81,7 +81,7 @@
 	m.offered = revision
 	m.mu.Unlock()
 	if !known {
-		m.cfg.Log.Emit(event.ConfigLower, revision, s.record.Revision, source)
+		m.cfg.Log.Emit(event.StaleConfigOffered, revision, s.record.Revision, source)
 	}
 	return false
 }
--- a/control/inforce/watch.go
+++ b/control/inforce/watch.go
@@ -241,6 +241,6 @@
 		m.cfg.Log.Emit(event.ConfigStoreLost, err.Error())
 	}
 	if err == nil && !was.since.IsZero() {
-		m.cfg.Log.Emit(event.ConfigStoreBack, time.Since(was.since).String())
+		m.cfg.Log.Emit(event.ConfigStoreRecovered, time.Since(was.since).String())
 	}
 }
--- a/lab/soak/process/callers.go
+++ b/lab/soak/process/callers.go
@@ -166,7 +166,7 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	return result{
-		status: resp.StatusCode, proof: resp.Header.Get(wire.Proof), after: resp.Header.Get("Retry-After"), body: string(body), err: err,
+		status: resp.StatusCode, proof: resp.Header.Get(wire.SignatureHeader), after: resp.Header.Get("Retry-After"), body: string(body), err: err,
 	}
 }
 
@@ -188,7 +188,7 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	d := c.world.daemons[rand.IntN(len(c.world.daemons))]
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.askers.address()+wire.DirectoryQuery(host, "a"), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.askers.address()+wire.DirectoryRequestURI(host, "a"), nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "resolve")
 	}
@@ -201,7 +201,7 @@
 	if err != nil || resp.StatusCode != http.StatusOK {
 		return nil, errors.Errorf("resolve: status %d, %v", resp.StatusCode, err)
 	}
-	list, err := wire.ReadDirectory(raw)
+	list, err := wire.ParseDirectoryResponse(raw)
 	if err == nil && len(list) == 0 {
 		err = errors.New("resolve: no addresses")
 	}
--- a/lab/soak/process/daemon.go
+++ b/lab/soak/process/daemon.go
@@ -58,9 +58,9 @@
 		}
 	}
 	d.settings = nodefile.Settings{
-		VM: fmt.Sprintf("entry-%d", n), Zone: zone, IP: ip, Callers: at(portCallers), Readiness: at(portReady),
-		Directory: at(portDirectory), Peers: at(portPeers), Store: d.store.address(),
-		DrainGrace: w.opts.Sort.grace(), KeyAge: keyAge, AddressAge: time.Second, RetryRatio: 0.8, RetryWindow: 10 * time.Second, RetrySlack: w.opts.Sort.slack(),
+		VM: fmt.Sprintf("entry-%d", n), Zone: zone, IP: ip, CallerAddress: at(portCallers), ReadinessAddress: at(portReady),
+		DirectoryAddress: at(portDirectory), PeerAddress: at(portPeers), StoreAddress: d.store.address(),
+		DrainGrace: w.opts.Sort.grace(), KeyRevocationDelay: keyAge, MaxDirectoryTTL: time.Second, RetryRatio: 0.8, RetryWindow: 10 * time.Second, RetrySlack: w.opts.Sort.slack(),
 	}
 	if d.log, err = os.Create(filepath.Join(w.opts.Dir, fmt.Sprintf("entry-%d.log", n))); err != nil {
 		return nil, errors.Wrap(err, "log")
@@ -153,7 +153,7 @@
 // ready asks as the platform does.
 func (d *daemon) ready() bool {
 	client := http.Client{Timeout: 500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
-	resp, err := client.Get("http://" + d.settings.Readiness + wire.ReadyPath)
+	resp, err := client.Get("http://" + d.settings.ReadinessAddress + wire.ReadyPath)
 	if err != nil {
 		return false
 	}
--- a/lab/soak/process/play.go
+++ b/lab/soak/process/play.go
@@ -209,9 +209,9 @@
 }
 
 func (w *world) loseAnswers(ctx context.Context) {
-	w.standIn.LoseAnswers(0.4)
+	w.standIn.DropResponses(0.4)
 	w.during(ctx, 4*time.Second)
-	w.standIn.LoseAnswers(0)
+	w.standIn.DropResponses(0)
 }
 
 // crashServer ends a server without a word; another starts at its address, and the
--- a/lab/soak/process/rollout.go
+++ b/lab/soak/process/rollout.go
@@ -36,12 +36,12 @@
 	old := w.ofService(w.busyDesk().service)
 	service, began := old[0].service, time.Now()
 	target := fmt.Sprintf("v%d", began.UnixNano())
-	raw, err := wire.EncodeOrder(routing.RolloutOrder{Service: service, Target: target, Period: rolloutPeriod})
+	raw, err := wire.EncodeRolloutOrder(routing.RolloutOrder{Service: service, Target: target, Period: rolloutPeriod})
 	if err != nil {
 		w.ledger.violate("harness: %v", err)
 		return
 	}
-	w.write(wire.OrderKey(service), raw)
+	w.write(wire.RolloutOrderKey(service), raw)
 	fresh := w.startVersion(old, target, failing)
 	stage := w.awaitRollout(ctx, service, target)
 	w.note("roll-out of %s to a version that fails %v of its answers: %v", service, failing, stage)
--- a/lab/soak/process/servers.go
+++ b/lab/soak/process/servers.go
@@ -186,25 +186,25 @@
 
 // ServeHTTP implements http.Handler: one request of a daemon.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	e, part, key := wire.ReadErrand(r.Header)
+	e, part, key := wire.ParseUpstreamRequest(r.Header)
 	s.mu.Lock()
 	id, shutdown, leaving, failing, losing, limit := s.id, s.shutdown, s.leaving, s.failing, s.losing, s.limit
 	s.arrived = append(s.arrived, time.Now())
 	s.mu.Unlock()
 	if e.Server.ID != id {
-		wire.WriteReply(w.Header(), forward.Reply{ID: e.ID, NotRun: true, Instance: id})
+		wire.SetReplyHeaders(w.Header(), forward.Reply{ID: e.ID, NotRun: true, Instance: id})
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
 	if e.ResumeFrom != "" && !s.use(e.ResumeFrom) {
-		wire.WriteReply(w.Header(), forward.Reply{ID: e.ID, NotRun: true})
+		wire.SetReplyHeaders(w.Header(), forward.Reply{ID: e.ID, NotRun: true})
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	one := &ran{server: id, service: s.service}
 	s.world.judge(e, key, r.URL.Path, s.service, leaving, s.world.ledger.run(e.ID, one))
-	wire.WriteReply(w.Header(), forward.Reply{ID: e.ID, RateLimit: limit})
-	w.Header().Set(wire.Proof, one.proof)
+	wire.SetReplyHeaders(w.Header(), forward.Reply{ID: e.ID, RateLimit: limit})
+	w.Header().Set(wire.SignatureHeader, one.proof)
 	if part != "" {
 		s.stream(w, r, e, part, one, shutdown)
 		return
--- a/lab/soak/process/world.go
+++ b/lab/soak/process/world.go
@@ -145,7 +145,7 @@
 			return err
 		}
 		w.daemons = append(w.daemons, d)
-		w.fronts[d.settings.Callers] = d.callers.address()
+		w.fronts[d.settings.CallerAddress] = d.callers.address()
 	}
 	return w.awaitReady(10 * time.Second)
 }
@@ -272,7 +272,7 @@
 			Targets:   []routing.Target{{Service: service, Weight: 1}},
 		}
 	}
-	d := wire.Desired{
+	d := wire.DesiredConfig{
 		Version: w.version, Limits: routing.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second},
 		Services: []*routing.Service{
 			{Name: "llm", Engine: &routing.Engine{Slots: 32, CanReplicate: true, CanCopy: true, ReplicaTTL: 4 * time.Second}}, {Name: "desk"}, {Name: "desk2"},
--- a/serve/forward/endings.go
+++ b/serve/forward/endings.go
@@ -93,7 +93,7 @@
 		end.PeersChecked, end.PeersDown = h.lookAround(e.at.server)
 	}
 	finding := end.Attribute()
-	h.opts.Log.Emit(event.BackendBroke, e.in.call.ID, e.in.digests, e.in.call.PromptKey, e.in.accountName(),
+	h.opts.Log.Emit(event.BackendConnectionBroken, e.in.call.ID, e.in.digests, e.in.call.PromptKey, e.in.accountName(),
 		e.at.server.ID, e.at.server.Zone, string(found), finding.String(), end.PeersChecked, end.PeersDown, now.Sub(e.sentAt), running, e.fromReplica, e.err)
 	if found == stateEnded && finding == poison.Attributed {
 		h.poisoned.recordCrash(context.Background(), e.in, e.at.server.Incarnation())
--- a/serve/forward/leg.go
+++ b/serve/forward/leg.go
@@ -247,7 +247,7 @@
 	}
 	next := routing.Incarnation{ID: instance, StartedAtMS: report.Born}
 	r.h.pool.recordSuccessor(view, old.Incarnation(), next)
-	r.h.opts.Log.Emit(event.BackendSucceeded, r.in.call.ID, old.ID, next.ID, next.StartedAtMS)
+	r.h.opts.Log.Emit(event.BackendIncarnationChanged, r.in.call.ID, old.ID, next.ID, next.StartedAtMS)
 	return next, true
 }
 
@@ -294,6 +294,6 @@
 func (r *relay) logSegment(a *attempt, end segmentEnd, err error) {
 	l := a.segment
 	r.h.metrics.segments.WithLabelValues(l.target.reason, end.String()).Inc()
-	r.h.opts.Log.Emit(event.StreamLeg, r.in.call.ID, r.in.call.PromptKey, r.in.route.Name, r.in.accountName(), r.in.configVersion, l.target.server.ID, l.target.server.Zone, l.target.reason,
+	r.h.opts.Log.Emit(event.StreamSegmentEnded, r.in.call.ID, r.in.call.PromptKey, r.in.route.Name, r.in.accountName(), r.in.configVersion, l.target.server.ID, l.target.server.Zone, l.target.reason,
 		l.copyTo.server.ID, end.String(), r.lastEventID, r.timeToFirstEvent, r.longestGap, time.Since(r.lastEventAt), time.Since(r.in.arrived), a.rateLimit, err)
 }
--- a/serve/forward/lending.go
+++ b/serve/forward/lending.go
@@ -52,7 +52,7 @@
 		}
 		asked = append(asked, id)
 		if b.requestRetry(ctx, peers[id], service) {
-			b.log.Emit(event.RepeatBorrowed, request, id, service)
+			b.log.Emit(event.RetryBorrowed, request, id, service)
 			return true
 		}
 		b.recordRefusal(service, id)
--- a/serve/forward/lives.go
+++ b/serve/forward/lives.go
@@ -38,7 +38,7 @@
 		return lifeSame
 	}
 	if h.pool.renewed(h.opts.Feed.View(), s.Incarnation(), life) {
-		h.opts.Log.Emit(event.BackendSucceeded, "", s.ID, life.ID, life.StartedAtMS)
+		h.opts.Log.Emit(event.BackendIncarnationChanged, "", s.ID, life.ID, life.StartedAtMS)
 	}
 	return lifeAfter
 }
@@ -62,5 +62,5 @@
 // recordUnreadable records that an engine's message cannot be used.
 func (h *Handler) recordUnreadable(s routing.Server, err error) {
 	h.metrics.unreadableMessages.Inc()
-	h.opts.Log.Emit(event.MessageRefused, s.ID, s.Address, err)
+	h.opts.Log.Emit(event.BackendMessageInvalid, s.ID, s.Address, err)
 }
--- a/serve/forward/metrics.go
+++ b/serve/forward/metrics.go
@@ -43,7 +43,7 @@
 	counter := func(n, help string) prometheus.CounterOpts { return prometheus.CounterOpts(name(n, help)) }
 	histogram := func(n, help string) prometheus.HistogramOpts {
 		return prometheus.HistogramOpts{
-			Namespace: metric.Namespace, Subsystem: "forward", Name: n, Help: help, Buckets: metric.Seconds(),
+			Namespace: metric.Namespace, Subsystem: "forward", Name: n, Help: help, Buckets: metric.LatencyBuckets(),
 		}
 	}
 	m := &metrics{
--- a/serve/forward/neighbours.go
+++ b/serve/forward/neighbours.go
@@ -155,7 +155,7 @@
 		return nil
 	}
 	n.backoffUntil[vm.ID] = time.Now().Add(peerBackoff)
-	n.log.Emit(event.NeighbourSilent, vm.PeerAddress, err)
+	n.log.Emit(event.PeerSilent, vm.PeerAddress, err)
 	return err
 }
 
--- a/serve/forward/plain.go
+++ b/serve/forward/plain.go
@@ -173,7 +173,7 @@
 // recordRetryDenied records that the budget does not afford one more send of a request.
 func (h *Handler) recordRetryDenied(in *inbound, sends int) {
 	h.metrics.retriesDenied.Inc()
-	h.opts.Log.Emit(event.RepeatDenied, in.call.ID, in.route.Name, sends)
+	h.opts.Log.Emit(event.RetryDenied, in.call.ID, in.route.Name, sends)
 }
 
 // record takes back what an exchange that did not run was counted for, and makes servers
@@ -381,5 +381,5 @@
 
 func (h *Handler) logExchange(ctx context.Context, in *inbound, o *outcome, took time.Duration) {
 	h.metrics.countSend(o)
-	h.opts.Log.Emit(event.Exchanged, in.call.ID, in.route.Name, in.accountName(), in.configVersion, o.choice.server.ID, o.choice.reason, o.sendNumber, o.rateLimit, o.status, o.notRun, took, o.err)
+	h.opts.Log.Emit(event.ExchangeEnded, in.call.ID, in.route.Name, in.accountName(), in.configVersion, o.choice.server.ID, o.choice.reason, o.sendNumber, o.rateLimit, o.status, o.notRun, took, o.err)
 }
--- a/serve/forward/poisoned.go
+++ b/serve/forward/poisoned.go
@@ -202,7 +202,7 @@
 		return
 	}
 	p.details[digest] = one
-	p.h.opts.Log.Emit(event.PoisonTold, digest, one.GetAccount(), one.GetRoute(), mark.String(), one.GetServers())
+	p.h.opts.Log.Emit(event.PoisonMarkReceived, digest, one.GetAccount(), one.GetRoute(), mark.String(), one.GetServers())
 }
 
 // recordCompletion clears a request of which an answer is whole: other answers beside it ended its
--- a/serve/forward/refuse.go
+++ b/serve/forward/refuse.go
@@ -45,7 +45,7 @@
 func (h *Handler) refuse(w http.ResponseWriter, in *inbound, err error) {
 	if errors.Is(err, errTruncated) {
 		h.metrics.countAnswer(in, statusTruncated, sourceDaemon)
-		h.opts.Log.Emit(event.AnswerCut, in.call.ID, in.call.PromptKey, in.routeName(), in.accountName(), in.configVersion, err, time.Since(in.arrived))
+		h.opts.Log.Emit(event.AnswerTruncated, in.call.ID, in.call.PromptKey, in.routeName(), in.accountName(), in.configVersion, err, time.Since(in.arrived))
 		panic(http.ErrAbortHandler) // ends the connection, so that the answer does not look whole
 	}
 	e := verdict.FromError(err)
--- a/serve/forward/takeover.go
+++ b/serve/forward/takeover.go
@@ -55,7 +55,7 @@
 	r.cannotContinue = takeover.ShouldGiveUp(outcome, time.Since(r.lastEventAt)) && r.isUnreachable(ctx, a, why) &&
 		r.awaitLatePart(ctx, a) == takeover.Silent
 	r.h.metrics.segmentsKept.WithLabelValues(outcome.String()).Inc()
-	r.h.opts.Log.Emit(event.LegKept, r.in.call.ID, a.target.server.ID, why, outcome.String(), r.cannotContinue, r.lastEventID, time.Since(r.lastEventAt))
+	r.h.opts.Log.Emit(event.StalledSegmentKept, r.in.call.ID, a.target.server.ID, why, outcome.String(), r.cannotContinue, r.lastEventID, time.Since(r.lastEventAt))
 	return r.cannotContinue
 }
 
--- a/serve/versions/decide.go
+++ b/serve/versions/decide.go
@@ -78,7 +78,7 @@
 	err := m.opts.Feed.WriteRolloutStatus(ctx, s.name, status, view.Rollouts[s.name].StatusRevision)
 	if err != nil {
 		m.metrics.failed.Inc()
-		m.opts.Log.Emit(event.RolloutUnwritten, s.name, status.Stage.String(), errors.Is(err, store.ErrConflict), err)
+		m.opts.Log.Emit(event.RolloutWriteFailed, s.name, status.Stage.String(), errors.Is(err, store.ErrConflict), err)
 	}
 	return err
 }
--- a/telemetry/event/config.go
+++ b/telemetry/event/config.go
@@ -8,13 +8,13 @@
 		"An accepted site text is in force at this daemon.", "revision", "previous", "source", "who", "comment", "age")
 	ConfigRefused = define(502, "config_refused", logrus.ErrorLevel,
 		"A site text was not taken over; the one before stays in force.", "revision", "source", "error")
-	ConfigLower = define(503, "config_lower", logrus.WarnLevel,
+	StaleConfigOffered = define(503, "config_lower", logrus.WarnLevel,
 		"A lower or contradicting revision was offered; the one in force stays.", "revision", "in_force", "source")
 	ConfigUnavailable = define(504, "config_unavailable", logrus.WarnLevel,
 		"No accepted site text from the store or from a peer; the daemon is not ready.", "store_error", "peers_asked")
 	ConfigStoreLost = define(505, "config_store_lost", logrus.WarnLevel,
 		"The store does not answer; the text in force stays, news come from peers.", "error")
-	ConfigStoreBack = define(506, "config_store_back", logrus.InfoLevel,
+	ConfigStoreRecovered = define(506, "config_store_back", logrus.InfoLevel,
 		"The store answers again.", "down")
 	ConfigWatching = define(507, "config_watching", logrus.InfoLevel,
 		"This daemon began or ceased to watch the store for its zone.", "watching")
--- a/telemetry/event/forwarding.go
+++ b/telemetry/event/forwarding.go
@@ -4,21 +4,21 @@
 
 // Events of forwarding and of what it follows in the store.
 var (
-	Exchanged = define(220, "exchanged", logrus.InfoLevel,
+	ExchangeEnded = define(220, "exchanged", logrus.InfoLevel,
 		"A forwarded request was sent to a backend server; send says which of its sends it was, limit what the server says that it takes of all daemons.", "request", "route", "account", "config", "backend", "reason", "send", "limit", "status", "not_run", "took", "error")
-	StreamLeg = define(221, "stream_leg", logrus.InfoLevel,
+	StreamSegmentEnded = define(221, "stream_leg", logrus.InfoLevel,
 		"One backend server's part of a forwarded stream ended.", "request", "prompt", "route", "account", "config", "backend", "backend_zone", "reason", "copy", "end", "after", "first", "longest", "quiet", "took", "limit", "error")
 	ForwardRefused = define(222, "forward_refused", logrus.InfoLevel,
 		"The daemon itself answered a forwarded request.", "request", "prompt", "route", "account", "config", "config_age", "status", "code", "retry_after", "error", "took")
 	BackendSuspected = define(223, "backend_suspected", logrus.WarnLevel,
 		"A backend server failed a request and is a last resort for a while.", "request", "backend", "error", "for")
-	RepeatDenied = define(224, "repeat_denied", logrus.InfoLevel,
+	RetryDenied = define(224, "repeat_denied", logrus.InfoLevel,
 		"The shared budget of repeats did not afford one more send.", "request", "route", "sends")
 	PromptLocated = define(225, "prompt_located", logrus.InfoLevel,
 		"The engines were asked which of them holds the prompt of a stream that another daemon began.", "request", "prompt", "holders")
-	AnswerCut = define(226, "answer_cut", logrus.WarnLevel,
+	AnswerTruncated = define(226, "answer_cut", logrus.WarnLevel,
 		"An answer that had begun could not be finished; its connection was ended so that it does not look whole.", "request", "prompt", "route", "account", "config", "error", "took")
-	RepeatBorrowed = define(227, "repeat_borrowed", logrus.InfoLevel,
+	RetryBorrowed = define(227, "repeat_borrowed", logrus.InfoLevel,
 		"Another daemon gave up one repeat of its part of the budget for a request here.", "request", "lender", "service")
 	LenderFailed = define(228, "lender_failed", logrus.WarnLevel,
 		"Another daemon that was asked for a repeat did not answer.", "address", "error")
@@ -26,25 +26,25 @@
 		"The copy of a run was lost, and another was made at a second backend server.", "request", "backend", "copy")
 	CopyFailed = define(230, "copy_failed", logrus.InfoLevel,
 		"A copy of a run could not be made or freed.", "request", "backend", "copy", "error")
-	BackendSucceeded = define(231, "backend_succeeded", logrus.InfoLevel,
+	BackendIncarnationChanged = define(231, "backend_succeeded", logrus.InfoLevel,
 		"A backend server has started anew at its address, under another id or its own, which the store does not show yet.", "request", "backend", "successor", "born")
 	PromptRefused = define(232, "prompt_refused", logrus.InfoLevel,
 		"Engines have no room for a prompt; backend is the best of those asked, as of its report.", "request", "backend", "reason", "tokens", "unread", "used", "memory", "due", "refusing_for", "answers_take")
 	CallThrottled = define(233, "call_throttled", logrus.InfoLevel,
 		"A request was refused because the backend servers turn requests away.", "request", "service", "refusing_for")
-	MessageRefused = define(234, "message_refused", logrus.ErrorLevel,
+	BackendMessageInvalid = define(234, "message_refused", logrus.ErrorLevel,
 		"What a backend server says of itself cannot be used; it counts as no answer.", "backend", "address", "error")
-	NeighbourSilent = define(235, "neighbour_silent", logrus.WarnLevel,
+	PeerSilent = define(235, "neighbour_silent", logrus.WarnLevel,
 		"Another daemon did not say what it has under way at engines; prompts are placed without that for a while.", "address", "error")
 	CachesRead = define(236, "caches_read", logrus.InfoLevel,
 		"The engines of a service were asked what prompts they hold; late are those that had not answered when the wait was over, bytes those of all answers.", "service", "asked", "answered", "late", "bytes", "took")
-	BackendBroke = define(238, "backend_broke", logrus.InfoLevel,
+	BackendConnectionBroken = define(238, "backend_broke", logrus.InfoLevel,
 		"A backend server broke off a connection under a request. found says whether the server ended, finding whether that counts for the request, asked and down how many others of its zone were looked at and had ended; running is the time since the first event.", "request", "digests", "prompt", "account", "backend", "backend_zone", "found", "finding", "asked", "down", "under_way", "running", "from", "error")
-	LegKept = define(237, "leg_kept", logrus.InfoLevel,
+	StalledSegmentKept = define(237, "leg_kept", logrus.InfoLevel,
 		"A silent backend server keeps its stream, because it cannot go on at another now; given_up says that it never can, and the server gives no sign of life while others do.", "request", "backend", "error", "reason", "given_up", "after", "quiet")
 	PoisonMarked = define(239, "poison_marked", logrus.WarnLevel,
 		"Servers ended under a request, counted here: watched requests are cleared by a whole answer, refused ones are sent to no server.", "digest", "account", "route", "mark", "servers")
-	PoisonTold = define(240, "poison_told", logrus.InfoLevel,
+	PoisonMarkReceived = define(240, "poison_told", logrus.InfoLevel,
 		"Another daemon marked a request under which servers ended.", "digest", "account", "route", "mark", "servers")
 	PoisonCleared = define(241, "poison_cleared", logrus.InfoLevel,
 		"An answer was whole to a request under which servers had ended; what was counted of it is forgotten.", "request", "digest")
@@ -60,7 +60,7 @@
 		"How far a roll-out is, as this daemon decided, was told or read. Where it was decided, reason says why; found of the compared samples of the new version are bad, where expected would be if it were like the one before.", "service", "base", "target", "order", "stage", "share", "by", "reason", "elapsed", "route", "kind", "compared", "found", "expected")
 	RolloutPeerSilent = define(247, "rollout_peer_silent", logrus.WarnLevel,
 		"Another daemon did not answer what it was told of a roll-out.", "address", "error")
-	RolloutUnwritten = define(248, "rollout_unwritten", logrus.WarnLevel,
+	RolloutWriteFailed = define(248, "rollout_unwritten", logrus.WarnLevel,
 		"How far a roll-out is could not be written to the store; superseded says that another was written meanwhile.", "service", "stage", "superseded", "error")
 	StreamMoved = define(249, "stream_moved", logrus.InfoLevel,
 		"A stream goes on at another server, because the version of its server leaves.", "request", "backend", "next", "after")
--- a/telemetry/metric/metric_test.go
+++ b/telemetry/metric/metric_test.go
@@ -10,7 +10,7 @@
 func TestCatalogueDescribes(t *testing.T) {
 	c := NewCatalogue()
 	Register(c,
-		prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: Namespace, Name: "wait_seconds", Help: `A "wait".`, Buckets: Seconds()}),
+		prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: Namespace, Name: "wait_seconds", Help: `A "wait".`, Buckets: LatencyBuckets()}),
 		prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: Namespace, Name: "asks_total", Help: "Asks."}, []string{"class", "reason"}),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: Namespace, Name: "open", Help: "Open."}, func() float64 { return 1 }),
 	)
--- a/telemetry/story/summary.go
+++ b/telemetry/story/summary.go
@@ -75,16 +75,16 @@
 
 func (s *Summary) add(l *Line) {
 	switch l.Event {
-	case event.StreamLeg.Number:
+	case event.StreamSegmentEnded.Number:
 		s.addLeg(l)
 	case event.ForwardRefused.Number:
 		s.refusals[refusalKind{int(l.number("status")), l.text("code")}]++
 		if prompt := l.text("prompt"); prompt != "" {
 			s.stream(l).last = fmt.Sprintf("answered %d, %s", int(l.number("status")), l.text("code"))
 		}
-	case event.AnswerCut.Number:
+	case event.AnswerTruncated.Number:
 		s.stream(l).last = "cut in mid-answer"
-	case event.Exchanged.Number:
+	case event.ExchangeEnded.Number:
 		notRun, _ := l.Fields["not_run"].(bool)
 		s.calls[callKind{int(l.number("status")), notRun, l.text("error") != ""}]++
 	case event.DaemonStarted.Number:
