--- a/decision/repeats/repeats_test.go
+++ b/decision/repeats/repeats_test.go
@@ -8,16 +8,16 @@
 	"github.com/shoenig/test/must"
 )
 
-var rule = Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
+var policy = Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 
-// Ninety daemons lose every send for a minute. Each repeats as often as it may;
-// together they must stay within the budget of the fleet in every window.
+// Ninety daemons lose every send for ten seconds and retry as often as they may. Together they must
+// stay within the budget of the fleet.
 func TestFleetStaysWithinBudget(t *testing.T) {
 	const daemons = 90
 	start := time.Unix(1000, 0)
 	fleet := make([]*Budget, daemons)
 	for i := range fleet {
-		fleet[i] = New(rule, start.Add(-rule.Window))
+		fleet[i] = New(policy, start.Add(-policy.Window))
 	}
 	requests, granted := 0, 0
 	for step := range 100 {
@@ -34,25 +34,24 @@
 			}
 		}
 	}
-	must.LessEq(t, int(rule.Ratio*float64(requests)+rule.Slack), granted)
+	must.LessEq(t, int(policy.Ratio*float64(requests)+policy.Slack), granted)
 	must.Positive(t, granted)
 }
 
 func TestBudgetReturnsAfterWindow(t *testing.T) {
 	now := time.Unix(1000, 0)
-	b := New(rule, now.Add(-rule.Window))
+	b := New(policy, now.Add(-policy.Window))
 	for b.TryRetry(now, Share{Daemons: 10}) {
 	}
 	must.False(t, b.TryRetry(now.Add(9*time.Second), Share{Daemons: 10}))
 	must.True(t, b.TryRetry(now.Add(12*time.Second), Share{Daemons: 10}))
 }
 
-// A daemon is killed and starts again. What it repeated before still counts at
-// the backend servers, so it has no part of the slack for one window; its
-// requests count at once.
+// A daemon is killed and starts again. Its retries from before still count at the backend servers,
+// so it has no part of the slack for one window; its requests count immediately.
 func TestRestartedDaemonHasNoSlackAtFirst(t *testing.T) {
 	start := time.Unix(1000, 0)
-	b := New(rule, start)
+	b := New(policy, start)
 	must.False(t, b.TryRetry(start.Add(time.Second), Share{Daemons: 10}))
 	for range 10 {
 		b.RecordRequest(start.Add(time.Second))
@@ -61,23 +60,23 @@
 		must.True(t, b.TryRetry(start.Add(2*time.Second), Share{Daemons: 10}))
 	}
 	must.False(t, b.TryRetry(start.Add(2*time.Second), Share{Daemons: 10}))
-	must.True(t, b.TryRetry(start.Add(rule.Window+time.Second), Share{Daemons: 10}))
+	must.True(t, b.TryRetry(start.Add(policy.Window+time.Second), Share{Daemons: 10}))
 }
 
-// A fleet repeats whatever it may while half of it is killed and restarted, again
-// and again. Backend servers see its repeats in windows of any beginning; in none
-// of them are there more than the budget of the requests of that window, of the
-// one before or of the one half a window earlier.
+// A fleet retries as often as it may while half of it is repeatedly killed and restarted. In a
+// window with any start, the backend servers must not see more retries than the budget for the
+// requests of that window, of the previous window or of the window that starts half a window
+// earlier.
 func TestFleetWithRestartsStaysWithinBudget(t *testing.T) {
 	const daemons = 20
 	random := rand.New(rand.NewPCG(11, 11))
 	start := time.Unix(1000, 0)
 	fleet := make([]*Budget, daemons)
 	for i := range fleet {
-		fleet[i] = New(rule, start)
+		fleet[i] = New(policy, start)
 	}
 	const step = 50 * time.Millisecond
-	var requests, repeated []int // by step
+	var requests, retried []int // by step
 	for n := range 1200 {
 		now := start.Add(time.Duration(n) * step)
 		asked, granted := 0, 0
@@ -90,12 +89,12 @@
 				granted++
 			}
 			if n%130 == 0 && random.Float64() < 0.5 {
-				fleet[i] = New(rule, now)
+				fleet[i] = New(policy, now)
 			}
 		}
-		requests, repeated = append(requests, asked), append(repeated, granted)
+		requests, retried = append(requests, asked), append(retried, granted)
 	}
-	window := int(rule.Window / step)
+	window := int(policy.Window / step)
 	total := func(counts []int, from int) (n int) {
 		for _, c := range counts[max(from, 0):max(from+window, 0)] {
 			n += c
@@ -104,6 +103,6 @@
 	}
 	for from := range len(requests) - window {
 		base := max(total(requests, from), total(requests, from-window), total(requests, from-window/2))
-		must.LessEq(t, int(rule.Ratio*float64(base)+rule.Slack), total(repeated, from))
+		must.LessEq(t, int(policy.Ratio*float64(base)+policy.Slack), total(retried, from))
 	}
 }
