--- a/serve/api/api.go
+++ b/serve/api/api.go
@@ -122,7 +122,7 @@
 func (a *API) serve(w http.ResponseWriter, r *http.Request, e endpoint) error {
 	s := a.Site.Current()
 	if s == nil {
-		return a.elsewhere(r, verdict.CodeNoConfiguration, "this entry VM has no configuration yet; use another one")
+		return a.errRetryElsewhere(r, verdict.CodeNoConfiguration, "this entry VM has no configuration yet; use another one")
 	}
 	account := authenticate(s, r)
 	if account == nil {
@@ -132,30 +132,30 @@
 	return e(w, r, s, account)
 }
 
-// retryElsewhere is the wait told to callers that should use another entry VM.
-const retryElsewhere = time.Second
+// retryElsewhereAfter is the wait told to callers that should use another entry VM.
+const retryElsewhereAfter = time.Second
 
-// accepting refuses new work while the daemon starts or stops.
-func (a *API) accepting(r *http.Request) error {
+// checkAccepting refuses new work while the daemon starts or stops.
+func (a *API) checkAccepting(r *http.Request) error {
 	switch {
 	case a.IsShuttingDown():
-		return a.elsewhere(r, verdict.CodeShuttingDown, "this entry VM is shutting down; ask /v1/entries for another one")
+		return a.errRetryElsewhere(r, verdict.CodeShuttingDown, "this entry VM is shutting down; ask /v1/entries for another one")
 	case a.IsStarting():
-		return a.elsewhere(r, verdict.CodeNoConfiguration, "this entry VM is starting; use another one")
+		return a.errRetryElsewhere(r, verdict.CodeNoConfiguration, "this entry VM is starting; use another one")
 	}
 	return nil
 }
 
-// elsewhere refuses a request that another entry VM can serve. Nothing of it
+// errRetryElsewhere refuses a request that another entry VM can serve. Nothing of it
 // ran here, but with a key it may be a copy of a request that runs elsewhere,
 // and nobody was asked: not_run would invite the caller to send it anew under
 // another key.
-func (a *API) elsewhere(r *http.Request, code verdict.Code, text string) error {
+func (a *API) errRetryElsewhere(r *http.Request, code verdict.Code, text string) error {
 	v := verdict.NotRun
-	if r.Header.Get(keyHeader) != "" {
+	if r.Header.Get(idempotencyKeyHeader) != "" {
 		v = verdict.MayHaveRun
 	}
-	return verdict.New(v, code, "%s", text).WithRetryAfter(retryElsewhere)
+	return verdict.New(v, code, "%s", text).WithRetryAfter(retryElsewhereAfter)
 }
 
 func (a *API) readyz(w http.ResponseWriter, _ *http.Request) {
--- a/serve/api/auth.go
+++ b/serve/api/auth.go
@@ -10,13 +10,13 @@
 	"mallowwind.dev/control/site"
 )
 
-const bearer = "Bearer "
+const bearerPrefix = "Bearer "
 
 // authenticate returns the account whose token the request carries, or nil. It
 // compares with every listed hash in constant time, so that the time taken
 // tells nothing about the tokens.
 func authenticate(s *site.Site, r *http.Request) *site.Account {
-	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), bearer)
+	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), bearerPrefix)
 	if !ok || token == "" {
 		return nil
 	}
--- a/serve/api/completions.go
+++ b/serve/api/completions.go
@@ -22,7 +22,7 @@
 }
 
 func (a *API) complete(w http.ResponseWriter, r *http.Request, s *site.Site, account *site.Account, chat bool) error {
-	if err := a.accepting(r); err != nil {
+	if err := a.checkAccepting(r); err != nil {
 		return err
 	}
 	body, err := readBody(w, r, s.Limits.BodyBytes)
@@ -38,18 +38,18 @@
 		return err
 	}
 	defer h.Close()
-	form := answerForm{chat: chat, model: q.Model, created: time.Now().Unix(), id: h.ID()}
+	form := responseFormat{chat: chat, model: q.Model, created: time.Now().Unix(), id: h.ID()}
 	if q.Stream {
-		form.usage = q.StreamOptions != nil && q.StreamOptions.IncludeUsage
+		form.includeUsage = q.StreamOptions != nil && q.StreamOptions.IncludeUsage
 		form.promptTokens = spec.PromptTokens()
-		return stream(r.Context(), w, h, lineage.Position{}, form)
+		return writeStream(r.Context(), w, h, lineage.Position{}, form)
 	}
-	return whole(r.Context(), w, h, spec, form)
+	return writeResponse(r.Context(), w, h, spec, form)
 }
 
-// whole collects an answer and sends it at once, on the same machinery as a
+// writeResponse collects an answer and sends it at once, on the same machinery as a
 // streamed one.
-func whole(ctx context.Context, w http.ResponseWriter, h *generation.Handle, spec *generation.Spec, form answerForm) error {
+func writeResponse(ctx context.Context, w http.ResponseWriter, h *generation.Handle, spec *generation.Spec, form responseFormat) error {
 	var (
 		text strings.Builder
 		pos  lineage.Position
@@ -65,7 +65,7 @@
 		pos = b.Position
 		if b.Finish != "" {
 			form.promptTokens = spec.PromptTokens()
-			writeJSON(w, http.StatusOK, form.answer(text.String(), string(b.Finish), pos.Offset))
+			writeJSON(w, http.StatusOK, form.response(text.String(), string(b.Finish), pos.Offset))
 			return nil
 		}
 	}
@@ -90,6 +90,6 @@
 	}
 	h := a.Generations.Find(id, account.Name)
 	defer h.Close()
-	form := answerForm{id: id, created: time.Now().Unix(), chat: r.URL.Query().Get("form") == "chat"}
-	return stream(r.Context(), w, h, pos, form)
+	form := responseFormat{id: id, created: time.Now().Unix(), chat: r.URL.Query().Get("form") == "chat"}
+	return writeStream(r.Context(), w, h, pos, form)
 }
--- a/serve/api/errors.go
+++ b/serve/api/errors.go
@@ -26,7 +26,7 @@
 // errorType is the same for all errors; code tells them apart.
 const errorType = "mallowwind_error"
 
-func bodyOf(e *verdict.Error) errorBody {
+func newErrorBody(e *verdict.Error) errorBody {
 	return errorBody{Error: errorDetail{
 		Message:      e.Message,
 		Type:         errorType,
@@ -36,8 +36,8 @@
 	}}
 }
 
-// statuses maps codes to HTTP statuses; docs/errors.md lists them.
-var statuses = map[verdict.Code]int{
+// statusByCode maps codes to HTTP statuses; docs/errors.md lists them.
+var statusByCode = map[verdict.Code]int{
 	verdict.CodeBadRequest:            http.StatusBadRequest,
 	verdict.CodeBodyTooLarge:          http.StatusRequestEntityTooLarge,
 	verdict.CodeUnauthorized:          http.StatusUnauthorized,
@@ -65,19 +65,19 @@
 // writeError writes a refusal, unless the answer has begun: then the endpoint
 // has already ended it visibly.
 func writeError(w http.ResponseWriter, e *verdict.Error) {
-	status, ok := statuses[e.Code]
+	status, ok := statusByCode[e.Code]
 	if !ok {
 		status = http.StatusInternalServerError
 	}
 	h := w.Header()
 	if e.RetryAfter > 0 {
-		h.Set("Retry-After", strconv.Itoa(wholeSeconds(e.RetryAfter)))
+		h.Set("Retry-After", strconv.Itoa(ceilSeconds(e.RetryAfter)))
 	}
-	writeJSON(w, status, bodyOf(e))
+	writeJSON(w, status, newErrorBody(e))
 }
 
-// wholeSeconds rounds up: coming back too early is refused again.
-func wholeSeconds(d time.Duration) int { return int((d + time.Second - 1) / time.Second) }
+// ceilSeconds rounds up: coming back too early is refused again.
+func ceilSeconds(d time.Duration) int { return int((d + time.Second - 1) / time.Second) }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
--- a/serve/api/errors_test.go
+++ b/serve/api/errors_test.go
@@ -28,7 +28,7 @@
 		}
 		value, err := strconv.Unquote(spec.Values[0].(*ast.BasicLit).Value)
 		must.NoError(t, err)
-		must.MapContainsKey(t, statuses, verdict.Code(value))
+		must.MapContainsKey(t, statusByCode, verdict.Code(value))
 		codes++
 		return true
 	})
--- a/serve/api/form.go
+++ b/serve/api/format.go
@@ -2,17 +2,17 @@
 
 import "encoding/json"
 
-// answerForm renders an answer in one of the two forms of the completions API.
-type answerForm struct {
+// responseFormat renders an answer in one of the two forms of the completions API.
+type responseFormat struct {
 	chat         bool
-	usage        bool // a last chunk with the usage was asked for
+	includeUsage bool // a last chunk with the usage was asked for
 	id           string
 	model        string
 	created      int64 // seconds since the epoch
 	promptTokens int
 }
 
-type answer struct {
+type completionResponse struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Created int64    `json:"created"`
@@ -40,13 +40,13 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-const assistant = "assistant"
+const assistantRole = "assistant"
 
-func (f answerForm) usageOf(tokens int) *usage {
+func (f responseFormat) usageFor(tokens int) *usage {
 	return &usage{PromptTokens: f.promptTokens, CompletionTokens: tokens, TotalTokens: f.promptTokens + tokens}
 }
 
-func (f answerForm) object(streamed bool) string {
+func (f responseFormat) objectType(streamed bool) string {
 	switch {
 	case f.chat && streamed:
 		return "chat.completion.chunk"
@@ -56,44 +56,44 @@
 	return "text_completion"
 }
 
-// answer is the whole answer as one object.
-func (f answerForm) answer(text, finish string, tokens int) answer {
+// response is the whole answer as one object.
+func (f responseFormat) response(text, finish string, tokens int) completionResponse {
 	c := choice{FinishReason: &finish}
 	if f.chat {
-		c.Message = &message{Role: assistant, Content: text}
+		c.Message = &message{Role: assistantRole, Content: text}
 	} else {
 		c.Text = &text
 	}
-	return answer{
-		ID: f.id, Object: f.object(false), Created: f.created, Model: f.model,
-		Choices: []choice{c}, Usage: f.usageOf(tokens),
+	return completionResponse{
+		ID: f.id, Object: f.objectType(false), Created: f.created, Model: f.model,
+		Choices: []choice{c}, Usage: f.usageFor(tokens),
 	}
 }
 
 // chunk is one event of a stream; finish is empty but on the last.
-func (f answerForm) chunk(text, finish string) string {
+func (f responseFormat) chunk(text, finish string) string {
 	c := choice{}
 	if finish != "" {
 		c.FinishReason = &finish
 	}
 	if f.chat {
-		c.Delta = &message{Role: assistant, Content: text}
+		c.Delta = &message{Role: assistantRole, Content: text}
 	} else {
 		c.Text = &text
 	}
-	return f.encode(answer{
-		ID: f.id, Object: f.object(true), Created: f.created, Model: f.model, Choices: []choice{c},
+	return f.encode(completionResponse{
+		ID: f.id, Object: f.objectType(true), Created: f.created, Model: f.model, Choices: []choice{c},
 	})
 }
 
-func (f answerForm) usageChunk(tokens int) string {
-	return f.encode(answer{
-		ID: f.id, Object: f.object(true), Created: f.created, Model: f.model,
-		Choices: []choice{}, Usage: f.usageOf(tokens),
+func (f responseFormat) usageChunk(tokens int) string {
+	return f.encode(completionResponse{
+		ID: f.id, Object: f.objectType(true), Created: f.created, Model: f.model,
+		Choices: []choice{}, Usage: f.usageFor(tokens),
 	})
 }
 
-func (answerForm) encode(a answer) string {
+func (responseFormat) encode(a completionResponse) string {
 	b, err := json.Marshal(a)
 	if err != nil {
 		panic(err) // strings and numbers always encode
--- a/serve/api/request.go
+++ b/serve/api/request.go
@@ -13,11 +13,11 @@
 	"mallowwind.dev/serve/generation"
 )
 
-// keyHeader names the header by which a repeated request is recognised.
-const keyHeader = "Idempotency-Key"
+// idempotencyKeyHeader names the header by which a repeated request is recognised.
+const idempotencyKeyHeader = "Idempotency-Key"
 
-// maxKey bounds an idempotency key, in bytes.
-const maxKey = 255
+// maxKeyBytes bounds an idempotency key, in bytes.
+const maxKeyBytes = 255
 
 // completionRequest holds the fields of the completions API that are honoured.
 // Others are ignored, as is usual, except those that would change the shape of
@@ -76,13 +76,13 @@
 
 // readKey returns the idempotency key, checked.
 func readKey(r *http.Request) (string, error) {
-	key := r.Header.Get(keyHeader)
-	if len(key) > maxKey {
-		return "", badRequest("%s is longer than %d bytes", keyHeader, maxKey)
+	key := r.Header.Get(idempotencyKeyHeader)
+	if len(key) > maxKeyBytes {
+		return "", badRequest("%s is longer than %d bytes", idempotencyKeyHeader, maxKeyBytes)
 	}
 	for _, c := range []byte(key) {
 		if c < ' ' || c > '~' {
-			return "", badRequest("%s holds a byte that is not printable ASCII", keyHeader)
+			return "", badRequest("%s holds a byte that is not printable ASCII", idempotencyKeyHeader)
 		}
 	}
 	return key, nil
@@ -99,14 +99,14 @@
 		return nil, q, verdict.New(verdict.NotRun, verdict.CodeUnknownService,
 			"model %q names no generation service of the site text", q.Model)
 	}
-	if err := q.unsupported(); err != nil {
+	if err := q.checkSupported(); err != nil {
 		return nil, q, err
 	}
 	prompt, err := q.prompt(chat)
 	if err != nil {
 		return nil, q, err
 	}
-	limit, err := q.limit(service)
+	limit, err := q.tokenLimit(service)
 	if err != nil {
 		return nil, q, err
 	}
@@ -131,7 +131,7 @@
 	return spec, q, nil
 }
 
-func (q *completionRequest) unsupported() error {
+func (q *completionRequest) checkSupported() error {
 	switch {
 	case q.N != nil && *q.N != 1:
 		return badRequest("n is %d; one answer per request is supported", *q.N)
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// limit returns the largest answer in tokens.
-func (q *completionRequest) limit(service *site.Service) (int, error) {
+// tokenLimit returns the largest answer in tokens.
+func (q *completionRequest) tokenLimit(service *site.Service) (int, error) {
 	n := q.MaxTokens
 	if q.MaxCompletionTokens != nil {
 		n = q.MaxCompletionTokens
--- a/serve/api/services.go
+++ b/serve/api/services.go
@@ -12,15 +12,15 @@
 	"mallowwind.dev/external/plain"
 )
 
-// hopHeaders concern one connection only and are not passed on (RFC 9110, 7.6.1).
-var hopHeaders = []string{
+// hopByHopHeaders concern one connection only and are not passed on (RFC 9110, 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
 // service passes a call on to a plain service.
 func (a *API) service(w http.ResponseWriter, r *http.Request, s *site.Site, account *site.Account) error {
-	if err := a.accepting(r); err != nil {
+	if err := a.checkAccepting(r); err != nil {
 		return err
 	}
 	vars := mux.Vars(r)
@@ -34,7 +34,7 @@
 	}
 	if key == "" && !service.Repeatable {
 		return verdict.New(verdict.NotRun, verdict.CodeKeyRequired,
-			"calls to %s may not be repeated: send an %s header, the same one when you try again", service.Name, keyHeader)
+			"calls to %s may not be repeated: send an %s header, the same one when you try again", service.Name, idempotencyKeyHeader)
 	}
 	body, err := readBody(w, r, s.Limits.BodyBytes)
 	if err != nil {
@@ -43,14 +43,14 @@
 	ans, err := a.Calls.Call(r.Context(), account, service, key, plain.Call{
 		Method: r.Method,
 		Path:   pathWithQuery(vars["path"], r.URL.RawQuery),
-		Header: endToEnd(r.Header),
+		Header: endToEndHeaders(r.Header),
 		Body:   body,
 	})
 	if err != nil {
 		return err
 	}
 	h := w.Header()
-	for k, v := range endToEnd(ans.Header) {
+	for k, v := range endToEndHeaders(ans.Header) {
 		h[k] = v
 	}
 	w.WriteHeader(ans.Status)
@@ -66,9 +66,9 @@
 	return path + "?" + query
 }
 
-// endToEnd copies headers without those of one connection and without the
+// endToEndHeaders copies headers without those of one connection and without the
 // caller's credentials, which are ours to check and not the backend server's.
-func endToEnd(h http.Header) http.Header {
+func endToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, named := range h.Values("Connection") {
 		for _, name := range strings.Split(named, ",") {
@@ -76,21 +76,21 @@
 		}
 	}
 	for k := range out {
-		if slices.Contains(hopHeaders, k) || k == "Authorization" || k == "Content-Length" {
+		if slices.Contains(hopByHopHeaders, k) || k == "Authorization" || k == "Content-Length" {
 			delete(out, k)
 		}
 	}
 	return out
 }
 
-// entriesAnswer tells a caller which entry VMs to use and for how long.
-type entriesAnswer struct {
+// entriesResponse tells a caller which entry VMs to use and for how long.
+type entriesResponse struct {
 	Entries    []Entry `json:"entries"`
 	TTLSeconds int     `json:"ttl_seconds"`
 }
 
 func (a *API) entries(w http.ResponseWriter, _ *http.Request, s *site.Site, account *site.Account) error {
-	writeJSON(w, http.StatusOK, entriesAnswer{
+	writeJSON(w, http.StatusOK, entriesResponse{
 		Entries:    a.Entries.EntriesFor(account),
 		TTLSeconds: int(s.Limits.EntriesTTL.Seconds()),
 	})
--- a/serve/api/stream.go
+++ b/serve/api/stream.go
@@ -16,36 +16,36 @@
 )
 
 const (
-	// keepAlive is how often a waiting stream sends a comment, so that a caller
+	// keepAliveInterval is how often a waiting stream sends a comment, so that a caller
 	// can tell a slow answer from a connection that went silent for good.
-	keepAlive = 5 * time.Second
+	keepAliveInterval = 5 * time.Second
 	// writeTimeout bounds one write to a caller. A caller whose connection went
 	// silent would otherwise hold its generation for as long as TCP keeps trying.
 	writeTimeout = 15 * time.Second
 )
 
-// stream sends an answer as server-sent events from pos on. An error is
+// writeStream sends an answer as server-sent events from pos on. An error is
 // returned only while nothing has been sent; later ones become an error event,
 // and the terminal event stays away, so that the answer is visibly incomplete.
-func stream(ctx context.Context, w http.ResponseWriter, h *generation.Handle, pos lineage.Position, form answerForm) error {
-	s := &streamWriter{w: w, control: http.NewResponseController(w), form: form}
+func writeStream(ctx context.Context, w http.ResponseWriter, h *generation.Handle, pos lineage.Position, form responseFormat) error {
+	s := &streamWriter{w: w, control: http.NewResponseController(w), format: form}
 	for {
-		wait, cancel := context.WithTimeout(ctx, keepAlive)
+		wait, cancel := context.WithTimeout(ctx, keepAliveInterval)
 		b, err := h.Read(wait, pos)
 		cancel()
 		switch {
 		case ctx.Err() != nil:
 			return nil // the caller went away; the generation lingers for its return
 		case errors.Is(err, context.DeadlineExceeded):
-			if s.comment() != nil {
+			if s.writeKeepAlive() != nil {
 				return nil
 			}
 			continue
 		case err != nil:
-			return s.fail(err)
+			return s.finishWithError(err)
 		}
 		pos = b.Position
-		if s.batch(h.ID(), b) != nil || b.Finish != "" {
+		if s.writeBatch(h.ID(), b) != nil || b.Finish != "" {
 			return nil
 		}
 	}
@@ -53,27 +53,27 @@
 
 // streamWriter writes events and flushes each.
 type streamWriter struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	form    answerForm
-	begun   bool
+	w             http.ResponseWriter
+	control       *http.ResponseController
+	format        responseFormat
+	headerWritten bool
 }
 
-func (s *streamWriter) begin() {
-	if s.begun {
+func (s *streamWriter) writeHeader() {
+	if s.headerWritten {
 		return
 	}
-	s.begun = true
+	s.headerWritten = true
 	h := s.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
-	h.Set("X-Generation-Id", s.form.id)
+	h.Set("X-Generation-Id", s.format.id)
 	s.w.WriteHeader(http.StatusOK)
 }
 
 // send writes one message under the write deadline.
 func (s *streamWriter) send(m *sse.Message) error {
-	s.begin()
+	s.writeHeader()
 	// A writer without deadlines, as in tests, is never silent.
 	_ = s.control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := m.WriteTo(s.w); err != nil {
@@ -82,22 +82,22 @@
 	return s.control.Flush()
 }
 
-func (s *streamWriter) comment() error {
+func (s *streamWriter) writeKeepAlive() error {
 	m := &sse.Message{}
 	m.AppendComment("keep-alive")
 	return s.send(m)
 }
 
-// batch writes tokens as one event and, after the last, the terminal event.
-func (s *streamWriter) batch(id string, b generation.Batch) error {
+// writeBatch writes tokens as one event and, after the last, the terminal event.
+func (s *streamWriter) writeBatch(id string, b generation.Batch) error {
 	m := &sse.Message{ID: sse.ID(lineage.Cursor{Generation: id, Position: b.Position}.String())}
-	m.AppendData(s.form.chunk(strings.Join(b.Tokens, ""), string(b.Finish)))
+	m.AppendData(s.format.chunk(strings.Join(b.Tokens, ""), string(b.Finish)))
 	if err := s.send(m); err != nil || b.Finish == "" {
 		return err
 	}
-	if s.form.usage {
+	if s.format.includeUsage {
 		u := &sse.Message{}
-		u.AppendData(s.form.usageChunk(b.Position.Offset))
+		u.AppendData(s.format.usageChunk(b.Position.Offset))
 		if err := s.send(u); err != nil {
 			return err
 		}
@@ -107,12 +107,12 @@
 	return s.send(done)
 }
 
-// fail reports an error: as a refusal when nothing was sent, else as an event.
-func (s *streamWriter) fail(err error) error {
-	if !s.begun {
+// finishWithError reports an error: as a refusal when nothing was sent, else as an event.
+func (s *streamWriter) finishWithError(err error) error {
+	if !s.headerWritten {
 		return err
 	}
-	body, _ := json.Marshal(bodyOf(verdict.FromError(err)))
+	body, _ := json.Marshal(newErrorBody(verdict.FromError(err)))
 	m := &sse.Message{Type: sse.Type("error")}
 	m.AppendData(string(body))
 	_ = s.send(m) // the caller sees the missing terminal event in any case
--- a/serve/gateway/addresses_test.go
+++ b/serve/gateway/addresses_test.go
@@ -22,10 +22,10 @@
 	"mallowwind.dev/telemetry/metric"
 )
 
-// inFleet starts the feeds of size gateways in four zones before one store, in
+// withFeeds starts the feeds of size gateways in four zones before one store, in
 // virtual time, and hands them over once each knows all. The last leaving ones are
 // registered as leaving.
-func inFleet(t *testing.T, size, leaving int, test func([]*Gateway)) {
+func withFeeds(t *testing.T, size, leaving int, test func([]*Gateway)) {
 	synctest.Test(t, func(t *testing.T) {
 		memory := store.NewMemory()
 		put := func(key, value string) {
@@ -84,7 +84,7 @@
 		{"one daemon", func(int, int) int { return 0 }, 1},
 	}
 	for _, size := range []struct{ vms, leaving int }{{88, 0}, {88, 1}, {390, 0}} {
-		inFleet(t, size.vms, size.leaving, func(fleet []*Gateway) {
+		withFeeds(t, size.vms, size.leaving, func(fleet []*Gateway) {
 			for _, c := range asked {
 				random := rand.New(rand.NewPCG(1, uint64(size.vms)))
 				got := map[string]int{}
--- a/serve/gateway/callers.go
+++ b/serve/gateway/caller_server.go
@@ -15,37 +15,37 @@
 )
 
 const (
-	// limitsEvery is how often the limits on callers are compared with those of
+	// limitsCheckInterval is how often the limits on callers are compared with those of
 	// the configuration.
-	limitsEvery = 500 * time.Millisecond
-	// acceptPause follows a failed accept, so that a lasting cause does not take
+	limitsCheckInterval = 500 * time.Millisecond
+	// acceptRetryDelay follows a failed accept, so that a lasting cause does not take
 	// a core; a caller waits a second for its connection.
-	acceptPause = 50 * time.Millisecond
+	acceptRetryDelay = 50 * time.Millisecond
 	// defaultIdle, defaultHeaders and maxHeaders hold until a configuration sets
 	// the limits.
-	defaultIdle    = 15 * time.Second
-	defaultHeaders = 5 * time.Second
-	maxHeaders     = 16 << 10
+	defaultIdleTimeout    = 15 * time.Second
+	defaultHeaderTimeout  = 5 * time.Second
+	defaultMaxHeaderBytes = 16 << 10
 )
 
-// callers accepts callers' connections and serves them within the limits of the
+// callerServer accepts callers' connections and serves them within the limits of the
 // configuration. net/http reads its limits without a lock, so a change of them
 // is a new server for the connections that come later; those that are open keep
 // the limits under which they were opened.
-type callers struct {
+type callerServer struct {
 	listener net.Listener
 	handler  http.Handler
 	log      *event.Log
 	errorLog *log.Logger
 	mu       sync.Mutex
-	current  *handoff
+	current  *connListener
 	servers  []*http.Server
 	limits   routing.Limits
 	closed   bool
 }
 
-// handoff is a listener that is given connections.
-type handoff struct {
+// connListener is a listener that is given connections.
+type connListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 	once  sync.Once
@@ -53,7 +53,7 @@
 }
 
 // Accept implements net.Listener.
-func (h *handoff) Accept() (net.Conn, error) {
+func (h *connListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-h.conns:
 		return c, nil
@@ -63,30 +63,30 @@
 }
 
 // Close implements net.Listener.
-func (h *handoff) Close() error {
+func (h *connListener) Close() error {
 	h.once.Do(func() { close(h.done) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (h *handoff) Addr() net.Addr { return h.addr }
+func (h *connListener) Addr() net.Addr { return h.addr }
 
-func newCallers(l net.Listener, handler http.Handler, events *event.Log, errorLog *log.Logger) *callers {
-	c := &callers{listener: l, handler: handler, log: events, errorLog: errorLog}
+func newCallerServer(l net.Listener, handler http.Handler, events *event.Log, errorLog *log.Logger) *callerServer {
+	c := &callerServer{listener: l, handler: handler, log: events, errorLog: errorLog}
 	c.apply(routing.Limits{})
 	return c
 }
 
 // apply starts a server with other limits. It is called at the start and by the
 // loop of follow.
-func (c *callers) apply(limits routing.Limits) {
+func (c *callerServer) apply(limits routing.Limits) {
 	s := &http.Server{
 		Handler: c.handler, ErrorLog: c.errorLog,
-		ReadHeaderTimeout: orElse(limits.HeaderTimeout, defaultHeaders),
-		IdleTimeout:       orElse(limits.IdleTimeout, defaultIdle),
-		MaxHeaderBytes:    orElse(limits.HeaderBytes, maxHeaders),
+		ReadHeaderTimeout: valueOrDefault(limits.HeaderTimeout, defaultHeaderTimeout),
+		IdleTimeout:       valueOrDefault(limits.IdleTimeout, defaultIdleTimeout),
+		MaxHeaderBytes:    valueOrDefault(limits.HeaderBytes, defaultMaxHeaderBytes),
 	}
-	h := &handoff{conns: make(chan net.Conn), done: make(chan struct{}), addr: c.listener.Addr()}
+	h := &connListener{conns: make(chan net.Conn), done: make(chan struct{}), addr: c.listener.Addr()}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -101,17 +101,17 @@
 	}()
 }
 
-// orElse is a value, or the other where it is not set.
-func orElse[T time.Duration | int](value, other T) T {
+// valueOrDefault is a value, or the other where it is not set.
+func valueOrDefault[T time.Duration | int](value, other T) T {
 	if value > 0 {
 		return value
 	}
 	return other
 }
 
-// follow compares the limits with the configuration's until ctx ends.
-func (c *callers) follow(ctx context.Context, config func() *routing.Config) {
-	tick := time.NewTicker(limitsEvery)
+// watchLimits compares the limits with the configuration's until ctx ends.
+func (c *callerServer) watchLimits(ctx context.Context, config func() *routing.Config) {
+	tick := time.NewTicker(limitsCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -119,21 +119,21 @@
 			return
 		case <-tick.C:
 		}
-		if now := config(); now != nil && !sameLimits(now.Limits, c.limits) {
+		if now := config(); now != nil && !equalServerLimits(now.Limits, c.limits) {
 			c.apply(now.Limits)
 			c.log.Emit(event.LimitsInForce, now.Version, now.Limits.HeaderBytes, now.Limits.HeaderTimeout, now.Limits.IdleTimeout)
 		}
 	}
 }
 
-// sameLimits leaves out the bound on bodies, which the handler keeps.
-func sameLimits(a, b routing.Limits) bool {
+// equalServerLimits leaves out the bound on bodies, which the handler keeps.
+func equalServerLimits(a, b routing.Limits) bool {
 	a.BodyBytes, b.BodyBytes = 0, 0
 	return a == b
 }
 
 // accept hands connections to the current server until the listener closes.
-func (c *callers) accept() {
+func (c *callerServer) accept() {
 	for {
 		conn, err := c.listener.Accept()
 		if err != nil {
@@ -142,14 +142,14 @@
 			}
 			// Mostly descriptors that ran out; connections that end free some.
 			c.log.Emit(event.ListenerFailed, c.listener.Addr().String(), err)
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		c.hand(conn)
+		c.dispatch(conn)
 	}
 }
 
-func (c *callers) hand(conn net.Conn) {
+func (c *callerServer) dispatch(conn net.Conn) {
 	c.mu.Lock()
 	h := c.current
 	c.mu.Unlock()
@@ -161,7 +161,7 @@
 }
 
 // Close ends the listener and all connections.
-func (c *callers) Close() error {
+func (c *callerServer) Close() error {
 	first := c.listener.Close()
 	c.mu.Lock()
 	c.closed = true
--- a/serve/gateway/fleet_test.go
+++ b/serve/gateway/fleet_test.go
@@ -40,27 +40,27 @@
 
 // fleet is a few daemons before one store and backend servers, in virtual time.
 type fleet struct {
-	t       *testing.T
-	began   time.Time
-	store   *store.Memory
-	mu      sync.Mutex // guards daemons and servers
-	daemons map[string]*daemon
-	servers map[string]*backend // by address
-	done    sync.WaitGroup
+	t          *testing.T
+	began      time.Time
+	store      *store.Memory
+	mu         sync.Mutex // guards daemons and servers
+	daemons    map[string]*daemon
+	servers    map[string]*backend // by address
+	background sync.WaitGroup
 }
 
 // daemon is one process of an entry VM.
 type daemon struct {
 	vm             routing.VM
-	way            *store.Faulty // to the store
+	store          *store.Faulty // to the store
 	callers, peers *faultnet.Listener
 	kill           context.CancelFunc
 	stopped        chan struct{}
 	dialer         *http.Transport
 }
 
-// inServingFleet runs test before so many daemons.
-func inServingFleet(t *testing.T, size int, test func(*fleet)) {
+// withFleet runs test before so many daemons.
+func withFleet(t *testing.T, size int, test func(*fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{t: t, began: time.Now(), store: store.NewMemory(), daemons: map[string]*daemon{}, servers: map[string]*backend{}}
 		f.put(feed.OwnConfigKey, fleetConfig)
@@ -75,9 +75,9 @@
 
 // close ends all that runs.
 func (f *fleet) close() {
-	f.done.Wait()
+	f.background.Wait()
 	for _, d := range f.daemons {
-		f.end(d)
+		f.stop(d)
 	}
 	for _, s := range f.servers {
 		s.http.Close()
@@ -90,15 +90,15 @@
 func (f *fleet) start(n int) {
 	id := fmt.Sprintf("vm-%d", n)
 	d := &daemon{
-		vm:  routing.VM{ID: id, Zone: string(rune('a' + n%3)), Address: id + ":1", PeerAddress: id + ":2"},
-		way: store.NewFaulty(f.store), callers: faultnet.Pipe(), peers: faultnet.Pipe(), stopped: make(chan struct{}),
+		vm:    routing.VM{ID: id, Zone: string(rune('a' + n%3)), Address: id + ":1", PeerAddress: id + ":2"},
+		store: store.NewFaulty(f.store), callers: faultnet.Pipe(), peers: faultnet.Pipe(), stopped: make(chan struct{}),
 		dialer: &http.Transport{DialContext: f.dial, MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Second},
 	}
 	f.mu.Lock()
 	f.daemons[id] = d
 	f.mu.Unlock()
 	g := New(Options{
-		Self: d.vm, Store: storesim.Confirming{Store: d.way, Hold: time.Second}, Schema: feed.OwnSchema{}, Codec: forward.DefaultCodec{},
+		Self: d.vm, Store: storesim.Confirming{Store: d.store, Hold: time.Second}, Schema: feed.OwnSchema{}, Codec: forward.DefaultCodec{},
 		Clock: func() time.Duration { return time.Since(f.began) + time.Hour }, Log: event.Discard(),
 		DynamicOptions: DynamicOptions{
 			MaxKeyAge: 5 * time.Second, GracePeriod: 8 * time.Second, Seeds: []string{"vm-0:2", "vm-1:2"},
@@ -118,8 +118,8 @@
 	}()
 }
 
-// end kills a daemon.
-func (f *fleet) end(d *daemon) {
+// stop kills a daemon.
+func (f *fleet) stop(d *daemon) {
 	d.callers.Cut()
 	d.peers.Cut()
 	d.kill()
@@ -130,17 +130,17 @@
 // restart kills daemons at the same moment and starts them again.
 func (f *fleet) restart(daemons ...int) {
 	for _, n := range daemons {
-		f.end(f.daemons[fmt.Sprintf("vm-%d", n)])
+		f.stop(f.daemons[fmt.Sprintf("vm-%d", n)])
 	}
 	for _, n := range daemons {
 		f.start(n)
 	}
 }
 
-// storeDown makes the store answer no daemon, or all of them again.
-func (f *fleet) storeDown(down bool) {
+// setStoreDown makes the store answer no daemon, or all of them again.
+func (f *fleet) setStoreDown(down bool) {
 	for _, d := range f.daemons {
-		d.way.SetDown(down)
+		d.store.SetDown(down)
 	}
 }
 
@@ -176,15 +176,15 @@
 
 // backend is a server at an address, one process after the other.
 type backend struct {
-	f        *fleet
-	service  string
-	address  string
-	listener *faultnet.Listener
-	http     *http.Server
-	mu       sync.Mutex
-	life     int
-	limit    string // that it names in its answers
-	arrived  []arrival
+	f           *fleet
+	service     string
+	address     string
+	listener    *faultnet.Listener
+	http        *http.Server
+	mu          sync.Mutex
+	incarnation int
+	limit       string // that it names in its answers
+	arrivals    []arrival
 }
 
 // arrival is one request at a server.
@@ -194,16 +194,16 @@
 }
 
 const (
-	// crashedEntry is how long the entry of a server that ended stays in the store.
-	crashedEntry = 3 * time.Second
-	// crashedTime is after what time a server that ended is back.
-	crashedTime = 2 * time.Second
-	// crashing begins the body of a request that ends whoever runs it.
-	crashing = "crash"
+	// crashedEntryTTL is how long the entry of a server that ended stays in the store.
+	crashedEntryTTL = 3 * time.Second
+	// crashRestartDelay is after what time a server that ended is back.
+	crashRestartDelay = 2 * time.Second
+	// crashBody begins the body of a request that ends whoever runs it.
+	crashBody = "crash"
 )
 
-// serve starts servers of a service.
-func (f *fleet) serve(service string, n int) {
+// startServers starts servers of a service.
+func (f *fleet) startServers(service string, n int) {
 	for i := range n {
 		s := &backend{f: f, service: service, address: fmt.Sprintf("%s-%d:80", service, i), listener: faultnet.Pipe()}
 		s.http = &http.Server{Handler: s}
@@ -221,7 +221,7 @@
 	return f.servers[fmt.Sprintf("%s-%d:80", service, n)]
 }
 
-func (s *backend) id() string { return fmt.Sprintf("%s.%d", s.address, s.life) }
+func (s *backend) id() string { return fmt.Sprintf("%s.%d", s.address, s.incarnation) }
 
 func (s *backend) register() {
 	raw, err := json.Marshal(routing.Server{Service: s.service, Address: s.address, Zone: "a", Slots: 4})
@@ -234,15 +234,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	gone := feed.OwnServerPrefix + s.id()
-	s.life++
+	s.incarnation++
 	s.listener.Cut()
-	s.f.done.Go(func() {
-		time.Sleep(crashedTime)
+	s.f.background.Go(func() {
+		time.Sleep(crashRestartDelay)
 		s.mu.Lock()
 		must.NoError(s.f.t, s.listener.Restore())
 		s.register()
 		s.mu.Unlock()
-		time.Sleep(crashedEntry - crashedTime)
+		time.Sleep(crashedEntryTTL - crashRestartDelay)
 		s.f.remove(gone)
 	})
 }
@@ -256,11 +256,11 @@
 	}
 	body, _ := io.ReadAll(r.Body)
 	s.mu.Lock()
-	id, life := s.id(), s.life
+	id, life := s.id(), s.incarnation
 	if s.limit != "" {
 		w.Header().Set("X-Request-Limit", s.limit)
 	}
-	s.arrived = append(s.arrived, arrival{time.Now(), r.URL.Path})
+	s.arrivals = append(s.arrivals, arrival{time.Now(), r.URL.Path})
 	s.mu.Unlock()
 	if r.Header.Get("X-Backend-Id") != id {
 		w.WriteHeader(http.StatusMisdirectedRequest)
@@ -276,9 +276,9 @@
 		return
 	}
 	s.mu.Lock()
-	same := life == s.life
+	same := life == s.incarnation
 	s.mu.Unlock()
-	if same && strings.HasPrefix(string(body), crashing) {
+	if same && strings.HasPrefix(string(body), crashBody) {
 		s.crash()
 		return
 	}
@@ -298,7 +298,7 @@
 	defer f.mu.Unlock()
 	for _, s := range f.servers {
 		s.mu.Lock()
-		for _, a := range s.arrived {
+		for _, a := range s.arrivals {
 			if a.path == path && a.at.After(after) {
 				n++
 			}
@@ -308,21 +308,21 @@
 	return n
 }
 
-// name sets what a server says of the requests that it takes.
-func (s *backend) name(limit string) {
+// setLimit sets what a server says of the requests that it takes.
+func (s *backend) setLimit(limit string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limit = limit
 }
 
-// most is how many requests reached a server in any span of a length that begins after a
+// maxArrivalsWithin is how many requests reached a server in any span of a length that begins after a
 // moment.
-func (s *backend) most(span time.Duration, after time.Time) (most int) {
+func (s *backend) maxArrivalsWithin(span time.Duration, after time.Time) (most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	first := 0
-	for last, a := range s.arrived {
-		for a.at.Sub(s.arrived[first].at) >= span || s.arrived[first].at.Before(after) && first < last {
+	for last, a := range s.arrivals {
+		for a.at.Sub(s.arrivals[first].at) >= span || s.arrivals[first].at.Before(after) && first < last {
 			first++
 		}
 		if !a.at.Before(after) {
@@ -332,11 +332,11 @@
 	return most
 }
 
-// total is how many requests reached a server between two moments.
-func (s *backend) total(from, until time.Time) (n int) {
+// arrivalsBetween is how many requests reached a server between two moments.
+func (s *backend) arrivalsBetween(from, until time.Time) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, a := range s.arrived {
+	for _, a := range s.arrivals {
 		if a.at.After(from) && a.at.Before(until) {
 			n++
 		}
@@ -344,13 +344,13 @@
 	return n
 }
 
-// lives is how many times a server has ended.
-func (f *fleet) lives() (n int) {
+// crashes is how many times a server has ended.
+func (f *fleet) crashes() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.servers {
 		s.mu.Lock()
-		n += s.life
+		n += s.incarnation
 		s.mu.Unlock()
 	}
 	return n
@@ -364,8 +364,8 @@
 	err    error
 }
 
-// ask sends one request to the nth daemon.
-func (f *fleet) ask(n int, path, body string) reply {
+// send sends one request to the nth daemon.
+func (f *fleet) send(n int, path, body string) reply {
 	f.mu.Lock()
 	d := f.daemons[fmt.Sprintf("vm-%d", n)]
 	f.mu.Unlock()
--- a/serve/gateway/gateway.go
+++ b/serve/gateway/gateway.go
@@ -33,16 +33,16 @@
 )
 
 const (
-	// streamsUntil is how long after SIGTERM new streams are taken: they last
+	// acceptStreamsFor is how long after SIGTERM new streams are taken: they last
 	// about six seconds of the eight that are left.
-	streamsUntil = time.Second
-	// allUntil is how long other requests are taken whatever time they have.
+	acceptStreamsFor = time.Second
+	// acceptRequestsFor is how long other requests are taken whatever time they have.
 	// Callers that keep an address for long come within three seconds.
-	allUntil = 2500 * time.Millisecond
+	acceptRequestsFor = 2500 * time.Millisecond
 	// exitMargin is kept between the last answer and the end of the grace.
 	exitMargin = 500 * time.Millisecond
-	// keptAnswers is how many times the stated time some callers keep an address.
-	keptAnswers = 3
+	// addressRetentionFactor is how many times the stated time some callers keep an address.
+	addressRetentionFactor = 3
 )
 
 // Options configure a Gateway.
@@ -75,13 +75,13 @@
 
 // Gateway is one running daemon.
 type Gateway struct {
-	opts     Options
-	feed     *feed.Manager
-	handler  *forward.Handler
-	versions *versions.Manager
-	leaving  atomic.Bool
-	grace    atomic.Int64
-	turn     atomic.Uint64
+	opts        Options
+	feed        *feed.Manager
+	handler     *forward.Handler
+	versions    *versions.Manager
+	draining    atomic.Bool
+	gracePeriod atomic.Int64
+	rotation    atomic.Uint64
 }
 
 // New assembles a gateway; Run starts it.
@@ -101,7 +101,7 @@
 		Registerer: o.Registry, Dial: o.DialServer, Dialer: o.Dialer,
 	})
 	g := &Gateway{opts: o, feed: f, handler: h, versions: v}
-	g.grace.Store(int64(o.GracePeriod))
+	g.gracePeriod.Store(int64(o.GracePeriod))
 	return g
 }
 
@@ -124,11 +124,11 @@
 	g.handler.SetBounds(b.MaxKeyAge, b.RetryBudget)
 	g.feed.SetSeeds(b.Seeds)
 	g.versions.SetLimits(b.RolloutLimits)
-	g.grace.Store(int64(b.GracePeriod))
+	g.gracePeriod.Store(int64(b.GracePeriod))
 }
 
 // IsReady reports whether callers should be sent here.
-func (g *Gateway) IsReady() bool { return !g.leaving.Load() && g.feed.View().Config != nil }
+func (g *Gateway) IsReady() bool { return !g.draining.Load() && g.feed.View().Config != nil }
 
 // Addresses are the entry VMs that a caller is told. Its account is not known here.
 func (g *Gateway) Addresses(_ string) []string {
@@ -141,13 +141,13 @@
 			self = len(vms)
 		}
 		usable := !vm.Draining && (!own || g.IsReady())
-		vms = append(vms, entry(vm, usable))
+		vms = append(vms, newEntryVM(vm, usable))
 	}
 	if self < 0 {
 		self = len(vms)
-		vms = append(vms, entry(g.opts.Self, g.IsReady()))
+		vms = append(vms, newEntryVM(g.opts.Self, g.IsReady()))
 	}
-	a := entries.SelectForUnknownAccount(vms, self, g.turn.Add(1))
+	a := entries.SelectForUnknownAccount(vms, self, g.rotation.Add(1))
 	list := make([]string, 0, len(a.VMs))
 	for _, i := range a.VMs {
 		list = append(list, vms[i].Address)
@@ -155,7 +155,7 @@
 	return list
 }
 
-func entry(vm routing.VM, usable bool) entries.VM {
+func newEntryVM(vm routing.VM, usable bool) entries.VM {
 	return entries.VM{ID: vm.ID, Hash: xxhash.Sum64String(vm.ID), Zone: vm.Zone, Address: vm.Address, Usable: usable}
 }
 
@@ -163,7 +163,7 @@
 func (g *Gateway) Run(soft, hard context.Context) error {
 	life, end := context.WithCancel(hard)
 	defer end()
-	servers := g.serve(life)
+	servers := g.startServers(life)
 	var work errgroup.Group
 	work.Go(func() error { g.feed.Run(life); return nil })
 	work.Go(func() error { g.handler.Run(life); return nil })
@@ -190,12 +190,12 @@
 	return err
 }
 
-// serve starts the listeners.
-func (g *Gateway) serve(ctx context.Context) []io.Closer {
+// startServers starts the listeners.
+func (g *Gateway) startServers(ctx context.Context) []io.Closer {
 	quiet := log.New(io.Discard, "", 0) // what callers do wrong is in the events
-	callers := newCallers(g.opts.Callers, g.handler, g.opts.Log, quiet)
+	callers := newCallerServer(g.opts.Callers, g.handler, g.opts.Log, quiet)
 	go callers.accept()
-	go callers.follow(ctx, func() *routing.Config { return g.feed.View().Config })
+	go callers.watchLimits(ctx, func() *routing.Config { return g.feed.View().Config })
 	closers := []io.Closer{callers}
 	for _, l := range []struct {
 		listener net.Listener
@@ -209,9 +209,9 @@
 		if l.listener == nil {
 			continue
 		}
-		s := &http.Server{Handler: l.handler, ReadHeaderTimeout: defaultHeaders, IdleTimeout: defaultIdle, ErrorLog: quiet}
+		s := &http.Server{Handler: l.handler, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout, ErrorLog: quiet}
 		closers = append(closers, s)
-		go g.listen(s, l.listener)
+		go g.serveListener(s, l.listener)
 	}
 	return closers
 }
@@ -226,7 +226,7 @@
 	return router
 }
 
-func (g *Gateway) listen(s *http.Server, l net.Listener) {
+func (g *Gateway) serveListener(s *http.Server, l net.Listener) {
 	if err := s.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		g.opts.Log.Emit(event.ListenerFailed, l.Addr().String(), err)
 	}
@@ -239,12 +239,12 @@
 // still keep this address, at most until the grace ends.
 func (g *Gateway) drain(hard context.Context) {
 	started := time.Now()
-	ends := time.Duration(g.grace.Load()) - exitMargin
-	g.leaving.Store(true)
+	ends := time.Duration(g.gracePeriod.Load()) - exitMargin
+	g.draining.Store(true)
 	g.handler.BeginShutdown(forward.ShutdownSchedule{
-		StreamsUntil: started.Add(streamsUntil), RequestsUntil: started.Add(allUntil), ExitAt: started.Add(ends),
+		StreamsUntil: started.Add(acceptStreamsFor), RequestsUntil: started.Add(acceptRequestsFor), ExitAt: started.Add(ends),
 	})
-	kept := min(keptAnswers*g.opts.AddressTTL, ends)
+	kept := min(addressRetentionFactor*g.opts.AddressTTL, ends)
 	g.opts.Log.Emit(event.DaemonDraining, g.handler.Running(), kept)
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
--- a/serve/gateway/gateway_test.go
+++ b/serve/gateway/gateway_test.go
@@ -33,24 +33,24 @@
 		"targets":[{"service":"desk","weight":1}]}]}`, version, idle)
 }
 
-// site is one gateway in virtual time before a backend server that answers
+// testGateway is one gateway in virtual time before a backend server that answers
 // after the wait that the path names.
-type site struct {
+type testGateway struct {
 	t                         *testing.T
 	store                     *store.Memory
 	callers, ready, directory *faultnet.Listener
 	backend                   *faultnet.Listener
-	term                      context.CancelFunc
+	terminate                 context.CancelFunc
 	stopped                   chan struct{} // closed when Run returned
 }
 
-func inSite(t *testing.T, test func(*site)) {
+func withGateway(t *testing.T, test func(*testGateway)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &site{
+		s := &testGateway{
 			t: t, store: store.NewMemory(), stopped: make(chan struct{}),
 			callers: faultnet.Pipe(), ready: faultnet.Pipe(), directory: faultnet.Pipe(), backend: faultnet.Pipe(),
 		}
-		backend := &http.Server{Handler: http.HandlerFunc(slow)}
+		backend := &http.Server{Handler: http.HandlerFunc(slowHandler)}
 		go backend.Serve(s.backend)
 		s.put(feed.OwnConfigKey, config(1, "15s"))
 		s.put(feed.OwnServerPrefix+"d", `{"service":"desk","address":"d:1","slots":4}`)
@@ -69,7 +69,7 @@
 		})
 		soft, term := context.WithCancel(t.Context())
 		hard, kill := context.WithCancel(t.Context())
-		s.term = term
+		s.terminate = term
 		go func() {
 			defer close(s.stopped)
 			_ = g.Run(soft, hard)
@@ -84,7 +84,7 @@
 	})
 }
 
-func slow(w http.ResponseWriter, r *http.Request) {
+func slowHandler(w http.ResponseWriter, r *http.Request) {
 	wait, err := time.ParseDuration(strings.Trim(r.URL.Path, "/"))
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -111,7 +111,7 @@
 	})
 }
 
-func (s *site) put(key, value string) {
+func (s *testGateway) put(key, value string) {
 	s.t.Helper()
 	var version int64
 	if kv, err := s.store.Get(s.t.Context(), key); err == nil {
@@ -122,7 +122,7 @@
 }
 
 // get makes one request on a connection of its own.
-func (s *site) get(l *faultnet.Listener, path string) (int, string) {
+func (s *testGateway) get(l *faultnet.Listener, path string) (int, string) {
 	s.t.Helper()
 	conn, err := l.Dial(s.t.Context(), "", "")
 	if err != nil {
@@ -155,8 +155,8 @@
 // The platform stops a daemon. Its readiness and the address answers say so at
 // once, the request in progress gets its answer, callers that still keep the
 // address are served, and the process ends before it is killed.
-func TestStopCutsNothing(t *testing.T) {
-	inSite(t, func(s *site) {
+func TestShutdownCompletesAcceptedRequests(t *testing.T) {
+	withGateway(t, func(s *testGateway) {
 		status, _ := s.get(s.ready, "/")
 		must.Eq(t, http.StatusOK, status)
 		_, list := s.get(s.directory, "/")
@@ -168,7 +168,7 @@
 		}()
 		time.Sleep(time.Second)
 		began := time.Now()
-		s.term()
+		s.terminate()
 		time.Sleep(10 * time.Millisecond)
 		status, _ = s.get(s.ready, "/")
 		must.Eq(t, http.StatusServiceUnavailable, status)
@@ -185,12 +185,12 @@
 
 // A request outlasts the time that is left. The process ends by itself before
 // it is killed, so that its other work ends in order.
-func TestStopEndsWithinItsTime(t *testing.T) {
-	inSite(t, func(s *site) {
+func TestShutdownEndsWithinGracePeriod(t *testing.T) {
+	withGateway(t, func(s *testGateway) {
 		go s.get(s.callers, "/19s")
 		time.Sleep(time.Second)
 		began := time.Now()
-		s.term()
+		s.terminate()
 		<-s.stopped
 		must.Less(t, 8*time.Second, time.Since(began))
 	})
@@ -199,11 +199,11 @@
 // A caller that kept the address for long comes just before the process ends,
 // with a request that may take longer than what is left. It hears at once that
 // nothing ran and goes elsewhere; taken, the request would be cut.
-func TestLateRequestIsNotTaken(t *testing.T) {
-	inSite(t, func(s *site) {
+func TestLateRequestIsRefusedDuringShutdown(t *testing.T) {
+	withGateway(t, func(s *testGateway) {
 		go s.get(s.callers, "/19s") // keeps the process until its end
 		time.Sleep(time.Second)
-		s.term()
+		s.terminate()
 		time.Sleep(7300 * time.Millisecond)
 		began := time.Now()
 		status, _ := s.get(s.callers, "/10ms")
@@ -214,13 +214,13 @@
 
 // Callers reuse a connection that was idle for most of the limit in force. The
 // limit changes with the configuration, for connections opened from then on.
-func TestIdleConnectionsLiveAsLongAsConfigured(t *testing.T) {
+func TestIdleTimeoutFollowsConfiguration(t *testing.T) {
 	for _, c := range []struct {
 		idle time.Duration
 		kept bool
 	}{{10 * time.Second, true}, {40 * time.Second, false}} {
 		t.Run(c.idle.String(), func(t *testing.T) {
-			inSite(t, func(s *site) {
+			withGateway(t, func(s *testGateway) {
 				s.put(feed.OwnConfigKey, config(2, "20s"))
 				time.Sleep(2 * time.Second)
 				conn, err := s.callers.Dial(s.t.Context(), "", "")
--- a/serve/gateway/limited_test.go
+++ b/serve/gateway/server_limits_test.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// limitSpan is the time in which requests to a server that names its rate are counted,
+	// limitWindow is the time in which requests to a server that names its rate are counted,
 	// limitKnown how long after it first does all daemons must keep to it.
-	limitSpan  = 4 * time.Second
-	limitKnown = 3 * time.Second
+	limitWindow          = 4 * time.Second
+	limitPropagationTime = 3 * time.Second
 )
 
-// limitAllows is what may reach a server in limitSpan that takes rate requests a second.
-func limitAllows(rate float64) int { return int(1.5*rate*limitSpan.Seconds()) + 5 }
+// maxArrivalsInWindow is what may reach a server in limitSpan that takes rate requests a second.
+func maxArrivalsInWindow(rate float64) int { return int(1.5*rate*limitWindow.Seconds()) + 5 }
 
-// calls are what callers got.
-type calls struct{ asked, answered, refused, inTime atomic.Int64 }
+// callCounts are what callers got.
+type callCounts struct{ sent, answered, refused, inTime atomic.Int64 }
 
 // load sends calls to random daemons for a time, perSecond of them.
-func (f *fleet) load(path string, perSecond int, lasts time.Duration) *calls {
-	var got calls
+func (f *fleet) load(path string, perSecond int, lasts time.Duration) *callCounts {
+	var got callCounts
 	random := rand.New(rand.NewPCG(1, 2))
 	f.mu.Lock()
 	daemons := len(f.daemons)
@@ -36,10 +36,10 @@
 	for n := range int(lasts.Seconds() * float64(perSecond)) {
 		time.Sleep(time.Second / time.Duration(perSecond))
 		at := random.IntN(daemons)
-		f.done.Go(func() {
-			got.asked.Add(1)
+		f.background.Go(func() {
+			got.sent.Add(1)
 			began := time.Now()
-			r := f.ask(at, fmt.Sprintf("%s%d", path, n), "fine")
+			r := f.send(at, fmt.Sprintf("%s%d", path, n), "fine")
 			switch {
 			case r.status == http.StatusOK && r.err == nil:
 				got.answered.Add(1)
@@ -58,7 +58,7 @@
 }
 
 // Servers that name what they take of all daemons together must not get more.
-func TestServersThatNameTheirRateGetNoMore(t *testing.T) {
+func TestFleetKeepsServerRateLimit(t *testing.T) {
 	const rate = 5
 	for _, c := range []struct {
 		name      string
@@ -82,91 +82,91 @@
 				f.restart(n)
 			}
 		}},
-		{"the store is away", 7, "/once/", "desk", 84, 3, 2, 0.99, func(f *fleet) { f.storeDown(true) }},
+		{"the store is away", 7, "/once/", "desk", 84, 3, 2, 0.99, func(f *fleet) { f.setStoreDown(true) }},
 		{"engines", 7, "/stream/", "llm", 80, 8, 6, 0.9, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inServingFleet(t, c.daemons, func(f *fleet) {
-				f.serve(c.service, c.servers)
+			withFleet(t, c.daemons, func(f *fleet) {
+				f.startServers(c.service, c.servers)
 				f.load(c.path+"first", c.perSecond, 3*time.Second)
-				f.done.Wait()
+				f.background.Wait()
 				for n := range c.limited {
-					f.server(c.service, n).name(strconv.Itoa(rate))
+					f.server(c.service, n).setLimit(strconv.Itoa(rate))
 				}
 				named := time.Now()
 				if c.play != nil {
-					f.done.Go(func() { c.play(f) })
+					f.background.Go(func() { c.play(f) })
 				}
 				got := f.load(c.path, c.perSecond, 20*time.Second)
-				f.done.Wait()
+				f.background.Wait()
 				for n := range c.limited {
-					must.LessEq(f.t, limitAllows(rate), f.server(c.service, n).most(limitSpan, named.Add(limitKnown)))
+					must.LessEq(f.t, maxArrivalsInWindow(rate), f.server(c.service, n).maxArrivalsWithin(limitWindow, named.Add(limitPropagationTime)))
 				}
-				must.GreaterEq(f.t, c.answered*float64(got.asked.Load()), float64(got.answered.Load()))
+				must.GreaterEq(f.t, c.answered*float64(got.sent.Load()), float64(got.answered.Load()))
 			})
 		})
 	}
 }
 
 // A server ceases to name a limit: it must get its part of the calls again.
-func TestServerWhoseLimitIsOverIsUsedAgain(t *testing.T) {
-	inServingFleet(t, 7, func(f *fleet) {
-		f.serve("desk", 3)
+func TestServerIsUsedAgainAfterItsLimitEnds(t *testing.T) {
+	withFleet(t, 7, func(f *fleet) {
+		f.startServers("desk", 3)
 		one := f.server("desk", 1)
-		one.name("2")
+		one.setLimit("2")
 		f.load("/once/a", 84, 6*time.Second)
-		one.name("")
+		one.setLimit("")
 		f.load("/once/b", 84, 5*time.Second)
 		lifted := time.Now()
 		f.load("/once/c", 84, 5*time.Second)
-		f.done.Wait()
-		must.Greater(t, 84*5/3/2, one.total(lifted, time.Now()))
+		f.background.Wait()
+		must.Greater(t, 84*5/3/2, one.arrivalsBetween(lifted, time.Now()))
 	})
 }
 
 // The process that named a limit ends: the next one at its address has none.
-func TestLimitEndsWithTheProcessThatNamedIt(t *testing.T) {
-	inServingFleet(t, 7, func(f *fleet) {
-		f.serve("desk", 3)
+func TestServerLimitEndsWithItsProcess(t *testing.T) {
+	withFleet(t, 7, func(f *fleet) {
+		f.startServers("desk", 3)
 		one := f.server("desk", 1)
-		one.name("0")
+		one.setLimit("0")
 		f.load("/once/a", 84, 6*time.Second)
-		one.name("")
+		one.setLimit("")
 		one.crash()
 		f.load("/once/b", 84, 5*time.Second)
 		back := time.Now()
 		f.load("/once/c", 84, 5*time.Second)
-		f.done.Wait()
-		must.Greater(t, 84*5/3/2, one.total(back, time.Now()))
+		f.background.Wait()
+		must.Greater(t, 84*5/3/2, one.arrivalsBetween(back, time.Now()))
 	})
 }
 
 // What cannot be read must neither be taken for no limit nor end all calls.
-func TestLimitThatCannotBeRead(t *testing.T) {
+func TestUnreadableServerLimit(t *testing.T) {
 	for _, text := range []string{"soon", "-3", "NaN", "0"} {
 		t.Run(text, func(t *testing.T) {
-			inServingFleet(t, 7, func(f *fleet) {
-				f.serve("desk", 2)
+			withFleet(t, 7, func(f *fleet) {
+				f.startServers("desk", 2)
 				one := f.server("desk", 1)
-				one.name(text)
+				one.setLimit(text)
 				f.load("/once/a", 84, 3*time.Second)
 				known := time.Now()
 				got := f.load("/once/b", 84, 10*time.Second)
-				f.done.Wait()
-				must.LessEq(f.t, 5, one.most(limitSpan, known))
-				must.Positive(f.t, one.total(known, time.Now()))
-				must.Eq(f.t, got.asked.Load(), got.answered.Load())
+				f.background.Wait()
+				must.LessEq(f.t, 5, one.maxArrivalsWithin(limitWindow, known))
+				must.Positive(f.t, one.arrivalsBetween(known, time.Now()))
+				must.Eq(f.t, got.sent.Load(), got.answered.Load())
 			})
 		})
 	}
 }
 
 // The daemon that gives out permits is cut off from the others: they must keep to the rate.
-func TestDaemonThatGivesPermitsIsCutOff(t *testing.T) {
-	inServingFleet(t, 7, func(f *fleet) {
-		f.serve("desk", 3)
+func TestServerRateLimitHoldsWhenPermitDaemonsStall(t *testing.T) {
+	withFleet(t, 7, func(f *fleet) {
+		f.startServers("desk", 3)
 		for n := range 2 {
-			f.server("desk", n).name("5")
+			f.server("desk", n).setLimit("5")
 		}
 		f.load("/once/a", 84, 3*time.Second)
 		for n := range 3 {
@@ -174,13 +174,13 @@
 		}
 		known := time.Now()
 		got := f.load("/once/b", 84, 15*time.Second)
-		f.done.Wait()
+		f.background.Wait()
 		for n := range 3 {
 			f.daemons[fmt.Sprintf("vm-%d", n)].peers.Unstall()
 		}
 		for n := range 2 {
-			must.LessEq(f.t, limitAllows(5), f.server("desk", n).most(limitSpan, known))
+			must.LessEq(f.t, maxArrivalsInWindow(5), f.server("desk", n).maxArrivalsWithin(limitWindow, known))
 		}
-		must.Eq(f.t, got.asked.Load(), got.answered.Load())
+		must.Eq(f.t, got.sent.Load(), got.answered.Load())
 	})
 }
--- a/serve/journal/batch.go
+++ b/serve/journal/batch.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// minGap is the least time between two batches to one holder. An append to
+	// minBatchInterval is the least time between two batches to one holder. An append to
 	// an idle holder leaves at once; under load the appends of up to minGap share
 	// a message. It is a seventh of the time between tokens that callers are
 	// promised, and bounds the messages to a holder to 250 a second.
-	minGap = 4 * time.Millisecond
-	// maxBatch bounds the appends of one message.
-	maxBatch = 512
+	minBatchInterval = 4 * time.Millisecond
+	// maxBatchAppends bounds the appends of one message.
+	maxBatchAppends = 512
 )
 
-// errHolder is what appends get that waited behind one that failed.
-var errHolder = errors.New("journal: the holder did not answer")
+// errHolderFailed is what appends get that waited behind one that failed.
+var errHolderFailed = errors.New("journal: the holder did not answer")
 
 // SendBatch carries one batch to a holder. It bounds its own time.
 type SendBatch func(ctx context.Context, to membership.Member, batch *peerpb.AppendBatch) (*peerpb.AppendBatchReply, error)
@@ -37,42 +37,42 @@
 type Batcher struct {
 	send SendBatch
 
-	mu    sync.Mutex
-	lanes map[laneKey]*lane
+	mu     sync.Mutex
+	queues map[queueKey]*holderQueue
 }
 
-// laneKey names one process of a holder: a replaced one gets its own lane, so
+// queueKey names one process of a holder: a replaced one gets its own lane, so
 // that its appends do not wait behind those to its predecessor.
-type laneKey struct {
+type queueKey struct {
 	id          string
 	incarnation uint64
 }
 
-// lane is the queue to one holder. It exists while it has work.
-type lane struct {
-	to      membership.Member
-	waiting []*pending
-	last    time.Time // when the last batch left
+// holderQueue is the queue to one holder. It exists while it has work.
+type holderQueue struct {
+	to       membership.Member
+	queued   []*pendingAppend
+	lastSent time.Time // when the last batch left
 }
 
-type pending struct {
+type pendingAppend struct {
 	req  *peerpb.AppendRequest
-	done chan outcome
+	done chan appendResult
 }
 
-type outcome struct {
+type appendResult struct {
 	reply *peerpb.JournalReply
 	err   error
 }
 
 // NewBatcher returns a Batcher that sends by way of send.
 func NewBatcher(send SendBatch) *Batcher {
-	return &Batcher{send: send, lanes: make(map[laneKey]*lane)}
+	return &Batcher{send: send, queues: make(map[queueKey]*holderQueue)}
 }
 
 // Append adds req to the next batch to the holder and waits for its reply.
 func (b *Batcher) Append(ctx context.Context, to membership.Member, req *peerpb.AppendRequest) (*peerpb.JournalReply, error) {
-	p := &pending{req: req, done: make(chan outcome, 1)}
+	p := &pendingAppend{req: req, done: make(chan appendResult, 1)}
 	b.enqueue(to, p)
 	select {
 	case o := <-p.done:
@@ -82,50 +82,50 @@
 	}
 }
 
-func (b *Batcher) enqueue(to membership.Member, p *pending) {
+func (b *Batcher) enqueue(to membership.Member, p *pendingAppend) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	key := laneKey{to.ID, to.Incarnation}
-	l := b.lanes[key]
+	key := queueKey{to.ID, to.Incarnation}
+	l := b.queues[key]
 	if l == nil {
-		l = &lane{to: to}
-		b.lanes[key] = l
+		l = &holderQueue{to: to}
+		b.queues[key] = l
 		go b.run(key, l)
 	}
-	l.waiting = append(l.waiting, p)
+	l.queued = append(l.queued, p)
 }
 
 // run sends batches until the lane has been idle for minGap.
-func (b *Batcher) run(key laneKey, l *lane) {
+func (b *Batcher) run(key queueKey, l *holderQueue) {
 	for {
-		batch := b.take(key, l)
+		batch := b.nextBatch(key, l)
 		if batch == nil {
 			return
 		}
-		l.last = time.Now()
-		if !b.carry(l, batch) {
-			b.failWaiting(l)
+		l.lastSent = time.Now()
+		if !b.sendBatch(l, batch) {
+			b.failQueued(l)
 		}
-		time.Sleep(minGap - time.Since(l.last))
+		time.Sleep(minBatchInterval - time.Since(l.lastSent))
 	}
 }
 
-// take removes the next batch; it ends the lane where nothing waits.
-func (b *Batcher) take(key laneKey, l *lane) []*pending {
+// nextBatch removes the next batch; it ends the lane where nothing waits.
+func (b *Batcher) nextBatch(key queueKey, l *holderQueue) []*pendingAppend {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(l.waiting) == 0 {
-		delete(b.lanes, key)
+	if len(l.queued) == 0 {
+		delete(b.queues, key)
 		return nil
 	}
-	n := min(len(l.waiting), maxBatch)
-	batch := l.waiting[:n:n]
-	l.waiting = l.waiting[n:]
+	n := min(len(l.queued), maxBatchAppends)
+	batch := l.queued[:n:n]
+	l.queued = l.queued[n:]
 	return batch
 }
 
-// carry sends one batch and hands out the replies.
-func (b *Batcher) carry(l *lane, batch []*pending) bool {
+// sendBatch sends one batch and hands out the replies.
+func (b *Batcher) sendBatch(l *holderQueue, batch []*pendingAppend) bool {
 	msg := &peerpb.AppendBatch{Appends: make([]*peerpb.AppendRequest, 0, len(batch))}
 	for _, p := range batch {
 		msg.Appends = append(msg.Appends, p.req)
@@ -136,26 +136,26 @@
 	}
 	for i, p := range batch {
 		if err != nil {
-			p.done <- outcome{err: err}
+			p.done <- appendResult{err: err}
 			continue
 		}
-		p.done <- outcome{reply: r.GetReplies()[i]}
+		p.done <- appendResult{reply: r.GetReplies()[i]}
 	}
 	return err == nil
 }
 
-// failWaiting fails what queued up behind a batch that failed. The failure is a
+// failQueued fails what queued up behind a batch that failed. The failure is a
 // holder that is gone or silent: without this each waiting answer would pay for
 // a time-out of its own before it moved to another holder.
-func (b *Batcher) failWaiting(l *lane) {
+func (b *Batcher) failQueued(l *holderQueue) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, p := range l.waiting {
-		p.done <- outcome{err: errHolder}
+	for _, p := range l.queued {
+		p.done <- appendResult{err: errHolderFailed}
 	}
-	l.waiting = nil
+	l.queued = nil
 }
 
 // BatchParameters returns how many holders the answers of one owner have, those of
 // requests with a key apart, and the least time between two messages to one.
-func BatchParameters() (holders int, gap time.Duration) { return groups, minGap }
+func BatchParameters() (holders int, gap time.Duration) { return groupsPerOwner, minBatchInterval }
--- a/serve/journal/batch_test.go
+++ b/serve/journal/batch_test.go
@@ -42,7 +42,7 @@
 // Two hundred streams release a token each 30 ms. Their copies share messages,
 // no token waits longer than a gap between messages and two round trips, and
 // each append gets the reply to itself.
-func TestStreamsShareMessages(t *testing.T) {
+func TestAppendsOfStreamsShareBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		holder := &fakeHolder{}
 		b := NewBatcher(holder.send)
@@ -68,19 +68,19 @@
 			longest = max(longest, <-worst)
 		}
 		t.Logf("%d tokens in %d messages, longest wait %s", streams*tokens, holder.messages, longest)
-		must.LessEq(t, minGap+2*roundTrip, longest)
+		must.LessEq(t, minBatchInterval+2*roundTrip, longest)
 		must.LessEq(t, streams*tokens/20, holder.messages)
 		time.Sleep(time.Second)
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		must.MapEmpty(t, b.lanes)
+		must.MapEmpty(t, b.queues)
 	})
 }
 
 // A holder goes silent while fifty answers wait for it. All of them hear of it
 // after one time-out, so that each moves to another holder at once instead of
 // paying for a time-out of its own.
-func TestSilentHolderFailsAllAtOnce(t *testing.T) {
+func TestUnresponsiveHolderFailsAllQueuedAppends(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBatcher((&fakeHolder{silent: true}).send)
 		took := make(chan time.Duration, 50)
@@ -102,7 +102,7 @@
 
 // At 390 daemons in 7 zones no daemon holds many more copies than the mean, and
 // a holder is never in its owner's zone.
-func TestHoldersAreSpread(t *testing.T) {
+func TestCopiesAreSpreadOverHolders(t *testing.T) {
 	var members []membership.Member
 	for i := range 390 {
 		members = append(members, membership.Member{ID: fmt.Sprintf("vm-%03d", i), Zone: fmt.Sprintf("z%d", i%7)})
@@ -110,7 +110,7 @@
 	held := map[string]int{}
 	for _, owner := range members {
 		v := &membership.View{Self: owner, Members: members}
-		for g := range byte(groups) {
+		for g := range byte(groupsPerOwner) {
 			id := fmt.Sprintf("g%s%024d", GroupName(owner.ID, g), 0)
 			m, ok := PickHolder(id, v, nil)
 			must.True(t, ok)
@@ -123,6 +123,6 @@
 		most = max(most, n)
 	}
 	t.Logf("%d groups an owner: the busiest of 390 daemons holds %.1f times the mean, %d hold none",
-		groups, float64(most)/groups, len(members)-len(held))
-	must.LessEq(t, 3*groups, most)
+		groupsPerOwner, float64(most)/groupsPerOwner, len(members)-len(held))
+	must.LessEq(t, 3*groupsPerOwner, most)
 }
--- a/serve/journal/holder.go
+++ b/serve/journal/holder.go
@@ -43,9 +43,9 @@
 
 type entry struct {
 	Copy
-	touched time.Time
-	bytes   int
-	place   *list.Element // in finished, nil while the answer runs
+	lastChanged time.Time
+	bytes       int
+	element     *list.Element // in finished, nil while the answer runs
 }
 
 // NewHolder returns an empty Holder. random feeds the epochs it hands out.
@@ -76,8 +76,8 @@
 		// what callers hold.
 		return Result{Accepted: true, Epoch: c.History.Epoch(), Length: len(old.Tokens)}
 	}
-	e := &entry{Copy: c, bytes: size(c)}
-	if !h.makeRoom(e.bytes, c.Spec.GetId()) {
+	e := &entry{Copy: c, bytes: copyBytes(c)}
+	if !h.evictUntilFits(e.bytes, c.Spec.GetId()) {
 		return Result{Epoch: c.History.Epoch()}
 	}
 	if old != nil {
@@ -85,7 +85,7 @@
 	}
 	h.copies[c.Spec.GetId()] = e
 	h.bytes += e.bytes
-	h.touch(e)
+	h.markChanged(e)
 	return Result{Accepted: true, Epoch: c.History.Epoch(), Length: len(c.Tokens)}
 }
 
@@ -126,7 +126,7 @@
 		return res
 	}
 	if skip := len(e.Tokens) - offset; skip < len(tokens) {
-		h.grow(e, tokens[skip:])
+		h.appendTokens(e, tokens[skip:])
 	}
 	// A late message must not bring back an earlier attempt: its engine goes on
 	// with another text than the tokens held here.
@@ -136,11 +136,11 @@
 	if finish != "" {
 		e.Finish = finish
 	}
-	h.touch(e)
+	h.markChanged(e)
 	return Result{Accepted: true, Epoch: epoch, Length: len(e.Tokens)}
 }
 
-func (h *Holder) grow(e *entry, tokens []string) {
+func (h *Holder) appendTokens(e *entry, tokens []string) {
 	n := 0
 	for _, t := range tokens {
 		n += tokenBytes(t)
@@ -178,7 +178,7 @@
 		FromOffset: len(e.Tokens),
 		Owner:      newOwner,
 	})
-	h.touch(e)
+	h.markChanged(e)
 	return e.clone(), lineage.Prefix, true
 }
 
@@ -197,7 +197,7 @@
 	defer h.mu.Unlock()
 	ttl := h.limits.TTL()
 	for id, e := range h.copies {
-		if now.Sub(e.touched) >= ttl {
+		if now.Sub(e.lastChanged) >= ttl {
 			h.remove(id, e)
 		}
 	}
@@ -224,25 +224,25 @@
 func (h *Holder) remove(id string, e *entry) {
 	delete(h.copies, id)
 	h.bytes -= e.bytes
-	if e.place != nil {
-		h.finished.Remove(e.place)
+	if e.element != nil {
+		h.finished.Remove(e.element)
 	}
 }
 
-// touch notes a change of e, which makes it the last to be evicted.
-func (h *Holder) touch(e *entry) {
-	e.touched = time.Now()
+// markChanged notes a change of e, which makes it the last to be evicted.
+func (h *Holder) markChanged(e *entry) {
+	e.lastChanged = time.Now()
 	switch {
-	case e.place != nil:
-		h.finished.MoveToBack(e.place)
+	case e.element != nil:
+		h.finished.MoveToBack(e.element)
 	case e.Finish != "":
-		e.place = h.finished.PushBack(e)
+		e.element = h.finished.PushBack(e)
 	}
 }
 
-// makeRoom evicts finished copies, least recently touched first, until n more
+// evictUntilFits evicts finished copies, least recently touched first, until n more
 // bytes fit. The copy named keep stays: it is about to be replaced.
-func (h *Holder) makeRoom(n int, keep string) bool {
+func (h *Holder) evictUntilFits(n int, keep string) bool {
 	for at := h.finished.Front(); h.bytes+n > h.limits.Bytes; {
 		if at == nil {
 			return false
@@ -262,12 +262,12 @@
 	return c
 }
 
-// stringHeader is what a token costs beside its bytes: a Go string header.
-const stringHeader = 16
+// stringHeaderBytes is what a token costs beside its bytes: a Go string header.
+const stringHeaderBytes = 16
 
-func tokenBytes(t string) int { return len(t) + stringHeader }
+func tokenBytes(t string) int { return len(t) + stringHeaderBytes }
 
-func size(c Copy) int {
+func copyBytes(c Copy) int {
 	n := len(c.Spec.GetPrompt())
 	for _, t := range c.Tokens {
 		n += tokenBytes(t)
--- a/serve/journal/holder_test.go
+++ b/serve/journal/holder_test.go
@@ -11,13 +11,13 @@
 	"mallowwind.dev/peer/peerpb"
 )
 
-func counter() func() uint64 {
+func sequentialRandom() func() uint64 {
 	n := uint64(0)
 	return func() uint64 { n++; return n }
 }
 
 func newHolder(bytes int) *Holder {
-	return NewHolder(Limits{Bytes: bytes, TTL: func() time.Duration { return time.Minute }}, counter())
+	return NewHolder(Limits{Bytes: bytes, TTL: func() time.Duration { return time.Minute }}, sequentialRandom())
 }
 
 func copyOf(id string, epoch lineage.Epoch, tokens int, finish string) Copy {
@@ -35,7 +35,7 @@
 // An owner gives up a message to its copy's holder as lost, and goes on. The
 // message was only late. It must neither shorten the copy nor bring back the
 // attempt it names, whose engine goes on with another text.
-func TestLateMessages(t *testing.T) {
+func TestLateMessagesDoNotRevertCopy(t *testing.T) {
 	h, epoch := newHolder(1<<20), lineage.FirstEpoch(9)
 	must.True(t, h.Open(copyOf("g", epoch, 4, "")).Accepted)
 	must.True(t, h.Append("g", epoch, 4, []string{"a", "b"}, &peerpb.Attempt{Number: 2}, "").Accepted)
@@ -49,7 +49,7 @@
 
 // A paused owner returns after its answer was taken over and writes on. The
 // holder refuses and names the newer epoch.
-func TestAdoptFencesTheOldOwner(t *testing.T) {
+func TestAdoptFencesPreviousOwner(t *testing.T) {
 	h, first := newHolder(1<<20), lineage.FirstEpoch(9)
 	h.Open(copyOf("g", first, 4, ""))
 	c, rel, ok := h.Adopt("g", "vm1", lineage.Position{Epoch: first, Offset: 3})
@@ -67,8 +67,8 @@
 // The holder is full. Finished copies make room, the longest untouched first;
 // running ones are never lost for a new one, whose owner hears that it must
 // look elsewhere.
-func TestFullHolder(t *testing.T) {
-	one := size(copyOf("x", 1, 10, ""))
+func TestFullHolderEvictsFinishedCopies(t *testing.T) {
+	one := copyBytes(copyOf("x", 1, 10, ""))
 	h := newHolder(3 * one)
 	for i, finish := range []string{"stop", "stop", ""} {
 		must.True(t, h.Open(copyOf(fmt.Sprint("g", i), lineage.FirstEpoch(uint64(i)), 10, finish)).Accepted)
--- a/serve/journal/place.go
+++ b/serve/journal/placement.go
@@ -21,36 +21,36 @@
 )
 
 const (
-	// candidates is how many members may hold a copy. An owner that is one of
+	// candidateCount is how many members may hold a copy. An owner that is one of
 	// them has three others: its copy finds a new place while one holder is
 	// gone and another is being replaced. Each costs a question when an answer
 	// is looked for.
-	candidates = 4
-	// candidateZones is how many of them lie in zones of their own.
-	candidateZones = 3
+	candidateCount = 4
+	// candidateZoneCount is how many of them lie in zones of their own.
+	candidateZoneCount = 3
 )
 
 const (
-	// groups is the number of journal groups of one owner. One holder for all of
+	// groupsPerOwner is the number of journal groups of one owner. One holder for all of
 	// an owner's answers would make the fewest messages, but then some daemons
 	// hold the copies of five owners and others of none; with four groups each
 	// the largest share falls to about half that (docs/design/21-journal.md).
-	groups = 4
-	// groupDigits is the length of a group's name in hexadecimal digits.
-	groupDigits = 8
+	groupsPerOwner = 4
+	// groupNameDigits is the length of a group's name in hexadecimal digits.
+	groupNameDigits = 8
 )
 
 // GroupName returns the name of one of the owner's journal groups, chosen by pick.
 func GroupName(owner string, pick byte) string {
-	h := xxhash.Sum64String(owner + "#" + strconv.Itoa(int(pick)%groups))
-	return fmt.Sprintf("%016x", h)[:groupDigits]
+	h := xxhash.Sum64String(owner + "#" + strconv.Itoa(int(pick)%groupsPerOwner))
+	return fmt.Sprintf("%016x", h)[:groupNameDigits]
 }
 
-// placement is the part of a generation's id that decides where its copy is:
+// placementKey is the part of a generation's id that decides where its copy is:
 // the group for an id that names one, else the whole id.
-func placement(id string) string {
-	if strings.HasPrefix(id, "g") && len(id) > groupDigits {
-		return id[:1+groupDigits]
+func placementKey(id string) string {
+	if strings.HasPrefix(id, "g") && len(id) > groupNameDigits {
+		return id[:1+groupNameDigits]
 	}
 	return id
 }
@@ -61,17 +61,17 @@
 // and then any. Every entry VM computes nearly the same list, which is how a
 // copy is found without a directory.
 func Candidates(id string, v *membership.View) []membership.Member {
-	scored := score(placement(id), v)
-	out := make([]membership.Member, 0, candidates)
+	scored := scoreMembers(placementKey(id), v)
+	out := make([]membership.Member, 0, candidateCount)
 	for _, s := range scored {
 		sameZone := func(m membership.Member) bool { return m.Zone == s.member.Zone }
-		if len(out) < candidateZones && !slices.ContainsFunc(out, sameZone) {
+		if len(out) < candidateZoneCount && !slices.ContainsFunc(out, sameZone) {
 			out = append(out, s.member)
 		}
 	}
 	for _, s := range scored {
 		same := func(m membership.Member) bool { return m.ID == s.member.ID }
-		if len(out) < candidates && !slices.ContainsFunc(out, same) {
+		if len(out) < candidateCount && !slices.ContainsFunc(out, same) {
 			out = append(out, s.member)
 		}
 	}
@@ -105,7 +105,7 @@
 	member membership.Member
 }
 
-func score(id string, v *membership.View) []scoredMember {
+func scoreMembers(id string, v *membership.View) []scoredMember {
 	out := make([]scoredMember, 0, len(v.Members))
 	for _, m := range v.Members {
 		if m.State == membership.Gone {
