--- a/serve/api/completions.go
+++ b/serve/api/completions.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	spec, q, err := parseCompletion(r, body, s, account, chat)
+	spec, req, err := parseCompletion(r, body, s, account, chat)
 	if err != nil {
 		return err
 	}
@@ -38,18 +38,18 @@
 		return err
 	}
 	defer h.Close()
-	form := responseFormat{chat: chat, model: q.Model, created: time.Now().Unix(), id: h.ID()}
-	if q.Stream {
-		form.includeUsage = q.StreamOptions != nil && q.StreamOptions.IncludeUsage
-		form.promptTokens = spec.PromptTokens()
-		return writeStream(r.Context(), w, h, lineage.Position{}, form)
+	format := responseFormat{chat: chat, model: req.Model, created: time.Now().Unix(), id: h.ID()}
+	if req.Stream {
+		format.includeUsage = req.StreamOptions != nil && req.StreamOptions.IncludeUsage
+		format.promptTokens = spec.PromptTokens()
+		return writeStream(r.Context(), w, h, lineage.Position{}, format)
 	}
-	return writeResponse(r.Context(), w, h, spec, form)
+	return writeResponse(r.Context(), w, h, spec, format)
 }
 
 // writeResponse collects an answer and sends it at once, on the same machinery as a
 // streamed one.
-func writeResponse(ctx context.Context, w http.ResponseWriter, h *generation.Handle, spec *generation.Spec, form responseFormat) error {
+func writeResponse(ctx context.Context, w http.ResponseWriter, h *generation.Handle, spec *generation.Spec, format responseFormat) error {
 	var (
 		text strings.Builder
 		pos  lineage.Position
@@ -64,8 +64,8 @@
 		}
 		pos = b.Position
 		if b.Finish != "" {
-			form.promptTokens = spec.PromptTokens()
-			writeJSON(w, http.StatusOK, form.response(text.String(), string(b.Finish), pos.Offset))
+			format.promptTokens = spec.PromptTokens()
+			writeJSON(w, http.StatusOK, format.response(text.String(), string(b.Finish), pos.Offset))
 			return nil
 		}
 	}
@@ -90,6 +90,6 @@
 	}
 	h := a.Generations.Find(id, account.Name)
 	defer h.Close()
-	form := responseFormat{id: id, created: time.Now().Unix(), chat: r.URL.Query().Get("form") == "chat"}
-	return writeStream(r.Context(), w, h, pos, form)
+	format := responseFormat{id: id, created: time.Now().Unix(), chat: r.URL.Query().Get("form") == "chat"}
+	return writeStream(r.Context(), w, h, pos, format)
 }
--- a/serve/api/request.go
+++ b/serve/api/request.go
@@ -59,10 +59,10 @@
 
 // readBody reads at most limit bytes.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
-	control := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	// A writer without deadlines, as in tests, has its body in memory.
-	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
-	defer func() { _ = control.SetReadDeadline(time.Time{}) }()
+	_ = controller.SetReadDeadline(time.Now().Add(bodyTimeout))
+	defer func() { _ = controller.SetReadDeadline(time.Time{}) }()
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	switch {
--- a/serve/api/services.go
+++ b/serve/api/services.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	ans, err := a.Calls.Call(r.Context(), account, service, key, plain.Call{
+	answer, err := a.Calls.Call(r.Context(), account, service, key, plain.Call{
 		Method: r.Method,
 		Path:   pathWithQuery(vars["path"], r.URL.RawQuery),
 		Header: endToEndHeaders(r.Header),
@@ -50,11 +50,11 @@
 		return err
 	}
 	h := w.Header()
-	for k, v := range endToEndHeaders(ans.Header) {
+	for k, v := range endToEndHeaders(answer.Header) {
 		h[k] = v
 	}
-	w.WriteHeader(ans.Status)
-	_, _ = w.Write(ans.Body) // a caller that went away asks again with its key
+	w.WriteHeader(answer.Status)
+	_, _ = w.Write(answer.Body) // a caller that went away asks again with its key
 	return nil
 }
 
--- a/serve/api/stream.go
+++ b/serve/api/stream.go
@@ -27,8 +27,8 @@
 // writeStream sends an answer as server-sent events from pos on. An error is
 // returned only while nothing has been sent; later ones become an error event,
 // and the terminal event stays away, so that the answer is visibly incomplete.
-func writeStream(ctx context.Context, w http.ResponseWriter, h *generation.Handle, pos lineage.Position, form responseFormat) error {
-	s := &streamWriter{w: w, control: http.NewResponseController(w), format: form}
+func writeStream(ctx context.Context, w http.ResponseWriter, h *generation.Handle, pos lineage.Position, format responseFormat) error {
+	s := &streamWriter{w: w, controller: http.NewResponseController(w), format: format}
 	for {
 		wait, cancel := context.WithTimeout(ctx, keepAliveInterval)
 		b, err := h.Read(wait, pos)
@@ -54,7 +54,7 @@
 // streamWriter writes events and flushes each.
 type streamWriter struct {
 	w             http.ResponseWriter
-	control       *http.ResponseController
+	controller    *http.ResponseController
 	format        responseFormat
 	headerWritten bool
 }
@@ -75,11 +75,11 @@
 func (s *streamWriter) send(m *sse.Message) error {
 	s.writeHeader()
 	// A writer without deadlines, as in tests, is never silent.
-	_ = s.control.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_ = s.controller.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := m.WriteTo(s.w); err != nil {
 		return err
 	}
-	return s.control.Flush()
+	return s.controller.Flush()
 }
 
 func (s *streamWriter) writeKeepAlive() error {
--- a/serve/gateway/addresses_test.go
+++ b/serve/gateway/addresses_test.go
@@ -71,13 +71,13 @@
 // the answers held at one moment, and where all callers have the same nearest daemon.
 func TestCallersSpreadOverAllEntryVMs(t *testing.T) {
 	const (
-		picks = 400 // for each VM
-		slack = 0.25
+		picksPerVM = 400 // for each VM
+		tolerance  = 0.25
 	)
-	asked := []struct {
-		name     string
-		question func(k, size int) int // the daemon that is asked k-th
-		each     int                   // questions for each VM of the fleet
+	cases := []struct {
+		name         string
+		daemon       func(k, size int) int // the daemon that is asked k-th
+		lookupsPerVM int                   // questions for each VM of the fleet
 	}{
 		{"all daemons in turn", func(k, size int) int { return k % size }, 20},
 		{"all daemons once", func(k, size int) int { return k % size }, 1},
@@ -85,29 +85,29 @@
 	}
 	for _, size := range []struct{ vms, leaving int }{{88, 0}, {88, 1}, {390, 0}} {
 		withFeeds(t, size.vms, size.leaving, func(fleet []*Gateway) {
-			for _, c := range asked {
+			for _, c := range cases {
 				random := rand.New(rand.NewPCG(1, uint64(size.vms)))
-				got := map[string]int{}
-				for k := range size.vms * c.each {
-					told := fleet[c.question(k, size.vms)].Addresses("z0")
-					must.Between(t, 1, len(told), 64)
-					for range picks / c.each {
-						got[told[random.IntN(len(told))]]++
+				picked := map[string]int{}
+				for k := range size.vms * c.lookupsPerVM {
+					addresses := fleet[c.daemon(k, size.vms)].Addresses("z0")
+					must.Between(t, 1, len(addresses), 64)
+					for range picksPerVM / c.lookupsPerVM {
+						picked[addresses[random.IntN(len(addresses))]]++
 					}
 				}
 				usable := size.vms - size.leaving
-				even := float64(picks) * float64(size.vms) / float64(usable)
+				mean := float64(picksPerVM) * float64(size.vms) / float64(usable)
 				least, most := math.Inf(1), 0.0
 				for i := range usable {
-					x := float64(got[address(i)]) / even
-					least, most = min(least, x), max(most, x)
+					share := float64(picked[address(i)]) / mean
+					least, most = min(least, share), max(most, share)
 				}
 				for i := usable; i < size.vms; i++ {
-					test.Eq(t, 0, got[address(i)], test.Sprintf("VM %d is leaving", i))
+					test.Eq(t, 0, picked[address(i)], test.Sprintf("VM %d is leaving", i))
 				}
-				where := test.Sprintf("%d of %d VMs usable, %s: a VM gets from %.2f to %.2f of its even part", usable, size.vms, c.name, least, most)
-				test.GreaterEq(t, 1-slack, least, where)
-				test.LessEq(t, 1+slack, most, where)
+				summary := test.Sprintf("%d of %d VMs usable, %s: a VM gets from %.2f to %.2f of its even part", usable, size.vms, c.name, least, most)
+				test.GreaterEq(t, 1-tolerance, least, summary)
+				test.LessEq(t, 1+tolerance, most, summary)
 			}
 		})
 	}
--- a/serve/gateway/caller_server.go
+++ b/serve/gateway/caller_server.go
@@ -102,11 +102,11 @@
 }
 
 // valueOrDefault is a value, or the other where it is not set.
-func valueOrDefault[T time.Duration | int](value, other T) T {
+func valueOrDefault[T time.Duration | int](value, defaultValue T) T {
 	if value > 0 {
 		return value
 	}
-	return other
+	return defaultValue
 }
 
 // watchLimits compares the limits with the configuration's until ctx ends.
@@ -119,9 +119,9 @@
 			return
 		case <-tick.C:
 		}
-		if now := config(); now != nil && !equalServerLimits(now.Limits, c.limits) {
-			c.apply(now.Limits)
-			c.log.Emit(event.LimitsInForce, now.Version, now.Limits.HeaderBytes, now.Limits.HeaderTimeout, now.Limits.IdleTimeout)
+		if cfg := config(); cfg != nil && !equalServerLimits(cfg.Limits, c.limits) {
+			c.apply(cfg.Limits)
+			c.log.Emit(event.LimitsInForce, cfg.Version, cfg.Limits.HeaderBytes, cfg.Limits.HeaderTimeout, cfg.Limits.IdleTimeout)
 		}
 	}
 }
@@ -162,15 +162,15 @@
 
 // Close ends the listener and all connections.
 func (c *callerServer) Close() error {
-	first := c.listener.Close()
+	firstErr := c.listener.Close()
 	c.mu.Lock()
 	c.closed = true
 	servers := c.servers
 	c.mu.Unlock()
 	for _, s := range servers {
-		if err := s.Close(); err != nil && first == nil {
-			first = err
+		if err := s.Close(); err != nil && firstErr == nil {
+			firstErr = err
 		}
 	}
-	return errors.Wrap(first, "close")
+	return errors.Wrap(firstErr, "close")
 }
--- a/serve/gateway/fleet_test.go
+++ b/serve/gateway/fleet_test.go
@@ -233,7 +233,7 @@
 func (s *backend) crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	gone := feed.OwnServerPrefix + s.id()
+	oldKey := feed.OwnServerPrefix + s.id()
 	s.incarnation++
 	s.listener.Cut()
 	s.f.background.Go(func() {
@@ -243,7 +243,7 @@
 		s.register()
 		s.mu.Unlock()
 		time.Sleep(crashedEntryTTL - crashRestartDelay)
-		s.f.remove(gone)
+		s.f.remove(oldKey)
 	})
 }
 
@@ -256,7 +256,7 @@
 	}
 	body, _ := io.ReadAll(r.Body)
 	s.mu.Lock()
-	id, life := s.id(), s.incarnation
+	id, incarnation := s.id(), s.incarnation
 	if s.limit != "" {
 		w.Header().Set("X-Request-Limit", s.limit)
 	}
@@ -266,19 +266,19 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	work, events := 30*time.Millisecond, 0
+	workTime, events := 30*time.Millisecond, 0
 	if s.service == "llm" {
-		work, events = time.Second, 20
+		workTime, events = time.Second, 20
 	}
 	select {
-	case <-time.After(work):
+	case <-time.After(workTime):
 	case <-r.Context().Done():
 		return
 	}
 	s.mu.Lock()
-	same := life == s.incarnation
+	sameProcess := incarnation == s.incarnation
 	s.mu.Unlock()
-	if same && strings.HasPrefix(string(body), crashBody) {
+	if sameProcess && strings.HasPrefix(string(body), crashBody) {
 		s.crash()
 		return
 	}
--- a/serve/gateway/gateway.go
+++ b/serve/gateway/gateway.go
@@ -161,13 +161,13 @@
 
 // Run serves until soft ends, then drains; hard ends what still runs.
 func (g *Gateway) Run(soft, hard context.Context) error {
-	life, end := context.WithCancel(hard)
-	defer end()
-	servers := g.startServers(life)
-	var work errgroup.Group
-	work.Go(func() error { g.feed.Run(life); return nil })
-	work.Go(func() error { g.handler.Run(life); return nil })
-	work.Go(func() error { g.versions.Run(life); return nil })
+	runCtx, cancel := context.WithCancel(hard)
+	defer cancel()
+	servers := g.startServers(runCtx)
+	var group errgroup.Group
+	group.Go(func() error { g.feed.Run(runCtx); return nil })
+	group.Go(func() error { g.handler.Run(runCtx); return nil })
+	group.Go(func() error { g.versions.Run(runCtx); return nil })
 	registered := make(chan struct{})
 	go func() {
 		defer close(registered)
@@ -180,11 +180,11 @@
 	case <-hard.Done():
 	}
 	g.drain(hard)
-	end()
+	cancel()
 	err := closeAll(servers)
 	<-registered
-	if waited := work.Wait(); err == nil {
-		err = waited
+	if waitErr := group.Wait(); err == nil {
+		err = waitErr
 	}
 	g.opts.Log.Emit(event.DaemonStopped, g.handler.Running(), 0)
 	return err
@@ -192,8 +192,8 @@
 
 // startServers starts the listeners.
 func (g *Gateway) startServers(ctx context.Context) []io.Closer {
-	quiet := log.New(io.Discard, "", 0) // what callers do wrong is in the events
-	callers := newCallerServer(g.opts.Callers, g.handler, g.opts.Log, quiet)
+	discard := log.New(io.Discard, "", 0) // what callers do wrong is in the events
+	callers := newCallerServer(g.opts.Callers, g.handler, g.opts.Log, discard)
 	go callers.accept()
 	go callers.watchLimits(ctx, func() *routing.Config { return g.feed.View().Config })
 	closers := []io.Closer{callers}
@@ -209,7 +209,7 @@
 		if l.listener == nil {
 			continue
 		}
-		s := &http.Server{Handler: l.handler, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout, ErrorLog: quiet}
+		s := &http.Server{Handler: l.handler, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout, ErrorLog: discard}
 		closers = append(closers, s)
 		go g.serveListener(s, l.listener)
 	}
@@ -219,8 +219,8 @@
 // peerHandler answers other daemons.
 func (g *Gateway) peerHandler() http.Handler {
 	router := mux.NewRouter()
-	for _, of := range []func() (string, http.Handler){g.feed.Handler, g.handler.RetryBudgetService, g.handler.WorkService, g.handler.PoisonService, g.handler.QuotaService, g.versions.Handler} {
-		prefix, service := of()
+	for _, newService := range []func() (string, http.Handler){g.feed.Handler, g.handler.RetryBudgetService, g.handler.WorkService, g.handler.PoisonService, g.handler.QuotaService, g.versions.Handler} {
+		prefix, service := newService()
 		router.PathPrefix(prefix).Handler(service)
 	}
 	return router
@@ -239,13 +239,13 @@
 // still keep this address, at most until the grace ends.
 func (g *Gateway) drain(hard context.Context) {
 	started := time.Now()
-	ends := time.Duration(g.gracePeriod.Load()) - exitMargin
+	maxDrain := time.Duration(g.gracePeriod.Load()) - exitMargin
 	g.draining.Store(true)
 	g.handler.BeginShutdown(forward.ShutdownSchedule{
-		StreamsUntil: started.Add(acceptStreamsFor), RequestsUntil: started.Add(acceptRequestsFor), ExitAt: started.Add(ends),
+		StreamsUntil: started.Add(acceptStreamsFor), RequestsUntil: started.Add(acceptRequestsFor), ExitAt: started.Add(maxDrain),
 	})
-	kept := min(addressRetentionFactor*g.opts.AddressTTL, ends)
-	g.opts.Log.Emit(event.DaemonDraining, g.handler.Running(), kept)
+	minDrain := min(addressRetentionFactor*g.opts.AddressTTL, maxDrain)
+	g.opts.Log.Emit(event.DaemonDraining, g.handler.Running(), minDrain)
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -254,19 +254,19 @@
 			return
 		case <-tick.C:
 		}
-		past := time.Since(started)
-		if past >= ends || past >= kept && g.handler.Running() == 0 {
+		elapsed := time.Since(started)
+		if elapsed >= maxDrain || elapsed >= minDrain && g.handler.Running() == 0 {
 			return
 		}
 	}
 }
 
 func closeAll(servers []io.Closer) error {
-	var first error
+	var firstErr error
 	for _, s := range servers {
-		if err := s.Close(); err != nil && first == nil {
-			first = errors.Wrap(err, "close")
+		if err := s.Close(); err != nil && firstErr == nil {
+			firstErr = errors.Wrap(err, "close")
 		}
 	}
-	return first
+	return firstErr
 }
--- a/serve/gateway/poison_test.go
+++ b/serve/gateway/poison_test.go
@@ -30,7 +30,7 @@
 		name    string
 		path    string
 		service string
-		play    func(*fleet) // beside the requests
+		during  func(*fleet) // beside the requests
 	}{
 		{"stream", "/stream/1", "llm", nil},
 		{"idempotent call", "/again/1", "desk", nil},
@@ -57,10 +57,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			withFleet(t, len(all), func(f *fleet) {
 				f.startServers(c.service, 12)
-				if c.play != nil {
-					f.background.Go(func() { c.play(f) })
+				if c.during != nil {
+					f.background.Go(func() { c.during(f) })
 				}
-				known := time.Time{}
+				detectedBy := time.Time{}
 				for n := range 120 {
 					time.Sleep(500 * time.Millisecond)
 					path := c.path
@@ -72,12 +72,12 @@
 						got := f.send(n*5%len(all), fmt.Sprintf("%s-%d", c.path, n), "fine")
 						test.StrNotContains(f.t, got.body, string(verdict.CodePoison))
 					})
-					if known.IsZero() && f.crashes() >= crashesBeforeDetection {
-						known = time.Now().Add(poisonDetectionTime)
+					if detectedBy.IsZero() && f.crashes() >= crashesBeforeDetection {
+						detectedBy = time.Now().Add(poisonDetectionTime)
 					}
 				}
-				must.False(f.t, known.IsZero())
-				must.LessEq(f.t, maxSendsAfterDetection, f.arrivals(c.path, known))
+				must.False(f.t, detectedBy.IsZero())
+				must.LessEq(f.t, maxSendsAfterDetection, f.arrivals(c.path, detectedBy))
 			})
 		})
 	}
--- a/serve/gateway/rollout_test.go
+++ b/serve/gateway/rollout_test.go
@@ -87,8 +87,8 @@
 }
 
 // setFailPercent has a part of the answers of a version fail, of 100.
-func (r *rolloutService) setFailPercent(version string, of100 uint64) {
-	r.forEach(version, func(s *versionedServer) { s.failPercent.Store(of100) })
+func (r *rolloutService) setFailPercent(version string, percent uint64) {
+	r.forEach(version, func(s *versionedServer) { s.failPercent.Store(percent) })
 }
 
 // requestsTo is how many requests reached a version, and when the last did.
@@ -115,10 +115,10 @@
 	}
 	s.requests.Add(1)
 	s.lastRequest.Store(time.Now().UnixNano())
-	work := 30 * time.Millisecond
+	workTime := 30 * time.Millisecond
 	stream := strings.HasPrefix(r.URL.Path, "/stream/")
 	if stream {
-		work = time.Second
+		workTime = time.Second
 	}
 	if rand.Uint64N(100) < s.failPercent.Load() {
 		s.service.mu.Lock()
@@ -130,7 +130,7 @@
 		return
 	}
 	select {
-	case <-time.After(work):
+	case <-time.After(workTime):
 	case <-r.Context().Done():
 		return
 	}
@@ -169,9 +169,9 @@
 }
 
 // awaitEnd stops the servers that an end of the roll-out leaves, as operators' platforms do.
-func (r *rolloutService) awaitEnd(from string, lasts time.Duration) (end rollout.Stage, after time.Duration) {
+func (r *rolloutService) awaitEnd(replaced string, timeout time.Duration) (end rollout.Stage, after time.Duration) {
 	began, stage := time.Now(), rollout.Idle
-	for time.Since(began) < lasts {
+	for time.Since(began) < timeout {
 		time.Sleep(20 * time.Millisecond)
 		if now := r.status().Stage; now != stage {
 			stage = now
@@ -179,12 +179,12 @@
 		}
 		if s := r.status(); s.Stage.IsTerminal() {
 			if s.Stage == rollout.Completed {
-				r.stop(from)
+				r.stop(replaced)
 			}
 			return s.Stage, time.Since(began)
 		}
 	}
-	return r.status().Stage, lasts
+	return r.status().Stage, timeout
 }
 
 // withRolloutService runs test before daemons with four servers of v1.
@@ -206,10 +206,10 @@
 // bad answer, whatever happens to the daemons meanwhile.
 func TestBadVersionStaysWithinCanaryLimits(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		daemons int
-		more    time.Duration // that callers go on after the period
-		play    func(*rolloutService)
+		name      string
+		daemons   int
+		extraLoad time.Duration // that callers go on after the period
+		during    func(*rolloutService)
 	}{
 		{"seven daemons", 7, 0, func(*rolloutService) {}},
 		{"forty daemons", 40, 0, func(*rolloutService) {}},
@@ -239,8 +239,8 @@
 			withRolloutService(t, c.daemons, "desk", func(r *rolloutService) {
 				r.startRollout("v2", rolloutPeriod, 4)
 				r.setFailPercent("v2", 40)
-				r.f.background.Go(func() { c.play(r) })
-				got := r.f.load("/again/", callsPerSecond, rolloutPeriod+c.more)
+				r.f.background.Go(func() { c.during(r) })
+				got := r.f.load("/again/", callsPerSecond, rolloutPeriod+c.extraLoad)
 				stage, _ := r.awaitEnd("v1", 2*time.Second)
 				n, last := r.requestsTo("v2")
 				t.Logf("%v, %d of %d at the bad version", stage, n, got.sent.Load())
@@ -262,7 +262,7 @@
 		name, service, path string
 		daemons, perSecond  int
 		restarts            bool // callers of daemons that are killed get no answer
-		play                func(*rolloutService)
+		during              func(*rolloutService)
 	}{
 		{"calls", "desk", "/once/", 7, callsPerSecond, false, func(*rolloutService) {}},
 		{"calls, forty daemons", "desk", "/once/", 40, callsPerSecond, false, func(*rolloutService) {}},
@@ -293,7 +293,7 @@
 				}
 				time.Sleep(500 * time.Millisecond)
 				r.startRollout("v2", rolloutPeriod, 4)
-				r.f.background.Go(func() { c.play(r) })
+				r.f.background.Go(func() { c.during(r) })
 				stage, after := r.awaitEnd("v1", rolloutPeriod+time.Second)
 				<-loaded
 				t.Logf("%v after %v", stage, after)
@@ -343,7 +343,7 @@
 	for _, c := range []struct {
 		name, target string
 		start        bool // servers of the other target
-		gone         []string
+		removed      []string
 	}{
 		{"back to the version before", "v1", false, []string{"v2"}},
 		{"on to a third version", "v3", true, []string{"v1", "v2"}},
@@ -363,14 +363,14 @@
 				time.Sleep(rolloutPeriod)
 				must.Eq(t, rollout.Completed, r.status().Stage)
 				must.Eq(t, c.target, r.status().Target)
-				for _, version := range c.gone {
+				for _, version := range c.removed {
 					r.stop(version)
 				}
 				n, _ := r.requestsTo("v2")
 				test.LessEq(t, before+5, n) // what was on its way
-				answered := <-got
+				counts := <-got
 				time.Sleep(2 * time.Second)
-				test.Eq(t, answered.sent.Load(), answered.answered.Load())
+				test.Eq(t, counts.sent.Load(), counts.answered.Load())
 			})
 		})
 	}
@@ -389,9 +389,9 @@
 		r.f.setStoreDown(false)
 		stage, _ := r.awaitEnd("v1", 6*time.Second)
 		must.Eq(t, rollout.Completed, stage)
-		answered := <-got
+		counts := <-got
 		time.Sleep(2 * time.Second)
-		must.Eq(t, answered.sent.Load(), answered.answered.Load())
+		must.Eq(t, counts.sent.Load(), counts.answered.Load())
 	})
 }
 
@@ -454,10 +454,10 @@
 		test.Eq(t, rollout.Completed, desk.status().Stage)
 		test.Eq(t, rollout.RolledBack, llm.status().Stage)
 		test.Eq(t, got.sent.Load(), got.answered.Load())
-		begun := <-streams
-		test.Eq(t, begun.sent.Load(), begun.answered.Load()) // another server answers what failed
+		streamCounts := <-streams
+		test.Eq(t, streamCounts.sent.Load(), streamCounts.answered.Load()) // another server answers what failed
 		n, _ := llm.requestsTo("v2")
-		test.LessEq(t, begun.sent.Load()/10+50, n)
+		test.LessEq(t, streamCounts.sent.Load()/10+50, n)
 	})
 }
 
--- a/serve/gateway/server_limits_test.go
+++ b/serve/gateway/server_limits_test.go
@@ -27,19 +27,19 @@
 type callCounts struct{ sent, answered, refused, inTime atomic.Int64 }
 
 // load sends calls to random daemons for a time, perSecond of them.
-func (f *fleet) load(path string, perSecond int, lasts time.Duration) *callCounts {
+func (f *fleet) load(path string, perSecond int, duration time.Duration) *callCounts {
 	var got callCounts
 	random := rand.New(rand.NewPCG(1, 2))
 	f.mu.Lock()
 	daemons := len(f.daemons)
 	f.mu.Unlock()
-	for n := range int(lasts.Seconds() * float64(perSecond)) {
+	for n := range int(duration.Seconds() * float64(perSecond)) {
 		time.Sleep(time.Second / time.Duration(perSecond))
-		at := random.IntN(daemons)
+		daemon := random.IntN(daemons)
 		f.background.Go(func() {
 			got.sent.Add(1)
 			began := time.Now()
-			r := f.send(at, fmt.Sprintf("%s%d", path, n), "fine")
+			r := f.send(daemon, fmt.Sprintf("%s%d", path, n), "fine")
 			switch {
 			case r.status == http.StatusOK && r.err == nil:
 				got.answered.Add(1)
@@ -69,7 +69,7 @@
 		servers   int
 		limited   int
 		answered  float64 // least part of the calls
-		play      func(*fleet)
+		during    func(*fleet)
 	}{
 		{"two desks of three", 7, "/once/", "desk", 84, 3, 2, 0.99, nil},
 		{"two desks of three, idempotent calls", 7, "/again/", "desk", 84, 3, 2, 0.99, nil},
@@ -93,14 +93,14 @@
 				for n := range c.limited {
 					f.server(c.service, n).setLimit(strconv.Itoa(rate))
 				}
-				named := time.Now()
-				if c.play != nil {
-					f.background.Go(func() { c.play(f) })
+				limitSetAt := time.Now()
+				if c.during != nil {
+					f.background.Go(func() { c.during(f) })
 				}
 				got := f.load(c.path, c.perSecond, 20*time.Second)
 				f.background.Wait()
 				for n := range c.limited {
-					must.LessEq(f.t, maxArrivalsInWindow(rate), f.server(c.service, n).maxArrivalsWithin(limitWindow, named.Add(limitPropagationTime)))
+					must.LessEq(f.t, maxArrivalsInWindow(rate), f.server(c.service, n).maxArrivalsWithin(limitWindow, limitSetAt.Add(limitPropagationTime)))
 				}
 				must.GreaterEq(f.t, c.answered*float64(got.sent.Load()), float64(got.answered.Load()))
 			})
@@ -112,15 +112,15 @@
 func TestServerIsUsedAgainAfterItsLimitEnds(t *testing.T) {
 	withFleet(t, 7, func(f *fleet) {
 		f.startServers("desk", 3)
-		one := f.server("desk", 1)
-		one.setLimit("2")
+		limited := f.server("desk", 1)
+		limited.setLimit("2")
 		f.load("/once/a", 84, 6*time.Second)
-		one.setLimit("")
+		limited.setLimit("")
 		f.load("/once/b", 84, 5*time.Second)
-		lifted := time.Now()
+		recoveredBy := time.Now()
 		f.load("/once/c", 84, 5*time.Second)
 		f.background.Wait()
-		must.Greater(t, 84*5/3/2, one.arrivalsBetween(lifted, time.Now()))
+		must.Greater(t, 84*5/3/2, limited.arrivalsBetween(recoveredBy, time.Now()))
 	})
 }
 
@@ -128,16 +128,16 @@
 func TestServerLimitEndsWithItsProcess(t *testing.T) {
 	withFleet(t, 7, func(f *fleet) {
 		f.startServers("desk", 3)
-		one := f.server("desk", 1)
-		one.setLimit("0")
+		limited := f.server("desk", 1)
+		limited.setLimit("0")
 		f.load("/once/a", 84, 6*time.Second)
-		one.setLimit("")
-		one.crash()
+		limited.setLimit("")
+		limited.crash()
 		f.load("/once/b", 84, 5*time.Second)
-		back := time.Now()
+		recoveredBy := time.Now()
 		f.load("/once/c", 84, 5*time.Second)
 		f.background.Wait()
-		must.Greater(t, 84*5/3/2, one.arrivalsBetween(back, time.Now()))
+		must.Greater(t, 84*5/3/2, limited.arrivalsBetween(recoveredBy, time.Now()))
 	})
 }
 
@@ -147,14 +147,14 @@
 		t.Run(text, func(t *testing.T) {
 			withFleet(t, 7, func(f *fleet) {
 				f.startServers("desk", 2)
-				one := f.server("desk", 1)
-				one.setLimit(text)
+				limited := f.server("desk", 1)
+				limited.setLimit(text)
 				f.load("/once/a", 84, 3*time.Second)
-				known := time.Now()
+				propagatedBy := time.Now()
 				got := f.load("/once/b", 84, 10*time.Second)
 				f.background.Wait()
-				must.LessEq(f.t, 5, one.maxArrivalsWithin(limitWindow, known))
-				must.Positive(f.t, one.arrivalsBetween(known, time.Now()))
+				must.LessEq(f.t, 5, limited.maxArrivalsWithin(limitWindow, propagatedBy))
+				must.Positive(f.t, limited.arrivalsBetween(propagatedBy, time.Now()))
 				must.Eq(f.t, got.sent.Load(), got.answered.Load())
 			})
 		})
@@ -172,14 +172,14 @@
 		for n := range 3 {
 			f.daemons[fmt.Sprintf("vm-%d", n)].peers.Stall()
 		}
-		known := time.Now()
+		propagatedBy := time.Now()
 		got := f.load("/once/b", 84, 15*time.Second)
 		f.background.Wait()
 		for n := range 3 {
 			f.daemons[fmt.Sprintf("vm-%d", n)].peers.Unstall()
 		}
 		for n := range 2 {
-			must.LessEq(f.t, maxArrivalsInWindow(5), f.server("desk", n).maxArrivalsWithin(limitWindow, known))
+			must.LessEq(f.t, maxArrivalsInWindow(5), f.server("desk", n).maxArrivalsWithin(limitWindow, propagatedBy))
 		}
 		must.Eq(f.t, got.sent.Load(), got.answered.Load())
 	})
--- a/serve/journal/batch_test.go
+++ b/serve/journal/batch_test.go
@@ -118,11 +118,11 @@
 			held[m.ID]++
 		}
 	}
-	most := 0
+	maxHeld := 0
 	for _, n := range held {
-		most = max(most, n)
+		maxHeld = max(maxHeld, n)
 	}
 	t.Logf("%d groups an owner: the busiest of 390 daemons holds %.1f times the mean, %d hold none",
-		groupsPerOwner, float64(most)/groupsPerOwner, len(members)-len(held))
-	must.LessEq(t, 3*groupsPerOwner, most)
+		groupsPerOwner, float64(maxHeld)/groupsPerOwner, len(members)-len(held))
+	must.LessEq(t, 3*groupsPerOwner, maxHeld)
 }
--- a/serve/journal/holder.go
+++ b/serve/journal/holder.go
@@ -242,14 +242,14 @@
 
 // evictUntilFits evicts finished copies, least recently touched first, until n more
 // bytes fit. The copy named keep stays: it is about to be replaced.
-func (h *Holder) evictUntilFits(n int, keep string) bool {
-	for at := h.finished.Front(); h.bytes+n > h.limits.Bytes; {
-		if at == nil {
+func (h *Holder) evictUntilFits(n int, keepID string) bool {
+	for next := h.finished.Front(); h.bytes+n > h.limits.Bytes; {
+		if next == nil {
 			return false
 		}
-		e := at.Value.(*entry)
-		at = at.Next()
-		if id := e.Spec.GetId(); id != keep {
+		e := next.Value.(*entry)
+		next = next.Next()
+		if id := e.Spec.GetId(); id != keepID {
 			h.remove(id, e)
 		}
 	}
--- a/serve/journal/holder_test.go
+++ b/serve/journal/holder_test.go
@@ -68,18 +68,18 @@
 // running ones are never lost for a new one, whose owner hears that it must
 // look elsewhere.
 func TestFullHolderEvictsFinishedCopies(t *testing.T) {
-	one := copyBytes(copyOf("x", 1, 10, ""))
-	h := newHolder(3 * one)
+	copySize := copyBytes(copyOf("x", 1, 10, ""))
+	h := newHolder(3 * copySize)
 	for i, finish := range []string{"stop", "stop", ""} {
 		must.True(t, h.Open(copyOf(fmt.Sprint("g", i), lineage.FirstEpoch(uint64(i)), 10, finish)).Accepted)
 	}
 	h.Adopt("g0", "vm1", lineage.Position{})
 	must.True(t, h.Open(copyOf("g3", lineage.FirstEpoch(3), 10, "")).Accepted)
-	_, there := h.Peek("g1")
-	must.False(t, there)
+	_, found := h.Peek("g1")
+	must.False(t, found)
 	must.True(t, h.Open(copyOf("g4", lineage.FirstEpoch(4), 10, "")).Accepted)
 	must.False(t, h.Open(copyOf("g5", lineage.FirstEpoch(5), 10, "")).Accepted)
 	n, bytes := h.Size()
 	must.Eq(t, 3, n)
-	must.Eq(t, 3*one, bytes)
+	must.Eq(t, 3*copySize, bytes)
 }
--- a/serve/journal/placement.go
+++ b/serve/journal/placement.go
@@ -41,8 +41,8 @@
 )
 
 // GroupName returns the name of one of the owner's journal groups, chosen by pick.
-func GroupName(owner string, pick byte) string {
-	h := xxhash.Sum64String(owner + "#" + strconv.Itoa(int(pick)%groupsPerOwner))
+func GroupName(owner string, selector byte) string {
+	h := xxhash.Sum64String(owner + "#" + strconv.Itoa(int(selector)%groupsPerOwner))
 	return fmt.Sprintf("%016x", h)[:groupNameDigits]
 }
 
@@ -70,8 +70,8 @@
 		}
 	}
 	for _, s := range scored {
-		same := func(m membership.Member) bool { return m.ID == s.member.ID }
-		if len(out) < candidateCount && !slices.ContainsFunc(out, same) {
+		sameMember := func(m membership.Member) bool { return m.ID == s.member.ID }
+		if len(out) < candidateCount && !slices.ContainsFunc(out, sameMember) {
 			out = append(out, s.member)
 		}
 	}
