--- a/serve/journal/batch_test.go
+++ b/serve/journal/batch_test.go
@@ -14,7 +14,8 @@
 	"mallowwind.dev/peer/peerpb"
 )
 
-// fakeHolder counts messages and takes the time of a round trip for each.
+// fakeHolder counts the batches that it receives and replies after one round trip, or times out
+// if it is silent.
 type fakeHolder struct {
 	messages int
 	silent   bool
@@ -39,9 +40,8 @@
 	return out, nil
 }
 
-// Two hundred streams release a token each 30 ms. Their copies share messages,
-// no token waits longer than a gap between messages and two round trips, and
-// each append gets the reply to itself.
+// Two hundred streams release a token every 30 ms. Their appends must share batches, no append may
+// wait longer than one batch interval and two round trips, and each append must get its own reply.
 func TestAppendsOfStreamsShareBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		holder := &fakeHolder{}
@@ -77,9 +77,9 @@
 	})
 }
 
-// A holder goes silent while fifty answers wait for it. All of them hear of it
-// after one time-out, so that each moves to another holder at once instead of
-// paying for a time-out of its own.
+// A holder stops responding while fifty appends wait for it. All of them must fail within one
+// timeout, so that each generation moves to another holder at once instead of incurring a timeout
+// of its own.
 func TestUnresponsiveHolderFailsAllQueuedAppends(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBatcher((&fakeHolder{silent: true}).send)
@@ -100,8 +100,8 @@
 	})
 }
 
-// At 390 daemons in 7 zones no daemon holds many more copies than the mean, and
-// a holder is never in its owner's zone.
+// With 390 daemons in 7 zones, no daemon may hold the copies of more than three times the mean
+// number of journal groups, and no holder may be in its owner's zone.
 func TestCopiesAreSpreadOverHolders(t *testing.T) {
 	var members []membership.Member
 	for i := range 390 {
@@ -122,7 +122,7 @@
 	for _, n := range held {
 		maxHeld = max(maxHeld, n)
 	}
-	t.Logf("%d groups an owner: the busiest of 390 daemons holds %.1f times the mean, %d hold none",
+	t.Logf("%d groups per owner: the busiest of 390 daemons holds %.1f times the mean, %d hold none",
 		groupsPerOwner, float64(maxHeld)/groupsPerOwner, len(members)-len(held))
 	must.LessEq(t, 3*groupsPerOwner, maxHeld)
 }
--- a/serve/journal/holder.go
+++ b/serve/journal/holder.go
@@ -9,7 +9,7 @@
 	"mallowwind.dev/peer/peerpb"
 )
 
-// Copy is one generation as its owner last copied it here.
+// Copy is the state of one generation as its owner last sent it to the holder.
 type Copy struct {
 	Spec    *peerpb.GenerationSpec
 	History lineage.History
@@ -18,17 +18,17 @@
 	Finish  string
 }
 
-// Limits bound what a Holder keeps.
+// Limits bound the memory and the lifetime of the copies in a Holder.
 type Limits struct {
-	// Bytes bounds prompts and tokens together. When it is reached finished
-	// copies go first, the oldest at the front; then new copies are refused and
-	// their owners choose another holder.
+	// Bytes bounds the size of all prompts and tokens. It is enforced when a copy is opened:
+	// finished copies are evicted, the least recently changed first, and if that is not enough,
+	// the new copy is refused and its owner chooses another holder.
 	Bytes int
-	// TTL is how long a copy is kept after its last change.
+	// TTL returns how long a copy is kept after its last change.
 	TTL func() time.Duration
 }
 
-// Holder keeps copies in memory. It is safe for concurrent use.
+// Holder stores copies in memory. It is safe for concurrent use.
 type Holder struct {
 	limits Limits
 	random func() uint64
@@ -36,8 +36,8 @@
 	mu     sync.Mutex
 	copies map[string]*entry
 	bytes  int
-	// finished holds the entries that may be evicted, least recently touched
-	// first, so that making room costs no search while the holder is full.
+	// finished lists the entries that may be evicted, the least recently changed first, so that a
+	// full holder need not search for them.
 	finished *list.List
 }
 
@@ -45,24 +45,24 @@
 	Copy
 	lastChanged time.Time
 	bytes       int
-	element     *list.Element // in finished, nil while the answer runs
+	element     *list.Element // in finished; nil while the generation is running
 }
 
-// NewHolder returns an empty Holder. random feeds the epochs it hands out.
+// NewHolder returns an empty Holder. random supplies the random part of new epochs.
 func NewHolder(limits Limits, random func() uint64) *Holder {
 	return &Holder{limits: limits, random: random, copies: make(map[string]*entry), finished: list.New()}
 }
 
-// Result tells the writer of a copy what became of it.
+// Result is the reply to the owner that writes a copy.
 type Result struct {
 	Accepted bool
-	Unknown  bool          // no copy here: send it whole
-	Epoch    lineage.Epoch // newest known here
-	Length   int
+	Unknown  bool          // no copy, or one that ends before the offset: send the full copy
+	Epoch    lineage.Epoch // newest epoch known to the holder
+	Length   int           // tokens held
 }
 
-// Open stores a whole copy. It is refused when a copy with a newer epoch, or
-// with another first epoch and an owner that may still run, is here.
+// Open stores a full copy. It is refused if the copy already held supersedes it, or if it doesn't
+// fit within the limits.
 func (h *Holder) Open(c Copy) Result {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -71,9 +71,8 @@
 		return Result{Epoch: old.History.Epoch(), Length: len(old.Tokens)}
 	}
 	if old != nil && old.History.Epoch() == c.History.Epoch() && len(old.Tokens) > len(c.Tokens) {
-		// A message that was under way while its successors arrived: the owner
-		// gave it up as lost long ago. Taking it would shorten the copy below
-		// what callers hold.
+		// A delayed message that later ones have overtaken; its owner has given it up as lost.
+		// Storing it would make the copy shorter than the text that callers already hold.
 		return Result{Accepted: true, Epoch: c.History.Epoch(), Length: len(old.Tokens)}
 	}
 	e := &entry{Copy: c, bytes: copyBytes(c)}
@@ -89,16 +88,16 @@
 	return Result{Accepted: true, Epoch: c.History.Epoch(), Length: len(c.Tokens)}
 }
 
-// supersedes reports whether the copy held must not be replaced by next.
+// supersedes reports whether held must not be replaced by next.
 func supersedes(held, next Copy) bool {
 	if next.History.Epoch() == held.History.Epoch() {
 		return false
 	}
 	for i, f := range next.History[:len(next.History)-1] {
 		if f.Epoch == held.History.Epoch() {
-			// next continues what is held, unless it left the line before the
-			// held end: then callers may hold tokens that next does not have, of
-			// an owner that was cut off while its answer was taken over.
+			// next continues held, unless its history forked off before the end of held. In that
+			// case callers may hold tokens that next lacks: those of an owner that was
+			// partitioned while another one took over its generation.
 			return next.History[i+1].FromOffset < len(held.Tokens)
 		}
 	}
@@ -108,8 +107,8 @@
 	return next.History.Epoch().OwnerCount() <= held.History.Epoch().OwnerCount()
 }
 
-// Append adds tokens at offset under epoch. Tokens already held are skipped, so
-// a repeated append does no harm.
+// Append adds tokens at offset. It is refused unless epoch is the epoch of the copy. Tokens
+// already held are skipped, so Append is idempotent.
 func (h *Holder) Append(id string, epoch lineage.Epoch, offset int, tokens []string, attempt *peerpb.Attempt, finish string) Result {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -128,8 +127,8 @@
 	if skip := len(e.Tokens) - offset; skip < len(tokens) {
 		h.appendTokens(e, tokens[skip:])
 	}
-	// A late message must not bring back an earlier attempt: its engine goes on
-	// with another text than the tokens held here.
+	// A delayed message must not restore an earlier attempt: that attempt's engine would continue
+	// with a text that differs from the tokens held.
 	if attempt != nil && offset+len(tokens) == len(e.Tokens) {
 		e.Attempt = attempt
 	}
@@ -161,8 +160,9 @@
 	return e.clone(), true
 }
 
-// Adopt makes newOwner the owner from the copy's present length on and returns
-// the copy under its new epoch. seen must be a prefix of the copy.
+// Adopt makes newOwner the owner from the copy's current length on and returns the copy with its
+// new epoch. It changes nothing unless seen, the position of the caller, is a prefix of the copy.
+// ok is false if there is no copy.
 func (h *Holder) Adopt(id, newOwner string, seen lineage.Position) (Copy, lineage.Relation, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -182,7 +182,7 @@
 	return e.clone(), lineage.Prefix, true
 }
 
-// Drop removes a copy whose epoch is not newer than epoch: its owner keeps it elsewhere now.
+// Drop removes a copy if its epoch is epoch: its owner has moved it to another holder.
 func (h *Holder) Drop(id string, epoch lineage.Epoch) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -191,7 +191,7 @@
 	}
 }
 
-// Expire removes copies that have not changed for the TTL.
+// Expire removes the copies that have not changed within the TTL.
 func (h *Holder) Expire(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -203,7 +203,7 @@
 	}
 }
 
-// All returns every copy held.
+// All returns all copies.
 func (h *Holder) All() []Copy {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -214,7 +214,7 @@
 	return out
 }
 
-// Size returns the number of copies and their bytes.
+// Size returns the number of copies and their total size in bytes.
 func (h *Holder) Size() (copies, bytes int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -229,7 +229,7 @@
 	}
 }
 
-// markChanged notes a change of e, which makes it the last to be evicted.
+// markChanged records a change of e. A finished entry thereby becomes the last one to be evicted.
 func (h *Holder) markChanged(e *entry) {
 	e.lastChanged = time.Now()
 	switch {
@@ -240,8 +240,8 @@
 	}
 }
 
-// evictUntilFits evicts finished copies, least recently touched first, until n more
-// bytes fit. The copy named keep stays: it is about to be replaced.
+// evictUntilFits evicts finished copies, the least recently changed first, until n more bytes fit,
+// and reports whether they do. The copy keepID is not evicted, because it is about to be replaced.
 func (h *Holder) evictUntilFits(n int, keepID string) bool {
 	for next := h.finished.Front(); h.bytes+n > h.limits.Bytes; {
 		if next == nil {
@@ -262,7 +262,7 @@
 	return c
 }
 
-// stringHeaderBytes is what a token costs beside its bytes: a Go string header.
+// stringHeaderBytes is the size of a Go string header, which each token takes besides its text.
 const stringHeaderBytes = 16
 
 func tokenBytes(t string) int { return len(t) + stringHeaderBytes }
--- a/serve/journal/holder_test.go
+++ b/serve/journal/holder_test.go
@@ -32,9 +32,9 @@
 	return c
 }
 
-// An owner gives up a message to its copy's holder as lost, and goes on. The
-// message was only late. It must neither shorten the copy nor bring back the
-// attempt it names, whose engine goes on with another text.
+// An owner gives up a message to the holder as lost and continues, but the message was only
+// delayed. It must neither shorten the copy nor restore an earlier attempt, whose engine would
+// continue with a different text.
 func TestLateMessagesDoNotRevertCopy(t *testing.T) {
 	h, epoch := newHolder(1<<20), lineage.FirstEpoch(9)
 	must.True(t, h.Open(copyOf("g", epoch, 4, "")).Accepted)
@@ -47,8 +47,8 @@
 	must.Eq(t, 2, c.Attempt.GetNumber())
 }
 
-// A paused owner returns after its answer was taken over and writes on. The
-// holder refuses and names the newer epoch.
+// A paused owner resumes after another one has adopted its generation, and continues to write. The
+// holder must refuse the writes and return the newer epoch.
 func TestAdoptFencesPreviousOwner(t *testing.T) {
 	h, first := newHolder(1<<20), lineage.FirstEpoch(9)
 	h.Open(copyOf("g", first, 4, ""))
@@ -64,9 +64,9 @@
 	must.Eq(t, lineage.Diverged, rel)
 }
 
-// The holder is full. Finished copies make room, the longest untouched first;
-// running ones are never lost for a new one, whose owner hears that it must
-// look elsewhere.
+// A full holder must evict finished copies, the least recently changed first, and never running
+// ones. If nothing can be evicted, it must refuse the new copy, so that the owner chooses another
+// holder.
 func TestFullHolderEvictsFinishedCopies(t *testing.T) {
 	copySize := copyBytes(copyOf("x", 1, 10, ""))
 	h := newHolder(3 * copySize)
--- a/serve/journal/placement.go
+++ b/serve/journal/placement.go
@@ -1,12 +1,13 @@
-// Package journal holds copies of generations that other entry VMs serve.
+// Package journal stores copies of generations that other entry VMs serve.
 //
-// The failure guarded against is the loss of an entry VM in mid-answer. A
-// continuation made elsewhere must begin with exactly the text the caller
-// already holds, so every token is copied to an entry VM in another zone before
-// it is released (the output-commit problem; Strom and Yemini 1985). The holder
-// also decides ownership: Adopt begins a new epoch, after which appends of the
-// old owner are refused, so an owner that was only paused can release nothing
-// that its successor does not have.
+// It answers the loss of an entry VM in the middle of an answer. A continuation by another entry
+// VM must begin with exactly the text that the caller already holds. Each token is therefore
+// copied to another entry VM, preferably in another zone, before it is released (the output commit
+// problem; Strom and Yemini 1985).
+//
+// The entry VM with the copy, its holder, also decides ownership: Adopt begins a new epoch, and
+// appends of the previous owner are refused from then on. Otherwise an owner that was only paused
+// could release tokens that its successor doesn't have.
 package journal
 
 import (
@@ -21,33 +22,33 @@
 )
 
 const (
-	// candidateCount is how many members may hold a copy. An owner that is one of
-	// them has three others: its copy finds a new place while one holder is
-	// gone and another is being replaced. Each costs a question when an answer
-	// is looked for.
+	// candidateCount is the number of members that may hold a copy. An owner that is one of them
+	// has three others, so a holder can still be found while one of them has failed and another
+	// is being replaced. Each candidate costs one request when a generation is located.
 	candidateCount = 4
-	// candidateZoneCount is how many of them lie in zones of their own.
+	// candidateZoneCount is the number of candidates that are in different zones.
 	candidateZoneCount = 3
 )
 
 const (
-	// groupsPerOwner is the number of journal groups of one owner. One holder for all of
-	// an owner's answers would make the fewest messages, but then some daemons
-	// hold the copies of five owners and others of none; with four groups each
-	// the largest share falls to about half that (docs/design/21-journal.md).
+	// groupsPerOwner is the number of journal groups of one owner. A single holder for all answers
+	// of an owner would need the fewest messages, but then some daemons hold the copies of five
+	// owners and others of none; with four groups per owner, the largest share falls to about half
+	// of that (docs/design/21-journal.md).
 	groupsPerOwner = 4
-	// groupNameDigits is the length of a group's name in hexadecimal digits.
+	// groupNameDigits is the length of a group name in hexadecimal digits.
 	groupNameDigits = 8
 )
 
-// GroupName returns the name of one of the owner's journal groups, chosen by pick.
+// GroupName returns the name of the owner's journal group with number selector modulo
+// groupsPerOwner.
 func GroupName(owner string, selector byte) string {
 	h := xxhash.Sum64String(owner + "#" + strconv.Itoa(int(selector)%groupsPerOwner))
 	return fmt.Sprintf("%016x", h)[:groupNameDigits]
 }
 
-// placementKey is the part of a generation's id that decides where its copy is:
-// the group for an id that names one, else the whole id.
+// placementKey returns the part of a generation's id that decides where its copy is placed: the
+// group if the id contains one, otherwise the whole id.
 func placementKey(id string) string {
 	if strings.HasPrefix(id, "g") && len(id) > groupNameDigits {
 		return id[:1+groupNameDigits]
@@ -55,11 +56,10 @@
 	return id
 }
 
-// Candidates returns the members that may hold the copy of a generation, the
-// usual one first: in the order of rendezvous hashing the first of each of three
-// zones, so that for an owner in any zone one of the first two lies in another,
-// and then any. Every entry VM computes nearly the same list, which is how a
-// copy is found without a directory.
+// Candidates returns the members that may hold the copy of a generation, the preferred one first.
+// These are, in the order of rendezvous hashing, the first member of each of three zones and then
+// the next one in any zone. Of the first two, at least one is outside the owner's zone. All entry
+// VMs compute nearly the same list, so copies are found without a directory.
 func Candidates(id string, v *membership.View) []membership.Member {
 	scored := scoreMembers(placementKey(id), v)
 	out := make([]membership.Member, 0, candidateCount)
@@ -78,8 +78,9 @@
 	return out
 }
 
-// PickHolder returns the member that should hold the copy of a generation served by
-// v.Self, leaving out those that exclude names; nil names nobody. ok is false where no member is fit.
+// PickHolder returns the member that should hold the copy of a generation served by v.Self: the
+// first live candidate in another zone, or else the first live one in the same zone. Members for
+// which exclude returns true are skipped; exclude may be nil. ok is false if no candidate is left.
 func PickHolder(id string, v *membership.View, exclude func(membership.Member) bool) (m membership.Member, ok bool) {
 	fallback := -1
 	list := Candidates(id, v)
--- a/serve/journal/wire.go
+++ b/serve/journal/wire.go
@@ -5,7 +5,7 @@
 	"mallowwind.dev/peer/peerpb"
 )
 
-// ToWire returns the message form of a copy.
+// ToWire returns the wire form of a copy.
 func ToWire(c Copy) *peerpb.OpenRequest {
 	return &peerpb.OpenRequest{
 		Spec:    c.Spec,
@@ -16,20 +16,20 @@
 	}
 }
 
-// FromWire reads the form written by ToWire. ok is false for a message without
-// a specification or an epoch.
+// FromWire converts the wire form of a copy back. ok is false if the message has no specification
+// or no forks.
 func FromWire(r *peerpb.OpenRequest) (c Copy, ok bool) {
 	if r.GetSpec() == nil || len(r.GetForks()) == 0 {
 		return Copy{}, false
 	}
-	line := make(lineage.History, 0, len(r.GetForks()))
+	history := make(lineage.History, 0, len(r.GetForks()))
 	for _, f := range r.GetForks() {
-		line = append(line, lineage.Fork{Epoch: lineage.Epoch(f.GetEpoch()), FromOffset: int(f.GetOffset()), Owner: f.GetOwner()})
+		history = append(history, lineage.Fork{Epoch: lineage.Epoch(f.GetEpoch()), FromOffset: int(f.GetOffset()), Owner: f.GetOwner()})
 	}
-	return Copy{Spec: r.GetSpec(), History: line, Tokens: r.GetTokens(), Attempt: r.GetAttempt(), Finish: r.GetFinish()}, true
+	return Copy{Spec: r.GetSpec(), History: history, Tokens: r.GetTokens(), Attempt: r.GetAttempt(), Finish: r.GetFinish()}, true
 }
 
-// ForksToWire returns the message form of a line.
+// ForksToWire returns the wire form of an ownership history.
 func ForksToWire(l lineage.History) []*peerpb.Fork {
 	out := make([]*peerpb.Fork, 0, len(l))
 	for _, f := range l {
