--- a/serve/api/api.go
+++ b/serve/api/api.go
@@ -1,6 +1,6 @@
-// Package api is the callers' side: the usual completions API of model serving,
-// plain services behind /services, the entry VMs to use, and refusals that say
-// whether the request may have run.
+// Package api serves the HTTP API for callers: the completions API that is common in model
+// serving, plain services under /services, the list of entry VMs to use, and error responses that
+// say whether the request may have run.
 package api
 
 import (
@@ -26,17 +26,17 @@
 	Zone    string `json:"zone"`
 }
 
-// EntrySelector answers which entry VMs an account should use.
+// EntrySelector selects the entry VMs that an account should use.
 type EntrySelector interface {
 	EntriesFor(account *site.Account) []Entry
 }
 
-// ServiceCaller carries out calls to plain services. Errors are *verdict.Error.
+// ServiceCaller performs calls to plain services. Errors are of type *verdict.Error.
 type ServiceCaller interface {
 	Call(ctx context.Context, account *site.Account, service *site.Service, key string, call plain.Call) (plain.Answer, error)
 }
 
-// Config names what an API works with.
+// Config holds the dependencies of an API.
 type Config struct {
 	Site        site.Source
 	Generations *generation.Manager
@@ -44,15 +44,15 @@
 	Entries     EntrySelector
 	Log         *event.Log
 	Metrics     prometheus.Registerer
-	// IsShuttingDown reports whether new requests are refused because the daemon stops.
+	// IsShuttingDown reports whether new requests are refused because the daemon is shutting down.
 	IsShuttingDown func() bool
-	// IsStarting reports whether the daemon does not know enough yet to serve.
+	// IsStarting reports whether the daemon is not yet able to serve requests.
 	IsStarting func() bool
-	// IsReady reports whether callers should be sent here.
+	// IsReady reports whether callers should be directed to this daemon.
 	IsReady func() bool
 }
 
-// API handles callers' requests. It is safe for concurrent use.
+// API handles the requests of callers. It is safe for concurrent use.
 type API struct {
 	Config
 	requests *prometheus.CounterVec
@@ -87,21 +87,22 @@
 	return a
 }
 
-// Active returns the number of requests being served, streams included.
+// Active returns the number of requests in progress, including streams.
 func (a *API) Active() int { return int(a.active.Load()) }
 
 // ServeHTTP implements http.Handler.
 func (a *API) ServeHTTP(w http.ResponseWriter, r *http.Request) { a.router.ServeHTTP(w, r) }
 
-// endpoint serves one authenticated request. An error is written to the caller
-// unless the answer has already begun.
+// endpoint serves one authenticated request. It returns an error only if it has not started the
+// response; the error is then written to the caller.
 type endpoint func(w http.ResponseWriter, r *http.Request, s *site.Site, account *site.Account) error
 
 func (a *API) route(method, path, name string, e endpoint) {
 	a.router.Handle(path, a.handler(name, e)).Methods(method)
 }
 
-// handler authenticates, counts and turns errors into refusals.
+// handler returns an http.Handler that authenticates requests, counts them and writes the errors of
+// e as responses.
 func (a *API) handler(name string, e endpoint) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		a.inFlight.Inc()
@@ -132,10 +133,10 @@
 	return e(w, r, s, account)
 }
 
-// retryElsewhereAfter is the wait told to callers that should use another entry VM.
+// retryElsewhereAfter is the Retry-After sent to callers that should use another entry VM.
 const retryElsewhereAfter = time.Second
 
-// checkAccepting refuses new work while the daemon starts or stops.
+// checkAccepting returns an error while the daemon is starting or shutting down.
 func (a *API) checkAccepting(r *http.Request) error {
 	switch {
 	case a.IsShuttingDown():
@@ -146,10 +147,10 @@
 	return nil
 }
 
-// errRetryElsewhere refuses a request that another entry VM can serve. Nothing of it
-// ran here, but with a key it may be a copy of a request that runs elsewhere,
-// and nobody was asked: not_run would invite the caller to send it anew under
-// another key.
+// errRetryElsewhere returns the error for a request that another entry VM can serve. The request
+// did not run here, but if it has an idempotency key, it may be a retry of a request that is
+// running on another entry VM, and none of them has been asked. not_run would tell the caller that
+// it is safe to send the request again with another key.
 func (a *API) errRetryElsewhere(r *http.Request, code verdict.Code, text string) error {
 	v := verdict.NotRun
 	if r.Header.Get(idempotencyKeyHeader) != "" {
--- a/serve/api/auth.go
+++ b/serve/api/auth.go
@@ -12,9 +12,9 @@
 
 const bearerPrefix = "Bearer "
 
-// authenticate returns the account whose token the request carries, or nil. It
-// compares with every listed hash in constant time, so that the time taken
-// tells nothing about the tokens.
+// authenticate returns the account of the request's bearer token, or nil. It compares the token's
+// hash with all configured hashes in constant time, so that the response time reveals nothing
+// about the tokens.
 func authenticate(s *site.Site, r *http.Request) *site.Account {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), bearerPrefix)
 	if !ok || token == "" {
--- a/serve/api/completions.go
+++ b/serve/api/completions.go
@@ -47,8 +47,7 @@
 	return writeResponse(r.Context(), w, h, spec, format)
 }
 
-// writeResponse collects an answer and sends it at once, on the same machinery as a
-// streamed one.
+// writeResponse collects the whole generation from h and sends it as one JSON response.
 func writeResponse(ctx context.Context, w http.ResponseWriter, h *generation.Handle, spec *generation.Spec, format responseFormat) error {
 	var (
 		text strings.Builder
@@ -71,7 +70,7 @@
 	}
 }
 
-// resume continues a stream whose connection broke, on any entry VM.
+// resume continues a stream whose connection was lost, on any entry VM.
 func (a *API) resume(w http.ResponseWriter, r *http.Request, _ *site.Site, account *site.Account) error {
 	id := mux.Vars(r)["id"]
 	if !lineage.IsValidID(id) {
--- a/serve/api/errors.go
+++ b/serve/api/errors.go
@@ -9,8 +9,8 @@
 	"mallowwind.dev/decision/verdict"
 )
 
-// errorBody is the JSON of a refusal or failure. Its shape is the usual one of
-// the completions API with the verdict added, so that client libraries show it.
+// errorBody is the JSON body of an error response. It has the usual structure of the completions
+// API, so that client libraries display it, with the verdict added.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -23,7 +23,7 @@
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 }
 
-// errorType is the same for all errors; code tells them apart.
+// errorType is the type of all errors; the code distinguishes them.
 const errorType = "mallowwind_error"
 
 func newErrorBody(e *verdict.Error) errorBody {
@@ -36,7 +36,7 @@
 	}}
 }
 
-// statusByCode maps codes to HTTP statuses; docs/errors.md lists them.
+// statusByCode maps error codes to HTTP statuses. docs/errors.md lists them.
 var statusByCode = map[verdict.Code]int{
 	verdict.CodeBadRequest:            http.StatusBadRequest,
 	verdict.CodeBodyTooLarge:          http.StatusRequestEntityTooLarge,
@@ -62,8 +62,7 @@
 	verdict.CodePoison:                http.StatusBadGateway,
 }
 
-// writeError writes a refusal, unless the answer has begun: then the endpoint
-// has already ended it visibly.
+// writeError writes an error response. It must not be called after the response has been started.
 func writeError(w http.ResponseWriter, e *verdict.Error) {
 	status, ok := statusByCode[e.Code]
 	if !ok {
@@ -76,12 +75,12 @@
 	writeJSON(w, status, newErrorBody(e))
 }
 
-// ceilSeconds rounds up: coming back too early is refused again.
+// ceilSeconds rounds up to whole seconds, because a retry that comes too early is refused again.
 func ceilSeconds(d time.Duration) int { return int((d + time.Second - 1) / time.Second) }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A caller that went away is noticed by the server; there is no one left to tell.
+	// The error is ignored: a write fails only if the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/serve/api/errors_test.go
+++ b/serve/api/errors_test.go
@@ -12,8 +12,9 @@
 	"mallowwind.dev/decision/verdict"
 )
 
-// A caller sent a key with a space and was answered with status 500, as if the
-// system were broken: a code had been added and no status for it.
+// An error code without an entry in statusByCode is reported with status 500. An invalid
+// idempotency key would then look like an internal error. Each code that package verdict declares
+// must have a status.
 func TestEachCodeHasAStatus(t *testing.T) {
 	file, err := parser.ParseFile(token.NewFileSet(), "../../decision/verdict/verdict.go", nil, 0)
 	must.NoError(t, err)
--- a/serve/api/format.go
+++ b/serve/api/format.go
@@ -2,13 +2,13 @@
 
 import "encoding/json"
 
-// responseFormat renders an answer in one of the two forms of the completions API.
+// responseFormat renders responses in one of the two formats of the completions API: text or chat.
 type responseFormat struct {
 	chat         bool
-	includeUsage bool // a last chunk with the usage was asked for
+	includeUsage bool // the caller requested a final chunk with the token usage
 	id           string
 	model        string
-	created      int64 // seconds since the epoch
+	created      int64 // Unix time in seconds
 	promptTokens int
 }
 
@@ -56,7 +56,7 @@
 	return "text_completion"
 }
 
-// response is the whole answer as one object.
+// response returns the complete response, which is not streamed.
 func (f responseFormat) response(text, finish string, tokens int) completionResponse {
 	c := choice{FinishReason: &finish}
 	if f.chat {
@@ -70,7 +70,7 @@
 	}
 }
 
-// chunk is one event of a stream; finish is empty but on the last.
+// chunk returns the data of one stream event. finish is empty except for the last event with text.
 func (f responseFormat) chunk(text, finish string) string {
 	c := choice{}
 	if finish != "" {
@@ -96,7 +96,7 @@
 func (responseFormat) encode(a completionResponse) string {
 	b, err := json.Marshal(a)
 	if err != nil {
-		panic(err) // strings and numbers always encode
+		panic(err) // completionResponse holds only strings and integers, which always encode
 	}
 	return string(b)
 }
--- a/serve/api/request.go
+++ b/serve/api/request.go
@@ -13,15 +13,14 @@
 	"mallowwind.dev/serve/generation"
 )
 
-// idempotencyKeyHeader names the header by which a repeated request is recognised.
+// idempotencyKeyHeader is the name of the header that identifies retries of a request.
 const idempotencyKeyHeader = "Idempotency-Key"
 
-// maxKeyBytes bounds an idempotency key, in bytes.
+// maxKeyBytes is the maximum length of an idempotency key.
 const maxKeyBytes = 255
 
-// completionRequest holds the fields of the completions API that are honoured.
-// Others are ignored, as is usual, except those that would change the shape of
-// the answer: they are refused.
+// completionRequest holds the supported fields of the completions API and those that would change
+// the structure of the response, which are refused. Other fields are ignored, as is usual.
 type completionRequest struct {
 	Model               string          `json:"model"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -52,15 +51,14 @@
 	return verdict.New(verdict.NotRun, verdict.CodeBadRequest, format, args...)
 }
 
-// bodyTimeout bounds the arrival of a body. A caller that sends a byte now and
-// then, or whose connection went silent in the middle, would otherwise hold
-// memory for as long as it likes.
+// bodyTimeout limits the time for reading a request body. Otherwise a caller that sends a byte now
+// and then, or whose connection stalls in the middle of the body, would hold memory indefinitely.
 const bodyTimeout = 30 * time.Second
 
-// readBody reads at most limit bytes.
+// readBody reads a body of at most limit bytes within bodyTimeout.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	controller := http.NewResponseController(w)
-	// A writer without deadlines, as in tests, has its body in memory.
+	// Writers without support for deadlines, as in tests, read the body from memory.
 	_ = controller.SetReadDeadline(time.Now().Add(bodyTimeout))
 	defer func() { _ = controller.SetReadDeadline(time.Time{}) }()
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
@@ -74,7 +72,7 @@
 	return body, nil
 }
 
-// readKey returns the idempotency key, checked.
+// readKey returns the idempotency key of a request after validation. It is empty if there is none.
 func readKey(r *http.Request) (string, error) {
 	key := r.Header.Get(idempotencyKeyHeader)
 	if len(key) > maxKeyBytes {
@@ -88,7 +86,8 @@
 	return key, nil
 }
 
-// parseCompletion turns a request into a specification.
+// parseCompletion parses and validates a completion request and returns the specification of its
+// generation.
 func parseCompletion(r *http.Request, body []byte, s *site.Site, account *site.Account, chat bool) (*generation.Spec, completionRequest, error) {
 	var q completionRequest
 	if err := json.Unmarshal(body, &q); err != nil {
@@ -145,7 +144,7 @@
 	return nil
 }
 
-// tokenLimit returns the largest answer in tokens.
+// tokenLimit returns the maximum number of tokens to generate.
 func (q *completionRequest) tokenLimit(service *site.Service) (int, error) {
 	n := q.MaxTokens
 	if q.MaxCompletionTokens != nil {
@@ -174,8 +173,8 @@
 	return list[0], nil
 }
 
-// renderChat joins messages into a prompt. Engines that apply a model's own
-// chat template are not assumed.
+// renderChat concatenates messages into a prompt. It does not rely on engines to apply a model's own
+// chat template.
 func renderChat(messages []chatMessage) (string, error) {
 	if len(messages) == 0 {
 		return "", badRequest("messages must not be empty")
@@ -195,7 +194,7 @@
 	return b.String(), nil
 }
 
-// contentText reads a message's content: a string or a list of text parts.
+// contentText parses the content of a message: a string or a list of text parts.
 func contentText(raw json.RawMessage) (string, error) {
 	var text string
 	if err := json.Unmarshal(raw, &text); err == nil {
@@ -218,7 +217,7 @@
 	return b.String(), nil
 }
 
-// stringOrList reads a field that may be absent, a string or a list of strings.
+// stringOrList parses a field that may be absent, a string or a list of strings.
 func stringOrList(field string, raw json.RawMessage) ([]string, error) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return nil, nil
--- a/serve/api/services.go
+++ b/serve/api/services.go
@@ -12,13 +12,13 @@
 	"mallowwind.dev/external/plain"
 )
 
-// hopByHopHeaders concern one connection only and are not passed on (RFC 9110, 7.6.1).
+// hopByHopHeaders apply to a single connection and are not forwarded (RFC 9110, section 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// service passes a call on to a plain service.
+// service forwards a call to a plain service.
 func (a *API) service(w http.ResponseWriter, r *http.Request, s *site.Site, account *site.Account) error {
 	if err := a.checkAccepting(r); err != nil {
 		return err
@@ -54,7 +54,7 @@
 		h[k] = v
 	}
 	w.WriteHeader(answer.Status)
-	_, _ = w.Write(answer.Body) // a caller that went away asks again with its key
+	_, _ = w.Write(answer.Body) // a caller that has disconnected can retry with its key
 	return nil
 }
 
@@ -66,8 +66,8 @@
 	return path + "?" + query
 }
 
-// endToEndHeaders copies headers without those of one connection and without the
-// caller's credentials, which are ours to check and not the backend server's.
+// endToEndHeaders returns a copy of h without hop-by-hop headers, Content-Length and the caller's
+// credentials, which the daemon checks and the backend server must not receive.
 func endToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, named := range h.Values("Connection") {
@@ -83,7 +83,7 @@
 	return out
 }
 
-// entriesResponse tells a caller which entry VMs to use and for how long.
+// entriesResponse lists the entry VMs that a caller should use and for how long.
 type entriesResponse struct {
 	Entries    []Entry `json:"entries"`
 	TTLSeconds int     `json:"ttl_seconds"`
@@ -107,7 +107,7 @@
 	Object string `json:"object"`
 }
 
-// models lists the generation services, as client libraries expect.
+// models lists the generation services in the format that client libraries expect.
 func (a *API) models(w http.ResponseWriter, _ *http.Request, s *site.Site, _ *site.Account) error {
 	list := modelList{Object: "list", Data: []model{}}
 	for _, service := range s.Services {
--- a/serve/api/stream.go
+++ b/serve/api/stream.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// keepAliveInterval is how often a waiting stream sends a comment, so that a caller
-	// can tell a slow answer from a connection that went silent for good.
+	// keepAliveInterval is how often a waiting stream sends a comment, so that the caller can
+	// distinguish a slow answer from a dead connection.
 	keepAliveInterval = 5 * time.Second
-	// writeTimeout bounds one write to a caller. A caller whose connection went
-	// silent would otherwise hold its generation for as long as TCP keeps trying.
+	// writeTimeout limits one write to a caller. Otherwise a caller whose connection has stalled
+	// would hold its generation for as long as TCP retransmits.
 	writeTimeout = 15 * time.Second
 )
 
-// writeStream sends an answer as server-sent events from pos on. An error is
-// returned only while nothing has been sent; later ones become an error event,
-// and the terminal event stays away, so that the answer is visibly incomplete.
+// writeStream sends a generation from pos on as server-sent events. An error is returned only if
+// nothing has been sent. Later errors are sent as an error event without the terminal event, so
+// that the caller can tell that the answer is incomplete.
 func writeStream(ctx context.Context, w http.ResponseWriter, h *generation.Handle, pos lineage.Position, format responseFormat) error {
 	s := &streamWriter{w: w, controller: http.NewResponseController(w), format: format}
 	for {
@@ -35,7 +35,7 @@
 		cancel()
 		switch {
 		case ctx.Err() != nil:
-			return nil // the caller went away; the generation lingers for its return
+			return nil // the caller has disconnected; it may resume while the generation runs on
 		case errors.Is(err, context.DeadlineExceeded):
 			if s.writeKeepAlive() != nil {
 				return nil
@@ -51,7 +51,7 @@
 	}
 }
 
-// streamWriter writes events and flushes each.
+// streamWriter writes server-sent events and flushes each of them.
 type streamWriter struct {
 	w             http.ResponseWriter
 	controller    *http.ResponseController
@@ -71,10 +71,10 @@
 	s.w.WriteHeader(http.StatusOK)
 }
 
-// send writes one message under the write deadline.
+// send writes one message and flushes it within writeTimeout.
 func (s *streamWriter) send(m *sse.Message) error {
 	s.writeHeader()
-	// A writer without deadlines, as in tests, is never silent.
+	// Writers without support for deadlines, as in tests, never stall.
 	_ = s.controller.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := m.WriteTo(s.w); err != nil {
 		return err
@@ -88,7 +88,8 @@
 	return s.send(m)
 }
 
-// writeBatch writes tokens as one event and, after the last, the terminal event.
+// writeBatch writes a batch of tokens as one event. After the last batch it also writes the usage,
+// if requested, and the terminal event.
 func (s *streamWriter) writeBatch(id string, b generation.Batch) error {
 	m := &sse.Message{ID: sse.ID(lineage.Cursor{Generation: id, Position: b.Position}.String())}
 	m.AppendData(s.format.chunk(strings.Join(b.Tokens, ""), string(b.Finish)))
@@ -107,7 +108,7 @@
 	return s.send(done)
 }
 
-// finishWithError reports an error: as a refusal when nothing was sent, else as an event.
+// finishWithError returns err if nothing has been sent yet, and otherwise sends it as an error event.
 func (s *streamWriter) finishWithError(err error) error {
 	if !s.headerWritten {
 		return err
@@ -115,6 +116,6 @@
 	body, _ := json.Marshal(newErrorBody(verdict.FromError(err)))
 	m := &sse.Message{Type: sse.Type("error")}
 	m.AppendData(string(body))
-	_ = s.send(m) // the caller sees the missing terminal event in any case
+	_ = s.send(m) // without this event the caller still notices the missing terminal event
 	return nil
 }
