--- a/serve/gateway/addresses_test.go
+++ b/serve/gateway/addresses_test.go
@@ -22,9 +22,9 @@
 	"mallowwind.dev/telemetry/metric"
 )
 
-// withFeeds starts the feeds of size gateways in four zones before one store, in
-// virtual time, and hands them over once each knows all. The last leaving ones are
-// registered as leaving.
+// withFeeds starts the feeds of size gateways in four zones with a common store, in virtual time,
+// and calls test once each gateway knows all entry VMs. The last leaving VMs are registered as
+// leaving.
 func withFeeds(t *testing.T, size, leaving int, test func([]*Gateway)) {
 	synctest.Test(t, func(t *testing.T) {
 		memory := store.NewMemory()
@@ -60,24 +60,23 @@
 
 func address(i int) string { return fmt.Sprintf("e%d:1", i) }
 
-// Callers of a large fleet see lookups take seconds and long answers cut at a few
-// VMs, while most VMs carry nothing. Order: callers ask a daemon for addresses, pick
-// one of them at random for each new connection, and the links of the VMs that all
-// are told fill up. Cause: a gateway knows no client account's part of the load, and
-// told every caller the window that begins at the ring's first place.
+// In a large fleet, lookups take seconds and long answers are interrupted at a few VMs, while most
+// VMs carry no load. Callers ask a daemon for addresses and pick one at random for each new
+// connection. A gateway doesn't know the account's share of the load; if it gives every caller the
+// window at the start of the ring, the links of the VMs in that window become saturated.
 //
-// Each VM is owed an even part. 400 picks a VM leave 5% of chance around it, so a
-// quarter more or less is no chance. That holds for callers that ask all daemons, for
-// the answers held at one moment, and where all callers have the same nearest daemon.
+// Each VM must get an even share. With 400 picks per VM, the random deviation is 5%, so a deviation
+// of a quarter isn't random. This must hold for callers that ask all daemons, for the addresses
+// that callers hold at one moment, and if all callers have the same nearest daemon.
 func TestCallersSpreadOverAllEntryVMs(t *testing.T) {
 	const (
-		picksPerVM = 400 // for each VM
+		picksPerVM = 400 // picks by callers per VM of the fleet
 		tolerance  = 0.25
 	)
 	cases := []struct {
 		name         string
-		daemon       func(k, size int) int // the daemon that is asked k-th
-		lookupsPerVM int                   // questions for each VM of the fleet
+		daemon       func(k, size int) int // returns the daemon for the k-th lookup
+		lookupsPerVM int                   // lookups per VM of the fleet
 	}{
 		{"all daemons in turn", func(k, size int) int { return k % size }, 20},
 		{"all daemons once", func(k, size int) int { return k % size }, 1},
@@ -105,7 +104,7 @@
 				for i := usable; i < size.vms; i++ {
 					test.Eq(t, 0, picked[address(i)], test.Sprintf("VM %d is leaving", i))
 				}
-				summary := test.Sprintf("%d of %d VMs usable, %s: a VM gets from %.2f to %.2f of its even part", usable, size.vms, c.name, least, most)
+				summary := test.Sprintf("%d of %d VMs usable, %s: a VM gets between %.2f and %.2f of an even share", usable, size.vms, c.name, least, most)
 				test.GreaterEq(t, 1-tolerance, least, summary)
 				test.LessEq(t, 1+tolerance, most, summary)
 			}
--- a/serve/gateway/caller_server.go
+++ b/serve/gateway/caller_server.go
@@ -15,23 +15,21 @@
 )
 
 const (
-	// limitsCheckInterval is how often the limits on callers are compared with those of
-	// the configuration.
+	// limitsCheckInterval is how often the limits in force are compared with the configuration.
 	limitsCheckInterval = 500 * time.Millisecond
-	// acceptRetryDelay follows a failed accept, so that a lasting cause does not take
-	// a core; a caller waits a second for its connection.
+	// acceptRetryDelay is the delay after a failed accept, so that a persistent error does not
+	// use up a CPU core. Callers wait one second for a connection.
 	acceptRetryDelay = 50 * time.Millisecond
-	// defaultIdle, defaultHeaders and maxHeaders hold until a configuration sets
-	// the limits.
+	// defaultIdleTimeout, defaultHeaderTimeout and defaultMaxHeaderBytes apply until the
+	// configuration sets the limits.
 	defaultIdleTimeout    = 15 * time.Second
 	defaultHeaderTimeout  = 5 * time.Second
 	defaultMaxHeaderBytes = 16 << 10
 )
 
-// callerServer accepts callers' connections and serves them within the limits of the
-// configuration. net/http reads its limits without a lock, so a change of them
-// is a new server for the connections that come later; those that are open keep
-// the limits under which they were opened.
+// callerServer accepts connections of callers and serves them within the limits of the
+// configuration. net/http reads its limits without a lock, so a change of the limits starts a new
+// server for later connections; open connections keep the limits with which they were opened.
 type callerServer struct {
 	listener net.Listener
 	handler  http.Handler
@@ -44,7 +42,7 @@
 	closed   bool
 }
 
-// connListener is a listener that is given connections.
+// connListener is a net.Listener whose connections come from callerServer.accept.
 type connListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -77,8 +75,8 @@
 	return c
 }
 
-// apply starts a server with other limits. It is called at the start and by the
-// loop of follow.
+// apply starts a server with new limits for later connections. It is called at the start and by
+// watchLimits.
 func (c *callerServer) apply(limits routing.Limits) {
 	s := &http.Server{
 		Handler: c.handler, ErrorLog: c.errorLog,
@@ -101,7 +99,7 @@
 	}()
 }
 
-// valueOrDefault is a value, or the other where it is not set.
+// valueOrDefault returns value, or defaultValue if value is not positive.
 func valueOrDefault[T time.Duration | int](value, defaultValue T) T {
 	if value > 0 {
 		return value
@@ -109,7 +107,7 @@
 	return defaultValue
 }
 
-// watchLimits compares the limits with the configuration's until ctx ends.
+// watchLimits applies changes of the configured limits until ctx is done.
 func (c *callerServer) watchLimits(ctx context.Context, config func() *routing.Config) {
 	tick := time.NewTicker(limitsCheckInterval)
 	defer tick.Stop()
@@ -126,13 +124,14 @@
 	}
 }
 
-// equalServerLimits leaves out the bound on bodies, which the handler keeps.
+// equalServerLimits reports whether a and b are equal except for the limit on bodies, which the
+// handler enforces.
 func equalServerLimits(a, b routing.Limits) bool {
 	a.BodyBytes, b.BodyBytes = 0, 0
 	return a == b
 }
 
-// accept hands connections to the current server until the listener closes.
+// accept passes connections to the current server until the listener is closed.
 func (c *callerServer) accept() {
 	for {
 		conn, err := c.listener.Accept()
@@ -140,7 +139,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			// Mostly descriptors that ran out; connections that end free some.
+			// The usual cause is a lack of file descriptors; connections that end free some.
 			c.log.Emit(event.ListenerFailed, c.listener.Addr().String(), err)
 			time.Sleep(acceptRetryDelay)
 			continue
@@ -160,7 +159,7 @@
 	}
 }
 
-// Close ends the listener and all connections.
+// Close closes the listener and all connections.
 func (c *callerServer) Close() error {
 	firstErr := c.listener.Close()
 	c.mu.Lock()
--- a/serve/gateway/fleet_test.go
+++ b/serve/gateway/fleet_test.go
@@ -30,7 +30,7 @@
 	"mallowwind.dev/telemetry/metric"
 )
 
-// Routes of a fleet, by the first part of the path.
+// fleetConfig is the configuration of a fleet, with one route per first path segment.
 const fleetConfig = `{"version":1,"limits":{"idle_timeout":"15s"},
 	"services":[{"name":"llm","engine":{"slots":4}},{"name":"desk"}],
 	"routes":[
@@ -38,7 +38,7 @@
 	{"name":"again","host":"host","prefix":"/again/","kind":"idempotent","timeout":"2s","objective":"100ms","attempts":3,"targets":[{"service":"desk","weight":1}]},
 	{"name":"once","host":"host","prefix":"/once/","kind":"at_most_once","timeout":"2s","objective":"100ms","attempts":1,"targets":[{"service":"desk","weight":1}]}]}`
 
-// fleet is a few daemons before one store and backend servers, in virtual time.
+// fleet is a set of daemons with a common store and backend servers, in virtual time.
 type fleet struct {
 	t          *testing.T
 	began      time.Time
@@ -49,17 +49,17 @@
 	background sync.WaitGroup
 }
 
-// daemon is one process of an entry VM.
+// daemon is a process of an entry VM.
 type daemon struct {
 	vm             routing.VM
-	store          *store.Faulty // to the store
+	store          *store.Faulty // the daemon's access to the fleet's store
 	callers, peers *faultnet.Listener
 	kill           context.CancelFunc
 	stopped        chan struct{}
 	dialer         *http.Transport
 }
 
-// withFleet runs test before so many daemons.
+// withFleet runs test with a fleet of size daemons.
 func withFleet(t *testing.T, size int, test func(*fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{t: t, began: time.Now(), store: store.NewMemory(), daemons: map[string]*daemon{}, servers: map[string]*backend{}}
@@ -68,12 +68,12 @@
 			f.start(n)
 		}
 		time.Sleep(5 * time.Second)
-		defer f.close() // also of a test that fails, or what it left ends the other tests with it
+		defer f.close() // also if test fails, because goroutines left running would abort the other tests
 		test(f)
 	})
 }
 
-// close ends all that runs.
+// close stops all daemons and backend servers.
 func (f *fleet) close() {
 	f.background.Wait()
 	for _, d := range f.daemons {
@@ -82,11 +82,11 @@
 	for _, s := range f.servers {
 		s.http.Close()
 	}
-	time.Sleep(time.Minute) // what waits in the background ends
+	time.Sleep(time.Minute) // lets waiting goroutines end
 	synctest.Wait()
 }
 
-// start begins a process of the nth daemon.
+// start starts a process of the nth daemon.
 func (f *fleet) start(n int) {
 	id := fmt.Sprintf("vm-%d", n)
 	d := &daemon{
@@ -118,7 +118,7 @@
 	}()
 }
 
-// stop kills a daemon.
+// stop kills a daemon and waits until it has ended.
 func (f *fleet) stop(d *daemon) {
 	d.callers.Cut()
 	d.peers.Cut()
@@ -127,7 +127,7 @@
 	d.dialer.CloseIdleConnections()
 }
 
-// restart kills daemons at the same moment and starts them again.
+// restart kills the given daemons and then starts them again.
 func (f *fleet) restart(daemons ...int) {
 	for _, n := range daemons {
 		f.stop(f.daemons[fmt.Sprintf("vm-%d", n)])
@@ -137,14 +137,14 @@
 	}
 }
 
-// setStoreDown makes the store answer no daemon, or all of them again.
+// setStoreDown sets whether the store is unreachable for all daemons.
 func (f *fleet) setStoreDown(down bool) {
 	for _, d := range f.daemons {
 		d.store.SetDown(down)
 	}
 }
 
-// dial connects to a daemon's peer address or to a backend server.
+// dial connects to the peer address of a daemon or to a backend server.
 func (f *fleet) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -174,7 +174,7 @@
 	must.NoError(f.t, f.store.Delete(f.t.Context(), key, kv.Version))
 }
 
-// backend is a server at an address, one process after the other.
+// backend is a backend server at a fixed address. After a crash, a new process replaces the old one.
 type backend struct {
 	f           *fleet
 	service     string
@@ -183,26 +183,26 @@
 	http        *http.Server
 	mu          sync.Mutex
 	incarnation int
-	limit       string // that it names in its answers
+	limit       string // sent in X-Request-Limit; empty for none
 	arrivals    []arrival
 }
 
-// arrival is one request at a server.
+// arrival is one request that reached a server.
 type arrival struct {
 	at   time.Time
 	path string
 }
 
 const (
-	// crashedEntryTTL is how long the entry of a server that ended stays in the store.
+	// crashedEntryTTL is how long the store entry of a crashed server process remains.
 	crashedEntryTTL = 3 * time.Second
-	// crashRestartDelay is after what time a server that ended is back.
+	// crashRestartDelay is the time between a crash and the start of the next process.
 	crashRestartDelay = 2 * time.Second
-	// crashBody begins the body of a request that ends whoever runs it.
+	// crashBody is the prefix of the body of a request that crashes the server that runs it.
 	crashBody = "crash"
 )
 
-// startServers starts servers of a service.
+// startServers starts n servers of a service and waits until the daemons know them.
 func (f *fleet) startServers(service string, n int) {
 	for i := range n {
 		s := &backend{f: f, service: service, address: fmt.Sprintf("%s-%d:80", service, i), listener: faultnet.Pipe()}
@@ -216,7 +216,7 @@
 	time.Sleep(2 * time.Second)
 }
 
-// server is the nth of a service.
+// server returns the nth server of a service.
 func (f *fleet) server(service string, n int) *backend {
 	return f.servers[fmt.Sprintf("%s-%d:80", service, n)]
 }
@@ -229,7 +229,8 @@
 	s.f.put(feed.OwnServerPrefix+s.id(), string(raw))
 }
 
-// crash ends the process, and another starts at its address under another id.
+// crash ends the process; after crashRestartDelay another one starts at the same address with a
+// new id.
 func (s *backend) crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -247,7 +248,7 @@
 	})
 }
 
-// ServeHTTP runs a request: 30 ms of work for a call; for a stream a second of reading and
+// ServeHTTP runs a request: a call takes 30 ms, a stream takes one second of prefill and then sends
 // twenty events.
 func (s *backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/v1/status" {
@@ -292,7 +293,7 @@
 	}
 }
 
-// arrivals are those of a path at all servers, after a moment.
+// arrivals returns the number of requests with a path that reached any server after a given time.
 func (f *fleet) arrivals(path string, after time.Time) (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -308,15 +309,15 @@
 	return n
 }
 
-// setLimit sets what a server says of the requests that it takes.
+// setLimit sets the request rate limit that the server sends in its responses.
 func (s *backend) setLimit(limit string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limit = limit
 }
 
-// maxArrivalsWithin is how many requests reached a server in any span of a length that begins after a
-// moment.
+// maxArrivalsWithin returns the largest number of requests that reached the server within any
+// interval of length span after a given time.
 func (s *backend) maxArrivalsWithin(span time.Duration, after time.Time) (most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -332,7 +333,7 @@
 	return most
 }
 
-// arrivalsBetween is how many requests reached a server between two moments.
+// arrivalsBetween returns the number of requests that reached the server between two times.
 func (s *backend) arrivalsBetween(from, until time.Time) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -344,7 +345,7 @@
 	return n
 }
 
-// crashes is how many times a server has ended.
+// crashes returns the number of crashes of all servers.
 func (f *fleet) crashes() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -356,7 +357,7 @@
 	return n
 }
 
-// reply is what a caller got.
+// reply is the response that a caller received.
 type reply struct {
 	status int
 	header http.Header
@@ -364,7 +365,7 @@
 	err    error
 }
 
-// send sends one request to the nth daemon.
+// send sends one request to the nth daemon and returns the response.
 func (f *fleet) send(n int, path, body string) reply {
 	f.mu.Lock()
 	d := f.daemons[fmt.Sprintf("vm-%d", n)]
--- a/serve/gateway/gateway.go
+++ b/serve/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway assembles the daemon of an entry VM that forwards requests
-// without understanding them: the feed, the handler, the address answers,
-// readiness and the graceful shutdown.
+// Package gateway assembles the daemon of an entry VM that forwards requests without interpreting
+// their bodies: the configuration feed, the request handler, the directory of entry VM addresses,
+// the readiness check and the graceful shutdown.
 package gateway
 
 import (
@@ -33,15 +33,16 @@
 )
 
 const (
-	// acceptStreamsFor is how long after SIGTERM new streams are taken: they last
-	// about six seconds of the eight that are left.
+	// acceptStreamsFor is how long after SIGTERM new streams are accepted. A stream lasts about
+	// six of the eight seconds of the grace period.
 	acceptStreamsFor = time.Second
-	// acceptRequestsFor is how long other requests are taken whatever time they have.
-	// Callers that keep an address for long come within three seconds.
+	// acceptRequestsFor is how long after SIGTERM other requests are accepted regardless of their
+	// deadlines. Callers that keep an address for too long still arrive within three seconds.
 	acceptRequestsFor = 2500 * time.Millisecond
-	// exitMargin is kept between the last answer and the end of the grace.
+	// exitMargin is the time between the end of the drain and the end of the grace period.
 	exitMargin = 500 * time.Millisecond
-	// addressRetentionFactor is how many times the stated time some callers keep an address.
+	// addressRetentionFactor is the multiple of the address TTL for which some callers keep an
+	// address.
 	addressRetentionFactor = 3
 )
 
@@ -49,7 +50,7 @@
 type Options struct {
 	Self  routing.VM
 	Store store.Store
-	// Prefix begins the keys of the store that concern this fleet.
+	// Prefix is the common prefix of the store keys of this fleet.
 	Prefix string
 	Schema feed.Schema
 	Codec  forward.Codec
@@ -58,22 +59,23 @@
 	DynamicOptions
 	// MinLeaseTTL is the shortest lease that the store grants.
 	MinLeaseTTL time.Duration
-	// AddressTTL is how long callers are told to keep an address answer.
+	// AddressTTL is how long callers are told to keep the addresses that they looked up.
 	AddressTTL time.Duration
-	// Registry receives the metrics, which are served at Metrics.
+	// Registry collects the metrics, which are served on Metrics.
 	Registry *metric.Catalogue
-	// Dialer connects to other daemons.
+	// Dialer opens connections to other daemons.
 	Dialer *link.Dialer
 	// DialServer opens connections to backend servers; nil means TCP.
 	DialServer sent.DialFunc
-	// Listeners; Directory, Peers and Metrics may be nil.
+	// Callers, Readiness, Directory, Peers and Metrics are the listeners for each kind of
+	// request. Directory, Peers and Metrics may be nil.
 	Callers, Readiness, Directory, Peers, Metrics net.Listener
-	// ReadyHandler and DirectoryHandler wrap the answers in the platform's form.
+	// ReadyHandler and DirectoryHandler serve readiness and addresses in the platform's format.
 	ReadyHandler     func(ready func() bool) http.Handler
 	DirectoryHandler func(addresses func(zone string) []string) http.Handler
 }
 
-// Gateway is one running daemon.
+// Gateway is the daemon of an entry VM.
 type Gateway struct {
 	opts        Options
 	feed        *feed.Manager
@@ -105,21 +107,22 @@
 	return g
 }
 
-// DynamicOptions are what the platform may change while the daemon runs.
+// DynamicOptions are the options that the platform may change while the daemon runs.
 type DynamicOptions struct {
-	// MaxKeyAge is how old the configuration may be for an account key to be trusted.
+	// MaxKeyAge is how long ago the configuration may last have been confirmed for an account key
+	// to be trusted.
 	MaxKeyAge time.Duration
-	// RetryBudget bounds the sends beyond the first of the whole fleet.
+	// RetryBudget bounds the retries of the whole fleet.
 	RetryBudget repeats.Policy
-	// RolloutLimits bounds what a version of a service may get that is not known to be good.
+	// RolloutLimits bound the requests to a version of a service that isn't known to be good.
 	RolloutLimits rollout.Limits
-	// GracePeriod is the time between SIGTERM and the end.
+	// GracePeriod is the time between SIGTERM and the exit of the process.
 	GracePeriod time.Duration
-	// Seeds are where some other daemons were.
+	// Seeds are the peer addresses of daemons to contact before any peer is known.
 	Seeds []string
 }
 
-// Apply takes other bounds for what comes from now on.
+// Apply replaces the dynamic options.
 func (g *Gateway) Apply(b DynamicOptions) {
 	g.handler.SetBounds(b.MaxKeyAge, b.RetryBudget)
 	g.feed.SetSeeds(b.Seeds)
@@ -127,10 +130,11 @@
 	g.gracePeriod.Store(int64(b.GracePeriod))
 }
 
-// IsReady reports whether callers should be sent here.
+// IsReady reports whether callers should be directed to this daemon.
 func (g *Gateway) IsReady() bool { return !g.draining.Load() && g.feed.View().Config != nil }
 
-// Addresses are the entry VMs that a caller is told. Its account is not known here.
+// Addresses returns the addresses of the entry VMs that a caller should use. The caller's account
+// is unknown.
 func (g *Gateway) Addresses(_ string) []string {
 	view := g.feed.View()
 	vms := make([]entries.VM, 0, len(view.VMs)+1)
@@ -159,7 +163,8 @@
 	return entries.VM{ID: vm.ID, Hash: xxhash.Sum64String(vm.ID), Zone: vm.Zone, Address: vm.Address, Usable: usable}
 }
 
-// Run serves until soft ends, then drains; hard ends what still runs.
+// Run serves until soft is done, then drains and returns. When hard is done, it terminates the
+// remaining requests at once.
 func (g *Gateway) Run(soft, hard context.Context) error {
 	runCtx, cancel := context.WithCancel(hard)
 	defer cancel()
@@ -190,9 +195,9 @@
 	return err
 }
 
-// startServers starts the listeners.
+// startServers starts an HTTP server on each listener.
 func (g *Gateway) startServers(ctx context.Context) []io.Closer {
-	discard := log.New(io.Discard, "", 0) // what callers do wrong is in the events
+	discard := log.New(io.Discard, "", 0) // errors of callers are reported as events
 	callers := newCallerServer(g.opts.Callers, g.handler, g.opts.Log, discard)
 	go callers.accept()
 	go callers.watchLimits(ctx, func() *routing.Config { return g.feed.View().Config })
@@ -216,7 +221,7 @@
 	return closers
 }
 
-// peerHandler answers other daemons.
+// peerHandler serves the requests of other daemons.
 func (g *Gateway) peerHandler() http.Handler {
 	router := mux.NewRouter()
 	for _, newService := range []func() (string, http.Handler){g.feed.Handler, g.handler.RetryBudgetService, g.handler.WorkService, g.handler.PoisonService, g.handler.QuotaService, g.versions.Handler} {
@@ -232,11 +237,12 @@
 	}
 }
 
-// Registry is where the metrics of all parts are registered.
+// Registry returns the registry with the metrics of all components.
 func (g *Gateway) Registry() *metric.Catalogue { return g.opts.Registry }
 
-// drain leaves the address answers at once and serves on while callers may
-// still keep this address, at most until the grace ends.
+// drain removes this daemon from its own directory responses and reports it as not ready at once.
+// It then waits until callers no longer keep the address and no request is in progress, at most
+// until exitMargin before the end of the grace period.
 func (g *Gateway) drain(hard context.Context) {
 	started := time.Now()
 	maxDrain := time.Duration(g.gracePeriod.Load()) - exitMargin
--- a/serve/gateway/gateway_test.go
+++ b/serve/gateway/gateway_test.go
@@ -26,22 +26,22 @@
 	"mallowwind.dev/telemetry/metric"
 )
 
-// config is a configuration of one route to the backend server.
+// config returns a configuration with one route to the backend server.
 func config(version int, idle string) string {
 	return fmt.Sprintf(`{"version":%d,"limits":{"idle_timeout":%q},"services":[{"name":"desk"}],
 		"routes":[{"name":"r","host":"host","prefix":"/","kind":"at_most_once","timeout":"20s",
 		"targets":[{"service":"desk","weight":1}]}]}`, version, idle)
 }
 
-// testGateway is one gateway in virtual time before a backend server that answers
-// after the wait that the path names.
+// testGateway is a gateway in virtual time with one backend server, which responds after the
+// duration in the request's path.
 type testGateway struct {
 	t                         *testing.T
 	store                     *store.Memory
 	callers, ready, directory *faultnet.Listener
 	backend                   *faultnet.Listener
 	terminate                 context.CancelFunc
-	stopped                   chan struct{} // closed when Run returned
+	stopped                   chan struct{} // closed when Run has returned
 }
 
 func withGateway(t *testing.T, test func(*testGateway)) {
@@ -121,7 +121,7 @@
 	must.NoError(s.t, err)
 }
 
-// get makes one request on a connection of its own.
+// get makes one request on a new connection.
 func (s *testGateway) get(l *faultnet.Listener, path string) (int, string) {
 	s.t.Helper()
 	conn, err := l.Dial(s.t.Context(), "", "")
@@ -152,9 +152,9 @@
 	return resp.StatusCode, strings.TrimSpace(string(body)), err
 }
 
-// The platform stops a daemon. Its readiness and the address answers say so at
-// once, the request in progress gets its answer, callers that still keep the
-// address are served, and the process ends before it is killed.
+// The platform stops a daemon. Its readiness check and directory must reflect that at once, the
+// request in progress must be answered, callers that still keep the address must be served, and
+// the process must exit before it is killed.
 func TestShutdownCompletesAcceptedRequests(t *testing.T) {
 	withGateway(t, func(s *testGateway) {
 		status, _ := s.get(s.ready, "/")
@@ -183,8 +183,8 @@
 	})
 }
 
-// A request outlasts the time that is left. The process ends by itself before
-// it is killed, so that its other work ends in order.
+// A request takes longer than the grace period. The process must still exit before it is killed, so
+// that its other work ends in order.
 func TestShutdownEndsWithinGracePeriod(t *testing.T) {
 	withGateway(t, func(s *testGateway) {
 		go s.get(s.callers, "/19s")
@@ -196,12 +196,12 @@
 	})
 }
 
-// A caller that kept the address for long comes just before the process ends,
-// with a request that may take longer than what is left. It hears at once that
-// nothing ran and goes elsewhere; taken, the request would be cut.
+// A caller that kept the address for too long sends a request just before the process exits, with a
+// deadline after the exit. The request must be refused at once, so that the caller can use another
+// VM; if it were accepted, it would be interrupted.
 func TestLateRequestIsRefusedDuringShutdown(t *testing.T) {
 	withGateway(t, func(s *testGateway) {
-		go s.get(s.callers, "/19s") // keeps the process until its end
+		go s.get(s.callers, "/19s") // keeps the process running until the end of the grace period
 		time.Sleep(time.Second)
 		s.terminate()
 		time.Sleep(7300 * time.Millisecond)
@@ -212,8 +212,8 @@
 	})
 }
 
-// Callers reuse a connection that was idle for most of the limit in force. The
-// limit changes with the configuration, for connections opened from then on.
+// Callers reuse a connection that was idle for less than the idle timeout. A change of the timeout
+// in the configuration must apply to connections opened after it.
 func TestIdleTimeoutFollowsConfiguration(t *testing.T) {
 	for _, c := range []struct {
 		idle time.Duration
--- a/serve/gateway/poison_test.go
+++ b/serve/gateway/poison_test.go
@@ -15,38 +15,41 @@
 )
 
 const (
-	// crashesBeforeDetection is how many servers a request may end before anything has to be known.
+	// crashesBeforeDetection is the number of crashes after which a request must be recognized as
+	// poisonous.
 	crashesBeforeDetection = 3
-	// poisonDetectionTime is how long after that the fleet may take to know.
+	// poisonDetectionTime is the time that the fleet may then take to recognize it.
 	poisonDetectionTime = 3 * time.Second
-	// maxSendsAfterDetection is how many more sends the fleet may make then.
+	// maxSendsAfterDetection is how often the fleet may still send the request after that.
 	maxSendsAfterDetection = 3
 )
 
-// A request ends each server that runs it and comes again at all daemons: it must reach few more.
+// A request that crashes each server that runs it is sent again and again to all daemons. Once the
+// fleet has had the time to recognize it, it must reach few more servers. Other requests must not be
+// refused as poisonous.
 func TestPoisonRequestReachesFewServers(t *testing.T) {
 	all := []int{0, 1, 2, 3, 4, 5, 6}
 	for _, c := range []struct {
 		name    string
 		path    string
 		service string
-		during  func(*fleet) // beside the requests
+		during  func(*fleet) // runs concurrently with the requests
 	}{
 		{"stream", "/stream/1", "llm", nil},
 		{"idempotent call", "/again/1", "desk", nil},
 		{"call that runs at most once", "/once/1", "desk", nil},
-		{"another query each time", "/again/1", "desk", nil},
-		{"all daemons start again later", "/stream/1", "llm", func(f *fleet) {
+		{"different query each time", "/again/1", "desk", nil},
+		{"all daemons restart later", "/stream/1", "llm", func(f *fleet) {
 			time.Sleep(25 * time.Second)
 			f.restart(all...)
 		}},
-		{"daemons start again in turn", "/again/1", "desk", func(f *fleet) {
+		{"rolling restart of the daemons", "/again/1", "desk", func(f *fleet) {
 			for n := range all {
 				time.Sleep(4 * time.Second)
 				f.restart(n)
 			}
 		}},
-		{"the store is away first", "/stream/1", "llm", func(f *fleet) {
+		{"store outage first", "/stream/1", "llm", func(f *fleet) {
 			f.setStoreDown(true)
 			time.Sleep(20 * time.Second)
 			f.setStoreDown(false)
@@ -64,7 +67,7 @@
 				for n := range 120 {
 					time.Sleep(500 * time.Millisecond)
 					path := c.path
-					if c.name == "another query each time" {
+					if c.name == "different query each time" {
 						path = fmt.Sprintf("%s?n=%d", c.path, n)
 					}
 					f.background.Go(func() { f.send(n*3%len(all), path, crashBody) })
@@ -83,7 +86,8 @@
 	}
 }
 
-// crashUntilRefused has a request end its servers until it is refused, and returns its digest.
+// crashUntilRefused sends a request that crashes its servers until the store holds a refusal, and
+// returns the digest in the refusal's key.
 func (f *fleet) crashUntilRefused(path string) (digest string) {
 	for n := range 6 {
 		f.send(n, path, crashBody)
@@ -99,7 +103,8 @@
 	return digest
 }
 
-// The answer must neither say that nothing ran nor invite the caller back.
+// The refusal of a poison request must neither say that the request did not run nor ask the caller
+// to retry.
 func TestPoisonRefusalDoesNotInviteRetry(t *testing.T) {
 	withFleet(t, 7, func(f *fleet) {
 		f.startServers("desk", 6)
@@ -113,7 +118,7 @@
 	})
 }
 
-// An operator lifts a refusal: no daemon may hold on to it.
+// After an operator removes a refusal, no daemon may keep refusing the request.
 func TestRequestIsSentAgainAfterRefusalIsRemoved(t *testing.T) {
 	withFleet(t, 7, func(f *fleet) {
 		f.startServers("desk", 6)
@@ -130,7 +135,8 @@
 	})
 }
 
-// Servers that end by themselves under a call that many make: it must not be refused.
+// Servers crash for other reasons while they run a call that is made often. The call must not be
+// refused as poisonous.
 func TestFrequentCallIsNotRefusedWhenServersCrash(t *testing.T) {
 	withFleet(t, 7, func(f *fleet) {
 		f.startServers("desk", 6)
@@ -147,7 +153,9 @@
 	})
 }
 
-// Three ends at one daemon, with whole answers elsewhere between them, must refuse no request.
+// Nine times a server crashes while it runs a request sent by one daemon. After every second crash,
+// another daemon gets a complete response to the same request, so there are never three crashes in
+// a row. The request must not be refused.
 func TestCompleteResponseClearsCrashCountsOfOtherDaemons(t *testing.T) {
 	withFleet(t, 7, func(f *fleet) {
 		f.startServers("desk", 9)
@@ -155,7 +163,7 @@
 			f.background.Go(func() { f.send(0, "/once/1", "fine") })
 			time.Sleep(10 * time.Millisecond)
 			f.crashLastServerOf("/once/1")
-			time.Sleep(4 * time.Second) // it is back, so that one is down at a time
+			time.Sleep(4 * time.Second) // the server restarts, so that only one is down at a time
 			if n%2 == 1 {
 				got := f.send(3, "/once/1", "fine")
 				must.Eq(f.t, http.StatusOK, got.status, must.Sprint(got.body))
@@ -165,7 +173,7 @@
 	})
 }
 
-// crashLastServerOf ends the server that a request of a path reached last.
+// crashLastServerOf crashes the server that most recently received a request with the given path.
 func (f *fleet) crashLastServerOf(path string) {
 	var last *backend
 	var at time.Time
--- a/serve/gateway/rollout_test.go
+++ b/serve/gateway/rollout_test.go
@@ -23,29 +23,30 @@
 	"mallowwind.dev/external/store"
 )
 
-// versionedServer is a server of one version of a service.
+// versionedServer is a backend server that runs one version of a service.
 type versionedServer struct {
 	service     *rolloutService
 	version     string
 	id          string
 	listener    *faultnet.Listener
 	http        *http.Server
-	failPercent atomic.Uint64 // of 100 requests
+	failPercent atomic.Uint64 // percentage of requests that fail
 	requests    atomic.Int64
 	lastRequest atomic.Int64 // Unix nanoseconds of the last request
 }
 
-// rolloutService is a service whose servers are of two versions, before a fleet.
+// rolloutService is a service with servers of several versions, used by a fleet.
 type rolloutService struct {
 	f           *fleet
 	name        string
-	mu          sync.Mutex // guards the rest
+	mu          sync.Mutex // guards the fields below
 	servers     []*versionedServer
-	failures    int       // answers of the new version that failed
-	thresholdAt time.Time // when there were so many
+	failures    int       // responses that failed
+	thresholdAt time.Time // when failures reached failureThreshold
 }
 
-// failureThreshold is how many bad answers begin the time after which a bad version gets nothing.
+// failureThreshold is the number of failed responses after which a bad version must soon get no more
+// requests.
 const failureThreshold = 50
 
 func (r *rolloutService) start(version string, n int) {
@@ -66,7 +67,7 @@
 	}
 }
 
-// stop ends the servers of a version without warning.
+// stop stops the servers of a version without draining them.
 func (r *rolloutService) stop(version string) {
 	r.forEach(version, func(s *versionedServer) {
 		s.listener.Cut()
@@ -86,12 +87,12 @@
 	}
 }
 
-// setFailPercent has a part of the answers of a version fail, of 100.
+// setFailPercent sets the percentage of requests that fail at the servers of a version.
 func (r *rolloutService) setFailPercent(version string, percent uint64) {
 	r.forEach(version, func(s *versionedServer) { s.failPercent.Store(percent) })
 }
 
-// requestsTo is how many requests reached a version, and when the last did.
+// requestsTo returns how many requests reached the servers of a version, and when the last one did.
 func (r *rolloutService) requestsTo(version string) (n int64, last time.Time) {
 	r.forEach(version, func(s *versionedServer) {
 		n += s.requests.Load()
@@ -102,13 +103,14 @@
 	return n, last
 }
 
-// ServeHTTP runs a request: 30 ms for a call, and for a stream a second and then twenty events.
+// ServeHTTP runs a request: a call takes 30 ms, a stream takes one second of prefill and then sends
+// twenty events.
 func (s *versionedServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/v1/status" {
 		fmt.Fprint(w, "{}")
 		return
 	}
-	_, _ = io.Copy(io.Discard, r.Body) // a caller that leaves is noticed then
+	_, _ = io.Copy(io.Discard, r.Body) // net/http detects a disconnect only after the body is read
 	if r.Header.Get("X-Backend-Id") != s.id {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
@@ -145,7 +147,7 @@
 	}
 }
 
-// startRollout writes an operator's order and starts the servers of the target.
+// startRollout writes an order and starts n servers of the target version.
 func (r *rolloutService) startRollout(target string, period time.Duration, n int) {
 	r.writeOrder(target, period)
 	r.start(target, n)
@@ -157,7 +159,7 @@
 	r.f.put(feed.OwnRolloutOrderKey(r.name), string(raw))
 }
 
-// status is what lies in the store, the zero value while nothing does.
+// status returns the rollout status in the store, or the zero value if there is none.
 func (r *rolloutService) status() routing.RolloutStatus {
 	kv, err := r.f.store.Get(r.f.t.Context(), feed.OwnRollouts{}.RolloutStatusKey(r.name))
 	if err != nil {
@@ -168,7 +170,8 @@
 	return s
 }
 
-// awaitEnd stops the servers that an end of the roll-out leaves, as operators' platforms do.
+// awaitEnd waits until the rollout has ended. If it was completed, awaitEnd stops the servers of the
+// replaced version at once, as a platform does.
 func (r *rolloutService) awaitEnd(replaced string, timeout time.Duration) (end rollout.Stage, after time.Duration) {
 	began, stage := time.Now(), rollout.Idle
 	for time.Since(began) < timeout {
@@ -187,7 +190,7 @@
 	return r.status().Stage, timeout
 }
 
-// withRolloutService runs test before daemons with four servers of v1.
+// withRolloutService runs test with a fleet of daemons and a service with four servers of v1.
 func withRolloutService(t *testing.T, daemons int, service string, test func(*rolloutService)) {
 	withFleet(t, daemons, func(f *fleet) {
 		r := &rolloutService{f: f, name: service}
@@ -199,26 +202,26 @@
 
 const (
 	rolloutPeriod  = 12 * time.Second
-	callsPerSecond = 150 // a second
+	callsPerSecond = 150
 )
 
-// A bad version gets no more than a tenth of the requests and fifty, and nothing 5 s after its 50th
-// bad answer, whatever happens to the daemons meanwhile.
+// A bad version must get at most a tenth of the requests plus fifty, and none later than 5 s after
+// its 50th failed response, even if the store or daemons fail meanwhile.
 func TestBadVersionStaysWithinCanaryLimits(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		daemons   int
-		extraLoad time.Duration // that callers go on after the period
+		extraLoad time.Duration // how long callers continue after the rollout period
 		during    func(*rolloutService)
 	}{
 		{"seven daemons", 7, 0, func(*rolloutService) {}},
 		{"forty daemons", 40, 0, func(*rolloutService) {}},
-		{"turns bad later", 7, 0, func(r *rolloutService) {
+		{"version fails later", 7, 0, func(r *rolloutService) {
 			r.setFailPercent("v2", 0)
 			time.Sleep(5 * time.Second)
 			r.setFailPercent("v2", 40)
 		}},
-		{"the store goes away", 7, 6 * time.Second, func(r *rolloutService) {
+		{"store outage", 7, 6 * time.Second, func(r *rolloutService) {
 			time.Sleep(800 * time.Millisecond)
 			r.f.setStoreDown(true)
 			time.Sleep(9 * time.Second)
@@ -228,7 +231,7 @@
 			time.Sleep(1500 * time.Millisecond)
 			r.f.restart(0, 1, 2, 3, 4, 5, 6)
 		}},
-		{"daemons are killed in turn", 7, 0, func(r *rolloutService) {
+		{"daemons are killed one after the other", 7, 0, func(r *rolloutService) {
 			for n := range 7 {
 				time.Sleep(700 * time.Millisecond)
 				r.f.restart(n)
@@ -255,13 +258,13 @@
 	}
 }
 
-// A good version is completed in time, and the servers of the version before, which stop at that
-// moment, have nothing under way.
+// The rollout of a good version must be completed within its period. The servers of the previous
+// version stop at that moment and must have no requests in progress.
 func TestGoodVersionCompletesWithoutInterruptedRequests(t *testing.T) {
 	for _, c := range []struct {
 		name, service, path string
 		daemons, perSecond  int
-		restarts            bool // callers of daemons that are killed get no answer
+		restarts            bool // daemons are killed, so some callers get no response
 		during              func(*rolloutService)
 	}{
 		{"calls", "desk", "/once/", 7, callsPerSecond, false, func(*rolloutService) {}},
@@ -271,13 +274,13 @@
 			time.Sleep(3 * time.Second)
 			r.writeOrder("v2", rolloutPeriod)
 		}},
-		{"daemons start again one after the other", "desk", "/once/", 7, callsPerSecond, true, func(r *rolloutService) {
+		{"rolling restart of the daemons", "desk", "/once/", 7, callsPerSecond, true, func(r *rolloutService) {
 			for n := range 7 {
 				time.Sleep(time.Second)
 				r.f.restart(n)
 			}
 		}},
-		{"nobody asks", "desk", "/once/", 7, 0, false, func(*rolloutService) {}},
+		{"no requests", "desk", "/once/", 7, 0, false, func(*rolloutService) {}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			withRolloutService(t, c.daemons, c.service, func(r *rolloutService) {
@@ -313,8 +316,8 @@
 	}
 }
 
-// Servers of a version that no order allows get nothing, and neither do those of one that was
-// rolled back, also at daemons that start later.
+// Servers of a version that no order allows must get no requests. The same holds for a version that
+// was rolled back, even from daemons that start later.
 func TestVersionsWithoutOrderGetNoRequests(t *testing.T) {
 	withRolloutService(t, 7, "desk", func(r *rolloutService) {
 		r.start("v0", 4)
@@ -338,14 +341,15 @@
 	})
 }
 
-// An operator takes a roll-out back, or orders another target, while it runs.
+// While a rollout runs, an operator orders the previous version again or a third one. The rollout to
+// the new target must be completed without failed requests.
 func TestOrderChangesDuringRollout(t *testing.T) {
 	for _, c := range []struct {
 		name, target string
-		start        bool // servers of the other target
+		start        bool // start servers of the target
 		removed      []string
 	}{
-		{"back to the version before", "v1", false, []string{"v2"}},
+		{"back to the previous version", "v1", false, []string{"v2"}},
 		{"on to a third version", "v3", true, []string{"v1", "v2"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -367,7 +371,7 @@
 					r.stop(version)
 				}
 				n, _ := r.requestsTo("v2")
-				test.LessEq(t, before+5, n) // what was on its way
+				test.LessEq(t, before+5, n) // allows for requests in flight
 				counts := <-got
 				time.Sleep(2 * time.Second)
 				test.Eq(t, counts.sent.Load(), counts.answered.Load())
@@ -376,8 +380,9 @@
 	}
 }
 
-// The store is away when everything was to go to the new version. Daemons learn of that late, and
-// the servers of the version before stop when the roll-out is completed: nobody may be cut.
+// The store is unreachable when all requests should move to the new version, so daemons learn of it
+// late. The servers of the previous version stop when the rollout is completed; no request may be
+// interrupted.
 func TestRolloutCompletesAfterStoreOutage(t *testing.T) {
 	withRolloutService(t, 7, "desk", func(r *rolloutService) {
 		got := make(chan *callCounts, 1)
@@ -395,7 +400,8 @@
 	})
 }
 
-// An operator gives up a roll-out while the store is away, and takes the new servers away.
+// The servers of the new version are removed while the store is unreachable. The rollout must be
+// rolled back, and later calls must all be answered.
 func TestTargetVersionIsRemovedDuringStoreOutage(t *testing.T) {
 	withRolloutService(t, 7, "desk", func(r *rolloutService) {
 		got := make(chan *callCounts, 1)
@@ -415,11 +421,12 @@
 	})
 }
 
-// All servers of a new version are lost once it gets every request, or while it is tried.
+// All servers of the new version are lost, either while it is a canary or once it gets all requests.
+// The rollout must be rolled back, and later streams must all be answered.
 func TestAllServersOfTargetVersionAreLost(t *testing.T) {
 	for _, after := range []time.Duration{3 * time.Second, 11 * time.Second} {
 		withRolloutService(t, 7, "llm", func(r *rolloutService) {
-			period := 24 * time.Second // nothing more is decided while the service is called
+			period := 24 * time.Second // long enough that no further stage begins under load
 			if after > 5*time.Second {
 				period = rolloutPeriod
 			}
@@ -438,7 +445,8 @@
 	}
 }
 
-// Two services move at the same time, one to a version that is bad.
+// Two services are rolled out at the same time, one of them to a bad version. Only that one must be
+// rolled back.
 func TestConcurrentRolloutsOfTwoServices(t *testing.T) {
 	withRolloutService(t, 7, "desk", func(desk *rolloutService) {
 		llm := &rolloutService{f: desk.f, name: "llm"}
@@ -455,13 +463,14 @@
 		test.Eq(t, rollout.RolledBack, llm.status().Stage)
 		test.Eq(t, got.sent.Load(), got.answered.Load())
 		streamCounts := <-streams
-		test.Eq(t, streamCounts.sent.Load(), streamCounts.answered.Load()) // another server answers what failed
+		test.Eq(t, streamCounts.sent.Load(), streamCounts.answered.Load()) // failed requests are retried at another server
 		n, _ := llm.requestsTo("v2")
 		test.LessEq(t, streamCounts.sent.Load()/10+50, n)
 	})
 }
 
-// Orders that nobody can carry out change nothing.
+// Invalid orders must have no effect. An order for a version without servers must be rolled back
+// without failed requests.
 func TestInvalidRolloutOrders(t *testing.T) {
 	withRolloutService(t, 3, "desk", func(r *rolloutService) {
 		key := feed.OwnRolloutOrderKey("desk")
@@ -470,7 +479,7 @@
 			time.Sleep(2 * time.Second)
 			must.Eq(t, routing.RolloutStatus{}, r.status())
 		}
-		r.writeOrder("v9", 4*time.Second) // there is no server of it
+		r.writeOrder("v9", 4*time.Second) // no server runs this version
 		time.Sleep(6 * time.Second)
 		must.Eq(t, rollout.RolledBack, r.status().Stage)
 		got := r.f.load("/once/", callsPerSecond, time.Second)
@@ -481,7 +490,8 @@
 	})
 }
 
-// An order is read before any configuration is.
+// A daemon reads a rollout order before it has any configuration. Once it has one, it must answer all
+// requests.
 func TestRolloutOrderBeforeFirstConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{t: t, began: time.Now(), store: store.NewMemory(), daemons: map[string]*daemon{}, servers: map[string]*backend{}}
--- a/serve/gateway/server_limits_test.go
+++ b/serve/gateway/server_limits_test.go
@@ -14,19 +14,20 @@
 )
 
 const (
-	// limitWindow is the time in which requests to a server that names its rate are counted,
-	// limitKnown how long after it first does all daemons must keep to it.
+	// limitWindow is the interval over which requests to a server with a rate limit are counted.
+	// limitPropagationTime is the time after which all daemons must respect a new limit.
 	limitWindow          = 4 * time.Second
 	limitPropagationTime = 3 * time.Second
 )
 
-// maxArrivalsInWindow is what may reach a server in limitSpan that takes rate requests a second.
+// maxArrivalsInWindow returns how many requests may reach a server within limitWindow if its limit
+// is rate requests per second.
 func maxArrivalsInWindow(rate float64) int { return int(1.5*rate*limitWindow.Seconds()) + 5 }
 
-// callCounts are what callers got.
+// callCounts counts the calls sent and their results.
 type callCounts struct{ sent, answered, refused, inTime atomic.Int64 }
 
-// load sends calls to random daemons for a time, perSecond of them.
+// load sends perSecond calls per second to random daemons for the given duration.
 func (f *fleet) load(path string, perSecond int, duration time.Duration) *callCounts {
 	var got callCounts
 	random := rand.New(rand.NewPCG(1, 2))
@@ -57,7 +58,7 @@
 	return &got
 }
 
-// Servers that name what they take of all daemons together must not get more.
+// Servers announce a limit on the request rate of all daemons together. They must not get more.
 func TestFleetKeepsServerRateLimit(t *testing.T) {
 	const rate = 5
 	for _, c := range []struct {
@@ -68,21 +69,21 @@
 		perSecond int
 		servers   int
 		limited   int
-		answered  float64 // least part of the calls
+		answered  float64 // minimum fraction of the calls
 		during    func(*fleet)
 	}{
-		{"two desks of three", 7, "/once/", "desk", 84, 3, 2, 0.99, nil},
-		{"two desks of three, idempotent calls", 7, "/again/", "desk", 84, 3, 2, 0.99, nil},
-		{"all desks", 7, "/once/", "desk", 84, 3, 3, 0.1, nil},
+		{"two of three servers limited", 7, "/once/", "desk", 84, 3, 2, 0.99, nil},
+		{"two of three servers limited, idempotent calls", 7, "/again/", "desk", 84, 3, 2, 0.99, nil},
+		{"all servers limited", 7, "/once/", "desk", 84, 3, 3, 0.1, nil},
 		{"forty daemons", 40, "/once/", "desk", 120, 3, 2, 0.99, nil},
-		{"forty daemons, all desks", 40, "/once/", "desk", 120, 3, 3, 0.08, nil},
-		{"daemons start again in turn", 7, "/once/", "desk", 84, 3, 2, 0, func(f *fleet) {
+		{"forty daemons, all servers limited", 40, "/once/", "desk", 120, 3, 3, 0.08, nil},
+		{"rolling restart of the daemons", 7, "/once/", "desk", 84, 3, 2, 0, func(f *fleet) {
 			for n := range 7 {
 				time.Sleep(2 * time.Second)
 				f.restart(n)
 			}
 		}},
-		{"the store is away", 7, "/once/", "desk", 84, 3, 2, 0.99, func(f *fleet) { f.setStoreDown(true) }},
+		{"store outage", 7, "/once/", "desk", 84, 3, 2, 0.99, func(f *fleet) { f.setStoreDown(true) }},
 		{"engines", 7, "/stream/", "llm", 80, 8, 6, 0.9, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -108,7 +109,7 @@
 	}
 }
 
-// A server ceases to name a limit: it must get its part of the calls again.
+// A server no longer announces a limit. It must get its share of the calls again.
 func TestServerIsUsedAgainAfterItsLimitEnds(t *testing.T) {
 	withFleet(t, 7, func(f *fleet) {
 		f.startServers("desk", 3)
@@ -124,7 +125,8 @@
 	})
 }
 
-// The process that named a limit ends: the next one at its address has none.
+// The server process that announced a limit crashes. The limit must not apply to the next process at
+// the same address.
 func TestServerLimitEndsWithItsProcess(t *testing.T) {
 	withFleet(t, 7, func(f *fleet) {
 		f.startServers("desk", 3)
@@ -141,7 +143,7 @@
 	})
 }
 
-// What cannot be read must neither be taken for no limit nor end all calls.
+// An unreadable limit must neither be treated as no limit nor stop all calls to the server.
 func TestUnreadableServerLimit(t *testing.T) {
 	for _, text := range []string{"soon", "-3", "NaN", "0"} {
 		t.Run(text, func(t *testing.T) {
@@ -161,7 +163,8 @@
 	}
 }
 
-// The daemon that gives out permits is cut off from the others: they must keep to the rate.
+// Three of seven daemons, which may be permit issuers, stop answering their peers. The fleet must
+// still respect the limits.
 func TestServerRateLimitHoldsWhenPermitDaemonsStall(t *testing.T) {
 	withFleet(t, 7, func(f *fleet) {
 		f.startServers("desk", 3)
