--- a/serve/api/request.go
+++ b/serve/api/request.go
@@ -89,45 +89,45 @@
 // parseCompletion parses and validates a completion request and returns the specification of its
 // generation.
 func parseCompletion(r *http.Request, body []byte, s *site.Site, account *site.Account, chat bool) (*generation.Spec, completionRequest, error) {
-	var q completionRequest
-	if err := json.Unmarshal(body, &q); err != nil {
-		return nil, q, badRequest("the body is not a JSON object of the completions API: %s", err)
+	var req completionRequest
+	if err := json.Unmarshal(body, &req); err != nil {
+		return nil, req, badRequest("the body is not a JSON object of the completions API: %s", err)
 	}
-	service := s.Services[q.Model]
+	service := s.Services[req.Model]
 	if service == nil || service.Kind != site.KindGeneration {
-		return nil, q, verdict.New(verdict.NotRun, verdict.CodeUnknownService,
-			"model %q names no generation service of the site text", q.Model)
+		return nil, req, verdict.New(verdict.NotRun, verdict.CodeUnknownService,
+			"model %q names no generation service of the site text", req.Model)
 	}
-	if err := q.checkSupported(); err != nil {
-		return nil, q, err
+	if err := req.checkSupported(); err != nil {
+		return nil, req, err
 	}
-	prompt, err := q.prompt(chat)
+	prompt, err := req.prompt(chat)
 	if err != nil {
-		return nil, q, err
+		return nil, req, err
 	}
-	limit, err := q.tokenLimit(service)
+	limit, err := req.tokenLimit(service)
 	if err != nil {
-		return nil, q, err
+		return nil, req, err
 	}
-	stop, err := stringOrList("stop", q.Stop)
+	stop, err := stringOrList("stop", req.Stop)
 	if err != nil {
-		return nil, q, err
+		return nil, req, err
 	}
 	key, err := readKey(r)
 	if err != nil {
-		return nil, q, err
+		return nil, req, err
 	}
 	spec := &generation.Spec{
 		Account: account, Service: service, Prompt: prompt, MaxTokens: limit,
-		Seed: q.Seed, Stop: stop, Key: key, Chat: chat, Temperature: 1,
+		Seed: req.Seed, Stop: stop, Key: key, Chat: chat, Temperature: 1,
 	}
-	if q.Temperature != nil {
-		if *q.Temperature < 0 || *q.Temperature > 2 {
-			return nil, q, badRequest("temperature is %g; it must lie between 0 and 2", *q.Temperature)
+	if req.Temperature != nil {
+		if *req.Temperature < 0 || *req.Temperature > 2 {
+			return nil, req, badRequest("temperature is %g; it must lie between 0 and 2", *req.Temperature)
 		}
-		spec.Temperature = *q.Temperature
+		spec.Temperature = *req.Temperature
 	}
-	return spec, q, nil
+	return spec, req, nil
 }
 
 func (q *completionRequest) checkSupported() error {
--- a/serve/api/stream.go
+++ b/serve/api/stream.go
@@ -30,8 +30,8 @@
 func writeStream(ctx context.Context, w http.ResponseWriter, h *generation.Handle, pos lineage.Position, format responseFormat) error {
 	s := &streamWriter{w: w, controller: http.NewResponseController(w), format: format}
 	for {
-		wait, cancel := context.WithTimeout(ctx, keepAliveInterval)
-		b, err := h.Read(wait, pos)
+		readCtx, cancel := context.WithTimeout(ctx, keepAliveInterval)
+		b, err := h.Read(readCtx, pos)
 		cancel()
 		switch {
 		case ctx.Err() != nil:
--- a/serve/gateway/caller_server.go
+++ b/serve/gateway/caller_server.go
@@ -51,23 +51,23 @@
 }
 
 // Accept implements net.Listener.
-func (h *connListener) Accept() (net.Conn, error) {
+func (l *connListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-h.conns:
+	case c := <-l.conns:
 		return c, nil
-	case <-h.done:
+	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (h *connListener) Close() error {
-	h.once.Do(func() { close(h.done) })
+func (l *connListener) Close() error {
+	l.once.Do(func() { close(l.done) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (h *connListener) Addr() net.Addr { return h.addr }
+func (l *connListener) Addr() net.Addr { return l.addr }
 
 func newCallerServer(l net.Listener, handler http.Handler, events *event.Log, errorLog *log.Logger) *callerServer {
 	c := &callerServer{listener: l, handler: handler, log: events, errorLog: errorLog}
@@ -84,16 +84,16 @@
 		IdleTimeout:       valueOrDefault(limits.IdleTimeout, defaultIdleTimeout),
 		MaxHeaderBytes:    valueOrDefault(limits.HeaderBytes, defaultMaxHeaderBytes),
 	}
-	h := &connListener{conns: make(chan net.Conn), done: make(chan struct{}), addr: c.listener.Addr()}
+	l := &connListener{conns: make(chan net.Conn), done: make(chan struct{}), addr: c.listener.Addr()}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return
 	}
-	c.current, c.limits = h, limits
+	c.current, c.limits = l, limits
 	c.servers = append(c.servers, s)
 	go func() {
-		if err := s.Serve(h); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
+		if err := s.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 			c.log.Emit(event.ListenerFailed, c.listener.Addr().String(), err)
 		}
 	}()
@@ -150,11 +150,11 @@
 
 func (c *callerServer) dispatch(conn net.Conn) {
 	c.mu.Lock()
-	h := c.current
+	l := c.current
 	c.mu.Unlock()
 	select {
-	case h.conns <- conn:
-	case <-h.done:
+	case l.conns <- conn:
+	case <-l.done:
 		conn.Close()
 	}
 }
--- a/serve/gateway/gateway.go
+++ b/serve/gateway/gateway.go
@@ -123,11 +123,11 @@
 }
 
 // Apply replaces the dynamic options.
-func (g *Gateway) Apply(b DynamicOptions) {
-	g.handler.SetBounds(b.MaxKeyAge, b.RetryBudget)
-	g.feed.SetSeeds(b.Seeds)
-	g.versions.SetLimits(b.RolloutLimits)
-	g.gracePeriod.Store(int64(b.GracePeriod))
+func (g *Gateway) Apply(o DynamicOptions) {
+	g.handler.SetBounds(o.MaxKeyAge, o.RetryBudget)
+	g.feed.SetSeeds(o.Seeds)
+	g.versions.SetLimits(o.RolloutLimits)
+	g.gracePeriod.Store(int64(o.GracePeriod))
 }
 
 // IsReady reports whether callers should be directed to this daemon.
