--- a/serve/api/completions.go
+++ b/serve/api/completions.go
@@ -47,7 +47,8 @@
 	return writeResponse(r.Context(), w, h, spec, format)
 }
 
-// writeResponse collects the whole generation from h and sends it as one JSON response.
+// writeResponse reads the whole generation from h in the same way as writeStream, and sends it as one
+// JSON response.
 func writeResponse(ctx context.Context, w http.ResponseWriter, h *generation.Handle, spec *generation.Spec, format responseFormat) error {
 	var (
 		text strings.Builder
