--- a/serve/gateway/gateway.go
+++ b/serve/gateway/gateway.go
@@ -21,7 +21,7 @@
 	"mallowwind.dev/control/feed"
 	"mallowwind.dev/control/routing"
 	"mallowwind.dev/decision/entries"
-	"mallowwind.dev/decision/repeats"
+	"mallowwind.dev/decision/retrybudget"
 	"mallowwind.dev/decision/rollout"
 	"mallowwind.dev/external/sent"
 	"mallowwind.dev/external/store"
@@ -113,7 +113,7 @@
 	// to be trusted.
 	MaxKeyAge time.Duration
 	// RetryBudget bounds the retries of the whole fleet.
-	RetryBudget repeats.Policy
+	RetryBudget retrybudget.Policy
 	// RolloutLimits bound the requests to a version of a service that isn't known to be good.
 	RolloutLimits rollout.Limits
 	// GracePeriod is the time between SIGTERM and the exit of the process.
--- a/serve/gateway/gateway_test.go
+++ b/serve/gateway/gateway_test.go
@@ -17,7 +17,7 @@
 
 	"mallowwind.dev/control/feed"
 	"mallowwind.dev/control/routing"
-	"mallowwind.dev/decision/repeats"
+	"mallowwind.dev/decision/retrybudget"
 	"mallowwind.dev/external/standin/faultnet"
 	"mallowwind.dev/external/standin/storesim"
 	"mallowwind.dev/external/store"
@@ -61,7 +61,7 @@
 			Store: storesim.Confirming{Store: s.store, Hold: time.Second}, Schema: feed.OwnSchema{}, Codec: forward.DefaultCodec{},
 			Clock: func() time.Duration { return time.Since(start) + time.Hour }, Log: event.Discard(),
 			DynamicOptions: DynamicOptions{
-				MaxKeyAge: 5 * time.Second, GracePeriod: 8 * time.Second, RetryBudget: repeats.Policy{Ratio: 1, Slack: 10, Window: time.Second},
+				MaxKeyAge: 5 * time.Second, GracePeriod: 8 * time.Second, RetryBudget: retrybudget.Policy{Ratio: 1, Slack: 10, Window: time.Second},
 			},
 			AddressTTL: time.Second,
 			Registry:   metric.NewCatalogue(), Callers: s.callers, Readiness: s.ready, Directory: s.directory,
