--- a/serve/api/stream.go
+++ b/serve/api/stream.go
@@ -10,7 +10,7 @@
 
 	"github.com/tmaxmax/go-sse"
 
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/decision/verdict"
 	"mallowwind.dev/serve/generation"
 )
@@ -27,7 +27,7 @@
 // writeStream sends a generation from pos on as server-sent events. An error is returned only if
 // nothing has been sent. Later errors are sent as an error event without the terminal event, so
 // that the caller can tell that the answer is incomplete.
-func writeStream(ctx context.Context, w http.ResponseWriter, h *generation.Handle, pos lineage.Position, format responseFormat) error {
+func writeStream(ctx context.Context, w http.ResponseWriter, h *generation.Handle, pos epochs.Position, format responseFormat) error {
 	s := &streamWriter{w: w, controller: http.NewResponseController(w), format: format}
 	for {
 		readCtx, cancel := context.WithTimeout(ctx, keepAliveInterval)
@@ -91,7 +91,7 @@
 // writeBatch writes a batch of tokens as one event. After the last batch it also writes the usage,
 // if requested, and the terminal event.
 func (s *streamWriter) writeBatch(id string, b generation.Batch) error {
-	m := &sse.Message{ID: sse.ID(lineage.Cursor{Generation: id, Position: b.Position}.String())}
+	m := &sse.Message{ID: sse.ID(epochs.Cursor{Generation: id, Position: b.Position}.String())}
 	m.AppendData(s.format.chunk(strings.Join(b.Tokens, ""), string(b.Finish)))
 	if err := s.send(m); err != nil || b.Finish == "" {
 		return err
--- a/serve/journal/holder.go
+++ b/serve/journal/holder.go
@@ -5,14 +5,14 @@
 	"sync"
 	"time"
 
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/peer/peerpb"
 )
 
 // Copy is the state of one generation as its owner last sent it to the holder.
 type Copy struct {
 	Spec    *peerpb.GenerationSpec
-	History lineage.History
+	History epochs.History
 	Tokens  []string
 	Attempt *peerpb.Attempt
 	Finish  string
@@ -56,9 +56,9 @@
 // Result is the reply to the owner that writes a copy.
 type Result struct {
 	Accepted bool
-	Unknown  bool          // no copy, or one that ends before the offset: send the full copy
-	Epoch    lineage.Epoch // newest epoch known to the holder
-	Length   int           // tokens held
+	Unknown  bool         // no copy, or one that ends before the offset: send the full copy
+	Epoch    epochs.Epoch // newest epoch known to the holder
+	Length   int          // tokens held
 }
 
 // Open stores a full copy. It is refused if the copy already held supersedes it, or if it doesn't
@@ -109,7 +109,7 @@
 
 // Append adds tokens at offset. It is refused unless epoch is the epoch of the copy. Tokens
 // already held are skipped, so Append is idempotent.
-func (h *Holder) Append(id string, epoch lineage.Epoch, offset int, tokens []string, attempt *peerpb.Attempt, finish string) Result {
+func (h *Holder) Append(id string, epoch epochs.Epoch, offset int, tokens []string, attempt *peerpb.Attempt, finish string) Result {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	e := h.copies[id]
@@ -163,27 +163,27 @@
 // Adopt makes newOwner the owner from the copy's current length on and returns the copy with its
 // new epoch. It changes nothing unless seen, the position of the caller, is a prefix of the copy.
 // ok is false if there is no copy.
-func (h *Holder) Adopt(id, newOwner string, seen lineage.Position) (Copy, lineage.Relation, bool) {
+func (h *Holder) Adopt(id, newOwner string, seen epochs.Position) (Copy, epochs.Relation, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	e := h.copies[id]
 	if e == nil {
-		return Copy{}, lineage.Prefix, false
+		return Copy{}, epochs.Prefix, false
 	}
-	if rel := e.History.Compare(seen, len(e.Tokens)); rel != lineage.Prefix {
+	if rel := e.History.Compare(seen, len(e.Tokens)); rel != epochs.Prefix {
 		return Copy{}, rel, true
 	}
-	e.History = e.History.Extend(lineage.Fork{
+	e.History = e.History.Extend(epochs.Fork{
 		Epoch:      e.History.Epoch().Next(h.random()),
 		FromOffset: len(e.Tokens),
 		Owner:      newOwner,
 	})
 	h.markChanged(e)
-	return e.clone(), lineage.Prefix, true
+	return e.clone(), epochs.Prefix, true
 }
 
 // Drop removes a copy if its epoch is epoch: its owner has moved it to another holder.
-func (h *Holder) Drop(id string, epoch lineage.Epoch) {
+func (h *Holder) Drop(id string, epoch epochs.Epoch) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if e := h.copies[id]; e != nil && e.History.Epoch() == epoch {
--- a/serve/journal/holder_test.go
+++ b/serve/journal/holder_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/peer/peerpb"
 )
 
@@ -20,10 +20,10 @@
 	return NewHolder(Limits{Bytes: bytes, TTL: func() time.Duration { return time.Minute }}, sequentialRandom())
 }
 
-func copyOf(id string, epoch lineage.Epoch, tokens int, finish string) Copy {
+func copyOf(id string, epoch epochs.Epoch, tokens int, finish string) Copy {
 	c := Copy{
 		Spec: &peerpb.GenerationSpec{Id: id}, Finish: finish,
-		History: lineage.History{{Epoch: epoch, Owner: "vm0"}},
+		History: epochs.History{{Epoch: epoch, Owner: "vm0"}},
 		Attempt: &peerpb.Attempt{Number: 1},
 	}
 	for i := range tokens {
@@ -36,7 +36,7 @@
 // delayed. It must neither shorten the copy nor restore an earlier attempt, whose engine would
 // continue with a different text.
 func TestLateMessagesDoNotRevertCopy(t *testing.T) {
-	h, epoch := newHolder(1<<20), lineage.FirstEpoch(9)
+	h, epoch := newHolder(1<<20), epochs.FirstEpoch(9)
 	must.True(t, h.Open(copyOf("g", epoch, 4, "")).Accepted)
 	must.True(t, h.Append("g", epoch, 4, []string{"a", "b"}, &peerpb.Attempt{Number: 2}, "").Accepted)
 	must.Eq(t, 6, h.Open(copyOf("g", epoch, 3, "")).Length)
@@ -50,18 +50,18 @@
 // A paused owner resumes after another one has adopted its generation, and continues to write. The
 // holder must refuse the writes and return the newer epoch.
 func TestAdoptFencesPreviousOwner(t *testing.T) {
-	h, first := newHolder(1<<20), lineage.FirstEpoch(9)
+	h, first := newHolder(1<<20), epochs.FirstEpoch(9)
 	h.Open(copyOf("g", first, 4, ""))
-	c, rel, ok := h.Adopt("g", "vm1", lineage.Position{Epoch: first, Offset: 3})
+	c, rel, ok := h.Adopt("g", "vm1", epochs.Position{Epoch: first, Offset: 3})
 	must.True(t, ok)
-	must.Eq(t, lineage.Prefix, rel)
+	must.Eq(t, epochs.Prefix, rel)
 	must.Eq(t, "vm1", c.History.Owner())
 	r := h.Append("g", first, 4, []string{"late"}, nil, "")
 	must.False(t, r.Accepted)
 	must.Eq(t, c.History.Epoch(), r.Epoch)
 	must.False(t, h.Open(copyOf("g", first, 9, "")).Accepted)
-	_, rel, _ = h.Adopt("g", "vm2", lineage.Position{Epoch: first, Offset: 5})
-	must.Eq(t, lineage.Diverged, rel)
+	_, rel, _ = h.Adopt("g", "vm2", epochs.Position{Epoch: first, Offset: 5})
+	must.Eq(t, epochs.Diverged, rel)
 }
 
 // A full holder must evict finished copies, the least recently changed first, and never running
@@ -71,14 +71,14 @@
 	copySize := copyBytes(copyOf("x", 1, 10, ""))
 	h := newHolder(3 * copySize)
 	for i, finish := range []string{"stop", "stop", ""} {
-		must.True(t, h.Open(copyOf(fmt.Sprint("g", i), lineage.FirstEpoch(uint64(i)), 10, finish)).Accepted)
+		must.True(t, h.Open(copyOf(fmt.Sprint("g", i), epochs.FirstEpoch(uint64(i)), 10, finish)).Accepted)
 	}
-	h.Adopt("g0", "vm1", lineage.Position{})
-	must.True(t, h.Open(copyOf("g3", lineage.FirstEpoch(3), 10, "")).Accepted)
+	h.Adopt("g0", "vm1", epochs.Position{})
+	must.True(t, h.Open(copyOf("g3", epochs.FirstEpoch(3), 10, "")).Accepted)
 	_, found := h.Peek("g1")
 	must.False(t, found)
-	must.True(t, h.Open(copyOf("g4", lineage.FirstEpoch(4), 10, "")).Accepted)
-	must.False(t, h.Open(copyOf("g5", lineage.FirstEpoch(5), 10, "")).Accepted)
+	must.True(t, h.Open(copyOf("g4", epochs.FirstEpoch(4), 10, "")).Accepted)
+	must.False(t, h.Open(copyOf("g5", epochs.FirstEpoch(5), 10, "")).Accepted)
 	n, bytes := h.Size()
 	must.Eq(t, 3, n)
 	must.Eq(t, 3*copySize, bytes)
