--- a/serve/api/completions.go
+++ b/serve/api/completions.go
@@ -22,14 +22,14 @@
 }
 
 func (a *API) complete(w http.ResponseWriter, r *http.Request, s *site.Site, account *site.Account, chat bool) error {
-	if err := a.accepting(r); err != nil {
+	if err := a.checkAccepting(r); err != nil {
 		return err
 	}
 	body, err := readBody(w, r, s.Limits.BodyBytes)
 	if err != nil {
 		return err
 	}
-	spec, q, err := parseCompletion(r, body, s, account, chat)
+	spec, req, err := parseCompletion(r, body, s, account, chat)
 	if err != nil {
 		return err
 	}
@@ -38,18 +38,18 @@
 		return err
 	}
 	defer h.Close()
-	form := answerForm{chat: chat, model: q.Model, created: time.Now().Unix(), id: h.ID()}
-	if q.Stream {
-		form.usage = q.StreamOptions != nil && q.StreamOptions.IncludeUsage
-		form.promptTokens = spec.PromptTokens()
-		return stream(r.Context(), w, h, epochs.Position{}, form)
+	format := responseFormat{chat: chat, model: req.Model, created: time.Now().Unix(), id: h.ID()}
+	if req.Stream {
+		format.includeUsage = req.StreamOptions != nil && req.StreamOptions.IncludeUsage
+		format.promptTokens = spec.PromptTokens()
+		return writeStream(r.Context(), w, h, epochs.Position{}, format)
 	}
-	return whole(r.Context(), w, h, spec, form)
+	return writeResponse(r.Context(), w, h, spec, format)
 }
 
-// whole collects an answer and sends it at once, on the same machinery as a
-// streamed one.
-func whole(ctx context.Context, w http.ResponseWriter, h *generation.Handle, spec *generation.Spec, form answerForm) error {
+// writeResponse reads the whole generation from h in the same way as writeStream, and sends it as one
+// JSON response.
+func writeResponse(ctx context.Context, w http.ResponseWriter, h *generation.Handle, spec *generation.Spec, format responseFormat) error {
 	var (
 		text strings.Builder
 		pos  epochs.Position
@@ -64,14 +64,14 @@
 		}
 		pos = b.Position
 		if b.Finish != "" {
-			form.promptTokens = spec.PromptTokens()
-			writeJSON(w, http.StatusOK, form.answer(text.String(), string(b.Finish), pos.Offset))
+			format.promptTokens = spec.PromptTokens()
+			writeJSON(w, http.StatusOK, format.response(text.String(), string(b.Finish), pos.Offset))
 			return nil
 		}
 	}
 }
 
-// resume continues a stream whose connection broke, on any entry VM.
+// resume continues a stream whose connection was lost, on any entry VM.
 func (a *API) resume(w http.ResponseWriter, r *http.Request, _ *site.Site, account *site.Account) error {
 	id := mux.Vars(r)["id"]
 	if !epochs.IsValidID(id) {
@@ -90,6 +90,6 @@
 	}
 	h := a.Generations.Find(id, account.Name)
 	defer h.Close()
-	form := answerForm{id: id, created: time.Now().Unix(), chat: r.URL.Query().Get("form") == "chat"}
-	return stream(r.Context(), w, h, pos, form)
+	format := responseFormat{id: id, created: time.Now().Unix(), chat: r.URL.Query().Get("form") == "chat"}
+	return writeStream(r.Context(), w, h, pos, format)
 }
--- a/serve/api/errors.go
+++ b/serve/api/errors.go
@@ -9,8 +9,8 @@
 	"mallowwind.dev/decision/verdict"
 )
 
-// errorBody is the JSON of a refusal or failure. Its shape is the usual one of
-// the completions API with the verdict added, so that client libraries show it.
+// errorBody is the JSON body of an error response. It has the usual structure of the completions
+// API, so that client libraries display it, with the verdict added.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -23,10 +23,10 @@
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 }
 
-// errorType is the same for all errors; code tells them apart.
+// errorType is the type of all errors; the code distinguishes them.
 const errorType = "mallowwind_error"
 
-func bodyOf(e *verdict.Error) errorBody {
+func newErrorBody(e *verdict.Error) errorBody {
 	return errorBody{Error: errorDetail{
 		Message:      e.Message,
 		Type:         errorType,
@@ -36,8 +36,8 @@
 	}}
 }
 
-// statuses maps codes to HTTP statuses; docs/errors.md lists them.
-var statuses = map[verdict.Code]int{
+// statusByCode maps error codes to HTTP statuses. docs/errors.md lists them.
+var statusByCode = map[verdict.Code]int{
 	verdict.CodeBadRequest:            http.StatusBadRequest,
 	verdict.CodeBodyTooLarge:          http.StatusRequestEntityTooLarge,
 	verdict.CodeUnauthorized:          http.StatusUnauthorized,
@@ -62,26 +62,25 @@
 	verdict.CodePoison:                http.StatusBadGateway,
 }
 
-// writeError writes a refusal, unless the answer has begun: then the endpoint
-// has already ended it visibly.
+// writeError writes an error response. It must not be called after the response has been started.
 func writeError(w http.ResponseWriter, e *verdict.Error) {
-	status, ok := statuses[e.Code]
+	status, ok := statusByCode[e.Code]
 	if !ok {
 		status = http.StatusInternalServerError
 	}
 	h := w.Header()
 	if e.RetryAfter > 0 {
-		h.Set("Retry-After", strconv.Itoa(wholeSeconds(e.RetryAfter)))
+		h.Set("Retry-After", strconv.Itoa(ceilSeconds(e.RetryAfter)))
 	}
-	writeJSON(w, status, bodyOf(e))
+	writeJSON(w, status, newErrorBody(e))
 }
 
-// wholeSeconds rounds up: coming back too early is refused again.
-func wholeSeconds(d time.Duration) int { return int((d + time.Second - 1) / time.Second) }
+// ceilSeconds rounds up to whole seconds, because a retry that comes too early is refused again.
+func ceilSeconds(d time.Duration) int { return int((d + time.Second - 1) / time.Second) }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A caller that went away is noticed by the server; there is no one left to tell.
+	// The error is ignored: a write fails only if the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/serve/api/request.go
+++ b/serve/api/request.go
@@ -13,15 +13,14 @@
 	"mallowwind.dev/serve/generation"
 )
 
-// keyHeader names the header by which a repeated request is recognised.
-const keyHeader = "Idempotency-Key"
+// idempotencyKeyHeader is the name of the header that identifies retries of a request.
+const idempotencyKeyHeader = "Idempotency-Key"
 
-// maxKey bounds an idempotency key, in bytes.
-const maxKey = 255
+// maxKeyBytes is the maximum length of an idempotency key.
+const maxKeyBytes = 255
 
-// completionRequest holds the fields of the completions API that are honoured.
-// Others are ignored, as is usual, except those that would change the shape of
-// the answer: they are refused.
+// completionRequest holds the supported fields of the completions API and those that would change
+// the structure of the response, which are refused. Other fields are ignored, as is usual.
 type completionRequest struct {
 	Model               string          `json:"model"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -52,17 +51,16 @@
 	return verdict.New(verdict.NotRun, verdict.CodeBadRequest, format, args...)
 }
 
-// bodyTimeout bounds the arrival of a body. A caller that sends a byte now and
-// then, or whose connection went silent in the middle, would otherwise hold
-// memory for as long as it likes.
+// bodyTimeout limits the time for reading a request body. Otherwise a caller that sends a byte now
+// and then, or whose connection stalls in the middle of the body, would hold memory indefinitely.
 const bodyTimeout = 30 * time.Second
 
-// readBody reads at most limit bytes.
+// readBody reads a body of at most limit bytes within bodyTimeout.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
-	control := http.NewResponseController(w)
-	// A writer without deadlines, as in tests, has its body in memory.
-	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
-	defer func() { _ = control.SetReadDeadline(time.Time{}) }()
+	controller := http.NewResponseController(w)
+	// Writers without support for deadlines, as in tests, read the body from memory.
+	_ = controller.SetReadDeadline(time.Now().Add(bodyTimeout))
+	defer func() { _ = controller.SetReadDeadline(time.Time{}) }()
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -74,64 +72,65 @@
 	return body, nil
 }
 
-// readKey returns the idempotency key, checked.
+// readKey returns the idempotency key of a request after validation. It is empty if there is none.
 func readKey(r *http.Request) (string, error) {
-	key := r.Header.Get(keyHeader)
-	if len(key) > maxKey {
-		return "", badRequest("%s is longer than %d bytes", keyHeader, maxKey)
+	key := r.Header.Get(idempotencyKeyHeader)
+	if len(key) > maxKeyBytes {
+		return "", badRequest("%s is longer than %d bytes", idempotencyKeyHeader, maxKeyBytes)
 	}
 	for _, c := range []byte(key) {
 		if c < ' ' || c > '~' {
-			return "", badRequest("%s holds a byte that is not printable ASCII", keyHeader)
+			return "", badRequest("%s holds a byte that is not printable ASCII", idempotencyKeyHeader)
 		}
 	}
 	return key, nil
 }
 
-// parseCompletion turns a request into a specification.
+// parseCompletion parses and validates a completion request and returns the specification of its
+// generation.
 func parseCompletion(r *http.Request, body []byte, s *site.Site, account *site.Account, chat bool) (*generation.Spec, completionRequest, error) {
-	var q completionRequest
-	if err := json.Unmarshal(body, &q); err != nil {
-		return nil, q, badRequest("the body is not a JSON object of the completions API: %s", err)
+	var req completionRequest
+	if err := json.Unmarshal(body, &req); err != nil {
+		return nil, req, badRequest("the body is not a JSON object of the completions API: %s", err)
 	}
-	service := s.Services[q.Model]
+	service := s.Services[req.Model]
 	if service == nil || service.Kind != site.KindGeneration {
-		return nil, q, verdict.New(verdict.NotRun, verdict.CodeUnknownService,
-			"model %q names no generation service of the site text", q.Model)
+		return nil, req, verdict.New(verdict.NotRun, verdict.CodeUnknownService,
+			"model %q names no generation service of the site text", req.Model)
 	}
-	if err := q.unsupported(); err != nil {
-		return nil, q, err
+	if err := req.checkSupported(); err != nil {
+		return nil, req, err
 	}
-	prompt, err := q.prompt(chat)
+	prompt, err := req.prompt(chat)
 	if err != nil {
-		return nil, q, err
+		return nil, req, err
 	}
-	limit, err := q.limit(service)
+	limit, err := req.tokenLimit(service)
 	if err != nil {
-		return nil, q, err
+		return nil, req, err
 	}
-	stop, err := stringOrList("stop", q.Stop)
+	stop, err := stringOrList("stop", req.Stop)
 	if err != nil {
-		return nil, q, err
+		return nil, req, err
 	}
 	key, err := readKey(r)
 	if err != nil {
-		return nil, q, err
+		return nil, req, err
 	}
 	spec := &generation.Spec{
 		Account: account, Service: service, Prompt: prompt, MaxTokens: limit,
-		Seed: q.Seed, Stop: stop, Key: key, Chat: chat, Temperature: 1,
+		Seed: req.Seed, Stop: stop, Key: key, Chat: chat, Temperature: 1,
 	}
-	if q.Temperature != nil {
-		if *q.Temperature < 0 || *q.Temperature > 2 {
-			return nil, q, badRequest("temperature is %g; it must lie between 0 and 2", *q.Temperature)
+	if req.Temperature != nil {
+		if *req.Temperature < 0 || *req.Temperature > 2 {
+			return nil, req, badRequest("temperature is %g; it must lie between 0 and 2", *req.Temperature)
 		}
-		spec.Temperature = *q.Temperature
+		spec.Temperature = *req.Temperature
 	}
-	return spec, q, nil
+	return spec, req, nil
 }
 
-func (q *completionRequest) unsupported() error {
+func (q *completionRequest) checkSupported() error {
 	switch {
 	case q.N != nil && *q.N != 1:
 		return badRequest("n is %d; one answer per request is supported", *q.N)
@@ -145,8 +144,8 @@
 	return nil
 }
 
-// limit returns the largest answer in tokens.
-func (q *completionRequest) limit(service *site.Service) (int, error) {
+// tokenLimit returns the maximum number of tokens to generate.
+func (q *completionRequest) tokenLimit(service *site.Service) (int, error) {
 	n := q.MaxTokens
 	if q.MaxCompletionTokens != nil {
 		n = q.MaxCompletionTokens
@@ -174,8 +173,8 @@
 	return list[0], nil
 }
 
-// renderChat joins messages into a prompt. Engines that apply a model's own
-// chat template are not assumed.
+// renderChat concatenates messages into a prompt. It does not rely on engines to apply a model's own
+// chat template.
 func renderChat(messages []chatMessage) (string, error) {
 	if len(messages) == 0 {
 		return "", badRequest("messages must not be empty")
@@ -195,7 +194,7 @@
 	return b.String(), nil
 }
 
-// contentText reads a message's content: a string or a list of text parts.
+// contentText parses the content of a message: a string or a list of text parts.
 func contentText(raw json.RawMessage) (string, error) {
 	var text string
 	if err := json.Unmarshal(raw, &text); err == nil {
@@ -218,7 +217,7 @@
 	return b.String(), nil
 }
 
-// stringOrList reads a field that may be absent, a string or a list of strings.
+// stringOrList parses a field that may be absent, a string or a list of strings.
 func stringOrList(field string, raw json.RawMessage) ([]string, error) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return nil, nil
--- a/serve/gateway/fleet_test.go
+++ b/serve/gateway/fleet_test.go
@@ -30,7 +30,7 @@
 	"mallowwind.dev/telemetry/metric"
 )
 
-// Routes of a fleet, by the first part of the path.
+// fleetConfig is the configuration of a fleet, with one route per first path segment.
 const fleetConfig = `{"version":1,"limits":{"idle_timeout":"15s"},
 	"services":[{"name":"llm","engine":{"slots":4}},{"name":"desk"}],
 	"routes":[
@@ -38,29 +38,29 @@
 	{"name":"again","host":"host","prefix":"/again/","kind":"idempotent","timeout":"2s","objective":"100ms","attempts":3,"targets":[{"service":"desk","weight":1}]},
 	{"name":"once","host":"host","prefix":"/once/","kind":"at_most_once","timeout":"2s","objective":"100ms","attempts":1,"targets":[{"service":"desk","weight":1}]}]}`
 
-// fleet is a few daemons before one store and backend servers, in virtual time.
+// fleet is a set of daemons with a common store and backend servers, in virtual time.
 type fleet struct {
-	t       *testing.T
-	began   time.Time
-	store   *store.Memory
-	mu      sync.Mutex // guards daemons and servers
-	daemons map[string]*daemon
-	servers map[string]*backend // by address
-	done    sync.WaitGroup
+	t          *testing.T
+	began      time.Time
+	store      *store.Memory
+	mu         sync.Mutex // guards daemons and servers
+	daemons    map[string]*daemon
+	servers    map[string]*backend // by address
+	background sync.WaitGroup
 }
 
-// daemon is one process of an entry VM.
+// daemon is a process of an entry VM.
 type daemon struct {
 	vm             routing.VM
-	way            *store.Faulty // to the store
+	store          *store.Faulty // the daemon's access to the fleet's store
 	callers, peers *faultnet.Listener
 	kill           context.CancelFunc
 	stopped        chan struct{}
 	dialer         *http.Transport
 }
 
-// inServingFleet runs test before so many daemons.
-func inServingFleet(t *testing.T, size int, test func(*fleet)) {
+// withFleet runs test with a fleet of size daemons.
+func withFleet(t *testing.T, size int, test func(*fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{t: t, began: time.Now(), store: store.NewMemory(), daemons: map[string]*daemon{}, servers: map[string]*backend{}}
 		f.put(feed.OwnConfigKey, fleetConfig)
@@ -68,37 +68,37 @@
 			f.start(n)
 		}
 		time.Sleep(5 * time.Second)
-		defer f.close() // also of a test that fails, or what it left ends the other tests with it
+		defer f.close() // also if test fails, because goroutines left running would abort the other tests
 		test(f)
 	})
 }
 
-// close ends all that runs.
+// close stops all daemons and backend servers.
 func (f *fleet) close() {
-	f.done.Wait()
+	f.background.Wait()
 	for _, d := range f.daemons {
-		f.end(d)
+		f.stop(d)
 	}
 	for _, s := range f.servers {
 		s.http.Close()
 	}
-	time.Sleep(time.Minute) // what waits in the background ends
+	time.Sleep(time.Minute) // lets waiting goroutines end
 	synctest.Wait()
 }
 
-// start begins a process of the nth daemon.
+// start starts a process of the nth daemon.
 func (f *fleet) start(n int) {
 	id := fmt.Sprintf("vm-%d", n)
 	d := &daemon{
-		vm:  routing.VM{ID: id, Zone: string(rune('a' + n%3)), Address: id + ":1", PeerAddress: id + ":2"},
-		way: store.NewFaulty(f.store), callers: faultnet.Pipe(), peers: faultnet.Pipe(), stopped: make(chan struct{}),
+		vm:    routing.VM{ID: id, Zone: string(rune('a' + n%3)), Address: id + ":1", PeerAddress: id + ":2"},
+		store: store.NewFaulty(f.store), callers: faultnet.Pipe(), peers: faultnet.Pipe(), stopped: make(chan struct{}),
 		dialer: &http.Transport{DialContext: f.dial, MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Second},
 	}
 	f.mu.Lock()
 	f.daemons[id] = d
 	f.mu.Unlock()
 	g := New(Options{
-		Self: d.vm, Store: storesim.Confirming{Store: d.way, Hold: time.Second}, Schema: feed.OwnSchema{}, Codec: forward.DefaultCodec{},
+		Self: d.vm, Store: storesim.Confirming{Store: d.store, Hold: time.Second}, Schema: feed.OwnSchema{}, Codec: forward.DefaultCodec{},
 		Clock: func() time.Duration { return time.Since(f.began) + time.Hour }, Log: event.Discard(),
 		DynamicOptions: DynamicOptions{
 			MaxKeyAge: 5 * time.Second, GracePeriod: 8 * time.Second, Seeds: []string{"vm-0:2", "vm-1:2"},
@@ -118,8 +118,8 @@
 	}()
 }
 
-// end kills a daemon.
-func (f *fleet) end(d *daemon) {
+// stop kills a daemon and waits until it has ended.
+func (f *fleet) stop(d *daemon) {
 	d.callers.Cut()
 	d.peers.Cut()
 	d.kill()
@@ -127,24 +127,24 @@
 	d.dialer.CloseIdleConnections()
 }
 
-// restart kills daemons at the same moment and starts them again.
+// restart kills the given daemons and then starts them again.
 func (f *fleet) restart(daemons ...int) {
 	for _, n := range daemons {
-		f.end(f.daemons[fmt.Sprintf("vm-%d", n)])
+		f.stop(f.daemons[fmt.Sprintf("vm-%d", n)])
 	}
 	for _, n := range daemons {
 		f.start(n)
 	}
 }
 
-// storeDown makes the store answer no daemon, or all of them again.
-func (f *fleet) storeDown(down bool) {
+// setStoreDown sets whether the store is unreachable for all daemons.
+func (f *fleet) setStoreDown(down bool) {
 	for _, d := range f.daemons {
-		d.way.SetDown(down)
+		d.store.SetDown(down)
 	}
 }
 
-// dial connects to a daemon's peer address or to a backend server.
+// dial connects to the peer address of a daemon or to a backend server.
 func (f *fleet) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -174,36 +174,36 @@
 	must.NoError(f.t, f.store.Delete(f.t.Context(), key, kv.Version))
 }
 
-// backend is a server at an address, one process after the other.
+// backend is a backend server at a fixed address. After a crash, a new process replaces the old one.
 type backend struct {
-	f        *fleet
-	service  string
-	address  string
-	listener *faultnet.Listener
-	http     *http.Server
-	mu       sync.Mutex
-	life     int
-	limit    string // that it names in its answers
-	arrived  []arrival
+	f           *fleet
+	service     string
+	address     string
+	listener    *faultnet.Listener
+	http        *http.Server
+	mu          sync.Mutex
+	incarnation int
+	limit       string // sent in X-Request-Limit; empty for none
+	arrivals    []arrival
 }
 
-// arrival is one request at a server.
+// arrival is one request that reached a server.
 type arrival struct {
 	at   time.Time
 	path string
 }
 
 const (
-	// crashedEntry is how long the entry of a server that ended stays in the store.
-	crashedEntry = 3 * time.Second
-	// crashedTime is after what time a server that ended is back.
-	crashedTime = 2 * time.Second
-	// crashing begins the body of a request that ends whoever runs it.
-	crashing = "crash"
+	// crashedEntryTTL is how long the store entry of a crashed server process remains.
+	crashedEntryTTL = 3 * time.Second
+	// crashRestartDelay is the time between a crash and the start of the next process.
+	crashRestartDelay = 2 * time.Second
+	// crashBody is the prefix of the body of a request that crashes the server that runs it.
+	crashBody = "crash"
 )
 
-// serve starts servers of a service.
-func (f *fleet) serve(service string, n int) {
+// startServers starts n servers of a service and waits until the daemons know them.
+func (f *fleet) startServers(service string, n int) {
 	for i := range n {
 		s := &backend{f: f, service: service, address: fmt.Sprintf("%s-%d:80", service, i), listener: faultnet.Pipe()}
 		s.http = &http.Server{Handler: s}
@@ -216,12 +216,12 @@
 	time.Sleep(2 * time.Second)
 }
 
-// server is the nth of a service.
+// server returns the nth server of a service.
 func (f *fleet) server(service string, n int) *backend {
 	return f.servers[fmt.Sprintf("%s-%d:80", service, n)]
 }
 
-func (s *backend) id() string { return fmt.Sprintf("%s.%d", s.address, s.life) }
+func (s *backend) id() string { return fmt.Sprintf("%s.%d", s.address, s.incarnation) }
 
 func (s *backend) register() {
 	raw, err := json.Marshal(routing.Server{Service: s.service, Address: s.address, Zone: "a", Slots: 4})
@@ -229,25 +229,26 @@
 	s.f.put(feed.OwnServerPrefix+s.id(), string(raw))
 }
 
-// crash ends the process, and another starts at its address under another id.
+// crash ends the process; after crashRestartDelay another one starts at the same address with a
+// new id.
 func (s *backend) crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	gone := feed.OwnServerPrefix + s.id()
-	s.life++
+	oldKey := feed.OwnServerPrefix + s.id()
+	s.incarnation++
 	s.listener.Cut()
-	s.f.done.Go(func() {
-		time.Sleep(crashedTime)
+	s.f.background.Go(func() {
+		time.Sleep(crashRestartDelay)
 		s.mu.Lock()
 		must.NoError(s.f.t, s.listener.Restore())
 		s.register()
 		s.mu.Unlock()
-		time.Sleep(crashedEntry - crashedTime)
-		s.f.remove(gone)
+		time.Sleep(crashedEntryTTL - crashRestartDelay)
+		s.f.remove(oldKey)
 	})
 }
 
-// ServeHTTP runs a request: 30 ms of work for a call; for a stream a second of reading and
+// ServeHTTP runs a request: a call takes 30 ms, a stream takes one second of prefill and then sends
 // twenty events.
 func (s *backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/v1/status" {
@@ -256,29 +257,29 @@
 	}
 	body, _ := io.ReadAll(r.Body)
 	s.mu.Lock()
-	id, life := s.id(), s.life
+	id, incarnation := s.id(), s.incarnation
 	if s.limit != "" {
 		w.Header().Set("X-Request-Limit", s.limit)
 	}
-	s.arrived = append(s.arrived, arrival{time.Now(), r.URL.Path})
+	s.arrivals = append(s.arrivals, arrival{time.Now(), r.URL.Path})
 	s.mu.Unlock()
 	if r.Header.Get("X-Backend-Id") != id {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	work, events := 30*time.Millisecond, 0
+	workTime, events := 30*time.Millisecond, 0
 	if s.service == "llm" {
-		work, events = time.Second, 20
+		workTime, events = time.Second, 20
 	}
 	select {
-	case <-time.After(work):
+	case <-time.After(workTime):
 	case <-r.Context().Done():
 		return
 	}
 	s.mu.Lock()
-	same := life == s.life
+	sameProcess := incarnation == s.incarnation
 	s.mu.Unlock()
-	if same && strings.HasPrefix(string(body), crashing) {
+	if sameProcess && strings.HasPrefix(string(body), crashBody) {
 		s.crash()
 		return
 	}
@@ -292,13 +293,13 @@
 	}
 }
 
-// arrivals are those of a path at all servers, after a moment.
+// arrivals returns the number of requests with a path that reached any server after a given time.
 func (f *fleet) arrivals(path string, after time.Time) (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.servers {
 		s.mu.Lock()
-		for _, a := range s.arrived {
+		for _, a := range s.arrivals {
 			if a.path == path && a.at.After(after) {
 				n++
 			}
@@ -308,21 +309,21 @@
 	return n
 }
 
-// name sets what a server says of the requests that it takes.
-func (s *backend) name(limit string) {
+// setLimit sets the request rate limit that the server sends in its responses.
+func (s *backend) setLimit(limit string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limit = limit
 }
 
-// most is how many requests reached a server in any span of a length that begins after a
-// moment.
-func (s *backend) most(span time.Duration, after time.Time) (most int) {
+// maxArrivalsWithin returns the largest number of requests that reached the server within any
+// interval of length span after a given time.
+func (s *backend) maxArrivalsWithin(span time.Duration, after time.Time) (most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	first := 0
-	for last, a := range s.arrived {
-		for a.at.Sub(s.arrived[first].at) >= span || s.arrived[first].at.Before(after) && first < last {
+	for last, a := range s.arrivals {
+		for a.at.Sub(s.arrivals[first].at) >= span || s.arrivals[first].at.Before(after) && first < last {
 			first++
 		}
 		if !a.at.Before(after) {
@@ -332,11 +333,11 @@
 	return most
 }
 
-// total is how many requests reached a server between two moments.
-func (s *backend) total(from, until time.Time) (n int) {
+// arrivalsBetween returns the number of requests that reached the server between two times.
+func (s *backend) arrivalsBetween(from, until time.Time) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, a := range s.arrived {
+	for _, a := range s.arrivals {
 		if a.at.After(from) && a.at.Before(until) {
 			n++
 		}
@@ -344,19 +345,19 @@
 	return n
 }
 
-// lives is how many times a server has ended.
-func (f *fleet) lives() (n int) {
+// crashes returns the number of crashes of all servers.
+func (f *fleet) crashes() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.servers {
 		s.mu.Lock()
-		n += s.life
+		n += s.incarnation
 		s.mu.Unlock()
 	}
 	return n
 }
 
-// reply is what a caller got.
+// reply is the response that a caller received.
 type reply struct {
 	status int
 	header http.Header
@@ -364,8 +365,8 @@
 	err    error
 }
 
-// ask sends one request to the nth daemon.
-func (f *fleet) ask(n int, path, body string) reply {
+// send sends one request to the nth daemon and returns the response.
+func (f *fleet) send(n int, path, body string) reply {
 	f.mu.Lock()
 	d := f.daemons[fmt.Sprintf("vm-%d", n)]
 	f.mu.Unlock()
--- a/serve/gateway/gateway.go
+++ b/serve/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway assembles the daemon of an entry VM that forwards requests
-// without understanding them: the feed, the handler, the address answers,
-// readiness and the graceful shutdown.
+// Package gateway assembles the daemon of an entry VM that forwards requests without interpreting
+// their bodies: the configuration feed, the request handler, the directory of entry VM addresses,
+// the readiness check and the graceful shutdown.
 package gateway
 
 import (
@@ -33,23 +33,24 @@
 )
 
 const (
-	// streamsUntil is how long after SIGTERM new streams are taken: they last
-	// about six seconds of the eight that are left.
-	streamsUntil = time.Second
-	// allUntil is how long other requests are taken whatever time they have.
-	// Callers that keep an address for long come within three seconds.
-	allUntil = 2500 * time.Millisecond
-	// exitMargin is kept between the last answer and the end of the grace.
+	// acceptStreamsFor is how long after SIGTERM new streams are accepted. A stream lasts about
+	// six of the eight seconds of the grace period.
+	acceptStreamsFor = time.Second
+	// acceptRequestsFor is how long after SIGTERM other requests are accepted regardless of their
+	// deadlines. Callers that keep an address for too long still arrive within three seconds.
+	acceptRequestsFor = 2500 * time.Millisecond
+	// exitMargin is the time between the end of the drain and the end of the grace period.
 	exitMargin = 500 * time.Millisecond
-	// keptAnswers is how many times the stated time some callers keep an address.
-	keptAnswers = 3
+	// addressRetentionFactor is the multiple of the address TTL for which some callers keep an
+	// address.
+	addressRetentionFactor = 3
 )
 
 // Options configure a Gateway.
 type Options struct {
 	Self  routing.VM
 	Store store.Store
-	// Prefix begins the keys of the store that concern this fleet.
+	// Prefix is the common prefix of the store keys of this fleet.
 	Prefix string
 	Schema feed.Schema
 	Codec  forward.Codec
@@ -58,30 +59,31 @@
 	DynamicOptions
 	// MinLeaseTTL is the shortest lease that the store grants.
 	MinLeaseTTL time.Duration
-	// AddressTTL is how long callers are told to keep an address answer.
+	// AddressTTL is how long callers are told to keep the addresses that they looked up.
 	AddressTTL time.Duration
-	// Registry receives the metrics, which are served at Metrics.
+	// Registry collects the metrics, which are served on Metrics.
 	Registry *metric.Catalogue
-	// Dialer connects to other daemons.
+	// Dialer opens connections to other daemons.
 	Dialer *link.Dialer
 	// DialServer opens connections to backend servers; nil means TCP.
 	DialServer sent.DialFunc
-	// Listeners; Directory, Peers and Metrics may be nil.
+	// Callers, Readiness, Directory, Peers and Metrics are the listeners for each kind of
+	// request. Directory, Peers and Metrics may be nil.
 	Callers, Readiness, Directory, Peers, Metrics net.Listener
-	// ReadyHandler and DirectoryHandler wrap the answers in the platform's form.
+	// ReadyHandler and DirectoryHandler serve readiness and addresses in the platform's format.
 	ReadyHandler     func(ready func() bool) http.Handler
 	DirectoryHandler func(addresses func(zone string) []string) http.Handler
 }
 
-// Gateway is one running daemon.
+// Gateway is the daemon of an entry VM.
 type Gateway struct {
-	opts     Options
-	feed     *feed.Manager
-	handler  *forward.Handler
-	versions *versions.Manager
-	leaving  atomic.Bool
-	grace    atomic.Int64
-	turn     atomic.Uint64
+	opts        Options
+	feed        *feed.Manager
+	handler     *forward.Handler
+	versions    *versions.Manager
+	draining    atomic.Bool
+	gracePeriod atomic.Int64
+	rotation    atomic.Uint64
 }
 
 // New assembles a gateway; Run starts it.
@@ -101,36 +103,38 @@
 		Registerer: o.Registry, Dial: o.DialServer, Dialer: o.Dialer,
 	})
 	g := &Gateway{opts: o, feed: f, handler: h, versions: v}
-	g.grace.Store(int64(o.GracePeriod))
+	g.gracePeriod.Store(int64(o.GracePeriod))
 	return g
 }
 
-// DynamicOptions are what the platform may change while the daemon runs.
+// DynamicOptions are the options that the platform may change while the daemon runs.
 type DynamicOptions struct {
-	// MaxKeyAge is how old the configuration may be for an account key to be trusted.
+	// MaxKeyAge is how long ago the configuration may last have been confirmed for an account key
+	// to be trusted.
 	MaxKeyAge time.Duration
-	// RetryBudget bounds the sends beyond the first of the whole fleet.
+	// RetryBudget bounds the retries of the whole fleet.
 	RetryBudget retrybudget.Policy
-	// RolloutLimits bounds what a version of a service may get that is not known to be good.
+	// RolloutLimits bound the requests to a version of a service that isn't known to be good.
 	RolloutLimits rollout.Limits
-	// GracePeriod is the time between SIGTERM and the end.
+	// GracePeriod is the time between SIGTERM and the exit of the process.
 	GracePeriod time.Duration
-	// Seeds are where some other daemons were.
+	// Seeds are the peer addresses of daemons to contact before any peer is known.
 	Seeds []string
 }
 
-// Apply takes other bounds for what comes from now on.
-func (g *Gateway) Apply(b DynamicOptions) {
-	g.handler.SetBounds(b.MaxKeyAge, b.RetryBudget)
-	g.feed.SetSeeds(b.Seeds)
-	g.versions.SetLimits(b.RolloutLimits)
-	g.grace.Store(int64(b.GracePeriod))
+// Apply replaces the dynamic options.
+func (g *Gateway) Apply(o DynamicOptions) {
+	g.handler.SetBounds(o.MaxKeyAge, o.RetryBudget)
+	g.feed.SetSeeds(o.Seeds)
+	g.versions.SetLimits(o.RolloutLimits)
+	g.gracePeriod.Store(int64(o.GracePeriod))
 }
 
-// IsReady reports whether callers should be sent here.
-func (g *Gateway) IsReady() bool { return !g.leaving.Load() && g.feed.View().Config != nil }
+// IsReady reports whether callers should be directed to this daemon.
+func (g *Gateway) IsReady() bool { return !g.draining.Load() && g.feed.View().Config != nil }
 
-// Addresses are the entry VMs that a caller is told. Its account is not known here.
+// Addresses returns the addresses of the entry VMs that a caller should use. The caller's account
+// is unknown.
 func (g *Gateway) Addresses(_ string) []string {
 	view := g.feed.View()
 	vms := make([]entries.VM, 0, len(view.VMs)+1)
@@ -141,13 +145,13 @@
 			self = len(vms)
 		}
 		usable := !vm.Draining && (!own || g.IsReady())
-		vms = append(vms, entry(vm, usable))
+		vms = append(vms, newEntryVM(vm, usable))
 	}
 	if self < 0 {
 		self = len(vms)
-		vms = append(vms, entry(g.opts.Self, g.IsReady()))
+		vms = append(vms, newEntryVM(g.opts.Self, g.IsReady()))
 	}
-	a := entries.SelectForUnknownAccount(vms, self, g.turn.Add(1))
+	a := entries.SelectForUnknownAccount(vms, self, g.rotation.Add(1))
 	list := make([]string, 0, len(a.VMs))
 	for _, i := range a.VMs {
 		list = append(list, vms[i].Address)
@@ -155,19 +159,20 @@
 	return list
 }
 
-func entry(vm routing.VM, usable bool) entries.VM {
+func newEntryVM(vm routing.VM, usable bool) entries.VM {
 	return entries.VM{ID: vm.ID, Hash: xxhash.Sum64String(vm.ID), Zone: vm.Zone, Address: vm.Address, Usable: usable}
 }
 
-// Run serves until soft ends, then drains; hard ends what still runs.
+// Run serves until soft is done, then drains and returns. When hard is done, it terminates the
+// remaining requests at once.
 func (g *Gateway) Run(soft, hard context.Context) error {
-	life, end := context.WithCancel(hard)
-	defer end()
-	servers := g.serve(life)
-	var work errgroup.Group
-	work.Go(func() error { g.feed.Run(life); return nil })
-	work.Go(func() error { g.handler.Run(life); return nil })
-	work.Go(func() error { g.versions.Run(life); return nil })
+	runCtx, cancel := context.WithCancel(hard)
+	defer cancel()
+	servers := g.startServers(runCtx)
+	var group errgroup.Group
+	group.Go(func() error { g.feed.Run(runCtx); return nil })
+	group.Go(func() error { g.handler.Run(runCtx); return nil })
+	group.Go(func() error { g.versions.Run(runCtx); return nil })
 	registered := make(chan struct{})
 	go func() {
 		defer close(registered)
@@ -180,22 +185,22 @@
 	case <-hard.Done():
 	}
 	g.drain(hard)
-	end()
+	cancel()
 	err := closeAll(servers)
 	<-registered
-	if waited := work.Wait(); err == nil {
-		err = waited
+	if waitErr := group.Wait(); err == nil {
+		err = waitErr
 	}
 	g.opts.Log.Emit(event.DaemonStopped, g.handler.Running(), 0)
 	return err
 }
 
-// serve starts the listeners.
-func (g *Gateway) serve(ctx context.Context) []io.Closer {
-	quiet := log.New(io.Discard, "", 0) // what callers do wrong is in the events
-	callers := newCallers(g.opts.Callers, g.handler, g.opts.Log, quiet)
+// startServers starts an HTTP server on each listener.
+func (g *Gateway) startServers(ctx context.Context) []io.Closer {
+	discard := log.New(io.Discard, "", 0) // errors of callers are reported as events
+	callers := newCallerServer(g.opts.Callers, g.handler, g.opts.Log, discard)
 	go callers.accept()
-	go callers.follow(ctx, func() *routing.Config { return g.feed.View().Config })
+	go callers.watchLimits(ctx, func() *routing.Config { return g.feed.View().Config })
 	closers := []io.Closer{callers}
 	for _, l := range []struct {
 		listener net.Listener
@@ -209,43 +214,44 @@
 		if l.listener == nil {
 			continue
 		}
-		s := &http.Server{Handler: l.handler, ReadHeaderTimeout: defaultHeaders, IdleTimeout: defaultIdle, ErrorLog: quiet}
+		s := &http.Server{Handler: l.handler, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout, ErrorLog: discard}
 		closers = append(closers, s)
-		go g.listen(s, l.listener)
+		go g.serveListener(s, l.listener)
 	}
 	return closers
 }
 
-// peerHandler answers other daemons.
+// peerHandler serves the requests of other daemons.
 func (g *Gateway) peerHandler() http.Handler {
 	router := mux.NewRouter()
-	for _, of := range []func() (string, http.Handler){g.feed.Handler, g.handler.RetryBudgetService, g.handler.WorkService, g.handler.PoisonService, g.handler.QuotaService, g.versions.Handler} {
-		prefix, service := of()
+	for _, newService := range []func() (string, http.Handler){g.feed.Handler, g.handler.RetryBudgetService, g.handler.WorkService, g.handler.PoisonService, g.handler.QuotaService, g.versions.Handler} {
+		prefix, service := newService()
 		router.PathPrefix(prefix).Handler(service)
 	}
 	return router
 }
 
-func (g *Gateway) listen(s *http.Server, l net.Listener) {
+func (g *Gateway) serveListener(s *http.Server, l net.Listener) {
 	if err := s.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		g.opts.Log.Emit(event.ListenerFailed, l.Addr().String(), err)
 	}
 }
 
-// Registry is where the metrics of all parts are registered.
+// Registry returns the registry with the metrics of all components.
 func (g *Gateway) Registry() *metric.Catalogue { return g.opts.Registry }
 
-// drain leaves the address answers at once and serves on while callers may
-// still keep this address, at most until the grace ends.
+// drain removes this daemon from its own directory responses and reports it as not ready at once.
+// It then waits until callers no longer keep the address and no request is in progress, at most
+// until exitMargin before the end of the grace period.
 func (g *Gateway) drain(hard context.Context) {
 	started := time.Now()
-	ends := time.Duration(g.grace.Load()) - exitMargin
-	g.leaving.Store(true)
+	maxDrain := time.Duration(g.gracePeriod.Load()) - exitMargin
+	g.draining.Store(true)
 	g.handler.BeginShutdown(forward.ShutdownSchedule{
-		StreamsUntil: started.Add(streamsUntil), RequestsUntil: started.Add(allUntil), ExitAt: started.Add(ends),
+		StreamsUntil: started.Add(acceptStreamsFor), RequestsUntil: started.Add(acceptRequestsFor), ExitAt: started.Add(maxDrain),
 	})
-	kept := min(keptAnswers*g.opts.AddressTTL, ends)
-	g.opts.Log.Emit(event.DaemonDraining, g.handler.Running(), kept)
+	minDrain := min(addressRetentionFactor*g.opts.AddressTTL, maxDrain)
+	g.opts.Log.Emit(event.DaemonDraining, g.handler.Running(), minDrain)
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -254,19 +260,19 @@
 			return
 		case <-tick.C:
 		}
-		past := time.Since(started)
-		if past >= ends || past >= kept && g.handler.Running() == 0 {
+		elapsed := time.Since(started)
+		if elapsed >= maxDrain || elapsed >= minDrain && g.handler.Running() == 0 {
 			return
 		}
 	}
 }
 
 func closeAll(servers []io.Closer) error {
-	var first error
+	var firstErr error
 	for _, s := range servers {
-		if err := s.Close(); err != nil && first == nil {
-			first = errors.Wrap(err, "close")
+		if err := s.Close(); err != nil && firstErr == nil {
+			firstErr = errors.Wrap(err, "close")
 		}
 	}
-	return first
+	return firstErr
 }
--- a/serve/journal/batch_test.go
+++ b/serve/journal/batch_test.go
@@ -14,7 +14,8 @@
 	"mallowwind.dev/peer/peerpb"
 )
 
-// fakeHolder counts messages and takes the time of a round trip for each.
+// fakeHolder counts the batches that it receives and replies after one round trip, or times out
+// if it is silent.
 type fakeHolder struct {
 	messages int
 	silent   bool
@@ -39,10 +40,9 @@
 	return out, nil
 }
 
-// Two hundred streams release a token each 30 ms. Their copies share messages,
-// no token waits longer than a gap between messages and two round trips, and
-// each append gets the reply to itself.
-func TestStreamsShareMessages(t *testing.T) {
+// Two hundred streams release a token every 30 ms. Their appends must share batches, no append may
+// wait longer than one batch interval and two round trips, and each append must get its own reply.
+func TestAppendsOfStreamsShareBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		holder := &fakeHolder{}
 		b := NewBatcher(holder.send)
@@ -68,19 +68,19 @@
 			longest = max(longest, <-worst)
 		}
 		t.Logf("%d tokens in %d messages, longest wait %s", streams*tokens, holder.messages, longest)
-		must.LessEq(t, minGap+2*roundTrip, longest)
+		must.LessEq(t, minBatchInterval+2*roundTrip, longest)
 		must.LessEq(t, streams*tokens/20, holder.messages)
 		time.Sleep(time.Second)
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		must.MapEmpty(t, b.lanes)
+		must.MapEmpty(t, b.queues)
 	})
 }
 
-// A holder goes silent while fifty answers wait for it. All of them hear of it
-// after one time-out, so that each moves to another holder at once instead of
-// paying for a time-out of its own.
-func TestSilentHolderFailsAllAtOnce(t *testing.T) {
+// A holder stops responding while fifty appends wait for it. All of them must fail within one
+// timeout, so that each generation moves to another holder at once instead of incurring a timeout
+// of its own.
+func TestUnresponsiveHolderFailsAllQueuedAppends(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBatcher((&fakeHolder{silent: true}).send)
 		took := make(chan time.Duration, 50)
@@ -100,9 +100,9 @@
 	})
 }
 
-// At 390 daemons in 7 zones no daemon holds many more copies than the mean, and
-// a holder is never in its owner's zone.
-func TestHoldersAreSpread(t *testing.T) {
+// With 390 daemons in 7 zones, no daemon may hold the copies of more than three times the mean
+// number of journal groups, and no holder may be in its owner's zone.
+func TestCopiesAreSpreadOverHolders(t *testing.T) {
 	var members []membership.Member
 	for i := range 390 {
 		members = append(members, membership.Member{ID: fmt.Sprintf("vm-%03d", i), Zone: fmt.Sprintf("z%d", i%7)})
@@ -110,7 +110,7 @@
 	held := map[string]int{}
 	for _, owner := range members {
 		v := &membership.View{Self: owner, Members: members}
-		for g := range byte(groups) {
+		for g := range byte(groupsPerOwner) {
 			id := fmt.Sprintf("g%s%024d", GroupName(owner.ID, g), 0)
 			m, ok := PickHolder(id, v, nil)
 			must.True(t, ok)
@@ -118,11 +118,11 @@
 			held[m.ID]++
 		}
 	}
-	most := 0
+	maxHeld := 0
 	for _, n := range held {
-		most = max(most, n)
+		maxHeld = max(maxHeld, n)
 	}
-	t.Logf("%d groups an owner: the busiest of 390 daemons holds %.1f times the mean, %d hold none",
-		groups, float64(most)/groups, len(members)-len(held))
-	must.LessEq(t, 3*groups, most)
+	t.Logf("%d groups per owner: the busiest of 390 daemons holds %.1f times the mean, %d hold none",
+		groupsPerOwner, float64(maxHeld)/groupsPerOwner, len(members)-len(held))
+	must.LessEq(t, 3*groupsPerOwner, maxHeld)
 }
--- a/serve/journal/holder_test.go
+++ b/serve/journal/holder_test.go
@@ -11,13 +11,13 @@
 	"mallowwind.dev/peer/peerpb"
 )
 
-func counter() func() uint64 {
+func sequentialRandom() func() uint64 {
 	n := uint64(0)
 	return func() uint64 { n++; return n }
 }
 
 func newHolder(bytes int) *Holder {
-	return NewHolder(Limits{Bytes: bytes, TTL: func() time.Duration { return time.Minute }}, counter())
+	return NewHolder(Limits{Bytes: bytes, TTL: func() time.Duration { return time.Minute }}, sequentialRandom())
 }
 
 func copyOf(id string, epoch epochs.Epoch, tokens int, finish string) Copy {
@@ -32,10 +32,10 @@
 	return c
 }
 
-// An owner gives up a message to its copy's holder as lost, and goes on. The
-// message was only late. It must neither shorten the copy nor bring back the
-// attempt it names, whose engine goes on with another text.
-func TestLateMessages(t *testing.T) {
+// An owner gives up a message to the holder as lost and continues, but the message was only
+// delayed. It must neither shorten the copy nor restore an earlier attempt, whose engine would
+// continue with a different text.
+func TestLateMessagesDoNotRevertCopy(t *testing.T) {
 	h, epoch := newHolder(1<<20), epochs.FirstEpoch(9)
 	must.True(t, h.Open(copyOf("g", epoch, 4, "")).Accepted)
 	must.True(t, h.Append("g", epoch, 4, []string{"a", "b"}, &peerpb.Attempt{Number: 2}, "").Accepted)
@@ -47,9 +47,9 @@
 	must.Eq(t, 2, c.Attempt.GetNumber())
 }
 
-// A paused owner returns after its answer was taken over and writes on. The
-// holder refuses and names the newer epoch.
-func TestAdoptFencesTheOldOwner(t *testing.T) {
+// A paused owner resumes after another one has adopted its generation, and continues to write. The
+// holder must refuse the writes and return the newer epoch.
+func TestAdoptFencesPreviousOwner(t *testing.T) {
 	h, first := newHolder(1<<20), epochs.FirstEpoch(9)
 	h.Open(copyOf("g", first, 4, ""))
 	c, rel, ok := h.Adopt("g", "vm1", epochs.Position{Epoch: first, Offset: 3})
@@ -64,22 +64,22 @@
 	must.Eq(t, epochs.Diverged, rel)
 }
 
-// The holder is full. Finished copies make room, the longest untouched first;
-// running ones are never lost for a new one, whose owner hears that it must
-// look elsewhere.
-func TestFullHolder(t *testing.T) {
-	one := size(copyOf("x", 1, 10, ""))
-	h := newHolder(3 * one)
+// A full holder must evict finished copies, the least recently changed first, and never running
+// ones. If nothing can be evicted, it must refuse the new copy, so that the owner chooses another
+// holder.
+func TestFullHolderEvictsFinishedCopies(t *testing.T) {
+	copySize := copyBytes(copyOf("x", 1, 10, ""))
+	h := newHolder(3 * copySize)
 	for i, finish := range []string{"stop", "stop", ""} {
 		must.True(t, h.Open(copyOf(fmt.Sprint("g", i), epochs.FirstEpoch(uint64(i)), 10, finish)).Accepted)
 	}
 	h.Adopt("g0", "vm1", epochs.Position{})
 	must.True(t, h.Open(copyOf("g3", epochs.FirstEpoch(3), 10, "")).Accepted)
-	_, there := h.Peek("g1")
-	must.False(t, there)
+	_, found := h.Peek("g1")
+	must.False(t, found)
 	must.True(t, h.Open(copyOf("g4", epochs.FirstEpoch(4), 10, "")).Accepted)
 	must.False(t, h.Open(copyOf("g5", epochs.FirstEpoch(5), 10, "")).Accepted)
 	n, bytes := h.Size()
 	must.Eq(t, 3, n)
-	must.Eq(t, 3*one, bytes)
+	must.Eq(t, 3*copySize, bytes)
 }
