--- a/serve/api/request.go
+++ b/serve/api/request.go
@@ -119,7 +119,7 @@
 	}
 	spec := &generation.Spec{
 		Account: account, Service: service, Prompt: prompt, MaxTokens: limit,
-		Seed: req.Seed, Stop: stop, Key: key, Chat: chat, Temperature: 1,
+		Seed: req.Seed, Stop: stop, IdempotencyKey: key, Chat: chat, Temperature: 1,
 	}
 	if req.Temperature != nil {
 		if *req.Temperature < 0 || *req.Temperature > 2 {
