--- a/serve/flow/core.go
+++ b/serve/flow/core.go
@@ -23,22 +23,22 @@
 // that a simulation in virtual time drives exactly what the daemon runs. It is
 // not safe for concurrent use; Manager adds the lock.
 type Core struct {
-	place    Location
-	observe  *observer
-	random   *rand.Rand
-	site     *site.Site
-	fleet    Fleet
-	shares   []entries.AccountLoad // of the accounts of site, built when first needed
-	snapshot *backends.Snapshot    // of the last Update, nil before
-	servers  map[string]*server
-	hints    hints
-	groups   map[groupKey]*group
-	ordered  []*group // as created, so that runs of one seed are alike
-	accounts map[string]*accountBucket
+	location      Location
+	observer      *observer
+	random        *rand.Rand
+	site          *site.Site
+	fleet         Fleet
+	accountLoads  []entries.AccountLoad // of the accounts of site, built when first needed
+	snapshot      *backends.Snapshot    // of the last Update, nil before
+	servers       map[string]*server
+	hints         hints
+	groups        map[groupKey]*group
+	orderedGroups []*group // as created, so that runs of one seed are alike
+	accounts      map[string]*accountBucket
 	// fleetVersion grows with every Update, so that shares are worked out anew.
-	fleetVersion uint64
-	budgets      map[string]*budget.Budget // by service
-	nextEval     time.Time
+	fleetVersion   uint64
+	budgets        map[string]*budget.Budget // by service
+	nextEvaluation time.Time
 }
 
 // Location is where this daemon stands.
@@ -58,7 +58,7 @@
 // Waiter is a submitted request.
 type Waiter struct {
 	item    admit.Item
-	ask     Request
+	request Request
 	sink    Sink
 	group   *group
 	arrived time.Time
@@ -72,16 +72,16 @@
 
 // group is the queue and the candidates of one key.
 type group struct {
-	key     groupKey
-	queue   *admit.Queue
-	table   *route.Table
-	servers []*server // in the order of the table
-	peers   []*health.Server
-	eval    health.Evaluator
-	slots   int
-	// loading is the shortest time until a server that loads the model is
+	key       groupKey
+	queue     *admit.Queue
+	table     *route.Table
+	servers   []*server // in the order of the table
+	peers     []*health.Server
+	evaluator health.Evaluator
+	slots     int
+	// firstLoadEnd is the shortest time until a server that loads the model is
 	// ready; loadingSlots is what those servers will add.
-	loading      time.Time
+	firstLoadEnd time.Time
 	loadingSlots int
 	waiters      map[*admit.Item]*Waiter
 }
@@ -92,15 +92,15 @@
 // defaultSlots holds for pools without a bound: plain services mostly.
 const defaultSlots = 64
 
-// noServerRetry is what callers are told when no backend server is known and
+// noServerRetryAfter is what callers are told when no backend server is known and
 // none loads the model: a returning one is seen within a poll or two.
-const noServerRetry = 5 * time.Second
+const noServerRetryAfter = 5 * time.Second
 
 // NewCore returns a core without backend servers; Update gives it some.
 // log and registerer may be nil.
 func NewCore(place Location, log *event.Log, registerer prometheus.Registerer, seed uint64) *Core {
 	return &Core{
-		place: place, observe: newObserver(log, registerer),
+		location: place, observer: newObserver(log, registerer),
 		random:   rand.New(rand.NewPCG(seed, route.Mix(seed))),
 		servers:  map[string]*server{},
 		groups:   map[groupKey]*group{},
@@ -109,7 +109,7 @@
 	}
 }
 
-func keyOf(s *site.Service) groupKey {
+func groupKeyOf(s *site.Service) groupKey {
 	return groupKey{
 		pool: s.Pool,
 		ref:  engine.ModelRef{Model: s.Model, Adapter: s.Adapter, Version: s.Version},
@@ -133,19 +133,19 @@
 // Submit decides about a request. The sink is called before Submit returns
 // unless the request waits; then the Waiter can be given to Cancel.
 func (c *Core) Submit(now time.Time, ask Request, sink Sink) *Waiter {
-	w := c.waiter(now, ask, sink)
+	w := c.newWaiter(now, ask, sink)
 	if err := c.precheck(now, w); err != nil {
 		c.refuse(now, w, err)
 		return w
 	}
-	if w.ask.Reattach {
+	if w.request.Reattach {
 		c.reattach(now, w)
 		return w
 	}
 	d := c.offer(now, w)
 	switch d.Action {
 	case admit.Start:
-		if c.start(now, w) {
+		if c.tryStart(now, w) {
 			w.group.queue.RecordStart(&w.item)
 			return w
 		}
@@ -153,14 +153,14 @@
 		fallthrough
 	case admit.Wait:
 		w.group.waiters[&w.item] = w
-		c.observe.queued(w, d)
+		c.observer.recordQueued(w, d)
 	case admit.Refuse:
-		c.refuse(now, w, refusal(d))
+		c.refuse(now, w, refusalError(d))
 	}
 	return w
 }
 
-func (c *Core) waiter(now time.Time, ask Request, sink Sink) *Waiter {
+func (c *Core) newWaiter(now time.Time, ask Request, sink Sink) *Waiter {
 	if ask.Deadline.IsZero() {
 		wait := ask.Service.Deadline
 		if wait <= 0 {
@@ -168,7 +168,7 @@
 		}
 		ask.Deadline = now.Add(wait)
 	}
-	w := &Waiter{ask: ask, sink: sink, group: c.asked(now, keyOf(ask.Service)), arrived: now}
+	w := &Waiter{request: ask, sink: sink, group: c.groupForRequest(now, groupKeyOf(ask.Service)), arrived: now}
 	w.item = admit.Item{
 		Weight: 1, Class: classOf(&ask), Cost: float64(max(ask.CostTokens, 1)), Deadline: ask.Deadline,
 	}
@@ -184,16 +184,16 @@
 func (c *Core) offer(now time.Time, w *Waiter) admit.Decision {
 	g := w.group
 	if g.slots == 0 && g.loadingSlots > 0 && now.Before(w.item.Deadline) {
-		return c.offerLoading(now, w)
+		return c.offerWhileLoading(now, w)
 	}
 	return g.queue.Offer(now, &w.item, g.slots)
 }
 
-// start picks a backend server and hands out the lease; false when none has room.
-func (c *Core) start(now time.Time, w *Waiter) bool {
+// tryStart picks a backend server and hands out the lease; false when none has room.
+func (c *Core) tryStart(now time.Time, w *Waiter) bool {
 	q := route.Query{
-		Prefix: w.ask.PrefixHash, Cached: c.hints.holder(w.ask.PrefixHash), Prefer: w.ask.Prefer, Exclude: w.ask.Exclude,
-		Random: c.random.Uint64(), Urgent: w.item.Class <= admit.Urgent, Overshoot: w.ask.Resume, AllZones: w.ask.Resume,
+		Prefix: w.request.PrefixHash, Cached: c.hints.holder(w.request.PrefixHash), Prefer: w.request.Prefer, Exclude: w.request.Exclude,
+		Random: c.random.Uint64(), Urgent: w.item.Class <= admit.Urgent, Overshoot: w.request.Resume, AllZones: w.request.Resume,
 	}
 	if w.group.table == nil {
 		return false
@@ -209,10 +209,10 @@
 func (c *Core) grant(now time.Time, w *Waiter, s *server, why route.Reason) {
 	s.load.InFlight++
 	l := &Lease{
-		core: c, group: w.group, server: s, item: &w.item, service: w.ask.Service,
+		core: c, group: w.group, server: s, item: &w.item, service: w.request.Service,
 		reason: why, started: now,
 	}
-	c.observe.dispatched(now, w, l)
+	c.observer.recordDispatch(now, w, l)
 	w.sink.Granted(now, l)
 }
 
@@ -220,7 +220,7 @@
 // work runs there already.
 func (c *Core) reattach(now time.Time, w *Waiter) {
 	for _, s := range w.group.servers {
-		if s.backend.ID == w.ask.Prefer {
+		if s.backend.ID == w.request.Prefer {
 			c.grant(now, w, s, route.ReasonPreferred)
 			w.group.queue.RecordStart(&w.item)
 			return
@@ -230,7 +230,7 @@
 }
 
 func (c *Core) refuse(now time.Time, w *Waiter, err *verdict.Error) {
-	c.observe.refused(now, w, err)
+	c.observer.recordRefusal(now, w, err)
 	w.sink.Refused(now, err)
 }
 
@@ -249,6 +249,6 @@
 	if !c.Cancel(w) {
 		return false
 	}
-	c.refuse(now, w, refusal(w.group.queue.RefusalFor(now, &w.item, w.group.expected())))
+	c.refuse(now, w, refusalError(w.group.queue.RefusalFor(now, &w.item, w.group.expectedSlots())))
 	return true
 }
--- a/serve/flow/decide_test.go
+++ b/serve/flow/decide_test.go
@@ -63,7 +63,7 @@
 		m := manager(t, f)
 		begin := time.Now()
 		_, err := m.Acquire(t.Context(), ask(f, "status")) // waits 2 s at most
-		e := refusal(t, err)
+		e := refusalError(t, err)
 		test.Eq(t, verdict.CodeNoBackend, e.Code)
 		test.Eq(t, 10*time.Second, e.RetryAfter)
 		test.Zero(t, time.Since(begin))
@@ -108,7 +108,7 @@
 		for err == nil {
 			_, err = m.Acquire(t.Context(), a)
 		}
-		e := refusal(t, err)
+		e := refusalError(t, err)
 		must.Eq(t, verdict.CodeAccountLimit, e.Code)
 		time.Sleep(e.RetryAfter)
 		_, err = m.Acquire(t.Context(), a)
@@ -130,7 +130,7 @@
 		for range 100 {
 			g, err := m.Acquire(t.Context(), a)
 			if err != nil {
-				denied = refusal(t, err)
+				denied = refusalError(t, err)
 				continue
 			}
 			granted++
--- a/serve/flow/fleet.go
+++ b/serve/flow/fleet.go
@@ -17,7 +17,7 @@
 	VMs        []entries.VM
 }
 
-func (f *Fleet) count() int { return max(1, f.AliveCount) }
+func (f *Fleet) entryVMCount() int { return max(1, f.AliveCount) }
 
 // fleetOf reads a membership view.
 func fleetOf(v *membership.View, place Location) Fleet {
@@ -41,25 +41,25 @@
 
 func (c *Core) rank(b *backends.Backend) route.Rank {
 	switch {
-	case b.VM.Zone == c.place.Zone:
+	case b.VM.Zone == c.location.Zone:
 		return route.SameZone
-	case b.VM.Region == c.place.Region:
+	case b.VM.Region == c.location.Region:
 		return route.SameRegion
 	}
 	return route.Remote
 }
 
-// leastShare is the even share, in requests, below which a backend server is
+// minSlotsPerDaemon is the even share, in requests, below which a backend server is
 // not divided among all daemons any more but among those of its zone.
-const leastShare = 1.0
+const minSlotsPerDaemon = 1.0
 
-// sharers is the number of daemons among which a backend server is divided. In
+// sharingDaemonCount is the number of daemons among which a backend server is divided. In
 // a large fleet a daemon's share of every server would be a small part of one
 // request: then the daemons of a zone share its servers, and farther ones are
 // used only as far as they report free slots.
-func (c *Core) sharers(b *backends.Backend, slots int) int {
-	if float64(slots) >= leastShare*float64(c.fleet.count()) {
-		return c.fleet.count()
+func (c *Core) sharingDaemonCount(b *backends.Backend, slots int) int {
+	if float64(slots) >= minSlotsPerDaemon*float64(c.fleet.entryVMCount()) {
+		return c.fleet.entryVMCount()
 	}
 	if c.rank(b) == route.SameZone {
 		return max(1, len(c.fleet.ZoneHashes))
@@ -67,10 +67,10 @@
 	return 0
 }
 
-// fartherSize is how many servers of each other zone a daemon uses at most:
+// otherZoneSubsetSize is how many servers of each other zone a daemon uses at most:
 // enough to spill over, few enough that six other zones cost no more links than
 // twice the own one.
-const fartherSize = 8
+const otherZoneSubsetSize = 8
 
 // subset chooses the servers that this daemon uses, zone by zone.
 func (c *Core) subset(rows []*backends.Backend) []route.Candidate {
@@ -78,13 +78,13 @@
 	for _, b := range rows {
 		zones[b.VM.Zone] = append(zones[b.VM.Zone], b)
 	}
-	self := xxhash.Sum64String(c.place.VM)
+	self := xxhash.Sum64String(c.location.VM)
 	var chosen []route.Candidate
 	for _, zone := range sortedKeys(zones) {
 		in := zones[zone]
 		size := route.SubsetSize
-		if zone != c.place.Zone && len(c.fleet.ZoneHashes) > fartherSize {
-			size = fartherSize
+		if zone != c.location.Zone && len(c.fleet.ZoneHashes) > otherZoneSubsetSize {
+			size = otherZoneSubsetSize
 		}
 		hashes := make([]uint64, len(in))
 		for i, b := range in {
@@ -97,23 +97,23 @@
 	return chosen
 }
 
-// share is this VM's part of an account's limit: an equal part with the other
+// accountShare is this VM's part of an account's limit: an equal part with the other
 // VMs that the account is told.
-func (c *Core) share(account string) float64 {
+func (c *Core) accountShare(account string) float64 {
 	if c.site == nil || len(c.fleet.VMs) == 0 {
-		return limit.AccountShare(c.fleet.count(), true)
+		return limit.AccountShare(c.fleet.entryVMCount(), true)
 	}
-	if c.shares == nil {
+	if c.accountLoads == nil {
 		for _, a := range c.site.Accounts {
-			c.shares = append(c.shares, entries.AccountLoad{
+			c.accountLoads = append(c.accountLoads, entries.AccountLoad{
 				Name: a.Name, Hash: xxhash.Sum64String(a.Name), Weight: a.Share,
 			})
 		}
 	}
-	part, before := entries.LoadPosition(c.shares, account)
+	part, before := entries.LoadPosition(c.accountLoads, account)
 	self := -1
 	for i := range c.fleet.VMs {
-		if c.fleet.VMs[i].ID == c.place.VM {
+		if c.fleet.VMs[i].ID == c.location.VM {
 			self = i
 		}
 	}
--- a/serve/flow/hints.go
+++ b/serve/flow/hints.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// hintsMost bounds the remembered prefixes; some thousand are in use at once.
-	hintsMost = 16384
-	// hintsEvery is how often engines are asked for cache events. The events are
+	// maxHintCount bounds the remembered prefixes; some thousand are in use at once.
+	maxHintCount = 16384
+	// hintPollInterval is how often engines are asked for cache events. The events are
 	// late by themselves; asking more often would not make them younger.
-	hintsEvery = 2 * time.Second
-	// hintsTimeout bounds one question, so that a silent engine holds up nothing.
-	hintsTimeout = time.Second
-	// hintsAtOnce bounds the questions under way.
-	hintsAtOnce = 8
+	hintPollInterval = 2 * time.Second
+	// hintPollTimeout bounds one question, so that a silent engine holds up nothing.
+	hintPollTimeout = time.Second
+	// maxConcurrentHintPolls bounds the questions under way.
+	maxConcurrentHintPolls = 8
 )
 
 // hints remembers which engine was last said to hold a prefix. Events come late
@@ -31,9 +31,9 @@
 
 func (h *hints) holder(prefix uint64) string { return h.holders[prefix] }
 
-// note takes in one event of an engine.
-func (h *hints) note(id string, e engine.CacheEvent) {
-	if h.holders == nil || len(h.holders) >= hintsMost {
+// record takes in one event of an engine.
+func (h *hints) record(id string, e engine.CacheEvent) {
+	if h.holders == nil || len(h.holders) >= maxHintCount {
 		h.holders = map[uint64]string{} // they come back with use
 	}
 	if e.Held {
@@ -44,7 +44,7 @@
 }
 
 // RecordCacheEvent takes in one cache event of the engine with this id.
-func (c *Core) RecordCacheEvent(id string, e engine.CacheEvent) { c.hints.note(id, e) }
+func (c *Core) RecordCacheEvent(id string, e engine.CacheEvent) { c.hints.record(id, e) }
 
 // forget drops what is remembered of an engine that restarted with a cold cache.
 func (h *hints) forget(id string) {
@@ -55,20 +55,20 @@
 	}
 }
 
-// source is one engine with the last event seen of it.
-type source struct {
+// hintSource is one engine with the last event seen of it.
+type hintSource struct {
 	id          string
 	incarnation string
 	engine      engine.Engine
-	seq         uint64
+	lastSeq     uint64
 }
 
 // pollHints asks the engines of this daemon's subset for their cache events
 // until ctx ends. It never holds the lock while it waits for an engine.
 func (m *Manager) pollHints(ctx context.Context) {
-	t := time.NewTicker(hintsEvery)
+	t := time.NewTicker(hintPollInterval)
 	defer t.Stop()
-	seen := map[string]*source{}
+	seen := map[string]*hintSource{}
 	for {
 		select {
 		case <-ctx.Done():
@@ -76,19 +76,19 @@
 		case <-t.C:
 		}
 		var g errgroup.Group
-		g.SetLimit(hintsAtOnce)
+		g.SetLimit(maxConcurrentHintPolls)
 		for _, s := range m.hintSources(seen) {
-			g.Go(func() error { m.askHints(ctx, s); return nil })
+			g.Go(func() error { m.pollEngine(ctx, s); return nil })
 		}
 		_ = g.Wait()
 	}
 }
 
 // hintSources lists the engines in use; one that restarted begins anew.
-func (m *Manager) hintSources(seen map[string]*source) []*source {
+func (m *Manager) hintSources(seen map[string]*hintSource) []*hintSource {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var list []*source
+	var list []*hintSource
 	for id, s := range m.core.servers {
 		if !s.present || len(s.groups) == 0 || s.backend.Engine == nil {
 			delete(seen, id)
@@ -96,7 +96,7 @@
 		}
 		known := seen[id]
 		if known == nil || known.incarnation != s.incarnation {
-			known = &source{id: id, incarnation: s.incarnation}
+			known = &hintSource{id: id, incarnation: s.incarnation}
 			seen[id] = known
 		}
 		known.engine = s.backend.Engine
@@ -105,10 +105,10 @@
 	return list
 }
 
-func (m *Manager) askHints(ctx context.Context, s *source) {
-	ctx, cancel := context.WithTimeout(ctx, hintsTimeout)
+func (m *Manager) pollEngine(ctx context.Context, s *hintSource) {
+	ctx, cancel := context.WithTimeout(ctx, hintPollTimeout)
 	defer cancel()
-	events, err := s.engine.CacheEvents(ctx, s.seq)
+	events, err := s.engine.CacheEvents(ctx, s.lastSeq)
 	if err != nil {
 		return // a hint less; health is judged by requests and reports
 	}
@@ -116,6 +116,6 @@
 	defer m.mu.Unlock()
 	for _, e := range events {
 		m.core.RecordCacheEvent(s.id, e)
-		s.seq = max(s.seq, e.Seq)
+		s.lastSeq = max(s.lastSeq, e.Seq)
 	}
 }
--- a/serve/flow/lease.go
+++ b/serve/flow/lease.go
@@ -41,20 +41,20 @@
 	l.server.limit.ObserveTokenGap(per)
 	l.server.peer.ObserveTokenGap(per)
 	if l.item.Class != admit.Resumed {
-		l.core.budget(l.service.Name).Deposit(now, float64(n), l.share())
+		l.core.budgetFor(l.service.Name).Deposit(now, float64(n), l.depositRatio())
 	}
 }
 
-// share is the part of the tokens that pays for repeated work.
-func (l *Lease) share() float64 {
-	if l.plain() {
+// depositRatio is the part of the tokens that pays for repeated work.
+func (l *Lease) depositRatio() float64 {
+	if l.isPlain() {
 		return budget.DefaultRatio
 	}
 	return budget.TakeoverRatio(l.service.LatencyWeight)
 }
 
-// plain reports whether this is a call of a plain service: one answer, no tokens.
-func (l *Lease) plain() bool { return l.service.Kind == site.KindPlain }
+// isPlain reports whether this is a call of a plain service: one answer, no tokens.
+func (l *Lease) isPlain() bool { return l.service.Kind == site.KindPlain }
 
 // Done ends the use. A second call has no effect, so that a slot is never
 // given back twice.
@@ -65,30 +65,30 @@
 	l.ended = true
 	l.server.load.InFlight--
 	l.group.queue.RecordFinish(l.item.Class, l.item.Cost, now.Sub(l.started))
-	l.judge(now, o)
-	l.core.observe.done(l, o)
-	l.core.wake(now, l.server)
+	l.recordHealth(now, o)
+	l.core.observer.recordOutcome(l, o)
+	l.core.startWaitingAt(now, l.server)
 }
 
-// judge feeds the health of the backend server. What we cancelled says
+// recordHealth feeds the health of the backend server. What we cancelled says
 // nothing about it, nor does a version that it unloads: left out for that, it
 // would not serve the others, and requests would wait for it to come back. The
 // time of a plain answer stands for a token gap.
-func (l *Lease) judge(now time.Time, o Outcome) {
+func (l *Lease) recordHealth(now time.Time, o Outcome) {
 	switch {
 	case o.Cancelled, errors.Is(o.Err, engine.ErrNotReady):
 	case o.Err != nil:
 		l.server.peer.RecordFailure()
 	default:
 		l.server.peer.RecordSuccess()
-		if l.plain() {
-			l.judgePlain(now, o)
+		if l.isPlain() {
+			l.recordPlainAnswer(now, o)
 		}
 	}
 }
 
-func (l *Lease) judgePlain(now time.Time, o Outcome) {
-	l.core.budget(l.service.Name).Deposit(now, l.item.Cost, l.share())
+func (l *Lease) recordPlainAnswer(now time.Time, o Outcome) {
+	l.core.budgetFor(l.service.Name).Deposit(now, l.item.Cost, l.depositRatio())
 	took := o.FirstToken
 	if took <= 0 {
 		took = now.Sub(l.started)
@@ -97,19 +97,19 @@
 	l.server.limit.ObserveTokenGap(took)
 }
 
-// wake starts what may start now that a slot of s came free.
-func (c *Core) wake(now time.Time, s *server) {
+// startWaitingAt starts what may start now that a slot of s came free.
+func (c *Core) startWaitingAt(now time.Time, s *server) {
 	for _, g := range s.groups {
-		c.drainGroup(now, g)
+		c.startWaiting(now, g)
 	}
 }
 
-// drainGroup starts waiting work until nothing more fits.
-func (c *Core) drainGroup(now time.Time, g *group) {
+// startWaiting starts waiting work until nothing more fits.
+func (c *Core) startWaiting(now time.Time, g *group) {
 	if g.queue.IsEmpty() {
 		return
 	}
-	try := func(it *admit.Item) bool { return c.start(now, g.waiters[it]) }
+	try := func(it *admit.Item) bool { return c.tryStart(now, g.waiters[it]) }
 	for {
 		it := g.queue.Next(now, g.slots, try)
 		if it == nil {
@@ -119,50 +119,50 @@
 	}
 }
 
-// evalEvery is how often servers are compared. A straggler is known after
+// evaluationInterval is how often servers are compared. A straggler is known after
 // minSamples gaps, about half a second; comparing more often gains nothing.
-const evalEvery = 500 * time.Millisecond
+const evaluationInterval = 500 * time.Millisecond
 
 // Tick moves limits and health, refuses what has become hopeless and starts
 // what fits. It is due every 100 ms or so.
 func (c *Core) Tick(now time.Time) {
 	for _, s := range c.servers {
 		if s.limit.Adjust(now, int(s.load.InFlight)) {
-			c.observe.limit(s)
+			c.observer.recordLimitChange(s)
 		}
-		s.inFlightAt.add(now, s.load.InFlight)
-		s.refresh(now)
+		s.inFlightHistory.add(now, s.load.InFlight)
+		s.refreshLoad(now)
 	}
-	if !now.Before(c.nextEval) {
-		c.nextEval = now.Add(evalEvery)
+	if !now.Before(c.nextEvaluation) {
+		c.nextEvaluation = now.Add(evaluationInterval)
 		c.evaluate(now)
 	}
-	for _, g := range c.ordered {
-		g.count()
+	for _, g := range c.orderedGroups {
+		g.updateSlots()
 		c.shed(now, g)
-		c.drainGroup(now, g)
-		c.observe.waiting(g)
+		c.startWaiting(now, g)
+		c.observer.recordQueue(g)
 	}
 }
 
 func (c *Core) evaluate(now time.Time) {
-	for _, g := range c.ordered {
-		for _, t := range g.eval.Evaluate(now, g.peers) {
-			c.transition(now, g.servers[t.Index], t)
+	for _, g := range c.orderedGroups {
+		for _, t := range g.evaluator.Evaluate(now, g.peers) {
+			c.applyTransition(now, g.servers[t.Index], t)
 		}
 	}
 }
 
-func (c *Core) transition(now time.Time, s *server, t health.Transition) {
-	s.refresh(now)
-	c.observe.state(s, t)
+func (c *Core) applyTransition(now time.Time, s *server, t health.Transition) {
+	s.refreshLoad(now)
+	c.observer.recordStateChange(s, t)
 }
 
 func (c *Core) shed(now time.Time, g *group) {
-	slots := g.expected()
+	slots := g.expectedSlots()
 	for _, it := range g.queue.Shed(now, slots) {
 		w := g.waiters[it]
 		delete(g.waiters, it)
-		c.refuse(now, w, refusal(g.queue.RefusalFor(now, it, slots)))
+		c.refuse(now, w, refusalError(g.queue.RefusalFor(now, it, slots)))
 	}
 }
--- a/serve/flow/manager.go
+++ b/serve/flow/manager.go
@@ -27,12 +27,12 @@
 
 // Manager is the Dispatcher of a daemon.
 type Manager struct {
-	config Config
-	mu     sync.Mutex
-	core   *Core
-	site   *site.Site         // last taken in
-	snap   *backends.Snapshot // last taken in
-	view   *membership.View   // last taken in
+	config   Config
+	mu       sync.Mutex
+	core     *Core
+	site     *site.Site         // last taken in
+	snapshot *backends.Snapshot // last taken in
+	view     *membership.View   // last taken in
 }
 
 var _ Dispatcher = (*Manager)(nil)
@@ -45,16 +45,16 @@
 	}
 }
 
-// tickEvery is how often queues are examined; a hopeless request hears of it
+// tickInterval is how often queues are examined; a hopeless request hears of it
 // at most this much later.
-const tickEvery = 100 * time.Millisecond
+const tickInterval = 100 * time.Millisecond
 
 // Run keeps the candidates, limits, health and queues current until ctx ends.
 func (m *Manager) Run(ctx context.Context) error {
 	var polls sync.WaitGroup
 	polls.Go(func() { m.pollHints(ctx) })
 	defer polls.Wait()
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -82,10 +82,10 @@
 	if m.config.Members != nil {
 		view = m.config.Members.Current()
 	}
-	if st == m.site && snap == m.snap && view == m.view {
+	if st == m.site && snap == m.snapshot && view == m.view {
 		return
 	}
-	m.site, m.snap, m.view = st, snap, view
+	m.site, m.snapshot, m.view = st, snap, view
 	fleet := Fleet{AliveCount: 1}
 	if view != nil {
 		fleet = fleetOf(view, m.config.Location)
@@ -99,18 +99,18 @@
 	err   *verdict.Error
 }
 
-// waitSink passes a result to the goroutine that waits in Acquire.
-type waitSink chan result
+// chanSink passes a result to the goroutine that waits in Acquire.
+type chanSink chan result
 
 // Granted implements Sink.
-func (s waitSink) Granted(_ time.Time, l *Lease) { s <- result{lease: l} }
+func (s chanSink) Granted(_ time.Time, l *Lease) { s <- result{lease: l} }
 
 // Refused implements Sink.
-func (s waitSink) Refused(_ time.Time, err *verdict.Error) { s <- result{err: err} }
+func (s chanSink) Refused(_ time.Time, err *verdict.Error) { s <- result{err: err} }
 
 // Acquire implements Dispatcher.
 func (m *Manager) Acquire(ctx context.Context, ask Request) (Grant, error) {
-	sink := make(waitSink, 1)
+	sink := make(chanSink, 1)
 	m.mu.Lock()
 	now := time.Now()
 	m.update(now)
@@ -118,27 +118,27 @@
 	m.mu.Unlock()
 	select {
 	case r := <-sink:
-		return m.grant(r)
+		return m.toGrant(r)
 	default:
 	}
-	expire := time.NewTimer(time.Until(w.ask.Deadline))
+	expire := time.NewTimer(time.Until(w.request.Deadline))
 	defer expire.Stop()
 	select {
 	case r := <-sink:
-		return m.grant(r)
+		return m.toGrant(r)
 	case <-expire.C:
 		m.mu.Lock()
 		m.core.Expire(time.Now(), w)
 		m.mu.Unlock()
-		return m.grant(<-sink)
+		return m.toGrant(<-sink)
 	case <-ctx.Done():
-		return m.abandon(ctx, w, sink)
+		return m.cancelWait(ctx, w, sink)
 	}
 }
 
-// abandon ends the wait of a caller that left. When the grant was given at the
+// cancelWait ends the wait of a caller that left. When the grant was given at the
 // same moment it is returned unused: nothing was sent, so nothing ran.
-func (m *Manager) abandon(ctx context.Context, w *Waiter, sink waitSink) (Grant, error) {
+func (m *Manager) cancelWait(ctx context.Context, w *Waiter, sink chanSink) (Grant, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.core.Cancel(w) {
@@ -150,7 +150,7 @@
 		"the caller left before a backend server was free").WithCause(ctx.Err())
 }
 
-func (m *Manager) grant(r result) (Grant, error) {
+func (m *Manager) toGrant(r result) (Grant, error) {
 	if r.err != nil {
 		return nil, r.err
 	}
--- a/serve/flow/manager_test.go
+++ b/serve/flow/manager_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-func refusal(t *testing.T, err error) *verdict.Error {
+func refusalError(t *testing.T, err error) *verdict.Error {
 	t.Helper()
 	var e *verdict.Error
 	must.True(t, errors.As(err, &e))
@@ -135,7 +135,7 @@
 		a.Deadline = time.Now().Add(1500 * time.Millisecond)
 		begin := time.Now()
 		_, err = m.Acquire(t.Context(), a)
-		e := refusal(t, err)
+		e := refusalError(t, err)
 		test.Eq(t, verdict.CodeDeadlineExceeded, e.Code)
 		test.Positive(t, e.RetryAfter)
 		test.Eq(t, 1500*time.Millisecond, time.Since(begin))
@@ -156,7 +156,7 @@
 		}
 		f.replace(backend("b0", vmlist.Leaving), backend("b1", vmlist.Leaving))
 		_, err := m.Acquire(t.Context(), ask(f, "status"))
-		must.Eq(t, verdict.CodeNoBackend, refusal(t, err).Code)
+		must.Eq(t, verdict.CodeNoBackend, refusalError(t, err).Code)
 	})
 }
 
@@ -187,7 +187,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err = m.Acquire(ctx, ask(f, "review"))
-		refusal(t, err)
+		refusalError(t, err)
 		first.Done(flow.Outcome{})
 		_, err = m.Acquire(t.Context(), ask(f, "review"))
 		must.NoError(t, err)
--- a/serve/flow/observe.go
+++ b/serve/flow/observe.go
@@ -16,16 +16,16 @@
 // observer writes the log line and counts the metric of each decision, both
 // from the decision's typed reason.
 type observer struct {
-	log        *event.Log
-	dispatches *prometheus.CounterVec
-	refusals   *prometheus.CounterVec
-	states     *prometheus.CounterVec
-	expenses   *prometheus.CounterVec
-	outcomes   *prometheus.CounterVec
-	loads      *prometheus.CounterVec
-	waits      *prometheus.HistogramVec
-	backlog    *prometheus.GaugeVec
-	slots      *prometheus.GaugeVec
+	log              *event.Log
+	dispatches       *prometheus.CounterVec
+	refusals         *prometheus.CounterVec
+	stateChanges     *prometheus.CounterVec
+	budgetDecisions  *prometheus.CounterVec
+	outcomes         *prometheus.CounterVec
+	loadingDecisions *prometheus.CounterVec
+	waits            *prometheus.HistogramVec
+	waitingRequests  *prometheus.GaugeVec
+	slots            *prometheus.GaugeVec
 }
 
 // newObserver registers the metrics with r, which may be nil.
@@ -44,15 +44,15 @@
 		}, labels)
 	}
 	o := &observer{
-		log:        log,
-		dispatches: counter("dispatched_total", "Requests given a backend server.", "class", "reason"),
-		refusals:   counter("refused_total", "Requests turned away without running.", "class", "code"),
-		states:     counter("backend_state_total", "Changes of how a backend server is treated.", "to", "reason"),
-		expenses:   counter("budget_total", "Retries and takeovers charged or denied.", "reason"),
-		outcomes:   counter("finished_total", "Dispatched work that ended.", "class", "result"),
-		loads:      counter("loading_total", "Requests for a model that is only loading.", "reason"),
-		backlog:    gauge("waiting_requests", "Requests waiting for a backend server.", "pool", "model"),
-		slots:      gauge("slots", "Requests that may run at once.", "pool", "model"),
+		log:              log,
+		dispatches:       counter("dispatched_total", "Requests given a backend server.", "class", "reason"),
+		refusals:         counter("refused_total", "Requests turned away without running.", "class", "code"),
+		stateChanges:     counter("backend_state_total", "Changes of how a backend server is treated.", "to", "reason"),
+		budgetDecisions:  counter("budget_total", "Retries and takeovers charged or denied.", "reason"),
+		outcomes:         counter("finished_total", "Dispatched work that ended.", "class", "result"),
+		loadingDecisions: counter("loading_total", "Requests for a model that is only loading.", "reason"),
+		waitingRequests:  gauge("waiting_requests", "Requests waiting for a backend server.", "pool", "model"),
+		slots:            gauge("slots", "Requests that may run at once.", "pool", "model"),
 		waits: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: "mallowwind", Subsystem: "flow", Name: "wait_seconds",
 			Help:    "Time from arrival to dispatch.",
@@ -60,42 +60,42 @@
 		}, []string{"class"}),
 	}
 	if r != nil {
-		r.MustRegister(o.dispatches, o.refusals, o.states, o.expenses, o.outcomes, o.loads, o.backlog, o.slots, o.waits)
+		r.MustRegister(o.dispatches, o.refusals, o.stateChanges, o.budgetDecisions, o.outcomes, o.loadingDecisions, o.waitingRequests, o.slots, o.waits)
 	}
 	return o
 }
 
 func accountName(w *Waiter) string { return w.item.Account }
 
-func (o *observer) dispatched(now time.Time, w *Waiter, l *Lease) {
+func (o *observer) recordDispatch(now time.Time, w *Waiter, l *Lease) {
 	class, wait := w.item.Class.String(), now.Sub(w.arrived)
 	o.dispatches.WithLabelValues(class, string(l.reason)).Inc()
 	o.waits.WithLabelValues(class).Observe(wait.Seconds())
-	o.log.Emit(event.RequestDispatched, w.ask.RequestID, accountName(w), w.ask.Service.Name, class,
+	o.log.Emit(event.RequestDispatched, w.request.RequestID, accountName(w), w.request.Service.Name, class,
 		l.server.backend.ID, l.server.backend.Zone, l.reason, wait, l.server.load.InFlight, l.server.load.Limit)
 }
 
-func (o *observer) queued(w *Waiter, d admit.Decision) {
-	o.log.Emit(event.RequestQueued, w.ask.RequestID, accountName(w), w.ask.Service.Name,
+func (o *observer) recordQueued(w *Waiter, d admit.Decision) {
+	o.log.Emit(event.RequestQueued, w.request.RequestID, accountName(w), w.request.Service.Name,
 		w.item.Class.String(), d.Reason, d.PredictedWait)
 }
 
-func (o *observer) refused(_ time.Time, w *Waiter, err *verdict.Error) {
+func (o *observer) recordRefusal(_ time.Time, w *Waiter, err *verdict.Error) {
 	o.refusals.WithLabelValues(w.item.Class.String(), string(err.Code)).Inc()
-	o.log.Emit(event.RequestRefused, w.ask.RequestID, accountName(w), w.ask.Service.Name,
+	o.log.Emit(event.RequestRefused, w.request.RequestID, accountName(w), w.request.Service.Name,
 		w.item.Class.String(), err.Message, err.Code, err.RetryAfter)
 }
 
-func (o *observer) budget(w *Waiter, why budget.Reason, balance float64) {
+func (o *observer) recordBudgetDecision(w *Waiter, why budget.Reason, balance float64) {
 	kind := "retry"
-	if w.ask.Resume {
+	if w.request.Resume {
 		kind = "takeover"
 	}
-	o.expenses.WithLabelValues(string(why)).Inc()
-	o.log.Emit(event.BudgetDecided, w.ask.RequestID, kind, why, w.item.Cost, balance)
+	o.budgetDecisions.WithLabelValues(string(why)).Inc()
+	o.log.Emit(event.BudgetDecided, w.request.RequestID, kind, why, w.item.Cost, balance)
 }
 
-func (o *observer) done(l *Lease, out Outcome) {
+func (o *observer) recordOutcome(l *Lease, out Outcome) {
 	result := "ok"
 	switch {
 	case out.Cancelled:
@@ -106,26 +106,26 @@
 	o.outcomes.WithLabelValues(l.item.Class.String(), result).Inc()
 }
 
-func (o *observer) state(s *server, t health.Transition) {
-	o.states.WithLabelValues(t.To.String(), string(t.Reason)).Inc()
+func (o *observer) recordStateChange(s *server, t health.Transition) {
+	o.stateChanges.WithLabelValues(t.To.String(), string(t.Reason)).Inc()
 	o.log.Emit(event.BackendState, s.backend.ID, t.From, t.To, t.Reason, t.Gap, t.Median)
 }
 
-func (o *observer) limit(s *server) {
+func (o *observer) recordLimitChange(s *server) {
 	o.log.Emit(event.LimitChanged, s.backend.ID, s.limit.Limit(), s.load.InFlight)
 }
 
-func (o *observer) table(g *group, known int, version uint64) {
+func (o *observer) recordTable(g *group, known int, version uint64) {
 	o.log.Emit(event.TableBuilt, g.key.pool, g.key.ref.Model, g.table.Len(), known, version)
 }
 
-func (o *observer) loading(w *Waiter, d loading.Decision) {
-	o.loads.WithLabelValues(string(d.Reason)).Inc()
-	o.log.Emit(event.LoadingDecided, w.ask.RequestID, w.ask.Service.Model, d.Reason, d.RetryAfter)
+func (o *observer) recordLoadingDecision(w *Waiter, d loading.Decision) {
+	o.loadingDecisions.WithLabelValues(string(d.Reason)).Inc()
+	o.log.Emit(event.LoadingDecided, w.request.RequestID, w.request.Service.Model, d.Reason, d.RetryAfter)
 }
 
-func (o *observer) waiting(g *group) {
+func (o *observer) recordQueue(g *group) {
 	n, _ := g.queue.Waiting()
-	o.backlog.WithLabelValues(g.key.pool, g.key.ref.Model).Set(float64(n))
+	o.waitingRequests.WithLabelValues(g.key.pool, g.key.ref.Model).Set(float64(n))
 	o.slots.WithLabelValues(g.key.pool, g.key.ref.Model).Set(float64(g.slots))
 }
--- a/serve/flow/precheck.go
+++ b/serve/flow/precheck.go
@@ -13,19 +13,19 @@
 // accountBucket is one account's limit at this VM.
 type accountBucket struct {
 	limit.TokenBucket
-	share float64 // of the account's limit
-	fleet uint64  // version for which share holds
+	limitShare   float64 // of the account's limit
+	fleetVersion uint64  // version for which share holds
 }
 
 // precheck asks the account's limit and the budget for extra work.
 func (c *Core) precheck(now time.Time, w *Waiter) *verdict.Error {
-	if w.group.allExcluded(w.ask.Exclude) {
+	if w.group.allExcluded(w.request.Exclude) {
 		return verdict.New(verdict.NotRun, verdict.CodeNoBackend, "every backend server failed this request")
 	}
-	if w.ask.Resume || len(w.ask.Exclude) > 0 {
-		return c.afford(now, w)
+	if w.request.Resume || len(w.request.Exclude) > 0 {
+		return c.chargeBudget(now, w)
 	}
-	a := w.ask.Account
+	a := w.request.Account
 	if a == nil || a.TokensPerS <= 0 {
 		return nil
 	}
@@ -34,10 +34,10 @@
 		bucket = &accountBucket{}
 		c.accounts[a.Name] = bucket
 	}
-	if bucket.fleet != c.fleetVersion {
-		bucket.share, bucket.fleet = c.share(a.Name), c.fleetVersion
+	if bucket.fleetVersion != c.fleetVersion {
+		bucket.limitShare, bucket.fleetVersion = c.accountShare(a.Name), c.fleetVersion
 	}
-	rate := a.TokensPerS * bucket.share
+	rate := a.TokensPerS * bucket.limitShare
 	if wait := bucket.Take(now, w.item.Cost, rate); wait > 0 {
 		return verdict.New(verdict.NotRun, verdict.CodeAccountLimit,
 			"account %s is above its limit of %g tokens a second", a.Name, a.TokensPerS).WithRetryAfter(wait)
@@ -59,21 +59,21 @@
 	return len(g.servers) > 0
 }
 
-// afford charges a retry or a takeover. A continuation whose engine is
+// chargeBudget charges a retry or a takeover. A continuation whose engine is
 // certainly gone is always paid: its caller holds half an answer.
-func (c *Core) afford(now time.Time, w *Waiter) *verdict.Error {
+func (c *Core) chargeBudget(now time.Time, w *Waiter) *verdict.Error {
 	waiting, _ := w.group.queue.Waiting()
-	cost := w.ask.ExtraTokens
+	cost := w.request.ExtraTokens
 	if cost == 0 {
 		cost = w.item.Cost
 	}
-	b := c.budget(w.ask.Service.Name)
+	b := c.budgetFor(w.request.Service.Name)
 	why := b.Withdraw(now, budget.Withdrawal{
 		Tokens:    cost,
-		Forced:    w.ask.Resume && !w.ask.Speculative,
+		Forced:    w.request.Resume && !w.request.Speculative,
 		Saturated: waiting > 0,
 	})
-	c.observe.budget(w, why, b.Balance())
+	c.observer.recordBudgetDecision(w, why, b.Balance())
 	if why == budget.Granted || why == budget.Forced {
 		return nil
 	}
@@ -81,8 +81,8 @@
 		"no room for repeated work: %s", why).WithRetryAfter(b.Wait(cost))
 }
 
-// budget returns the balance of a service.
-func (c *Core) budget(service string) *budget.Budget {
+// budgetFor returns the balance of a service.
+func (c *Core) budgetFor(service string) *budget.Budget {
 	b, ok := c.budgets[service]
 	if !ok {
 		b = &budget.Budget{}
@@ -91,8 +91,8 @@
 	return b
 }
 
-// refusal turns a decision of the queue into the error callers get.
-func refusal(d admit.Decision) *verdict.Error {
+// refusalError turns a decision of the queue into the error callers get.
+func refusalError(d admit.Decision) *verdict.Error {
 	code, text := verdict.CodeOverloaded, "cannot start before its deadline"
 	switch d.Reason {
 	case admit.ReasonExpired:
@@ -100,7 +100,7 @@
 	case admit.ReasonNoCapacity:
 		code, text = verdict.CodeNoBackend, "no backend server is ready for this service"
 		if d.RetryAfter == 0 {
-			d.RetryAfter = noServerRetry
+			d.RetryAfter = noServerRetryAfter
 		}
 	}
 	return verdict.New(verdict.NotRun, code, "%s (%s)", text, d.Reason).WithRetryAfter(d.RetryAfter)
--- a/serve/flow/update.go
+++ b/serve/flow/update.go
@@ -16,7 +16,7 @@
 // Update takes in a new site, snapshot or fleet. It is the only step whose cost
 // grows with the number of backend servers.
 func (c *Core) Update(now time.Time, st *site.Site, snap *backends.Snapshot, fleet Fleet) {
-	c.site, c.fleet, c.shares, c.snapshot = st, fleet, nil, snap
+	c.site, c.fleet, c.accountLoads, c.snapshot = st, fleet, nil, snap
 	c.fleetVersion++
 	for _, s := range c.servers {
 		s.present = false
@@ -26,12 +26,12 @@
 			c.observeServer(now, pool, b)
 		}
 	}
-	c.forget()
-	for _, key := range c.keys() {
+	c.removeGoneServers()
+	for _, key := range c.groupKeys() {
 		c.buildGroup(now, c.group(key), snap)
 	}
-	for _, g := range c.ordered {
-		c.drainGroup(now, g)
+	for _, g := range c.orderedGroups {
+		c.startWaiting(now, g)
 	}
 }
 
@@ -39,16 +39,16 @@
 	s, ok := c.servers[b.VM.ID]
 	slots := c.slotsOf(pool)
 	if !ok {
-		s = newServer(b, slots, c.sharers(b, slots), c.place.VM)
+		s = newServer(b, slots, c.sharingDaemonCount(b, slots), c.location.VM)
 		c.servers[b.VM.ID] = s
 	}
 	s.slots, s.pool, s.present = slots, pool, true
 	s.groups = s.groups[:0]
-	if t, changed := s.observe(now, b, c.sharers(b, slots), c.fleet.count()); changed {
+	if t, changed := s.applyStatus(now, b, c.sharingDaemonCount(b, slots), c.fleet.entryVMCount()); changed {
 		c.hints.forget(b.VM.ID)
-		c.observe.state(s, t)
+		c.observer.recordStateChange(s, t)
 	}
-	s.refresh(now)
+	s.refreshLoad(now)
 }
 
 func (c *Core) slotsOf(pool string) int {
@@ -60,8 +60,8 @@
 	return defaultSlots
 }
 
-// forget drops servers that are gone and have nothing in flight.
-func (c *Core) forget() {
+// removeGoneServers drops servers that are gone and have nothing in flight.
+func (c *Core) removeGoneServers() {
 	for id, s := range c.servers {
 		if !s.present && s.load.InFlight == 0 {
 			delete(c.servers, id)
@@ -78,16 +78,16 @@
 	return keys
 }
 
-// keys are the groups that the site names, in a stable order, and those that
+// groupKeys are the groups that the site names, in a stable order, and those that
 // still have waiting work.
-func (c *Core) keys() []groupKey {
+func (c *Core) groupKeys() []groupKey {
 	seen := map[groupKey]bool{}
 	for k := range c.groups {
 		seen[k] = true
 	}
 	if c.site != nil {
 		for _, s := range c.site.Services {
-			seen[keyOf(s)] = true
+			seen[groupKeyOf(s)] = true
 		}
 	}
 	keys := make([]groupKey, 0, len(seen))
@@ -113,16 +113,16 @@
 			waiters: map[*admit.Item]*Waiter{},
 		}
 		c.groups[key] = g
-		c.ordered = append(c.ordered, g)
+		c.orderedGroups = append(c.orderedGroups, g)
 	}
 	return g
 }
 
-// asked returns the group of a request. One that the site in force does not
+// groupForRequest returns the group of a request. One that the site in force does not
 // name begins here, with the servers known now: a version that is being
 // replaced, at a daemon that started in the middle of the change. Left empty
 // until the next Update it would turn requests away beside idle engines.
-func (c *Core) asked(now time.Time, key groupKey) *group {
+func (c *Core) groupForRequest(now time.Time, key groupKey) *group {
 	g, known := c.groups[key]
 	if !known {
 		g = c.group(key)
@@ -136,12 +136,12 @@
 // buildGroup replaces the candidates of a group.
 func (c *Core) buildGroup(now time.Time, g *group, snap *backends.Snapshot) {
 	var rows []*backends.Backend
-	g.loadingSlots, g.loading = 0, time.Time{}
+	g.loadingSlots, g.firstLoadEnd = 0, time.Time{}
 	for _, b := range snap.Pools[g.key.pool] {
-		if usable(b, g.key.ref) {
+		if isUsable(b, g.key.ref) {
 			rows = append(rows, b)
-		} else if left, ok := loadingFor(b, g.key.ref); ok {
-			g.soon(now.Add(left), c.slotsOf(g.key.pool)/c.fleet.count())
+		} else if left, ok := loadRemaining(b, g.key.ref); ok {
+			g.addLoading(now.Add(left), c.slotsOf(g.key.pool)/c.fleet.entryVMCount())
 		}
 	}
 	g.table = route.NewTable(c.subset(rows))
@@ -153,8 +153,8 @@
 		g.servers = append(g.servers, s)
 		g.peers = append(g.peers, &s.peer)
 	}
-	g.count()
-	c.observe.table(g, len(rows), snap.Version)
+	g.updateSlots()
+	c.observer.recordTable(g, len(rows), snap.Version)
 }
 
 func (c *Core) candidate(b *backends.Backend) route.Candidate {
@@ -164,15 +164,15 @@
 	}
 }
 
-func (g *group) soon(at time.Time, slots int) {
-	if g.loadingSlots == 0 || at.Before(g.loading) {
-		g.loading = at
+func (g *group) addLoading(at time.Time, slots int) {
+	if g.loadingSlots == 0 || at.Before(g.firstLoadEnd) {
+		g.firstLoadEnd = at
 	}
 	g.loadingSlots += max(1, slots)
 }
 
-// count sums the limits of the candidates.
-func (g *group) count() {
+// updateSlots sums the limits of the candidates.
+func (g *group) updateSlots() {
 	g.slots = 0
 	spare := 0
 	for _, s := range g.servers {
@@ -182,25 +182,25 @@
 	g.queue.SetUrgentOverflow(spare)
 }
 
-// expected is the number of slots that waiting work may count on.
-func (g *group) expected() int {
+// expectedSlots is the number of slots that waiting work may count on.
+func (g *group) expectedSlots() int {
 	if g.slots == 0 {
 		return g.loadingSlots
 	}
 	return g.slots
 }
 
-// offerLoading decides about a request that only a loading model can run.
-func (c *Core) offerLoading(now time.Time, w *Waiter) admit.Decision {
+// offerWhileLoading decides about a request that only a loading model can run.
+func (c *Core) offerWhileLoading(now time.Time, w *Waiter) admit.Decision {
 	g := w.group
 	d := loading.Decide(loading.Input{
-		Loading: g.loadingSlots > 0, LoadRemaining: max(g.loading.Sub(now), 0),
+		Loading: g.loadingSlots > 0, LoadRemaining: max(g.firstLoadEnd.Sub(now), 0),
 		TimeToDeadline: w.item.Deadline.Sub(now),
 	})
-	c.observe.loading(w, d)
+	c.observer.recordLoadingDecision(w, d)
 	if !d.Wait {
 		return admit.Decision{Action: admit.Refuse, Reason: admit.ReasonNoCapacity, RetryAfter: d.RetryAfter}
 	}
 	g.queue.Enqueue(&w.item)
-	return admit.Decision{Action: admit.Wait, Reason: admit.ReasonQueued, PredictedWait: max(g.loading.Sub(now), 0)}
+	return admit.Decision{Action: admit.Wait, Reason: admit.ReasonQueued, PredictedWait: max(g.firstLoadEnd.Sub(now), 0)}
 }
--- a/serve/generation/attempt.go
+++ b/serve/generation/attempt.go
@@ -15,8 +15,8 @@
 // cancelTimeout bounds the order to an engine to stop a generation nobody wants.
 const cancelTimeout = 2 * time.Second
 
-// primeTimeout bounds the reading of an answer by a standby engine.
-const primeTimeout = 5 * time.Second
+// primingTimeout bounds the reading of an answer by a standby engine.
+const primingTimeout = 5 * time.Second
 
 // attempt is one try of one engine. Its goroutine talks to flow and the engine
 // and reports to the generation's loop, which alone decides.
@@ -24,25 +24,25 @@
 	number uint64
 	ctx    context.Context
 	cancel context.CancelFunc
-	begin  chan begin // the loop's answer to reportGranted
+	params chan startParams // the loop's answer to reportGranted
 
 	// The fields below belong to the loop.
-	backend   flow.Backend
-	granted   bool
-	last      time.Time // last chunk, or the time of the grant
-	chunks    int
-	suspected bool
+	backend      flow.Backend
+	granted      bool
+	lastActivity time.Time // last chunk, or the time of the grant
+	chunkCount   int
+	suspected    bool
 	// reattach marks an attempt that reads what its engine already runs; the
 	// engine knows it by engineNumber, which belongs to the attempt that began it.
-	reattach     bool
-	engineNumber uint64
-	takeover     bool        // not the first attempt of this owner
-	silent       atomic.Bool // lost a race after it had been suspected
-	reads        int         // tokens of prompt and prefix that the engine must read first
+	reattach           bool
+	engineNumber       uint64
+	takeover           bool        // not the first attempt of this owner
+	lostWhileSuspected atomic.Bool // lost a race after it had been suspected
+	prefillTokens      int         // tokens of prompt and prefix that the engine must read first
 }
 
-// begin tells an attempt where to begin.
-type begin struct {
+// startParams tells an attempt where to begin.
+type startParams struct {
 	prefix   []string
 	reattach bool
 }
@@ -65,8 +65,8 @@
 	err     error
 }
 
-// post hands a report to the loop, unless the attempt was cancelled.
-func (a *attempt) post(to chan<- report, r report) bool {
+// send hands a report to the loop, unless the attempt was cancelled.
+func (a *attempt) send(to chan<- report, r report) bool {
 	r.attempt = a
 	select {
 	case to <- r:
@@ -81,28 +81,28 @@
 	defer a.cancel()
 	grant, err := d.Acquire(a.ctx, ask)
 	if err != nil {
-		a.post(to, report{kind: reportRefused, err: err})
+		a.send(to, report{kind: reportRefused, err: err})
 		return
 	}
 	out := flow.Outcome{Cancelled: true}
 	defer func() { grant.Done(out) }()
-	if !a.post(to, report{kind: reportGranted, backend: grant.Backend()}) {
+	if !a.send(to, report{kind: reportGranted, backend: grant.Backend()}) {
 		return
 	}
-	var s begin
+	var s startParams
 	select {
-	case s = <-a.begin:
+	case s = <-a.params:
 	case <-a.ctx.Done():
 		return
 	}
 	out = a.stream(grant, spec, s, to)
 	if out.Err != nil {
-		a.post(to, report{kind: reportFailed, err: out.Err})
+		a.send(to, report{kind: reportFailed, err: out.Err})
 	}
 }
 
 // stream reads the engine's answer to the end.
-func (a *attempt) stream(grant flow.Grant, spec *Spec, s begin, to chan<- report) flow.Outcome {
+func (a *attempt) stream(grant flow.Grant, spec *Spec, s startParams, to chan<- report) flow.Outcome {
 	began := time.Now()
 	stream, err := a.open(grant.Backend().Engine, spec, s)
 	if err != nil {
@@ -126,14 +126,14 @@
 		}
 		tokens += len(chunk.Tokens)
 		grant.Progress(len(chunk.Tokens), now.Sub(last))
-		if !a.post(to, report{kind: reportChunk, chunk: chunk}) {
+		if !a.send(to, report{kind: reportChunk, chunk: chunk}) {
 			return flow.Outcome{Cancelled: true, FirstToken: first, Tokens: tokens}
 		}
 		last = time.Now()
 	}
 }
 
-func (a *attempt) open(e engine.Engine, spec *Spec, s begin) (engine.Stream, error) {
+func (a *attempt) open(e engine.Engine, spec *Spec, s startParams) (engine.Stream, error) {
 	if s.reattach {
 		return e.Attach(a.ctx, spec.ID, a.engineNumber, len(s.prefix))
 	}
@@ -171,7 +171,7 @@
 // outcome reports err to flow, unless the end was ours. A silent engine is
 // reported too: nothing else tells flow to stop sending it new work.
 func (a *attempt) outcome(err error, first time.Duration, tokens int) flow.Outcome {
-	if a.silent.Load() {
+	if a.lostWhileSuspected.Load() {
 		return flow.Outcome{Err: errSilent, FirstToken: first, Tokens: tokens}
 	}
 	if a.ctx.Err() != nil {
@@ -193,15 +193,15 @@
 	_ = e.Cancel(ctx, id, number)
 }
 
-// primeOne makes a backend server read a request's prefix and returns its id.
-func (m *Manager) primeOne(ctx context.Context, ask flow.Request, req engine.Request) string {
-	grant, err := m.flow.Acquire(ctx, ask)
+// primeStandby makes a backend server read a request's prefix and returns its id.
+func (m *Manager) primeStandby(ctx context.Context, ask flow.Request, req engine.Request) string {
+	grant, err := m.dispatcher.Acquire(ctx, ask)
 	if err != nil {
 		return ""
 	}
 	out := flow.Outcome{Cancelled: true}
 	defer func() { grant.Done(out) }()
-	ctx, cancel := context.WithTimeout(ctx, primeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, primingTimeout)
 	defer cancel()
 	stream, err := grant.Backend().Engine.Generate(ctx, req)
 	if err != nil {
--- a/serve/generation/copier.go
+++ b/serve/generation/copier.go
@@ -18,22 +18,22 @@
 	// appendTimeout bounds one write of a copy. Zones are milliseconds apart; a
 	// holder that takes this long delays every token, so another one is chosen.
 	appendTimeout = 400 * time.Millisecond
-	// retryHolder is how long a holder that failed is left out, unless it was
+	// holderRetryDelay is how long a holder that failed is left out, unless it was
 	// replaced meanwhile.
-	retryHolder = 2 * time.Second
+	holderRetryDelay = 2 * time.Second
 )
 
 // copier keeps one generation's copy on another entry VM. Only one write runs
 // at a time; tokens accepted meanwhile go with the next, so one round trip
 // carries whatever came while its predecessor was under way.
 type copier struct {
-	m        *Manager
-	spec     *Spec
-	line     lineage.History
-	holder   membership.Member
-	open     bool                    // holder has the copy
-	excluded map[holderKey]time.Time // until when
-	stale    []membership.Member     // former holders, to be told once a new one has the copy
+	m             *Manager
+	spec          *Spec
+	history       lineage.History
+	holder        membership.Member
+	hasCopy       bool                    // holder has the copy
+	excluded      map[holderKey]time.Time // until when
+	formerHolders []membership.Member     // former holders, to be told once a new one has the copy
 }
 
 // holderKey names one life of an entry VM: its replacement may hold copies again.
@@ -42,41 +42,41 @@
 	incarnation uint64
 }
 
-func keyOf(m membership.Member) holderKey { return holderKey{m.ID, m.Incarnation} }
+func holderKeyOf(m membership.Member) holderKey { return holderKey{m.ID, m.Incarnation} }
 
-// write is one step of the copy: all accepted tokens, of which the holder has
+// journalWrite is one step of the copy: all accepted tokens, of which the holder has
 // the first journaled.
-type write struct {
-	tokens    []string
-	journaled int
-	attempt   *peerpb.Attempt
-	finish    engine.FinishReason
+type journalWrite struct {
+	tokens      []string
+	copiedCount int
+	attempt     *peerpb.Attempt
+	finish      engine.FinishReason
 }
 
-// written is the outcome of a write.
-type written struct {
-	upTo   int
-	finish engine.FinishReason
-	fenced lineage.Epoch // a newer owner's epoch, 0 if none
+// writeResult is the outcome of a write.
+type writeResult struct {
+	copiedCount int
+	finish      engine.FinishReason
+	fenced      lineage.Epoch // a newer owner's epoch, 0 if none
 	// degraded says that no holder could be reached. The tokens are released all
 	// the same: a copy that falls behind makes a later adoption fail visibly and
 	// never mixes two answers.
 	degraded bool
-	// alone says that there is no other entry VM that could hold a copy, and so
+	// onlyMember says that there is no other entry VM that could hold a copy, and so
 	// none that could have taken the answer over.
-	alone bool
+	onlyMember bool
 }
 
-// owned reports whether the write showed that no newer owner exists.
-func (w written) owned() bool { return w.fenced == 0 && (!w.degraded || w.alone) }
+// confirmsOwnership reports whether the write showed that no newer owner exists.
+func (w writeResult) confirmsOwnership() bool { return w.fenced == 0 && (!w.degraded || w.onlyMember) }
 
-// put carries out w, moving to another holder where the present one fails.
-func (c *copier) put(ctx context.Context, w write) written {
-	done := written{upTo: len(w.tokens), finish: w.finish}
+// write carries out w, moving to another holder where the present one fails.
+func (c *copier) write(ctx context.Context, w journalWrite) writeResult {
+	done := writeResult{copiedCount: len(w.tokens), finish: w.finish}
 	for ctx.Err() == nil {
-		if !c.choose() {
+		if !c.ensureHolder() {
 			done.degraded = true
-			done.alone = len(c.m.members.Current().Members) <= 1
+			done.onlyMember = len(c.m.members.Current().Members) <= 1
 			return done
 		}
 		res, err := c.send(ctx, w)
@@ -84,37 +84,37 @@
 		case err != nil:
 			// The connection may be silent for good while new ones work.
 			c.m.dialer.DropIdle()
-			c.leave("unreachable")
+			c.leaveHolder("unreachable")
 		case res.Accepted:
-			c.open = true
-			c.dropStale()
+			c.hasCopy = true
+			c.dropFormerCopies()
 			return done
-		case res.Epoch != c.line.Epoch() && res.Epoch.OwnerCount() >= c.line.Epoch().OwnerCount():
+		case res.Epoch != c.history.Epoch() && res.Epoch.OwnerCount() >= c.history.Epoch().OwnerCount():
 			done.fenced = res.Epoch
 			return done
-		case res.Unknown && c.open:
-			c.open = false // the holder lost the copy: send it whole
+		case res.Unknown && c.hasCopy:
+			c.hasCopy = false // the holder lost the copy: send it whole
 		default:
-			c.leave("refused")
+			c.leaveHolder("refused")
 		}
 	}
 	done.degraded = true
 	return done
 }
 
-// choose keeps the present holder while it is alive and picks another otherwise.
-func (c *copier) choose() bool {
+// ensureHolder keeps the present holder while it is alive and picks another otherwise.
+func (c *copier) ensureHolder() bool {
 	v := c.m.members.Current()
 	if c.holder.ID != "" {
 		m, known := v.Find(c.holder.ID)
 		if known && m.State == membership.Alive && m.Incarnation == c.holder.Incarnation {
 			return true
 		}
-		c.leave("not alive")
+		c.leaveHolder("not alive")
 	}
 	now := time.Now()
 	next, ok := journal.Pick(c.spec.ID, v, func(m membership.Member) bool {
-		return now.Before(c.excluded[keyOf(m)])
+		return now.Before(c.excluded[holderKeyOf(m)])
 	})
 	if !ok {
 		return false
@@ -123,42 +123,42 @@
 	return true
 }
 
-// leave gives up the present holder. Its copy stays until the next holder has
+// leaveHolder gives up the present holder. Its copy stays until the next holder has
 // one, so that a loss of this daemon in between still finds it.
-func (c *copier) leave(reason string) {
-	if c.open {
+func (c *copier) leaveHolder(reason string) {
+	if c.hasCopy {
 		c.m.log.Emit(event.JournalMoved, c.spec.ID, c.holder.ID, "", reason)
 		c.m.metrics.journalMoves.Inc()
-		c.stale = append(c.stale, c.holder)
+		c.formerHolders = append(c.formerHolders, c.holder)
 	}
 	if c.excluded == nil {
 		c.excluded = make(map[holderKey]time.Time)
 	}
-	c.excluded[keyOf(c.holder)] = time.Now().Add(retryHolder)
+	c.excluded[holderKeyOf(c.holder)] = time.Now().Add(holderRetryDelay)
 	c.holder = membership.Member{}
-	c.open = false
+	c.hasCopy = false
 }
 
-// dropStale tells former holders to forget their copies, so that no one adopts
+// dropFormerCopies tells former holders to forget their copies, so that no one adopts
 // them while a longer one exists; where they cannot be told, adopters compare
 // the copies they reach and take the longest.
-func (c *copier) dropStale() {
-	for _, m := range c.stale {
+func (c *copier) dropFormerCopies() {
+	for _, m := range c.formerHolders {
 		if m.ID != c.holder.ID {
-			c.m.wg.Go(func() { c.m.dropCopy(m, c.spec.ID, c.line.Epoch()) })
+			c.m.wg.Go(func() { c.m.dropCopy(m, c.spec.ID, c.history.Epoch()) })
 		}
 	}
-	c.stale = nil
+	c.formerHolders = nil
 }
 
-func (c *copier) send(ctx context.Context, w write) (journal.Result, error) {
+func (c *copier) send(ctx context.Context, w journalWrite) (journal.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	r, err := c.call(ctx, w)
 	if err != nil {
 		return journal.Result{}, errors.Wrap(err, "journal write")
 	}
-	c.m.metrics.journalBytes.Add(float64(c.bytes(w)))
+	c.m.metrics.journalBytes.Add(float64(c.textBytes(w)))
 	return journal.Result{
 		Accepted: r.GetAccepted(),
 		Unknown:  r.GetUnknown(),
@@ -167,27 +167,27 @@
 	}, nil
 }
 
-func (c *copier) call(ctx context.Context, w write) (*peerpb.JournalReply, error) {
-	if !c.open {
+func (c *copier) call(ctx context.Context, w journalWrite) (*peerpb.JournalReply, error) {
+	if !c.hasCopy {
 		return c.m.client(c.holder).Open(ctx, journal.ToWire(journal.Copy{
-			Spec: c.spec.toWire(), Line: c.line, Tokens: w.tokens, Attempt: w.attempt, Finish: string(w.finish),
+			Spec: c.spec.toWire(), Line: c.history, Tokens: w.tokens, Attempt: w.attempt, Finish: string(w.finish),
 		}))
 	}
 	return c.m.appends.Append(ctx, c.holder, &peerpb.AppendRequest{
 		Id:      c.spec.ID,
-		Epoch:   uint64(c.line.Epoch()),
-		Offset:  uint32(w.journaled),
-		Tokens:  w.tokens[w.journaled:],
+		Epoch:   uint64(c.history.Epoch()),
+		Offset:  uint32(w.copiedCount),
+		Tokens:  w.tokens[w.copiedCount:],
 		Attempt: w.attempt,
 		Finish:  string(w.finish),
 	})
 }
 
-// bytes is the text that a write carries, without framing.
-func (c *copier) bytes(w write) int {
+// textBytes is the text that a write carries, without framing.
+func (c *copier) textBytes(w journalWrite) int {
 	n, from := len(c.spec.Prompt), 0
-	if c.open {
-		n, from = 0, w.journaled
+	if c.hasCopy {
+		n, from = 0, w.copiedCount
 	}
 	for _, t := range w.tokens[from:] {
 		n += len(t)
--- a/serve/generation/decide.go
+++ b/serve/generation/decide.go
@@ -15,35 +15,35 @@
 )
 
 const (
-	// refusedPause is the wait after flow found no backend server for a resume.
-	refusedPause = 150 * time.Millisecond
-	// longestRefusedPause bounds the wait that a refusal asks for: the answer
+	// refusedRetryDelay is the wait after flow found no backend server for a resume.
+	refusedRetryDelay = 150 * time.Millisecond
+	// maxRefusedRetryDelay bounds the wait that a refusal asks for: the answer
 	// is owed, and room may come at any time.
-	longestRefusedPause = time.Second
-	// recheck is how often a held-back takeover is considered again.
-	recheck = 50 * time.Millisecond
-	// reattachCost is the extra work, in tokens, of reading an attempt again.
-	reattachCost = 1
+	maxRefusedRetryDelay = time.Second
+	// recheckInterval is how often a held-back takeover is considered again.
+	recheckInterval = 50 * time.Millisecond
+	// reattachCostTokens is the extra work, in tokens, of reading an attempt again.
+	reattachCostTokens = 1
 )
 
 // decide starts an attempt or gives up, as the resume policy says.
 func (l *loop) decide(ctx context.Context) error {
-	if l.finish != "" || l.stalled() {
+	if l.finish != "" || l.isStalled() {
 		return nil
 	}
 	now := time.Now()
-	if silence.WasPaused(l.due, now) {
-		l.restartSilence(now)
+	if silence.WasPaused(l.nextDecisionAt, now) {
+		l.resetSilence(now)
 	}
-	action, reason := resume.Decide(l.policy, l.view(now))
+	action, reason := resume.Decide(l.policy, l.answerState(now))
 	switch action {
 	case resume.Fail:
 		return verdict.New(verdict.MayHaveRun, verdict.CodeBackendFailed,
 			"no backend server continued the answer (%s)", reason)
 	case resume.Reattach:
-		l.reread = true
+		l.reattachTried = true
 		l.m.metrics.reattached.Inc()
-		l.startAttempt(ctx, start{reattach: l.leaderAt})
+		l.startAttempt(ctx, attemptOptions{reattach: l.leaderAttempt})
 	case resume.StartAttempt:
 		if !now.Before(l.notBefore) {
 			l.takeOver(ctx, now, reason)
@@ -56,34 +56,34 @@
 	return nil
 }
 
-// view collects what the resume policy looks at.
-func (l *loop) view(now time.Time) resume.AnswerState {
+// answerState collects what the resume policy looks at.
+func (l *loop) answerState(now time.Time) resume.AnswerState {
 	v := resume.AnswerState{
 		RunningAttempts: len(l.attempts),
-		RacingAttempts:  l.racing(),
-		FailedAttempts:  l.fruitless,
+		RacingAttempts:  l.racingCount(),
+		FailedAttempts:  l.failedCount,
 		SuspectAfter:    l.policy.Deadline,
-		CanReattach:     l.reattachable(),
+		CanReattach:     l.canReattach(),
 	}
-	if l.queued() {
+	if l.isQueued() {
 		return v
 	}
-	v.StalledFor = now.Sub(l.lastToken)
-	a := l.liveliest(now)
+	v.StalledFor = now.Sub(l.lastTokenAt)
+	a := l.healthiestAttempt(now)
 	if a == nil || !a.granted {
 		return v
 	}
-	v.SilentFor, v.SuspectAfter = now.Sub(a.last), l.threshold(a)
+	v.SilentFor, v.SuspectAfter = now.Sub(a.lastActivity), l.suspicionThreshold(a)
 	if v.SilentFor >= v.SuspectAfter {
-		v.GlobalStall = l.m.watch.globalStall(now, a.backend.ID)
+		v.GlobalStall = l.m.monitor.isGlobalStall(now, a.backend.ID)
 	}
 	return v
 }
 
-// queued reports whether the request still waits for its first backend server:
+// isQueued reports whether the request still waits for its first backend server:
 // admission bounds that wait, not the resume policy.
-func (l *loop) queued() bool {
-	if l.total != 1 {
+func (l *loop) isQueued() bool {
+	if l.startedCount != 1 {
 		return false
 	}
 	for _, a := range l.attempts {
@@ -92,22 +92,22 @@
 	return false
 }
 
-// liveliest is the attempt that is furthest from being suspected; as long as it
+// healthiestAttempt is the attempt that is furthest from being suspected; as long as it
 // is healthy the answer goes on. One that waits for a backend server counts as
 // healthy. Attempts that read an engine again count only when they are alone:
 // they are a short cut, and must not delay the takeover.
-func (l *loop) liveliest(now time.Time) *attempt {
+func (l *loop) healthiestAttempt(now time.Time) *attempt {
 	var (
 		best   *attempt
 		margin time.Duration
 	)
 	for _, a := range l.attempts {
-		if a.reattach && l.others(a) {
+		if a.reattach && l.hasPrecedingAttempt(a) {
 			continue
 		}
 		m := l.policy.Deadline
 		if a.granted {
-			m = l.threshold(a) - now.Sub(a.last)
+			m = l.suspicionThreshold(a) - now.Sub(a.lastActivity)
 		}
 		if best == nil || m > margin || (m == margin && a.number < best.number) {
 			best, margin = a, m
@@ -116,8 +116,8 @@
 	return best
 }
 
-// others reports whether an attempt that does not merely read again runs beside a.
-func (l *loop) others(a *attempt) bool {
+// hasPrecedingAttempt reports whether an attempt that does not merely read again runs beside a.
+func (l *loop) hasPrecedingAttempt(a *attempt) bool {
 	for _, o := range l.attempts {
 		if o != a && (!o.reattach || o.number < a.number) {
 			return true
@@ -126,46 +126,46 @@
 	return false
 }
 
-// reattachable reports whether the attempt that delivered last may be read
+// canReattach reports whether the attempt that delivered last may be read
 // again on a fresh connection.
-func (l *loop) reattachable() bool {
-	if l.leaderAt == nil || l.reread {
+func (l *loop) canReattach() bool {
+	if l.leaderAttempt == nil || l.reattachTried {
 		return false
 	}
 	lead := l.attempts[l.race.Leader()]
-	return len(l.attempts) == 0 || lead != nil && lead.chunks > 0
+	return len(l.attempts) == 0 || lead != nil && lead.chunkCount > 0
 }
 
-func (l *loop) threshold(a *attempt) time.Duration {
-	if a.chunks == 0 && !a.reattach {
-		return l.m.watch.firstThreshold(l.policy.Silence, l.spec.Service.Pool, a)
+func (l *loop) suspicionThreshold(a *attempt) time.Duration {
+	if a.chunkCount == 0 && !a.reattach {
+		return l.m.monitor.firstChunkThreshold(l.policy.Silence, l.spec.Service.Pool, a)
 	}
-	return l.m.watch.threshold(l.policy.Silence, &l.gaps, a.backend.ID)
+	return l.m.monitor.threshold(l.policy.Silence, &l.gaps, a.backend.ID)
 }
 
-// nextDecision is how long until decide must look again if nothing happens.
-func (l *loop) nextDecision() time.Duration {
+// timeToNextDecision is how long until decide must look again if nothing happens.
+func (l *loop) timeToNextDecision() time.Duration {
 	now := time.Now()
-	next := l.policy.Deadline - now.Sub(l.lastToken)
-	if l.stalled() {
+	next := l.policy.Deadline - now.Sub(l.lastTokenAt)
+	if l.isStalled() {
 		next = l.policy.Deadline
-	} else if a := l.liveliest(now); a == nil {
+	} else if a := l.healthiestAttempt(now); a == nil {
 		next = min(next, l.notBefore.Sub(now))
 	} else if a.granted {
-		next = min(next, l.suspicionDue(now, a))
+		next = min(next, l.timeToSuspicion(now, a))
 	}
 	next = max(next, time.Millisecond)
-	l.due = now.Add(next)
+	l.nextDecisionAt = now.Add(next)
 	return next
 }
 
-func (l *loop) suspicionDue(now time.Time, a *attempt) time.Duration {
-	silent, threshold := now.Sub(a.last), l.threshold(a)
-	if probe := l.policy.ProbeAfter(threshold); silent < probe && l.reattachable() {
+func (l *loop) timeToSuspicion(now time.Time, a *attempt) time.Duration {
+	silent, threshold := now.Sub(a.lastActivity), l.suspicionThreshold(a)
+	if probe := l.policy.ProbeAfter(threshold); silent < probe && l.canReattach() {
 		return probe - silent
 	}
 	if silent >= threshold {
-		return recheck // suspected already and held back
+		return recheckInterval // suspected already and held back
 	}
 	return threshold - silent
 }
@@ -176,28 +176,28 @@
 		l.lostAt = now
 	}
 	if reason != resume.ReasonNoAttemptRunning {
-		l.suspect(now)
+		l.suspectRunning(now)
 	}
-	l.makeRoom()
-	l.startAttempt(ctx, start{owed: reason == resume.ReasonSilentTooLong})
+	l.dropExcessAttempts()
+	l.startAttempt(ctx, attemptOptions{required: reason == resume.ReasonSilentTooLong})
 }
 
-// suspect marks the running attempts, whose engines the next one avoids.
-func (l *loop) suspect(now time.Time) {
+// suspectRunning marks the running attempts, whose engines the next one avoids.
+func (l *loop) suspectRunning(now time.Time) {
 	for _, a := range l.attempts {
 		if !a.granted || a.suspected {
 			continue
 		}
 		a.suspected = true
 		l.exclude(a.backend.ID)
-		l.m.watch.suspect(a.backend.ID, now)
+		l.m.monitor.suspect(a.backend.ID, now)
 		l.m.metrics.suspected.Inc()
-		l.m.log.Emit(event.AttemptSuspected, l.spec.ID, a.number, a.backend.ID, now.Sub(a.last), l.threshold(a))
+		l.m.log.Emit(event.AttemptSuspected, l.spec.ID, a.number, a.backend.ID, now.Sub(a.lastActivity), l.suspicionThreshold(a))
 	}
 }
 
-// racing counts the attempts that do not merely read an engine again.
-func (l *loop) racing() int {
+// racingCount counts the attempts that do not merely read an engine again.
+func (l *loop) racingCount() int {
 	n := 0
 	for _, a := range l.attempts {
 		if !a.reattach {
@@ -207,17 +207,17 @@
 	return n
 }
 
-// makeRoom gives up the oldest attempts until one more may run.
-func (l *loop) makeRoom() {
-	for l.racing() >= l.policy.MaxConcurrentAttempts {
+// dropExcessAttempts gives up the oldest attempts until one more may run.
+func (l *loop) dropExcessAttempts() {
+	for l.racingCount() >= l.policy.MaxConcurrentAttempts {
 		var oldest *attempt
 		for _, a := range l.attempts {
 			if oldest == nil || a.number < oldest.number {
 				oldest = a
 			}
 		}
-		l.drop(oldest)
-		l.unwanted = append(l.unwanted, oldest)
+		l.dropAttempt(oldest)
+		l.losers = append(l.losers, oldest)
 	}
 }
 
@@ -227,42 +227,42 @@
 	}
 }
 
-// start says what kind of attempt begins.
-type start struct {
+// attemptOptions says what kind of attempt begins.
+type attemptOptions struct {
 	// reattach names an attempt to be read on from its engine, if flow still
 	// accepts that engine.
 	reattach *peerpb.Attempt
-	// owed makes the attempt unconditional although another one runs.
-	owed bool
+	// required makes the attempt unconditional although another one runs.
+	required bool
 }
 
 // startAttempt begins one more attempt.
-func (l *loop) startAttempt(ctx context.Context, s start) {
-	l.number++
-	l.total++
+func (l *loop) startAttempt(ctx context.Context, s attemptOptions) {
+	l.lastNumber++
+	l.startedCount++
 	actx, cancel := context.WithCancel(ctx)
-	a := &attempt{number: l.number, ctx: actx, cancel: cancel, begin: make(chan begin, 1), last: time.Now()}
-	a.takeover = l.total > 1
+	a := &attempt{number: l.lastNumber, ctx: actx, cancel: cancel, params: make(chan startParams, 1), lastActivity: time.Now()}
+	a.takeover = l.startedCount > 1
 	l.attempts[a.number] = a
-	ask := l.ask()
-	ask.Speculative = len(l.attempts) > 1 && !s.owed
+	ask := l.newRequest()
+	ask.Speculative = len(l.attempts) > 1 && !s.required
 	ask.Prefer = l.standby.backend
-	if ask.Resume && !l.desperate {
+	if ask.Resume && !l.exclusionsLifted {
 		// Where one stream stands still the next one would: an engine that
 		// paused still looks ready to the dispatcher for a while.
-		ask.Exclude = append(ask.Exclude, l.m.watch.suspects(time.Now())...)
+		ask.Exclude = append(ask.Exclude, l.m.monitor.suspectedEngines(time.Now())...)
 	}
 	if s.reattach != nil {
 		a.reattach, a.engineNumber = true, s.reattach.GetNumber()
 		ask.Prefer, ask.Exclude = s.reattach.GetBackend(), nil
-		ask.ExtraTokens, ask.Speculative = reattachCost, false
+		ask.ExtraTokens, ask.Speculative = reattachCostTokens, false
 		ask.Reattach, ask.Resume = true, true
 	}
-	go a.run(l.m.flow, ask, l.spec, l.reports)
+	go a.run(l.m.dispatcher, ask, l.spec, l.reports)
 }
 
-// ask describes the work that is left to flow.
-func (l *loop) ask() flow.Request {
+// newRequest describes the work that is left to flow.
+func (l *loop) newRequest() flow.Request {
 	read := promptTokens(l.spec.Prompt) + len(l.accepted)
 	return flow.Request{
 		RequestID:   l.spec.ID,
@@ -271,7 +271,7 @@
 		CostTokens:  read + l.spec.MaxTokens - len(l.accepted),
 		PrefixHash:  prefixHash(l.spec.Service, l.spec.Prompt),
 		Deadline:    time.Now().Add(l.spec.Service.Deadline),
-		Resume:      l.total > 1 || len(l.accepted) > 0,
+		Resume:      l.startedCount > 1 || len(l.accepted) > 0,
 		ExtraTokens: budget.TakeoverCost(read),
 		Exclude:     slices.Clone(l.excluded),
 	}
--- a/serve/generation/generation.go
+++ b/serve/generation/generation.go
@@ -27,33 +27,33 @@
 
 // Generation is one answer owned by this daemon. It is safe for concurrent use.
 type Generation struct {
-	spec   *Spec
-	cancel context.CancelFunc // stops the loop
-	taken  chan struct{}      // signals the loop that furthest grew
-
-	mu       sync.Mutex
-	line     lineage.History
-	tokens   []string // released: callers may hold them
-	finish   engine.FinishReason
-	failure  *verdict.Error
-	fenced   bool          // a newer owner continues this answer
-	changed  chan struct{} // closed and replaced at every change
-	readers  int
-	idleFrom time.Time // when the last reader left
-	furthest int       // largest offset any reader has taken
+	spec         *Spec
+	cancel       context.CancelFunc // stops the loop
+	readProgress chan struct{}      // signals the loop that furthest grew
+
+	mu           sync.Mutex
+	history      lineage.History
+	tokens       []string // released: callers may hold them
+	finish       engine.FinishReason
+	failure      *verdict.Error
+	fenced       bool          // a newer owner continues this answer
+	changed      chan struct{} // closed and replaced at every change
+	readers      int
+	idleSince    time.Time // when the last reader left
+	furthestRead int       // largest offset any reader has taken
 }
 
 func newGeneration(spec *Spec, line lineage.History, tokens []string, finish engine.FinishReason) *Generation {
 	return &Generation{
-		spec:     spec,
-		line:     line,
-		tokens:   tokens,
-		finish:   finish,
-		furthest: len(tokens),
-		changed:  make(chan struct{}),
-		idleFrom: time.Now(),
-		taken:    make(chan struct{}, 1),
-		cancel:   func() {},
+		spec:         spec,
+		history:      line,
+		tokens:       tokens,
+		finish:       finish,
+		furthestRead: len(tokens),
+		changed:      make(chan struct{}),
+		idleSince:    time.Now(),
+		readProgress: make(chan struct{}, 1),
+		cancel:       func() {},
 	}
 }
 
@@ -65,16 +65,16 @@
 
 func (errFenced) Error() string { return "generation: a newer owner continues this answer" }
 
-// mismatch tells a reader that this copy of the answer does not continue what
+// mismatchError tells a reader that this copy of the answer does not continue what
 // it holds; another one may.
-type mismatch struct{ relation lineage.Relation }
+type mismatchError struct{ relation lineage.Relation }
 
-func (e *mismatch) Error() string {
+func (e *mismatchError) Error() string {
 	return "generation: the caller's position is " + e.relation.String() + " here"
 }
 
-// final is the error for the caller when no other copy is left.
-func (e *mismatch) final() *verdict.Error {
+// verdictError is the error for the caller when no other copy is left.
+func (e *mismatchError) verdictError() *verdict.Error {
 	if e.relation == lineage.Behind {
 		return errLost("every copy left of the answer is shorter than what the caller holds")
 	}
@@ -103,15 +103,15 @@
 func (g *Generation) poll(pos lineage.Position) (Batch, <-chan struct{}, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	switch rel := g.line.Compare(pos, len(g.tokens)); {
+	switch rel := g.history.Compare(pos, len(g.tokens)); {
 	case rel == lineage.Prefix:
 	case rel == lineage.Superseded || g.fenced:
 		return Batch{}, nil, errFenced{}
 	default:
-		return Batch{}, nil, &mismatch{rel}
+		return Batch{}, nil, &mismatchError{rel}
 	}
 	if pos.Offset < len(g.tokens) {
-		return g.take(pos.Offset), nil, nil
+		return g.batchFrom(pos.Offset), nil, nil
 	}
 	switch {
 	case g.fenced:
@@ -122,20 +122,20 @@
 	return Batch{Position: pos, Finish: g.finish}, g.changed, nil
 }
 
-// take returns the released tokens from an offset on; g.mu is held.
-func (g *Generation) take(from int) Batch {
+// batchFrom returns the released tokens from an offset on; g.mu is held.
+func (g *Generation) batchFrom(from int) Batch {
 	n := len(g.tokens)
 	b := Batch{
 		Tokens:   g.tokens[from:n:n],
-		Position: lineage.Position{Epoch: g.line.EpochAt(n), Offset: n},
+		Position: lineage.Position{Epoch: g.history.EpochAt(n), Offset: n},
 	}
 	if g.failure == nil && !g.fenced {
 		b.Finish = g.finish
 	}
-	if n > g.furthest {
-		g.furthest = n
+	if n > g.furthestRead {
+		g.furthestRead = n
 		select {
-		case g.taken <- struct{}{}:
+		case g.readProgress <- struct{}{}:
 		default:
 		}
 	}
@@ -149,7 +149,7 @@
 	defer g.mu.Unlock()
 	g.tokens = append(g.tokens, tokens...)
 	g.finish = finish
-	g.wake()
+	g.notifyReaders()
 	return len(g.tokens)
 }
 
@@ -158,7 +158,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.failure = err
-	g.wake()
+	g.notifyReaders()
 }
 
 // fence marks that a newer owner continues the answer.
@@ -166,10 +166,10 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.fenced = true
-	g.wake()
+	g.notifyReaders()
 }
 
-func (g *Generation) wake() {
+func (g *Generation) notifyReaders() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
@@ -183,32 +183,32 @@
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.readers--
-		g.idleFrom = time.Now()
+		g.idleSince = time.Now()
 	})
 }
 
-// touch records that a reader on another entry VM asked.
-func (g *Generation) touch() {
+// recordRemoteRead records that a reader on another entry VM asked.
+func (g *Generation) recordRemoteRead() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.idleFrom = time.Now()
+	g.idleSince = time.Now()
 }
 
-// idle returns how long nobody has read, 0 while somebody does.
-func (g *Generation) idle(now time.Time) time.Duration {
+// idleTime returns how long nobody has read, 0 while somebody does.
+func (g *Generation) idleTime(now time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.readers > 0 {
 		return 0
 	}
-	return now.Sub(g.idleFrom)
+	return now.Sub(g.idleSince)
 }
 
-// backlog returns how many of length accepted tokens no reader has taken yet.
-func (g *Generation) backlog(length int) int {
+// unreadCount returns how many of length accepted tokens no reader has taken yet.
+func (g *Generation) unreadCount(length int) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return length - g.furthest
+	return length - g.furthestRead
 }
 
 // state is a consistent summary of a generation.
@@ -220,14 +220,14 @@
 	finish  engine.FinishReason
 }
 
-// ended reports whether the loop has nothing more to do.
-func (s state) ended() bool { return s.fenced || s.failure != nil || s.finish != "" }
+// hasEnded reports whether the loop has nothing more to do.
+func (s state) hasEnded() bool { return s.fenced || s.failure != nil || s.finish != "" }
 
 func (g *Generation) state() state {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return state{
-		epoch:   g.line.Epoch(),
+		epoch:   g.history.Epoch(),
 		length:  len(g.tokens),
 		fenced:  g.fenced,
 		failure: g.failure,
@@ -235,8 +235,8 @@
 	}
 }
 
-// serves reports whether callers can read the answer here.
-func (g *Generation) serves() bool {
+// isReadable reports whether callers can read the answer here.
+func (g *Generation) isReadable() bool {
 	s := g.state()
 	return !s.fenced && s.failure == nil
 }
--- a/serve/generation/handle.go
+++ b/serve/generation/handle.go
@@ -16,13 +16,13 @@
 	// followWait is how long an owner on another entry VM holds a question for
 	// the next tokens.
 	followWait = time.Second
-	// followSlack is how much longer the answer may take before the owner is
+	// followMargin is how much longer the answer may take before the owner is
 	// taken to be dead, paused or cut off.
-	followSlack = 700 * time.Millisecond
-	// relocateTries bounds the search for an owner that keeps moving.
-	relocateTries = 8
-	// relocatePause spaces these tries.
-	relocatePause = 100 * time.Millisecond
+	followMargin = 700 * time.Millisecond
+	// maxRelocations bounds the search for an owner that keeps moving.
+	maxRelocations = 8
+	// relocationDelay spaces these tries.
+	relocationDelay = 100 * time.Millisecond
 )
 
 // Handle reads one generation for one caller, wherever it runs. It is not safe
@@ -32,33 +32,33 @@
 	id      string
 	account string // other accounts do not learn that the generation exists
 	// spec is what was asked for, nil for a caller that names a generation only.
-	spec   *Spec
-	local  *Generation
-	detach func()
-	remote *place
-	at     source // where local or remote is
+	spec    *Spec
+	local   *Generation
+	detach  func()
+	remote  *location
+	current copyRef // where local or remote is
 	// rejected are places that do not continue what the caller holds, and
 	// differs says how the last of them failed to.
-	rejected []source
-	differs  *mismatch
-	// tries counts searches since the last batch. It lasts over calls of Read,
+	rejected     []copyRef
+	lastMismatch *mismatchError
+	// relocations counts searches since the last batch. It lasts over calls of Read,
 	// which a stream makes anew for every keep-alive: counted within one call
 	// alone, a caller whose answer is nowhere would get keep-alives for ever.
-	tries int
+	relocations int
 }
 
-// source names one copy of an answer: where it is, and of which continuation.
-type source struct {
+// copyRef names one copy of an answer: where it is, and of which continuation.
+type copyRef struct {
 	member string
 	epoch  lineage.Epoch
 }
 
-func (m *Manager) sourceOf(g *Generation) source {
-	return source{m.members.Current().Self.ID, g.state().epoch}
+func (m *Manager) copyRefOf(g *Generation) copyRef {
+	return copyRef{m.members.Current().Self.ID, g.state().epoch}
 }
 
-// handle returns a Handle on g, or on a generation elsewhere if g is nil.
-func (m *Manager) handle(spec *Spec, g *Generation) *Handle {
+// newHandle returns a Handle on g, or on a generation elsewhere if g is nil.
+func (m *Manager) newHandle(spec *Spec, g *Generation) *Handle {
 	h := &Handle{m: m, id: spec.ID, account: spec.Account.Name, spec: spec}
 	h.useLocal(g)
 	return h
@@ -68,7 +68,7 @@
 // does not look for it yet: Read does.
 func (m *Manager) Find(id, account string) *Handle {
 	h := &Handle{m: m, id: id, account: account}
-	if g := m.local(id); g != nil && g.spec.Account.Name == account {
+	if g := m.localGeneration(id); g != nil && g.spec.Account.Name == account {
 		h.useLocal(g)
 	}
 	return h
@@ -84,12 +84,12 @@
 // caller would throw away minutes of work that are there again in seconds.
 func errUnreachable() *verdict.Error {
 	return verdict.New(verdict.MayHaveRun, verdict.CodeGenerationUnreachable,
-		"the entry VMs that may know this generation do not answer now; ask again with Last-Event-ID").WithRetryAfter(retryReach)
+		"the entry VMs that may know this generation do not answer now; ask again with Last-Event-ID").WithRetryAfter(unreachableRetryAfter)
 }
 
-// retryReach is the wait told to such callers: about the time in which a VM
+// unreachableRetryAfter is the wait told to such callers: about the time in which a VM
 // that is back is noticed.
-const retryReach = time.Second
+const unreachableRetryAfter = time.Second
 
 // ID returns the generation's id.
 func (h *Handle) ID() string { return h.id }
@@ -105,7 +105,7 @@
 func (h *Handle) useLocal(g *Generation) {
 	h.Close()
 	if g != nil {
-		h.local, h.detach, h.at = g, g.attach(), h.m.sourceOf(g)
+		h.local, h.detach, h.current = g, g.attach(), h.m.copyRefOf(g)
 	}
 }
 
@@ -116,24 +116,24 @@
 	for {
 		b, err := h.readOnce(ctx, pos)
 		if err == nil {
-			h.tries = 0
-			return h.checked(pos, b)
+			h.relocations = 0
+			return h.checkBatch(pos, b)
 		}
 		if ctx.Err() != nil {
 			return b, err
 		}
 		var (
 			final   *verdict.Error
-			differs *mismatch
+			differs *mismatchError
 		)
 		switch {
 		case errors.As(err, &final):
 			return b, final
 		case errors.As(err, &differs):
-			h.reject(h.at, differs)
+			h.reject(h.current, differs)
 		}
-		if h.tries >= relocateTries {
-			return b, h.lost().WithCause(err)
+		if h.relocations >= maxRelocations {
+			return b, h.lostError().WithCause(err)
 		}
 		if err := h.relocate(ctx, pos); err != nil {
 			return b, err
@@ -141,10 +141,10 @@
 	}
 }
 
-// checked asserts that b continues exactly what the caller holds.
-func (h *Handle) checked(pos lineage.Position, b Batch) (Batch, error) {
+// checkBatch asserts that b continues exactly what the caller holds.
+func (h *Handle) checkBatch(pos lineage.Position, b Batch) (Batch, error) {
 	if b.Position.Offset != pos.Offset+len(b.Tokens) {
-		return Batch{Position: pos}, h.m.violated(h.id, invariantPosition,
+		return Batch{Position: pos}, h.m.recordViolation(h.id, invariantPosition,
 			"%d tokens from %d end at %d", len(b.Tokens), pos.Offset, b.Position.Offset)
 	}
 	return b, nil
@@ -160,17 +160,17 @@
 	return Batch{}, errFenced{}
 }
 
-// lost is the error for a caller whose answer is found nowhere any more.
-func (h *Handle) lost() *verdict.Error {
-	if h.differs != nil {
-		return h.differs.final()
+// lostError is the error for a caller whose answer is found nowhere any more.
+func (h *Handle) lostError() *verdict.Error {
+	if h.lastMismatch != nil {
+		return h.lastMismatch.verdictError()
 	}
 	return errLost("the answer's owner could not be reached")
 }
 
 // reject remembers that what is kept at s does not continue what the caller holds.
-func (h *Handle) reject(s source, why *mismatch) {
-	h.differs = why
+func (h *Handle) reject(s copyRef, why *mismatchError) {
+	h.lastMismatch = why
 	h.rejected = append(h.rejected, s)
 }
 
@@ -181,16 +181,16 @@
 // begin a generation each, hear of each other's and give up their own, and the callers that
 // were led there are told that nobody knows what they have just asked for.
 func (h *Handle) relocate(ctx context.Context, pos lineage.Position) error {
-	h.tries++
-	if h.tries > 1 {
+	h.relocations++
+	if h.relocations > 1 {
 		select {
-		case <-time.After(relocatePause):
+		case <-time.After(relocationDelay):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 	h.Close()
-	if g := h.m.local(h.id); g != nil && g.spec.Account.Name == h.account && !h.isRejected(h.m.sourceOf(g)) {
+	if g := h.m.localGeneration(h.id); g != nil && g.spec.Account.Name == h.account && !h.isRejected(h.m.copyRefOf(g)) {
 		h.useLocal(g)
 		return nil
 	}
@@ -198,35 +198,35 @@
 	if err != nil {
 		return err
 	}
-	if len(f.places) > 0 && f.places[0].account != h.account {
+	if len(f.locations) > 0 && f.locations[0].account != h.account {
 		return h.errUnknown()
 	}
-	f.places = slices.DeleteFunc(f.places, func(p place) bool { return h.isRejected(p.source()) })
+	f.locations = slices.DeleteFunc(f.locations, func(p location) bool { return h.isRejected(p.copyRef()) })
 	switch {
-	case f.known():
-		return h.settle(ctx, f, pos)
-	case f.unsure && h.tries < relocateTries:
+	case f.isKnown():
+		return h.readFrom(ctx, f, pos)
+	case f.incomplete && h.relocations < maxRelocations:
 		return nil // somebody who may know did not answer: ask again
-	case f.unsure:
+	case f.incomplete:
 		return errUnreachable()
-	case h.differs != nil:
-		return h.differs.final()
+	case h.lastMismatch != nil:
+		return h.lastMismatch.verdictError()
 	case h.spec != nil && pos.Offset == 0:
-		h.useLocal(h.m.start(h.spec, h.m.firstLine(f.epoch)))
+		h.useLocal(h.m.startGeneration(h.spec, h.m.newHistory(f.epoch)))
 		return nil
 	}
 	return h.errUnknown()
 }
 
-func (h *Handle) isRejected(s source) bool { return slices.Contains(h.rejected, s) }
+func (h *Handle) isRejected(s copyRef) bool { return slices.Contains(h.rejected, s) }
 
-// settle reads on at the owner, or takes over from the best copy that continues
+// readFrom reads on at the owner, or takes over from the best copy that continues
 // what the caller holds. After an entry VM was cut off there may be two
 // continuations; a caller of the older one is served from a copy of that.
-func (h *Handle) settle(ctx context.Context, f found, pos lineage.Position) error {
-	for _, p := range f.places {
+func (h *Handle) readFrom(ctx context.Context, f searchResult, pos lineage.Position) error {
+	for _, p := range f.locations {
 		if p.running {
-			h.remote, h.at = &p, p.source()
+			h.remote, h.current = &p, p.copyRef()
 			return nil
 		}
 		g, err := h.m.adoptFrom(ctx, h.id, p, pos)
@@ -234,11 +234,11 @@
 			h.useLocal(g)
 			return nil
 		}
-		var differs *mismatch
+		var differs *mismatchError
 		if !errors.As(err, &differs) {
 			return nil // the copy's holder did not answer: look again
 		}
-		h.reject(p.source(), differs)
+		h.reject(p.copyRef(), differs)
 	}
 	return nil // all rejected: look again, at those who did not answer too
 }
@@ -248,7 +248,7 @@
 // followWait when all is well, so a missing answer means a lost owner.
 func (h *Handle) follow(ctx context.Context, pos lineage.Position) (Batch, error) {
 	for {
-		c, cancel := context.WithTimeout(ctx, followWait+followSlack)
+		c, cancel := context.WithTimeout(ctx, followWait+followMargin)
 		r, err := h.m.client(h.remote.member).Follow(c, &peerpb.FollowRequest{
 			Id: h.id, SeenEpoch: uint64(pos.Epoch), From: uint32(pos.Offset), WaitMs: uint32(followWait / time.Millisecond),
 		})
@@ -257,20 +257,20 @@
 			h.m.dialer.DropIdle()
 			return Batch{}, errors.Join(errFenced{}, err)
 		}
-		b, err := followed(r, pos)
+		b, err := parseFollowReply(r, pos)
 		if err != nil || len(b.Tokens) > 0 || b.Finish != "" {
 			return b, err
 		}
 	}
 }
 
-// followed turns an owner's answer into a batch.
-func followed(r *peerpb.FollowReply, pos lineage.Position) (Batch, error) {
+// parseFollowReply turns an owner's answer into a batch.
+func parseFollowReply(r *peerpb.FollowReply, pos lineage.Position) (Batch, error) {
 	switch {
 	case r.GetUnknown():
 		return Batch{}, errFenced{}
 	case r.GetDiverged():
-		return Batch{}, &mismatch{lineage.Diverged}
+		return Batch{}, &mismatchError{lineage.Diverged}
 	case r.GetErrorCode() != "":
 		v, _ := verdict.Parse(r.GetErrorVerdict())
 		return Batch{}, verdict.New(v, verdict.Code(r.GetErrorCode()), "%s", r.GetErrorMessage())
--- a/serve/generation/handover.go
+++ b/serve/generation/handover.go
@@ -10,9 +10,9 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// handoverParallel bounds how many copies are handed over at once, so that a
+// maxParallelHandovers bounds how many copies are handed over at once, so that a
 // stop does not take the network from answers that still run.
-const handoverParallel = 8
+const maxParallelHandovers = 8
 
 // HandOver gives the copies held here to the next entry VM that may hold them.
 // Call it when this daemon has left the members and its own answers have ended.
@@ -25,13 +25,13 @@
 	var (
 		mu    sync.Mutex
 		wg    sync.WaitGroup
-		slots = make(chan struct{}, handoverParallel)
+		slots = make(chan struct{}, maxParallelHandovers)
 	)
 	for _, c := range m.holder.All() {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			ok := m.giveCopy(ctx, c)
+			ok := m.handOverCopy(ctx, c)
 			mu.Lock()
 			defer mu.Unlock()
 			if ok {
@@ -46,8 +46,8 @@
 	return moved, left
 }
 
-// giveCopy sends one copy to the first member that takes it.
-func (m *Manager) giveCopy(ctx context.Context, c journal.Copy) bool {
+// handOverCopy sends one copy to the first member that takes it.
+func (m *Manager) handOverCopy(ctx context.Context, c journal.Copy) bool {
 	v := m.members.Current()
 	var tried []string
 	for ctx.Err() == nil {
--- a/serve/generation/locate.go
+++ b/serve/generation/locate.go
@@ -19,56 +19,56 @@
 // answer is not needed where a copy is found.
 const peekTimeout = 500 * time.Millisecond
 
-// place is where a generation was found.
-type place struct {
-	member  membership.Member
-	running bool // it is the owner
-	epoch   lineage.Epoch
-	length  int
-	owner   string
-	digest  []byte
-	failed  bool
-	account string
+// location is where a generation was found.
+type location struct {
+	member     membership.Member
+	running    bool // it is the owner
+	epoch      lineage.Epoch
+	length     int
+	owner      string
+	bodyDigest []byte
+	failed     bool
+	account    string
 }
 
-func (p place) source() source { return source{p.member.ID, p.epoch} }
+func (p location) copyRef() copyRef { return copyRef{p.member.ID, p.epoch} }
 
-// found is what is known of a generation on all members asked.
-type found struct {
-	places []place // best first
-	epoch  lineage.Epoch
-	digest []byte
-	unsure bool // a member that might know did not answer
+// searchResult is what is known of a generation on all members asked.
+type searchResult struct {
+	locations  []location // best first
+	epoch      lineage.Epoch
+	bodyDigest []byte
+	incomplete bool // a member that might know did not answer
 }
 
-// known reports whether the generation can be read from somewhere.
-func (f found) known() bool { return len(f.places) > 0 }
+// isKnown reports whether the generation can be read from somewhere.
+func (f searchResult) isKnown() bool { return len(f.locations) > 0 }
 
 // locate asks the members that may hold a copy, and the owners these name. It
 // does not wait for all of them once it found the owner, unless what that one
 // has is among rejected.
-func (m *Manager) locate(ctx context.Context, id string, rejected []source) (found, error) {
+func (m *Manager) locate(ctx context.Context, id string, rejected []copyRef) (searchResult, error) {
 	v := m.members.Current()
 	asked := map[string]bool{}
-	var f found
+	var f searchResult
 	members := journal.Candidates(id, v)
 	for len(members) > 0 {
 		places, unsure := m.peekAll(ctx, id, members, asked, rejected)
-		f.unsure = f.unsure || unsure
-		f.places = append(f.places, places...)
-		members = owners(v, places, asked)
+		f.incomplete = f.incomplete || unsure
+		f.locations = append(f.locations, places...)
+		members = unaskedOwners(v, places, asked)
 	}
 	if err := ctx.Err(); err != nil {
 		return f, verdict.New(verdict.NotRun, verdict.CodeDeadlineExceeded, "the caller went away").WithCause(err)
 	}
-	f.settle()
+	f.sortLocations()
 	return f, nil
 }
 
-// settle orders the places: the newest epoch first, in it the owner, then the
+// sortLocations orders the places: the newest epoch first, in it the owner, then the
 // longest copy.
-func (f *found) settle() {
-	slices.SortStableFunc(f.places, func(a, b place) int {
+func (f *searchResult) sortLocations() {
+	slices.SortStableFunc(f.locations, func(a, b location) int {
 		switch {
 		case a.epoch.OwnerCount() != b.epoch.OwnerCount():
 			return b.epoch.OwnerCount() - a.epoch.OwnerCount()
@@ -80,15 +80,15 @@
 		}
 		return b.length - a.length
 	})
-	if len(f.places) == 0 {
+	if len(f.locations) == 0 {
 		return
 	}
-	f.epoch, f.digest = f.places[0].epoch, f.places[0].digest
-	f.places = slices.DeleteFunc(f.places, func(p place) bool { return p.failed })
+	f.epoch, f.bodyDigest = f.locations[0].epoch, f.locations[0].bodyDigest
+	f.locations = slices.DeleteFunc(f.locations, func(p location) bool { return p.failed })
 }
 
-// owners returns the members named as owners that have not been asked yet.
-func owners(v *membership.View, places []place, asked map[string]bool) []membership.Member {
+// unaskedOwners returns the members named as owners that have not been asked yet.
+func unaskedOwners(v *membership.View, places []location, asked map[string]bool) []membership.Member {
 	var out []membership.Member
 	for _, p := range places {
 		if p.owner == "" || asked[p.owner] {
@@ -101,9 +101,9 @@
 	return out
 }
 
-func (m *Manager) peekAll(ctx context.Context, id string, members []membership.Member, asked map[string]bool, rejected []source) (out []place, unsure bool) {
+func (m *Manager) peekAll(ctx context.Context, id string, members []membership.Member, asked map[string]bool, rejected []copyRef) (out []location, unsure bool) {
 	type answer struct {
-		p   place
+		p   location
 		ok  bool
 		err error
 	}
@@ -126,38 +126,38 @@
 		if a.ok {
 			out = append(out, a.p)
 		}
-		if a.ok && a.p.running && !a.p.failed && !slices.Contains(rejected, a.p.source()) {
+		if a.ok && a.p.running && !a.p.failed && !slices.Contains(rejected, a.p.copyRef()) {
 			return out, unsure
 		}
 	}
 	return out, unsure
 }
 
-func (m *Manager) peek(ctx context.Context, id string, member membership.Member) (place, bool, error) {
+func (m *Manager) peek(ctx context.Context, id string, member membership.Member) (location, bool, error) {
 	req := &peerpb.AdoptRequest{Id: id, Peek: true}
 	var (
 		r   *peerpb.AdoptReply
 		err error
 	)
 	if member.ID == m.members.Current().Self.ID {
-		r = m.peekHere(id)
+		r = m.peekLocal(id)
 	} else {
 		ctx, cancel := context.WithTimeout(ctx, peekTimeout)
 		defer cancel()
 		r, err = m.client(member).Adopt(ctx, req)
 	}
 	if err != nil || r.GetUnknown() {
-		return place{}, false, err
+		return location{}, false, err
 	}
-	return place{
-		member:  member,
-		running: r.GetRunning(),
-		epoch:   lineage.Epoch(r.GetEpoch()),
-		length:  int(r.GetLength()),
-		owner:   r.GetOwner(),
-		digest:  r.GetBodyDigest(),
-		failed:  r.GetFailed(),
-		account: r.GetAccount(),
+	return location{
+		member:     member,
+		running:    r.GetRunning(),
+		epoch:      lineage.Epoch(r.GetEpoch()),
+		length:     int(r.GetLength()),
+		owner:      r.GetOwner(),
+		bodyDigest: r.GetBodyDigest(),
+		failed:     r.GetFailed(),
+		account:    r.GetAccount(),
 	}, true, nil
 }
 
@@ -184,7 +184,7 @@
 }
 
 // adoptFrom makes this daemon the owner, from the copy at p.
-func (m *Manager) adoptFrom(ctx context.Context, id string, p place, seen lineage.Position) (*Generation, error) {
+func (m *Manager) adoptFrom(ctx context.Context, id string, p location, seen lineage.Position) (*Generation, error) {
 	self := m.members.Current().Self.ID
 	if p.member.ID == self {
 		c, rel, ok := m.holder.Adopt(id, self, seen)
@@ -192,7 +192,7 @@
 			return nil, errFenced{}
 		}
 		if rel != lineage.Prefix {
-			return nil, &mismatch{rel}
+			return nil, &mismatchError{rel}
 		}
 		return m.adopt(c), nil
 	}
@@ -209,20 +209,20 @@
 	case r.GetAccepted() && ok:
 		return m.adopt(c), nil
 	case r.GetBehind():
-		return nil, &mismatch{lineage.Behind}
+		return nil, &mismatchError{lineage.Behind}
 	case r.GetUnknown():
 		return nil, errFenced{}
 	}
-	return nil, &mismatch{lineage.Diverged}
+	return nil, &mismatchError{lineage.Diverged}
 }
 
-func finishOf(s string) engine.FinishReason { return engine.FinishReason(s) }
+func finishReason(s string) engine.FinishReason { return engine.FinishReason(s) }
 
 // prefixHash identifies the head of a prompt for routing as the engines' cache
 // events name it; 0 where the prompt fills no block, which no engine caches.
 func prefixHash(s *site.Service, prompt string) uint64 {
 	ref := engine.ModelRef{Model: s.Model, Adapter: s.Adapter, Version: s.Version}
-	hashes := engine.BlockHashes(ref, prompt[:min(len(prompt), prefixBlock)])
+	hashes := engine.BlockHashes(ref, prompt[:min(len(prompt), maxPrefixBytes)])
 	if len(hashes) == 0 {
 		return 0
 	}
--- a/serve/generation/manager.go
+++ b/serve/generation/manager.go
@@ -21,16 +21,16 @@
 )
 
 const (
-	// sweepEvery is how often idle and old generations are looked for.
-	sweepEvery = time.Second
-	// linger is how long a generation that nobody reads runs on. Callers whose
+	// sweepInterval is how often idle and old generations are looked for.
+	sweepInterval = time.Second
+	// defaultLinger is how long a generation that nobody reads runs on. Callers whose
 	// connection broke come back within seconds; after that the accelerator is
 	// better used elsewhere.
-	linger = 30 * time.Second
-	// keepGaps is how long the gaps of an engine not seen any more are kept.
-	keepGaps = 10 * time.Minute
-	// journalBytes bounds the copies held for other entry VMs.
-	journalBytes = 256 << 20
+	defaultLinger = 30 * time.Second
+	// gapRetention is how long the gaps of an engine not seen any more are kept.
+	gapRetention = 10 * time.Minute
+	// maxJournalBytes bounds the copies held for other entry VMs.
+	maxJournalBytes = 256 << 20
 )
 
 // Config names what a Manager works with.
@@ -57,60 +57,60 @@
 // Manager owns the generations of one daemon and the copies it holds for
 // others. It is safe for concurrent use.
 type Manager struct {
-	site    site.Source
-	members membership.Source
-	flow    flow.Dispatcher
-	dialer  *link.Dialer
-	log     *event.Log
-	metrics *metrics
-	linger  time.Duration
-	watch   *watch
-	holder  *journal.Holder
-	appends *journal.Batcher
-	policy  func(*site.Service) resume.Policy
-	version func(s *site.Service, except ...string) *site.Service
-	unready func(backend string)
+	site          site.Source
+	members       membership.Source
+	dispatcher    flow.Dispatcher
+	dialer        *link.Dialer
+	log           *event.Log
+	metrics       *metrics
+	linger        time.Duration
+	monitor       *streamMonitor
+	holder        *journal.Holder
+	appends       *journal.Batcher
+	policy        func(*site.Service) resume.Policy
+	chooseVersion func(s *site.Service, except ...string) *site.Service
+	notReady      func(backend string)
 
 	base context.Context // parent of all loops
 	stop context.CancelFunc
 	wg   sync.WaitGroup
 
-	mu    sync.Mutex
-	owned map[string]*Generation
-	ended map[string]time.Time
+	mu          sync.Mutex
+	generations map[string]*Generation
+	endedAt     map[string]time.Time
 }
 
 // NewManager returns a Manager; Run must be called for it to clean up after itself.
 func NewManager(c Config) *Manager {
 	m := &Manager{
-		site:    c.Site,
-		members: c.Members,
-		flow:    c.Dispatcher,
-		dialer:  c.Dialer,
-		log:     c.Log,
-		metrics: newMetrics(c.Metrics),
-		linger:  c.Linger,
-		watch:   newWatch(),
-		policy:  c.Policy,
-		version: c.ChooseVersion,
-		unready: c.NotReady,
-		owned:   make(map[string]*Generation),
-		ended:   make(map[string]time.Time),
+		site:          c.Site,
+		members:       c.Members,
+		dispatcher:    c.Dispatcher,
+		dialer:        c.Dialer,
+		log:           c.Log,
+		metrics:       newMetrics(c.Metrics),
+		linger:        c.Linger,
+		monitor:       newStreamMonitor(),
+		policy:        c.Policy,
+		chooseVersion: c.ChooseVersion,
+		notReady:      c.NotReady,
+		generations:   make(map[string]*Generation),
+		endedAt:       make(map[string]time.Time),
 	}
 	if m.linger == 0 {
-		m.linger = linger
+		m.linger = defaultLinger
 	}
 	if m.policy == nil {
 		m.policy = func(s *site.Service) resume.Policy { return resume.PolicyForService(s.LatencyWeight, s.Deadline) }
 	}
-	if m.version == nil {
-		m.version = func(s *site.Service, _ ...string) *site.Service { return s }
+	if m.chooseVersion == nil {
+		m.chooseVersion = func(s *site.Service, _ ...string) *site.Service { return s }
 	}
-	if m.unready == nil {
-		m.unready = func(string) {}
+	if m.notReady == nil {
+		m.notReady = func(string) {}
 	}
 	m.appends = journal.NewBatcher(m.sendAppends)
-	m.holder = journal.NewHolder(journal.Limits{Bytes: journalBytes, TTL: m.answerTTL}, randomEpoch)
+	m.holder = journal.NewHolder(journal.Limits{Bytes: maxJournalBytes, TTL: m.answerTTL}, randomEpoch)
 	m.base, m.stop = context.WithCancel(context.Background())
 	return m
 }
@@ -125,7 +125,7 @@
 
 // Run cleans up until ctx ends; then it stops all loops and waits for them.
 func (m *Manager) Run(ctx context.Context) error {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -143,22 +143,22 @@
 func (m *Manager) RunningCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return len(m.owned) - len(m.ended)
+	return len(m.generations) - len(m.endedAt)
 }
 
 // sweep cancels generations nobody reads and forgets answers no longer owed.
 func (m *Manager) sweep(now time.Time) {
 	ttl := m.answerTTL()
 	m.mu.Lock()
-	for id, g := range m.owned {
-		if at, over := m.ended[id]; over {
+	for id, g := range m.generations {
+		if at, over := m.endedAt[id]; over {
 			if now.Sub(at) >= ttl {
-				delete(m.owned, id)
-				delete(m.ended, id)
+				delete(m.generations, id)
+				delete(m.endedAt, id)
 			}
 			continue
 		}
-		if g.idle(now) >= m.linger {
+		if g.idleTime(now) >= m.linger {
 			g.cancel()
 		}
 	}
@@ -167,44 +167,44 @@
 	copies, held := m.holder.Size()
 	m.metrics.copies.Set(float64(copies))
 	m.metrics.copyBytes.Set(float64(held))
-	m.watch.forget(now.Add(-keepGaps))
+	m.monitor.forget(now.Add(-gapRetention))
 }
 
 // Submit starts a generation, or finds the one that the same key began on any
 // entry VM. It chooses the version that a new one runs with. The returned Handle reads it from its first token.
 func (m *Manager) Submit(ctx context.Context, spec *Spec) (*Handle, error) {
-	spec.Service = m.version(spec.Service)
+	spec.Service = m.chooseVersion(spec.Service)
 	spec.assignID(m.members.Current().Self.ID)
 	if spec.IdempotencyKey == "" {
-		g := m.start(spec, m.firstLine(0))
-		return m.handle(spec, g), nil
+		g := m.startGeneration(spec, m.newHistory(0))
+		return m.newHandle(spec, g), nil
 	}
-	if g := m.local(spec.ID); g != nil {
-		return m.again(g, spec)
+	if g := m.localGeneration(spec.ID); g != nil {
+		return m.attachExisting(g, spec)
 	}
 	found, err := m.locate(ctx, spec.ID, nil)
 	if err != nil {
 		return nil, err
 	}
-	if found.known() {
-		if !bytes.Equal(found.digest, spec.digest()) {
+	if found.isKnown() {
+		if !bytes.Equal(found.bodyDigest, spec.digest()) {
 			return nil, errKeyReused()
 		}
-		return m.handle(spec, nil), nil
+		return m.newHandle(spec, nil), nil
 	}
-	return m.begun(m.start(spec, m.firstLine(found.epoch)), spec)
+	return m.handleIfSameBody(m.startGeneration(spec, m.newHistory(found.epoch)), spec)
 }
 
-// begun returns a Handle on g unless it was begun with another body.
-func (m *Manager) begun(g *Generation, spec *Spec) (*Handle, error) {
+// handleIfSameBody returns a Handle on g unless it was begun with another body.
+func (m *Manager) handleIfSameBody(g *Generation, spec *Spec) (*Handle, error) {
 	if !bytes.Equal(g.spec.digest(), spec.digest()) {
 		return nil, errKeyReused()
 	}
-	return m.handle(spec, g), nil
+	return m.newHandle(spec, g), nil
 }
 
-// again serves a request whose key this daemon already knows.
-func (m *Manager) again(g *Generation, spec *Spec) (*Handle, error) {
+// attachExisting serves a request whose key this daemon already knows.
+func (m *Manager) attachExisting(g *Generation, spec *Spec) (*Handle, error) {
 	if !bytes.Equal(g.spec.digest(), spec.digest()) {
 		return nil, errKeyReused()
 	}
@@ -212,9 +212,9 @@
 	if s.failure != nil {
 		// What was released of a failed answer is abandoned with it: the new
 		// generation has a new epoch, so nobody can join the two.
-		g = m.start(spec, m.firstLine(s.epoch))
+		g = m.startGeneration(spec, m.newHistory(s.epoch))
 	}
-	return m.begun(g, spec)
+	return m.handleIfSameBody(g, spec)
 }
 
 func errKeyReused() *verdict.Error {
@@ -222,16 +222,16 @@
 		"this Idempotency-Key was used with another body; use a new key for a new request")
 }
 
-// firstLine begins the history of a generation whose id had epochs up to after.
-func (m *Manager) firstLine(after lineage.Epoch) lineage.History {
+// newHistory begins the history of a generation whose id had epochs up to after.
+func (m *Manager) newHistory(after lineage.Epoch) lineage.History {
 	return lineage.History{{Epoch: after.Next(randomEpoch()), Owner: m.members.Current().Self.ID}}
 }
 
-// start registers a new generation and runs its loop.
-func (m *Manager) start(spec *Spec, line lineage.History) *Generation {
+// startGeneration registers a new generation and runs its loop.
+func (m *Manager) startGeneration(spec *Spec, line lineage.History) *Generation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if g := m.owned[spec.ID]; g != nil && g.serves() {
+	if g := m.generations[spec.ID]; g != nil && g.isReadable() {
 		return g // another request with the same key was faster
 	}
 	g := newGeneration(spec, line, nil, "")
@@ -246,24 +246,24 @@
 	ctx, cancel := context.WithCancel(m.base)
 	g.cancel = cancel
 	l := newLoop(m, g, line, g.tokens, g.finish)
-	m.owned[g.spec.ID] = g
-	delete(m.ended, g.spec.ID)
+	m.generations[g.spec.ID] = g
+	delete(m.endedAt, g.spec.ID)
 	m.wg.Go(func() {
 		defer cancel()
 		l.run(ctx, reattach)
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if m.owned[g.spec.ID] == g {
-			m.ended[g.spec.ID] = time.Now()
+		if m.generations[g.spec.ID] == g {
+			m.endedAt[g.spec.ID] = time.Now()
 		}
 	})
 }
 
-// local returns the generation if this daemon owns it.
-func (m *Manager) local(id string) *Generation {
+// localGeneration returns the generation if this daemon owns it.
+func (m *Manager) localGeneration(id string) *Generation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	g := m.owned[id]
+	g := m.generations[id]
 	if g == nil || g.state().fenced {
 		return nil
 	}
@@ -274,11 +274,11 @@
 func (m *Manager) adopt(c journal.Copy) *Generation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if g := m.owned[c.Spec.GetId()]; g != nil && g.serves() && g.state().epoch.OwnerCount() >= c.Line.Epoch().OwnerCount() {
+	if g := m.generations[c.Spec.GetId()]; g != nil && g.isReadable() && g.state().epoch.OwnerCount() >= c.Line.Epoch().OwnerCount() {
 		return g
 	}
 	spec := specFromWire(c.Spec, m.site.Current())
-	g := newGeneration(spec, c.Line, c.Tokens, finishOf(c.Finish))
+	g := newGeneration(spec, c.Line, c.Tokens, finishReason(c.Finish))
 	m.runLocked(g, c.Line, c.Attempt)
 	m.metrics.adopted.Inc()
 	from := ""
--- a/serve/generation/server.go
+++ b/serve/generation/server.go
@@ -30,18 +30,18 @@
 	if !ok {
 		return &peerpb.JournalReply{Unknown: true}, nil
 	}
-	if rival, ok := s.m.rival(c); ok {
+	if rival, ok := s.m.winningRival(c); ok {
 		return &peerpb.JournalReply{Epoch: uint64(rival)}, nil
 	}
 	return reply(s.m.holder.Open(c)), nil
 }
 
-// rival returns the epoch of a generation begun here with the same key at the
+// winningRival returns the epoch of a generation begun here with the same key at the
 // same time as c, if that one is to go on. Two entry VMs that each asked before
 // the other had begun would otherwise both generate the answer. The smaller
 // epoch wins, on both sides alike.
-func (m *Manager) rival(c journal.Copy) (lineage.Epoch, bool) {
-	g := m.local(c.Spec.GetId())
+func (m *Manager) winningRival(c journal.Copy) (lineage.Epoch, bool) {
+	g := m.localGeneration(c.Spec.GetId())
 	if g == nil {
 		return 0, false
 	}
@@ -80,7 +80,7 @@
 // Adopt implements peerpb.Journal.
 func (s server) Adopt(_ context.Context, r *peerpb.AdoptRequest) (*peerpb.AdoptReply, error) {
 	if r.GetPeek() {
-		return s.m.peekHere(r.GetId()), nil
+		return s.m.peekLocal(r.GetId()), nil
 	}
 	seen := lineage.Position{Epoch: lineage.Epoch(r.GetSeenEpoch()), Offset: int(r.GetSeenOffset())}
 	c, rel, ok := s.m.holder.Adopt(r.GetId(), r.GetNewOwner(), seen)
@@ -93,9 +93,9 @@
 	return &peerpb.AdoptReply{Accepted: true, Copy: journal.ToWire(c)}, nil
 }
 
-// peekHere reports what this daemon knows of a generation, as owner or holder.
-func (m *Manager) peekHere(id string) *peerpb.AdoptReply {
-	if g := m.local(id); g != nil {
+// peekLocal reports what this daemon knows of a generation, as owner or holder.
+func (m *Manager) peekLocal(id string) *peerpb.AdoptReply {
+	if g := m.localGeneration(id); g != nil {
 		s := g.state()
 		return &peerpb.AdoptReply{
 			Running:    true,
@@ -122,11 +122,11 @@
 
 // Follow implements peerpb.Journal.
 func (s server) Follow(ctx context.Context, r *peerpb.FollowRequest) (*peerpb.FollowReply, error) {
-	g := s.m.local(r.GetId())
+	g := s.m.localGeneration(r.GetId())
 	if g == nil {
 		return &peerpb.FollowReply{Unknown: true}, nil
 	}
-	g.touch()
+	g.recordRemoteRead()
 	wait := min(time.Duration(r.GetWaitMs())*time.Millisecond, maxFollowWait)
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -138,7 +138,7 @@
 func followReply(pos lineage.Position, b Batch, err error) *peerpb.FollowReply {
 	var (
 		final   *verdict.Error
-		differs *mismatch
+		differs *mismatchError
 	)
 	switch {
 	case errors.As(err, &differs):
--- a/serve/generation/spec.go
+++ b/serve/generation/spec.go
@@ -109,9 +109,9 @@
 const (
 	// charactersPerToken is the usual ratio for estimating a prompt's tokens.
 	charactersPerToken = 4
-	// prefixBlock is the length of the prompt's head, in bytes, by which an
+	// maxPrefixBytes is the length of the prompt's head, in bytes, by which an
 	// engine that may hold it is recognised.
-	prefixBlock = 512
+	maxPrefixBytes = 512
 )
 
 // promptTokens estimates the number of tokens of a prompt.
--- a/serve/generation/standby.go
+++ b/serve/generation/standby.go
@@ -11,10 +11,10 @@
 // standby is a second engine that is made to read the answer from time to time,
 // so that its prefix cache holds nearly all of it when a takeover is needed.
 type standby struct {
-	backend string
-	primed  int  // tokens of the answer that the engine has read
-	busy    bool // a priming runs
-	done    chan string
+	backend     string
+	primedCount int  // tokens of the answer that the engine has read
+	busy        bool // a priming runs
+	done        chan string
 }
 
 // prime makes the standby read what was accepted since the last time.
@@ -26,7 +26,7 @@
 	default:
 	}
 	every := l.policy.StandbyIntervalTokens
-	if every == 0 || s.busy || l.finish != "" || len(l.accepted) < s.primed+every {
+	if every == 0 || s.busy || l.finish != "" || len(l.accepted) < s.primedCount+every {
 		return
 	}
 	lead := l.attempts[l.race.Leader()]
@@ -36,16 +36,16 @@
 	if s.done == nil {
 		s.done = make(chan string, 1)
 	}
-	ask := l.ask()
+	ask := l.newRequest()
 	ask.Resume, ask.Speculative = true, true
-	ask.ExtraTokens = budget.TakeoverCost(len(l.accepted) - s.primed)
+	ask.ExtraTokens = budget.TakeoverCost(len(l.accepted) - s.primedCount)
 	ask.Exclude = append(ask.Exclude, lead.backend.ID)
 	ask.Prefer = s.backend
-	s.primed, s.busy = len(l.accepted), true
-	l.number++ // the priming is an attempt of its own for the engine
-	number, prefix, out := l.number, slices.Clone(l.accepted), s.done
+	s.primedCount, s.busy = len(l.accepted), true
+	l.lastNumber++ // the priming is an attempt of its own for the engine
+	number, prefix, out := l.lastNumber, slices.Clone(l.accepted), s.done
 	l.m.metrics.primings.Inc()
-	go func() { out <- l.m.primeOne(ctx, ask, primeRequest(l.spec, number, prefix)) }()
+	go func() { out <- l.m.primeStandby(ctx, ask, primeRequest(l.spec, number, prefix)) }()
 }
 
 // primeRequest asks for a single token after prefix, which makes an engine read
--- a/serve/generation/version_test.go
+++ b/serve/generation/version_test.go
@@ -24,47 +24,47 @@
 )
 
 const (
-	changingModel = "granulator"
-	oldVersion    = "1"
-	newVersion    = "2"
-	changingPool  = "engines"
+	testModel  = "granulator"
+	oldVersion = "1"
+	newVersion = "2"
+	testPool   = "engines"
 )
 
-// changing is one daemon whose picture of the engines lags: it shows versions
+// laggingDaemon is one daemon whose picture of the engines lags: it shows versions
 // ready that their engines do not have.
-type changing struct {
-	service *site.Service
-	manager *Manager
-	unready []string // backend servers reported not to have a version
+type laggingDaemon struct {
+	service  *site.Service
+	manager  *Manager
+	notReady []string // backend servers reported not to have a version
 }
 
-type oneSite struct{ s *site.Site }
+type staticSite struct{ s *site.Site }
 
-func (o oneSite) Current() *site.Site { return o.s }
+func (o staticSite) Current() *site.Site { return o.s }
 
-// newChanging starts a daemon that believes each engine to have the versions
+// newLaggingDaemon starts a daemon that believes each engine to have the versions
 // that believed names, and whose engines have those that holds names.
-func newChanging(t *testing.T, believed, holds map[string][]string) *changing {
+func newLaggingDaemon(t *testing.T, believed, holds map[string][]string) *laggingDaemon {
 	service := &site.Service{
-		Name: "reviews", Kind: site.KindGeneration, Pool: changingPool, Model: changingModel, Version: newVersion,
+		Name: "reviews", Kind: site.KindGeneration, Pool: testPool, Model: testModel, Version: newVersion,
 		Class: site.ClassLong, Deadline: 30 * time.Second, MaxTokens: 100, Repeatable: true,
 	}
 	account := &site.Account{Name: "mill", Share: 1}
-	in := oneSite{&site.Site{
+	in := staticSite{&site.Site{
 		Services: map[string]*site.Service{service.Name: service},
 		Accounts: map[string]*site.Account{account.Name: account},
-		Pools:    map[string]*site.Pool{changingPool: {Name: changingPool, Slots: 8}},
+		Pools:    map[string]*site.Pool{testPool: {Name: testPool, Slots: 8}},
 		Limits:   site.DefaultLimits(),
 	}}
 	self := membership.Member{ID: "entry-1", Zone: "Pikine"}
 	members := membership.Static{View: &membership.View{Self: self, Members: []membership.Member{self}}}
-	snapshot := picture(believed, holds)
+	snapshot := newSnapshot(believed, holds)
 	registry := prometheus.NewRegistry()
 	f := flow.New(flow.Config{
 		Location: flow.Location{VM: self.ID, Zone: self.Zone}, Site: in, Members: members,
 		Backends: backends.Static{Snapshot: snapshot}, Registerer: registry,
 	})
-	c := &changing{service: service}
+	c := &laggingDaemon{service: service}
 	c.manager = NewManager(Config{
 		Site: in, Members: members, Dispatcher: f, Log: event.Discard(), Metrics: registry, Dialer: link.NewDialer(nil),
 		ChooseVersion: func(s *site.Service, except ...string) *site.Service {
@@ -73,7 +73,7 @@
 			chosen.Version = snapshot.Choose(s.Pool, wanted, 0, except...).Version
 			return &chosen
 		},
-		NotReady: func(backend string) { c.unready = append(c.unready, backend) },
+		NotReady: func(backend string) { c.notReady = append(c.notReady, backend) },
 	})
 	go func() { _ = f.Run(t.Context()) }()
 	go func() { _ = c.manager.Run(t.Context()) }()
@@ -81,18 +81,18 @@
 	return c
 }
 
-func picture(believed, holds map[string][]string) *backends.Snapshot {
+func newSnapshot(believed, holds map[string][]string) *backends.Snapshot {
 	s := &backends.Snapshot{Version: 1, Pools: map[string][]*backends.Backend{}}
 	for _, id := range []string{"engine-1", "engine-2"} {
 		sim := enginesim.New(enginesim.Config{Name: id, Models: refs(holds[id])})
 		b := &backends.Backend{
-			VM:     vmlist.VM{ID: id, Address: id, Pool: changingPool, Role: vmlist.RoleBackend, State: vmlist.Live},
+			VM:     vmlist.VM{ID: id, Address: id, Pool: testPool, Role: vmlist.RoleBackend, State: vmlist.Live},
 			Engine: sim, Reachable: true, Seen: time.Now(), Status: engine.Status{Slots: 8},
 		}
 		for _, r := range refs(believed[id]) {
 			b.Status.Models = append(b.Status.Models, engine.Loaded{Ref: r, State: engine.Ready})
 		}
-		s.Pools[changingPool] = append(s.Pools[changingPool], b)
+		s.Pools[testPool] = append(s.Pools[testPool], b)
 	}
 	return s
 }
@@ -100,13 +100,13 @@
 func refs(versions []string) []engine.ModelRef {
 	var all []engine.ModelRef
 	for _, v := range versions {
-		all = append(all, engine.ModelRef{Model: changingModel, Version: v})
+		all = append(all, engine.ModelRef{Model: testModel, Version: v})
 	}
 	return all
 }
 
 // ask reads one whole answer.
-func (c *changing) ask(ctx context.Context) error {
+func (c *laggingDaemon) ask(ctx context.Context) error {
 	h, err := c.manager.Submit(ctx, &Spec{
 		Account: &site.Account{Name: "mill", Share: 1}, Service: c.service, Prompt: "contract", MaxTokens: 20,
 	})
@@ -134,14 +134,14 @@
 // that had run nowhere kept the version chosen on its arrival.
 func TestOldVersionGoneBeforeRequestRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newChanging(t,
+		c := newLaggingDaemon(t,
 			map[string][]string{"engine-1": {oldVersion}, "engine-2": {newVersion}},
 			map[string][]string{"engine-1": {newVersion}, "engine-2": {newVersion}})
 		for range 5 {
 			must.NoError(t, c.ask(t.Context()))
 		}
-		must.SliceContains(t, c.unready, "engine-1")
-		must.SliceNotContains(t, c.unready, "engine-2")
+		must.SliceContains(t, c.notReady, "engine-1")
+		must.SliceNotContains(t, c.notReady, "engine-2")
 	})
 }
 
@@ -149,7 +149,7 @@
 // once, and truly, that its request was not run.
 func TestNoVersionLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newChanging(t,
+		c := newLaggingDaemon(t,
 			map[string][]string{"engine-1": {oldVersion}, "engine-2": {newVersion}}, nil)
 		began := time.Now()
 		err := c.ask(t.Context())
--- a/serve/generation/watch.go
+++ b/serve/generation/watch.go
@@ -7,38 +7,38 @@
 	"mallowwind.dev/decision/silence"
 )
 
-// watch knows every running attempt of this daemon and what each engine's gaps
+// streamMonitor knows every running attempt of this daemon and what each engine's gaps
 // are like. It tells one silent engine from a stall of all. It is safe for
 // concurrent use.
-type watch struct {
+type streamMonitor struct {
 	mu      sync.Mutex
 	engines map[string]*engineGaps
 	pools   map[string]*engineGaps // of all engines of a pool together
-	running map[watchKey]*watched
+	running map[streamKey]*stream
 }
 
 type engineGaps struct {
 	gaps, first silence.GapEstimator
-	seen        time.Time
-	suspected   time.Time // when a stream was, zero after any chunk since
+	lastSeen    time.Time
+	suspectedAt time.Time // when a stream was, zero after any chunk since
 }
 
-type watchKey struct {
+type streamKey struct {
 	generation string
 	attempt    uint64
 }
 
-type watched struct {
-	backend   string
-	last      time.Time
-	threshold time.Duration // 0 before the first chunk
+type stream struct {
+	backend      string
+	lastActivity time.Time
+	threshold    time.Duration // 0 before the first chunk
 }
 
-func newWatch() *watch {
-	return &watch{engines: make(map[string]*engineGaps), pools: make(map[string]*engineGaps), running: make(map[watchKey]*watched)}
+func newStreamMonitor() *streamMonitor {
+	return &streamMonitor{engines: make(map[string]*engineGaps), pools: make(map[string]*engineGaps), running: make(map[streamKey]*stream)}
 }
 
-func (w *watch) engine(id string) *engineGaps {
+func (w *streamMonitor) engine(id string) *engineGaps {
 	e := w.engines[id]
 	if e == nil {
 		e = &engineGaps{}
@@ -47,45 +47,45 @@
 	return e
 }
 
-func (w *watch) start(generation string, a *attempt) {
+func (w *streamMonitor) start(generation string, a *attempt) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.running[watchKey{generation, a.number}] = &watched{backend: a.backend.ID, last: a.last}
+	w.running[streamKey{generation, a.number}] = &stream{backend: a.backend.ID, lastActivity: a.lastActivity}
 }
 
-func (w *watch) chunk(generation string, a *attempt, now time.Time, threshold time.Duration) {
+func (w *streamMonitor) chunk(generation string, a *attempt, now time.Time, threshold time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.engine(a.backend.ID).suspected = time.Time{}
-	if r := w.running[watchKey{generation, a.number}]; r != nil {
-		r.last, r.threshold = now, threshold
+	w.engine(a.backend.ID).suspectedAt = time.Time{}
+	if r := w.running[streamKey{generation, a.number}]; r != nil {
+		r.lastActivity, r.threshold = now, threshold
 	}
 }
 
-func (w *watch) stop(generation string, a *attempt) {
+func (w *streamMonitor) stop(generation string, a *attempt) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.running, watchKey{generation, a.number})
+	delete(w.running, streamKey{generation, a.number})
 }
 
-func (w *watch) observe(backend string, gap time.Duration) {
+func (w *streamMonitor) observeGap(backend string, gap time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	e := w.engine(backend)
 	e.gaps.Observe(gap)
-	e.seen = time.Now()
+	e.lastSeen = time.Now()
 }
 
-func (w *watch) observeFirst(pool, backend string, wait time.Duration) {
+func (w *streamMonitor) observeFirstChunk(pool, backend string, wait time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	e := w.engine(backend)
 	e.first.Observe(wait)
-	e.seen = time.Now()
+	e.lastSeen = time.Now()
 	w.pool(pool).first.Observe(wait)
 }
 
-func (w *watch) pool(name string) *engineGaps {
+func (w *streamMonitor) pool(name string) *engineGaps {
 	p := w.pools[name]
 	if p == nil {
 		p = &engineGaps{}
@@ -94,29 +94,29 @@
 	return p
 }
 
-func (w *watch) threshold(c silence.Config, stream *silence.GapEstimator, backend string) time.Duration {
+func (w *streamMonitor) threshold(c silence.Config, stream *silence.GapEstimator, backend string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return silence.Threshold(c, stream, &w.engine(backend).gaps)
 }
 
-// firstThreshold judges by the engine's own first chunks, and while few of
+// firstChunkThreshold judges by the engine's own first chunks, and while few of
 // these were seen by those of its pool: first chunks are rare, a daemon at size
 // sees few of any one engine, and the ceiling would hold a takeover that landed
 // on another lost engine for many seconds.
-func (w *watch) firstThreshold(c silence.Config, pool string, a *attempt) time.Duration {
+func (w *streamMonitor) firstChunkThreshold(c silence.Config, pool string, a *attempt) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	first := &w.engine(a.backend.ID).first
 	if !first.HasEnoughSamples() {
 		first = &w.pool(pool).first
 	}
-	return silence.FirstChunkThreshold(c, first, a.reads, a.takeover)
+	return silence.FirstChunkThreshold(c, first, a.prefillTokens, a.takeover)
 }
 
-// globalStall reports whether the streams on other engines than suspect are
+// isGlobalStall reports whether the streams on other engines than suspect are
 // silent too.
-func (w *watch) globalStall(now time.Time, suspect string) bool {
+func (w *streamMonitor) isGlobalStall(now time.Time, suspect string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	silent, total := 0, 0
@@ -127,30 +127,30 @@
 		total++
 		// Half its threshold is enough here: thresholds differ, and when all
 		// streams stop together the first to reach its own must see the others.
-		if now.Sub(r.last) >= r.threshold/2 {
+		if now.Sub(r.lastActivity) >= r.threshold/2 {
 			silent++
 		}
 	}
 	return silence.IsGlobalStall(silent, total)
 }
 
-// suspectFor is how long an engine is avoided by takeovers after a stream of it
+// suspicionDuration is how long an engine is avoided by takeovers after a stream of it
 // was suspected, unless it delivers before.
-const suspectFor = 10 * time.Second
+const suspicionDuration = 10 * time.Second
 
-func (w *watch) suspect(backend string, now time.Time) {
+func (w *streamMonitor) suspect(backend string, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.engine(backend).suspected = now
+	w.engine(backend).suspectedAt = now
 }
 
-// suspects returns the engines that takeovers should avoid.
-func (w *watch) suspects(now time.Time) []string {
+// suspectedEngines returns the engines that takeovers should avoid.
+func (w *streamMonitor) suspectedEngines(now time.Time) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []string
 	for id, e := range w.engines {
-		if !e.suspected.IsZero() && now.Sub(e.suspected) < suspectFor {
+		if !e.suspectedAt.IsZero() && now.Sub(e.suspectedAt) < suspicionDuration {
 			out = append(out, id)
 		}
 	}
@@ -158,11 +158,11 @@
 }
 
 // forget drops engines not seen since the given time.
-func (w *watch) forget(before time.Time) {
+func (w *streamMonitor) forget(before time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id, e := range w.engines {
-		if e.seen.Before(before) {
+		if e.lastSeen.Before(before) {
 			delete(w.engines, id)
 		}
 	}
