--- a/serve/flow/core.go
+++ b/serve/flow/core.go
@@ -18,44 +18,46 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// Core is the state machine behind a Dispatcher: every decision from admission
-// to the chosen backend server, with time as an argument and no goroutine, so
-// that a simulation in virtual time drives exactly what the daemon runs. It is
-// not safe for concurrent use; Manager adds the lock.
+// Core is the state machine behind a Dispatcher. It makes every decision from
+// admission to the choice of a backend server. It takes the time as an argument
+// and starts no goroutines, so that a simulation in virtual time runs the same
+// code as the daemon. It is not safe for concurrent use; Manager adds the lock.
 type Core struct {
 	location      Location
 	observer      *observer
 	random        *rand.Rand
 	site          *site.Site
 	fleet         Fleet
-	accountLoads  []entries.AccountLoad // of the accounts of site, built when first needed
+	accountLoads  []entries.AccountLoad // of the accounts of site, built on first use
 	snapshot      *backends.Snapshot    // of the last Update, nil before
 	servers       map[string]*server
 	hints         hints
 	groups        map[groupKey]*group
-	orderedGroups []*group // as created, so that runs of one seed are alike
+	orderedGroups []*group // in order of creation, so that runs with one seed are reproducible
 	accounts      map[string]*accountBucket
-	// fleetVersion grows with every Update, so that shares are worked out anew.
+	// fleetVersion is incremented by every Update, which invalidates the cached
+	// shares of the account limits.
 	fleetVersion   uint64
 	budgets        map[string]*budget.Budget // by service
 	nextEvaluation time.Time
 }
 
-// Location is where this daemon stands.
+// Location identifies the VM, zone and region in which this daemon runs.
 type Location struct {
 	VM     string
 	Zone   string
 	Region string
 }
 
-// Sink receives what becomes of a submitted request: exactly one call, in the
-// goroutine and under the lock of whoever made the core move.
+// Sink receives the decision about a submitted request. The Core calls one of
+// the methods once, unless the request is cancelled first, in the goroutine and
+// under the lock of the caller whose call led to the decision.
 type Sink interface {
 	Granted(now time.Time, g *Lease)
 	Refused(now time.Time, err *verdict.Error)
 }
 
-// Waiter is a submitted request.
+// Waiter is a submitted request, waiting or decided.
 type Waiter struct {
 	item    admit.Item
 	request Request
@@ -64,13 +66,13 @@
 	arrived time.Time
 }
 
-// groupKey names a set of backend servers that can run the same work.
+// groupKey identifies a set of backend servers that can run the same work.
 type groupKey struct {
 	pool string
 	ref  engine.ModelRef
 }
 
-// group is the queue and the candidates of one key.
+// group holds the queue and the candidates of one groupKey.
 type group struct {
 	key       groupKey
 	queue     *admit.Queue
@@ -79,28 +81,31 @@
 	peers     []*health.Server
 	evaluator health.Evaluator
 	slots     int
-	// firstLoadEnd is the shortest time until a server that loads the model is
-	// ready; loadingSlots is what those servers will add.
+	// firstLoadEnd is the earliest time at which a server that is loading the
+	// model becomes ready; loadingSlots is the number of slots that all such
+	// servers will add.
 	firstLoadEnd time.Time
 	loadingSlots int
 	waiters      map[*admit.Item]*Waiter
 }
 
-// defaultDeadline holds where neither request nor service has one.
+// defaultDeadline applies if neither the request nor the service has a deadline.
 const defaultDeadline = 30 * time.Second
 
-// defaultSlots holds for pools without a bound: plain services mostly.
+// defaultSlots applies to pools without a configured bound, mostly those of
+// plain services.
 const defaultSlots = 64
 
-// noServerRetryAfter is what callers are told when no backend server is known and
-// none loads the model: a returning one is seen within a poll or two.
+// noServerRetryAfter is the Retry-After of a refusal if no backend server is
+// known and none is loading the model. A server that returns is seen within one
+// or two status polls.
 const noServerRetryAfter = 5 * time.Second
 
-// NewCore returns a core without backend servers; Update gives it some.
-// log and registerer may be nil.
-func NewCore(place Location, log *event.Log, registerer prometheus.Registerer, seed uint64) *Core {
+// NewCore returns a Core without backend servers; Update adds them. log and
+// registerer may be nil.
+func NewCore(location Location, log *event.Log, registerer prometheus.Registerer, seed uint64) *Core {
 	return &Core{
-		location: place, observer: newObserver(log, registerer),
+		location: location, observer: newObserver(log, registerer),
 		random:   rand.New(rand.NewPCG(seed, route.Mix(seed))),
 		servers:  map[string]*server{},
 		groups:   map[groupKey]*group{},
@@ -116,11 +121,11 @@
 	}
 }
 
-func classOf(ask *Request) admit.Class {
-	if ask.Resume {
+func classOf(request *Request) admit.Class {
+	if request.Resume {
 		return admit.Resumed
 	}
-	switch ask.Service.Class {
+	switch request.Service.Class {
 	case site.ClassUrgent:
 		return admit.Urgent
 	case site.ClassLong:
@@ -130,10 +135,11 @@
 	}
 }
 
-// Submit decides about a request. The sink is called before Submit returns
-// unless the request waits; then the Waiter can be given to Cancel.
-func (c *Core) Submit(now time.Time, ask Request, sink Sink) *Waiter {
-	w := c.newWaiter(now, ask, sink)
+// Submit decides whether a request starts, waits or is refused. The sink is
+// called before Submit returns unless the request waits; a waiting request can
+// be passed to Cancel or Expire.
+func (c *Core) Submit(now time.Time, request Request, sink Sink) *Waiter {
+	w := c.newWaiter(now, request, sink)
 	if err := c.precheck(now, w); err != nil {
 		c.refuse(now, w, err)
 		return w
@@ -160,27 +166,27 @@
 	return w
 }
 
-func (c *Core) newWaiter(now time.Time, ask Request, sink Sink) *Waiter {
-	if ask.Deadline.IsZero() {
-		wait := ask.Service.Deadline
+func (c *Core) newWaiter(now time.Time, request Request, sink Sink) *Waiter {
+	if request.Deadline.IsZero() {
+		wait := request.Service.Deadline
 		if wait <= 0 {
 			wait = defaultDeadline
 		}
-		ask.Deadline = now.Add(wait)
+		request.Deadline = now.Add(wait)
 	}
-	w := &Waiter{request: ask, sink: sink, group: c.groupForRequest(now, groupKeyOf(ask.Service)), arrived: now}
+	w := &Waiter{request: request, sink: sink, group: c.groupForRequest(now, groupKeyOf(request.Service)), arrived: now}
 	w.item = admit.Item{
-		Weight: 1, Class: classOf(&ask), Cost: float64(max(ask.CostTokens, 1)), Deadline: ask.Deadline,
+		Weight: 1, Class: classOf(&request), Cost: float64(max(request.CostTokens, 1)), Deadline: request.Deadline,
 	}
-	if ask.Account != nil {
-		w.item.Account = ask.Account.Name
-		w.item.Weight = ask.Account.Share
+	if request.Account != nil {
+		w.item.Account = request.Account.Name
+		w.item.Weight = request.Account.Share
 	}
 	return w
 }
 
-// offer asks the queue, and lets the request wait for a model that is loading
-// when nothing else can run it.
+// offer offers the request to the queue. If no server has the model ready but one
+// is loading it, offerWhileLoading decides instead.
 func (c *Core) offer(now time.Time, w *Waiter) admit.Decision {
 	g := w.group
 	if g.slots == 0 && g.loadingSlots > 0 && now.Before(w.item.Deadline) {
@@ -189,7 +195,8 @@
 	return g.queue.Offer(now, &w.item, g.slots)
 }
 
-// tryStart picks a backend server and hands out the lease; false when none has room.
+// tryStart picks a backend server and grants the lease. It returns false if no
+// backend server has capacity.
 func (c *Core) tryStart(now time.Time, w *Waiter) bool {
 	q := route.Query{
 		Prefix: w.request.PrefixHash, Cached: c.hints.holder(w.request.PrefixHash), Prefer: w.request.Prefer, Exclude: w.request.Exclude,
@@ -206,18 +213,18 @@
 	return true
 }
 
-func (c *Core) grant(now time.Time, w *Waiter, s *server, why route.Reason) {
+func (c *Core) grant(now time.Time, w *Waiter, s *server, reason route.Reason) {
 	s.load.InFlight++
 	l := &Lease{
 		core: c, group: w.group, server: s, item: &w.item, service: w.request.Service,
-		reason: why, started: now,
+		reason: reason, started: now,
 	}
 	c.observer.recordDispatch(now, w, l)
 	w.sink.Granted(now, l)
 }
 
-// reattach hands out the preferred backend server whatever its load, since the
-// work runs there already.
+// reattach grants the preferred backend server regardless of its load, because
+// the work already runs there.
 func (c *Core) reattach(now time.Time, w *Waiter) {
 	for _, s := range w.group.servers {
 		if s.backend.ID == w.request.Prefer {
@@ -234,7 +241,8 @@
 	w.sink.Refused(now, err)
 }
 
-// Cancel takes a waiting request out; false when it was already decided.
+// Cancel removes a waiting request from its queue without calling the sink. It
+// returns false if the request is no longer waiting.
 func (c *Core) Cancel(w *Waiter) bool {
 	if !w.item.IsWaiting() {
 		return false
@@ -244,7 +252,8 @@
 	return true
 }
 
-// Expire refuses a waiting request whose deadline has come.
+// Expire refuses a waiting request whose deadline has passed. It returns false
+// if the request is no longer waiting.
 func (c *Core) Expire(now time.Time, w *Waiter) bool {
 	if !c.Cancel(w) {
 		return false
--- a/serve/flow/decide_test.go
+++ b/serve/flow/decide_test.go
@@ -19,24 +19,24 @@
 	"mallowwind.dev/serve/flow"
 )
 
-// holder is an engine that says it holds one prefix.
-type holder struct {
+// cachingEngine is an engine that reports holding one prefix in its cache.
+type cachingEngine struct {
 	engine.Engine
 	prefix uint64
 }
 
-func (h holder) CacheEvents(context.Context, uint64) ([]engine.CacheEvent, error) {
+func (h cachingEngine) CacheEvents(context.Context, uint64) ([]engine.CacheEvent, error) {
 	return []engine.CacheEvent{{Seq: 1, Prefix: h.prefix, Held: true}}, nil
 }
 
-func TestCacheEventsAreFollowedAsHints(t *testing.T) {
+func TestCacheEventsAreUsedAsHints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFixed(8, 8)
+		f := newFakeSources(8, 8)
 		for i, b := range f.snap.Load().Pools["p"] {
-			b.Engine = holder{prefix: uint64(100 + i)}
+			b.Engine = cachingEngine{prefix: uint64(100 + i)}
 		}
-		m := manager(t, f)
-		a := ask(f, "review")
+		m := startManager(t, f)
+		a := newRequest(f, "review")
 		_, err := m.Acquire(t.Context(), a)
 		must.NoError(t, err)
 		time.Sleep(5 * time.Second)
@@ -51,19 +51,19 @@
 	})
 }
 
-// A new version is loading everywhere when a request for it comes.
-// One that can wait until the load ends is answered; one that cannot hears at
-// once when the model will be there.
-func TestRequestWaitsForAModelThatIsLoadingInTime(t *testing.T) {
+// A request arrives for a version that no server has ready and one is loading. A
+// request whose deadline allows it waits for the load and starts; any other is
+// refused at once, with the remaining load time as Retry-After.
+func TestRequestWaitsForModelLoadedBeforeDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFixed(2, 4)
+		f := newFakeSources(2, 4)
 		b := backend("b0", vmlist.Live)
 		b.Status.Models[0].State, b.Status.Models[0].Remaining = engine.Loading, 10*time.Second
 		f.replace(b)
-		m := manager(t, f)
+		m := startManager(t, f)
 		begin := time.Now()
-		_, err := m.Acquire(t.Context(), ask(f, "status")) // waits 2 s at most
-		e := refusalError(t, err)
+		_, err := m.Acquire(t.Context(), newRequest(f, "status")) // waits 2 s at most
+		e := requireRefusal(t, err)
 		test.Eq(t, verdict.CodeNoBackend, e.Code)
 		test.Eq(t, 10*time.Second, e.RetryAfter)
 		test.Zero(t, time.Since(begin))
@@ -71,27 +71,27 @@
 			time.Sleep(9 * time.Second)
 			f.replace(backend("b0", vmlist.Live))
 		}()
-		g, err := m.Acquire(t.Context(), ask(f, "review")) // waits 20 s at most
+		g, err := m.Acquire(t.Context(), newRequest(f, "review")) // waits 20 s at most
 		must.NoError(t, err)
 		test.Eq(t, "b0", g.Backend().ID)
 		test.Between(t, 9*time.Second, time.Since(begin), 10*time.Second)
 	})
 }
 
-// One account asks ten times its limit through one of two entry VMs.
-// This VM gives half of the limit; the rest is refused at once with the time
-// after which it is let in.
-func TestAccountLimitIsDividedAmongTheVMsTold(t *testing.T) {
+// An account exceeds its limit through one of the two entry VMs selected for it.
+// This VM admits half of the limit. Requests beyond that are refused with a
+// Retry-After, after which a request is admitted.
+func TestAccountLimitIsDividedAmongSelectedVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFixed(4, 1000)
+		f := newFakeSources(4, 1000)
 		view := &membership.View{Members: []membership.Member{
 			{ID: "e0", Zone: "a", Caller: "127.0.0.1:1"}, {ID: "e1", Zone: "b", Caller: "127.0.0.1:2"},
 		}}
 		m := flow.New(flow.Config{
-			Location: flow.Location{VM: "e0", Zone: "a"}, Site: f, Backends: snapshots{f},
+			Location: flow.Location{VM: "e0", Zone: "a"}, Site: f, Backends: fakeSnapshots{f},
 			Members: membership.Static{View: view}, Seed: 1,
 		})
-		a := ask(f, "review")
+		a := newRequest(f, "review")
 		a.Account = &site.Account{Name: "acc", Share: 1, TokensPerS: 100}
 		f.site.Accounts = map[string]*site.Account{"acc": a.Account}
 		granted := 0
@@ -108,7 +108,7 @@
 		for err == nil {
 			_, err = m.Acquire(t.Context(), a)
 		}
-		e := refusalError(t, err)
+		e := requireRefusal(t, err)
 		must.Eq(t, verdict.CodeAccountLimit, e.Code)
 		time.Sleep(e.RetryAfter)
 		_, err = m.Acquire(t.Context(), a)
@@ -116,21 +116,21 @@
 	})
 }
 
-// Every engine stalls at once and generations ask for second attempts.
-// Each may cost a prefill; together they must not exceed the budget, while
-// answers whose engine is certainly gone always continue.
-func TestSpeculativeTakeoversStopAtTheBudget(t *testing.T) {
+// All engines stall at once and many generations request a second attempt. Each
+// attempt may cost a prefill, so together they must not exceed the retry budget.
+// Answers whose engine is certainly lost must always continue.
+func TestSpeculativeTakeoversAreBoundedByBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFixed(4, 1000)
-		m := manager(t, f)
-		a := ask(f, "review")
+		f := newFakeSources(4, 1000)
+		m := startManager(t, f)
+		a := newRequest(f, "review")
 		a.Resume, a.Speculative, a.ExtraTokens = true, true, 500
 		granted := 0
 		var denied *verdict.Error
 		for range 100 {
 			g, err := m.Acquire(t.Context(), a)
 			if err != nil {
-				denied = refusalError(t, err)
+				denied = requireRefusal(t, err)
 				continue
 			}
 			granted++
@@ -146,19 +146,20 @@
 	})
 }
 
-// One plain service answers ten times slower than its peers.
-// It goes through the same machinery: calls must soon avoid it.
-func TestSlowPlainServiceIsAvoided(t *testing.T) {
+// One backend server of a plain service answers ten times slower than its peers.
+// The health comparison must cover plain services too, so that calls soon avoid
+// the slow server.
+func TestSlowServerOfPlainServiceIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFixed(6, 16)
+		f := newFakeSources(6, 16)
 		f.site.Services["dispatch"] = &site.Service{
 			Name: "dispatch", Kind: site.KindPlain, Pool: "p", Class: site.ClassUrgent, Deadline: time.Second,
 		}
-		m := manager(t, f)
+		m := startManager(t, f)
 		slow := 0
 		for i := range 600 {
 			time.Sleep(20 * time.Millisecond)
-			g, err := m.Acquire(t.Context(), ask(f, "dispatch"))
+			g, err := m.Acquire(t.Context(), newRequest(f, "dispatch"))
 			must.NoError(t, err)
 			took := 10 * time.Millisecond
 			if g.Backend().ID == "b2" {
@@ -177,15 +178,16 @@
 	})
 }
 
-// Requests wait until their deadline although engines have free slots. Order:
-// an engine begins to unload a version and turns a few requests for it away;
-// they count as failures; the engine is left out for its other versions too.
-func TestEngineWithoutAVersionServesTheOthers(t *testing.T) {
+// Requests wait until their deadline although engines have free slots. This
+// happens if an engine unloads a version and refuses a few requests for it, the
+// refusals count as failures, and the engine is ejected for its other versions
+// too.
+func TestEngineUnloadingOneVersionServesOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFixed(4, 4)
-		m := manager(t, f)
+		f := newFakeSources(4, 4)
+		m := startManager(t, f)
 		for range 40 {
-			g, err := m.Acquire(t.Context(), ask(f, "review"))
+			g, err := m.Acquire(t.Context(), newRequest(f, "review"))
 			must.NoError(t, err)
 			if g.Backend().ID != "b1" {
 				g.Done(flow.Outcome{FirstToken: time.Millisecond, Tokens: 1})
@@ -194,12 +196,12 @@
 			g.Done(flow.Outcome{Err: errors.Wrap(engine.ErrNotReady, "unloading")})
 		}
 		time.Sleep(2 * time.Second)
-		a := ask(f, "review")
+		a := newRequest(f, "review")
 		a.Exclude, a.Resume = []string{"b0", "b2", "b3"}, true
-		began := time.Now()
+		begin := time.Now()
 		g, err := m.Acquire(t.Context(), a)
 		must.NoError(t, err)
 		test.Eq(t, "b1", g.Backend().ID)
-		test.Less(t, time.Second, time.Since(began))
+		test.Less(t, time.Second, time.Since(begin))
 	})
 }
--- a/serve/flow/fleet.go
+++ b/serve/flow/fleet.go
@@ -10,17 +10,17 @@
 	"mallowwind.dev/decision/route"
 )
 
-// Fleet is what a core needs to know of the entry VMs.
+// Fleet describes the entry VMs as far as a Core needs them.
 type Fleet struct {
-	AliveCount int      // entry VMs that serve, this one included
-	ZoneHashes []uint64 // hashes of the ids of those in this VM's zone, this one included
+	AliveCount int      // entry VMs that are alive or suspect, this one included
+	ZoneHashes []uint64 // hashes of the ids of those in this VM's zone
 	VMs        []entries.VM
 }
 
 func (f *Fleet) entryVMCount() int { return max(1, f.AliveCount) }
 
-// fleetOf reads a membership view.
-func fleetOf(v *membership.View, place Location) Fleet {
+// fleetOf builds a Fleet from a membership view.
+func fleetOf(v *membership.View, location Location) Fleet {
 	var f Fleet
 	for _, m := range v.Members {
 		serves := m.State == membership.Alive || m.State == membership.Suspect
@@ -32,7 +32,7 @@
 			continue
 		}
 		f.AliveCount++
-		if m.Zone == place.Zone {
+		if m.Zone == location.Zone {
 			f.ZoneHashes = append(f.ZoneHashes, xxhash.Sum64String(m.ID))
 		}
 	}
@@ -49,14 +49,16 @@
 	return route.Remote
 }
 
-// minSlotsPerDaemon is the even share, in requests, below which a backend server is
-// not divided among all daemons any more but among those of its zone.
+// minSlotsPerDaemon is the number of slots per daemon below which a backend
+// server's slots are divided among the daemons of its zone only, and no longer
+// among all daemons.
 const minSlotsPerDaemon = 1.0
 
-// sharingDaemonCount is the number of daemons among which a backend server is divided. In
-// a large fleet a daemon's share of every server would be a small part of one
-// request: then the daemons of a zone share its servers, and farther ones are
-// used only as far as they report free slots.
+// sharingDaemonCount returns the number of daemons among which the slots of a
+// backend server are divided. In a large fleet a daemon's share of each server
+// would be a small fraction of one request. The slots of a server are then
+// divided among the daemons of its zone, and the other daemons, for which the
+// result is 0, use it only as far as it reports free slots.
 func (c *Core) sharingDaemonCount(b *backends.Backend, slots int) int {
 	if float64(slots) >= minSlotsPerDaemon*float64(c.fleet.entryVMCount()) {
 		return c.fleet.entryVMCount()
@@ -67,38 +69,38 @@
 	return 0
 }
 
-// otherZoneSubsetSize is how many servers of each other zone a daemon uses at most:
-// enough to spill over, few enough that six other zones cost no more links than
-// twice the own one.
+// otherZoneSubsetSize is the maximum number of servers of each other zone that a
+// daemon uses. It is enough to spill over, and with six other zones costs no
+// more connections than twice those to the daemon's own zone.
 const otherZoneSubsetSize = 8
 
-// subset chooses the servers that this daemon uses, zone by zone.
+// subset returns the servers that this daemon uses, chosen zone by zone.
 func (c *Core) subset(rows []*backends.Backend) []route.Candidate {
 	zones := map[string][]*backends.Backend{}
 	for _, b := range rows {
 		zones[b.VM.Zone] = append(zones[b.VM.Zone], b)
 	}
-	self := xxhash.Sum64String(c.location.VM)
+	own := xxhash.Sum64String(c.location.VM)
 	var chosen []route.Candidate
 	for _, zone := range sortedKeys(zones) {
-		in := zones[zone]
+		zoneServers := zones[zone]
 		size := route.SubsetSize
 		if zone != c.location.Zone && len(c.fleet.ZoneHashes) > otherZoneSubsetSize {
 			size = otherZoneSubsetSize
 		}
-		hashes := make([]uint64, len(in))
-		for i, b := range in {
+		hashes := make([]uint64, len(zoneServers))
+		for i, b := range zoneServers {
 			hashes[i] = xxhash.Sum64String(b.VM.ID)
 		}
-		for _, i := range route.Subset(self, c.fleet.ZoneHashes, hashes, size) {
-			chosen = append(chosen, c.candidate(in[i]))
+		for _, i := range route.Subset(own, c.fleet.ZoneHashes, hashes, size) {
+			chosen = append(chosen, c.candidate(zoneServers[i]))
 		}
 	}
 	return chosen
 }
 
-// accountShare is this VM's part of an account's limit: an equal part with the other
-// VMs that the account is told.
+// accountShare returns this VM's share of an account's limit. The limit is
+// divided equally among the VMs whose addresses the account's callers receive.
 func (c *Core) accountShare(account string) float64 {
 	if c.site == nil || len(c.fleet.VMs) == 0 {
 		return limit.AccountShare(c.fleet.entryVMCount(), true)
@@ -110,13 +112,13 @@
 			})
 		}
 	}
-	part, before := entries.LoadPosition(c.accountLoads, account)
-	self := -1
+	loadShare, shareBefore := entries.LoadPosition(c.accountLoads, account)
+	own := -1
 	for i := range c.fleet.VMs {
 		if c.fleet.VMs[i].ID == c.location.VM {
-			self = i
+			own = i
 		}
 	}
-	told, member := entries.DefaultRule.IsSelected(c.fleet.VMs, entries.Query{LoadShare: part, ShareBefore: before}, self)
-	return limit.AccountShare(told, member)
+	selectedCount, selected := entries.DefaultRule.IsSelected(c.fleet.VMs, entries.Query{LoadShare: loadShare, ShareBefore: shareBefore}, own)
+	return limit.AccountShare(selectedCount, selected)
 }
--- a/serve/flow/flow.go
+++ b/serve/flow/flow.go
@@ -1,6 +1,6 @@
-// Package flow takes a request from admission to a chosen backend server: it
-// asks the pure packages of the decision module, waits where they say wait,
-// and writes one log line and one metric for each decision.
+// Package flow takes a request from admission to a chosen backend server. It
+// calls the pure packages of the decision module, waits where they decide that a
+// request waits, and records the decisions in the log and in metrics.
 package flow
 
 import (
@@ -11,32 +11,33 @@
 	"mallowwind.dev/external/engine"
 )
 
-// Request describes work that wants a backend server.
+// Request describes work that needs a backend server.
 type Request struct {
-	RequestID string // id for logs
+	RequestID string // for logs
 	Account   *site.Account
 	Service   *site.Service
-	// CostTokens is the expected work in tokens, prompt and answer together.
+	// CostTokens is the expected work, prompt and answer together.
 	CostTokens int
 	// PrefixHash is the hash of the prompt's leading block, 0 if none.
 	PrefixHash uint64
-	// Deadline is when the caller no longer waits to be dispatched.
+	// Deadline is the latest time at which the request may be dispatched. If it
+	// is zero, the service's deadline applies.
 	Deadline time.Time
-	// Resume marks the continuation of an answer already begun: it is not
-	// queued behind new work but pays from the takeover budget.
+	// Resume marks the continuation of an answer that has already begun. It is not
+	// queued behind new work, and it is charged to the retry budget.
 	Resume bool
 	// Speculative marks a continuation whose previous attempt may still be
-	// alive: it is extra work, and refused when the budget does not afford it.
+	// running. It is refused if the budget does not cover it.
 	Speculative bool
-	// ExtraTokens is the work, in generated tokens, that the budget is charged for a
-	// continuation: mostly the prefill. 0 means Cost.
+	// ExtraTokens is the work charged to the budget for a continuation, mostly the
+	// prefill, expressed in generated tokens. 0 means the cost of the request.
 	ExtraTokens float64
-	// Reattach asks for exactly the backend server in Prefer, which already runs
-	// the work: it needs no further slot there, so it does not wait for one.
+	// Reattach requests the backend server in Prefer and no other. That server
+	// already runs the work, so the request does not wait for a free slot.
 	Reattach bool
-	// Exclude names backend servers not to be chosen, by VM id.
+	// Exclude lists the VM ids of backend servers that must not be chosen.
 	Exclude []string
-	// Prefer names a backend server to take if it is acceptable.
+	// Prefer is the VM id of the backend server to choose if it is acceptable.
 	Prefer string
 }
 
@@ -48,28 +49,28 @@
 	Engine  engine.Engine // nil for plain services
 }
 
-// Outcome is what became of dispatched work.
+// Outcome is the result of dispatched work.
 type Outcome struct {
-	Err        error         // nil when it ended well
-	FirstToken time.Duration // 0 if none came
+	Err        error         // nil on success
+	FirstToken time.Duration // time to the first token, 0 if there was none
 	Tokens     int           // produced by this backend server for this attempt
-	Cancelled  bool          // ended by us: says nothing about the backend server
+	Cancelled  bool          // by this daemon; ignored when judging the backend server's health
 }
 
 // Grant is permission to use one backend server. Done must be called exactly
 // once; Progress may be called for every chunk.
 type Grant interface {
 	Backend() Backend
-	// Reason is the typed reason of the choice, for logs.
+	// Reason says why the backend server was chosen, for logs.
 	Reason() string
-	// Progress reports n more tokens after gap since the previous ones.
+	// Progress reports n more tokens, received gap after the previous ones.
 	Progress(n int, gap time.Duration)
 	Done(Outcome)
 }
 
 // Dispatcher admits work and picks backend servers. It is safe for concurrent use.
 type Dispatcher interface {
-	// Acquire waits until the work may start and returns where. Its error is
-	// always a *verdict.Error with verdict not_run.
-	Acquire(ctx context.Context, ask Request) (Grant, error)
+	// Acquire waits until the work may start and returns a grant for the chosen
+	// backend server. Its error is always a *verdict.Error with verdict not_run.
+	Acquire(ctx context.Context, request Request) (Grant, error)
 }
--- a/serve/flow/hints.go
+++ b/serve/flow/hints.go
@@ -10,31 +10,34 @@
 )
 
 const (
-	// maxHintCount bounds the remembered prefixes; some thousand are in use at once.
+	// maxHintCount bounds the number of remembered prefixes. A few thousand are in
+	// use at once.
 	maxHintCount = 16384
-	// hintPollInterval is how often engines are asked for cache events. The events are
-	// late by themselves; asking more often would not make them younger.
+	// hintPollInterval is the interval at which engines are polled for cache events.
+	// The engines report events late, so polling more often would not make the
+	// hints more recent.
 	hintPollInterval = 2 * time.Second
-	// hintPollTimeout bounds one question, so that a silent engine holds up nothing.
+	// hintPollTimeout bounds one poll, so that a silent engine does not delay the
+	// next round.
 	hintPollTimeout = time.Second
-	// maxConcurrentHintPolls bounds the questions under way.
+	// maxConcurrentHintPolls bounds the polls in flight.
 	maxConcurrentHintPolls = 8
 )
 
-// hints remembers which engine was last said to hold a prefix. Events come late
-// and with gaps, so a hint may be wrong in either direction: it only ever
-// chooses among servers that could run the request anyway, and a wrong one
-// costs a prefill.
+// hints maps each prefix to the engine that last reported holding it in its
+// cache. Events arrive late and some are lost, so a hint may be stale or missing.
+// Hints only affect the choice among servers that could run the request anyway,
+// and a wrong hint costs one prefill.
 type hints struct {
 	holders map[uint64]string
 }
 
 func (h *hints) holder(prefix uint64) string { return h.holders[prefix] }
 
-// record takes in one event of an engine.
+// record applies one cache event of an engine.
 func (h *hints) record(id string, e engine.CacheEvent) {
 	if h.holders == nil || len(h.holders) >= maxHintCount {
-		h.holders = map[uint64]string{} // they come back with use
+		h.holders = map[uint64]string{} // refilled by later events
 	}
 	if e.Held {
 		h.holders[e.Prefix] = id
@@ -43,10 +46,10 @@
 	}
 }
 
-// RecordCacheEvent takes in one cache event of the engine with this id.
+// RecordCacheEvent applies one cache event of the engine on the VM with this id.
 func (c *Core) RecordCacheEvent(id string, e engine.CacheEvent) { c.hints.record(id, e) }
 
-// forget drops what is remembered of an engine that restarted with a cold cache.
+// forget removes the hints for an engine that restarted with a cold cache.
 func (h *hints) forget(id string) {
 	for prefix, holder := range h.holders {
 		if holder == id {
@@ -55,7 +58,7 @@
 	}
 }
 
-// hintSource is one engine with the last event seen of it.
+// hintSource is one engine and the sequence number of its last event received.
 type hintSource struct {
 	id          string
 	incarnation string
@@ -63,8 +66,8 @@
 	lastSeq     uint64
 }
 
-// pollHints asks the engines of this daemon's subset for their cache events
-// until ctx ends. It never holds the lock while it waits for an engine.
+// pollHints polls the engines of this daemon's subset for cache events until ctx
+// ends. It does not hold the lock while it waits for an engine.
 func (m *Manager) pollHints(ctx context.Context) {
 	t := time.NewTicker(hintPollInterval)
 	defer t.Stop()
@@ -84,25 +87,26 @@
 	}
 }
 
-// hintSources lists the engines in use; one that restarted begins anew.
+// hintSources returns the engines in use. For an engine that restarted, events
+// are read again from the first.
 func (m *Manager) hintSources(seen map[string]*hintSource) []*hintSource {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var list []*hintSource
+	var sources []*hintSource
 	for id, s := range m.core.servers {
 		if !s.present || len(s.groups) == 0 || s.backend.Engine == nil {
 			delete(seen, id)
 			continue
 		}
-		known := seen[id]
-		if known == nil || known.incarnation != s.incarnation {
-			known = &hintSource{id: id, incarnation: s.incarnation}
-			seen[id] = known
+		source := seen[id]
+		if source == nil || source.incarnation != s.incarnation {
+			source = &hintSource{id: id, incarnation: s.incarnation}
+			seen[id] = source
 		}
-		known.engine = s.backend.Engine
-		list = append(list, known)
+		source.engine = s.backend.Engine
+		sources = append(sources, source)
 	}
-	return list
+	return sources
 }
 
 func (m *Manager) pollEngine(ctx context.Context, s *hintSource) {
@@ -110,7 +114,7 @@
 	defer cancel()
 	events, err := s.engine.CacheEvents(ctx, s.lastSeq)
 	if err != nil {
-		return // a hint less; health is judged by requests and reports
+		return // ignored: health is judged by requests and status reports
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/serve/flow/lease.go
+++ b/serve/flow/lease.go
@@ -13,8 +13,8 @@
 	"mallowwind.dev/external/engine"
 )
 
-// Lease is the use of one slot of a backend server. Its methods need the same
-// lock as the Core.
+// Lease is one occupied slot of a backend server. Its methods must be called
+// under the same lock as those of the Core.
 type Lease struct {
 	core    *Core
 	group   *group
@@ -29,23 +29,24 @@
 // Backend returns the chosen backend server.
 func (l *Lease) Backend() Backend { return l.server.backend }
 
-// Reason returns why it was chosen.
+// Reason returns why the backend server was chosen.
 func (l *Lease) Reason() route.Reason { return l.reason }
 
-// Progress records n tokens that came gap after the previous ones.
+// Progress records n tokens, received gap after the previous ones.
 func (l *Lease) Progress(now time.Time, n int, gap time.Duration) {
 	if n <= 0 || gap <= 0 {
 		return
 	}
-	per := gap / time.Duration(n)
-	l.server.limit.ObserveTokenGap(per)
-	l.server.peer.ObserveTokenGap(per)
+	gapPerToken := gap / time.Duration(n)
+	l.server.limit.ObserveTokenGap(gapPerToken)
+	l.server.peer.ObserveTokenGap(gapPerToken)
 	if l.item.Class != admit.Resumed {
 		l.core.budgetFor(l.service.Name).Deposit(now, float64(n), l.depositRatio())
 	}
 }
 
-// depositRatio is the part of the tokens that pays for repeated work.
+// depositRatio is the fraction of the produced tokens that is deposited into the
+// retry budget.
 func (l *Lease) depositRatio() float64 {
 	if l.isPlain() {
 		return budget.DefaultRatio
@@ -53,11 +54,12 @@
 	return budget.TakeoverRatio(l.service.LatencyWeight)
 }
 
-// isPlain reports whether this is a call of a plain service: one answer, no tokens.
+// isPlain reports whether this is a call of a plain service, whose answer is not
+// a stream of tokens.
 func (l *Lease) isPlain() bool { return l.service.Kind == site.KindPlain }
 
-// Done ends the use. A second call has no effect, so that a slot is never
-// given back twice.
+// Done releases the slot. A second call has no effect, so that a slot is never
+// released twice.
 func (l *Lease) Done(now time.Time, o Outcome) {
 	if l.ended {
 		return
@@ -70,10 +72,11 @@
 	l.core.startWaitingAt(now, l.server)
 }
 
-// recordHealth feeds the health of the backend server. What we cancelled says
-// nothing about it, nor does a version that it unloads: left out for that, it
-// would not serve the others, and requests would wait for it to come back. The
-// time of a plain answer stands for a token gap.
+// recordHealth records the outcome in the health of the backend server. Work
+// that this daemon cancelled does not count. Neither does a refusal because the
+// server is unloading the version: if that ejected the server, it would not serve
+// its other versions either, and requests for them would wait for its return.
+// The duration of a plain answer is used as a token gap.
 func (l *Lease) recordHealth(now time.Time, o Outcome) {
 	switch {
 	case o.Cancelled, errors.Is(o.Err, engine.ErrNotReady):
@@ -89,29 +92,30 @@
 
 func (l *Lease) recordPlainAnswer(now time.Time, o Outcome) {
 	l.core.budgetFor(l.service.Name).Deposit(now, l.item.Cost, l.depositRatio())
-	took := o.FirstToken
-	if took <= 0 {
-		took = now.Sub(l.started)
+	elapsed := o.FirstToken
+	if elapsed <= 0 {
+		elapsed = now.Sub(l.started)
 	}
-	l.server.peer.ObserveTokenGap(took)
-	l.server.limit.ObserveTokenGap(took)
+	l.server.peer.ObserveTokenGap(elapsed)
+	l.server.limit.ObserveTokenGap(elapsed)
 }
 
-// startWaitingAt starts what may start now that a slot of s came free.
+// startWaitingAt starts waiting requests of every group of s, after a slot of s
+// was released.
 func (c *Core) startWaitingAt(now time.Time, s *server) {
 	for _, g := range s.groups {
 		c.startWaiting(now, g)
 	}
 }
 
-// startWaiting starts waiting work until nothing more fits.
+// startWaiting starts waiting requests of g until no further one can start.
 func (c *Core) startWaiting(now time.Time, g *group) {
 	if g.queue.IsEmpty() {
 		return
 	}
-	try := func(it *admit.Item) bool { return c.tryStart(now, g.waiters[it]) }
+	tryStart := func(it *admit.Item) bool { return c.tryStart(now, g.waiters[it]) }
 	for {
-		it := g.queue.Next(now, g.slots, try)
+		it := g.queue.Next(now, g.slots, tryStart)
 		if it == nil {
 			return
 		}
@@ -119,12 +123,14 @@
 	}
 }
 
-// evaluationInterval is how often servers are compared. A straggler is known after
-// minSamples gaps, about half a second; comparing more often gains nothing.
+// evaluationInterval is how often the servers of a group are compared. A slow
+// server has enough gap samples to be recognised after about half a second, so
+// comparing more often gains nothing.
 const evaluationInterval = 500 * time.Millisecond
 
-// Tick moves limits and health, refuses what has become hopeless and starts
-// what fits. It is due every 100 ms or so.
+// Tick adjusts the limits, evaluates the health of the servers, refuses waiting
+// requests that can no longer start in time and starts those that can start now.
+// It must be called about every 100 ms.
 func (c *Core) Tick(now time.Time) {
 	for _, s := range c.servers {
 		if s.limit.Adjust(now, int(s.load.InFlight)) {
--- a/serve/flow/manager.go
+++ b/serve/flow/manager.go
@@ -14,30 +14,32 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// Config holds what a Manager needs. Site and Backends are required.
+// Config configures a Manager. Site and Backends are required.
 type Config struct {
 	Location   Location
 	Site       site.Source
 	Backends   backends.Source
-	Members    membership.Source     // nil: this daemon is the only one
-	Log        *event.Log            // nil: no log
+	Members    membership.Source     // nil: this is the only daemon
+	Log        *event.Log            // nil: no logging
 	Registerer prometheus.Registerer // nil: no metrics
-	Seed       uint64                // of the random choices
+	Seed       uint64                // of random choices
 }
 
-// Manager is the Dispatcher of a daemon.
+// Manager is the Dispatcher of a daemon. It adds a lock, timers and polling to a
+// Core.
 type Manager struct {
 	config   Config
 	mu       sync.Mutex
 	core     *Core
-	site     *site.Site         // last taken in
-	snapshot *backends.Snapshot // last taken in
-	view     *membership.View   // last taken in
+	site     *site.Site         // last applied
+	snapshot *backends.Snapshot // last applied
+	view     *membership.View   // last applied
 }
 
 var _ Dispatcher = (*Manager)(nil)
 
-// New returns a Manager. Run must be going for limits, health and queues to move.
+// New returns a Manager. Run must be running for limits, health and queues to be
+// updated.
 func New(config Config) *Manager {
 	return &Manager{
 		config: config,
@@ -45,15 +47,15 @@
 	}
 }
 
-// tickInterval is how often queues are examined; a hopeless request hears of it
-// at most this much later.
+// tickInterval is how often the queues are examined. It bounds how late a request
+// that can no longer start in time is refused.
 const tickInterval = 100 * time.Millisecond
 
-// Run keeps the candidates, limits, health and queues current until ctx ends.
+// Run keeps the candidates, limits, health and queues up to date until ctx ends.
 func (m *Manager) Run(ctx context.Context) error {
-	var polls sync.WaitGroup
-	polls.Go(func() { m.pollHints(ctx) })
-	defer polls.Wait()
+	var wg sync.WaitGroup
+	wg.Go(func() { m.pollHints(ctx) })
+	defer wg.Wait()
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
@@ -74,32 +76,32 @@
 	m.core.Tick(now)
 }
 
-// update takes in what changed in the sources since the last call. Pointers
-// are compared, so that it costs nothing when nothing changed.
+// update applies what changed in the sources since the last call. It compares
+// pointers only, so that a call without changes is cheap.
 func (m *Manager) update(now time.Time) {
-	st, snap := m.config.Site.Current(), m.config.Backends.Current()
+	currentSite, snapshot := m.config.Site.Current(), m.config.Backends.Current()
 	var view *membership.View
 	if m.config.Members != nil {
 		view = m.config.Members.Current()
 	}
-	if st == m.site && snap == m.snapshot && view == m.view {
+	if currentSite == m.site && snapshot == m.snapshot && view == m.view {
 		return
 	}
-	m.site, m.snapshot, m.view = st, snap, view
+	m.site, m.snapshot, m.view = currentSite, snapshot, view
 	fleet := Fleet{AliveCount: 1}
 	if view != nil {
 		fleet = fleetOf(view, m.config.Location)
 	}
-	m.core.Update(now, st, snap, fleet)
+	m.core.Update(now, currentSite, snapshot, fleet)
 }
 
-// result is what a Sink received.
+// result is the decision that a Sink received.
 type result struct {
 	lease *Lease
 	err   *verdict.Error
 }
 
-// chanSink passes a result to the goroutine that waits in Acquire.
+// chanSink passes the result to the goroutine that waits in Acquire.
 type chanSink chan result
 
 // Granted implements Sink.
@@ -109,12 +111,12 @@
 func (s chanSink) Refused(_ time.Time, err *verdict.Error) { s <- result{err: err} }
 
 // Acquire implements Dispatcher.
-func (m *Manager) Acquire(ctx context.Context, ask Request) (Grant, error) {
+func (m *Manager) Acquire(ctx context.Context, request Request) (Grant, error) {
 	sink := make(chanSink, 1)
 	m.mu.Lock()
 	now := time.Now()
 	m.update(now)
-	w := m.core.Submit(now, ask, sink)
+	w := m.core.Submit(now, request, sink)
 	m.mu.Unlock()
 	select {
 	case r := <-sink:
@@ -136,8 +138,9 @@
 	}
 }
 
-// cancelWait ends the wait of a caller that left. When the grant was given at the
-// same moment it is returned unused: nothing was sent, so nothing ran.
+// cancelWait ends the wait of a caller whose context ended. A grant given at the
+// same moment is released unused: nothing was sent to the backend server, so the
+// error correctly says not_run.
 func (m *Manager) cancelWait(ctx context.Context, w *Waiter, sink chanSink) (Grant, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -157,7 +160,7 @@
 	return &lockedLease{manager: m, lease: r.lease}, nil
 }
 
-// lockedLease is a Lease used by many goroutines.
+// lockedLease is a Lease that is safe for concurrent use.
 type lockedLease struct {
 	manager *Manager
 	lease   *Lease
--- a/serve/flow/manager_test.go
+++ b/serve/flow/manager_test.go
@@ -23,20 +23,20 @@
 
 var reviewRef = engine.ModelRef{Model: "m", Version: "1"}
 
-// fixed is a source of one site and a snapshot that tests may replace.
-type fixed struct {
+// fakeSources is the source of a fixed site and of a snapshot that tests replace.
+type fakeSources struct {
 	site *site.Site
 	snap atomic.Pointer[backends.Snapshot]
 }
 
-func (f *fixed) Current() *site.Site { return f.site }
+func (f *fakeSources) Current() *site.Site { return f.site }
 
-type snapshots struct{ f *fixed }
+type fakeSnapshots struct{ f *fakeSources }
 
-func (s snapshots) Current() *backends.Snapshot { return s.f.snap.Load() }
+func (s fakeSnapshots) Current() *backends.Snapshot { return s.f.snap.Load() }
 
-func newFixed(servers, slots int) *fixed {
-	f := &fixed{site: &site.Site{
+func newFakeSources(servers, slots int) *fakeSources {
+	f := &fakeSources{site: &site.Site{
 		Services: map[string]*site.Service{
 			"review": {
 				Name: "review", Kind: site.KindGeneration, Pool: "p", Model: "m", Version: "1",
@@ -65,21 +65,21 @@
 	}
 }
 
-func (f *fixed) replace(rows ...*backends.Backend) {
+func (f *fakeSources) replace(rows ...*backends.Backend) {
 	f.snap.Store(&backends.Snapshot{Version: f.version() + 1, Pools: map[string][]*backends.Backend{"p": rows}})
 }
 
-func (f *fixed) version() uint64 {
+func (f *fakeSources) version() uint64 {
 	if s := f.snap.Load(); s != nil {
 		return s.Version
 	}
 	return 0
 }
 
-// manager returns a running Manager and stops it when the test ends.
-func manager(t *testing.T, f *fixed) *flow.Manager {
+// startManager returns a running Manager and stops it when the test ends.
+func startManager(t *testing.T, f *fakeSources) *flow.Manager {
 	m := flow.New(flow.Config{
-		Location: flow.Location{VM: "e0", Zone: "a"}, Site: f, Backends: snapshots{f},
+		Location: flow.Location{VM: "e0", Zone: "a"}, Site: f, Backends: fakeSnapshots{f},
 		Registerer: prometheus.NewRegistry(), Seed: 1,
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -88,14 +88,14 @@
 	return m
 }
 
-func ask(f *fixed, service string) flow.Request {
+func newRequest(f *fakeSources, service string) flow.Request {
 	return flow.Request{
 		RequestID: "r", Service: f.site.Services[service], CostTokens: 100,
 		Account: &site.Account{Name: "acc", Share: 1},
 	}
 }
 
-func refusalError(t *testing.T, err error) *verdict.Error {
+func requireRefusal(t *testing.T, err error) *verdict.Error {
 	t.Helper()
 	var e *verdict.Error
 	must.True(t, errors.As(err, &e))
@@ -103,68 +103,67 @@
 	return e
 }
 
-func TestWaitingRequestStartsWhenASlotIsGivenBack(t *testing.T) {
+func TestWaitingRequestStartsWhenSlotIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFixed(1, 1)
-		m := manager(t, f)
-		first, err := m.Acquire(t.Context(), ask(f, "review"))
+		f := newFakeSources(1, 1)
+		m := startManager(t, f)
+		first, err := m.Acquire(t.Context(), newRequest(f, "review"))
 		must.NoError(t, err)
 		go func() {
 			time.Sleep(3 * time.Second)
 			first.Done(flow.Outcome{Tokens: 100})
-			first.Done(flow.Outcome{Tokens: 100}) // a second call gives nothing back
+			first.Done(flow.Outcome{Tokens: 100}) // a second call releases nothing
 		}()
 		begin := time.Now()
-		second, err := m.Acquire(t.Context(), ask(f, "review"))
+		second, err := m.Acquire(t.Context(), newRequest(f, "review"))
 		must.NoError(t, err)
 		must.Eq(t, 3*time.Second, time.Since(begin))
 		must.Eq(t, "b0", second.Backend().ID)
 	})
 }
 
-// A caller waits for an answer that cannot come in time.
-// All slots are taken by long work; the request's deadline passes.
-// It must hear not_run at its deadline with a time to come back, not later.
-func TestExpiredRequestIsAnsweredAtItsDeadline(t *testing.T) {
+// All slots are taken by long work when a request's deadline passes. The request
+// must be refused with not_run and a Retry-After at its deadline, and not later.
+func TestExpiredRequestIsRefusedAtItsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFixed(1, 1)
-		m := manager(t, f)
-		_, err := m.Acquire(t.Context(), ask(f, "review"))
+		f := newFakeSources(1, 1)
+		m := startManager(t, f)
+		_, err := m.Acquire(t.Context(), newRequest(f, "review"))
 		must.NoError(t, err)
-		a := ask(f, "review")
+		a := newRequest(f, "review")
 		a.Deadline = time.Now().Add(1500 * time.Millisecond)
 		begin := time.Now()
 		_, err = m.Acquire(t.Context(), a)
-		e := refusalError(t, err)
+		e := requireRefusal(t, err)
 		test.Eq(t, verdict.CodeDeadlineExceeded, e.Code)
 		test.Positive(t, e.RetryAfter)
 		test.Eq(t, 1500*time.Millisecond, time.Since(begin))
 	})
 }
 
-// Work goes to a backend server that is leaving and is cut when it goes.
-// The platform's list marks it as leaving between two requests.
+// Work is sent to a backend server that is leaving and is cut off when the server
+// stops. The platform's VM list marks the server as leaving between two requests.
 func TestLeavingBackendServerGetsNoNewWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFixed(2, 8)
-		m := manager(t, f)
+		f := newFakeSources(2, 8)
+		m := startManager(t, f)
 		f.replace(backend("b0", vmlist.Leaving), backend("b1", vmlist.Live))
 		for range 8 {
-			g, err := m.Acquire(t.Context(), ask(f, "status"))
+			g, err := m.Acquire(t.Context(), newRequest(f, "status"))
 			must.NoError(t, err)
 			must.Eq(t, "b1", g.Backend().ID)
 		}
 		f.replace(backend("b0", vmlist.Leaving), backend("b1", vmlist.Leaving))
-		_, err := m.Acquire(t.Context(), ask(f, "status"))
-		must.Eq(t, verdict.CodeNoBackend, refusalError(t, err).Code)
+		_, err := m.Acquire(t.Context(), newRequest(f, "status"))
+		must.Eq(t, verdict.CodeNoBackend, requireRefusal(t, err).Code)
 	})
 }
 
 func TestContinuationPrefersAndExcludes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFixed(4, 8)
-		m := manager(t, f)
-		a := ask(f, "review")
+		f := newFakeSources(4, 8)
+		m := startManager(t, f)
+		a := newRequest(f, "review")
 		a.Resume, a.Exclude, a.Prefer = true, []string{"b0", "b1"}, "b3"
 		g, err := m.Acquire(t.Context(), a)
 		must.NoError(t, err)
@@ -178,18 +177,18 @@
 	})
 }
 
-func TestCallerThatLeavesGivesItsPlaceBack(t *testing.T) {
+func TestCancelledRequestLeavesTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFixed(1, 1)
-		m := manager(t, f)
-		first, err := m.Acquire(t.Context(), ask(f, "review"))
+		f := newFakeSources(1, 1)
+		m := startManager(t, f)
+		first, err := m.Acquire(t.Context(), newRequest(f, "review"))
 		must.NoError(t, err)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, err = m.Acquire(ctx, ask(f, "review"))
-		refusalError(t, err)
+		_, err = m.Acquire(ctx, newRequest(f, "review"))
+		requireRefusal(t, err)
 		first.Done(flow.Outcome{})
-		_, err = m.Acquire(t.Context(), ask(f, "review"))
+		_, err = m.Acquire(t.Context(), newRequest(f, "review"))
 		must.NoError(t, err)
 	})
 }
--- a/serve/flow/observe.go
+++ b/serve/flow/observe.go
@@ -13,8 +13,8 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// observer writes the log line and counts the metric of each decision, both
-// from the decision's typed reason.
+// observer writes the log lines and updates the metrics of the decisions, both
+// from their typed reasons.
 type observer struct {
 	log              *event.Log
 	dispatches       *prometheus.CounterVec
@@ -68,11 +68,11 @@
 func accountName(w *Waiter) string { return w.item.Account }
 
 func (o *observer) recordDispatch(now time.Time, w *Waiter, l *Lease) {
-	class, wait := w.item.Class.String(), now.Sub(w.arrived)
+	class, waited := w.item.Class.String(), now.Sub(w.arrived)
 	o.dispatches.WithLabelValues(class, string(l.reason)).Inc()
-	o.waits.WithLabelValues(class).Observe(wait.Seconds())
+	o.waits.WithLabelValues(class).Observe(waited.Seconds())
 	o.log.Emit(event.RequestDispatched, w.request.RequestID, accountName(w), w.request.Service.Name, class,
-		l.server.backend.ID, l.server.backend.Zone, l.reason, wait, l.server.load.InFlight, l.server.load.Limit)
+		l.server.backend.ID, l.server.backend.Zone, l.reason, waited, l.server.load.InFlight, l.server.load.Limit)
 }
 
 func (o *observer) recordQueued(w *Waiter, d admit.Decision) {
@@ -86,21 +86,21 @@
 		w.item.Class.String(), err.Message, err.Code, err.RetryAfter)
 }
 
-func (o *observer) recordBudgetDecision(w *Waiter, why budget.Reason, balance float64) {
+func (o *observer) recordBudgetDecision(w *Waiter, reason budget.Reason, balance float64) {
 	kind := "retry"
 	if w.request.Resume {
 		kind = "takeover"
 	}
-	o.budgetDecisions.WithLabelValues(string(why)).Inc()
-	o.log.Emit(event.BudgetDecided, w.request.RequestID, kind, why, w.item.Cost, balance)
+	o.budgetDecisions.WithLabelValues(string(reason)).Inc()
+	o.log.Emit(event.BudgetDecided, w.request.RequestID, kind, reason, w.item.Cost, balance)
 }
 
-func (o *observer) recordOutcome(l *Lease, out Outcome) {
+func (o *observer) recordOutcome(l *Lease, outcome Outcome) {
 	result := "ok"
 	switch {
-	case out.Cancelled:
+	case outcome.Cancelled:
 		result = "cancelled"
-	case out.Err != nil:
+	case outcome.Err != nil:
 		result = "failed"
 	}
 	o.outcomes.WithLabelValues(l.item.Class.String(), result).Inc()
@@ -115,8 +115,8 @@
 	o.log.Emit(event.LimitChanged, s.backend.ID, s.limit.Limit(), s.load.InFlight)
 }
 
-func (o *observer) recordTable(g *group, known int, version uint64) {
-	o.log.Emit(event.TableBuilt, g.key.pool, g.key.ref.Model, g.table.Len(), known, version)
+func (o *observer) recordTable(g *group, usableCount int, version uint64) {
+	o.log.Emit(event.TableBuilt, g.key.pool, g.key.ref.Model, g.table.Len(), usableCount, version)
 }
 
 func (o *observer) recordLoadingDecision(w *Waiter, d loading.Decision) {
--- a/serve/flow/precheck.go
+++ b/serve/flow/precheck.go
@@ -13,11 +13,13 @@
 // accountBucket is one account's limit at this VM.
 type accountBucket struct {
 	limit.TokenBucket
-	limitShare   float64 // of the account's limit
-	fleetVersion uint64  // version for which share holds
+	limitShare   float64 // share of the account's limit
+	fleetVersion uint64  // Core.fleetVersion for which limitShare was computed
 }
 
-// precheck asks the account's limit and the budget for extra work.
+// precheck refuses a request that is excluded from every server of its group. It
+// charges a retry or continuation to the retry budget, and any other request to
+// the account's limit.
 func (c *Core) precheck(now time.Time, w *Waiter) *verdict.Error {
 	if w.group.allExcluded(w.request.Exclude) {
 		return verdict.New(verdict.NotRun, verdict.CodeNoBackend, "every backend server failed this request")
@@ -45,8 +47,8 @@
 	return nil
 }
 
-// allExcluded reports whether the group has servers and all are excluded. Such
-// a request would wait for a server that it may not use.
+// allExcluded reports whether the group has servers and all of them are excluded.
+// Such a request would wait for a server that it must not use.
 func (g *group) allExcluded(exclude []string) bool {
 	if len(exclude) == 0 {
 		return false
@@ -59,8 +61,9 @@
 	return len(g.servers) > 0
 }
 
-// chargeBudget charges a retry or a takeover. A continuation whose engine is
-// certainly gone is always paid: its caller holds half an answer.
+// chargeBudget charges a retry or a takeover to the service's retry budget. A
+// continuation that is not speculative is charged but never refused, because its
+// caller holds a partial answer.
 func (c *Core) chargeBudget(now time.Time, w *Waiter) *verdict.Error {
 	waiting, _ := w.group.queue.Waiting()
 	cost := w.request.ExtraTokens
@@ -68,20 +71,20 @@
 		cost = w.item.Cost
 	}
 	b := c.budgetFor(w.request.Service.Name)
-	why := b.Withdraw(now, budget.Withdrawal{
+	reason := b.Withdraw(now, budget.Withdrawal{
 		Tokens:    cost,
 		Forced:    w.request.Resume && !w.request.Speculative,
 		Saturated: waiting > 0,
 	})
-	c.observer.recordBudgetDecision(w, why, b.Balance())
-	if why == budget.Granted || why == budget.Forced {
+	c.observer.recordBudgetDecision(w, reason, b.Balance())
+	if reason == budget.Granted || reason == budget.Forced {
 		return nil
 	}
 	return verdict.New(verdict.NotRun, verdict.CodeOverloaded,
-		"no room for repeated work: %s", why).WithRetryAfter(b.Wait(cost))
+		"no room for repeated work: %s", reason).WithRetryAfter(b.Wait(cost))
 }
 
-// budgetFor returns the balance of a service.
+// budgetFor returns the retry budget of a service.
 func (c *Core) budgetFor(service string) *budget.Budget {
 	b, ok := c.budgets[service]
 	if !ok {
@@ -91,17 +94,17 @@
 	return b
 }
 
-// refusalError turns a decision of the queue into the error callers get.
+// refusalError converts a refusal by the queue into the error for the caller.
 func refusalError(d admit.Decision) *verdict.Error {
-	code, text := verdict.CodeOverloaded, "cannot start before its deadline"
+	code, message := verdict.CodeOverloaded, "cannot start before its deadline"
 	switch d.Reason {
 	case admit.ReasonExpired:
-		code, text = verdict.CodeDeadlineExceeded, "the deadline passed before a backend server was free"
+		code, message = verdict.CodeDeadlineExceeded, "the deadline passed before a backend server was free"
 	case admit.ReasonNoCapacity:
-		code, text = verdict.CodeNoBackend, "no backend server is ready for this service"
+		code, message = verdict.CodeNoBackend, "no backend server is ready for this service"
 		if d.RetryAfter == 0 {
 			d.RetryAfter = noServerRetryAfter
 		}
 	}
-	return verdict.New(verdict.NotRun, code, "%s (%s)", text, d.Reason).WithRetryAfter(d.RetryAfter)
+	return verdict.New(verdict.NotRun, code, "%s (%s)", message, d.Reason).WithRetryAfter(d.RetryAfter)
 }
--- a/serve/flow/update.go
+++ b/serve/flow/update.go
@@ -13,10 +13,10 @@
 	"mallowwind.dev/decision/route"
 )
 
-// Update takes in a new site, snapshot or fleet. It is the only step whose cost
-// grows with the number of backend servers.
-func (c *Core) Update(now time.Time, st *site.Site, snap *backends.Snapshot, fleet Fleet) {
-	c.site, c.fleet, c.accountLoads, c.snapshot = st, fleet, nil, snap
+// Update applies a new site, snapshot or fleet and rebuilds the candidates of
+// every group. Its cost grows with the number of backend servers.
+func (c *Core) Update(now time.Time, newSite *site.Site, snap *backends.Snapshot, fleet Fleet) {
+	c.site, c.fleet, c.accountLoads, c.snapshot = newSite, fleet, nil, snap
 	c.fleetVersion++
 	for _, s := range c.servers {
 		s.present = false
@@ -60,7 +60,8 @@
 	return defaultSlots
 }
 
-// removeGoneServers drops servers that are gone and have nothing in flight.
+// removeGoneServers removes servers that are not in the snapshot and have nothing
+// in flight.
 func (c *Core) removeGoneServers() {
 	for id, s := range c.servers {
 		if !s.present && s.load.InFlight == 0 {
@@ -78,8 +79,8 @@
 	return keys
 }
 
-// groupKeys are the groups that the site names, in a stable order, and those that
-// still have waiting work.
+// groupKeys returns the keys of the site's services and of all existing groups,
+// in a stable order.
 func (c *Core) groupKeys() []groupKey {
 	seen := map[groupKey]bool{}
 	for k := range c.groups {
@@ -118,10 +119,11 @@
 	return g
 }
 
-// groupForRequest returns the group of a request. One that the site in force does not
-// name begins here, with the servers known now: a version that is being
-// replaced, at a daemon that started in the middle of the change. Left empty
-// until the next Update it would turn requests away beside idle engines.
+// groupForRequest returns the group of a request. A group that the current site
+// does not name is created here, with the servers of the current snapshot. This
+// happens for a version that is being replaced, at a daemon that started during
+// the change. If the group stayed empty until the next Update, requests would be
+// refused although engines are idle.
 func (c *Core) groupForRequest(now time.Time, key groupKey) *group {
 	g, known := c.groups[key]
 	if !known {
@@ -140,8 +142,8 @@
 	for _, b := range snap.Pools[g.key.pool] {
 		if isUsable(b, g.key.ref) {
 			rows = append(rows, b)
-		} else if left, ok := loadRemaining(b, g.key.ref); ok {
-			g.addLoading(now.Add(left), c.slotsOf(g.key.pool)/c.fleet.entryVMCount())
+		} else if remaining, ok := loadRemaining(b, g.key.ref); ok {
+			g.addLoading(now.Add(remaining), c.slotsOf(g.key.pool)/c.fleet.entryVMCount())
 		}
 	}
 	g.table = route.NewTable(c.subset(rows))
@@ -171,18 +173,20 @@
 	g.loadingSlots += max(1, slots)
 }
 
-// updateSlots sums the limits of the candidates.
+// updateSlots recomputes the group's slots and urgent capacity from the
+// candidates.
 func (g *group) updateSlots() {
 	g.slots = 0
-	spare := 0
+	urgentCapacity := 0
 	for _, s := range g.servers {
 		g.slots += int(s.load.Limit)
-		spare += int(s.load.UrgentCapacity())
+		urgentCapacity += int(s.load.UrgentCapacity())
 	}
-	g.queue.SetUrgentOverflow(spare)
+	g.queue.SetUrgentOverflow(urgentCapacity)
 }
 
-// expectedSlots is the number of slots that waiting work may count on.
+// expectedSlots returns the number of slots on which predictions for waiting
+// requests are based: those of the loading servers if no server is ready.
 func (g *group) expectedSlots() int {
 	if g.slots == 0 {
 		return g.loadingSlots
@@ -190,7 +194,8 @@
 	return g.slots
 }
 
-// offerWhileLoading decides about a request that only a loading model can run.
+// offerWhileLoading decides whether a request waits or is refused while its model
+// is being loaded and no server has it ready.
 func (c *Core) offerWhileLoading(now time.Time, w *Waiter) admit.Decision {
 	g := w.group
 	d := loading.Decide(loading.Input{
