--- a/serve/generation/accept.go
+++ b/serve/generation/accept.go
@@ -143,9 +143,9 @@
 func (l *loop) handleChunk(a *attempt, c engine.Chunk) {
 	now := time.Now()
 	l.observeGap(a, now)
-	skip, drop := l.race.Offer(a.number, c.Offset, len(c.Tokens), c.Finish != "")
-	if drop != resume.Accepted {
-		l.handleDropped(a, c, drop)
+	skip, reason := l.race.Offer(a.number, c.Offset, len(c.Tokens), c.Finish != "")
+	if reason != resume.Accepted {
+		l.handleDropped(a, c, reason)
 		return
 	}
 	l.accepted = append(l.accepted, c.Tokens[skip:]...)
@@ -188,10 +188,10 @@
 
 // handleDropped deals with tokens that may not be used. A gap inside one attempt's
 // own stream means that tokens were lost on the way: the attempt is useless.
-func (l *loop) handleDropped(a *attempt, c engine.Chunk, why resume.DropReason) {
-	l.m.metrics.dropped.WithLabelValues(why.String()).Inc()
-	l.m.log.Emit(event.ChunkDropped, l.spec.ID, a.number, c.Offset, why.String())
-	if why == resume.Gap {
+func (l *loop) handleDropped(a *attempt, c engine.Chunk, reason resume.DropReason) {
+	l.m.metrics.dropped.WithLabelValues(reason.String()).Inc()
+	l.m.log.Emit(event.ChunkDropped, l.spec.ID, a.number, c.Offset, reason.String())
+	if reason == resume.Gap {
 		l.handleFailed(a, errors.New("the engine's stream skipped tokens"))
 	}
 }
@@ -202,10 +202,10 @@
 	if l.lostAt.IsZero() && !first {
 		return
 	}
-	took := now.Sub(l.lastTokenAt)
+	elapsed := now.Sub(l.lastTokenAt)
 	l.lostAt = time.Time{}
-	l.m.metrics.resume.Observe(took.Seconds())
-	l.m.log.Emit(event.AttemptWon, l.spec.ID, a.number, a.backend.ID, l.race.Length(), took)
+	l.m.metrics.resume.Observe(elapsed.Seconds())
+	l.m.log.Emit(event.AttemptWon, l.spec.ID, a.number, a.backend.ID, l.race.Length(), elapsed)
 	if a.suspected {
 		a.suspected = false // it was only slow
 		l.excluded = slices.DeleteFunc(l.excluded, func(id string) bool { return id == a.backend.ID })
--- a/serve/generation/attempt.go
+++ b/serve/generation/attempt.go
@@ -66,10 +66,10 @@
 }
 
 // send hands a report to the loop, unless the attempt was cancelled.
-func (a *attempt) send(to chan<- report, r report) bool {
+func (a *attempt) send(reports chan<- report, r report) bool {
 	r.attempt = a
 	select {
-	case to <- r:
+	case reports <- r:
 		return true
 	case <-a.ctx.Done():
 		return false
@@ -77,41 +77,41 @@
 }
 
 // run acquires a backend server, generates or attaches, and reports every chunk.
-func (a *attempt) run(d flow.Dispatcher, ask flow.Request, spec *Spec, to chan<- report) {
+func (a *attempt) run(dispatcher flow.Dispatcher, request flow.Request, spec *Spec, reports chan<- report) {
 	defer a.cancel()
-	grant, err := d.Acquire(a.ctx, ask)
+	grant, err := dispatcher.Acquire(a.ctx, request)
 	if err != nil {
-		a.send(to, report{kind: reportRefused, err: err})
+		a.send(reports, report{kind: reportRefused, err: err})
 		return
 	}
-	out := flow.Outcome{Cancelled: true}
-	defer func() { grant.Done(out) }()
-	if !a.send(to, report{kind: reportGranted, backend: grant.Backend()}) {
+	outcome := flow.Outcome{Cancelled: true}
+	defer func() { grant.Done(outcome) }()
+	if !a.send(reports, report{kind: reportGranted, backend: grant.Backend()}) {
 		return
 	}
-	var s startParams
+	var params startParams
 	select {
-	case s = <-a.params:
+	case params = <-a.params:
 	case <-a.ctx.Done():
 		return
 	}
-	out = a.stream(grant, spec, s, to)
-	if out.Err != nil {
-		a.send(to, report{kind: reportFailed, err: out.Err})
+	outcome = a.stream(grant, spec, params, reports)
+	if outcome.Err != nil {
+		a.send(reports, report{kind: reportFailed, err: outcome.Err})
 	}
 }
 
 // stream reads the engine's answer to the end.
-func (a *attempt) stream(grant flow.Grant, spec *Spec, s startParams, to chan<- report) flow.Outcome {
-	began := time.Now()
-	stream, err := a.open(grant.Backend().Engine, spec, s)
+func (a *attempt) stream(grant flow.Grant, spec *Spec, params startParams, reports chan<- report) flow.Outcome {
+	openedAt := time.Now()
+	stream, err := a.open(grant.Backend().Engine, spec, params)
 	if err != nil {
 		return a.outcome(err, 0, 0)
 	}
 	defer stream.Close()
 	var first time.Duration
 	tokens := 0
-	last := began
+	last := openedAt
 	for {
 		chunk, err := stream.Next(a.ctx)
 		if errors.Is(err, io.EOF) {
@@ -122,20 +122,20 @@
 		}
 		now := time.Now()
 		if tokens == 0 {
-			first = now.Sub(began)
+			first = now.Sub(openedAt)
 		}
 		tokens += len(chunk.Tokens)
 		grant.Progress(len(chunk.Tokens), now.Sub(last))
-		if !a.send(to, report{kind: reportChunk, chunk: chunk}) {
+		if !a.send(reports, report{kind: reportChunk, chunk: chunk}) {
 			return flow.Outcome{Cancelled: true, FirstToken: first, Tokens: tokens}
 		}
 		last = time.Now()
 	}
 }
 
-func (a *attempt) open(e engine.Engine, spec *Spec, s startParams) (engine.Stream, error) {
-	if s.reattach {
-		return e.Attach(a.ctx, spec.ID, a.engineNumber, len(s.prefix))
+func (a *attempt) open(e engine.Engine, spec *Spec, params startParams) (engine.Stream, error) {
+	if params.reattach {
+		return e.Attach(a.ctx, spec.ID, a.engineNumber, len(params.prefix))
 	}
 	return e.Generate(a.ctx, engine.Request{
 		Generation:  spec.ID,
@@ -144,7 +144,7 @@
 		Adapter:     spec.Service.Adapter,
 		Version:     spec.Service.Version,
 		Prompt:      spec.Prompt,
-		Prefix:      s.prefix,
+		Prefix:      params.prefix,
 		MaxTokens:   spec.MaxTokens,
 		Priority:    priority(spec.Service.Class),
 		Temperature: spec.Temperature,
@@ -194,13 +194,13 @@
 }
 
 // primeStandby makes a backend server read a request's prefix and returns its id.
-func (m *Manager) primeStandby(ctx context.Context, ask flow.Request, req engine.Request) string {
-	grant, err := m.dispatcher.Acquire(ctx, ask)
+func (m *Manager) primeStandby(ctx context.Context, request flow.Request, req engine.Request) string {
+	grant, err := m.dispatcher.Acquire(ctx, request)
 	if err != nil {
 		return ""
 	}
-	out := flow.Outcome{Cancelled: true}
-	defer func() { grant.Done(out) }()
+	outcome := flow.Outcome{Cancelled: true}
+	defer func() { grant.Done(outcome) }()
 	ctx, cancel := context.WithTimeout(ctx, primingTimeout)
 	defer cancel()
 	stream, err := grant.Backend().Engine.Generate(ctx, req)
--- a/serve/generation/copier.go
+++ b/serve/generation/copier.go
@@ -72,12 +72,12 @@
 
 // write carries out w, moving to another holder where the present one fails.
 func (c *copier) write(ctx context.Context, w journalWrite) writeResult {
-	done := writeResult{copiedCount: len(w.tokens), finish: w.finish}
+	result := writeResult{copiedCount: len(w.tokens), finish: w.finish}
 	for ctx.Err() == nil {
 		if !c.ensureHolder() {
-			done.degraded = true
-			done.onlyMember = len(c.m.members.Current().Members) <= 1
-			return done
+			result.degraded = true
+			result.onlyMember = len(c.m.members.Current().Members) <= 1
+			return result
 		}
 		res, err := c.send(ctx, w)
 		switch {
@@ -88,32 +88,32 @@
 		case res.Accepted:
 			c.hasCopy = true
 			c.dropFormerCopies()
-			return done
+			return result
 		case res.Epoch != c.history.Epoch() && res.Epoch.OwnerCount() >= c.history.Epoch().OwnerCount():
-			done.fenced = res.Epoch
-			return done
+			result.fenced = res.Epoch
+			return result
 		case res.Unknown && c.hasCopy:
 			c.hasCopy = false // the holder lost the copy: send it whole
 		default:
 			c.leaveHolder("refused")
 		}
 	}
-	done.degraded = true
-	return done
+	result.degraded = true
+	return result
 }
 
 // ensureHolder keeps the present holder while it is alive and picks another otherwise.
 func (c *copier) ensureHolder() bool {
-	v := c.m.members.Current()
+	view := c.m.members.Current()
 	if c.holder.ID != "" {
-		m, known := v.Find(c.holder.ID)
+		m, known := view.Find(c.holder.ID)
 		if known && m.State == membership.Alive && m.Incarnation == c.holder.Incarnation {
 			return true
 		}
 		c.leaveHolder("not alive")
 	}
 	now := time.Now()
-	next, ok := journal.Pick(c.spec.ID, v, func(m membership.Member) bool {
+	next, ok := journal.Pick(c.spec.ID, view, func(m membership.Member) bool {
 		return now.Before(c.excluded[holderKeyOf(m)])
 	})
 	if !ok {
--- a/serve/generation/decide.go
+++ b/serve/generation/decide.go
@@ -58,7 +58,7 @@
 
 // answerState collects what the resume policy looks at.
 func (l *loop) answerState(now time.Time) resume.AnswerState {
-	v := resume.AnswerState{
+	answer := resume.AnswerState{
 		RunningAttempts: len(l.attempts),
 		RacingAttempts:  l.racingCount(),
 		FailedAttempts:  l.failedCount,
@@ -66,18 +66,18 @@
 		CanReattach:     l.canReattach(),
 	}
 	if l.isQueued() {
-		return v
+		return answer
 	}
-	v.StalledFor = now.Sub(l.lastTokenAt)
+	answer.StalledFor = now.Sub(l.lastTokenAt)
 	a := l.healthiestAttempt(now)
 	if a == nil || !a.granted {
-		return v
+		return answer
 	}
-	v.SilentFor, v.SuspectAfter = now.Sub(a.lastActivity), l.suspicionThreshold(a)
-	if v.SilentFor >= v.SuspectAfter {
-		v.GlobalStall = l.m.monitor.isGlobalStall(now, a.backend.ID)
+	answer.SilentFor, answer.SuspectAfter = now.Sub(a.lastActivity), l.suspicionThreshold(a)
+	if answer.SilentFor >= answer.SuspectAfter {
+		answer.GlobalStall = l.m.monitor.isGlobalStall(now, a.backend.ID)
 	}
-	return v
+	return answer
 }
 
 // isQueued reports whether the request still waits for its first backend server:
@@ -98,19 +98,19 @@
 // they are a short cut, and must not delay the takeover.
 func (l *loop) healthiestAttempt(now time.Time) *attempt {
 	var (
-		best   *attempt
-		margin time.Duration
+		best      *attempt
+		bestSlack time.Duration
 	)
 	for _, a := range l.attempts {
 		if a.reattach && l.hasPrecedingAttempt(a) {
 			continue
 		}
-		m := l.policy.Deadline
+		slack := l.policy.Deadline
 		if a.granted {
-			m = l.suspicionThreshold(a) - now.Sub(a.lastActivity)
+			slack = l.suspicionThreshold(a) - now.Sub(a.lastActivity)
 		}
-		if best == nil || m > margin || (m == margin && a.number < best.number) {
-			best, margin = a, m
+		if best == nil || slack > bestSlack || (slack == bestSlack && a.number < best.number) {
+			best, bestSlack = a, slack
 		}
 	}
 	return best
@@ -132,8 +132,8 @@
 	if l.leaderAttempt == nil || l.reattachTried {
 		return false
 	}
-	lead := l.attempts[l.race.Leader()]
-	return len(l.attempts) == 0 || lead != nil && lead.chunkCount > 0
+	leader := l.attempts[l.race.Leader()]
+	return len(l.attempts) == 0 || leader != nil && leader.chunkCount > 0
 }
 
 func (l *loop) suspicionThreshold(a *attempt) time.Duration {
@@ -237,42 +237,42 @@
 }
 
 // startAttempt begins one more attempt.
-func (l *loop) startAttempt(ctx context.Context, s attemptOptions) {
+func (l *loop) startAttempt(ctx context.Context, options attemptOptions) {
 	l.lastNumber++
 	l.startedCount++
-	actx, cancel := context.WithCancel(ctx)
-	a := &attempt{number: l.lastNumber, ctx: actx, cancel: cancel, params: make(chan startParams, 1), lastActivity: time.Now()}
+	attemptCtx, cancel := context.WithCancel(ctx)
+	a := &attempt{number: l.lastNumber, ctx: attemptCtx, cancel: cancel, params: make(chan startParams, 1), lastActivity: time.Now()}
 	a.takeover = l.startedCount > 1
 	l.attempts[a.number] = a
-	ask := l.newRequest()
-	ask.Speculative = len(l.attempts) > 1 && !s.required
-	ask.Prefer = l.standby.backend
-	if ask.Resume && !l.exclusionsLifted {
+	request := l.newRequest()
+	request.Speculative = len(l.attempts) > 1 && !options.required
+	request.Prefer = l.standby.backend
+	if request.Resume && !l.exclusionsLifted {
 		// Where one stream stands still the next one would: an engine that
 		// paused still looks ready to the dispatcher for a while.
-		ask.Exclude = append(ask.Exclude, l.m.monitor.suspectedEngines(time.Now())...)
+		request.Exclude = append(request.Exclude, l.m.monitor.suspectedEngines(time.Now())...)
 	}
-	if s.reattach != nil {
-		a.reattach, a.engineNumber = true, s.reattach.GetNumber()
-		ask.Prefer, ask.Exclude = s.reattach.GetBackend(), nil
-		ask.ExtraTokens, ask.Speculative = reattachCostTokens, false
-		ask.Reattach, ask.Resume = true, true
+	if options.reattach != nil {
+		a.reattach, a.engineNumber = true, options.reattach.GetNumber()
+		request.Prefer, request.Exclude = options.reattach.GetBackend(), nil
+		request.ExtraTokens, request.Speculative = reattachCostTokens, false
+		request.Reattach, request.Resume = true, true
 	}
-	go a.run(l.m.dispatcher, ask, l.spec, l.reports)
+	go a.run(l.m.dispatcher, request, l.spec, l.reports)
 }
 
 // newRequest describes the work that is left to flow.
 func (l *loop) newRequest() flow.Request {
-	read := promptTokens(l.spec.Prompt) + len(l.accepted)
+	prefillTokens := promptTokens(l.spec.Prompt) + len(l.accepted)
 	return flow.Request{
 		RequestID:   l.spec.ID,
 		Account:     l.spec.Account,
 		Service:     l.spec.Service,
-		CostTokens:  read + l.spec.MaxTokens - len(l.accepted),
+		CostTokens:  prefillTokens + l.spec.MaxTokens - len(l.accepted),
 		PrefixHash:  prefixHash(l.spec.Service, l.spec.Prompt),
 		Deadline:    time.Now().Add(l.spec.Service.Deadline),
 		Resume:      l.startedCount > 1 || len(l.accepted) > 0,
-		ExtraTokens: budget.TakeoverCost(read),
+		ExtraTokens: budget.TakeoverCost(prefillTokens),
 		Exclude:     slices.Clone(l.excluded),
 	}
 }
--- a/serve/generation/generation.go
+++ b/serve/generation/generation.go
@@ -43,10 +43,10 @@
 	furthestRead int       // largest offset any reader has taken
 }
 
-func newGeneration(spec *Spec, line lineage.History, tokens []string, finish engine.FinishReason) *Generation {
+func newGeneration(spec *Spec, history lineage.History, tokens []string, finish engine.FinishReason) *Generation {
 	return &Generation{
 		spec:         spec,
-		history:      line,
+		history:      history,
 		tokens:       tokens,
 		finish:       finish,
 		furthestRead: len(tokens),
@@ -103,12 +103,12 @@
 func (g *Generation) poll(pos lineage.Position) (Batch, <-chan struct{}, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	switch rel := g.history.Compare(pos, len(g.tokens)); {
-	case rel == lineage.Prefix:
-	case rel == lineage.Superseded || g.fenced:
+	switch relation := g.history.Compare(pos, len(g.tokens)); {
+	case relation == lineage.Prefix:
+	case relation == lineage.Superseded || g.fenced:
 		return Batch{}, nil, errFenced{}
 	default:
-		return Batch{}, nil, &mismatchError{rel}
+		return Batch{}, nil, &mismatchError{relation}
 	}
 	if pos.Offset < len(g.tokens) {
 		return g.batchFrom(pos.Offset), nil, nil
--- a/serve/generation/handle.go
+++ b/serve/generation/handle.go
@@ -123,14 +123,14 @@
 			return b, err
 		}
 		var (
-			final   *verdict.Error
-			differs *mismatchError
+			final    *verdict.Error
+			mismatch *mismatchError
 		)
 		switch {
 		case errors.As(err, &final):
 			return b, final
-		case errors.As(err, &differs):
-			h.reject(h.current, differs)
+		case errors.As(err, &mismatch):
+			h.reject(h.current, mismatch)
 		}
 		if h.relocations >= maxRelocations {
 			return b, h.lostError().WithCause(err)
@@ -194,25 +194,25 @@
 		h.useLocal(g)
 		return nil
 	}
-	f, err := h.m.locate(ctx, h.id, h.rejected)
+	result, err := h.m.locate(ctx, h.id, h.rejected)
 	if err != nil {
 		return err
 	}
-	if len(f.locations) > 0 && f.locations[0].account != h.account {
+	if len(result.locations) > 0 && result.locations[0].account != h.account {
 		return h.errUnknown()
 	}
-	f.locations = slices.DeleteFunc(f.locations, func(p location) bool { return h.isRejected(p.copyRef()) })
+	result.locations = slices.DeleteFunc(result.locations, func(p location) bool { return h.isRejected(p.copyRef()) })
 	switch {
-	case f.isKnown():
-		return h.readFrom(ctx, f, pos)
-	case f.incomplete && h.relocations < maxRelocations:
+	case result.isKnown():
+		return h.readFrom(ctx, result, pos)
+	case result.incomplete && h.relocations < maxRelocations:
 		return nil // somebody who may know did not answer: ask again
-	case f.incomplete:
+	case result.incomplete:
 		return errUnreachable()
 	case h.lastMismatch != nil:
 		return h.lastMismatch.verdictError()
 	case h.spec != nil && pos.Offset == 0:
-		h.useLocal(h.m.startGeneration(h.spec, h.m.newHistory(f.epoch)))
+		h.useLocal(h.m.startGeneration(h.spec, h.m.newHistory(result.epoch)))
 		return nil
 	}
 	return h.errUnknown()
@@ -223,8 +223,8 @@
 // readFrom reads on at the owner, or takes over from the best copy that continues
 // what the caller holds. After an entry VM was cut off there may be two
 // continuations; a caller of the older one is served from a copy of that.
-func (h *Handle) readFrom(ctx context.Context, f searchResult, pos lineage.Position) error {
-	for _, p := range f.locations {
+func (h *Handle) readFrom(ctx context.Context, result searchResult, pos lineage.Position) error {
+	for _, p := range result.locations {
 		if p.running {
 			h.remote, h.current = &p, p.copyRef()
 			return nil
@@ -234,11 +234,11 @@
 			h.useLocal(g)
 			return nil
 		}
-		var differs *mismatchError
-		if !errors.As(err, &differs) {
+		var mismatch *mismatchError
+		if !errors.As(err, &mismatch) {
 			return nil // the copy's holder did not answer: look again
 		}
-		h.reject(p.copyRef(), differs)
+		h.reject(p.copyRef(), mismatch)
 	}
 	return nil // all rejected: look again, at those who did not answer too
 }
--- a/serve/generation/handover.go
+++ b/serve/generation/handover.go
@@ -21,7 +21,7 @@
 // still owed to a caller whose connection broke, its owner was replaced first,
 // and this daemon has the only copy left. Running answers need no help: their
 // owners see that this VM leaves and move the copy with the next token.
-func (m *Manager) HandOver(ctx context.Context) (moved, left int) {
+func (m *Manager) HandOver(ctx context.Context) (moved, failed int) {
 	var (
 		mu    sync.Mutex
 		wg    sync.WaitGroup
@@ -37,33 +37,33 @@
 			if ok {
 				moved++
 			} else {
-				left++
+				failed++
 			}
 		})
 	}
 	wg.Wait()
-	m.log.Emit(event.CopiesHandedOver, moved, left)
-	return moved, left
+	m.log.Emit(event.CopiesHandedOver, moved, failed)
+	return moved, failed
 }
 
 // handOverCopy sends one copy to the first member that takes it.
 func (m *Manager) handOverCopy(ctx context.Context, c journal.Copy) bool {
-	v := m.members.Current()
-	var tried []string
+	view := m.members.Current()
+	var triedIDs []string
 	for ctx.Err() == nil {
-		to, ok := journal.Pick(c.Spec.GetId(), v, func(m membership.Member) bool {
-			return slices.Contains(tried, m.ID)
+		target, ok := journal.Pick(c.Spec.GetId(), view, func(m membership.Member) bool {
+			return slices.Contains(triedIDs, m.ID)
 		})
 		if !ok {
 			return false
 		}
 		call, cancel := context.WithTimeout(ctx, appendTimeout)
-		r, err := m.client(to).Open(call, journal.ToWire(c))
+		r, err := m.client(target).Open(call, journal.ToWire(c))
 		cancel()
 		if err == nil && r.GetAccepted() {
 			return true
 		}
-		tried = append(tried, to.ID)
+		triedIDs = append(triedIDs, target.ID)
 	}
 	return false
 }
--- a/serve/generation/locate.go
+++ b/serve/generation/locate.go
@@ -42,33 +42,33 @@
 }
 
 // isKnown reports whether the generation can be read from somewhere.
-func (f searchResult) isKnown() bool { return len(f.locations) > 0 }
+func (r searchResult) isKnown() bool { return len(r.locations) > 0 }
 
 // locate asks the members that may hold a copy, and the owners these name. It
 // does not wait for all of them once it found the owner, unless what that one
 // has is among rejected.
 func (m *Manager) locate(ctx context.Context, id string, rejected []copyRef) (searchResult, error) {
-	v := m.members.Current()
+	view := m.members.Current()
 	asked := map[string]bool{}
-	var f searchResult
-	members := journal.Candidates(id, v)
+	var r searchResult
+	members := journal.Candidates(id, view)
 	for len(members) > 0 {
-		places, unsure := m.peekAll(ctx, id, members, asked, rejected)
-		f.incomplete = f.incomplete || unsure
-		f.locations = append(f.locations, places...)
-		members = unaskedOwners(v, places, asked)
+		locations, incomplete := m.peekAll(ctx, id, members, asked, rejected)
+		r.incomplete = r.incomplete || incomplete
+		r.locations = append(r.locations, locations...)
+		members = unaskedOwners(view, locations, asked)
 	}
 	if err := ctx.Err(); err != nil {
-		return f, verdict.New(verdict.NotRun, verdict.CodeDeadlineExceeded, "the caller went away").WithCause(err)
+		return r, verdict.New(verdict.NotRun, verdict.CodeDeadlineExceeded, "the caller went away").WithCause(err)
 	}
-	f.sortLocations()
-	return f, nil
+	r.sortLocations()
+	return r, nil
 }
 
 // sortLocations orders the places: the newest epoch first, in it the owner, then the
 // longest copy.
-func (f *searchResult) sortLocations() {
-	slices.SortStableFunc(f.locations, func(a, b location) int {
+func (r *searchResult) sortLocations() {
+	slices.SortStableFunc(r.locations, func(a, b location) int {
 		switch {
 		case a.epoch.OwnerCount() != b.epoch.OwnerCount():
 			return b.epoch.OwnerCount() - a.epoch.OwnerCount()
@@ -80,28 +80,28 @@
 		}
 		return b.length - a.length
 	})
-	if len(f.locations) == 0 {
+	if len(r.locations) == 0 {
 		return
 	}
-	f.epoch, f.bodyDigest = f.locations[0].epoch, f.locations[0].bodyDigest
-	f.locations = slices.DeleteFunc(f.locations, func(p location) bool { return p.failed })
+	r.epoch, r.bodyDigest = r.locations[0].epoch, r.locations[0].bodyDigest
+	r.locations = slices.DeleteFunc(r.locations, func(p location) bool { return p.failed })
 }
 
 // unaskedOwners returns the members named as owners that have not been asked yet.
-func unaskedOwners(v *membership.View, places []location, asked map[string]bool) []membership.Member {
+func unaskedOwners(view *membership.View, locations []location, asked map[string]bool) []membership.Member {
 	var out []membership.Member
-	for _, p := range places {
+	for _, p := range locations {
 		if p.owner == "" || asked[p.owner] {
 			continue
 		}
-		if o, ok := v.Find(p.owner); ok {
+		if o, ok := view.Find(p.owner); ok {
 			out = append(out, o)
 		}
 	}
 	return out
 }
 
-func (m *Manager) peekAll(ctx context.Context, id string, members []membership.Member, asked map[string]bool, rejected []copyRef) (out []location, unsure bool) {
+func (m *Manager) peekAll(ctx context.Context, id string, members []membership.Member, asked map[string]bool, rejected []copyRef) (out []location, incomplete bool) {
 	type answer struct {
 		p   location
 		ok  bool
@@ -122,15 +122,15 @@
 	}
 	for range n {
 		a := <-answers
-		unsure = unsure || a.err != nil
+		incomplete = incomplete || a.err != nil
 		if a.ok {
 			out = append(out, a.p)
 		}
 		if a.ok && a.p.running && !a.p.failed && !slices.Contains(rejected, a.p.copyRef()) {
-			return out, unsure
+			return out, incomplete
 		}
 	}
-	return out, unsure
+	return out, incomplete
 }
 
 func (m *Manager) peek(ctx context.Context, id string, member membership.Member) (location, bool, error) {
@@ -187,12 +187,12 @@
 func (m *Manager) adoptFrom(ctx context.Context, id string, p location, seen lineage.Position) (*Generation, error) {
 	self := m.members.Current().Self.ID
 	if p.member.ID == self {
-		c, rel, ok := m.holder.Adopt(id, self, seen)
+		c, relation, ok := m.holder.Adopt(id, self, seen)
 		if !ok {
 			return nil, errFenced{}
 		}
-		if rel != lineage.Prefix {
-			return nil, &mismatchError{rel}
+		if relation != lineage.Prefix {
+			return nil, &mismatchError{relation}
 		}
 		return m.adopt(c), nil
 	}
--- a/serve/generation/loop.go
+++ b/serve/generation/loop.go
@@ -70,25 +70,25 @@
 	releasedFinish engine.FinishReason
 }
 
-func newLoop(m *Manager, g *Generation, line lineage.History, tokens []string, finish engine.FinishReason) *loop {
+func newLoop(m *Manager, g *Generation, history lineage.History, tokens []string, finish engine.FinishReason) *loop {
 	l := &loop{
 		m:              m,
 		g:              g,
 		spec:           g.spec,
 		policy:         m.policy(g.spec.Service),
-		copier:         &copier{m: m, spec: g.spec, history: line},
+		copier:         &copier{m: m, spec: g.spec, history: history},
 		reports:        make(chan report),
 		writeResults:   make(chan writeResult, 1),
 		accepted:       slices.Clone(tokens),
 		finish:         finish,
 		attempts:       make(map[uint64]*attempt),
-		lastNumber:     uint64(line.Epoch().OwnerCount()) << attemptNumberBits,
+		lastNumber:     uint64(history.Epoch().OwnerCount()) << attemptNumberBits,
 		lastTokenAt:    time.Now(),
 		releasedCount:  len(tokens),
 		releasedFinish: finish,
 	}
 	l.race.Restore(len(tokens), finish != "")
-	l.adopted = len(line) > 1
+	l.adopted = len(history) > 1
 	l.mayHaveRun = l.adopted
 	return l
 }
--- a/serve/generation/manager.go
+++ b/serve/generation/manager.go
@@ -125,11 +125,11 @@
 
 // Run cleans up until ctx ends; then it stops all loops and waits for them.
 func (m *Manager) Run(ctx context.Context) error {
-	tick := time.NewTicker(sweepInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(sweepInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case now := <-tick.C:
+		case now := <-ticker.C:
 			m.sweep(now)
 		case <-ctx.Done():
 			m.stop()
@@ -151,7 +151,7 @@
 	ttl := m.answerTTL()
 	m.mu.Lock()
 	for id, g := range m.generations {
-		if at, over := m.endedAt[id]; over {
+		if at, ended := m.endedAt[id]; ended {
 			if now.Sub(at) >= ttl {
 				delete(m.generations, id)
 				delete(m.endedAt, id)
@@ -164,9 +164,9 @@
 	}
 	m.mu.Unlock()
 	m.holder.Expire(now)
-	copies, held := m.holder.Size()
+	copies, heldBytes := m.holder.Size()
 	m.metrics.copies.Set(float64(copies))
-	m.metrics.copyBytes.Set(float64(held))
+	m.metrics.copyBytes.Set(float64(heldBytes))
 	m.monitor.forget(now.Add(-gapRetention))
 }
 
@@ -182,17 +182,17 @@
 	if g := m.localGeneration(spec.ID); g != nil {
 		return m.attachExisting(g, spec)
 	}
-	found, err := m.locate(ctx, spec.ID, nil)
+	result, err := m.locate(ctx, spec.ID, nil)
 	if err != nil {
 		return nil, err
 	}
-	if found.isKnown() {
-		if !bytes.Equal(found.bodyDigest, spec.digest()) {
+	if result.isKnown() {
+		if !bytes.Equal(result.bodyDigest, spec.digest()) {
 			return nil, errKeyReused()
 		}
 		return m.newHandle(spec, nil), nil
 	}
-	return m.handleIfSameBody(m.startGeneration(spec, m.newHistory(found.epoch)), spec)
+	return m.handleIfSameBody(m.startGeneration(spec, m.newHistory(result.epoch)), spec)
 }
 
 // handleIfSameBody returns a Handle on g unless it was begun with another body.
@@ -223,29 +223,29 @@
 }
 
 // newHistory begins the history of a generation whose id had epochs up to after.
-func (m *Manager) newHistory(after lineage.Epoch) lineage.History {
-	return lineage.History{{Epoch: after.Next(randomEpoch()), Owner: m.members.Current().Self.ID}}
+func (m *Manager) newHistory(previous lineage.Epoch) lineage.History {
+	return lineage.History{{Epoch: previous.Next(randomEpoch()), Owner: m.members.Current().Self.ID}}
 }
 
 // startGeneration registers a new generation and runs its loop.
-func (m *Manager) startGeneration(spec *Spec, line lineage.History) *Generation {
+func (m *Manager) startGeneration(spec *Spec, history lineage.History) *Generation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if g := m.generations[spec.ID]; g != nil && g.isReadable() {
 		return g // another request with the same key was faster
 	}
-	g := newGeneration(spec, line, nil, "")
-	m.runLocked(g, line, nil)
+	g := newGeneration(spec, history, nil, "")
+	m.runLocked(g, history, nil)
 	m.metrics.started.Inc()
 	m.log.Emit(event.GenerationStarted, spec.ID, spec.Account.Name, spec.Service.Name)
 	return g
 }
 
 // runLocked starts the loop of g; m.mu is held.
-func (m *Manager) runLocked(g *Generation, line lineage.History, reattach *peerpb.Attempt) {
+func (m *Manager) runLocked(g *Generation, history lineage.History, reattach *peerpb.Attempt) {
 	ctx, cancel := context.WithCancel(m.base)
 	g.cancel = cancel
-	l := newLoop(m, g, line, g.tokens, g.finish)
+	l := newLoop(m, g, history, g.tokens, g.finish)
 	m.generations[g.spec.ID] = g
 	delete(m.endedAt, g.spec.ID)
 	m.wg.Go(func() {
@@ -281,10 +281,10 @@
 	g := newGeneration(spec, c.Line, c.Tokens, finishReason(c.Finish))
 	m.runLocked(g, c.Line, c.Attempt)
 	m.metrics.adopted.Inc()
-	from := ""
+	previousOwner := ""
 	if n := len(c.Line); n > 1 {
-		from = c.Line[n-2].Owner
+		previousOwner = c.Line[n-2].Owner
 	}
-	m.log.Emit(event.GenerationAdopted, spec.ID, from, uint64(c.Line.Epoch()), len(c.Tokens))
+	m.log.Emit(event.GenerationAdopted, spec.ID, previousOwner, uint64(c.Line.Epoch()), len(c.Tokens))
 	return g
 }
--- a/serve/generation/watch.go
+++ b/serve/generation/monitor.go
@@ -38,89 +38,89 @@
 	return &streamMonitor{engines: make(map[string]*engineGaps), pools: make(map[string]*engineGaps), running: make(map[streamKey]*stream)}
 }
 
-func (w *streamMonitor) engine(id string) *engineGaps {
-	e := w.engines[id]
+func (m *streamMonitor) engine(id string) *engineGaps {
+	e := m.engines[id]
 	if e == nil {
 		e = &engineGaps{}
-		w.engines[id] = e
+		m.engines[id] = e
 	}
 	return e
 }
 
-func (w *streamMonitor) start(generation string, a *attempt) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.running[streamKey{generation, a.number}] = &stream{backend: a.backend.ID, lastActivity: a.lastActivity}
+func (m *streamMonitor) start(generation string, a *attempt) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.running[streamKey{generation, a.number}] = &stream{backend: a.backend.ID, lastActivity: a.lastActivity}
 }
 
-func (w *streamMonitor) chunk(generation string, a *attempt, now time.Time, threshold time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.engine(a.backend.ID).suspectedAt = time.Time{}
-	if r := w.running[streamKey{generation, a.number}]; r != nil {
+func (m *streamMonitor) chunk(generation string, a *attempt, now time.Time, threshold time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.engine(a.backend.ID).suspectedAt = time.Time{}
+	if r := m.running[streamKey{generation, a.number}]; r != nil {
 		r.lastActivity, r.threshold = now, threshold
 	}
 }
 
-func (w *streamMonitor) stop(generation string, a *attempt) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.running, streamKey{generation, a.number})
+func (m *streamMonitor) stop(generation string, a *attempt) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	delete(m.running, streamKey{generation, a.number})
 }
 
-func (w *streamMonitor) observeGap(backend string, gap time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	e := w.engine(backend)
+func (m *streamMonitor) observeGap(backend string, gap time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	e := m.engine(backend)
 	e.gaps.Observe(gap)
 	e.lastSeen = time.Now()
 }
 
-func (w *streamMonitor) observeFirstChunk(pool, backend string, wait time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	e := w.engine(backend)
+func (m *streamMonitor) observeFirstChunk(pool, backend string, wait time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	e := m.engine(backend)
 	e.first.Observe(wait)
 	e.lastSeen = time.Now()
-	w.pool(pool).first.Observe(wait)
+	m.pool(pool).first.Observe(wait)
 }
 
-func (w *streamMonitor) pool(name string) *engineGaps {
-	p := w.pools[name]
+func (m *streamMonitor) pool(name string) *engineGaps {
+	p := m.pools[name]
 	if p == nil {
 		p = &engineGaps{}
-		w.pools[name] = p
+		m.pools[name] = p
 	}
 	return p
 }
 
-func (w *streamMonitor) threshold(c silence.Config, stream *silence.GapEstimator, backend string) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return silence.Threshold(c, stream, &w.engine(backend).gaps)
+func (m *streamMonitor) threshold(c silence.Config, stream *silence.GapEstimator, backend string) time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return silence.Threshold(c, stream, &m.engine(backend).gaps)
 }
 
 // firstChunkThreshold judges by the engine's own first chunks, and while few of
 // these were seen by those of its pool: first chunks are rare, a daemon at size
 // sees few of any one engine, and the ceiling would hold a takeover that landed
 // on another lost engine for many seconds.
-func (w *streamMonitor) firstChunkThreshold(c silence.Config, pool string, a *attempt) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	first := &w.engine(a.backend.ID).first
+func (m *streamMonitor) firstChunkThreshold(c silence.Config, pool string, a *attempt) time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	first := &m.engine(a.backend.ID).first
 	if !first.HasEnoughSamples() {
-		first = &w.pool(pool).first
+		first = &m.pool(pool).first
 	}
 	return silence.FirstChunkThreshold(c, first, a.prefillTokens, a.takeover)
 }
 
 // isGlobalStall reports whether the streams on other engines than suspect are
 // silent too.
-func (w *streamMonitor) isGlobalStall(now time.Time, suspect string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (m *streamMonitor) isGlobalStall(now time.Time, suspect string) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	silent, total := 0, 0
-	for _, r := range w.running {
+	for _, r := range m.running {
 		if r.backend == suspect || r.threshold == 0 {
 			continue
 		}
@@ -138,18 +138,18 @@
 // was suspected, unless it delivers before.
 const suspicionDuration = 10 * time.Second
 
-func (w *streamMonitor) suspect(backend string, now time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.engine(backend).suspectedAt = now
+func (m *streamMonitor) suspect(backend string, now time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.engine(backend).suspectedAt = now
 }
 
 // suspectedEngines returns the engines that takeovers should avoid.
-func (w *streamMonitor) suspectedEngines(now time.Time) []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (m *streamMonitor) suspectedEngines(now time.Time) []string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	var out []string
-	for id, e := range w.engines {
+	for id, e := range m.engines {
 		if !e.suspectedAt.IsZero() && now.Sub(e.suspectedAt) < suspicionDuration {
 			out = append(out, id)
 		}
@@ -158,12 +158,12 @@
 }
 
 // forget drops engines not seen since the given time.
-func (w *streamMonitor) forget(before time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for id, e := range w.engines {
+func (m *streamMonitor) forget(before time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for id, e := range m.engines {
 		if e.lastSeen.Before(before) {
-			delete(w.engines, id)
+			delete(m.engines, id)
 		}
 	}
 }
--- a/serve/generation/release.go
+++ b/serve/generation/release.go
@@ -66,8 +66,8 @@
 	if w.degraded {
 		l.m.metrics.uncopied.Add(float64(n))
 	}
-	if at := l.g.release(l.accepted[l.releasedCount:w.copiedCount], w.finish); at != w.copiedCount {
-		l.failInvariant(invariantReleased, "%d released, %d copied", at, w.copiedCount)
+	if releasedCount := l.g.release(l.accepted[l.releasedCount:w.copiedCount], w.finish); releasedCount != w.copiedCount {
+		l.failInvariant(invariantReleased, "%d released, %d copied", releasedCount, w.copiedCount)
 		return
 	}
 	l.m.metrics.tokens.Add(float64(n))
--- a/serve/generation/server.go
+++ b/serve/generation/server.go
@@ -83,12 +83,12 @@
 		return s.m.peekLocal(r.GetId()), nil
 	}
 	seen := lineage.Position{Epoch: lineage.Epoch(r.GetSeenEpoch()), Offset: int(r.GetSeenOffset())}
-	c, rel, ok := s.m.holder.Adopt(r.GetId(), r.GetNewOwner(), seen)
+	c, relation, ok := s.m.holder.Adopt(r.GetId(), r.GetNewOwner(), seen)
 	if !ok {
 		return &peerpb.AdoptReply{Unknown: true}, nil
 	}
-	if rel != lineage.Prefix {
-		return &peerpb.AdoptReply{Behind: rel == lineage.Behind}, nil
+	if relation != lineage.Prefix {
+		return &peerpb.AdoptReply{Behind: relation == lineage.Behind}, nil
 	}
 	return &peerpb.AdoptReply{Accepted: true, Copy: journal.ToWire(c)}, nil
 }
@@ -137,11 +137,11 @@
 
 func followReply(pos lineage.Position, b Batch, err error) *peerpb.FollowReply {
 	var (
-		final   *verdict.Error
-		differs *mismatchError
+		final    *verdict.Error
+		mismatch *mismatchError
 	)
 	switch {
-	case errors.As(err, &differs):
+	case errors.As(err, &mismatch):
 		return &peerpb.FollowReply{Diverged: true}
 	case errors.As(err, &final):
 		return &peerpb.FollowReply{
--- a/serve/generation/standby.go
+++ b/serve/generation/standby.go
@@ -29,23 +29,23 @@
 	if every == 0 || s.busy || l.finish != "" || len(l.accepted) < s.primedCount+every {
 		return
 	}
-	lead := l.attempts[l.race.Leader()]
-	if lead == nil {
+	leader := l.attempts[l.race.Leader()]
+	if leader == nil {
 		return
 	}
 	if s.done == nil {
 		s.done = make(chan string, 1)
 	}
-	ask := l.newRequest()
-	ask.Resume, ask.Speculative = true, true
-	ask.ExtraTokens = budget.TakeoverCost(len(l.accepted) - s.primedCount)
-	ask.Exclude = append(ask.Exclude, lead.backend.ID)
-	ask.Prefer = s.backend
+	request := l.newRequest()
+	request.Resume, request.Speculative = true, true
+	request.ExtraTokens = budget.TakeoverCost(len(l.accepted) - s.primedCount)
+	request.Exclude = append(request.Exclude, leader.backend.ID)
+	request.Prefer = s.backend
 	s.primedCount, s.busy = len(l.accepted), true
 	l.lastNumber++ // the priming is an attempt of its own for the engine
-	number, prefix, out := l.lastNumber, slices.Clone(l.accepted), s.done
+	number, prefix, done := l.lastNumber, slices.Clone(l.accepted), s.done
 	l.m.metrics.primings.Inc()
-	go func() { out <- l.m.primeStandby(ctx, ask, primeRequest(l.spec, number, prefix)) }()
+	go func() { done <- l.m.primeStandby(ctx, request, primeRequest(l.spec, number, prefix)) }()
 }
 
 // primeRequest asks for a single token after prefix, which makes an engine read
--- a/serve/generation/version_test.go
+++ b/serve/generation/version_test.go
@@ -44,7 +44,7 @@
 
 // newLaggingDaemon starts a daemon that believes each engine to have the versions
 // that believed names, and whose engines have those that holds names.
-func newLaggingDaemon(t *testing.T, believed, holds map[string][]string) *laggingDaemon {
+func newLaggingDaemon(t *testing.T, reported, actual map[string][]string) *laggingDaemon {
 	service := &site.Service{
 		Name: "reviews", Kind: site.KindGeneration, Pool: testPool, Model: testModel, Version: newVersion,
 		Class: site.ClassLong, Deadline: 30 * time.Second, MaxTokens: 100, Repeatable: true,
@@ -58,7 +58,7 @@
 	}}
 	self := membership.Member{ID: "entry-1", Zone: "Pikine"}
 	members := membership.Static{View: &membership.View{Self: self, Members: []membership.Member{self}}}
-	snapshot := newSnapshot(believed, holds)
+	snapshot := newSnapshot(reported, actual)
 	registry := prometheus.NewRegistry()
 	f := flow.New(flow.Config{
 		Location: flow.Location{VM: self.ID, Zone: self.Zone}, Site: in, Members: members,
@@ -81,15 +81,15 @@
 	return c
 }
 
-func newSnapshot(believed, holds map[string][]string) *backends.Snapshot {
+func newSnapshot(reported, actual map[string][]string) *backends.Snapshot {
 	s := &backends.Snapshot{Version: 1, Pools: map[string][]*backends.Backend{}}
 	for _, id := range []string{"engine-1", "engine-2"} {
-		sim := enginesim.New(enginesim.Config{Name: id, Models: refs(holds[id])})
+		sim := enginesim.New(enginesim.Config{Name: id, Models: refs(actual[id])})
 		b := &backends.Backend{
 			VM:     vmlist.VM{ID: id, Address: id, Pool: testPool, Role: vmlist.RoleBackend, State: vmlist.Live},
 			Engine: sim, Reachable: true, Seen: time.Now(), Status: engine.Status{Slots: 8},
 		}
-		for _, r := range refs(believed[id]) {
+		for _, r := range refs(reported[id]) {
 			b.Status.Models = append(b.Status.Models, engine.Loaded{Ref: r, State: engine.Ready})
 		}
 		s.Pools[testPool] = append(s.Pools[testPool], b)
@@ -151,12 +151,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newLaggingDaemon(t,
 			map[string][]string{"engine-1": {oldVersion}, "engine-2": {newVersion}}, nil)
-		began := time.Now()
+		begin := time.Now()
 		err := c.ask(t.Context())
-		var refused *verdict.Error
-		must.True(t, errors.As(err, &refused))
-		must.Eq(t, verdict.NotRun, refused.Verdict)
-		must.Eq(t, verdict.CodeNoBackend, refused.Code)
-		must.Less(t, time.Second, time.Since(began))
+		var refusal *verdict.Error
+		must.True(t, errors.As(err, &refusal))
+		must.Eq(t, verdict.NotRun, refusal.Verdict)
+		must.Eq(t, verdict.CodeNoBackend, refusal.Code)
+		must.Less(t, time.Second, time.Since(begin))
 	})
 }
