--- a/serve/generation/attempt.go
+++ b/serve/generation/attempt.go
@@ -12,36 +12,37 @@
 	"mallowwind.dev/serve/flow"
 )
 
-// cancelTimeout bounds the order to an engine to stop a generation nobody wants.
+// cancelTimeout bounds a request to an engine to cancel an attempt.
 const cancelTimeout = 2 * time.Second
 
-// primingTimeout bounds the reading of an answer by a standby engine.
+// primingTimeout bounds a priming request to a standby engine.
 const primingTimeout = 5 * time.Second
 
-// attempt is one try of one engine. Its goroutine talks to flow and the engine
-// and reports to the generation's loop, which alone decides.
+// attempt is one attempt to generate on one engine. Its goroutine communicates
+// with flow and the engine and reports to the generation's loop, which makes all
+// decisions.
 type attempt struct {
 	number uint64
 	ctx    context.Context
 	cancel context.CancelFunc
-	params chan startParams // the loop's answer to reportGranted
+	params chan startParams // the loop's reply to reportGranted
 
-	// The fields below belong to the loop.
+	// The fields below are written by the loop only.
 	backend      flow.Backend
 	granted      bool
 	lastActivity time.Time // last chunk, or the time of the grant
 	chunkCount   int
 	suspected    bool
-	// reattach marks an attempt that reads what its engine already runs; the
-	// engine knows it by engineNumber, which belongs to the attempt that began it.
+	// reattach marks an attempt that reads the output of an earlier attempt which
+	// its engine still runs. engineNumber is the number of that earlier attempt.
 	reattach           bool
 	engineNumber       uint64
-	takeover           bool        // not the first attempt of this owner
-	lostWhileSuspected atomic.Bool // lost a race after it had been suspected
-	prefillTokens      int         // tokens of prompt and prefix that the engine must read first
+	takeover           bool        // not the first attempt started by this owner
+	lostWhileSuspected atomic.Bool // set when the attempt loses a race while it is suspected
+	prefillTokens      int         // tokens of prompt and prefix that the engine processes first
 }
 
-// startParams tells an attempt where to begin.
+// startParams tells an attempt how to start.
 type startParams struct {
 	prefix   []string
 	reattach bool
@@ -51,12 +52,12 @@
 
 const (
 	reportGranted reportKind = iota
-	reportRefused            // flow has no backend server for it
+	reportRefused            // flow granted no backend server
 	reportChunk
 	reportFailed // the engine's stream ended in an error
 )
 
-// report is what an attempt tells its loop.
+// report is a message from an attempt to its loop.
 type report struct {
 	attempt *attempt
 	kind    reportKind
@@ -65,7 +66,7 @@
 	err     error
 }
 
-// send hands a report to the loop, unless the attempt was cancelled.
+// send sends a report to the loop. It returns false if the attempt was cancelled.
 func (a *attempt) send(reports chan<- report, r report) bool {
 	r.attempt = a
 	select {
@@ -76,7 +77,7 @@
 	}
 }
 
-// run acquires a backend server, generates or attaches, and reports every chunk.
+// run acquires a backend server, generates or reattaches, and reports every chunk.
 func (a *attempt) run(dispatcher flow.Dispatcher, request flow.Request, spec *Spec, reports chan<- report) {
 	defer a.cancel()
 	grant, err := dispatcher.Acquire(a.ctx, request)
@@ -101,7 +102,7 @@
 	}
 }
 
-// stream reads the engine's answer to the end.
+// stream reads the engine's output to its end.
 func (a *attempt) stream(grant flow.Grant, spec *Spec, params startParams, reports chan<- report) flow.Outcome {
 	openedAt := time.Now()
 	stream, err := a.open(grant.Backend().Engine, spec, params)
@@ -153,7 +154,7 @@
 	})
 }
 
-// priority maps a class to the engines' scale, larger first.
+// priority maps a class to the engines' priority; larger values run first.
 func priority(c site.Class) int {
 	switch c {
 	case site.ClassUrgent:
@@ -165,11 +166,12 @@
 	}
 }
 
-// errSilent is the outcome of an attempt that was silent until another one won.
+// errSilent is the outcome of an attempt that lost a race while it was suspected.
 var errSilent = errors.New("the engine was silent for longer than it usually is")
 
-// outcome reports err to flow, unless the end was ours. A silent engine is
-// reported too: nothing else tells flow to stop sending it new work.
+// outcome returns the outcome to report to flow. An attempt cancelled by this
+// daemon is reported as cancelled, except if its engine was silent: nothing else
+// tells flow to stop sending new work to that engine.
 func (a *attempt) outcome(err error, first time.Duration, tokens int) flow.Outcome {
 	if a.lostWhileSuspected.Load() {
 		return flow.Outcome{Err: errSilent, FirstToken: first, Tokens: tokens}
@@ -180,10 +182,10 @@
 	return flow.Outcome{Err: err, FirstToken: first, Tokens: tokens}
 }
 
-// cancelAtEngine stops a generation at its engine, where it would go on to
-// occupy an accelerator for nobody. An engine that cannot be reached has
-// nothing left to cancel: a dead one has forgotten, one that is cut off ends
-// the generation when its linger is over.
+// cancelAtEngine cancels an attempt at its engine, where it would otherwise keep
+// occupying an accelerator without a reader. If the engine cannot be reached, the
+// error is ignored: a crashed engine has lost the attempt, and one that is cut off
+// ends it when its own linger time has passed.
 func cancelAtEngine(e engine.Engine, id string, number uint64) {
 	if e == nil {
 		return
@@ -193,7 +195,8 @@
 	_ = e.Cancel(ctx, id, number)
 }
 
-// primeStandby makes a backend server read a request's prefix and returns its id.
+// primeStandby makes a backend server prefill a request's prefix. It returns the
+// server's id, or "" if priming failed.
 func (m *Manager) primeStandby(ctx context.Context, request flow.Request, req engine.Request) string {
 	grant, err := m.dispatcher.Acquire(ctx, request)
 	if err != nil {
--- a/serve/generation/copier.go
+++ b/serve/generation/copier.go
@@ -15,28 +15,29 @@
 )
 
 const (
-	// appendTimeout bounds one write of a copy. Zones are milliseconds apart; a
-	// holder that takes this long delays every token, so another one is chosen.
+	// appendTimeout bounds one write to a copy. The latency between zones is a few
+	// milliseconds. A holder that takes this long delays every token, so another one
+	// is chosen.
 	appendTimeout = 400 * time.Millisecond
-	// holderRetryDelay is how long a holder that failed is left out, unless it was
-	// replaced meanwhile.
+	// holderRetryDelay is how long a holder that failed is not chosen again, unless
+	// its VM was replaced in the meantime.
 	holderRetryDelay = 2 * time.Second
 )
 
-// copier keeps one generation's copy on another entry VM. Only one write runs
-// at a time; tokens accepted meanwhile go with the next, so one round trip
-// carries whatever came while its predecessor was under way.
+// copier maintains one generation's copy on another entry VM. Only one write is
+// in flight at a time. Tokens accepted meanwhile are batched into the next write.
 type copier struct {
 	m             *Manager
 	spec          *Spec
 	history       lineage.History
 	holder        membership.Member
-	hasCopy       bool                    // holder has the copy
-	excluded      map[holderKey]time.Time // until when
-	formerHolders []membership.Member     // former holders, to be told once a new one has the copy
+	hasCopy       bool                    // the holder has the copy
+	excluded      map[holderKey]time.Time // until when each is not chosen
+	formerHolders []membership.Member     // told to drop their copies once the holder has one
 }
 
-// holderKey names one life of an entry VM: its replacement may hold copies again.
+// holderKey identifies one incarnation of an entry VM, so that a restarted one may
+// hold copies again at once.
 type holderKey struct {
 	id          string
 	incarnation uint64
@@ -44,8 +45,8 @@
 
 func holderKeyOf(m membership.Member) holderKey { return holderKey{m.ID, m.Incarnation} }
 
-// journalWrite is one step of the copy: all accepted tokens, of which the holder has
-// the first journaled.
+// journalWrite is one write to the copy. It contains all accepted tokens; the
+// first copiedCount of them are in the copy already.
 type journalWrite struct {
 	tokens      []string
 	copiedCount int
@@ -53,24 +54,24 @@
 	finish      engine.FinishReason
 }
 
-// writeResult is the outcome of a write.
+// writeResult is the result of a journalWrite.
 type writeResult struct {
 	copiedCount int
 	finish      engine.FinishReason
 	fenced      lineage.Epoch // a newer owner's epoch, 0 if none
-	// degraded says that no holder could be reached. The tokens are released all
-	// the same: a copy that falls behind makes a later adoption fail visibly and
-	// never mixes two answers.
+	// degraded reports that no holder could be reached. The tokens are released
+	// nevertheless: a copy that is behind makes a later adoption fail with an error,
+	// but never mixes two answers.
 	degraded bool
-	// onlyMember says that there is no other entry VM that could hold a copy, and so
-	// none that could have taken the answer over.
+	// onlyMember reports that there is no other entry VM that could hold a copy or
+	// could have taken over the answer.
 	onlyMember bool
 }
 
 // confirmsOwnership reports whether the write showed that no newer owner exists.
 func (w writeResult) confirmsOwnership() bool { return w.fenced == 0 && (!w.degraded || w.onlyMember) }
 
-// write carries out w, moving to another holder where the present one fails.
+// write performs w. If the holder fails, it moves the copy to another one.
 func (c *copier) write(ctx context.Context, w journalWrite) writeResult {
 	result := writeResult{copiedCount: len(w.tokens), finish: w.finish}
 	for ctx.Err() == nil {
@@ -82,7 +83,7 @@
 		res, err := c.send(ctx, w)
 		switch {
 		case err != nil:
-			// The connection may be silent for good while new ones work.
+			// The connection may stay silent although new connections would work.
 			c.m.dialer.DropIdle()
 			c.leaveHolder("unreachable")
 		case res.Accepted:
@@ -93,7 +94,7 @@
 			result.fenced = res.Epoch
 			return result
 		case res.Unknown && c.hasCopy:
-			c.hasCopy = false // the holder lost the copy: send it whole
+			c.hasCopy = false // the holder lost the copy: send all of it
 		default:
 			c.leaveHolder("refused")
 		}
@@ -102,7 +103,8 @@
 	return result
 }
 
-// ensureHolder keeps the present holder while it is alive and picks another otherwise.
+// ensureHolder keeps the current holder while it is alive and otherwise picks
+// another one. It returns false if there is none.
 func (c *copier) ensureHolder() bool {
 	view := c.m.members.Current()
 	if c.holder.ID != "" {
@@ -123,8 +125,8 @@
 	return true
 }
 
-// leaveHolder gives up the present holder. Its copy stays until the next holder has
-// one, so that a loss of this daemon in between still finds it.
+// leaveHolder stops using the current holder. Its copy is kept until the next
+// holder has one, so that a copy exists if this daemon is lost in between.
 func (c *copier) leaveHolder(reason string) {
 	if c.hasCopy {
 		c.m.log.Emit(event.JournalMoved, c.spec.ID, c.holder.ID, "", reason)
@@ -139,9 +141,9 @@
 	c.hasCopy = false
 }
 
-// dropFormerCopies tells former holders to forget their copies, so that no one adopts
-// them while a longer one exists; where they cannot be told, adopters compare
-// the copies they reach and take the longest.
+// dropFormerCopies tells former holders to drop their copies, so that they are not
+// adopted while a longer copy exists. If a former holder cannot be reached,
+// adopters still choose the longest of the copies that they reach.
 func (c *copier) dropFormerCopies() {
 	for _, m := range c.formerHolders {
 		if m.ID != c.holder.ID {
@@ -183,7 +185,7 @@
 	})
 }
 
-// textBytes is the text that a write carries, without framing.
+// textBytes returns the number of bytes of text in a write, without framing.
 func (c *copier) textBytes(w journalWrite) int {
 	n, from := len(c.spec.Prompt), 0
 	if c.hasCopy {
--- a/serve/generation/generation.go
+++ b/serve/generation/generation.go
@@ -1,11 +1,13 @@
-// Package generation keeps every answer whole and once.
+// Package generation runs the generations of one daemon and lets callers read
+// them from any entry VM, across the loss of engines and entry VMs.
 //
-// Invariant: the text a caller holds for a request is always a prefix of
-// exactly one generation. Three parts uphold it: one loop per generation admits
-// tokens of competing attempts (decision/resume), tokens are copied to another
-// entry VM before they are released (serve/journal), and every event id names
-// the epoch it came from, so that a caller who moves to another entry VM is
-// continued only on the same line (decision/lineage).
+// Invariant: the text that a caller holds for a request is always a prefix of
+// exactly one generation. Three mechanisms maintain it. One loop per generation
+// accepts the tokens of competing attempts (decision/resume). Tokens are copied
+// to another entry VM before they are released, as long as one can be reached
+// (serve/journal). Every event id contains the epoch of its token, so that a
+// caller that moves to another entry VM is continued only by an answer with the
+// same ownership history (decision/lineage).
 package generation
 
 import (
@@ -18,7 +20,7 @@
 	"mallowwind.dev/external/engine"
 )
 
-// Batch is a run of released tokens that follows a caller's position.
+// Batch is a sequence of released tokens that follows a caller's position.
 type Batch struct {
 	Tokens   []string
 	Position lineage.Position // after the last token
@@ -26,21 +28,22 @@
 }
 
 // Generation is one answer owned by this daemon. It is safe for concurrent use.
+// It holds the released tokens; the loop holds those that are not yet released.
 type Generation struct {
 	spec         *Spec
 	cancel       context.CancelFunc // stops the loop
-	readProgress chan struct{}      // signals the loop that furthest grew
+	readProgress chan struct{}      // signals the loop that furthestRead grew
 
 	mu           sync.Mutex
 	history      lineage.History
 	tokens       []string // released: callers may hold them
 	finish       engine.FinishReason
 	failure      *verdict.Error
-	fenced       bool          // a newer owner continues this answer
-	changed      chan struct{} // closed and replaced at every change
+	fenced       bool          // a newer owner continues the answer
+	changed      chan struct{} // closed and replaced on every change
 	readers      int
 	idleSince    time.Time // when the last reader left
-	furthestRead int       // largest offset any reader has taken
+	furthestRead int       // largest offset that a reader has received
 }
 
 func newGeneration(spec *Spec, history lineage.History, tokens []string, finish engine.FinishReason) *Generation {
@@ -60,20 +63,21 @@
 // ID returns the generation's id.
 func (g *Generation) ID() string { return g.spec.ID }
 
-// errFenced tells a reader to look for the newer owner.
+// errFenced tells a reader to locate the generation again, because a newer owner
+// continues it.
 type errFenced struct{}
 
 func (errFenced) Error() string { return "generation: a newer owner continues this answer" }
 
-// mismatchError tells a reader that this copy of the answer does not continue what
-// it holds; another one may.
+// mismatchError tells a reader that this copy of the answer does not continue
+// what its caller holds. Another copy may.
 type mismatchError struct{ relation lineage.Relation }
 
 func (e *mismatchError) Error() string {
 	return "generation: the caller's position is " + e.relation.String() + " here"
 }
 
-// verdictError is the error for the caller when no other copy is left.
+// verdictError returns the error for the caller when no other copy is left.
 func (e *mismatchError) verdictError() *verdict.Error {
 	if e.relation == lineage.Behind {
 		return errLost("every copy left of the answer is shorter than what the caller holds")
@@ -81,9 +85,9 @@
 	return errLost("the caller holds tokens that no copy left of the answer continues")
 }
 
-// read waits for tokens after pos. It returns errFenced when another entry VM
-// owns the answer now, *mismatch when pos is not on this answer's line, and a
-// *verdict.Error when the answer cannot continue.
+// read waits for tokens after pos. It returns errFenced if another entry VM owns
+// the answer now, *mismatchError if this answer does not continue pos, and a
+// *verdict.Error if the answer cannot continue.
 func (g *Generation) read(ctx context.Context, pos lineage.Position) (Batch, error) {
 	for {
 		b, changed, err := g.poll(pos)
@@ -98,8 +102,8 @@
 	}
 }
 
-// poll returns what is released after pos without waiting. While nothing is,
-// changed is closed at the next change.
+// poll returns the tokens released after pos without waiting. If there are none,
+// the returned channel is closed on the next change.
 func (g *Generation) poll(pos lineage.Position) (Batch, <-chan struct{}, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -122,7 +126,7 @@
 	return Batch{Position: pos, Finish: g.finish}, g.changed, nil
 }
 
-// batchFrom returns the released tokens from an offset on; g.mu is held.
+// batchFrom returns the released tokens from an offset on. g.mu must be held.
 func (g *Generation) batchFrom(from int) Batch {
 	n := len(g.tokens)
 	b := Batch{
@@ -142,8 +146,8 @@
 	return b
 }
 
-// release makes tokens visible to callers; they are the last if finish is set.
-// It returns the length of what is released.
+// release makes tokens visible to callers. If finish is set, they are the last
+// ones. It returns the number of tokens released so far.
 func (g *Generation) release(tokens []string, finish engine.FinishReason) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -153,7 +157,7 @@
 	return len(g.tokens)
 }
 
-// fail ends the answer visibly incomplete.
+// fail ends the answer with an error for its readers.
 func (g *Generation) fail(err *verdict.Error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -161,7 +165,7 @@
 	g.notifyReaders()
 }
 
-// fence marks that a newer owner continues the answer.
+// fence marks the answer as continued by a newer owner.
 func (g *Generation) fence() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -174,7 +178,7 @@
 	g.changed = make(chan struct{})
 }
 
-// attach counts a reader; the returned function takes it off again.
+// attach registers a reader. The returned function unregisters it.
 func (g *Generation) attach() (detach func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -187,14 +191,14 @@
 	})
 }
 
-// recordRemoteRead records that a reader on another entry VM asked.
+// recordRemoteRead records a read by another entry VM.
 func (g *Generation) recordRemoteRead() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.idleSince = time.Now()
 }
 
-// idleTime returns how long nobody has read, 0 while somebody does.
+// idleTime returns the time since the last reader left, 0 while there is one.
 func (g *Generation) idleTime(now time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -204,7 +208,8 @@
 	return now.Sub(g.idleSince)
 }
 
-// unreadCount returns how many of length accepted tokens no reader has taken yet.
+// unreadCount returns how many of length accepted tokens no reader has received
+// yet.
 func (g *Generation) unreadCount(length int) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -220,7 +225,7 @@
 	finish  engine.FinishReason
 }
 
-// hasEnded reports whether the loop has nothing more to do.
+// hasEnded reports whether the loop has nothing left to do.
 func (s state) hasEnded() bool { return s.fenced || s.failure != nil || s.finish != "" }
 
 func (g *Generation) state() state {
