--- a/serve/generation/copier.go
+++ b/serve/generation/copier.go
@@ -20,7 +20,7 @@
 	// is chosen.
 	appendTimeout = 400 * time.Millisecond
 	// holderRetryDelay is how long a holder that failed is not chosen again, unless
-	// its VM was replaced in the meantime.
+	// it has a new incarnation by then.
 	holderRetryDelay = 2 * time.Second
 )
 
--- a/serve/generation/decide.go
+++ b/serve/generation/decide.go
@@ -15,18 +15,20 @@
 )
 
 const (
-	// refusedRetryDelay is the wait after flow found no backend server for a resume.
+	// refusedRetryDelay is the minimum wait before the next attempt after flow
+	// refused one.
 	refusedRetryDelay = 150 * time.Millisecond
-	// maxRefusedRetryDelay bounds the wait that a refusal asks for: the answer
-	// is owed, and room may come at any time.
+	// maxRefusedRetryDelay bounds the wait that a refusal requests. Capacity may
+	// become available at any time, and the caller may hold a part of the answer.
 	maxRefusedRetryDelay = time.Second
-	// recheckInterval is how often a held-back takeover is considered again.
+	// recheckInterval is how often a takeover that was held back is reconsidered.
 	recheckInterval = 50 * time.Millisecond
-	// reattachCostTokens is the extra work, in tokens, of reading an attempt again.
+	// reattachCostTokens is the extra work of reading an attempt again.
 	reattachCostTokens = 1
 )
 
-// decide starts an attempt or gives up, as the resume policy says.
+// decide applies the resume policy. It may start an attempt, and it returns an
+// error if the answer fails.
 func (l *loop) decide(ctx context.Context) error {
 	if l.finish != "" || l.isStalled() {
 		return nil
@@ -56,7 +58,7 @@
 	return nil
 }
 
-// answerState collects what the resume policy looks at.
+// answerState returns the input of the resume policy.
 func (l *loop) answerState(now time.Time) resume.AnswerState {
 	answer := resume.AnswerState{
 		RunningAttempts: len(l.attempts),
@@ -80,8 +82,8 @@
 	return answer
 }
 
-// isQueued reports whether the request still waits for its first backend server:
-// admission bounds that wait, not the resume policy.
+// isQueued reports whether the request still waits for its first backend server.
+// That wait is bounded by admission and not by the resume policy.
 func (l *loop) isQueued() bool {
 	if l.startedCount != 1 {
 		return false
@@ -92,10 +94,10 @@
 	return false
 }
 
-// healthiestAttempt is the attempt that is furthest from being suspected; as long as it
-// is healthy the answer goes on. One that waits for a backend server counts as
-// healthy. Attempts that read an engine again count only when they are alone:
-// they are a short cut, and must not delay the takeover.
+// healthiestAttempt returns the attempt that is furthest from being suspected. The
+// answer continues as long as this attempt is healthy. An attempt that waits for a
+// backend server counts as healthy. A reattached attempt counts only if no other
+// attempt takes precedence, because reattaching must not delay a takeover.
 func (l *loop) healthiestAttempt(now time.Time) *attempt {
 	var (
 		best      *attempt
@@ -116,7 +118,8 @@
 	return best
 }
 
-// hasPrecedingAttempt reports whether an attempt that does not merely read again runs beside a.
+// hasPrecedingAttempt reports whether an attempt other than a runs that is not
+// reattached or is older than a.
 func (l *loop) hasPrecedingAttempt(a *attempt) bool {
 	for _, o := range l.attempts {
 		if o != a && (!o.reattach || o.number < a.number) {
@@ -126,8 +129,8 @@
 	return false
 }
 
-// canReattach reports whether the attempt that delivered last may be read
-// again on a fresh connection.
+// canReattach reports whether the attempt that delivered last may be read again on
+// a fresh connection.
 func (l *loop) canReattach() bool {
 	if l.leaderAttempt == nil || l.reattachTried {
 		return false
@@ -136,6 +139,7 @@
 	return len(l.attempts) == 0 || leader != nil && leader.chunkCount > 0
 }
 
+// suspicionThreshold returns the silence after which an attempt is suspected.
 func (l *loop) suspicionThreshold(a *attempt) time.Duration {
 	if a.chunkCount == 0 && !a.reattach {
 		return l.m.monitor.firstChunkThreshold(l.policy.Silence, l.spec.Service.Pool, a)
@@ -143,7 +147,8 @@
 	return l.m.monitor.threshold(l.policy.Silence, &l.gaps, a.backend.ID)
 }
 
-// timeToNextDecision is how long until decide must look again if nothing happens.
+// timeToNextDecision returns the time after which decide must be called again if
+// nothing happens before.
 func (l *loop) timeToNextDecision() time.Duration {
 	now := time.Now()
 	next := l.policy.Deadline - now.Sub(l.lastTokenAt)
@@ -159,13 +164,15 @@
 	return next
 }
 
+// timeToSuspicion returns the time until attempt a is due to be read again, to be
+// suspected or, if it is suspected already, to be checked again.
 func (l *loop) timeToSuspicion(now time.Time, a *attempt) time.Duration {
 	silent, threshold := now.Sub(a.lastActivity), l.suspicionThreshold(a)
 	if probe := l.policy.ProbeAfter(threshold); silent < probe && l.canReattach() {
 		return probe - silent
 	}
 	if silent >= threshold {
-		return recheckInterval // suspected already and held back
+		return recheckInterval // already due, and the takeover was held back
 	}
 	return threshold - silent
 }
@@ -182,7 +189,8 @@
 	l.startAttempt(ctx, attemptOptions{required: reason == resume.ReasonSilentTooLong})
 }
 
-// suspectRunning marks the running attempts, whose engines the next one avoids.
+// suspectRunning marks the running attempts as suspected. The next attempt avoids
+// their engines.
 func (l *loop) suspectRunning(now time.Time) {
 	for _, a := range l.attempts {
 		if !a.granted || a.suspected {
@@ -196,7 +204,7 @@
 	}
 }
 
-// racingCount counts the attempts that do not merely read an engine again.
+// racingCount returns the number of attempts that are not reattached.
 func (l *loop) racingCount() int {
 	n := 0
 	for _, a := range l.attempts {
@@ -207,7 +215,7 @@
 	return n
 }
 
-// dropExcessAttempts gives up the oldest attempts until one more may run.
+// dropExcessAttempts drops the oldest attempts until one more may run.
 func (l *loop) dropExcessAttempts() {
 	for l.racingCount() >= l.policy.MaxConcurrentAttempts {
 		var oldest *attempt
@@ -227,16 +235,16 @@
 	}
 }
 
-// attemptOptions says what kind of attempt begins.
+// attemptOptions says how an attempt is started.
 type attemptOptions struct {
-	// reattach names an attempt to be read on from its engine, if flow still
-	// accepts that engine.
+	// reattach is a running attempt to be read again from its engine, nil for a new
+	// attempt.
 	reattach *peerpb.Attempt
-	// required makes the attempt unconditional although another one runs.
+	// required makes the attempt not speculative although another one runs.
 	required bool
 }
 
-// startAttempt begins one more attempt.
+// startAttempt starts one more attempt.
 func (l *loop) startAttempt(ctx context.Context, options attemptOptions) {
 	l.lastNumber++
 	l.startedCount++
@@ -248,8 +256,8 @@
 	request.Speculative = len(l.attempts) > 1 && !options.required
 	request.Prefer = l.standby.backend
 	if request.Resume && !l.exclusionsLifted {
-		// Where one stream stands still the next one would: an engine that
-		// paused still looks ready to the dispatcher for a while.
+		// A new stream on an engine with a stalled stream would stall too: a paused
+		// engine still looks ready to the dispatcher for a while.
 		request.Exclude = append(request.Exclude, l.m.monitor.suspectedEngines(time.Now())...)
 	}
 	if options.reattach != nil {
@@ -261,7 +269,7 @@
 	go a.run(l.m.dispatcher, request, l.spec, l.reports)
 }
 
-// newRequest describes the work that is left to flow.
+// newRequest returns the request to flow for the remaining work.
 func (l *loop) newRequest() flow.Request {
 	prefillTokens := promptTokens(l.spec.Prompt) + len(l.accepted)
 	return flow.Request{
--- a/serve/generation/handle.go
+++ b/serve/generation/handle.go
@@ -13,41 +13,42 @@
 )
 
 const (
-	// followWait is how long an owner on another entry VM holds a question for
-	// the next tokens.
+	// followWait is how long the owner on another entry VM waits for the next tokens
+	// before it replies to a Follow call without any.
 	followWait = time.Second
-	// followMargin is how much longer the answer may take before the owner is
-	// taken to be dead, paused or cut off.
+	// followMargin is how much longer the reply may take before the owner is assumed
+	// to have crashed, to be paused or to be unreachable.
 	followMargin = 700 * time.Millisecond
-	// maxRelocations bounds the search for an owner that keeps moving.
+	// maxRelocations bounds the searches for an owner that changes repeatedly.
 	maxRelocations = 8
-	// relocationDelay spaces these tries.
+	// relocationDelay is the delay between these searches.
 	relocationDelay = 100 * time.Millisecond
 )
 
-// Handle reads one generation for one caller, wherever it runs. It is not safe
-// for concurrent use.
+// Handle reads one generation for one caller, on whichever entry VM it runs. It is
+// not safe for concurrent use.
 type Handle struct {
 	m       *Manager
 	id      string
 	account string // other accounts do not learn that the generation exists
-	// spec is what was asked for, nil for a caller that names a generation only.
+	// spec is the caller's request, nil if the caller named only a generation.
 	spec    *Spec
 	local   *Generation
 	detach  func()
 	remote  *location
-	current copyRef // where local or remote is
-	// rejected are places that do not continue what the caller holds, and
-	// differs says how the last of them failed to.
+	current copyRef // the copy that local or remote refers to
+	// rejected lists copies that do not continue what the caller holds. lastMismatch
+	// is the error of the last one.
 	rejected     []copyRef
 	lastMismatch *mismatchError
-	// relocations counts searches since the last batch. It lasts over calls of Read,
-	// which a stream makes anew for every keep-alive: counted within one call
-	// alone, a caller whose answer is nowhere would get keep-alives for ever.
+	// relocations counts searches since the last batch, across calls of Read. A
+	// stream calls Read again for every keep-alive. If the count started anew with
+	// each call, a caller whose answer is lost would get keep-alives forever.
 	relocations int
 }
 
-// copyRef names one copy of an answer: where it is, and of which continuation.
+// copyRef identifies one copy of an answer by the member that has it and its
+// epoch.
 type copyRef struct {
 	member string
 	epoch  lineage.Epoch
@@ -57,15 +58,16 @@
 	return copyRef{m.members.Current().Self.ID, g.state().epoch}
 }
 
-// newHandle returns a Handle on g, or on a generation elsewhere if g is nil.
+// newHandle returns a Handle for g, or for a generation on another entry VM if g
+// is nil.
 func (m *Manager) newHandle(spec *Spec, g *Generation) *Handle {
 	h := &Handle{m: m, id: spec.ID, account: spec.Account.Name, spec: spec}
 	h.useLocal(g)
 	return h
 }
 
-// Find returns a Handle on a generation that a caller of an account names. It
-// does not look for it yet: Read does.
+// Find returns a Handle for the generation with this id, as a caller of this
+// account. It does not search the other entry VMs; Read does.
 func (m *Manager) Find(id, account string) *Handle {
 	h := &Handle{m: m, id: id, account: account}
 	if g := m.localGeneration(id); g != nil && g.spec.Account.Name == account {
@@ -79,22 +81,24 @@
 		"no entry VM knows this generation; send the request again for a new answer")
 }
 
-// errUnreachable tells a caller to come back. It is for an answer whose entry
-// VMs are cut off or not yet known to be dead: told that nobody knows it, the
-// caller would throw away minutes of work that are there again in seconds.
+// errUnreachable tells a caller to retry. It applies if entry VMs that may know
+// the generation are unreachable or not yet known to have crashed. If the caller
+// were told that the generation is unknown, it would discard minutes of work that
+// may be reachable again within seconds.
 func errUnreachable() *verdict.Error {
 	return verdict.New(verdict.MayHaveRun, verdict.CodeGenerationUnreachable,
 		"the entry VMs that may know this generation do not answer now; ask again with Last-Event-ID").WithRetryAfter(unreachableRetryAfter)
 }
 
-// unreachableRetryAfter is the wait told to such callers: about the time in which a VM
-// that is back is noticed.
+// unreachableRetryAfter is the Retry-After of errUnreachable, about the time in
+// which the return of a VM is noticed.
 const unreachableRetryAfter = time.Second
 
 // ID returns the generation's id.
 func (h *Handle) ID() string { return h.id }
 
-// Close takes the reader off the generation, which runs on for a while.
+// Close detaches the reader. Without readers the generation runs on for the linger
+// time.
 func (h *Handle) Close() {
 	if h.detach != nil {
 		h.detach()
@@ -110,8 +114,8 @@
 }
 
 // Read waits for tokens after pos. It follows the generation when its owner
-// changes, and takes it over when its owner is gone. Errors are *verdict.Error
-// or the context's.
+// changes, and takes it over when its owner is lost. Errors are *verdict.Error or
+// the error of ctx.
 func (h *Handle) Read(ctx context.Context, pos lineage.Position) (Batch, error) {
 	for {
 		b, err := h.readOnce(ctx, pos)
@@ -141,7 +145,7 @@
 	}
 }
 
-// checkBatch asserts that b continues exactly what the caller holds.
+// checkBatch asserts that b starts exactly where the caller's tokens end.
 func (h *Handle) checkBatch(pos lineage.Position, b Batch) (Batch, error) {
 	if b.Position.Offset != pos.Offset+len(b.Tokens) {
 		return Batch{Position: pos}, h.m.recordViolation(h.id, invariantPosition,
@@ -160,7 +164,7 @@
 	return Batch{}, errFenced{}
 }
 
-// lostError is the error for a caller whose answer is found nowhere any more.
+// lostError returns the error for a caller whose answer can no longer be found.
 func (h *Handle) lostError() *verdict.Error {
 	if h.lastMismatch != nil {
 		return h.lastMismatch.verdictError()
@@ -168,18 +172,18 @@
 	return errLost("the answer's owner could not be reached")
 }
 
-// reject remembers that what is kept at s does not continue what the caller holds.
-func (h *Handle) reject(s copyRef, why *mismatchError) {
-	h.lastMismatch = why
-	h.rejected = append(h.rejected, s)
+// reject records that the copy c does not continue what the caller holds.
+func (h *Handle) reject(c copyRef, mismatch *mismatchError) {
+	h.lastMismatch = mismatch
+	h.rejected = append(h.rejected, c)
 }
 
-// relocate finds out where the generation can be read now. Where nobody knows it any more
-// and the caller holds nothing, what it asked for begins anew.
+// relocate determines where the generation can be read now. If no entry VM knows it and the
+// caller holds nothing, the caller's request is started again.
 //
-// The failure this answers: the same key comes to three entry VMs in the same moment. Two
-// begin a generation each, hear of each other's and give up their own, and the callers that
-// were led there are told that nobody knows what they have just asked for.
+// This handles the same key arriving at three entry VMs at the same moment. Two of them start a
+// generation each, learn of each other's and give up their own. Without the restart, callers
+// that were directed to them would be told that their new request is unknown.
 func (h *Handle) relocate(ctx context.Context, pos lineage.Position) error {
 	h.relocations++
 	if h.relocations > 1 {
@@ -206,7 +210,7 @@
 	case result.isKnown():
 		return h.readFrom(ctx, result, pos)
 	case result.incomplete && h.relocations < maxRelocations:
-		return nil // somebody who may know did not answer: ask again
+		return nil // a member that may know the generation did not reply: search again
 	case result.incomplete:
 		return errUnreachable()
 	case h.lastMismatch != nil:
@@ -218,11 +222,11 @@
 	return h.errUnknown()
 }
 
-func (h *Handle) isRejected(s copyRef) bool { return slices.Contains(h.rejected, s) }
+func (h *Handle) isRejected(c copyRef) bool { return slices.Contains(h.rejected, c) }
 
-// readFrom reads on at the owner, or takes over from the best copy that continues
-// what the caller holds. After an entry VM was cut off there may be two
-// continuations; a caller of the older one is served from a copy of that.
+// readFrom continues reading at the owner, or takes over from the best copy that
+// continues what the caller holds. After a network partition there may be two
+// continuations. A caller of the older one is served from a copy of that one.
 func (h *Handle) readFrom(ctx context.Context, result searchResult, pos lineage.Position) error {
 	for _, p := range result.locations {
 		if p.running {
@@ -236,16 +240,16 @@
 		}
 		var mismatch *mismatchError
 		if !errors.As(err, &mismatch) {
-			return nil // the copy's holder did not answer: look again
+			return nil // the holder did not reply or lost the copy: search again
 		}
 		h.reject(p.copyRef(), mismatch)
 	}
-	return nil // all rejected: look again, at those who did not answer too
+	return nil // all rejected: search again, including members that did not reply
 }
 
-// follow asks the owner for the next tokens. The deadline is the guard against
-// an owner that is paused or silent: the question comes back empty after
-// followWait when all is well, so a missing answer means a lost owner.
+// follow requests the next tokens from the owner. The timeout guards against an
+// owner that is paused or silent: a healthy owner replies after followWait even
+// without tokens, so a missing reply means that the owner is lost.
 func (h *Handle) follow(ctx context.Context, pos lineage.Position) (Batch, error) {
 	for {
 		c, cancel := context.WithTimeout(ctx, followWait+followMargin)
@@ -264,7 +268,7 @@
 	}
 }
 
-// parseFollowReply turns an owner's answer into a batch.
+// parseFollowReply converts an owner's reply into a batch.
 func parseFollowReply(r *peerpb.FollowReply, pos lineage.Position) (Batch, error) {
 	switch {
 	case r.GetUnknown():
--- a/serve/generation/handover.go
+++ b/serve/generation/handover.go
@@ -10,17 +10,19 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// maxParallelHandovers bounds how many copies are handed over at once, so that a
-// stop does not take the network from answers that still run.
+// maxParallelHandovers bounds the number of copies that are handed over at once,
+// so that a stopping daemon does not take the bandwidth of running answers.
 const maxParallelHandovers = 8
 
-// HandOver gives the copies held here to the next entry VM that may hold them.
-// Call it when this daemon has left the members and its own answers have ended.
+// HandOver sends the copies held here to the next entry VMs that may hold them. It
+// must be called after this daemon has left the membership and its own answers
+// have ended. It returns the number of copies sent and of those that no member
+// took.
 //
-// The failure it guards against is a rolling replacement: a finished answer is
-// still owed to a caller whose connection broke, its owner was replaced first,
-// and this daemon has the only copy left. Running answers need no help: their
-// owners see that this VM leaves and move the copy with the next token.
+// It guards against a loss during a rolling replacement: a caller whose connection
+// broke may still fetch a finished answer whose owner was replaced before, so that
+// this daemon has the only copy. The copies of running answers are moved by their
+// owners, which see that this VM leaves and write the next token to another holder.
 func (m *Manager) HandOver(ctx context.Context) (moved, failed int) {
 	var (
 		mu    sync.Mutex
@@ -46,7 +48,7 @@
 	return moved, failed
 }
 
-// handOverCopy sends one copy to the first member that takes it.
+// handOverCopy sends one copy to the first member that accepts it.
 func (m *Manager) handOverCopy(ctx context.Context, c journal.Copy) bool {
 	view := m.members.Current()
 	var triedIDs []string
--- a/serve/generation/locate.go
+++ b/serve/generation/locate.go
@@ -14,15 +14,16 @@
 	"mallowwind.dev/serve/journal"
 )
 
-// peekTimeout bounds the question to another entry VM what it knows of a
-// generation. One that is paused or cut off must not hold a caller up: its
-// answer is not needed where a copy is found.
+// peekTimeout bounds a query to another entry VM for a generation. A member that
+// is paused or unreachable must not delay a caller, because its reply is not
+// needed if a copy is found elsewhere.
 const peekTimeout = 500 * time.Millisecond
 
-// location is where a generation was found.
+// location is a member that has a generation, with the state of the generation
+// there.
 type location struct {
 	member     membership.Member
-	running    bool // it is the owner
+	running    bool // the member is the owner
 	epoch      lineage.Epoch
 	length     int
 	owner      string
@@ -33,20 +34,20 @@
 
 func (p location) copyRef() copyRef { return copyRef{p.member.ID, p.epoch} }
 
-// searchResult is what is known of a generation on all members asked.
+// searchResult is what the queried members know of a generation.
 type searchResult struct {
 	locations  []location // best first
 	epoch      lineage.Epoch
 	bodyDigest []byte
-	incomplete bool // a member that might know did not answer
+	incomplete bool // a member that may know the generation did not reply
 }
 
-// isKnown reports whether the generation can be read from somewhere.
+// isKnown reports whether the generation can be read from some member.
 func (r searchResult) isKnown() bool { return len(r.locations) > 0 }
 
-// locate asks the members that may hold a copy, and the owners these name. It
-// does not wait for all of them once it found the owner, unless what that one
-// has is among rejected.
+// locate queries the members that may hold a copy, and the owners that they name.
+// It does not wait for all replies once it has found the owner, unless the owner's
+// copy is among rejected.
 func (m *Manager) locate(ctx context.Context, id string, rejected []copyRef) (searchResult, error) {
 	view := m.members.Current()
 	asked := map[string]bool{}
@@ -65,8 +66,8 @@
 	return r, nil
 }
 
-// sortLocations orders the places: the newest epoch first, in it the owner, then the
-// longest copy.
+// sortLocations sorts the locations by epoch, newest first, then the owner before
+// copies, then by length, longest first. Failed generations are removed.
 func (r *searchResult) sortLocations() {
 	slices.SortStableFunc(r.locations, func(a, b location) int {
 		switch {
@@ -87,7 +88,8 @@
 	r.locations = slices.DeleteFunc(r.locations, func(p location) bool { return p.failed })
 }
 
-// unaskedOwners returns the members named as owners that have not been asked yet.
+// unaskedOwners returns the members named as owners that have not been queried
+// yet.
 func unaskedOwners(view *membership.View, locations []location, asked map[string]bool) []membership.Member {
 	var out []membership.Member
 	for _, p := range locations {
@@ -101,6 +103,8 @@
 	return out
 }
 
+// peekAll queries members that have not been queried yet, in parallel. It returns
+// early once the owner has replied.
 func (m *Manager) peekAll(ctx context.Context, id string, members []membership.Member, asked map[string]bool, rejected []copyRef) (out []location, incomplete bool) {
 	type answer struct {
 		p   location
@@ -133,6 +137,8 @@
 	return out, incomplete
 }
 
+// peek queries one member for a generation. The bool is false if the member does
+// not know it.
 func (m *Manager) peek(ctx context.Context, id string, member membership.Member) (location, bool, error) {
 	req := &peerpb.AdoptRequest{Id: id, Peek: true}
 	var (
@@ -166,7 +172,7 @@
 	return peerpb.NewJournalProtobufClient(m.dialer.URL(to.Peer), m.dialer.Client)
 }
 
-// sendAppends carries a batch of appends to a holder.
+// sendAppends sends a batch of appends to a holder.
 func (m *Manager) sendAppends(ctx context.Context, to membership.Member, batch *peerpb.AppendBatch) (*peerpb.AppendBatchReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
@@ -174,16 +180,16 @@
 	return m.client(to).Append(ctx, batch)
 }
 
-// dropCopy asks a former holder to forget a copy.
+// dropCopy tells a former holder to drop a copy.
 func (m *Manager) dropCopy(holder membership.Member, id string, epoch lineage.Epoch) {
 	ctx, cancel := context.WithTimeout(m.base, appendTimeout)
 	defer cancel()
-	// Best effort: a copy that stays behind is shorter than the new one, and
-	// adopters take the longest.
+	// Best effort: a copy that is not dropped stays shorter than the new one, and
+	// adopters choose the longest.
 	_, _ = m.client(holder).Drop(ctx, &peerpb.DropRequest{Id: id, Epoch: uint64(epoch)})
 }
 
-// adoptFrom makes this daemon the owner, from the copy at p.
+// adoptFrom makes this daemon the owner of a generation, from the copy at p.
 func (m *Manager) adoptFrom(ctx context.Context, id string, p location, seen lineage.Position) (*Generation, error) {
 	self := m.members.Current().Self.ID
 	if p.member.ID == self {
@@ -218,8 +224,9 @@
 
 func finishReason(s string) engine.FinishReason { return engine.FinishReason(s) }
 
-// prefixHash identifies the head of a prompt for routing as the engines' cache
-// events name it; 0 where the prompt fills no block, which no engine caches.
+// prefixHash returns the hash of the start of a prompt for routing, in the form
+// used by the engines' cache events. It is 0 if the prompt does not fill a block,
+// since engines cache whole blocks only.
 func prefixHash(s *site.Service, prompt string) uint64 {
 	ref := engine.ModelRef{Model: s.Model, Adapter: s.Adapter, Version: s.Version}
 	hashes := engine.BlockHashes(ref, prompt[:min(len(prompt), maxPrefixBytes)])
