--- a/serve/generation/batch_bench_test.go
+++ b/serve/generation/batch_bench_test.go
@@ -16,16 +16,16 @@
 	"mallowwind.dev/serve/journal"
 )
 
-type noSite struct{}
+type nilSite struct{}
 
-func (noSite) Current() *site.Site { return nil }
+func (nilSite) Current() *site.Site { return nil }
 
-// BenchmarkAppendBatch gives the processor time, both ends, of copying one
-// token, by how many generations share a message over loopback.
+// BenchmarkAppendBatch measures the time per token, of sender and receiver together,
+// for copying tokens over loopback, by the number of generations in one message.
 func BenchmarkAppendBatch(b *testing.B) {
 	for _, size := range []int{1, 4, 16, 64} {
 		b.Run(fmt.Sprintf("generations=%d", size), func(b *testing.B) {
-			m := NewManager(Config{Site: noSite{}, Members: membership.Static{View: &membership.View{}}, Metrics: prometheus.NewRegistry()})
+			m := NewManager(Config{Site: nilSite{}, Members: membership.Static{View: &membership.View{}}, Metrics: prometheus.NewRegistry()})
 			_, h := m.Handler()
 			server := httptest.NewServer(h)
 			defer server.Close()
--- a/serve/generation/locate.go
+++ b/serve/generation/locate.go
@@ -67,7 +67,8 @@
 }
 
 // sortLocations sorts the locations by epoch, newest first, then the owner before
-// copies, then by length, longest first. Failed generations are removed.
+// copies, then by length, longest first. The epoch and digest of the first one are
+// kept, and failed generations are then removed.
 func (r *searchResult) sortLocations() {
 	slices.SortStableFunc(r.locations, func(a, b location) int {
 		switch {
@@ -103,8 +104,9 @@
 	return out
 }
 
-// peekAll queries members that have not been queried yet, in parallel. It returns
-// early once the owner has replied.
+// peekAll queries, in parallel, the members that have not been queried yet. It
+// returns as soon as an owner has replied whose generation has not failed and is
+// not among rejected.
 func (m *Manager) peekAll(ctx context.Context, id string, members []membership.Member, asked map[string]bool, rejected []copyRef) (out []location, incomplete bool) {
 	type answer struct {
 		p   location
--- a/serve/generation/loop.go
+++ b/serve/generation/loop.go
@@ -13,17 +13,19 @@
 )
 
 const (
-	// maxUnreadTokens is how many accepted tokens may wait for the slowest reader before
-	// the loop stops reading from the engine, whose own buffers then fill. It
-	// bounds memory per stream; a reader this far behind gains nothing from more.
+	// maxUnreadTokens is the number of accepted tokens that no reader has received
+	// yet at which the loop stops reading from the engine, whose own buffers then
+	// fill. It bounds the memory per stream; readers this far behind gain nothing from
+	// a longer buffer.
 	maxUnreadTokens = 4096
-	// attemptNumberBits separates the attempts of one owner from those of the next,
-	// so that a newer owner's attempts always carry larger numbers.
+	// attemptNumberBits is the number of low bits of an attempt number that count the
+	// attempts of one owner. The bits above hold the owner count, so that a newer
+	// owner's attempts always have larger numbers.
 	attemptNumberBits = 16
 )
 
-// loop runs one generation: it alone admits tokens, decides about attempts and
-// releases what has been copied. All its fields belong to its goroutine.
+// loop runs one generation. It alone accepts tokens, decides about attempts and
+// releases tokens that have been copied. Its fields are used by its goroutine only.
 type loop struct {
 	m            *Manager
 	g            *Generation
@@ -40,33 +42,36 @@
 	lastNumber   uint64 // of the newest attempt
 	startedCount int    // attempts started here
 	excluded     []string
-	// exclusionsLifted says that no engine was left after all exclusions.
+	// exclusionsLifted is set when flow refused an attempt although none was running.
+	// Until the next accepted token, suspected engines are no longer excluded.
 	exclusionsLifted bool
-	// leaderAttempt is the attempt that delivered last, as its engine knows it.
+	// leaderAttempt is the attempt that delivered last, with the number that its
+	// engine knows.
 	leaderAttempt *peerpb.Attempt
-	reattachTried bool // leaderAt was read again since it last delivered, or is gone
+	reattachTried bool // leaderAttempt was read again since it last delivered, or its engine no longer knows it
 	standby       standby
 
-	lastTokenAt time.Time // the last accepted token, before it the start
-	lostAt      time.Time // when the leader was suspected or failed, zero while all is well
+	lastTokenAt time.Time // of the last accepted token, before that of the first attempt's grant or the start
+	lostAt      time.Time // when the leader was suspected or failed, zero without a loss
 	failedCount int
-	adopted     bool // an earlier owner began the answer
-	// mayHaveRun says that an engine may have taken an attempt.
+	adopted     bool // an earlier owner started the answer
+	// mayHaveRun reports that an engine may have executed an attempt.
 	mayHaveRun bool
 	notBefore  time.Time // no new attempt before this
-	// refusedVersions are the versions whose backend servers all turned the request away.
+	// refusedVersions lists the versions for which flow refused the request because
+	// no backend server was left.
 	refusedVersions []string
 	nextDecisionAt  time.Time // when the next decision is due
 	gaps            silence.GapEstimator
-	readingPaused   bool // readers were too far behind
+	readingPaused   bool // because the readers are too far behind
 
-	// losers are losers to be cancelled at their engines once a write shows
-	// that this daemon still owns the generation. Cancelled earlier, an owner
-	// that was paused would kill the attempt that its successor attached to.
+	// losers are dropped attempts to be cancelled at their engines once a write
+	// confirms that this daemon still owns the generation. Without that confirmation,
+	// an owner that was paused could cancel the attempt that its successor reads.
 	losers []*attempt
 
 	writing        bool
-	releasedCount  int // accepted tokens that were released
+	releasedCount  int // number of accepted tokens that were released
 	releasedFinish engine.FinishReason
 }
 
@@ -93,8 +98,8 @@
 	return l
 }
 
-// run drives the generation to its end. reattach names the attempt that an
-// earlier owner left running, nil if there is none.
+// run runs the generation to its end. reattach is the attempt that an earlier owner
+// left running, nil if there is none.
 func (l *loop) run(ctx context.Context, reattach *peerpb.Attempt) {
 	defer l.stopAttempts()
 	if l.finish == "" {
@@ -131,7 +136,8 @@
 	return s.hasEnded()
 }
 
-// readableReports is the channel of reports, or nil while readers are too far behind.
+// readableReports returns the channel of reports, or nil while readers are too far
+// behind.
 func (l *loop) readableReports() chan report {
 	if !l.isStalled() {
 		return l.reports
@@ -139,7 +145,7 @@
 	if !l.readingPaused {
 		l.readingPaused = true
 		for _, a := range l.attempts {
-			l.m.monitor.stop(l.spec.ID, a) // the reader's silence, not the engine's
+			l.m.monitor.stop(l.spec.ID, a) // this silence is not the engine's
 		}
 	}
 	return nil
@@ -147,8 +153,8 @@
 
 func (l *loop) isStalled() bool { return l.g.unreadCount(len(l.accepted)) >= maxUnreadTokens }
 
-// resumeReading starts the silence of each attempt anew after a reader caught up: the
-// wait was the reader's and says nothing about the engine.
+// resumeReading resets the silence of every attempt after a reader caught up. The
+// pause was caused by the reader and must not count against the engine.
 func (l *loop) resumeReading() {
 	if !l.readingPaused || l.isStalled() {
 		return
--- a/serve/generation/manager.go
+++ b/serve/generation/manager.go
@@ -21,19 +21,20 @@
 )
 
 const (
-	// sweepInterval is how often idle and old generations are looked for.
+	// sweepInterval is how often idle and expired generations are removed.
 	sweepInterval = time.Second
-	// defaultLinger is how long a generation that nobody reads runs on. Callers whose
-	// connection broke come back within seconds; after that the accelerator is
-	// better used elsewhere.
+	// defaultLinger is how long a generation without readers runs on. Callers whose
+	// connection broke reconnect within seconds; after that the accelerator is better
+	// used for other work.
 	defaultLinger = 30 * time.Second
-	// gapRetention is how long the gaps of an engine not seen any more are kept.
+	// gapRetention is how long the gap estimates of an engine are kept after the last
+	// observed gap.
 	gapRetention = 10 * time.Minute
 	// maxJournalBytes bounds the copies held for other entry VMs.
 	maxJournalBytes = 256 << 20
 )
 
-// Config names what a Manager works with.
+// Config configures a Manager.
 type Config struct {
 	Site       site.Source
 	Members    membership.Source
@@ -41,21 +42,22 @@
 	Dialer     *link.Dialer
 	Log        *event.Log
 	Metrics    prometheus.Registerer
-	// Linger overrides how long an unread generation runs on; 0 means the default.
+	// Linger overrides how long a generation without readers runs on; 0 means the
+	// default.
 	Linger time.Duration
-	// Policy overrides the resume policy of services; nil means the default.
+	// Policy overrides the resume policies of services; nil means the default.
 	Policy func(*site.Service) resume.Policy
-	// ChooseVersion returns a service with the version that a new request runs with,
-	// none of those in except where another is ready; nil means the one that the
-	// site text names.
+	// ChooseVersion returns a service with the version that a new request uses. It
+	// returns a version in except only if no other is ready. nil means the version
+	// that the site names.
 	ChooseVersion func(s *site.Service, except ...string) *site.Service
-	// NotReady is told of a backend server that did not have the version which
-	// this daemon took it to have ready; it must not block. nil means nobody is.
+	// NotReady is called with the id of a backend server that refused an attempt
+	// because it does not have the version ready. It must not block; it may be nil.
 	NotReady func(backend string)
 }
 
-// Manager owns the generations of one daemon and the copies it holds for
-// others. It is safe for concurrent use.
+// Manager manages the generations that one daemon owns and the copies that it holds
+// for others. It is safe for concurrent use.
 type Manager struct {
 	site          site.Source
 	members       membership.Source
@@ -80,7 +82,8 @@
 	endedAt     map[string]time.Time
 }
 
-// NewManager returns a Manager; Run must be called for it to clean up after itself.
+// NewManager returns a Manager. Run must be called for it to remove idle and
+// expired generations.
 func NewManager(c Config) *Manager {
 	m := &Manager{
 		site:          c.Site,
@@ -115,7 +118,7 @@
 	return m
 }
 
-// answerTTL is how long a finished answer is still owed to its caller.
+// answerTTL returns how long a finished answer is kept for its caller.
 func (m *Manager) answerTTL() time.Duration {
 	if s := m.site.Current(); s != nil && s.Limits.AnswerTTL > 0 {
 		return s.Limits.AnswerTTL
@@ -123,7 +126,8 @@
 	return site.DefaultLimits().AnswerTTL
 }
 
-// Run cleans up until ctx ends; then it stops all loops and waits for them.
+// Run removes idle and expired generations until ctx ends. It then stops all loops
+// and waits for them.
 func (m *Manager) Run(ctx context.Context) error {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -139,14 +143,14 @@
 	}
 }
 
-// RunningCount returns the number of generations that are not at their end.
+// RunningCount returns the number of generations that have not ended.
 func (m *Manager) RunningCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.generations) - len(m.endedAt)
 }
 
-// sweep cancels generations nobody reads and forgets answers no longer owed.
+// sweep cancels generations without readers and removes expired answers and copies.
 func (m *Manager) sweep(now time.Time) {
 	ttl := m.answerTTL()
 	m.mu.Lock()
@@ -170,8 +174,9 @@
 	m.monitor.forget(now.Add(-gapRetention))
 }
 
-// Submit starts a generation, or finds the one that the same key began on any
-// entry VM. It chooses the version that a new one runs with. The returned Handle reads it from its first token.
+// Submit starts a generation, or finds the one that was started with the same key on
+// any entry VM. It chooses the version that a new generation uses and sets the id of
+// spec. The returned Handle reads the generation from its first token.
 func (m *Manager) Submit(ctx context.Context, spec *Spec) (*Handle, error) {
 	spec.Service = m.chooseVersion(spec.Service)
 	spec.assignID(m.members.Current().Self.ID)
@@ -195,7 +200,8 @@
 	return m.handleIfSameBody(m.startGeneration(spec, m.newHistory(result.epoch)), spec)
 }
 
-// handleIfSameBody returns a Handle on g unless it was begun with another body.
+// handleIfSameBody returns a Handle for g, or an error if g was started with another
+// body.
 func (m *Manager) handleIfSameBody(g *Generation, spec *Spec) (*Handle, error) {
 	if !bytes.Equal(g.spec.digest(), spec.digest()) {
 		return nil, errKeyReused()
@@ -203,15 +209,16 @@
 	return m.newHandle(spec, g), nil
 }
 
-// attachExisting serves a request whose key this daemon already knows.
+// attachExisting serves a request whose key was already used for g. If g failed, it
+// starts a new generation.
 func (m *Manager) attachExisting(g *Generation, spec *Spec) (*Handle, error) {
 	if !bytes.Equal(g.spec.digest(), spec.digest()) {
 		return nil, errKeyReused()
 	}
 	s := g.state()
 	if s.failure != nil {
-		// What was released of a failed answer is abandoned with it: the new
-		// generation has a new epoch, so nobody can join the two.
+		// The tokens released by the failed generation are discarded. The new one has
+		// a new epoch, so no caller can continue the old tokens with it.
 		g = m.startGeneration(spec, m.newHistory(s.epoch))
 	}
 	return m.handleIfSameBody(g, spec)
@@ -222,7 +229,8 @@
 		"this Idempotency-Key was used with another body; use a new key for a new request")
 }
 
-// newHistory begins the history of a generation whose id had epochs up to after.
+// newHistory returns the history of a new generation whose id had epochs up to
+// previous.
 func (m *Manager) newHistory(previous lineage.Epoch) lineage.History {
 	return lineage.History{{Epoch: previous.Next(randomEpoch()), Owner: m.members.Current().Self.ID}}
 }
@@ -232,7 +240,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if g := m.generations[spec.ID]; g != nil && g.isReadable() {
-		return g // another request with the same key was faster
+		return g // started meanwhile by another request with the same key
 	}
 	g := newGeneration(spec, history, nil, "")
 	m.runLocked(g, history, nil)
@@ -241,7 +249,7 @@
 	return g
 }
 
-// runLocked starts the loop of g; m.mu is held.
+// runLocked starts the loop of g. m.mu must be held.
 func (m *Manager) runLocked(g *Generation, history lineage.History, reattach *peerpb.Attempt) {
 	ctx, cancel := context.WithCancel(m.base)
 	g.cancel = cancel
@@ -259,7 +267,7 @@
 	})
 }
 
-// localGeneration returns the generation if this daemon owns it.
+// localGeneration returns the generation if this daemon owns it, nil otherwise.
 func (m *Manager) localGeneration(id string) *Generation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -270,7 +278,7 @@
 	return g
 }
 
-// adopt registers a generation taken over from a copy and goes on with it.
+// adopt registers a generation taken over from a copy and continues it.
 func (m *Manager) adopt(c journal.Copy) *Generation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/serve/generation/metrics.go
+++ b/serve/generation/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics of generations.
+// metrics holds the metrics of generations and of the copies held here.
 type metrics struct {
 	started, adopted, failed, suspected, falseSuspicions prometheus.Counter
 	lostRaces, prefills, tokens, uncopied                prometheus.Counter
--- a/serve/generation/monitor.go
+++ b/serve/generation/monitor.go
@@ -7,20 +7,20 @@
 	"mallowwind.dev/decision/silence"
 )
 
-// streamMonitor knows every running attempt of this daemon and what each engine's gaps
-// are like. It tells one silent engine from a stall of all. It is safe for
-// concurrent use.
+// streamMonitor tracks the running attempts of this daemon and learns the gaps
+// between the chunks of each engine. It distinguishes a single silent engine from a
+// stall of all engines. It is safe for concurrent use.
 type streamMonitor struct {
 	mu      sync.Mutex
 	engines map[string]*engineGaps
-	pools   map[string]*engineGaps // of all engines of a pool together
+	pools   map[string]*engineGaps // first chunks of all engines of a pool together
 	running map[streamKey]*stream
 }
 
 type engineGaps struct {
 	gaps, first silence.GapEstimator
 	lastSeen    time.Time
-	suspectedAt time.Time // when a stream was, zero after any chunk since
+	suspectedAt time.Time // when a stream of the engine was suspected, zero after a later chunk
 }
 
 type streamKey struct {
@@ -100,10 +100,10 @@
 	return silence.Threshold(c, stream, &m.engine(backend).gaps)
 }
 
-// firstChunkThreshold judges by the engine's own first chunks, and while few of
-// these were seen by those of its pool: first chunks are rare, a daemon at size
-// sees few of any one engine, and the ceiling would hold a takeover that landed
-// on another lost engine for many seconds.
+// firstChunkThreshold uses the first chunks of the engine itself or, while there are
+// too few samples, those of its pool. In a large fleet a daemon sees few first chunks
+// of any one engine, and the ceiling would delay a takeover that was sent to another
+// lost engine by many seconds.
 func (m *streamMonitor) firstChunkThreshold(c silence.Config, pool string, a *attempt) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -114,8 +114,8 @@
 	return silence.FirstChunkThreshold(c, first, a.prefillTokens, a.takeover)
 }
 
-// isGlobalStall reports whether the streams on other engines than suspect are
-// silent too.
+// isGlobalStall reports whether the streams on engines other than suspect are silent
+// too.
 func (m *streamMonitor) isGlobalStall(now time.Time, suspect string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -125,8 +125,8 @@
 			continue
 		}
 		total++
-		// Half its threshold is enough here: thresholds differ, and when all
-		// streams stop together the first to reach its own must see the others.
+		// Half the threshold is enough here: thresholds differ, and if all streams stop
+		// together, the first one to reach its threshold must find the others silent.
 		if now.Sub(r.lastActivity) >= r.threshold/2 {
 			silent++
 		}
@@ -134,8 +134,8 @@
 	return silence.IsGlobalStall(silent, total)
 }
 
-// suspicionDuration is how long an engine is avoided by takeovers after a stream of it
-// was suspected, unless it delivers before.
+// suspicionDuration is how long takeovers avoid an engine after one of its streams
+// was suspected, unless it delivers a chunk before.
 const suspicionDuration = 10 * time.Second
 
 func (m *streamMonitor) suspect(backend string, now time.Time) {
@@ -157,7 +157,7 @@
 	return out
 }
 
-// forget drops engines not seen since the given time.
+// forget removes engines not seen since the given time.
 func (m *streamMonitor) forget(before time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/serve/generation/release.go
+++ b/serve/generation/release.go
@@ -9,8 +9,8 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// The invariants asserted while an answer is served. A violation is a fault of
-// this program; the answer stops visibly before a caller can hold a wrong token.
+// The invariants asserted while an answer is served. A violation is a bug in this
+// program. The answer then fails before a caller can receive a wrong token.
 const (
 	invariantLength   = "accepted tokens end at the race's offset"
 	invariantCopied   = "tokens are released only after they were copied"
@@ -18,7 +18,7 @@
 	invariantPosition = "a batch begins at the caller's position"
 )
 
-// failInvariant ends the answer because an invariant did not hold.
+// failInvariant fails the answer because an invariant does not hold.
 func (l *loop) failInvariant(invariant, format string, args ...any) {
 	l.g.fail(l.m.recordViolation(l.spec.ID, invariant, format, args...))
 }
@@ -32,7 +32,8 @@
 		"the answer was stopped because of a fault in this system: %s", invariant)
 }
 
-// startWrite starts the next write of the copy if one is due.
+// startWrite starts the next write to the copy if none is in flight and there are
+// tokens or a finish reason to copy.
 func (l *loop) startWrite(ctx context.Context) {
 	if l.writing || (l.releasedCount == len(l.accepted) && l.releasedFinish == l.finish) {
 		return
@@ -47,7 +48,7 @@
 	return journalWrite{tokens: l.accepted[:n:n], copiedCount: l.releasedCount, attempt: l.leaderAttempt, finish: l.finish}
 }
 
-// handleWriteResult releases what is copied now.
+// handleWriteResult releases the tokens that were written to the copy.
 func (l *loop) handleWriteResult(w writeResult) {
 	l.writing = false
 	if w.fenced != 0 {
@@ -77,7 +78,8 @@
 	}
 }
 
-// fail ends the answer: visibly incomplete with err, or quietly without.
+// fail ends the answer with err. If err is nil, the generation was cancelled because
+// nothing reads it.
 func (l *loop) fail(err error) {
 	if err == nil {
 		l.m.log.Emit(event.GenerationCancelled, l.spec.ID, len(l.accepted))
@@ -86,13 +88,14 @@
 	}
 	e := verdict.FromError(err)
 	if e.Verdict != verdict.NotRun {
-		// A refusal before anything ran is logged where it was decided.
+		// A refusal before anything ran was already logged by flow.
 		l.m.log.Emit(event.GenerationFailed, l.spec.ID, len(l.accepted), string(e.Code))
 	}
 	l.g.fail(e)
 }
 
-// stopAttempts ends what still runs.
+// stopAttempts stops the attempts that still run and cancels them at their engines
+// if this daemon still owns the generation.
 func (l *loop) stopAttempts() {
 	for _, a := range l.attempts {
 		l.dropAttempt(a)
@@ -102,7 +105,7 @@
 		return
 	}
 	if !l.isStillOwner() {
-		// An attempt that never delivered was never named in a copy, so no
+		// An attempt that never delivered was never recorded in a copy, so no
 		// successor reads it.
 		l.losers = slices.DeleteFunc(l.losers, func(a *attempt) bool { return a.chunkCount > 0 || a.reattach })
 	}
@@ -110,11 +113,11 @@
 	l.cancelLosers()
 }
 
-// isStillOwner asks the copy's holder whether this daemon owns the generation.
-// An owner that comes back from a pause finds its generation unread and gives
-// it up; were it to cancel the attempt without asking, it would cut off the
-// successor that attached to the same attempt in the meantime. Where no holder
-// answers the engines end the attempt for want of a reader.
+// isStillOwner checks with the copy's holder whether this daemon owns the
+// generation. An owner that returns from a pause finds its generation without
+// readers and ends it. If it cancelled the attempt without this check, it would
+// interrupt a successor that reads the same attempt since. If no holder replies, the
+// engines end the attempt because it has no reader.
 func (l *loop) isStillOwner() bool {
 	if l.g.state().fenced {
 		return false
@@ -130,7 +133,7 @@
 	return w.confirmsOwnership()
 }
 
-// cancelLosers stops the attempts that lost at their engines.
+// cancelLosers cancels the dropped attempts at their engines.
 func (l *loop) cancelLosers() {
 	for _, a := range l.losers {
 		if a.granted && !l.sharesLeader(a) {
@@ -140,8 +143,8 @@
 	l.losers = nil
 }
 
-// sharesLeader reports whether cancelling a would end the attempt that carries
-// the answer: both run at one engine, which cancels all attempts up to a number.
+// sharesLeader reports whether cancelling a would also cancel the leading attempt.
+// An engine cancels all attempts of a generation up to the given number.
 func (l *loop) sharesLeader(a *attempt) bool {
 	return l.leaderAttempt.GetBackend() == a.backend.ID && l.leaderAttempt.GetNumber() <= a.engineNumber
 }
--- a/serve/generation/server.go
+++ b/serve/generation/server.go
@@ -12,10 +12,10 @@
 	"mallowwind.dev/serve/journal"
 )
 
-// maxFollowWait bounds how long a question of another entry VM is held.
+// maxFollowWait bounds how long a Follow call of another entry VM waits for tokens.
 const maxFollowWait = 5 * time.Second
 
-// Handler returns the twirp service that other entry VMs call, and its path prefix.
+// Handler returns the twirp service that other entry VMs call and its path prefix.
 func (m *Manager) Handler() (prefix string, h http.Handler) {
 	s := peerpb.NewJournalServer(server{m})
 	return s.PathPrefix(), s
@@ -36,10 +36,10 @@
 	return reply(s.m.holder.Open(c)), nil
 }
 
-// winningRival returns the epoch of a generation begun here with the same key at the
-// same time as c, if that one is to go on. Two entry VMs that each asked before
-// the other had begun would otherwise both generate the answer. The smaller
-// epoch wins, on both sides alike.
+// winningRival returns the epoch of a generation that was started here concurrently
+// with c for the same key, if the one here is the one to continue. Two entry VMs that
+// each searched before the other had started would otherwise both generate the answer.
+// The smaller epoch wins on both entry VMs.
 func (m *Manager) winningRival(c journal.Copy) (lineage.Epoch, bool) {
 	g := m.localGeneration(c.Spec.GetId())
 	if g == nil {
@@ -93,7 +93,8 @@
 	return &peerpb.AdoptReply{Accepted: true, Copy: journal.ToWire(c)}, nil
 }
 
-// peekLocal reports what this daemon knows of a generation, as owner or holder.
+// peekLocal returns what this daemon knows of a generation, as its owner or as the
+// holder of a copy.
 func (m *Manager) peekLocal(id string) *peerpb.AdoptReply {
 	if g := m.localGeneration(id); g != nil {
 		s := g.state()
--- a/serve/generation/spec.go
+++ b/serve/generation/spec.go
@@ -12,8 +12,8 @@
 	"mallowwind.dev/serve/journal"
 )
 
-// Spec is what a caller asked for. It is immutable once submitted: a request
-// that goes on with another version has a Spec of its own from there on.
+// Spec is a caller's request. It is immutable once submitted: a request that
+// switches to another version gets a Spec of its own.
 type Spec struct {
 	ID          string // set by Submit
 	Account     *site.Account
@@ -25,16 +25,16 @@
 	Stop        []string
 	// IdempotencyKey is the caller's Idempotency-Key, empty if none.
 	IdempotencyKey string
-	Chat           bool // the caller used the chat form
+	Chat           bool // the caller used the chat API
 }
 
 // idBytes is the length of a generation id in bytes; lineage.ValidID checks the text form.
 const idBytes = 16
 
-// assignID sets the id. With a key it is derived from account, service and key,
-// so that every entry VM finds the same generation for the same key. Without
-// one it is random behind the owner's journal group, so that the copies of one
-// owner's answers have few holders.
+// assignID sets the id. With a key, the id is derived from account, service and key,
+// so that every entry VM finds the same generation for the same key. Without a key,
+// it is one of the owner's journal groups followed by random digits, so that the
+// copies of one owner's answers have few holders.
 func (s *Spec) assignID(owner string) {
 	if s.IdempotencyKey == "" {
 		var b [idBytes]byte
@@ -48,7 +48,8 @@
 	s.ID = "k" + hex.EncodeToString(h.Sum(nil)[:idBytes])
 }
 
-// digest identifies the body: the same key with another digest is refused.
+// digest returns the digest of the body. A key that is reused with another digest is
+// refused.
 func (s *Spec) digest() []byte {
 	h := sha256.New()
 	fmt.Fprintf(h, "%q %d %g %q %t", s.Prompt, s.MaxTokens, s.Temperature, s.Stop, s.Chat)
@@ -77,9 +78,9 @@
 	}
 }
 
-// specFromWire rebuilds a Spec. Account and service come from the site in force
-// where it still names them; an answer begun under an older text goes on with
-// the model that the text named then.
+// specFromWire rebuilds a Spec. Account and service come from the current site if it
+// names them. Model, adapter and version always come from w, so that an answer
+// started under an older site continues with the model that it was started with.
 func specFromWire(w *peerpb.GenerationSpec, in *site.Site) *Spec {
 	account := &site.Account{Name: w.GetAccount(), Share: 1}
 	service := site.Service{Name: w.GetService(), Kind: site.KindGeneration, Class: site.ClassNormal}
@@ -109,18 +110,18 @@
 const (
 	// charactersPerToken is the usual ratio for estimating a prompt's tokens.
 	charactersPerToken = 4
-	// maxPrefixBytes is the length of the prompt's head, in bytes, by which an
-	// engine that may hold it is recognised.
+	// maxPrefixBytes bounds the part of a prompt that is hashed to find an engine whose
+	// cache may hold it.
 	maxPrefixBytes = 512
 )
 
 // promptTokens estimates the number of tokens of a prompt.
 func promptTokens(prompt string) int { return len(prompt)/charactersPerToken + 1 }
 
-// PromptTokens estimates the tokens of the prompt, as callers are told them.
+// PromptTokens estimates the number of tokens of the prompt, as reported to callers.
 func (s *Spec) PromptTokens() int { return promptTokens(s.Prompt) }
 
-// randomEpoch feeds the random part of epochs.
+// randomEpoch returns the random part of an epoch.
 func randomEpoch() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
--- a/serve/generation/standby.go
+++ b/serve/generation/standby.go
@@ -8,16 +8,17 @@
 	"mallowwind.dev/external/engine"
 )
 
-// standby is a second engine that is made to read the answer from time to time,
-// so that its prefix cache holds nearly all of it when a takeover is needed.
+// standby is a second engine that prefills the answer from time to time, so that its
+// prefix cache holds nearly all of it when a takeover is needed.
 type standby struct {
 	backend     string
-	primedCount int  // tokens of the answer that the engine has read
-	busy        bool // a priming runs
+	primedCount int  // tokens of the answer in the latest priming request
+	busy        bool // a priming request is in flight
 	done        chan string
 }
 
-// prime makes the standby read what was accepted since the last time.
+// prime starts a priming request for the tokens accepted since the previous one, if
+// enough have been accepted.
 func (l *loop) prime(ctx context.Context) {
 	s := &l.standby
 	select {
@@ -42,14 +43,14 @@
 	request.Exclude = append(request.Exclude, leader.backend.ID)
 	request.Prefer = s.backend
 	s.primedCount, s.busy = len(l.accepted), true
-	l.lastNumber++ // the priming is an attempt of its own for the engine
+	l.lastNumber++ // to the engine, a priming request is an attempt of its own
 	number, prefix, done := l.lastNumber, slices.Clone(l.accepted), s.done
 	l.m.metrics.primings.Inc()
 	go func() { done <- l.m.primeStandby(ctx, request, primeRequest(l.spec, number, prefix)) }()
 }
 
-// primeRequest asks for a single token after prefix, which makes an engine read
-// and cache all before it.
+// primeRequest returns a request for a single token after prefix, which makes an
+// engine prefill and cache everything before that token.
 func primeRequest(spec *Spec, number uint64, prefix []string) engine.Request {
 	return engine.Request{
 		Generation: spec.ID + "-standby",
--- a/serve/generation/version_test.go
+++ b/serve/generation/version_test.go
@@ -30,27 +30,27 @@
 	testPool   = "engines"
 )
 
-// laggingDaemon is one daemon whose picture of the engines lags: it shows versions
-// ready that their engines do not have.
+// laggingDaemon is a daemon whose backend snapshot is outdated: it shows versions as
+// ready that the engines do not have.
 type laggingDaemon struct {
 	service  *site.Service
 	manager  *Manager
-	notReady []string // backend servers reported not to have a version
+	notReady []string // backend servers passed to Config.NotReady
 }
 
-type staticSite struct{ s *site.Site }
+type staticSite struct{ site *site.Site }
 
-func (o staticSite) Current() *site.Site { return o.s }
+func (s staticSite) Current() *site.Site { return s.site }
 
-// newLaggingDaemon starts a daemon that believes each engine to have the versions
-// that believed names, and whose engines have those that holds names.
+// newLaggingDaemon starts a daemon. Its backend snapshot shows the versions in reported as
+// ready on each engine, and the engines have those in actual.
 func newLaggingDaemon(t *testing.T, reported, actual map[string][]string) *laggingDaemon {
 	service := &site.Service{
 		Name: "reviews", Kind: site.KindGeneration, Pool: testPool, Model: testModel, Version: newVersion,
 		Class: site.ClassLong, Deadline: 30 * time.Second, MaxTokens: 100, Repeatable: true,
 	}
 	account := &site.Account{Name: "mill", Share: 1}
-	in := staticSite{&site.Site{
+	source := staticSite{&site.Site{
 		Services: map[string]*site.Service{service.Name: service},
 		Accounts: map[string]*site.Account{account.Name: account},
 		Pools:    map[string]*site.Pool{testPool: {Name: testPool, Slots: 8}},
@@ -60,25 +60,25 @@
 	members := membership.Static{View: &membership.View{Self: self, Members: []membership.Member{self}}}
 	snapshot := newSnapshot(reported, actual)
 	registry := prometheus.NewRegistry()
-	f := flow.New(flow.Config{
-		Location: flow.Location{VM: self.ID, Zone: self.Zone}, Site: in, Members: members,
+	dispatcher := flow.New(flow.Config{
+		Location: flow.Location{VM: self.ID, Zone: self.Zone}, Site: source, Members: members,
 		Backends: backends.Static{Snapshot: snapshot}, Registerer: registry,
 	})
-	c := &laggingDaemon{service: service}
-	c.manager = NewManager(Config{
-		Site: in, Members: members, Dispatcher: f, Log: event.Discard(), Metrics: registry, Dialer: link.NewDialer(nil),
+	d := &laggingDaemon{service: service}
+	d.manager = NewManager(Config{
+		Site: source, Members: members, Dispatcher: dispatcher, Log: event.Discard(), Metrics: registry, Dialer: link.NewDialer(nil),
 		ChooseVersion: func(s *site.Service, except ...string) *site.Service {
 			chosen := *s
 			wanted := engine.ModelRef{Model: s.Model, Version: s.Version}
 			chosen.Version = snapshot.Choose(s.Pool, wanted, 0, except...).Version
 			return &chosen
 		},
-		NotReady: func(backend string) { c.notReady = append(c.notReady, backend) },
+		NotReady: func(backend string) { d.notReady = append(d.notReady, backend) },
 	})
-	go func() { _ = f.Run(t.Context()) }()
-	go func() { _ = c.manager.Run(t.Context()) }()
-	synctest.Wait() // flow has taken the picture in
-	return c
+	go func() { _ = dispatcher.Run(t.Context()) }()
+	go func() { _ = d.manager.Run(t.Context()) }()
+	synctest.Wait() // until flow has applied the snapshot
+	return d
 }
 
 func newSnapshot(reported, actual map[string][]string) *backends.Snapshot {
@@ -105,10 +105,10 @@
 	return all
 }
 
-// ask reads one whole answer.
-func (c *laggingDaemon) ask(ctx context.Context) error {
-	h, err := c.manager.Submit(ctx, &Spec{
-		Account: &site.Account{Name: "mill", Share: 1}, Service: c.service, Prompt: "contract", MaxTokens: 20,
+// generate submits a request and reads the whole answer.
+func (d *laggingDaemon) generate(ctx context.Context) error {
+	h, err := d.manager.Submit(ctx, &Spec{
+		Account: &site.Account{Name: "mill", Share: 1}, Service: d.service, Prompt: "contract", MaxTokens: 20,
 	})
 	if err != nil {
 		return err
@@ -127,32 +127,32 @@
 	}
 }
 
-// A caller is told that no backend server takes its request while an engine
-// with the new version stands ready. Order: the daemon chooses the old version
-// for a new request; the last engine with it has begun to unload it and refuses;
-// the daemon's picture of the engines still shows it ready. Cause: a request
-// that had run nowhere kept the version chosen on its arrival.
+// A caller is refused because no backend server is left although an engine has the new
+// version ready. This happens if the daemon chooses the old version for a new request
+// from an outdated snapshot, the last engine with that version has started to unload it
+// and refuses, and the request keeps the version chosen on arrival although it has run
+// nowhere.
 func TestOldVersionGoneBeforeRequestRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newLaggingDaemon(t,
+		d := newLaggingDaemon(t,
 			map[string][]string{"engine-1": {oldVersion}, "engine-2": {newVersion}},
 			map[string][]string{"engine-1": {newVersion}, "engine-2": {newVersion}})
 		for range 5 {
-			must.NoError(t, c.ask(t.Context()))
+			must.NoError(t, d.generate(t.Context()))
 		}
-		must.SliceContains(t, c.notReady, "engine-1")
-		must.SliceNotContains(t, c.notReady, "engine-2")
+		must.SliceContains(t, d.notReady, "engine-1")
+		must.SliceNotContains(t, d.notReady, "engine-2")
 	})
 }
 
-// No engine has any version that the daemon believes ready. The caller hears at
-// once, and truly, that its request was not run.
+// No engine has a version that the daemon's snapshot shows as ready. The caller must be
+// told at once that its request was not run.
 func TestNoVersionLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newLaggingDaemon(t,
+		d := newLaggingDaemon(t,
 			map[string][]string{"engine-1": {oldVersion}, "engine-2": {newVersion}}, nil)
 		begin := time.Now()
-		err := c.ask(t.Context())
+		err := d.generate(t.Context())
 		var refusal *verdict.Error
 		must.True(t, errors.As(err, &refusal))
 		must.Eq(t, verdict.NotRun, refusal.Verdict)
