--- a/serve/generation/loop.go
+++ b/serve/generation/loop.go
@@ -53,8 +53,8 @@
 
 	lastTokenAt time.Time // of the last accepted token, before that of the first attempt's grant or the start
 	lostAt      time.Time // when the leader was suspected or failed, zero without a loss
-	failedCount int
-	adopted     bool // an earlier owner started the answer
+	failedCount int       // attempts that broke without output since the last accepted token
+	adopted     bool      // an earlier owner started the answer
 	// mayHaveRun reports that an engine may have executed an attempt.
 	mayHaveRun bool
 	notBefore  time.Time // no new attempt before this
@@ -63,7 +63,7 @@
 	refusedVersions []string
 	nextDecisionAt  time.Time // when the next decision is due
 	gaps            silence.GapEstimator
-	readingPaused   bool // because the readers are too far behind
+	readingPaused   bool // because no reader has received the last maxUnreadTokens tokens
 
 	// losers are dropped attempts to be cancelled at their engines once a write
 	// confirms that this daemon still owns the generation. Without that confirmation,
@@ -136,8 +136,8 @@
 	return s.hasEnded()
 }
 
-// readableReports returns the channel of reports, or nil while readers are too far
-// behind.
+// readableReports returns the channel of reports, or nil while all readers are too
+// far behind.
 func (l *loop) readableReports() chan report {
 	if !l.isStalled() {
 		return l.reports
--- a/serve/generation/monitor.go
+++ b/serve/generation/monitor.go
@@ -94,10 +94,10 @@
 	return p
 }
 
-func (m *streamMonitor) threshold(c silence.Config, stream *silence.GapEstimator, backend string) time.Duration {
+func (m *streamMonitor) threshold(c silence.Config, streamGaps *silence.GapEstimator, backend string) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return silence.Threshold(c, stream, &m.engine(backend).gaps)
+	return silence.Threshold(c, streamGaps, &m.engine(backend).gaps)
 }
 
 // firstChunkThreshold uses the first chunks of the engine itself or, while there are
