--- a/serve/generation/copier.go
+++ b/serve/generation/copier.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 
 	"mallowwind.dev/control/membership"
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/external/engine"
 	"mallowwind.dev/peer/peerpb"
 	"mallowwind.dev/serve/journal"
@@ -29,7 +29,7 @@
 type copier struct {
 	m             *Manager
 	spec          *Spec
-	history       lineage.History
+	history       epochs.History
 	holder        membership.Member
 	hasCopy       bool                    // the holder has the copy
 	excluded      map[holderKey]time.Time // until when each is not chosen
@@ -58,7 +58,7 @@
 type writeResult struct {
 	copiedCount int
 	finish      engine.FinishReason
-	fenced      lineage.Epoch // a newer owner's epoch, 0 if none
+	fenced      epochs.Epoch // a newer owner's epoch, 0 if none
 	// degraded reports that no holder could be reached. The tokens are released
 	// nevertheless: a copy that is behind makes a later adoption fail with an error,
 	// but never mixes two answers.
@@ -164,7 +164,7 @@
 	return journal.Result{
 		Accepted: r.GetAccepted(),
 		Unknown:  r.GetUnknown(),
-		Epoch:    lineage.Epoch(r.GetEpoch()),
+		Epoch:    epochs.Epoch(r.GetEpoch()),
 		Length:   int(r.GetLength()),
 	}, nil
 }
--- a/serve/generation/generation.go
+++ b/serve/generation/generation.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/decision/verdict"
 	"mallowwind.dev/external/engine"
 )
@@ -23,7 +23,7 @@
 // Batch is a sequence of released tokens that follows a caller's position.
 type Batch struct {
 	Tokens   []string
-	Position lineage.Position // after the last token
+	Position epochs.Position // after the last token
 	Finish   engine.FinishReason
 }
 
@@ -35,7 +35,7 @@
 	readProgress chan struct{}      // signals the loop that furthestRead grew
 
 	mu           sync.Mutex
-	history      lineage.History
+	history      epochs.History
 	tokens       []string // released: callers may hold them
 	finish       engine.FinishReason
 	failure      *verdict.Error
@@ -46,7 +46,7 @@
 	furthestRead int       // largest offset that a reader has received
 }
 
-func newGeneration(spec *Spec, history lineage.History, tokens []string, finish engine.FinishReason) *Generation {
+func newGeneration(spec *Spec, history epochs.History, tokens []string, finish engine.FinishReason) *Generation {
 	return &Generation{
 		spec:         spec,
 		history:      history,
@@ -71,7 +71,7 @@
 
 // mismatchError tells a reader that this copy of the answer does not continue
 // what its caller holds. Another copy may.
-type mismatchError struct{ relation lineage.Relation }
+type mismatchError struct{ relation epochs.Relation }
 
 func (e *mismatchError) Error() string {
 	return "generation: the caller's position is " + e.relation.String() + " here"
@@ -79,7 +79,7 @@
 
 // verdictError returns the error for the caller when no other copy is left.
 func (e *mismatchError) verdictError() *verdict.Error {
-	if e.relation == lineage.Behind {
+	if e.relation == epochs.Behind {
 		return errLost("every copy left of the answer is shorter than what the caller holds")
 	}
 	return errLost("the caller holds tokens that no copy left of the answer continues")
@@ -88,7 +88,7 @@
 // read waits for tokens after pos. It returns errFenced if another entry VM owns
 // the answer now, *mismatchError if this answer does not continue pos, and a
 // *verdict.Error if the answer cannot continue.
-func (g *Generation) read(ctx context.Context, pos lineage.Position) (Batch, error) {
+func (g *Generation) read(ctx context.Context, pos epochs.Position) (Batch, error) {
 	for {
 		b, changed, err := g.poll(pos)
 		if err != nil || len(b.Tokens) > 0 || b.Finish != "" {
@@ -104,12 +104,12 @@
 
 // poll returns the tokens released after pos without waiting. If there are none,
 // the returned channel is closed on the next change.
-func (g *Generation) poll(pos lineage.Position) (Batch, <-chan struct{}, error) {
+func (g *Generation) poll(pos epochs.Position) (Batch, <-chan struct{}, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch relation := g.history.Compare(pos, len(g.tokens)); {
-	case relation == lineage.Prefix:
-	case relation == lineage.Superseded || g.fenced:
+	case relation == epochs.Prefix:
+	case relation == epochs.Superseded || g.fenced:
 		return Batch{}, nil, errFenced{}
 	default:
 		return Batch{}, nil, &mismatchError{relation}
@@ -131,7 +131,7 @@
 	n := len(g.tokens)
 	b := Batch{
 		Tokens:   g.tokens[from:n:n],
-		Position: lineage.Position{Epoch: g.history.EpochAt(n), Offset: n},
+		Position: epochs.Position{Epoch: g.history.EpochAt(n), Offset: n},
 	}
 	if g.failure == nil && !g.fenced {
 		b.Finish = g.finish
@@ -218,7 +218,7 @@
 
 // state is a consistent summary of a generation.
 type state struct {
-	epoch   lineage.Epoch
+	epoch   epochs.Epoch
 	length  int
 	fenced  bool
 	failure *verdict.Error
--- a/serve/generation/handle.go
+++ b/serve/generation/handle.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/decision/verdict"
 	"mallowwind.dev/external/engine"
 	"mallowwind.dev/peer/peerpb"
@@ -51,7 +51,7 @@
 // epoch.
 type copyRef struct {
 	member string
-	epoch  lineage.Epoch
+	epoch  epochs.Epoch
 }
 
 func (m *Manager) copyRefOf(g *Generation) copyRef {
@@ -116,7 +116,7 @@
 // Read waits for tokens after pos. It follows the generation when its owner
 // changes, and takes it over when its owner is lost. Errors are *verdict.Error or
 // the error of ctx.
-func (h *Handle) Read(ctx context.Context, pos lineage.Position) (Batch, error) {
+func (h *Handle) Read(ctx context.Context, pos epochs.Position) (Batch, error) {
 	for {
 		b, err := h.readOnce(ctx, pos)
 		if err == nil {
@@ -146,7 +146,7 @@
 }
 
 // checkBatch asserts that b starts exactly where the caller's tokens end.
-func (h *Handle) checkBatch(pos lineage.Position, b Batch) (Batch, error) {
+func (h *Handle) checkBatch(pos epochs.Position, b Batch) (Batch, error) {
 	if b.Position.Offset != pos.Offset+len(b.Tokens) {
 		return Batch{Position: pos}, h.m.recordViolation(h.id, invariantPosition,
 			"%d tokens from %d end at %d", len(b.Tokens), pos.Offset, b.Position.Offset)
@@ -154,7 +154,7 @@
 	return b, nil
 }
 
-func (h *Handle) readOnce(ctx context.Context, pos lineage.Position) (Batch, error) {
+func (h *Handle) readOnce(ctx context.Context, pos epochs.Position) (Batch, error) {
 	switch {
 	case h.local != nil:
 		return h.local.read(ctx, pos)
@@ -184,7 +184,7 @@
 // This handles the same key arriving at three entry VMs at the same moment. Two of them start a
 // generation each, learn of each other's and give up their own. Without the restart, callers
 // that were directed to them would be told that their new request is unknown.
-func (h *Handle) relocate(ctx context.Context, pos lineage.Position) error {
+func (h *Handle) relocate(ctx context.Context, pos epochs.Position) error {
 	h.relocations++
 	if h.relocations > 1 {
 		select {
@@ -227,7 +227,7 @@
 // readFrom continues reading at the owner, or takes over from the best copy that
 // continues what the caller holds. After a network partition there may be two
 // continuations. A caller of the older one is served from a copy of that one.
-func (h *Handle) readFrom(ctx context.Context, result searchResult, pos lineage.Position) error {
+func (h *Handle) readFrom(ctx context.Context, result searchResult, pos epochs.Position) error {
 	for _, p := range result.locations {
 		if p.running {
 			h.remote, h.current = &p, p.copyRef()
@@ -250,7 +250,7 @@
 // follow requests the next tokens from the owner. The timeout guards against an
 // owner that is paused or silent: a healthy owner replies after followWait even
 // without tokens, so a missing reply means that the owner is lost.
-func (h *Handle) follow(ctx context.Context, pos lineage.Position) (Batch, error) {
+func (h *Handle) follow(ctx context.Context, pos epochs.Position) (Batch, error) {
 	for {
 		c, cancel := context.WithTimeout(ctx, followWait+followMargin)
 		r, err := h.m.client(h.remote.member).Follow(c, &peerpb.FollowRequest{
@@ -269,12 +269,12 @@
 }
 
 // parseFollowReply converts an owner's reply into a batch.
-func parseFollowReply(r *peerpb.FollowReply, pos lineage.Position) (Batch, error) {
+func parseFollowReply(r *peerpb.FollowReply, pos epochs.Position) (Batch, error) {
 	switch {
 	case r.GetUnknown():
 		return Batch{}, errFenced{}
 	case r.GetDiverged():
-		return Batch{}, &mismatchError{lineage.Diverged}
+		return Batch{}, &mismatchError{epochs.Diverged}
 	case r.GetErrorCode() != "":
 		v, _ := verdict.Parse(r.GetErrorVerdict())
 		return Batch{}, verdict.New(v, verdict.Code(r.GetErrorCode()), "%s", r.GetErrorMessage())
@@ -283,7 +283,7 @@
 	}
 	b := Batch{Tokens: r.GetTokens(), Position: pos, Finish: engine.FinishReason(r.GetFinish())}
 	if n := len(b.Tokens); n > 0 {
-		b.Position = lineage.Position{Epoch: lineage.Epoch(r.GetEpoch()), Offset: pos.Offset + n}
+		b.Position = epochs.Position{Epoch: epochs.Epoch(r.GetEpoch()), Offset: pos.Offset + n}
 	}
 	return b, nil
 }
--- a/serve/generation/locate.go
+++ b/serve/generation/locate.go
@@ -7,7 +7,7 @@
 
 	"mallowwind.dev/control/membership"
 	"mallowwind.dev/control/site"
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/decision/verdict"
 	"mallowwind.dev/external/engine"
 	"mallowwind.dev/peer/peerpb"
@@ -24,7 +24,7 @@
 type location struct {
 	member     membership.Member
 	running    bool // the member is the owner
-	epoch      lineage.Epoch
+	epoch      epochs.Epoch
 	length     int
 	owner      string
 	bodyDigest []byte
@@ -37,7 +37,7 @@
 // searchResult is what the queried members know of a generation.
 type searchResult struct {
 	locations  []location // best first
-	epoch      lineage.Epoch
+	epoch      epochs.Epoch
 	bodyDigest []byte
 	incomplete bool // a member that may know the generation did not reply
 }
@@ -160,7 +160,7 @@
 	return location{
 		member:     member,
 		running:    r.GetRunning(),
-		epoch:      lineage.Epoch(r.GetEpoch()),
+		epoch:      epochs.Epoch(r.GetEpoch()),
 		length:     int(r.GetLength()),
 		owner:      r.GetOwner(),
 		bodyDigest: r.GetBodyDigest(),
@@ -183,7 +183,7 @@
 }
 
 // dropCopy tells a former holder to drop a copy.
-func (m *Manager) dropCopy(holder membership.Member, id string, epoch lineage.Epoch) {
+func (m *Manager) dropCopy(holder membership.Member, id string, epoch epochs.Epoch) {
 	ctx, cancel := context.WithTimeout(m.base, appendTimeout)
 	defer cancel()
 	// Best effort: a copy that is not dropped stays shorter than the new one, and
@@ -192,14 +192,14 @@
 }
 
 // adoptFrom makes this daemon the owner of a generation, from the copy at p.
-func (m *Manager) adoptFrom(ctx context.Context, id string, p location, seen lineage.Position) (*Generation, error) {
+func (m *Manager) adoptFrom(ctx context.Context, id string, p location, seen epochs.Position) (*Generation, error) {
 	self := m.members.Current().Self.ID
 	if p.member.ID == self {
 		c, relation, ok := m.holder.Adopt(id, self, seen)
 		if !ok {
 			return nil, errFenced{}
 		}
-		if relation != lineage.Prefix {
+		if relation != epochs.Prefix {
 			return nil, &mismatchError{relation}
 		}
 		return m.adopt(c), nil
@@ -217,11 +217,11 @@
 	case r.GetAccepted() && ok:
 		return m.adopt(c), nil
 	case r.GetBehind():
-		return nil, &mismatchError{lineage.Behind}
+		return nil, &mismatchError{epochs.Behind}
 	case r.GetUnknown():
 		return nil, errFenced{}
 	}
-	return nil, &mismatchError{lineage.Diverged}
+	return nil, &mismatchError{epochs.Diverged}
 }
 
 func finishReason(s string) engine.FinishReason { return engine.FinishReason(s) }
--- a/serve/generation/loop.go
+++ b/serve/generation/loop.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/decision/resume"
 	"mallowwind.dev/decision/silence"
 	"mallowwind.dev/external/engine"
@@ -75,7 +75,7 @@
 	releasedFinish engine.FinishReason
 }
 
-func newLoop(m *Manager, g *Generation, history lineage.History, tokens []string, finish engine.FinishReason) *loop {
+func newLoop(m *Manager, g *Generation, history epochs.History, tokens []string, finish engine.FinishReason) *loop {
 	l := &loop{
 		m:              m,
 		g:              g,
--- a/serve/generation/manager.go
+++ b/serve/generation/manager.go
@@ -10,7 +10,7 @@
 
 	"mallowwind.dev/control/membership"
 	"mallowwind.dev/control/site"
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/decision/resume"
 	"mallowwind.dev/decision/verdict"
 	"mallowwind.dev/peer/link"
@@ -231,12 +231,12 @@
 
 // newHistory returns the history of a new generation whose id had epochs up to
 // previous.
-func (m *Manager) newHistory(previous lineage.Epoch) lineage.History {
-	return lineage.History{{Epoch: previous.Next(randomEpoch()), Owner: m.members.Current().Self.ID}}
+func (m *Manager) newHistory(previous epochs.Epoch) epochs.History {
+	return epochs.History{{Epoch: previous.Next(randomEpoch()), Owner: m.members.Current().Self.ID}}
 }
 
 // startGeneration registers a new generation and runs its loop.
-func (m *Manager) startGeneration(spec *Spec, history lineage.History) *Generation {
+func (m *Manager) startGeneration(spec *Spec, history epochs.History) *Generation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if g := m.generations[spec.ID]; g != nil && g.isReadable() {
@@ -250,7 +250,7 @@
 }
 
 // runLocked starts the loop of g. m.mu must be held.
-func (m *Manager) runLocked(g *Generation, history lineage.History, reattach *peerpb.Attempt) {
+func (m *Manager) runLocked(g *Generation, history epochs.History, reattach *peerpb.Attempt) {
 	ctx, cancel := context.WithCancel(m.base)
 	g.cancel = cancel
 	l := newLoop(m, g, history, g.tokens, g.finish)
