--- a/serve/generation/copier.go
+++ b/serve/generation/copier.go
@@ -115,7 +115,7 @@
 		c.leaveHolder("not alive")
 	}
 	now := time.Now()
-	next, ok := journal.Pick(c.spec.ID, view, func(m membership.Member) bool {
+	next, ok := journal.PickHolder(c.spec.ID, view, func(m membership.Member) bool {
 		return now.Before(c.excluded[holderKeyOf(m)])
 	})
 	if !ok {
@@ -172,7 +172,7 @@
 func (c *copier) call(ctx context.Context, w journalWrite) (*peerpb.JournalReply, error) {
 	if !c.hasCopy {
 		return c.m.client(c.holder).Open(ctx, journal.ToWire(journal.Copy{
-			Spec: c.spec.toWire(), Line: c.history, Tokens: w.tokens, Attempt: w.attempt, Finish: string(w.finish),
+			Spec: c.spec.toWire(), History: c.history, Tokens: w.tokens, Attempt: w.attempt, Finish: string(w.finish),
 		}))
 	}
 	return c.m.appends.Append(ctx, c.holder, &peerpb.AppendRequest{
--- a/serve/generation/handover.go
+++ b/serve/generation/handover.go
@@ -53,7 +53,7 @@
 	view := m.members.Current()
 	var triedIDs []string
 	for ctx.Err() == nil {
-		target, ok := journal.Pick(c.Spec.GetId(), view, func(m membership.Member) bool {
+		target, ok := journal.PickHolder(c.Spec.GetId(), view, func(m membership.Member) bool {
 			return slices.Contains(triedIDs, m.ID)
 		})
 		if !ok {
