--- a/serve/generation/generation.go
+++ b/serve/generation/generation.go
@@ -1,11 +1,13 @@
-// Package generation keeps every answer whole and once.
+// Package generation runs the generations of one daemon and lets callers read
+// them from any entry VM, across the loss of engines and entry VMs.
 //
-// Invariant: the text a caller holds for a request is always a prefix of
-// exactly one generation. Three parts uphold it: one loop per generation admits
-// tokens of competing attempts (decision/resume), tokens are copied to another
-// entry VM before they are released (serve/journal), and every event id names
-// the epoch it came from, so that a caller who moves to another entry VM is
-// continued only on the same line (decision/epochs).
+// Invariant: the text that a caller holds for a request is always a prefix of
+// exactly one generation. Three mechanisms maintain it. One loop per generation
+// accepts the tokens of competing attempts (decision/resume). Tokens are copied
+// to another entry VM before they are released, as long as one can be reached
+// (serve/journal). Every event id contains the epoch of its token, so that a
+// caller that moves to another entry VM is continued only by an answer with the
+// same ownership history (decision/lineage).
 package generation
 
 import (
@@ -18,7 +20,7 @@
 	"mallowwind.dev/external/engine"
 )
 
-// Batch is a run of released tokens that follows a caller's position.
+// Batch is a sequence of released tokens that follows a caller's position.
 type Batch struct {
 	Tokens   []string
 	Position epochs.Position // after the last token
@@ -26,64 +28,66 @@
 }
 
 // Generation is one answer owned by this daemon. It is safe for concurrent use.
+// It holds the released tokens; the loop holds those that are not yet released.
 type Generation struct {
-	spec   *Spec
-	cancel context.CancelFunc // stops the loop
-	taken  chan struct{}      // signals the loop that furthest grew
-
-	mu       sync.Mutex
-	line     epochs.History
-	tokens   []string // released: callers may hold them
-	finish   engine.FinishReason
-	failure  *verdict.Error
-	fenced   bool          // a newer owner continues this answer
-	changed  chan struct{} // closed and replaced at every change
-	readers  int
-	idleFrom time.Time // when the last reader left
-	furthest int       // largest offset any reader has taken
-}
-
-func newGeneration(spec *Spec, line epochs.History, tokens []string, finish engine.FinishReason) *Generation {
+	spec         *Spec
+	cancel       context.CancelFunc // stops the loop
+	readProgress chan struct{}      // signals the loop that furthestRead grew
+
+	mu           sync.Mutex
+	history      epochs.History
+	tokens       []string // released: callers may hold them
+	finish       engine.FinishReason
+	failure      *verdict.Error
+	fenced       bool          // a newer owner continues the answer
+	changed      chan struct{} // closed and replaced on every change
+	readers      int
+	idleSince    time.Time // when the last reader left
+	furthestRead int       // largest offset that a reader has received
+}
+
+func newGeneration(spec *Spec, history epochs.History, tokens []string, finish engine.FinishReason) *Generation {
 	return &Generation{
-		spec:     spec,
-		line:     line,
-		tokens:   tokens,
-		finish:   finish,
-		furthest: len(tokens),
-		changed:  make(chan struct{}),
-		idleFrom: time.Now(),
-		taken:    make(chan struct{}, 1),
-		cancel:   func() {},
+		spec:         spec,
+		history:      history,
+		tokens:       tokens,
+		finish:       finish,
+		furthestRead: len(tokens),
+		changed:      make(chan struct{}),
+		idleSince:    time.Now(),
+		readProgress: make(chan struct{}, 1),
+		cancel:       func() {},
 	}
 }
 
 // ID returns the generation's id.
 func (g *Generation) ID() string { return g.spec.ID }
 
-// errFenced tells a reader to look for the newer owner.
+// errFenced tells a reader to locate the generation again, because a newer owner
+// continues it.
 type errFenced struct{}
 
 func (errFenced) Error() string { return "generation: a newer owner continues this answer" }
 
-// mismatch tells a reader that this copy of the answer does not continue what
-// it holds; another one may.
-type mismatch struct{ relation epochs.Relation }
+// mismatchError tells a reader that this copy of the answer does not continue
+// what its caller holds. Another copy may.
+type mismatchError struct{ relation epochs.Relation }
 
-func (e *mismatch) Error() string {
+func (e *mismatchError) Error() string {
 	return "generation: the caller's position is " + e.relation.String() + " here"
 }
 
-// final is the error for the caller when no other copy is left.
-func (e *mismatch) final() *verdict.Error {
+// verdictError returns the error for the caller when no other copy is left.
+func (e *mismatchError) verdictError() *verdict.Error {
 	if e.relation == epochs.Behind {
 		return errLost("every copy left of the answer is shorter than what the caller holds")
 	}
 	return errLost("the caller holds tokens that no copy left of the answer continues")
 }
 
-// read waits for tokens after pos. It returns errFenced when another entry VM
-// owns the answer now, *mismatch when pos is not on this answer's line, and a
-// *verdict.Error when the answer cannot continue.
+// read waits for tokens after pos. It returns errFenced if another entry VM owns
+// the answer now, *mismatchError if this answer does not continue pos, and a
+// *verdict.Error if the answer cannot continue.
 func (g *Generation) read(ctx context.Context, pos epochs.Position) (Batch, error) {
 	for {
 		b, changed, err := g.poll(pos)
@@ -98,20 +102,20 @@
 	}
 }
 
-// poll returns what is released after pos without waiting. While nothing is,
-// changed is closed at the next change.
+// poll returns the tokens released after pos without waiting. If there are none,
+// the returned channel is closed on the next change.
 func (g *Generation) poll(pos epochs.Position) (Batch, <-chan struct{}, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	switch rel := g.line.Compare(pos, len(g.tokens)); {
-	case rel == epochs.Prefix:
-	case rel == epochs.Superseded || g.fenced:
+	switch relation := g.history.Compare(pos, len(g.tokens)); {
+	case relation == epochs.Prefix:
+	case relation == epochs.Superseded || g.fenced:
 		return Batch{}, nil, errFenced{}
 	default:
-		return Batch{}, nil, &mismatch{rel}
+		return Batch{}, nil, &mismatchError{relation}
 	}
 	if pos.Offset < len(g.tokens) {
-		return g.take(pos.Offset), nil, nil
+		return g.batchFrom(pos.Offset), nil, nil
 	}
 	switch {
 	case g.fenced:
@@ -122,59 +126,59 @@
 	return Batch{Position: pos, Finish: g.finish}, g.changed, nil
 }
 
-// take returns the released tokens from an offset on; g.mu is held.
-func (g *Generation) take(from int) Batch {
+// batchFrom returns the released tokens from an offset on. g.mu must be held.
+func (g *Generation) batchFrom(from int) Batch {
 	n := len(g.tokens)
 	b := Batch{
 		Tokens:   g.tokens[from:n:n],
-		Position: epochs.Position{Epoch: g.line.EpochAt(n), Offset: n},
+		Position: epochs.Position{Epoch: g.history.EpochAt(n), Offset: n},
 	}
 	if g.failure == nil && !g.fenced {
 		b.Finish = g.finish
 	}
-	if n > g.furthest {
-		g.furthest = n
+	if n > g.furthestRead {
+		g.furthestRead = n
 		select {
-		case g.taken <- struct{}{}:
+		case g.readProgress <- struct{}{}:
 		default:
 		}
 	}
 	return b
 }
 
-// release makes tokens visible to callers; they are the last if finish is set.
-// It returns the length of what is released.
+// release makes tokens visible to callers. If finish is set, they are the last
+// ones. It returns the number of tokens released so far.
 func (g *Generation) release(tokens []string, finish engine.FinishReason) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.tokens = append(g.tokens, tokens...)
 	g.finish = finish
-	g.wake()
+	g.notifyReaders()
 	return len(g.tokens)
 }
 
-// fail ends the answer visibly incomplete.
+// fail ends the answer with an error for its readers.
 func (g *Generation) fail(err *verdict.Error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.failure = err
-	g.wake()
+	g.notifyReaders()
 }
 
-// fence marks that a newer owner continues the answer.
+// fence marks the answer as continued by a newer owner.
 func (g *Generation) fence() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.fenced = true
-	g.wake()
+	g.notifyReaders()
 }
 
-func (g *Generation) wake() {
+func (g *Generation) notifyReaders() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-// attach counts a reader; the returned function takes it off again.
+// attach registers a reader. The returned function unregisters it.
 func (g *Generation) attach() (detach func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -183,32 +187,33 @@
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.readers--
-		g.idleFrom = time.Now()
+		g.idleSince = time.Now()
 	})
 }
 
-// touch records that a reader on another entry VM asked.
-func (g *Generation) touch() {
+// recordRemoteRead records a read by another entry VM.
+func (g *Generation) recordRemoteRead() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.idleFrom = time.Now()
+	g.idleSince = time.Now()
 }
 
-// idle returns how long nobody has read, 0 while somebody does.
-func (g *Generation) idle(now time.Time) time.Duration {
+// idleTime returns the time since the last reader left, 0 while there is one.
+func (g *Generation) idleTime(now time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.readers > 0 {
 		return 0
 	}
-	return now.Sub(g.idleFrom)
+	return now.Sub(g.idleSince)
 }
 
-// backlog returns how many of length accepted tokens no reader has taken yet.
-func (g *Generation) backlog(length int) int {
+// unreadCount returns how many of length accepted tokens no reader has received
+// yet.
+func (g *Generation) unreadCount(length int) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return length - g.furthest
+	return length - g.furthestRead
 }
 
 // state is a consistent summary of a generation.
@@ -220,14 +225,14 @@
 	finish  engine.FinishReason
 }
 
-// ended reports whether the loop has nothing more to do.
-func (s state) ended() bool { return s.fenced || s.failure != nil || s.finish != "" }
+// hasEnded reports whether the loop has nothing left to do.
+func (s state) hasEnded() bool { return s.fenced || s.failure != nil || s.finish != "" }
 
 func (g *Generation) state() state {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return state{
-		epoch:   g.line.Epoch(),
+		epoch:   g.history.Epoch(),
 		length:  len(g.tokens),
 		fenced:  g.fenced,
 		failure: g.failure,
@@ -235,8 +240,8 @@
 	}
 }
 
-// serves reports whether callers can read the answer here.
-func (g *Generation) serves() bool {
+// isReadable reports whether callers can read the answer here.
+func (g *Generation) isReadable() bool {
 	s := g.state()
 	return !s.fenced && s.failure == nil
 }
--- a/serve/generation/handle.go
+++ b/serve/generation/handle.go
@@ -13,62 +13,64 @@
 )
 
 const (
-	// followWait is how long an owner on another entry VM holds a question for
-	// the next tokens.
+	// followWait is how long the owner on another entry VM waits for the next tokens
+	// before it replies to a Follow call without any.
 	followWait = time.Second
-	// followSlack is how much longer the answer may take before the owner is
-	// taken to be dead, paused or cut off.
-	followSlack = 700 * time.Millisecond
-	// relocateTries bounds the search for an owner that keeps moving.
-	relocateTries = 8
-	// relocatePause spaces these tries.
-	relocatePause = 100 * time.Millisecond
+	// followMargin is how much longer the reply may take before the owner is assumed
+	// to have crashed, to be paused or to be unreachable.
+	followMargin = 700 * time.Millisecond
+	// maxRelocations bounds the searches for an owner that changes repeatedly.
+	maxRelocations = 8
+	// relocationDelay is the delay between these searches.
+	relocationDelay = 100 * time.Millisecond
 )
 
-// Handle reads one generation for one caller, wherever it runs. It is not safe
-// for concurrent use.
+// Handle reads one generation for one caller, on whichever entry VM it runs. It is
+// not safe for concurrent use.
 type Handle struct {
 	m       *Manager
 	id      string
 	account string // other accounts do not learn that the generation exists
-	// spec is what was asked for, nil for a caller that names a generation only.
-	spec   *Spec
-	local  *Generation
-	detach func()
-	remote *place
-	at     source // where local or remote is
-	// rejected are places that do not continue what the caller holds, and
-	// differs says how the last of them failed to.
-	rejected []source
-	differs  *mismatch
-	// tries counts searches since the last batch. It lasts over calls of Read,
-	// which a stream makes anew for every keep-alive: counted within one call
-	// alone, a caller whose answer is nowhere would get keep-alives for ever.
-	tries int
+	// spec is the caller's request, nil if the caller named only a generation.
+	spec    *Spec
+	local   *Generation
+	detach  func()
+	remote  *location
+	current copyRef // the copy that local or remote refers to
+	// rejected lists copies that do not continue what the caller holds. lastMismatch
+	// is the error of the last one.
+	rejected     []copyRef
+	lastMismatch *mismatchError
+	// relocations counts searches since the last batch, across calls of Read. A
+	// stream calls Read again for every keep-alive. If the count started anew with
+	// each call, a caller whose answer is lost would get keep-alives forever.
+	relocations int
 }
 
-// source names one copy of an answer: where it is, and of which continuation.
-type source struct {
+// copyRef identifies one copy of an answer by the member that has it and its
+// epoch.
+type copyRef struct {
 	member string
 	epoch  epochs.Epoch
 }
 
-func (m *Manager) sourceOf(g *Generation) source {
-	return source{m.members.Current().Self.ID, g.state().epoch}
+func (m *Manager) copyRefOf(g *Generation) copyRef {
+	return copyRef{m.members.Current().Self.ID, g.state().epoch}
 }
 
-// handle returns a Handle on g, or on a generation elsewhere if g is nil.
-func (m *Manager) handle(spec *Spec, g *Generation) *Handle {
+// newHandle returns a Handle for g, or for a generation on another entry VM if g
+// is nil.
+func (m *Manager) newHandle(spec *Spec, g *Generation) *Handle {
 	h := &Handle{m: m, id: spec.ID, account: spec.Account.Name, spec: spec}
 	h.useLocal(g)
 	return h
 }
 
-// Find returns a Handle on a generation that a caller of an account names. It
-// does not look for it yet: Read does.
+// Find returns a Handle for the generation with this id, as a caller of this
+// account. It does not search the other entry VMs; Read does.
 func (m *Manager) Find(id, account string) *Handle {
 	h := &Handle{m: m, id: id, account: account}
-	if g := m.local(id); g != nil && g.spec.Account.Name == account {
+	if g := m.localGeneration(id); g != nil && g.spec.Account.Name == account {
 		h.useLocal(g)
 	}
 	return h
@@ -79,22 +81,24 @@
 		"no entry VM knows this generation; send the request again for a new answer")
 }
 
-// errUnreachable tells a caller to come back. It is for an answer whose entry
-// VMs are cut off or not yet known to be dead: told that nobody knows it, the
-// caller would throw away minutes of work that are there again in seconds.
+// errUnreachable tells a caller to retry. It applies if entry VMs that may know
+// the generation are unreachable or not yet known to have crashed. If the caller
+// were told that the generation is unknown, it would discard minutes of work that
+// may be reachable again within seconds.
 func errUnreachable() *verdict.Error {
 	return verdict.New(verdict.MayHaveRun, verdict.CodeGenerationUnreachable,
-		"the entry VMs that may know this generation do not answer now; ask again with Last-Event-ID").WithRetryAfter(retryReach)
+		"the entry VMs that may know this generation do not answer now; ask again with Last-Event-ID").WithRetryAfter(unreachableRetryAfter)
 }
 
-// retryReach is the wait told to such callers: about the time in which a VM
-// that is back is noticed.
-const retryReach = time.Second
+// unreachableRetryAfter is the Retry-After of errUnreachable, about the time in
+// which the return of a VM is noticed.
+const unreachableRetryAfter = time.Second
 
 // ID returns the generation's id.
 func (h *Handle) ID() string { return h.id }
 
-// Close takes the reader off the generation, which runs on for a while.
+// Close detaches the reader. Without readers the generation runs on for the linger
+// time.
 func (h *Handle) Close() {
 	if h.detach != nil {
 		h.detach()
@@ -105,35 +109,35 @@
 func (h *Handle) useLocal(g *Generation) {
 	h.Close()
 	if g != nil {
-		h.local, h.detach, h.at = g, g.attach(), h.m.sourceOf(g)
+		h.local, h.detach, h.current = g, g.attach(), h.m.copyRefOf(g)
 	}
 }
 
 // Read waits for tokens after pos. It follows the generation when its owner
-// changes, and takes it over when its owner is gone. Errors are *verdict.Error
-// or the context's.
+// changes, and takes it over when its owner is lost. Errors are *verdict.Error or
+// the error of ctx.
 func (h *Handle) Read(ctx context.Context, pos epochs.Position) (Batch, error) {
 	for {
 		b, err := h.readOnce(ctx, pos)
 		if err == nil {
-			h.tries = 0
-			return h.checked(pos, b)
+			h.relocations = 0
+			return h.checkBatch(pos, b)
 		}
 		if ctx.Err() != nil {
 			return b, err
 		}
 		var (
-			final   *verdict.Error
-			differs *mismatch
+			final    *verdict.Error
+			mismatch *mismatchError
 		)
 		switch {
 		case errors.As(err, &final):
 			return b, final
-		case errors.As(err, &differs):
-			h.reject(h.at, differs)
+		case errors.As(err, &mismatch):
+			h.reject(h.current, mismatch)
 		}
-		if h.tries >= relocateTries {
-			return b, h.lost().WithCause(err)
+		if h.relocations >= maxRelocations {
+			return b, h.lostError().WithCause(err)
 		}
 		if err := h.relocate(ctx, pos); err != nil {
 			return b, err
@@ -141,10 +145,10 @@
 	}
 }
 
-// checked asserts that b continues exactly what the caller holds.
-func (h *Handle) checked(pos epochs.Position, b Batch) (Batch, error) {
+// checkBatch asserts that b starts exactly where the caller's tokens end.
+func (h *Handle) checkBatch(pos epochs.Position, b Batch) (Batch, error) {
 	if b.Position.Offset != pos.Offset+len(b.Tokens) {
-		return Batch{Position: pos}, h.m.violated(h.id, invariantPosition,
+		return Batch{Position: pos}, h.m.recordViolation(h.id, invariantPosition,
 			"%d tokens from %d end at %d", len(b.Tokens), pos.Offset, b.Position.Offset)
 	}
 	return b, nil
@@ -160,73 +164,73 @@
 	return Batch{}, errFenced{}
 }
 
-// lost is the error for a caller whose answer is found nowhere any more.
-func (h *Handle) lost() *verdict.Error {
-	if h.differs != nil {
-		return h.differs.final()
+// lostError returns the error for a caller whose answer can no longer be found.
+func (h *Handle) lostError() *verdict.Error {
+	if h.lastMismatch != nil {
+		return h.lastMismatch.verdictError()
 	}
 	return errLost("the answer's owner could not be reached")
 }
 
-// reject remembers that what is kept at s does not continue what the caller holds.
-func (h *Handle) reject(s source, why *mismatch) {
-	h.differs = why
-	h.rejected = append(h.rejected, s)
+// reject records that the copy c does not continue what the caller holds.
+func (h *Handle) reject(c copyRef, mismatch *mismatchError) {
+	h.lastMismatch = mismatch
+	h.rejected = append(h.rejected, c)
 }
 
-// relocate finds out where the generation can be read now. Where nobody knows it any more
-// and the caller holds nothing, what it asked for begins anew.
+// relocate determines where the generation can be read now. If no entry VM knows it and the
+// caller holds nothing, the caller's request is started again.
 //
-// The failure this answers: the same key comes to three entry VMs in the same moment. Two
-// begin a generation each, hear of each other's and give up their own, and the callers that
-// were led there are told that nobody knows what they have just asked for.
+// This handles the same key arriving at three entry VMs at the same moment. Two of them start a
+// generation each, learn of each other's and give up their own. Without the restart, callers
+// that were directed to them would be told that their new request is unknown.
 func (h *Handle) relocate(ctx context.Context, pos epochs.Position) error {
-	h.tries++
-	if h.tries > 1 {
+	h.relocations++
+	if h.relocations > 1 {
 		select {
-		case <-time.After(relocatePause):
+		case <-time.After(relocationDelay):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 	h.Close()
-	if g := h.m.local(h.id); g != nil && g.spec.Account.Name == h.account && !h.isRejected(h.m.sourceOf(g)) {
+	if g := h.m.localGeneration(h.id); g != nil && g.spec.Account.Name == h.account && !h.isRejected(h.m.copyRefOf(g)) {
 		h.useLocal(g)
 		return nil
 	}
-	f, err := h.m.locate(ctx, h.id, h.rejected)
+	result, err := h.m.locate(ctx, h.id, h.rejected)
 	if err != nil {
 		return err
 	}
-	if len(f.places) > 0 && f.places[0].account != h.account {
+	if len(result.locations) > 0 && result.locations[0].account != h.account {
 		return h.errUnknown()
 	}
-	f.places = slices.DeleteFunc(f.places, func(p place) bool { return h.isRejected(p.source()) })
+	result.locations = slices.DeleteFunc(result.locations, func(p location) bool { return h.isRejected(p.copyRef()) })
 	switch {
-	case f.known():
-		return h.settle(ctx, f, pos)
-	case f.unsure && h.tries < relocateTries:
-		return nil // somebody who may know did not answer: ask again
-	case f.unsure:
+	case result.isKnown():
+		return h.readFrom(ctx, result, pos)
+	case result.incomplete && h.relocations < maxRelocations:
+		return nil // a member that may know the generation did not reply: search again
+	case result.incomplete:
 		return errUnreachable()
-	case h.differs != nil:
-		return h.differs.final()
+	case h.lastMismatch != nil:
+		return h.lastMismatch.verdictError()
 	case h.spec != nil && pos.Offset == 0:
-		h.useLocal(h.m.start(h.spec, h.m.firstLine(f.epoch)))
+		h.useLocal(h.m.startGeneration(h.spec, h.m.newHistory(result.epoch)))
 		return nil
 	}
 	return h.errUnknown()
 }
 
-func (h *Handle) isRejected(s source) bool { return slices.Contains(h.rejected, s) }
+func (h *Handle) isRejected(c copyRef) bool { return slices.Contains(h.rejected, c) }
 
-// settle reads on at the owner, or takes over from the best copy that continues
-// what the caller holds. After an entry VM was cut off there may be two
-// continuations; a caller of the older one is served from a copy of that.
-func (h *Handle) settle(ctx context.Context, f found, pos epochs.Position) error {
-	for _, p := range f.places {
+// readFrom continues reading at the owner, or takes over from the best copy that
+// continues what the caller holds. After a network partition there may be two
+// continuations. A caller of the older one is served from a copy of that one.
+func (h *Handle) readFrom(ctx context.Context, result searchResult, pos epochs.Position) error {
+	for _, p := range result.locations {
 		if p.running {
-			h.remote, h.at = &p, p.source()
+			h.remote, h.current = &p, p.copyRef()
 			return nil
 		}
 		g, err := h.m.adoptFrom(ctx, h.id, p, pos)
@@ -234,21 +238,21 @@
 			h.useLocal(g)
 			return nil
 		}
-		var differs *mismatch
-		if !errors.As(err, &differs) {
-			return nil // the copy's holder did not answer: look again
+		var mismatch *mismatchError
+		if !errors.As(err, &mismatch) {
+			return nil // the holder did not reply or lost the copy: search again
 		}
-		h.reject(p.source(), differs)
+		h.reject(p.copyRef(), mismatch)
 	}
-	return nil // all rejected: look again, at those who did not answer too
+	return nil // all rejected: search again, including members that did not reply
 }
 
-// follow asks the owner for the next tokens. The deadline is the guard against
-// an owner that is paused or silent: the question comes back empty after
-// followWait when all is well, so a missing answer means a lost owner.
+// follow requests the next tokens from the owner. The timeout guards against an
+// owner that is paused or silent: a healthy owner replies after followWait even
+// without tokens, so a missing reply means that the owner is lost.
 func (h *Handle) follow(ctx context.Context, pos epochs.Position) (Batch, error) {
 	for {
-		c, cancel := context.WithTimeout(ctx, followWait+followSlack)
+		c, cancel := context.WithTimeout(ctx, followWait+followMargin)
 		r, err := h.m.client(h.remote.member).Follow(c, &peerpb.FollowRequest{
 			Id: h.id, SeenEpoch: uint64(pos.Epoch), From: uint32(pos.Offset), WaitMs: uint32(followWait / time.Millisecond),
 		})
@@ -257,20 +261,20 @@
 			h.m.dialer.DropIdle()
 			return Batch{}, errors.Join(errFenced{}, err)
 		}
-		b, err := followed(r, pos)
+		b, err := parseFollowReply(r, pos)
 		if err != nil || len(b.Tokens) > 0 || b.Finish != "" {
 			return b, err
 		}
 	}
 }
 
-// followed turns an owner's answer into a batch.
-func followed(r *peerpb.FollowReply, pos epochs.Position) (Batch, error) {
+// parseFollowReply converts an owner's reply into a batch.
+func parseFollowReply(r *peerpb.FollowReply, pos epochs.Position) (Batch, error) {
 	switch {
 	case r.GetUnknown():
 		return Batch{}, errFenced{}
 	case r.GetDiverged():
-		return Batch{}, &mismatch{epochs.Diverged}
+		return Batch{}, &mismatchError{epochs.Diverged}
 	case r.GetErrorCode() != "":
 		v, _ := verdict.Parse(r.GetErrorVerdict())
 		return Batch{}, verdict.New(v, verdict.Code(r.GetErrorCode()), "%s", r.GetErrorMessage())
--- a/serve/generation/handover.go
+++ b/serve/generation/handover.go
@@ -10,60 +10,62 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// handoverParallel bounds how many copies are handed over at once, so that a
-// stop does not take the network from answers that still run.
-const handoverParallel = 8
+// maxParallelHandovers bounds the number of copies that are handed over at once,
+// so that a stopping daemon does not take the bandwidth of running answers.
+const maxParallelHandovers = 8
 
-// HandOver gives the copies held here to the next entry VM that may hold them.
-// Call it when this daemon has left the members and its own answers have ended.
+// HandOver sends the copies held here to the next entry VMs that may hold them. It
+// must be called after this daemon has left the membership and its own answers
+// have ended. It returns the number of copies sent and of those that no member
+// took.
 //
-// The failure it guards against is a rolling replacement: a finished answer is
-// still owed to a caller whose connection broke, its owner was replaced first,
-// and this daemon has the only copy left. Running answers need no help: their
-// owners see that this VM leaves and move the copy with the next token.
-func (m *Manager) HandOver(ctx context.Context) (moved, left int) {
+// It guards against a loss during a rolling replacement: a caller whose connection
+// broke may still fetch a finished answer whose owner was replaced before, so that
+// this daemon has the only copy. The copies of running answers are moved by their
+// owners, which see that this VM leaves and write the next token to another holder.
+func (m *Manager) HandOver(ctx context.Context) (moved, failed int) {
 	var (
 		mu    sync.Mutex
 		wg    sync.WaitGroup
-		slots = make(chan struct{}, handoverParallel)
+		slots = make(chan struct{}, maxParallelHandovers)
 	)
 	for _, c := range m.holder.All() {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			ok := m.giveCopy(ctx, c)
+			ok := m.handOverCopy(ctx, c)
 			mu.Lock()
 			defer mu.Unlock()
 			if ok {
 				moved++
 			} else {
-				left++
+				failed++
 			}
 		})
 	}
 	wg.Wait()
-	m.log.Emit(event.CopiesHandedOver, moved, left)
-	return moved, left
+	m.log.Emit(event.CopiesHandedOver, moved, failed)
+	return moved, failed
 }
 
-// giveCopy sends one copy to the first member that takes it.
-func (m *Manager) giveCopy(ctx context.Context, c journal.Copy) bool {
-	v := m.members.Current()
-	var tried []string
+// handOverCopy sends one copy to the first member that accepts it.
+func (m *Manager) handOverCopy(ctx context.Context, c journal.Copy) bool {
+	view := m.members.Current()
+	var triedIDs []string
 	for ctx.Err() == nil {
-		to, ok := journal.PickHolder(c.Spec.GetId(), v, func(m membership.Member) bool {
-			return slices.Contains(tried, m.ID)
+		target, ok := journal.PickHolder(c.Spec.GetId(), view, func(m membership.Member) bool {
+			return slices.Contains(triedIDs, m.ID)
 		})
 		if !ok {
 			return false
 		}
 		call, cancel := context.WithTimeout(ctx, appendTimeout)
-		r, err := m.client(to).Open(call, journal.ToWire(c))
+		r, err := m.client(target).Open(call, journal.ToWire(c))
 		cancel()
 		if err == nil && r.GetAccepted() {
 			return true
 		}
-		tried = append(tried, to.ID)
+		triedIDs = append(triedIDs, target.ID)
 	}
 	return false
 }
--- a/serve/generation/locate.go
+++ b/serve/generation/locate.go
@@ -14,61 +14,63 @@
 	"mallowwind.dev/serve/journal"
 )
 
-// peekTimeout bounds the question to another entry VM what it knows of a
-// generation. One that is paused or cut off must not hold a caller up: its
-// answer is not needed where a copy is found.
+// peekTimeout bounds a query to another entry VM for a generation. A member that
+// is paused or unreachable must not delay a caller, because its reply is not
+// needed if a copy is found elsewhere.
 const peekTimeout = 500 * time.Millisecond
 
-// place is where a generation was found.
-type place struct {
-	member  membership.Member
-	running bool // it is the owner
-	epoch   epochs.Epoch
-	length  int
-	owner   string
-	digest  []byte
-	failed  bool
-	account string
+// location is a member that has a generation, with the state of the generation
+// there.
+type location struct {
+	member     membership.Member
+	running    bool // the member is the owner
+	epoch      epochs.Epoch
+	length     int
+	owner      string
+	bodyDigest []byte
+	failed     bool
+	account    string
 }
 
-func (p place) source() source { return source{p.member.ID, p.epoch} }
+func (p location) copyRef() copyRef { return copyRef{p.member.ID, p.epoch} }
 
-// found is what is known of a generation on all members asked.
-type found struct {
-	places []place // best first
-	epoch  epochs.Epoch
-	digest []byte
-	unsure bool // a member that might know did not answer
+// searchResult is what the queried members know of a generation.
+type searchResult struct {
+	locations  []location // best first
+	epoch      epochs.Epoch
+	bodyDigest []byte
+	incomplete bool // a member that may know the generation did not reply
 }
 
-// known reports whether the generation can be read from somewhere.
-func (f found) known() bool { return len(f.places) > 0 }
+// isKnown reports whether the generation can be read from some member.
+func (r searchResult) isKnown() bool { return len(r.locations) > 0 }
 
-// locate asks the members that may hold a copy, and the owners these name. It
-// does not wait for all of them once it found the owner, unless what that one
-// has is among rejected.
-func (m *Manager) locate(ctx context.Context, id string, rejected []source) (found, error) {
-	v := m.members.Current()
+// locate queries the members that may hold a copy, and the owners that they name.
+// It does not wait for all replies once it has found the owner, unless the owner's
+// copy is among rejected.
+func (m *Manager) locate(ctx context.Context, id string, rejected []copyRef) (searchResult, error) {
+	view := m.members.Current()
 	asked := map[string]bool{}
-	var f found
-	members := journal.Candidates(id, v)
+	var r searchResult
+	members := journal.Candidates(id, view)
 	for len(members) > 0 {
-		places, unsure := m.peekAll(ctx, id, members, asked, rejected)
-		f.unsure = f.unsure || unsure
-		f.places = append(f.places, places...)
-		members = owners(v, places, asked)
+		locations, incomplete := m.peekAll(ctx, id, members, asked, rejected)
+		r.incomplete = r.incomplete || incomplete
+		r.locations = append(r.locations, locations...)
+		members = unaskedOwners(view, locations, asked)
 	}
 	if err := ctx.Err(); err != nil {
-		return f, verdict.New(verdict.NotRun, verdict.CodeDeadlineExceeded, "the caller went away").WithCause(err)
+		return r, verdict.New(verdict.NotRun, verdict.CodeDeadlineExceeded, "the caller went away").WithCause(err)
 	}
-	f.settle()
-	return f, nil
+	r.sortLocations()
+	return r, nil
 }
 
-// settle orders the places: the newest epoch first, in it the owner, then the
-// longest copy.
-func (f *found) settle() {
-	slices.SortStableFunc(f.places, func(a, b place) int {
+// sortLocations sorts the locations by epoch, newest first, then the owner before
+// copies, then by length, longest first. The epoch and digest of the first one are
+// kept, and failed generations are then removed.
+func (r *searchResult) sortLocations() {
+	slices.SortStableFunc(r.locations, func(a, b location) int {
 		switch {
 		case a.epoch.OwnerCount() != b.epoch.OwnerCount():
 			return b.epoch.OwnerCount() - a.epoch.OwnerCount()
@@ -80,30 +82,34 @@
 		}
 		return b.length - a.length
 	})
-	if len(f.places) == 0 {
+	if len(r.locations) == 0 {
 		return
 	}
-	f.epoch, f.digest = f.places[0].epoch, f.places[0].digest
-	f.places = slices.DeleteFunc(f.places, func(p place) bool { return p.failed })
+	r.epoch, r.bodyDigest = r.locations[0].epoch, r.locations[0].bodyDigest
+	r.locations = slices.DeleteFunc(r.locations, func(p location) bool { return p.failed })
 }
 
-// owners returns the members named as owners that have not been asked yet.
-func owners(v *membership.View, places []place, asked map[string]bool) []membership.Member {
+// unaskedOwners returns the members named as owners that have not been queried
+// yet.
+func unaskedOwners(view *membership.View, locations []location, asked map[string]bool) []membership.Member {
 	var out []membership.Member
-	for _, p := range places {
+	for _, p := range locations {
 		if p.owner == "" || asked[p.owner] {
 			continue
 		}
-		if o, ok := v.Find(p.owner); ok {
+		if o, ok := view.Find(p.owner); ok {
 			out = append(out, o)
 		}
 	}
 	return out
 }
 
-func (m *Manager) peekAll(ctx context.Context, id string, members []membership.Member, asked map[string]bool, rejected []source) (out []place, unsure bool) {
+// peekAll queries, in parallel, the members that have not been queried yet. It
+// returns as soon as an owner has replied whose generation has not failed and is
+// not among rejected.
+func (m *Manager) peekAll(ctx context.Context, id string, members []membership.Member, asked map[string]bool, rejected []copyRef) (out []location, incomplete bool) {
 	type answer struct {
-		p   place
+		p   location
 		ok  bool
 		err error
 	}
@@ -122,42 +128,44 @@
 	}
 	for range n {
 		a := <-answers
-		unsure = unsure || a.err != nil
+		incomplete = incomplete || a.err != nil
 		if a.ok {
 			out = append(out, a.p)
 		}
-		if a.ok && a.p.running && !a.p.failed && !slices.Contains(rejected, a.p.source()) {
-			return out, unsure
+		if a.ok && a.p.running && !a.p.failed && !slices.Contains(rejected, a.p.copyRef()) {
+			return out, incomplete
 		}
 	}
-	return out, unsure
+	return out, incomplete
 }
 
-func (m *Manager) peek(ctx context.Context, id string, member membership.Member) (place, bool, error) {
+// peek queries one member for a generation. The bool is false if the member does
+// not know it.
+func (m *Manager) peek(ctx context.Context, id string, member membership.Member) (location, bool, error) {
 	req := &peerpb.AdoptRequest{Id: id, Peek: true}
 	var (
 		r   *peerpb.AdoptReply
 		err error
 	)
 	if member.ID == m.members.Current().Self.ID {
-		r = m.peekHere(id)
+		r = m.peekLocal(id)
 	} else {
 		ctx, cancel := context.WithTimeout(ctx, peekTimeout)
 		defer cancel()
 		r, err = m.client(member).Adopt(ctx, req)
 	}
 	if err != nil || r.GetUnknown() {
-		return place{}, false, err
+		return location{}, false, err
 	}
-	return place{
-		member:  member,
-		running: r.GetRunning(),
-		epoch:   epochs.Epoch(r.GetEpoch()),
-		length:  int(r.GetLength()),
-		owner:   r.GetOwner(),
-		digest:  r.GetBodyDigest(),
-		failed:  r.GetFailed(),
-		account: r.GetAccount(),
+	return location{
+		member:     member,
+		running:    r.GetRunning(),
+		epoch:      epochs.Epoch(r.GetEpoch()),
+		length:     int(r.GetLength()),
+		owner:      r.GetOwner(),
+		bodyDigest: r.GetBodyDigest(),
+		failed:     r.GetFailed(),
+		account:    r.GetAccount(),
 	}, true, nil
 }
 
@@ -166,7 +174,7 @@
 	return peerpb.NewJournalProtobufClient(m.dialer.URL(to.Peer), m.dialer.Client)
 }
 
-// sendAppends carries a batch of appends to a holder.
+// sendAppends sends a batch of appends to a holder.
 func (m *Manager) sendAppends(ctx context.Context, to membership.Member, batch *peerpb.AppendBatch) (*peerpb.AppendBatchReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
@@ -174,25 +182,25 @@
 	return m.client(to).Append(ctx, batch)
 }
 
-// dropCopy asks a former holder to forget a copy.
+// dropCopy tells a former holder to drop a copy.
 func (m *Manager) dropCopy(holder membership.Member, id string, epoch epochs.Epoch) {
 	ctx, cancel := context.WithTimeout(m.base, appendTimeout)
 	defer cancel()
-	// Best effort: a copy that stays behind is shorter than the new one, and
-	// adopters take the longest.
+	// Best effort: a copy that is not dropped stays shorter than the new one, and
+	// adopters choose the longest.
 	_, _ = m.client(holder).Drop(ctx, &peerpb.DropRequest{Id: id, Epoch: uint64(epoch)})
 }
 
-// adoptFrom makes this daemon the owner, from the copy at p.
-func (m *Manager) adoptFrom(ctx context.Context, id string, p place, seen epochs.Position) (*Generation, error) {
+// adoptFrom makes this daemon the owner of a generation, from the copy at p.
+func (m *Manager) adoptFrom(ctx context.Context, id string, p location, seen epochs.Position) (*Generation, error) {
 	self := m.members.Current().Self.ID
 	if p.member.ID == self {
-		c, rel, ok := m.holder.Adopt(id, self, seen)
+		c, relation, ok := m.holder.Adopt(id, self, seen)
 		if !ok {
 			return nil, errFenced{}
 		}
-		if rel != epochs.Prefix {
-			return nil, &mismatch{rel}
+		if relation != epochs.Prefix {
+			return nil, &mismatchError{relation}
 		}
 		return m.adopt(c), nil
 	}
@@ -209,20 +217,21 @@
 	case r.GetAccepted() && ok:
 		return m.adopt(c), nil
 	case r.GetBehind():
-		return nil, &mismatch{epochs.Behind}
+		return nil, &mismatchError{epochs.Behind}
 	case r.GetUnknown():
 		return nil, errFenced{}
 	}
-	return nil, &mismatch{epochs.Diverged}
+	return nil, &mismatchError{epochs.Diverged}
 }
 
-func finishOf(s string) engine.FinishReason { return engine.FinishReason(s) }
+func finishReason(s string) engine.FinishReason { return engine.FinishReason(s) }
 
-// prefixHash identifies the head of a prompt for routing as the engines' cache
-// events name it; 0 where the prompt fills no block, which no engine caches.
+// prefixHash returns the hash of the start of a prompt for routing, in the form
+// used by the engines' cache events. It is 0 if the prompt does not fill a block,
+// since engines cache whole blocks only.
 func prefixHash(s *site.Service, prompt string) uint64 {
 	ref := engine.ModelRef{Model: s.Model, Adapter: s.Adapter, Version: s.Version}
-	hashes := engine.BlockHashes(ref, prompt[:min(len(prompt), prefixBlock)])
+	hashes := engine.BlockHashes(ref, prompt[:min(len(prompt), maxPrefixBytes)])
 	if len(hashes) == 0 {
 		return 0
 	}
--- a/serve/generation/loop.go
+++ b/serve/generation/loop.go
@@ -13,157 +13,163 @@
 )
 
 const (
-	// window is how many accepted tokens may wait for the slowest reader before
-	// the loop stops reading from the engine, whose own buffers then fill. It
-	// bounds memory per stream; a reader this far behind gains nothing from more.
-	window = 4096
-	// attemptShift separates the attempts of one owner from those of the next,
-	// so that a newer owner's attempts always carry larger numbers.
-	attemptShift = 16
+	// maxUnreadTokens is the number of accepted tokens that no reader has received
+	// yet at which the loop stops reading from the engine, whose own buffers then
+	// fill. It bounds the memory per stream; readers this far behind gain nothing from
+	// a longer buffer.
+	maxUnreadTokens = 4096
+	// attemptNumberBits is the number of low bits of an attempt number that count the
+	// attempts of one owner. The bits above hold the owner count, so that a newer
+	// owner's attempts always have larger numbers.
+	attemptNumberBits = 16
 )
 
-// loop runs one generation: it alone admits tokens, decides about attempts and
-// releases what has been copied. All its fields belong to its goroutine.
+// loop runs one generation. It alone accepts tokens, decides about attempts and
+// releases tokens that have been copied. Its fields are used by its goroutine only.
 type loop struct {
-	m       *Manager
-	g       *Generation
-	spec    *Spec
-	policy  resume.Policy
-	copier  *copier
-	reports chan report
-	written chan written
+	m            *Manager
+	g            *Generation
+	spec         *Spec
+	policy       resume.Policy
+	copier       *copier
+	reports      chan report
+	writeResults chan writeResult
 
-	race     resume.Race
-	accepted []string
-	finish   engine.FinishReason
-	attempts map[uint64]*attempt
-	number   uint64 // of the newest attempt
-	total    int    // attempts started here
-	excluded []string
-	// desperate says that no engine was left after all exclusions.
-	desperate bool
-	// leaderAt is the attempt that delivered last, as its engine knows it.
-	leaderAt *peerpb.Attempt
-	reread   bool // leaderAt was read again since it last delivered, or is gone
-	standby  standby
+	race         resume.Race
+	accepted     []string
+	finish       engine.FinishReason
+	attempts     map[uint64]*attempt
+	lastNumber   uint64 // of the newest attempt
+	startedCount int    // attempts started here
+	excluded     []string
+	// exclusionsLifted is set when flow refused an attempt although none was running.
+	// Until the next accepted token, suspected engines are no longer excluded.
+	exclusionsLifted bool
+	// leaderAttempt is the attempt that delivered last, with the number that its
+	// engine knows.
+	leaderAttempt *peerpb.Attempt
+	reattachTried bool // leaderAttempt was read again since it last delivered, or its engine no longer knows it
+	standby       standby
 
-	lastToken time.Time // the last accepted token, before it the start
-	lostAt    time.Time // when the leader was suspected or failed, zero while all is well
-	fruitless int
-	adopted   bool // an earlier owner began the answer
-	// mayHaveRun says that an engine may have taken an attempt.
+	lastTokenAt time.Time // of the last accepted token, before that of the first attempt's grant or the start
+	lostAt      time.Time // when the leader was suspected or failed, zero without a loss
+	failedCount int       // attempts that broke without output since the last accepted token
+	adopted     bool      // an earlier owner started the answer
+	// mayHaveRun reports that an engine may have executed an attempt.
 	mayHaveRun bool
 	notBefore  time.Time // no new attempt before this
-	// tried are the versions whose backend servers all turned the request away.
-	tried []string
-	due   time.Time // when the next decision is due
-	gaps  silence.GapEstimator
-	held  bool // readers were too far behind
+	// refusedVersions lists the versions for which flow refused the request because
+	// no backend server was left.
+	refusedVersions []string
+	nextDecisionAt  time.Time // when the next decision is due
+	gaps            silence.GapEstimator
+	readingPaused   bool // because no reader has received the last maxUnreadTokens tokens
 
-	// unwanted are losers to be cancelled at their engines once a write shows
-	// that this daemon still owns the generation. Cancelled earlier, an owner
-	// that was paused would kill the attempt that its successor attached to.
-	unwanted []*attempt
+	// losers are dropped attempts to be cancelled at their engines once a write
+	// confirms that this daemon still owns the generation. Without that confirmation,
+	// an owner that was paused could cancel the attempt that its successor reads.
+	losers []*attempt
 
-	writing  bool
-	copied   int // accepted tokens that were released
-	copiedAt engine.FinishReason
+	writing        bool
+	releasedCount  int // number of accepted tokens that were released
+	releasedFinish engine.FinishReason
 }
 
-func newLoop(m *Manager, g *Generation, line epochs.History, tokens []string, finish engine.FinishReason) *loop {
+func newLoop(m *Manager, g *Generation, history epochs.History, tokens []string, finish engine.FinishReason) *loop {
 	l := &loop{
-		m:         m,
-		g:         g,
-		spec:      g.spec,
-		policy:    m.policy(g.spec.Service),
-		copier:    &copier{m: m, spec: g.spec, line: line},
-		reports:   make(chan report),
-		written:   make(chan written, 1),
-		accepted:  slices.Clone(tokens),
-		finish:    finish,
-		attempts:  make(map[uint64]*attempt),
-		number:    uint64(line.Epoch().OwnerCount()) << attemptShift,
-		lastToken: time.Now(),
-		copied:    len(tokens),
-		copiedAt:  finish,
+		m:              m,
+		g:              g,
+		spec:           g.spec,
+		policy:         m.policy(g.spec.Service),
+		copier:         &copier{m: m, spec: g.spec, history: history},
+		reports:        make(chan report),
+		writeResults:   make(chan writeResult, 1),
+		accepted:       slices.Clone(tokens),
+		finish:         finish,
+		attempts:       make(map[uint64]*attempt),
+		lastNumber:     uint64(history.Epoch().OwnerCount()) << attemptNumberBits,
+		lastTokenAt:    time.Now(),
+		releasedCount:  len(tokens),
+		releasedFinish: finish,
 	}
 	l.race.Restore(len(tokens), finish != "")
-	l.adopted = len(line) > 1
+	l.adopted = len(history) > 1
 	l.mayHaveRun = l.adopted
 	return l
 }
 
-// run drives the generation to its end. reattach names the attempt that an
-// earlier owner left running, nil if there is none.
+// run runs the generation to its end. reattach is the attempt that an earlier owner
+// left running, nil if there is none.
 func (l *loop) run(ctx context.Context, reattach *peerpb.Attempt) {
-	defer l.stopAll()
+	defer l.stopAttempts()
 	if l.finish == "" {
-		l.leaderAt, l.reread = reattach, true
-		l.startAttempt(ctx, start{reattach: reattach})
+		l.leaderAttempt, l.reattachTried = reattach, true
+		l.startAttempt(ctx, attemptOptions{reattach: reattach})
 	}
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	for !l.ended() {
+	for !l.hasEnded() {
 		if err := l.decide(ctx); err != nil {
-			l.giveUp(err)
+			l.fail(err)
 			return
 		}
-		l.copy(ctx)
+		l.startWrite(ctx)
 		l.prime(ctx)
-		timer.Reset(l.nextDecision())
+		timer.Reset(l.timeToNextDecision())
 		select {
-		case r := <-l.readable():
-			l.handle(r)
-		case w := <-l.written:
-			l.handleWritten(w)
-		case <-l.g.taken:
-			l.unstall()
+		case r := <-l.readableReports():
+			l.handleReport(r)
+		case w := <-l.writeResults:
+			l.handleWriteResult(w)
+		case <-l.g.readProgress:
+			l.resumeReading()
 		case <-timer.C:
 		case <-ctx.Done():
-			l.giveUp(nil)
+			l.fail(nil)
 			return
 		}
 	}
 }
 
-func (l *loop) ended() bool {
+func (l *loop) hasEnded() bool {
 	s := l.g.state()
-	return s.ended()
+	return s.hasEnded()
 }
 
-// readable is the channel of reports, or nil while readers are too far behind.
-func (l *loop) readable() chan report {
-	if !l.stalled() {
+// readableReports returns the channel of reports, or nil while all readers are too
+// far behind.
+func (l *loop) readableReports() chan report {
+	if !l.isStalled() {
 		return l.reports
 	}
-	if !l.held {
-		l.held = true
+	if !l.readingPaused {
+		l.readingPaused = true
 		for _, a := range l.attempts {
-			l.m.watch.stop(l.spec.ID, a) // the reader's silence, not the engine's
+			l.m.monitor.stop(l.spec.ID, a) // this silence is not the engine's
 		}
 	}
 	return nil
 }
 
-func (l *loop) stalled() bool { return l.g.backlog(len(l.accepted)) >= window }
+func (l *loop) isStalled() bool { return l.g.unreadCount(len(l.accepted)) >= maxUnreadTokens }
 
-// unstall starts the silence of each attempt anew after a reader caught up: the
-// wait was the reader's and says nothing about the engine.
-func (l *loop) unstall() {
-	if !l.held || l.stalled() {
+// resumeReading resets the silence of every attempt after a reader caught up. The
+// pause was caused by the reader and must not count against the engine.
+func (l *loop) resumeReading() {
+	if !l.readingPaused || l.isStalled() {
 		return
 	}
-	l.held = false
-	l.restartSilence(time.Now())
+	l.readingPaused = false
+	l.resetSilence(time.Now())
 	for _, a := range l.attempts {
 		if a.granted {
-			l.m.watch.start(l.spec.ID, a)
+			l.m.monitor.start(l.spec.ID, a)
 		}
 	}
 }
 
-func (l *loop) restartSilence(now time.Time) {
+func (l *loop) resetSilence(now time.Time) {
 	for _, a := range l.attempts {
-		a.last = now
+		a.lastActivity = now
 	}
 }
--- a/serve/generation/server.go
+++ b/serve/generation/server.go
@@ -12,10 +12,10 @@
 	"mallowwind.dev/serve/journal"
 )
 
-// maxFollowWait bounds how long a question of another entry VM is held.
+// maxFollowWait bounds how long a Follow call of another entry VM waits for tokens.
 const maxFollowWait = 5 * time.Second
 
-// Handler returns the twirp service that other entry VMs call, and its path prefix.
+// Handler returns the twirp service that other entry VMs call and its path prefix.
 func (m *Manager) Handler() (prefix string, h http.Handler) {
 	s := peerpb.NewJournalServer(server{m})
 	return s.PathPrefix(), s
@@ -30,18 +30,18 @@
 	if !ok {
 		return &peerpb.JournalReply{Unknown: true}, nil
 	}
-	if rival, ok := s.m.rival(c); ok {
+	if rival, ok := s.m.winningRival(c); ok {
 		return &peerpb.JournalReply{Epoch: uint64(rival)}, nil
 	}
 	return reply(s.m.holder.Open(c)), nil
 }
 
-// rival returns the epoch of a generation begun here with the same key at the
-// same time as c, if that one is to go on. Two entry VMs that each asked before
-// the other had begun would otherwise both generate the answer. The smaller
-// epoch wins, on both sides alike.
-func (m *Manager) rival(c journal.Copy) (epochs.Epoch, bool) {
-	g := m.local(c.Spec.GetId())
+// winningRival returns the epoch of a generation that was started here concurrently
+// with c for the same key, if the one here is the one to continue. Two entry VMs that
+// each searched before the other had started would otherwise both generate the answer.
+// The smaller epoch wins on both entry VMs.
+func (m *Manager) winningRival(c journal.Copy) (epochs.Epoch, bool) {
+	g := m.localGeneration(c.Spec.GetId())
 	if g == nil {
 		return 0, false
 	}
@@ -80,22 +80,23 @@
 // Adopt implements peerpb.Journal.
 func (s server) Adopt(_ context.Context, r *peerpb.AdoptRequest) (*peerpb.AdoptReply, error) {
 	if r.GetPeek() {
-		return s.m.peekHere(r.GetId()), nil
+		return s.m.peekLocal(r.GetId()), nil
 	}
 	seen := epochs.Position{Epoch: epochs.Epoch(r.GetSeenEpoch()), Offset: int(r.GetSeenOffset())}
-	c, rel, ok := s.m.holder.Adopt(r.GetId(), r.GetNewOwner(), seen)
+	c, relation, ok := s.m.holder.Adopt(r.GetId(), r.GetNewOwner(), seen)
 	if !ok {
 		return &peerpb.AdoptReply{Unknown: true}, nil
 	}
-	if rel != epochs.Prefix {
-		return &peerpb.AdoptReply{Behind: rel == epochs.Behind}, nil
+	if relation != epochs.Prefix {
+		return &peerpb.AdoptReply{Behind: relation == epochs.Behind}, nil
 	}
 	return &peerpb.AdoptReply{Accepted: true, Copy: journal.ToWire(c)}, nil
 }
 
-// peekHere reports what this daemon knows of a generation, as owner or holder.
-func (m *Manager) peekHere(id string) *peerpb.AdoptReply {
-	if g := m.local(id); g != nil {
+// peekLocal returns what this daemon knows of a generation, as its owner or as the
+// holder of a copy.
+func (m *Manager) peekLocal(id string) *peerpb.AdoptReply {
+	if g := m.localGeneration(id); g != nil {
 		s := g.state()
 		return &peerpb.AdoptReply{
 			Running:    true,
@@ -122,11 +123,11 @@
 
 // Follow implements peerpb.Journal.
 func (s server) Follow(ctx context.Context, r *peerpb.FollowRequest) (*peerpb.FollowReply, error) {
-	g := s.m.local(r.GetId())
+	g := s.m.localGeneration(r.GetId())
 	if g == nil {
 		return &peerpb.FollowReply{Unknown: true}, nil
 	}
-	g.touch()
+	g.recordRemoteRead()
 	wait := min(time.Duration(r.GetWaitMs())*time.Millisecond, maxFollowWait)
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -137,11 +138,11 @@
 
 func followReply(pos epochs.Position, b Batch, err error) *peerpb.FollowReply {
 	var (
-		final   *verdict.Error
-		differs *mismatch
+		final    *verdict.Error
+		mismatch *mismatchError
 	)
 	switch {
-	case errors.As(err, &differs):
+	case errors.As(err, &mismatch):
 		return &peerpb.FollowReply{Diverged: true}
 	case errors.As(err, &final):
 		return &peerpb.FollowReply{
