--- a/serve/once/bench_test.go
+++ b/serve/once/bench_test.go
@@ -24,8 +24,8 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// storeWrites is the rate that the benchmark's store takes: "several hundred".
-const storeWrites = 800
+// storeWritesPerSecond is the rate that the benchmark's store takes: "several hundred".
+const storeWritesPerSecond = 800
 
 // benchStore returns a client of a stand-in store over loopback HTTP.
 func benchStore(b *testing.B) (*store.EtcdClient, *store.Faulty) {
@@ -40,10 +40,10 @@
 	return client, faulty
 }
 
-// instant is a backend server that answers at once.
-type instant struct{}
+// instantCaller is a backend server that answers at once.
+type instantCaller struct{}
 
-func (instant) Do(context.Context, string, plain.Call) (plain.Answer, error) {
+func (instantCaller) Do(context.Context, string, plain.Call) (plain.Answer, error) {
 	return plain.Answer{Status: http.StatusOK, Body: []byte("confirmed")}, nil
 }
 
@@ -61,7 +61,7 @@
 			ID: fmt.Sprint("vm", i), Incarnation: 1, Zone: fmt.Sprint("z", i), Peer: servers[i].Listener.Addr().String(),
 		})
 	}
-	w := &world{site: &site.Site{
+	cl := &cluster{site: &site.Site{
 		Services: map[string]*site.Service{"desk": {Name: "desk"}},
 		Accounts: map[string]*site.Account{"depot": {Name: "depot"}}, Limits: site.DefaultLimits(),
 	}}
@@ -72,7 +72,7 @@
 		own := &membership.View{Self: view.Members[i], Members: view.Members}
 		manager := roster.NewManager(s, membership.Static{View: own}, event.Discard())
 		out[i] = NewService(Deps{
-			Members: membership.Static{View: own}, Roster: manager, Site: w, Flow: &fakeFlow{}, Caller: instant{},
+			Members: membership.Static{View: own}, Roster: manager, Site: cl, Flow: &fakeFlow{}, Caller: instantCaller{},
 			Dialer: link.NewDialer(nil), Log: event.Discard(), Registry: prometheus.NewRegistry(),
 		})
 		_, h := out[i].Handler()
@@ -80,12 +80,12 @@
 		go func() { _ = manager.Run(ctx) }()
 		go func() { _ = out[i].Run(ctx) }()
 	}
-	settled(b, out)
+	waitUntilSettled(b, out)
 	return out
 }
 
-// settled waits until every slot has a pair that the first daemon knows.
-func settled(b *testing.B, daemons []*Service) {
+// waitUntilSettled waits until every slot has a pair that the first daemon knows.
+func waitUntilSettled(b *testing.B, daemons []*Service) {
 	for range 300 {
 		time.Sleep(100 * time.Millisecond)
 		slots, _ := daemons[0].Roster.All()
@@ -137,13 +137,13 @@
 		took.report(b)
 		b.ReportMetric(float64(faulty.Counts().Writes()-before)/float64(b.N), "store-writes/op")
 	})
-	for name, limit := range map[string]int{"store-write-per-key": 0, "store-write-per-key-limited": storeWrites} {
-		b.Run(name, func(b *testing.B) { perKey(b, limit) })
+	for name, limit := range map[string]int{"store-write-per-key": 0, "store-write-per-key-limited": storeWritesPerSecond} {
+		b.Run(name, func(b *testing.B) { benchStoreWritePerKey(b, limit) })
 	}
 }
 
-// perKey binds by a write to the store; a write above its rate is tried again.
-func perKey(b *testing.B, limit int) {
+// benchStoreWritePerKey binds by a write to the store; a write above its rate is tried again.
+func benchStoreWritePerKey(b *testing.B, limit int) {
 	client, faulty := benchStore(b)
 	faulty.SetLimits(0, limit)
 	var n atomic.Int64
@@ -180,7 +180,7 @@
 // what a remembered key weighs.
 func BenchmarkBind(b *testing.B) {
 	b.ReportAllocs()
-	w := served(b, 1)
+	w := newServingTable(b, 1)
 	for i := range b.N {
 		key := slot.KeyOf("depot", "desk", fmt.Sprint(i))
 		if !w.bind(1, &record{key: key, attempt: uint64(i + 1), dispatcher: owner1}) {
--- a/serve/once/world_test.go
+++ b/serve/once/cluster_test.go
@@ -28,115 +28,115 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// world holds the daemons of one test and the faults between them. It runs
+// cluster holds the daemons of one test and the faults between them. It runs
 // inside a synctest bubble, so its time is virtual.
-type world struct {
+type cluster struct {
 	t       testing.TB
 	store   *fakeStore
-	backend *backend
+	backend *fakeBackend
 	siteMu  sync.RWMutex // guards site, which is replaced whole
 	site    *site.Site
 
-	mu      sync.Mutex
-	daemons map[string]*daemon
-	cut     map[[2]string]bool // links that drop everything
-	started uint64
-	graves  []*daemon // replaced ones
+	mu           sync.Mutex
+	daemons      map[string]*daemon
+	cutLinks     map[[2]string]bool // links that drop everything
+	incarnations uint64
+	replaced     []*daemon // replaced ones
 }
 
 // daemon is one process: a Service with its own view, which can pause or die.
 type daemon struct {
 	*Service
-	w        *world
-	id       string
-	view     atomic.Pointer[membership.View]
-	gate     atomic.Pointer[chan struct{}] // not nil while paused
-	dead     atomic.Bool
-	retiring atomic.Bool
-	cancel   context.CancelFunc
-	done     sync.WaitGroup
-	flow     fakeFlow
+	cluster      *cluster
+	id           string
+	view         atomic.Pointer[membership.View]
+	pauseGate    atomic.Pointer[chan struct{}] // not nil while paused
+	dead         atomic.Bool
+	shownLeaving atomic.Bool
+	cancel       context.CancelFunc
+	goroutines   sync.WaitGroup
+	flow         fakeFlow
 	// handler answers other daemons.
 	handler http.Handler
 }
 
-func newWorld(t testing.TB, n int) *world {
-	w := &world{t: t, store: &fakeStore{}, daemons: map[string]*daemon{}, cut: map[[2]string]bool{}}
-	w.backend = &backend{runs: map[string]int{}}
-	w.site = &site.Site{
+func newCluster(t testing.TB, n int) *cluster {
+	cl := &cluster{t: t, store: &fakeStore{}, daemons: map[string]*daemon{}, cutLinks: map[[2]string]bool{}}
+	cl.backend = &fakeBackend{runs: map[string]int{}}
+	cl.site = &site.Site{
 		Services: map[string]*site.Service{"desk": {Name: "desk", Kind: site.KindPlain, Deadline: 20 * time.Second}},
 		Accounts: map[string]*site.Account{"depot": {Name: "depot"}},
 		Limits:   site.DefaultLimits(),
 	}
 	for i := range n {
-		w.start(fmt.Sprintf("vm%d", i), fmt.Sprintf("z%d", i%3))
+		cl.start(fmt.Sprintf("vm%d", i), fmt.Sprintf("z%d", i%3))
 	}
-	w.agree()
-	return w
+	cl.syncViews()
+	return cl
 }
 
 // Current implements site.Source.
-func (w *world) Current() *site.Site {
-	w.siteMu.RLock()
-	defer w.siteMu.RUnlock()
-	return w.site
+func (cl *cluster) Current() *site.Site {
+	cl.siteMu.RLock()
+	defer cl.siteMu.RUnlock()
+	return cl.site
 }
 
-// retain puts a text in force that keeps keys and answers this long.
-func (w *world) retain(keys, answers time.Duration) {
-	w.siteMu.Lock()
-	defer w.siteMu.Unlock()
-	next := *w.site
+// setRetention puts a text in force that keeps keys and answers this long.
+func (cl *cluster) setRetention(keys, answers time.Duration) {
+	cl.siteMu.Lock()
+	defer cl.siteMu.Unlock()
+	next := *cl.site
 	next.Limits.KeyTTL, next.Limits.AnswerTTL = keys, answers
-	w.site = &next
+	cl.site = &next
 }
 
-func (w *world) start(id, zone string) *daemon {
-	w.mu.Lock()
-	w.started++
-	d := &daemon{w: w, id: id}
-	self := membership.Member{ID: id, Incarnation: w.started, Zone: zone, Peer: id}
+func (cl *cluster) start(id, zone string) *daemon {
+	cl.mu.Lock()
+	cl.incarnations++
+	d := &daemon{cluster: cl, id: id}
+	self := membership.Member{ID: id, Incarnation: cl.incarnations, Zone: zone, Peer: id}
 	d.view.Store(&membership.View{Self: self, Members: []membership.Member{self}})
-	w.mu.Unlock()
-	faulty := &faultyStore{d: d, inner: w.store}
+	cl.mu.Unlock()
+	faulty := &daemonStore{d: d, inner: cl.store}
 	manager := roster.NewManager(faulty, d, event.Discard())
 	d.Service = NewService(Deps{
-		Members: d, Roster: manager, Site: w, Flow: &d.flow, Caller: &caller{d},
-		Dialer: link.NewDialerWith(&http.Client{Transport: &transport{d}}),
-		Log:    event.Discard(), Registry: prometheus.NewRegistry(), VMs: w,
+		Members: d, Roster: manager, Site: cl, Flow: &d.flow, Caller: &fakeCaller{d},
+		Dialer: link.NewDialerWith(&http.Client{Transport: &fakeTransport{d}}),
+		Log:    event.Discard(), Registry: prometheus.NewRegistry(), VMs: cl,
 	})
 	_, d.handler = d.Handler()
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
-	w.mu.Lock()
-	old := w.daemons[id]
-	w.daemons[id] = d
+	cl.mu.Lock()
+	old := cl.daemons[id]
+	cl.daemons[id] = d
 	if old != nil {
-		w.graves = append(w.graves, old)
+		cl.replaced = append(cl.replaced, old)
 	}
-	w.mu.Unlock()
+	cl.mu.Unlock()
 	if old != nil {
 		old.kill()
 	}
-	d.done.Go(func() { _ = manager.Run(ctx) })
-	d.done.Go(func() { _ = d.Run(ctx) })
+	d.goroutines.Go(func() { _ = manager.Run(ctx) })
+	d.goroutines.Go(func() { _ = d.Run(ctx) })
 	return d
 }
 
 // Current implements membership.Source.
 func (d *daemon) Current() *membership.View { return d.view.Load() }
 
-// agree gives every live daemon a view of all live ones.
-func (w *world) agree() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// syncViews gives every live daemon a view of all live ones.
+func (cl *cluster) syncViews() {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 	var members []membership.Member
-	for _, d := range w.daemons {
+	for _, d := range cl.daemons {
 		if !d.dead.Load() {
 			members = append(members, d.member())
 		}
 	}
-	for _, d := range w.daemons {
+	for _, d := range cl.daemons {
 		d.view.Store(&membership.View{Self: d.member(), Members: members})
 	}
 }
@@ -144,18 +144,18 @@
 // member is how the others should see d.
 func (d *daemon) member() membership.Member {
 	m := d.view.Load().Self
-	if d.retiring.Load() {
+	if d.shownLeaving.Load() {
 		m.State = membership.Leaving
 	}
 	return m
 }
 
 // List implements vmlist.Source: the platform lists live VMs.
-func (w *world) List(context.Context) ([]vmlist.VM, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (cl *cluster) List(context.Context) ([]vmlist.VM, error) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 	var out []vmlist.VM
-	for id, d := range w.daemons {
+	for id, d := range cl.daemons {
 		if !d.dead.Load() {
 			out = append(out, vmlist.VM{ID: id, Role: vmlist.RoleEntry})
 		}
@@ -163,30 +163,30 @@
 	return out, nil
 }
 
-func (w *world) daemon(id string) *daemon {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.daemons[id]
+func (cl *cluster) daemon(id string) *daemon {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return cl.daemons[id]
 }
 
 // partition cuts or mends the link between two daemons, in both directions.
-func (w *world) partition(a, b string, cut bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.cut[[2]string{a, b}], w.cut[[2]string{b, a}] = cut, cut
+func (cl *cluster) partition(a, b string, cut bool) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.cutLinks[[2]string{a, b}], cl.cutLinks[[2]string{b, a}] = cut, cut
 }
 
-// mend mends all links.
-func (w *world) mend() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.cut = map[[2]string]bool{}
+// healLinks mends all links.
+func (cl *cluster) healLinks() {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.cutLinks = map[[2]string]bool{}
 }
 
-func (w *world) isCut(a, b string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.cut[[2]string{a, b}]
+func (cl *cluster) isCut(a, b string) bool {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return cl.cutLinks[[2]string{a, b}]
 }
 
 // kill ends a daemon at once: nothing of it acts any more.
@@ -199,21 +199,21 @@
 // pause freezes a daemon: it neither sends nor answers until resume.
 func (d *daemon) pause() {
 	gate := make(chan struct{})
-	d.gate.CompareAndSwap(nil, &gate)
+	d.pauseGate.CompareAndSwap(nil, &gate)
 }
 
 func (d *daemon) resume() {
-	if gate := d.gate.Swap(nil); gate != nil {
+	if gate := d.pauseGate.Swap(nil); gate != nil {
 		close(*gate)
 	}
 }
 
 var errDead = errors.New("the process is dead")
 
-// pass is called wherever a daemon acts on the outside: it blocks while the
+// waitRunnable is called wherever a daemon acts on the outside: it blocks while the
 // daemon is paused and fails once it is dead.
-func (d *daemon) pass() error {
-	for gate := d.gate.Load(); gate != nil; gate = d.gate.Load() {
+func (d *daemon) waitRunnable() error {
+	for gate := d.pauseGate.Load(); gate != nil; gate = d.pauseGate.Load() {
 		<-*gate
 	}
 	if d.dead.Load() {
@@ -223,32 +223,32 @@
 }
 
 // close ends all daemons and waits for everything they started.
-func (w *world) close() {
-	all := w.graves
-	for _, d := range w.daemons {
+func (cl *cluster) close() {
+	all := cl.replaced
+	for _, d := range cl.daemons {
 		all = append(all, d)
 	}
 	for _, d := range all {
 		d.resume()
 		d.cancel()
 	}
-	w.store.setDown(false)
+	cl.store.setDown(false)
 	for _, d := range all {
-		d.done.Wait()
-		d.work.Wait()
-		must.EqOp(w.t, 0, testutil.ToFloat64(d.metrics.violations))
+		d.goroutines.Wait()
+		d.inFlight.Wait()
+		must.EqOp(cl.t, 0, testutil.ToFloat64(d.metrics.violations))
 	}
 	time.Sleep(10 * time.Second) // reads of the store that nobody waits for
 }
 
-// transport carries calls between daemons without a network.
-type transport struct{ from *daemon }
+// fakeTransport carries calls between daemons without a network.
+type fakeTransport struct{ from *daemon }
 
-func (tr *transport) RoundTrip(r *http.Request) (*http.Response, error) {
-	if err := tr.from.pass(); err != nil {
+func (tr *fakeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	if err := tr.from.waitRunnable(); err != nil {
 		return nil, err
 	}
-	to := tr.from.w.daemon(r.URL.Host)
+	to := tr.from.cluster.daemon(r.URL.Host)
 	if to == nil || to.dead.Load() {
 		return nil, errors.New("connection refused")
 	}
@@ -264,7 +264,7 @@
 			<-r.Context().Done()
 			return nil, r.Context().Err()
 		}
-		if err := tr.from.pass(); err != nil {
+		if err := tr.from.waitRunnable(); err != nil {
 			return nil, err
 		}
 		return response, nil
@@ -274,9 +274,9 @@
 }
 
 // deliver returns nil when request or answer got lost on a cut link.
-func (tr *transport) deliver(to *daemon, r *http.Request, body []byte) *http.Response {
+func (tr *fakeTransport) deliver(to *daemon, r *http.Request, body []byte) *http.Response {
 	time.Sleep(time.Millisecond)
-	if tr.from.w.isCut(tr.from.id, to.id) || to.pass() != nil {
+	if tr.from.cluster.isCut(tr.from.id, to.id) || to.waitRunnable() != nil {
 		return nil
 	}
 	in := httptest.NewRequestWithContext(r.Context(), r.Method, r.URL.Path, newReader(body))
@@ -284,44 +284,44 @@
 	out := httptest.NewRecorder()
 	to.handler.ServeHTTP(out, in)
 	time.Sleep(time.Millisecond)
-	if tr.from.w.isCut(tr.from.id, to.id) || to.pass() != nil {
+	if tr.from.cluster.isCut(tr.from.id, to.id) || to.waitRunnable() != nil {
 		return nil
 	}
 	return out.Result()
 }
 
-// faultyStore is one daemon's way to the store.
-type faultyStore struct {
+// daemonStore is one daemon's way to the store.
+type daemonStore struct {
 	store.Store
 	d     *daemon
 	inner *fakeStore
 }
 
-func (s *faultyStore) Get(ctx context.Context, key string) (store.KV, error) {
-	if err := s.d.pass(); err != nil {
+func (s *daemonStore) Get(ctx context.Context, key string) (store.KV, error) {
+	if err := s.d.waitRunnable(); err != nil {
 		return store.KV{}, err
 	}
 	return s.inner.get(ctx, key)
 }
 
-func (s *faultyStore) CompareAndSwap(ctx context.Context, key string, version int64, value []byte, _ store.LeaseID) (int64, error) {
-	if err := s.d.pass(); err != nil {
+func (s *daemonStore) CompareAndSwap(ctx context.Context, key string, version int64, value []byte, _ store.LeaseID) (int64, error) {
+	if err := s.d.waitRunnable(); err != nil {
 		return 0, err
 	}
-	return s.inner.swap(ctx, version, value)
+	return s.inner.compareAndSwap(ctx, version, value)
 }
 
 // fakeStore holds the one key that this package writes.
 type fakeStore struct {
-	mu      sync.Mutex
-	kv      store.KV
-	down    bool
-	unknown int // so many next writes lose their confirmation
-	late    time.Duration
-	writes  int
+	mu                sync.Mutex
+	kv                store.KV
+	down              bool
+	lostConfirmations int // so many next writes lose their confirmation
+	applyDelay        time.Duration
+	writes            int
 }
 
-func (s *fakeStore) written() int {
+func (s *fakeStore) writeCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.writes
@@ -336,7 +336,7 @@
 func (s *fakeStore) loseConfirmations(n int, late time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unknown, s.late = n, late
+	s.lostConfirmations, s.applyDelay = n, late
 }
 
 func (s *fakeStore) get(_ context.Context, key string) (store.KV, error) {
@@ -352,16 +352,16 @@
 	return s.kv, nil
 }
 
-func (s *fakeStore) swap(_ context.Context, version int64, value []byte) (int64, error) {
+func (s *fakeStore) compareAndSwap(_ context.Context, version int64, value []byte) (int64, error) {
 	time.Sleep(2 * time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
 		return 0, store.ErrUnavailable
 	}
-	if s.unknown > 0 {
-		s.unknown--
-		time.AfterFunc(s.late, func() {
+	if s.lostConfirmations > 0 {
+		s.lostConfirmations--
+		time.AfterFunc(s.applyDelay, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			_, _ = s.apply(version, value)
@@ -403,54 +403,54 @@
 func (grant) Progress(int, time.Duration) {}
 func (grant) Done(flow.Outcome)           {}
 
-// backend is a plain service that runs whatever reaches it and keeps count.
-type backend struct {
-	mu       sync.Mutex
-	runs     map[string]int
-	history  []runAt
-	takes    time.Duration
-	loseNext int // so many next calls run and give no answer
-	failNext int // so many next calls can't be sent
+// fakeBackend is a plain service that runs whatever reaches it and keeps count.
+type fakeBackend struct {
+	mu          sync.Mutex
+	runs        map[string]int
+	history     []backendRun
+	runDuration time.Duration
+	lostAnswers int // so many next calls run and give no answer
+	failedSends int // so many next calls can't be sent
 }
 
-type runAt struct {
+type backendRun struct {
 	body string
 	at   time.Time
 }
 
-func (b *backend) count(body string) int {
+func (b *fakeBackend) count(body string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.runs[body]
 }
 
 // run is called when the bytes arrive; it counts even if the caller is gone.
-func (b *backend) run(body string) (answer string, lost, failed bool, takes time.Duration) {
+func (b *fakeBackend) run(body string) (answer string, lost, failed bool, takes time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.failNext > 0 {
-		b.failNext--
+	if b.failedSends > 0 {
+		b.failedSends--
 		return "", false, true, 0
 	}
 	b.runs[body]++
-	b.history = append(b.history, runAt{body, time.Now()})
-	if b.loseNext > 0 {
-		b.loseNext--
+	b.history = append(b.history, backendRun{body, time.Now()})
+	if b.lostAnswers > 0 {
+		b.lostAnswers--
 		lost = true
 	}
-	return fmt.Sprintf("%s run %d", body, b.runs[body]), lost, false, b.takes
+	return fmt.Sprintf("%s run %d", body, b.runs[body]), lost, false, b.runDuration
 }
 
-// caller is one daemon's way to the backend server.
-type caller struct{ d *daemon }
+// fakeCaller is one daemon's way to the backend server.
+type fakeCaller struct{ d *daemon }
 
-func (c *caller) Do(ctx context.Context, _ string, call plain.Call) (plain.Answer, error) {
+func (c *fakeCaller) Do(ctx context.Context, _ string, call plain.Call) (plain.Answer, error) {
 	// A paused process sends late: nothing between the check and the send looks
 	// at a clock.
-	if err := c.d.pass(); err != nil {
+	if err := c.d.waitRunnable(); err != nil {
 		return plain.Answer{}, errors.Wrap(plain.ErrNotSent, err.Error())
 	}
-	answer, lost, failed, takes := c.d.w.backend.run(string(call.Body))
+	answer, lost, failed, takes := c.d.cluster.backend.run(string(call.Body))
 	if failed {
 		return plain.Answer{}, plain.ErrNotSent
 	}
@@ -459,14 +459,14 @@
 		lost = true
 	case <-time.After(takes + time.Millisecond):
 	}
-	if err := c.d.pass(); err != nil || lost {
+	if err := c.d.waitRunnable(); err != nil || lost {
 		return plain.Answer{}, plain.ErrNoAnswer
 	}
 	return plain.Answer{Status: http.StatusOK, Body: []byte(answer)}, nil
 }
 
-// leave shows a daemon as leaving in every view.
-func (w *world) leave(d *daemon) {
-	d.retiring.Store(true)
-	w.agree()
+// showLeaving shows a daemon as leaving in every view.
+func (cl *cluster) showLeaving(d *daemon) {
+	d.shownLeaving.Store(true)
+	cl.syncViews()
 }
--- a/serve/once/entry.go
+++ b/serve/once/entry.go
@@ -10,105 +10,105 @@
 )
 
 const (
-	// slice is how long an owner holds one Execute before it answers "running".
+	// maxExecuteWait is how long an owner holds one Execute before it answers "running".
 	// Short slices tell a call that takes long from a connection that went
 	// silent for good; the second shows as a timeout and gets a fresh connection.
-	slice      = 2 * time.Second
-	sliceGrace = time.Second
-	// ownerPatience bounds the search for a daemon that serves the slot. A slot
+	maxExecuteWait = 2 * time.Second
+	rpcTimeout     = time.Second
+	// ownerSearchTimeout bounds the search for a daemon that serves the slot. A slot
 	// whose owner died is taken over in less; after that the caller is told.
-	ownerPatience = 5 * time.Second
-	searchMin     = 10 * time.Millisecond
-	searchMax     = 250 * time.Millisecond
-	peersAsked    = 3
-	// storePatience is how long a call waits for the store before it asks peers.
-	storePatience = 300 * time.Millisecond
+	ownerSearchTimeout = 5 * time.Second
+	minSearchInterval  = 10 * time.Millisecond
+	maxSearchInterval  = 250 * time.Millisecond
+	maxPeersQueried    = 3
+	// storeTimeout is how long a call waits for the store before it asks peers.
+	storeTimeout = 300 * time.Millisecond
 )
 
-// reply is what an owner says of one copy.
-type reply struct {
+// executeReply is what an owner says of one copy.
+type executeReply struct {
 	outcome
 	running bool
 }
 
 // route takes a copy to the owner of its slot until it has an outcome. Sending
 // a copy twice is safe: the owner knows its key.
-func (s *Service) route(ctx context.Context, e execution) outcome {
-	found := time.Now()
-	pause := searchMin
+func (s *Service) route(ctx context.Context, e executeRequest) outcome {
+	ownerSeenAt := time.Now()
+	pause := minSearchInterval
 	for {
 		a := s.Roster.Slot(e.slot)
-		r := s.ask(ctx, a, e)
+		r := s.sendToOwner(ctx, a, e)
 		switch {
 		case r.running:
-			found, pause = time.Now(), searchMin
+			ownerSeenAt, pause = time.Now(), minSearchInterval
 		case !r.moved:
 			return r.outcome
-		case time.Since(found) > ownerPatience:
-			return outcome{err: errUndecided("no entry VM serves the slot of this key at the moment", retrySoon)}
+		case time.Since(ownerSeenAt) > ownerSearchTimeout:
+			return outcome{err: errUndecided("no entry VM serves the slot of this key at the moment", defaultRetryAfter)}
 		}
 		if ctx.Err() != nil {
-			return outcome{err: errUndecided("the deadline passed before the outcome was known", retrySoon)}
+			return outcome{err: errUndecided("the deadline passed before the outcome was known", defaultRetryAfter)}
 		}
 		if r.moved {
-			s.search(ctx, a, pause)
-			pause = min(2*pause, searchMax)
+			s.awaitNewerAssignment(ctx, a, pause)
+			pause = min(2*pause, maxSearchInterval)
 		}
 	}
 }
 
-// ask sends a copy to the owner of a, which may be this daemon.
-func (s *Service) ask(ctx context.Context, a slot.Assignment, e execution) reply {
+// sendToOwner sends a copy to the owner of a, which may be this daemon.
+func (s *Service) sendToOwner(ctx context.Context, a slot.Assignment, e executeRequest) executeReply {
 	if a.Owner.IsNone() {
-		return reply{outcome: outcome{moved: true}}
+		return executeReply{outcome: outcome{moved: true}}
 	}
 	if a.Owner.IsSameProcess(s.self) {
-		ctx, cancel := context.WithTimeout(ctx, slice)
+		ctx, cancel := context.WithTimeout(ctx, maxExecuteWait)
 		defer cancel()
 		r := s.execute(ctx, e)
-		s.heard(e.slot, s.tables[e.slot].seen(a.Term))
+		s.learnSeq(e.slot, s.tables[e.slot].lastSeqAt(a.Term))
 		return r
 	}
-	ctx, cancel := context.WithTimeout(ctx, slice+sliceGrace)
+	ctx, cancel := context.WithTimeout(ctx, maxExecuteWait+rpcTimeout)
 	defer cancel()
 	w, err := s.client(a.Owner).Execute(ctx, &pb.ExecuteRequest{
 		Slot: uint32(e.slot), Key: e.key[:], BodyDigest: e.digest[:], Account: e.account,
-		Service: e.service, Call: callToWire(e.call), Seen: e.seen, WaitMs: slice.Milliseconds(),
+		Service: e.service, Call: callToWire(e.call), Seen: e.knownSeq, WaitMs: maxExecuteWait.Milliseconds(),
 	})
 	if err != nil {
 		s.Dialer.DropIdle()
-		return reply{outcome: outcome{moved: true}}
+		return executeReply{outcome: outcome{moved: true}}
 	}
 	s.Roster.Learn(assignmentFromWire(w.GetAssignment()))
-	s.heard(e.slot, w.GetSeen())
-	return replyFromWire(w)
+	s.learnSeq(e.slot, w.GetSeen())
+	return executeReplyFromWire(w)
 }
 
-func replyFromWire(w *pb.ExecuteReply) reply {
+func executeReplyFromWire(w *pb.ExecuteReply) executeReply {
 	out := outcome{moved: w.GetMoved(), answer: answerFromWire(w.GetAnswer()), err: errorFromWire(w.GetError())}
 	if !out.moved && !w.GetRunning() && out.answer == nil && out.err == nil {
 		out.err = verdict.New(verdict.MayHaveRun, verdict.CodeKeyUndecided, "the owner of this key gave no outcome")
 	}
-	return reply{outcome: out, running: w.GetRunning()}
+	return executeReply{outcome: out, running: w.GetRunning()}
 }
 
-// heard remembers the newest refusal number of a slot.
-func (s *Service) heard(i int, number uint64) {
+// learnSeq remembers the newest refusal number of a slot.
+func (s *Service) learnSeq(i int, number uint64) {
 	for {
-		have := s.seen[i].Load()
-		if number <= have || s.seen[i].CompareAndSwap(have, number) {
+		have := s.knownSeqs[i].Load()
+		if number <= have || s.knownSeqs[i].CompareAndSwap(have, number) {
 			return
 		}
 	}
 }
 
-// search looks for a newer assignment than a: in the store, and in an outage
+// awaitNewerAssignment looks for a newer assignment than a: in the store, and in an outage
 // of the store at a few peers. It returns after pause at the earliest.
-func (s *Service) search(ctx context.Context, a slot.Assignment, pause time.Duration) {
+func (s *Service) awaitNewerAssignment(ctx context.Context, a slot.Assignment, pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	if s.Roster.Slot(a.Slot).Term == a.Term {
-		s.refresh(ctx, a, pause >= searchMax)
+		s.refreshAssignment(ctx, a, pause >= maxSearchInterval)
 	}
 	select {
 	case <-ctx.Done():
@@ -116,23 +116,23 @@
 	}
 }
 
-// refresh asks the store, and peers if the store does not answer or the search
+// refreshAssignment asks the store, and peers if the store does not answer or the search
 // goes on for long. Asking also tells the peers of a, so that the daemon which
 // should take over a slot whose pair is lost learns that it was assigned.
-func (s *Service) refresh(ctx context.Context, a slot.Assignment, long bool) {
-	short, cancel := context.WithTimeout(ctx, storePatience)
+func (s *Service) refreshAssignment(ctx context.Context, a slot.Assignment, prolonged bool) {
+	short, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	if err := s.Roster.Refresh(short); err != nil || long {
-		s.askPeers(ctx, a)
+	if err := s.Roster.Refresh(short); err != nil || prolonged {
+		s.queryPeers(ctx, a)
 	}
 }
 
-// askPeers asks members that may know more than this daemon: those that would
+// queryPeers asks members that may know more than this daemon: those that would
 // own or witness the slot next.
-func (s *Service) askPeers(ctx context.Context, a slot.Assignment) {
-	ctx, cancel := context.WithTimeout(ctx, sliceGrace)
+func (s *Service) queryPeers(ctx context.Context, a slot.Assignment) {
+	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
 	defer cancel()
-	for _, m := range slot.HighestRanked(s.peers(), a.Slot, peersAsked) {
+	for _, m := range slot.HighestRanked(s.peers(), a.Slot, maxPeersQueried) {
 		w, err := s.client(m).Learn(ctx, &pb.SlotAssignments{Assignments: []*pb.SlotAssignment{assignmentToWire(a)}})
 		if err == nil && len(w.GetAssignments()) == 1 {
 			s.Roster.Learn(assignmentFromWire(w.GetAssignments()[0]))
--- a/serve/once/errors.go
+++ b/serve/once/errors.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// retrySoon is advised where a slot changes hands, which takes about a second.
-	retrySoon = time.Second
+	// defaultRetryAfter is advised where a slot changes hands, which takes about a second.
+	defaultRetryAfter = time.Second
 )
 
 // errUndecided says that the call may have run, or may still run elsewhere.
@@ -21,7 +21,7 @@
 // refused. It is not dispatched, or a caller that trusted the refusal and used
 // a new key would get two runs. It is no not_run either: a newer copy may run.
 func errStale() *verdict.Error {
-	return errUndecided("an earlier copy of this call was refused, and this one may be as old", retrySoon)
+	return errUndecided("an earlier copy of this call was refused, and this one may be as old", defaultRetryAfter)
 }
 
 func errReused() *verdict.Error {
@@ -29,7 +29,7 @@
 		"this key was used with another method, path or body")
 }
 
-func errAnswerGone() *verdict.Error {
+func errAnswerNotKept() *verdict.Error {
 	return verdict.New(verdict.Ran, verdict.CodeAnswerNotKept,
 		"the call ran once; its answer is no longer kept")
 }
@@ -41,7 +41,7 @@
 
 func errNotSent(err error) *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.CodeNoBackend,
-		"no backend server could be reached").WithRetryAfter(retrySoon).WithCause(err)
+		"no backend server could be reached").WithRetryAfter(defaultRetryAfter).WithCause(err)
 }
 
 func errNoAnswer(err error) *verdict.Error {
@@ -49,10 +49,10 @@
 		"the call was sent and no whole answer came back").WithCause(err)
 }
 
-// notRun turns an error of the flow, which sent nothing, into one that says so
+// asNotRun turns an error of the flow, which sent nothing, into one that says so
 // and when to come back.
-func notRun(err error) *verdict.Error {
+func asNotRun(err error) *verdict.Error {
 	e := verdict.FromError(err)
-	after := max(e.RetryAfter, retrySoon)
+	after := max(e.RetryAfter, defaultRetryAfter)
 	return verdict.New(verdict.NotRun, e.Code, "%s", e.Message).WithRetryAfter(after).WithCause(err)
 }
--- a/serve/once/suspects.go
+++ b/serve/once/health.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// silentFor keeps a member that did not answer from being chosen as witness.
-	silentFor = 10 * time.Second
-	// listEvery and listLag: the platform's list is read seldom, and a VM counts
+	// unresponsivePeriod keeps a member that did not answer from being chosen as witness.
+	unresponsivePeriod = 10 * time.Second
+	// vmListInterval and listLag: the platform's list is read seldom, and a VM counts
 	// as gone only after it was absent for longer than the list lags.
-	listEvery = 10 * time.Second
-	listLag   = time.Minute
+	vmListInterval = 10 * time.Second
+	maxVMListLag   = time.Minute
 )
 
-// silent remembers members that did not answer as witnesses.
-type silent struct {
+// unresponsiveSet remembers members that did not answer as witnesses.
+type unresponsiveSet struct {
 	mu    sync.Mutex
 	until map[string]time.Time
 	// changes counts how often the set of silent members changed.
@@ -28,14 +28,14 @@
 }
 
 // add reports whether id was not known as silent.
-func (s *silent) add(id string, now time.Time) bool {
+func (s *unresponsiveSet) add(id string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.until == nil {
 		s.until = make(map[string]time.Time)
 	}
 	known := now.Before(s.until[id])
-	s.until[id] = now.Add(silentFor)
+	s.until[id] = now.Add(unresponsivePeriod)
 	if !known {
 		s.changes++
 	}
@@ -43,7 +43,7 @@
 }
 
 // clear forgets a member that answered.
-func (s *silent) clear(id string) {
+func (s *unresponsiveSet) clear(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.until[id]; ok {
@@ -53,7 +53,7 @@
 }
 
 // ids returns the members silent now, and a number that differs whenever they do.
-func (s *silent) ids(now time.Time) (map[string]bool, int) {
+func (s *unresponsiveSet) ids(now time.Time) (map[string]bool, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[string]bool, len(s.until))
@@ -68,10 +68,10 @@
 	return out, s.changes
 }
 
-// history is what this daemon saw of each slot. Only Run uses it.
-type history struct {
+// slotHistory is what this daemon saw of each slot. Only Run uses it.
+type slotHistory struct {
 	now        time.Time
-	stuckOwned int
+	stuckCount int
 	slots      [slot.Count]struct {
 		term    uint64
 		changed time.Time // when term was first seen
@@ -79,7 +79,7 @@
 	}
 }
 
-func (h *history) observe(i int, term uint64, active bool, now time.Time) {
+func (h *slotHistory) observe(i int, term uint64, active bool, now time.Time) {
 	h.now = now
 	s := &h.slots[i]
 	if s.term != term {
@@ -93,32 +93,32 @@
 	}
 }
 
-// stuck reports whether the slot has not been served here for a while.
-func (h *history) stuck(i int) bool {
+// isStuck reports whether the slot has not been served here for a while.
+func (h *slotHistory) isStuck(i int) bool {
 	s := &h.slots[i]
 	return !s.stopped.IsZero() && h.now.Sub(s.stopped) > sealGrace
 }
 
-// calm reports whether the slot did not change hands lately.
-func (h *history) calm(i int) bool { return h.now.Sub(h.slots[i].changed) > calmBefore }
+// isStable reports whether the slot did not change hands lately.
+func (h *slotHistory) isStable(i int) bool { return h.now.Sub(h.slots[i].changed) > minStablePeriod }
 
-// deaths collects proof that processes are gone for good. What membership
+// deathProofs collects proof that processes are gone for good. What membership
 // believes is not enough to give up a slot's keys: both of the pair may be cut
 // off together and still serve callers on their side. But since a key needs
 // both of them, proof for one suffices.
-type deaths struct {
-	mu     sync.Mutex
-	read   time.Time
-	listed map[string]bool
-	absent map[string]time.Time // VM id -> first time it was not listed
+type deathProofs struct {
+	mu          sync.Mutex
+	lastRead    time.Time
+	listed      map[string]bool
+	absentSince map[string]time.Time // VM id -> first time it was not listed
 }
 
-// observe reads the platform's list now and then.
-func (d *deaths) observe(ctx context.Context, source vmlist.Source, now time.Time) {
-	if source == nil || now.Sub(d.read) < listEvery {
+// refreshVMList reads the platform's list now and then.
+func (d *deathProofs) refreshVMList(ctx context.Context, source vmlist.Source, now time.Time) {
+	if source == nil || now.Sub(d.lastRead) < vmListInterval {
 		return
 	}
-	d.read = now
+	d.lastRead = now
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	vms, err := source.List(ctx)
@@ -132,20 +132,20 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.listed = listed
-	for id := range d.absent {
+	for id := range d.absentSince {
 		if listed[id] {
-			delete(d.absent, id)
+			delete(d.absentSince, id)
 		}
 	}
 }
 
-// ended reports whether one of the pair is certainly dead: its VM runs a newer
+// hasDeadMember reports whether one of the pair is certainly dead: its VM runs a newer
 // process, or the platform has not listed the VM for longer than the list lags.
-func (d *deaths) ended(view *membership.View, a slot.Assignment) bool {
-	return d.dead(view, a.Owner) || d.dead(view, a.Witness)
+func (d *deathProofs) hasDeadMember(view *membership.View, a slot.Assignment) bool {
+	return d.isDead(view, a.Owner) || d.isDead(view, a.Witness)
 }
 
-func (d *deaths) dead(view *membership.View, m slot.Member) bool {
+func (d *deathProofs) isDead(view *membership.View, m slot.Member) bool {
 	if m.IsNone() {
 		return false
 	}
@@ -157,13 +157,13 @@
 	if d.listed == nil || d.listed[m.ID] {
 		return false
 	}
-	if d.absent == nil {
-		d.absent = make(map[string]time.Time)
+	if d.absentSince == nil {
+		d.absentSince = make(map[string]time.Time)
 	}
-	since, ok := d.absent[m.ID]
+	since, ok := d.absentSince[m.ID]
 	if !ok {
-		d.absent[m.ID] = time.Now()
+		d.absentSince[m.ID] = time.Now()
 		return false
 	}
-	return time.Since(since) > listLag
+	return time.Since(since) > maxVMListLag
 }
--- a/serve/once/key.go
+++ b/serve/once/key.go
@@ -2,8 +2,8 @@
 
 import "mallowwind.dev/decision/verdict"
 
-// MaxKey is the largest length of an idempotency key, in bytes.
-const MaxKey = 255
+// MaxKeyBytes is the largest length of an idempotency key, in bytes.
+const MaxKeyBytes = 255
 
 // CheckKey returns an error with verdict not_run unless key is 1 to MaxKey
 // visible ASCII characters. Such a call never runs on any entry VM, so the
@@ -13,9 +13,9 @@
 	case key == "":
 		return verdict.New(verdict.NotRun, verdict.CodeKeyRequired,
 			"this service's calls may not be repeated: send an Idempotency-Key")
-	case len(key) > MaxKey:
+	case len(key) > MaxKeyBytes:
 		return verdict.New(verdict.NotRun, verdict.CodeKeyInvalid,
-			"the Idempotency-Key has %d bytes, at most %d are allowed", len(key), MaxKey)
+			"the Idempotency-Key has %d bytes, at most %d are allowed", len(key), MaxKeyBytes)
 	}
 	for i := range len(key) {
 		if key[i] <= ' ' || key[i] > '~' {
--- a/serve/once/metrics.go
+++ b/serve/once/metrics.go
@@ -44,7 +44,7 @@
 	return m
 }
 
-func (m *metrics) count(out outcome) {
+func (m *metrics) countCall(out outcome) {
 	if out.err != nil {
 		m.calls.WithLabelValues(out.err.Verdict.String(), string(out.err.Code)).Inc()
 		return
@@ -52,13 +52,13 @@
 	m.calls.WithLabelValues("ran", "").Inc()
 }
 
-func (m *metrics) moved(why slot.Reason, result string) {
+func (m *metrics) countMove(why slot.Reason, result string) {
 	m.moves.WithLabelValues(why.String(), result).Inc()
 }
 
-func (m *metrics) timeBind(start time.Time) { m.bindTime.Observe(time.Since(start).Seconds()) }
+func (m *metrics) observeBind(start time.Time) { m.bindTime.Observe(time.Since(start).Seconds()) }
 
-func (m *metrics) size(owned, keys int) {
+func (m *metrics) setSizes(owned, keys int) {
 	m.owned.Set(float64(owned))
 	m.keys.Set(float64(keys))
 }
--- a/serve/once/once.go
+++ b/serve/once/once.go
@@ -64,22 +64,22 @@
 // daemon. It is safe for concurrent use.
 type Service struct {
 	Deps
-	self      slot.Member
-	tables    [slot.Count]table
-	seen      [slot.Count]atomic.Uint64 // newest refusal number heard of, by slot
-	metrics   *metrics
-	work      sync.WaitGroup // calls being worked on and reports on their way
-	working   atomic.Int64
-	leaving   atomic.Bool
-	deaths    deaths
-	silent    silent
-	history   history
-	postponed postponed
-	refusals  refusals
+	self          slot.Member
+	tables        [slot.Count]table
+	knownSeqs     [slot.Count]atomic.Uint64 // newest refusal number heard of, by slot
+	metrics       *metrics
+	inFlight      sync.WaitGroup // calls being worked on and reports on their way
+	inFlightCount atomic.Int64
+	leaving       atomic.Bool
+	deathProofs   deathProofs
+	unresponsive  unresponsiveSet
+	history       slotHistory
+	backoff       moveBackoff
+	refusedSlots  slotSet
 	// The rest belongs to Run.
-	idle   situation
-	swept  int
-	counts [slot.Count]int
+	idleInputs planInputs
+	nextSweep  int
+	keyCounts  [slot.Count]int
 }
 
 // NewService returns a Service. Mount Handler on the listener for other
@@ -94,13 +94,13 @@
 	for i := range s.tables {
 		s.tables[i].records = make(map[slot.Key]*record)
 	}
-	d.Roster.OnViolation(func(subject, detail string) { s.violated("one_owner_per_term", subject, detail) })
+	d.Roster.OnViolation(func(subject, detail string) { s.reportViolation("one_owner_per_term", subject, detail) })
 	return s
 }
 
 // Handler returns the twirp handler for other daemons and its path prefix.
 func (s *Service) Handler() (prefix string, h http.Handler) {
-	server := pb.NewOnceServer(&peer{s})
+	server := pb.NewOnceServer(&peerServer{s})
 	return server.PathPrefix(), server
 }
 
@@ -109,17 +109,17 @@
 // seen so far, ran when the answer is no longer kept, else may_have_run.
 func (s *Service) Handle(ctx context.Context, req Request) (plain.Answer, error) {
 	if req.Service.Repeatable {
-		return s.repeatable(ctx, req)
+		return s.handleRepeatable(ctx, req)
 	}
 	if err := CheckKey(req.Key); err != nil {
 		return plain.Answer{}, err
 	}
-	e := newExecution(req)
-	e.seen = s.seen[e.slot].Load()
+	e := newExecuteRequest(req)
+	e.knownSeq = s.knownSeqs[e.slot].Load()
 	ctx, cancel := context.WithTimeout(ctx, callDeadline(req.Service))
 	defer cancel()
 	out := s.route(ctx, e)
-	s.metrics.count(out)
+	s.metrics.countCall(out)
 	if out.err != nil {
 		s.logFailure(e, out.err)
 		return plain.Answer{}, out.err
@@ -127,27 +127,27 @@
 	return *out.answer, nil
 }
 
-func (s *Service) logFailure(e execution, err *verdict.Error) {
+func (s *Service) logFailure(e executeRequest, err *verdict.Error) {
 	if err.Verdict == verdict.MayHaveRun {
 		s.Log.Emit(event.CallUndecided, e.slot, e.account, e.service, err.Message)
 	}
 }
 
-// execution is one copy of a call on its way to the owner of its slot.
-type execution struct {
+// executeRequest is one copy of a call on its way to the owner of its slot.
+type executeRequest struct {
 	slot    int
 	key     slot.Key
 	digest  digest
 	account string
 	service string
 	call    plain.Call
-	// seen is the newest refusal number known when the copy arrived here.
-	seen uint64
+	// knownSeq is the newest refusal number known when the copy arrived here.
+	knownSeq uint64
 }
 
-func newExecution(req Request) execution {
+func newExecuteRequest(req Request) executeRequest {
 	key := slot.KeyOf(req.Account.Name, req.Service.Name, req.Key)
-	return execution{
+	return executeRequest{
 		slot: slot.ForKey(key), key: key, digest: digestOf(req.Call),
 		account: req.Account.Name, service: req.Service.Name, call: req.Call,
 	}
@@ -177,19 +177,19 @@
 	return site.DefaultLimits()
 }
 
-// violated reports that an invariant does not hold.
-func (s *Service) violated(invariant, subject, detail string) {
+// reportViolation reports that an invariant does not hold.
+func (s *Service) reportViolation(invariant, subject, detail string) {
 	s.metrics.violations.Inc()
 	s.Log.Emit(event.InvariantViolated, invariant, subject, detail)
 }
 
 // background runs f and lets Leave wait for it.
 func (s *Service) background(f func()) {
-	s.working.Add(1)
-	s.work.Add(1)
+	s.inFlightCount.Add(1)
+	s.inFlight.Add(1)
 	go func() {
-		defer s.work.Done()
-		defer s.working.Add(-1)
+		defer s.inFlight.Done()
+		defer s.inFlightCount.Add(-1)
 		f()
 	}()
 }
--- a/serve/once/peer.go
+++ b/serve/once/peer.go
@@ -10,16 +10,16 @@
 	pb "mallowwind.dev/peer/peerpb"
 )
 
-// peer answers other daemons.
-type peer struct{ s *Service }
+// peerServer answers other daemons.
+type peerServer struct{ s *Service }
 
 func errBadSlot() error { return twirp.InvalidArgumentError("slot", "out of range") }
 
 // Execute implements pb.Once.
-func (p *peer) Execute(ctx context.Context, w *pb.ExecuteRequest) (*pb.ExecuteReply, error) {
-	e := execution{
+func (p *peerServer) Execute(ctx context.Context, w *pb.ExecuteRequest) (*pb.ExecuteReply, error) {
+	e := executeRequest{
 		slot: int(w.GetSlot()), account: w.GetAccount(), service: w.GetService(),
-		call: callFromWire(w.GetCall()), seen: w.GetSeen(),
+		call: callFromWire(w.GetCall()), knownSeq: w.GetSeen(),
 	}
 	if len(w.GetKey()) != len(e.key) || len(w.GetBodyDigest()) != len(e.digest) {
 		return nil, twirp.InvalidArgumentError("key", "key or digest has the wrong length")
@@ -29,7 +29,7 @@
 	if e.slot != slot.ForKey(e.key) {
 		return nil, errBadSlot()
 	}
-	wait := min(time.Duration(w.GetWaitMs())*time.Millisecond, slice)
+	wait := min(time.Duration(w.GetWaitMs())*time.Millisecond, maxExecuteWait)
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	r := p.s.execute(ctx, e)
@@ -37,41 +37,41 @@
 	return &pb.ExecuteReply{
 		Moved: r.moved, Running: r.running, Assignment: assignmentToWire(a),
 		Answer: answerToWire(r.answer), Error: errorToWire(r.err),
-		Seen: p.s.tables[e.slot].seen(p.s.ownTerm(e.slot)),
+		Seen: p.s.tables[e.slot].lastSeqAt(p.s.ownedTerm(e.slot)),
 	}, nil
 }
 
 // Bind implements pb.Once.
-func (p *peer) Bind(_ context.Context, w *pb.BindRequest) (*pb.BindReply, error) {
+func (p *peerServer) Bind(_ context.Context, w *pb.BindRequest) (*pb.BindReply, error) {
 	r, ok := recordFromWire(w.GetRecord(), time.Now())
-	if !ok || w.GetSlot() >= slot.Count || r.state != bound {
+	if !ok || w.GetSlot() >= slot.Count || r.state != stateBound {
 		return nil, twirp.InvalidArgumentError("record", "not a bound key")
 	}
 	return &pb.BindReply{Accepted: p.s.tables[w.GetSlot()].bind(w.GetTerm(), &r)}, nil
 }
 
 // Report implements pb.Once.
-func (p *peer) Report(_ context.Context, w *pb.ReportRequest) (*pb.ReportReply, error) {
+func (p *peerServer) Report(_ context.Context, w *pb.ReportRequest) (*pb.ReportReply, error) {
 	r, ok := recordFromWire(w.GetRecord(), time.Now())
-	if !ok || w.GetSlot() >= slot.Count || r.state == bound {
+	if !ok || w.GetSlot() >= slot.Count || r.state == stateBound {
 		return nil, twirp.InvalidArgumentError("record", "not the end of a key")
 	}
 	i := int(w.GetSlot())
-	t, term := &p.s.tables[i], p.s.ownTerm(i)
+	t, term := &p.s.tables[i], p.s.ownedTerm(i)
 	switch t.finish(r, term, w.GetTerm()) {
 	case finishApplied:
-		if t.active(term) {
+		if t.isServing(term) {
 			p.s.noteRefusal(i, r.state)
 			p.s.background(func() { p.s.reportToWitness(i, r.key) })
 		}
-	case finishClash:
-		p.s.violated("one_end_per_key", keyString(r.key), r.state.String())
+	case finishConflict:
+		p.s.reportViolation("one_end_per_key", keyString(r.key), r.state.String())
 	}
 	return &pb.ReportReply{Assignment: assignmentToWire(p.s.Roster.Slot(i))}, nil
 }
 
 // Seal implements pb.Once.
-func (p *peer) Seal(_ context.Context, w *pb.SealRequest) (*pb.SealReply, error) {
+func (p *peerServer) Seal(_ context.Context, w *pb.SealRequest) (*pb.SealReply, error) {
 	reply := &pb.SealReply{}
 	now := time.Now()
 	for _, which := range w.GetSlots() {
@@ -88,7 +88,7 @@
 }
 
 // Install implements pb.Once.
-func (p *peer) Install(_ context.Context, w *pb.InstallRequest) (*pb.InstallReply, error) {
+func (p *peerServer) Install(_ context.Context, w *pb.InstallRequest) (*pb.InstallReply, error) {
 	reply := &pb.InstallReply{}
 	now := time.Now()
 	for _, in := range w.GetSlots() {
@@ -104,17 +104,17 @@
 }
 
 // Heard implements pb.Once.
-func (p *peer) Heard(_ context.Context, w *pb.HeardRequest) (*pb.HeardReply, error) {
+func (p *peerServer) Heard(_ context.Context, w *pb.HeardRequest) (*pb.HeardReply, error) {
 	for _, n := range w.GetNumbers() {
 		if n.GetSlot() < slot.Count {
-			p.s.heard(int(n.GetSlot()), n.GetNumber())
+			p.s.learnSeq(int(n.GetSlot()), n.GetNumber())
 		}
 	}
 	return &pb.HeardReply{}, nil
 }
 
 // Learn implements pb.Once.
-func (p *peer) Learn(_ context.Context, w *pb.SlotAssignments) (*pb.SlotAssignments, error) {
+func (p *peerServer) Learn(_ context.Context, w *pb.SlotAssignments) (*pb.SlotAssignments, error) {
 	reply := &pb.SlotAssignments{}
 	for _, a := range w.GetAssignments() {
 		if a.GetSlot() >= slot.Count {
--- a/serve/once/propose.go
+++ b/serve/once/propose.go
@@ -9,9 +9,9 @@
 	pb "mallowwind.dev/peer/peerpb"
 )
 
-// proposeTimeout bounds the wait for the daemon that writes for the others. One
+// proposeRPCTimeout bounds the wait for the daemon that writes for the others. One
 // that is paused costs a slot this much, then its new owner writes by itself.
-const proposeTimeout = time.Second
+const proposeRPCTimeout = time.Second
 
 // propose has assignments written and returns those that the store accepted.
 //
@@ -30,7 +30,7 @@
 // writer is the member that writes the roster for the others: the first by id
 // that is alive and not silent.
 func (s *Service) writer() slot.Member {
-	avoid, _ := s.silent.ids(time.Now())
+	avoid, _ := s.unresponsive.ids(time.Now())
 	first := s.self
 	for _, m := range s.Members.Current().Members {
 		if m.State == membership.Alive && !avoid[m.ID] && m.ID < first.ID {
@@ -42,7 +42,7 @@
 
 // proposeTo hands proposals to the writer and learns what became of them.
 func (s *Service) proposeTo(ctx context.Context, w slot.Member, proposals []slot.Assignment) error {
-	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, proposeRPCTimeout)
 	defer cancel()
 	msg := &pb.SlotAssignments{Assignments: make([]*pb.SlotAssignment, 0, len(proposals))}
 	for _, a := range proposals {
@@ -72,7 +72,7 @@
 }
 
 // Propose implements pb.Once.
-func (p *peer) Propose(ctx context.Context, w *pb.SlotAssignments) (*pb.SlotAssignments, error) {
+func (p *peerServer) Propose(ctx context.Context, w *pb.SlotAssignments) (*pb.SlotAssignments, error) {
 	proposals := make([]slot.Assignment, 0, len(w.GetAssignments()))
 	for _, a := range w.GetAssignments() {
 		if a.GetSlot() >= slot.Count {
--- a/serve/once/random_test.go
+++ b/serve/once/random_test.go
@@ -36,21 +36,21 @@
 		seed := *onceSeed + i
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			synctest.Test(t, func(t *testing.T) { runRandom(t, seed) })
+			synctest.Test(t, func(t *testing.T) { runSeed(t, seed) })
 		})
 	}
 }
 
 const (
-	settleFor  = 6 * time.Second
-	faultsFor  = 12 * time.Second
-	callers    = 6
-	wanderers  = 3 // copies of one order at most
-	attemptsOf = 4
+	settleDuration   = 6 * time.Second
+	faultDuration    = 12 * time.Second
+	callerCount      = 6
+	maxCopies        = 3 // copies of one order at most
+	maxTriesPerOrder = 4
 )
 
-// told is what one copy of an order was told.
-type told struct {
+// copyResult is what one copy of an order was told.
+type copyResult struct {
 	client     int
 	order      string
 	entry      string
@@ -59,42 +59,42 @@
 	err        *verdict.Error
 }
 
-// chaos is one randomised run.
-type chaos struct {
-	*world
-	rng  *rand.Rand // of the faults
-	mu   sync.Mutex
-	told []told
+// chaosRun is one randomised run.
+type chaosRun struct {
+	*cluster
+	rng     *rand.Rand // of the faults
+	mu      sync.Mutex
+	results []copyResult
 }
 
-func runRandom(t *testing.T, seed uint64) {
+func runSeed(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	c := &chaos{world: newWorld(t, 5+rng.IntN(3)), rng: rng}
+	c := &chaosRun{cluster: newCluster(t, 5+rng.IntN(3)), rng: rng}
 	defer c.close()
-	c.backend.takes = time.Duration(rng.IntN(1500)) * time.Millisecond
-	time.Sleep(settleFor)
+	c.backend.runDuration = time.Duration(rng.IntN(1500)) * time.Millisecond
+	time.Sleep(settleDuration)
 	var wg sync.WaitGroup
-	for i := range callers {
-		wg.Go(func() { c.orders(i, rand.New(rand.NewPCG(seed, uint64(i+2)))) })
+	for i := range callerCount {
+		wg.Go(func() { c.runCaller(i, rand.New(rand.NewPCG(seed, uint64(i+2)))) })
 	}
-	for end := time.Now().Add(faultsFor); time.Now().Before(end); {
-		c.fault()
+	for end := time.Now().Add(faultDuration); time.Now().Before(end); {
+		c.injectFault()
 		time.Sleep(time.Duration(100+rng.IntN(1200)) * time.Millisecond)
 	}
-	c.heal()
+	c.healAll()
 	wg.Wait()
-	time.Sleep(settleFor)
-	c.check(t)
-	c.checkServes(t)
+	time.Sleep(settleDuration)
+	c.checkResults(t)
+	c.checkServing(t)
 }
 
-// orders plays one caller until the faults end.
-func (c *chaos) orders(client int, rng *rand.Rand) {
-	end := time.Now().Add(faultsFor)
+// runCaller plays one caller until the faults end.
+func (c *chaosRun) runCaller(client int, rng *rand.Rand) {
+	end := time.Now().Add(faultDuration)
 	for n := 0; time.Now().Before(end); n++ {
 		order := fmt.Sprintf("order-%d/%d", client, n)
-		for range attemptsOf {
-			if !c.copies(client, order, 1+rng.IntN(wanderers), rng) {
+		for range maxTriesPerOrder {
+			if !c.sendCopies(client, order, 1+rng.IntN(maxCopies), rng) {
 				break
 			}
 			time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
@@ -102,15 +102,15 @@
 	}
 }
 
-// copies sends an order to some entry VMs at once and reports whether it should
+// sendCopies sends an order to some entry VMs at once and reports whether it should
 // be sent again: after an error, and sometimes after an answer too.
-func (c *chaos) copies(client int, order string, n int, rng *rand.Rand) (again bool) {
+func (c *chaosRun) sendCopies(client int, order string, n int, rng *rand.Rand) (again bool) {
 	var wg sync.WaitGroup
-	results := make([]told, n)
+	results := make([]copyResult, n)
 	for i := range n {
-		d := c.anyDaemon(rng)
+		d := c.randomDaemon(rng)
 		wg.Go(func() {
-			r := told{client: client, order: order, entry: d.id, start: time.Now()}
+			r := copyResult{client: client, order: order, entry: d.id, start: time.Now()}
 			r.answer, r.err = d.send(order, order)
 			r.end = time.Now()
 			if d.dead.Load() {
@@ -122,13 +122,13 @@
 	wg.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.told = append(c.told, results...)
+	c.results = append(c.results, results...)
 	return results[0].err != nil || rng.IntN(4) == 0
 }
 
-func (c *chaos) anyDaemon(rng *rand.Rand) *daemon {
-	c.world.mu.Lock()
-	defer c.world.mu.Unlock()
+func (c *chaosRun) randomDaemon(rng *rand.Rand) *daemon {
+	c.cluster.mu.Lock()
+	defer c.cluster.mu.Unlock()
 	var ids []string
 	for id, d := range c.daemons {
 		if !d.dead.Load() {
@@ -139,17 +139,17 @@
 	return c.daemons[ids[rng.IntN(len(ids))]]
 }
 
-// fault brings about one fault, and often ends it a while later.
-func (c *chaos) fault() {
-	d, o := c.anyDaemon(c.rng), c.anyDaemon(c.rng)
+// injectFault brings about one fault, and often ends it a while later.
+func (c *chaosRun) injectFault() {
+	d, o := c.randomDaemon(c.rng), c.randomDaemon(c.rng)
 	span := time.Duration(100+c.rng.IntN(6000)) * time.Millisecond
 	switch c.rng.IntN(10) {
 	case 0:
 		c.replace(d)
 	case 1, 2:
 		d.pause()
-		time.AfterFunc(time.Second, func() { c.forget(d) })
-		time.AfterFunc(span, func() { d.resume(); c.agree() })
+		time.AfterFunc(time.Second, func() { c.dropFromViews(d) })
+		time.AfterFunc(span, func() { d.resume(); c.syncViews() })
 	case 3, 4:
 		c.partition(d.id, o.id, true)
 		time.AfterFunc(span, func() { c.partition(d.id, o.id, false) })
@@ -162,68 +162,68 @@
 		d.flow.refuse.Store(true)
 		time.AfterFunc(span, func() { d.flow.refuse.Store(false) })
 	case 8:
-		c.backend.trouble(c.rng.IntN(3), c.rng.IntN(4))
+		c.backend.setFailures(c.rng.IntN(3), c.rng.IntN(4))
 	case 9:
-		c.retire(d, span)
+		c.leaveAndReplace(d, span)
 	}
 	if c.rng.IntN(6) == 0 {
-		c.differ(d, o)
+		c.divergeView(d, o)
 	}
 }
 
-func (b *backend) trouble(lose, fail int) {
+func (b *fakeBackend) setFailures(lose, fail int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.loseNext, b.failNext = lose, fail
+	b.lostAnswers, b.failedSends = lose, fail
 }
 
 // replace kills a daemon and starts another on the same VM or a new one.
-func (c *chaos) replace(d *daemon) {
+func (c *chaosRun) replace(d *daemon) {
 	d.kill()
 	id := d.id
 	if c.rng.IntN(2) == 0 {
 		id = fmt.Sprintf("vm%d", 7+c.rng.IntN(13))
 	}
 	c.start(id, d.view.Load().Self.Zone)
-	time.AfterFunc(time.Second, c.agree)
+	time.AfterFunc(time.Second, c.syncViews)
 }
 
-// retire has a daemon leave as planned, and end at the limit at the latest.
-func (c *chaos) retire(d *daemon, limit time.Duration) {
-	c.leave(d)
-	d.done.Go(func() {
+// leaveAndReplace has a daemon leave as planned, and end at the limit at the latest.
+func (c *chaosRun) leaveAndReplace(d *daemon, limit time.Duration) {
+	c.showLeaving(d)
+	d.goroutines.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), limit)
 		defer cancel()
 		_ = d.Leave(ctx)
 		d.kill()
-		c.agree()
+		c.syncViews()
 	})
 	c.start(fmt.Sprintf("vm%d", 20+c.rng.IntN(1000)), d.view.Load().Self.Zone)
-	time.AfterFunc(time.Second, c.agree)
+	time.AfterFunc(time.Second, c.syncViews)
 }
 
-// forget takes a paused daemon out of everyone else's view.
-func (c *chaos) forget(d *daemon) {
-	if d.gate.Load() == nil {
+// dropFromViews takes a paused daemon out of everyone else's view.
+func (c *chaosRun) dropFromViews(d *daemon) {
+	if d.pauseGate.Load() == nil {
 		return
 	}
-	c.world.mu.Lock()
-	defer c.world.mu.Unlock()
+	c.cluster.mu.Lock()
+	defer c.cluster.mu.Unlock()
 	for _, o := range c.daemons {
 		if o != d {
-			o.drop(d.id)
+			o.dropFromView(d.id)
 		}
 	}
 }
 
-// differ lets d believe that o is gone.
-func (c *chaos) differ(d, o *daemon) {
+// divergeView lets d believe that o is gone.
+func (c *chaosRun) divergeView(d, o *daemon) {
 	if d != o {
-		d.drop(o.id)
+		d.dropFromView(o.id)
 	}
 }
 
-func (d *daemon) drop(id string) {
+func (d *daemon) dropFromView(id string) {
 	view := *d.view.Load()
 	var members []membership.Member
 	for _, m := range view.Members {
@@ -235,40 +235,40 @@
 	d.view.Store(&view)
 }
 
-func (c *chaos) heal() {
-	c.mend()
-	c.world.mu.Lock()
+func (c *chaosRun) healAll() {
+	c.healLinks()
+	c.cluster.mu.Lock()
 	for _, d := range c.daemons {
 		d.resume()
 		d.flow.refuse.Store(false)
 	}
-	c.world.mu.Unlock()
+	c.cluster.mu.Unlock()
 	c.store.setDown(false)
-	c.backend.trouble(0, 0)
-	c.agree()
+	c.backend.setFailures(0, 0)
+	c.syncViews()
 }
 
 // checkServes: once the faults are over every slot must serve again, though a
 // change that was cut short may have left one of its pair sealed.
-func (c *chaos) checkServes(t *testing.T) {
+func (c *chaosRun) checkServing(t *testing.T) {
 	var wg sync.WaitGroup
 	for i := range 100 {
-		order, d := fmt.Sprint("after-", i), c.anyDaemon(c.rng)
+		order, d := fmt.Sprint("after-", i), c.randomDaemon(c.rng)
 		wg.Go(func() {
 			_, err := d.send(order, order)
-			test.True(t, err == nil || c.lost(order), test.Sprintf("%s at %s: %v%s", order, d.id, err, c.explain(order)))
+			test.True(t, err == nil || c.isPairLost(order), test.Sprintf("%s at %s: %v%s", order, d.id, err, c.describeSlot(order)))
 		})
 	}
 	wg.Wait()
 }
 
-// explain shows what each daemon knows of an order's slot.
-func (c *chaos) explain(order string) string {
+// describeSlot shows what each daemon knows of an order's slot.
+func (c *chaosRun) describeSlot(order string) string {
 	i := slot.ForKey(slot.KeyOf("depot", "desk", order))
 	out := fmt.Sprintf("\n  slot %d", i)
 	for id, d := range c.daemons {
 		a, t := d.Roster.Slot(i), &d.tables[i]
-		silent, _ := d.silent.ids(time.Now())
+		silent, _ := d.unresponsive.ids(time.Now())
 		t.mu.Lock()
 		out += fmt.Sprintf("\n  %s dead=%v leaving=%v: roster %d %s/%s, table %d, sealed %d, silent %v, view %d", id,
 			d.dead.Load(), d.leaving.Load(), a.Term, a.Owner.ID, a.Witness.ID, t.term, t.sealed, silent, len(d.Current().Members))
@@ -277,11 +277,11 @@
 	return out
 }
 
-// lost reports whether both of the pair that served an order's key are dead. The
+// isPairLost reports whether both of the pair that served an order's key are dead. The
 // slot then waits for proof, or unknown keys wait for the retention to end; both
 // take longer than a run.
-func (c *chaos) lost(order string) bool {
-	a := c.newest(slot.ForKey(slot.KeyOf("depot", "desk", order)))
+func (c *chaosRun) isPairLost(order string) bool {
+	a := c.newestAssignment(slot.ForKey(slot.KeyOf("depot", "desk", order)))
 	for _, d := range c.daemons {
 		if d.tables[a.Slot].undecidedFor(time.Now()) > 0 {
 			return true
@@ -294,10 +294,10 @@
 	return !alive(a.Owner) && !alive(a.Witness)
 }
 
-// check looks at everything callers were told beside what ran.
-func (c *chaos) check(t *testing.T) {
-	orders := map[string][]told{}
-	for _, r := range c.told {
+// checkResults looks at everything callers were told beside what ran.
+func (c *chaosRun) checkResults(t *testing.T) {
+	orders := map[string][]copyResult{}
+	for _, r := range c.results {
 		orders[r.order] = append(orders[r.order], r)
 	}
 	must.Positive(t, len(c.backend.history))
@@ -306,25 +306,25 @@
 		must.True(t, porcupine.CheckOperations(atMostOnce.ToModel(), operations(copies)),
 			must.Sprintf("%s: no order of events explains %v", order, copies))
 	}
-	t.Logf("%d orders, %d copies, %d runs, told: %v", len(orders), len(c.told), len(c.backend.history), tally(c.told))
+	t.Logf("%d orders, %d copies, %d runs, told: %v", len(orders), len(c.results), len(c.backend.history), countResults(c.results))
 	for _, run := range c.backend.history {
 		c.checkRun(t, run, orders[run.body])
 	}
 }
 
 // String puts one copy on a line.
-func (r told) String() string {
+func (r copyResult) String() string {
 	out := r.answer
 	if r.err != nil {
 		out = r.err.Error()
 	}
-	return fmt.Sprintf("\n  %s at %s, %s..%s: %s", r.order, r.entry, r.start.Format(clock), r.end.Format(clock), out)
+	return fmt.Sprintf("\n  %s at %s, %s..%s: %s", r.order, r.entry, r.start.Format(timeFormat), r.end.Format(timeFormat), out)
 }
 
-const clock = "05.000000"
+const timeFormat = "05.000000"
 
-// tally counts what callers were told.
-func tally(all []told) map[string]int {
+// countResults counts what callers were told.
+func countResults(all []copyResult) map[string]int {
 	counts := map[string]int{}
 	for _, r := range all {
 		if r.err == nil {
@@ -337,10 +337,10 @@
 }
 
 // checkRun: a run needs a copy that was sent after the last not_run before it.
-func (c *chaos) checkRun(t *testing.T, run runAt, copies []told) {
+func (c *chaosRun) checkRun(t *testing.T, run backendRun, copies []copyResult) {
 	var refusedAt time.Time
 	for _, r := range copies {
-		if r.refused() && r.end.Before(run.at) && r.end.After(refusedAt) {
+		if r.isNotRun() && r.end.Before(run.at) && r.end.After(refusedAt) {
 			refusedAt = r.end
 		}
 	}
@@ -349,13 +349,13 @@
 			return
 		}
 	}
-	t.Fatalf("%s ran at %s although not_run was told at %s: %v", run.body, run.at.Format(clock), refusedAt.Format(clock), copies)
+	t.Fatalf("%s ran at %s although not_run was told at %s: %v", run.body, run.at.Format(timeFormat), refusedAt.Format(timeFormat), copies)
 }
 
-func (r told) refused() bool { return r.err != nil && r.err.Verdict == verdict.NotRun }
+func (r copyResult) isNotRun() bool { return r.err != nil && r.err.Verdict == verdict.NotRun }
 
 // operations turns what was told into operations. One that may have run has no end.
-func operations(copies []told) []porcupine.Operation {
+func operations(copies []copyResult) []porcupine.Operation {
 	var ops []porcupine.Operation
 	for i, r := range copies {
 		op := porcupine.Operation{ClientId: i, Input: r.order, Output: r, Call: r.start.UnixNano(), Return: r.end.UnixNano()}
@@ -371,7 +371,7 @@
 var atMostOnce = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{false} },
 	Step: func(state, input, output any) []any {
-		r := output.(told)
+		r := output.(copyResult)
 		switch {
 		case r.err == nil && r.answer == r.order+" run 1":
 			return []any{true}
--- a/serve/once/record.go
+++ b/serve/once/record.go
@@ -14,20 +14,20 @@
 
 const (
 	// bound: some daemon may dispatch the call, or did and did not say how it ended.
-	bound state = iota
+	stateBound state = iota
 	// refused: given up before anything was sent.
-	refused
+	stateRefused
 	// unknown: sent, and no whole answer came back.
-	unknown
+	stateUnknown
 	// ran: a whole answer came back.
-	ran
+	stateRan
 	// abandoned: given up before the witness's consent was known. It is only
 	// reported, never kept: the key is forgotten, and another copy may bind it.
-	abandoned
+	stateAbandoned
 )
 
-// sent reports whether bytes of the call may have left.
-func (s state) sent() bool { return s == unknown || s == ran }
+// wasSent reports whether bytes of the call may have left.
+func (s state) wasSent() bool { return s == stateUnknown || s == stateRan }
 
 // String returns the name used in logs.
 func (s state) String() string {
@@ -41,8 +41,8 @@
 	moved  bool           // another daemon serves the slot
 }
 
-// cause is the error that the flow is told of.
-func (o outcome) cause() error {
+// asError is the error that the flow is told of.
+func (o outcome) asError() error {
 	if o.err == nil {
 		return nil
 	}
@@ -56,34 +56,34 @@
 	attempt    uint64      // grows each time the key is bound
 	dispatcher slot.Member // the only process that may send this attempt
 	state      state
-	refusedAt  uint64 // number of the refusal
+	refusalSeq uint64 // number of the refusal
 	out        outcome
 	expires    time.Time
-	call       *call // set at the dispatcher while it works on the attempt
+	call       *inFlightCall // set at the dispatcher while it works on the attempt
 }
 
 func keyString(k slot.Key) string { return hex.EncodeToString(k[:]) }
 
-// bytes is the size of the kept answer.
-func (r *record) bytes() int {
+// answerBytes is the size of the kept answer.
+func (r *record) answerBytes() int {
 	if r.out.answer == nil {
 		return 0
 	}
 	return len(r.out.answer.Body)
 }
 
-// call is one attempt being worked on by this daemon. out may be read after
+// inFlightCall is one attempt being worked on by this daemon. out may be read after
 // done is closed.
-type call struct {
+type inFlightCall struct {
 	slot    int
 	key     slot.Key
 	attempt uint64
-	req     execution
+	req     executeRequest
 	done    chan struct{}
 	out     outcome
 }
 
-func (c *call) end(out outcome) {
+func (c *inFlightCall) complete(out outcome) {
 	c.out = out
 	close(c.done)
 }
--- a/serve/once/report.go
+++ b/serve/once/report.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	reportTimeout  = time.Second
-	reportPause    = 100 * time.Millisecond
-	reportPatience = 10 * time.Second
+	reportRPCTimeout    = time.Second
+	reportRetryInterval = 100 * time.Millisecond
+	reportTotalTimeout  = 10 * time.Second
 )
 
 // reportToWitness copies the end of a key to the witness, so that the answer
@@ -19,8 +19,8 @@
 // at the witness the key stays bound.
 func (s *Service) reportToWitness(i int, key slot.Key) {
 	a := s.Roster.Slot(i)
-	r, ok := s.tables[i].look(key)
-	if !ok || r.state == bound {
+	r, ok := s.tables[i].lookup(key)
+	if !ok || r.state == stateBound {
 		return
 	}
 	if !a.Owner.IsSameProcess(s.self) {
@@ -41,12 +41,12 @@
 // after the slot moved. It keeps looking for the owner for a while, since the
 // move may not be known here yet.
 func (s *Service) reportToOwner(end record, i int) {
-	ctx, cancel := context.WithTimeout(context.Background(), reportPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), reportTotalTimeout)
 	defer cancel()
 	for {
 		a := s.Roster.Slot(i)
 		if a.Owner.IsSameProcess(s.self) {
-			if s.tables[i].active(a.Term) {
+			if s.tables[i].isServing(a.Term) {
 				s.tables[i].finish(end, a.Term, 0)
 				return
 			}
@@ -56,7 +56,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(reportPause):
+		case <-time.After(reportRetryInterval):
 		}
 		_ = s.Roster.Refresh(ctx)
 	}
@@ -64,7 +64,7 @@
 
 // report sends one report and learns the receiver's newest assignment.
 func (s *Service) report(to slot.Member, i int, term uint64, r *record) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), reportRPCTimeout)
 	defer cancel()
 	w, err := s.client(to).Report(ctx, &pb.ReportRequest{
 		Slot: uint32(i), Term: term, Record: recordToWire(r, time.Now()),
--- a/serve/once/story_test.go
+++ b/serve/once/scenario_test.go
@@ -19,13 +19,13 @@
 
 func newReader(b []byte) io.Reader { return bytes.NewReader(b) }
 
-// story runs f with n daemons that have settled their slots.
-func story(t *testing.T, n int, f func(t *testing.T, w *world)) {
+// runScenario runs f with n daemons that have settled their slots.
+func runScenario(t *testing.T, n int, f func(t *testing.T, cl *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, n)
-		defer w.close()
+		cl := newCluster(t, n)
+		defer cl.close()
 		time.Sleep(15 * time.Second)
-		f(t, w)
+		f(t, cl)
 	})
 }
 
@@ -34,7 +34,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	answer, err := d.Handle(ctx, Request{
-		Account: d.w.site.Accounts["depot"], Service: d.w.site.Services["desk"], Key: key,
+		Account: d.cluster.site.Accounts["depot"], Service: d.cluster.site.Services["desk"], Key: key,
 		Call: plain.Call{Method: "POST", Path: "/orders", Body: []byte(body)},
 	})
 	if err != nil {
@@ -43,20 +43,20 @@
 	return string(answer.Body), nil
 }
 
-// said is the verdict a caller reads; an answer says that the call ran.
-func said(err *verdict.Error) verdict.Verdict {
+// verdictOf is the verdict a caller reads; an answer says that the call ran.
+func verdictOf(err *verdict.Error) verdict.Verdict {
 	if err == nil {
 		return verdict.Ran
 	}
 	return err.Verdict
 }
 
-// pair returns the owner and the witness of key, and another daemon.
-func (w *world) pair(key string) (owner, witness, other *daemon) {
+// pairOf returns the owner and the witness of key, and another daemon.
+func (cl *cluster) pairOf(key string) (owner, witness, other *daemon) {
 	i := slot.ForKey(slot.KeyOf("depot", "desk", key))
-	a := w.newest(i)
-	owner, witness = w.daemon(a.Owner.ID), w.daemon(a.Witness.ID)
-	for _, d := range w.daemons {
+	a := cl.newestAssignment(i)
+	owner, witness = cl.daemon(a.Owner.ID), cl.daemon(a.Witness.ID)
+	for _, d := range cl.daemons {
 		if d != owner && d != witness && !d.dead.Load() {
 			other = d
 		}
@@ -64,9 +64,9 @@
 	return owner, witness, other
 }
 
-func (w *world) newest(i int) slot.Assignment {
+func (cl *cluster) newestAssignment(i int) slot.Assignment {
 	var a slot.Assignment
-	for _, d := range w.daemons {
+	for _, d := range cl.daemons {
 		if b := d.Roster.Slot(i); b.Term > a.Term {
 			a = b
 		}
@@ -74,22 +74,22 @@
 	return a
 }
 
-// bury kills a daemon and takes it out of all views.
-func (w *world) bury(d *daemon) {
+// killAndSyncViews kills a daemon and takes it out of all views.
+func (cl *cluster) killAndSyncViews(d *daemon) {
 	d.kill()
-	w.agree()
+	cl.syncViews()
 }
 
 func TestSameKeyAtThreeEntryVMsAtOnceRunsOnce(t *testing.T) {
 	// A driver's phone sends one confirmation over three entry VMs at the same
 	// moment. All three get the answer of the one run; a fourth copy much later
 	// gets it too, and the key with another body is refused.
-	story(t, 6, func(t *testing.T, w *world) {
-		w.backend.takes = 3 * time.Second
+	runScenario(t, 6, func(t *testing.T, cl *cluster) {
+		cl.backend.runDuration = 3 * time.Second
 		answers := make(chan string, 3)
 		for _, id := range []string{"vm0", "vm1", "vm2"} {
 			go func() {
-				answer, _ := w.daemon(id).send("k1", "ship 4 t")
+				answer, _ := cl.daemon(id).send("k1", "ship 4 t")
 				answers <- answer
 			}()
 		}
@@ -97,14 +97,14 @@
 			must.EqOp(t, "ship 4 t run 1", <-answers)
 		}
 		time.Sleep(time.Minute)
-		answer, err := w.daemon("vm4").send("k1", "ship 4 t")
+		answer, err := cl.daemon("vm4").send("k1", "ship 4 t")
 		must.Nil(t, err)
 		must.EqOp(t, "ship 4 t run 1", answer)
-		_, err = w.daemon("vm5").send("k1", "ship 5 t")
-		must.EqOp(t, verdict.NotRun, said(err))
+		_, err = cl.daemon("vm5").send("k1", "ship 5 t")
+		must.EqOp(t, verdict.NotRun, verdictOf(err))
 		must.EqOp(t, verdict.CodeKeyReused, err.Code)
-		must.EqOp(t, 1, w.backend.count("ship 4 t"))
-		must.EqOp(t, 0, w.backend.count("ship 5 t"))
+		must.EqOp(t, 1, cl.backend.count("ship 4 t"))
+		must.EqOp(t, 0, cl.backend.count("ship 5 t"))
 	})
 }
 
@@ -113,31 +113,31 @@
 	// The others believe it gone, the witness takes over, the caller asks again
 	// and learns that the call may have run. Then the old owner wakes and sends.
 	// The cause of the danger: nothing tells a paused process that it lost a slot.
-	story(t, 6, func(t *testing.T, w *world) {
-		owner, witness, other := w.pair("k2")
+	runScenario(t, 6, func(t *testing.T, cl *cluster) {
+		owner, witness, other := cl.pairOf("k2")
 		hold := make(chan struct{})
 		owner.flow.hold.Store(&hold)
 		go func() { _, _ = other.send("k2", "dispatch excavator") }()
 		time.Sleep(time.Second)
 		owner.pause()
 		owner.dead.Store(true)
-		w.agree()
+		cl.syncViews()
 		owner.dead.Store(false)
 		time.Sleep(10 * time.Second)
 		answer, err := other.send("k2", "dispatch excavator")
 		must.EqOp(t, "", answer)
-		must.EqOp(t, verdict.MayHaveRun, said(err))
-		must.EqOp(t, 0, w.backend.count("dispatch excavator"))
-		now, _, _ := w.pair("k2")
+		must.EqOp(t, verdict.MayHaveRun, verdictOf(err))
+		must.EqOp(t, 0, cl.backend.count("dispatch excavator"))
+		now, _, _ := cl.pairOf("k2")
 		must.EqOp(t, witness.id, now.id)
 		close(hold)
 		owner.resume()
 		time.Sleep(5 * time.Second)
-		must.EqOp(t, 1, w.backend.count("dispatch excavator"))
+		must.EqOp(t, 1, cl.backend.count("dispatch excavator"))
 		answer, err = other.send("k2", "dispatch excavator")
 		must.Nil(t, err)
 		must.EqOp(t, "dispatch excavator run 1", answer)
-		must.EqOp(t, 1, w.backend.count("dispatch excavator"))
+		must.EqOp(t, 1, cl.backend.count("dispatch excavator"))
 	})
 }
 
@@ -146,37 +146,37 @@
 	// never asked before. When the owner dies in the outage its slot can't move:
 	// callers are told at once that the outcome is open and when to ask again,
 	// and after the outage the key still has its one run.
-	story(t, 6, func(t *testing.T, w *world) {
-		w.store.setDown(true)
-		answer, err := w.daemon("vm3").send("k3", "order 12")
+	runScenario(t, 6, func(t *testing.T, cl *cluster) {
+		cl.store.setDown(true)
+		answer, err := cl.daemon("vm3").send("k3", "order 12")
 		must.Nil(t, err)
 		must.EqOp(t, "order 12 run 1", answer)
-		owner, _, other := w.pair("k3")
+		owner, _, other := cl.pairOf("k3")
 		time.Sleep(time.Second)
-		w.bury(owner)
+		cl.killAndSyncViews(owner)
 		time.Sleep(3 * time.Minute)
 		_, err = other.send("k3", "order 12")
-		must.EqOp(t, verdict.MayHaveRun, said(err))
+		must.EqOp(t, verdict.MayHaveRun, verdictOf(err))
 		must.Positive(t, err.RetryAfter)
-		w.store.setDown(false)
+		cl.store.setDown(false)
 		time.Sleep(10 * time.Second)
 		answer, err = other.send("k3", "order 12")
 		must.Nil(t, err)
 		must.EqOp(t, "order 12 run 1", answer)
-		must.EqOp(t, 1, w.backend.count("order 12"))
+		must.EqOp(t, 1, cl.backend.count("order 12"))
 	})
 }
 
 func TestOwnerDiesAfterAnsweringAndTheWitnessKnowsTheAnswer(t *testing.T) {
 	// The answer is lost on the way back because the owner dies. The caller
 	// asks another entry VM with the same key and gets the recorded answer.
-	story(t, 6, func(t *testing.T, w *world) {
-		owner, _, other := w.pair("k4")
+	runScenario(t, 6, func(t *testing.T, cl *cluster) {
+		owner, _, other := cl.pairOf("k4")
 		answer, err := other.send("k4", "confirm 7")
 		must.Nil(t, err)
 		must.EqOp(t, "confirm 7 run 1", answer)
 		time.Sleep(100 * time.Millisecond)
-		w.bury(owner)
+		cl.killAndSyncViews(owner)
 		noticed := time.Now()
 		answer, err = other.send("k4", "confirm 7")
 		must.Nil(t, err)
@@ -190,13 +190,13 @@
 	// the confirmation is lost, and the first write even takes effect late.
 	// Callers see a short wait and then one owner, which knows the key.
 	for _, late := range []time.Duration{0, 20 * time.Millisecond} {
-		story(t, 6, func(t *testing.T, w *world) {
-			owner, _, other := w.pair("k5")
+		runScenario(t, 6, func(t *testing.T, cl *cluster) {
+			owner, _, other := cl.pairOf("k5")
 			_, err := other.send("k5", "hire roller")
 			must.Nil(t, err)
 			time.Sleep(100 * time.Millisecond)
-			w.store.loseConfirmations(3, late)
-			w.bury(owner)
+			cl.store.loseConfirmations(3, late)
+			cl.killAndSyncViews(owner)
 			answer, err := other.send("k5", "hire roller")
 			must.Nil(t, err)
 			must.EqOp(t, "hire roller run 1", answer)
@@ -207,13 +207,13 @@
 func TestPartitionBetweenOwnerAndWitness(t *testing.T) {
 	// Owner and witness of a key can't reach each other, while everyone else
 	// reaches both. The owner takes another witness and the call runs once.
-	story(t, 6, func(t *testing.T, w *world) {
-		owner, witness, other := w.pair("k6")
-		w.partition(owner.id, witness.id, true)
+	runScenario(t, 6, func(t *testing.T, cl *cluster) {
+		owner, witness, other := cl.pairOf("k6")
+		cl.partition(owner.id, witness.id, true)
 		answer, err := other.send("k6", "tow pump")
 		must.Nil(t, err)
 		must.EqOp(t, "tow pump run 1", answer)
-		_, now, _ := w.pair("k6")
+		_, now, _ := cl.pairOf("k6")
 		must.NotEqOp(t, witness.id, now.id)
 	})
 }
@@ -222,20 +222,20 @@
 	// Owner and witness die together after a run. Nobody knows the key any
 	// more, so every unknown key of the slot is answered with may_have_run
 	// until the retention time is over, and nothing runs a second time.
-	story(t, 6, func(t *testing.T, w *world) {
-		w.retain(4*time.Minute, time.Minute)
-		owner, witness, other := w.pair("k7")
+	runScenario(t, 6, func(t *testing.T, cl *cluster) {
+		cl.setRetention(4*time.Minute, time.Minute)
+		owner, witness, other := cl.pairOf("k7")
 		_, err := other.send("k7", "release 20 t")
 		must.Nil(t, err)
 		owner.kill()
 		witness.kill()
-		w.agree()
+		cl.syncViews()
 		time.Sleep(2 * time.Minute)
 		_, err = other.send("k7", "release 20 t")
-		must.EqOp(t, verdict.MayHaveRun, said(err))
+		must.EqOp(t, verdict.MayHaveRun, verdictOf(err))
 		must.EqOp(t, verdict.CodeKeyUndecided, err.Code)
-		must.EqOp(t, 1, w.backend.count("release 20 t"))
-		time.Sleep(w.site.Limits.KeyTTL)
+		must.EqOp(t, 1, cl.backend.count("release 20 t"))
+		time.Sleep(cl.site.Limits.KeyTTL)
 		_, err = other.send("k7", "release 20 t")
 		must.Nil(t, err)
 	})
@@ -245,26 +245,26 @@
 	// The pair of a slot is cut off from everyone else, as when regions lose
 	// each other, and goes on serving on its side. The other side must neither
 	// run keys of the slot nor take it: both come back in an hour.
-	story(t, 6, func(t *testing.T, w *world) {
-		owner, witness, other := w.pair("k8")
+	runScenario(t, 6, func(t *testing.T, cl *cluster) {
+		owner, witness, other := cl.pairOf("k8")
 		for _, a := range []*daemon{owner, witness} {
-			for _, b := range w.daemons {
+			for _, b := range cl.daemons {
 				if b != owner && b != witness {
-					w.partition(a.id, b.id, true)
+					cl.partition(a.id, b.id, true)
 				}
 			}
 		}
 		owner.dead.Store(true)
 		witness.dead.Store(true)
-		w.agree()
+		cl.syncViews()
 		owner.dead.Store(false)
 		witness.dead.Store(false)
 		time.Sleep(time.Minute)
 		_, err := other.send("k8", "move crane")
-		must.EqOp(t, verdict.MayHaveRun, said(err))
-		must.EqOp(t, 0, w.backend.count("move crane"))
-		w.mend()
-		w.agree()
+		must.EqOp(t, verdict.MayHaveRun, verdictOf(err))
+		must.EqOp(t, 0, cl.backend.count("move crane"))
+		cl.healLinks()
+		cl.syncViews()
 		time.Sleep(time.Second)
 		answer, err := other.send("k8", "move crane")
 		must.Nil(t, err)
@@ -277,8 +277,8 @@
 	// the first; the other is refused for overload with not_run. The caller
 	// trusts that and orders under a new key. When the held copy arrives at
 	// last it must not run. A copy sent after the refusal runs, wherever it goes.
-	story(t, 6, func(t *testing.T, w *world) {
-		owner, witness, held := w.pair("k9")
+	runScenario(t, 6, func(t *testing.T, cl *cluster) {
+		owner, witness, held := cl.pairOf("k9")
 		held.pause()
 		late := make(chan *verdict.Error)
 		go func() {
@@ -288,12 +288,12 @@
 		time.Sleep(time.Millisecond)
 		owner.flow.refuse.Store(true)
 		_, err := witness.send("k9", "20 sacks")
-		must.EqOp(t, verdict.NotRun, said(err))
+		must.EqOp(t, verdict.NotRun, verdictOf(err))
 		must.Positive(t, err.RetryAfter)
 		owner.flow.refuse.Store(false)
 		held.resume()
-		must.EqOp(t, verdict.MayHaveRun, said(<-late))
-		must.EqOp(t, 0, w.backend.count("20 sacks"))
+		must.EqOp(t, verdict.MayHaveRun, verdictOf(<-late))
+		must.EqOp(t, 0, cl.backend.count("20 sacks"))
 		time.Sleep(err.RetryAfter)
 		answer, err := held.send("k9", "20 sacks")
 		must.Nil(t, err)
@@ -305,35 +305,35 @@
 	// A backend server that can't be connected to is passed over; when all are
 	// the caller reads not_run. One that takes the call and says nothing may
 	// have run it: it is not sent again, now or on a retry.
-	story(t, 3, func(t *testing.T, w *world) {
-		w.backend.failNext = 2
-		_, err := w.daemon("vm0").send("a", "order a")
+	runScenario(t, 3, func(t *testing.T, cl *cluster) {
+		cl.backend.failedSends = 2
+		_, err := cl.daemon("vm0").send("a", "order a")
 		must.Nil(t, err)
-		w.backend.failNext = maxSends
-		_, err = w.daemon("vm0").send("b", "order b")
-		must.EqOp(t, verdict.NotRun, said(err))
-		w.backend.loseNext = 1
+		cl.backend.failedSends = maxBackendsTried
+		_, err = cl.daemon("vm0").send("b", "order b")
+		must.EqOp(t, verdict.NotRun, verdictOf(err))
+		cl.backend.lostAnswers = 1
 		for _, id := range []string{"vm0", "vm1", "vm2"} {
-			_, err = w.daemon(id).send("c", "order c")
-			must.EqOp(t, verdict.MayHaveRun, said(err))
+			_, err = cl.daemon(id).send("c", "order c")
+			must.EqOp(t, verdict.MayHaveRun, verdictOf(err))
 		}
-		must.EqOp(t, 1, w.backend.count("order c"))
+		must.EqOp(t, 1, cl.backend.count("order c"))
 	})
 }
 
 func TestPlannedLeaveRefusesNothing(t *testing.T) {
 	// A daemon is replaced as planned while callers send orders without pause,
 	// one of them running for seconds. None is refused or left open.
-	story(t, 6, func(t *testing.T, w *world) {
-		owner, _, other := w.pair("k0")
-		w.backend.takes = 2 * time.Second
+	runScenario(t, 6, func(t *testing.T, cl *cluster) {
+		owner, _, other := cl.pairOf("k0")
+		cl.backend.runDuration = 2 * time.Second
 		running := make(chan *verdict.Error)
 		go func() {
 			_, err := other.send("k0", "long order")
 			running <- err
 		}()
 		time.Sleep(500 * time.Millisecond)
-		w.leave(owner)
+		cl.showLeaving(owner)
 		left := make(chan error)
 		go func() { left <- owner.Leave(context.Background()) }()
 		for i := range 50 {
@@ -348,20 +348,20 @@
 			must.Nil(t, <-running)
 		}
 		must.NoError(t, <-left)
-		must.EqOp(t, 0, owner.holds())
+		must.EqOp(t, 0, owner.heldSlots())
 	})
 }
 
 func TestNewKeyNeedsNoStoreWrite(t *testing.T) {
 	// Hundreds of orders: the store sees no write, so its rate bounds nothing.
-	story(t, 6, func(t *testing.T, w *world) {
-		before := w.store.written()
+	runScenario(t, 6, func(t *testing.T, cl *cluster) {
+		before := cl.store.writeCount()
 		for i := range 300 {
 			key := fmt.Sprint("n", i)
-			_, err := w.daemon("vm1").send(key, key)
+			_, err := cl.daemon("vm1").send(key, key)
 			must.Nil(t, err)
 		}
-		must.EqOp(t, before, w.store.written())
+		must.EqOp(t, before, cl.store.writeCount())
 	})
 }
 
@@ -369,10 +369,10 @@
 	// While an owner waits for the witness, the slot goes to another daemon and
 	// comes back. The owner's table was replaced and does not hold the key. If it
 	// were sent now, a second copy would find no trace of it and run again.
-	story(t, 6, func(t *testing.T, w *world) {
-		owner, _, _ := w.pair("k10")
+	runScenario(t, 6, func(t *testing.T, cl *cluster) {
+		owner, _, _ := cl.pairOf("k10")
 		key := slot.KeyOf("depot", "desk", "k10")
-		c := &call{slot: slot.ForKey(key), key: key, attempt: 1, done: make(chan struct{})}
+		c := &inFlightCall{slot: slot.ForKey(key), key: key, attempt: 1, done: make(chan struct{})}
 		r := record{key: key, attempt: 1, dispatcher: owner.self, expires: time.Now().Add(time.Hour)}
 		must.EqOp(t, bindMoved, owner.bind(context.Background(), c, r))
 		answer, err := owner.send("k10", "4 rollers")
@@ -386,14 +386,14 @@
 	// store. The pair is alive and in every roster, and yet half of it refuses
 	// every key. Callers must see a short wait, not refusals for ever.
 	for _, sealOwner := range []bool{true, false} {
-		story(t, 6, func(t *testing.T, w *world) {
-			owner, witness, other := w.pair("k11")
+		runScenario(t, 6, func(t *testing.T, cl *cluster) {
+			owner, witness, other := cl.pairOf("k11")
 			i := slot.ForKey(slot.KeyOf("depot", "desk", "k11"))
 			sealed := witness
 			if sealOwner {
 				sealed = owner
 			}
-			sealed.tables[i].seal(w.newest(i).Term)
+			sealed.tables[i].seal(cl.newestAssignment(i).Term)
 			answer, err := other.send("k11", "1 roller")
 			must.Nil(t, err)
 			must.EqOp(t, "1 roller run 1", answer)
@@ -406,11 +406,11 @@
 	// lists them. Nobody can give the keys of the slots that they shared, for a
 	// minute and more. The one that is left must neither ask for them five
 	// times a second nor keep back the slots that it can take.
-	story(t, 3, func(t *testing.T, w *world) {
-		owner, witness, other := w.pair("k12")
+	runScenario(t, 3, func(t *testing.T, cl *cluster) {
+		owner, witness, other := cl.pairOf("k12")
 		owner.kill()
 		witness.kill()
-		w.agree()
+		cl.syncViews()
 		time.Sleep(time.Minute)
 		shared := 0.0
 		for i := range slot.Count {
--- a/serve/once/table.go
+++ b/serve/once/table.go
@@ -19,53 +19,53 @@
 //     bound anew only after a refusal, and only for a copy that reached an
 //     entry VM after that refusal was known there.
 type table struct {
-	mu     sync.Mutex
-	term   uint64 // newest term whose keys are all here; 0: none
-	sealed uint64 // keys of terms up to this one are refused
-	used   bool   // a key was bound at term
-	// counter numbers attempts and refusals in the order in which they happen.
-	counter   uint64
-	records   map[slot.Key]*record
-	undecided time.Time // until then unknown keys may have run
-	answers   int       // bytes of kept answers
+	mu          sync.Mutex
+	term        uint64 // newest term whose keys are all here; 0: none
+	sealed      uint64 // keys of terms up to this one are refused
+	boundInTerm bool   // a key was bound at term
+	// lastSeq numbers attempts and refusals in the order in which they happen.
+	lastSeq        uint64
+	records        map[slot.Key]*record
+	undecidedUntil time.Time // until then unknown keys may have run
+	answerBytes    int       // bytes of kept answers
 }
 
 const (
 	// maxKeysPerSlot holds two hours of 8,200 calls a second, all of them not
 	// repeatable, over 1,024 slots.
 	maxKeysPerSlot = 1 << 16
-	// maxAnswerKept and maxAnswersPerSlot bound kept answers, in bytes. A
+	// maxAnswerBytes and maxAnswersPerSlot bound kept answers, in bytes. A
 	// daemon holds five slots in a fleet of full size, up to 350 among six daemons.
-	maxAnswerKept     = 64 << 10
-	maxAnswersPerSlot = 256 << 10
+	maxAnswerBytes        = 64 << 10
+	maxAnswerBytesPerSlot = 256 << 10
 )
 
-func (t *table) next() uint64 {
-	t.counter++
-	return t.counter
+func (t *table) nextSeq() uint64 {
+	t.lastSeq++
+	return t.lastSeq
 }
 
-// claimed says what became of a claim.
-type claimed uint8
+// claimResult says what became of a claim.
+type claimResult uint8
 
 const (
-	claimNew       claimed = iota // the caller works on the call now
-	claimKnown                    // the key is known: wait, or give its outcome
-	claimElsewhere                // this daemon does not serve the slot
-	claimStale                    // refused before, and this copy may be older than the refusal
-	claimReused                   // the key was used with another body
-	claimUndecided                // the slot's history is lost
-	claimFull                     // no room for another key
+	claimNew       claimResult = iota // the caller works on the call now
+	claimKnown                        // the key is known: wait, or give its outcome
+	claimNotServed                    // this daemon does not serve the slot
+	claimStale                        // refused before, and this copy may be older than the refusal
+	claimKeyReused                    // the key was used with another body
+	claimUndecided                    // the slot's history is lost
+	claimFull                         // no room for another key
 )
 
 // claim looks a key up for one copy of a call and binds it if it is new, in
 // one step, so that of many copies one is dispatched. The record is that of a
 // new claim.
-func (t *table) claim(now time.Time, c *call, self slot.Member, term uint64, ttl time.Duration) (record, claimed) {
+func (t *table) claim(now time.Time, c *inFlightCall, self slot.Member, term uint64, ttl time.Duration) (record, claimResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.serves(term) {
-		return record{}, claimElsewhere
+	if !t.isServingLocked(term) {
+		return record{}, claimNotServed
 	}
 	r := t.records[c.key]
 	if r != nil && !r.expires.After(now) && r.call == nil {
@@ -73,27 +73,27 @@
 	}
 	switch {
 	case r != nil && r.digest != c.req.digest:
-		return record{}, claimReused
-	case r != nil && r.state != refused:
+		return record{}, claimKeyReused
+	case r != nil && r.state != stateRefused:
 		return record{}, claimKnown
-	case r != nil && c.req.seen < r.refusedAt:
+	case r != nil && c.req.knownSeq < r.refusalSeq:
 		return record{}, claimStale
-	case now.Before(t.undecided):
+	case now.Before(t.undecidedUntil):
 		return record{}, claimUndecided
 	case r == nil && len(t.records) >= maxKeysPerSlot:
 		return record{}, claimFull
 	}
-	c.attempt = t.next()
+	c.attempt = t.nextSeq()
 	r = &record{
 		key: c.key, digest: c.req.digest, attempt: c.attempt,
 		dispatcher: self, expires: now.Add(ttl), call: c,
 	}
-	t.records[c.key], t.used = r, true
+	t.records[c.key], t.boundInTerm = r, true
 	return *r, claimNew
 }
 
-// look returns a copy of a record.
-func (t *table) look(key slot.Key) (record, bool) {
+// lookup returns a copy of a record.
+func (t *table) lookup(key slot.Key) (record, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[key]
@@ -103,11 +103,11 @@
 	return *r, true
 }
 
-// forget removes a key whose attempt was given up before it was dispatched.
-func (t *table) forget(key slot.Key, attempt uint64) {
+// unbind removes a key whose attempt was given up before it was dispatched.
+func (t *table) unbind(key slot.Key, attempt uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if r := t.records[key]; r != nil && r.attempt == attempt && r.state == bound {
+	if r := t.records[key]; r != nil && r.attempt == attempt && r.state == stateBound {
 		delete(t.records, key)
 	}
 }
@@ -116,28 +116,28 @@
 func (t *table) bind(term uint64, r *record) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.serves(term) {
+	if !t.isServingLocked(term) {
 		return false
 	}
 	have := t.records[r.key]
 	if have != nil && have.attempt == r.attempt {
-		return have.state == bound
+		return have.state == stateBound
 	}
-	if have != nil && (have.attempt > r.attempt || have.state > refused) {
+	if have != nil && (have.attempt > r.attempt || have.state > stateRefused) {
 		return false
 	}
-	t.records[r.key], t.used = r, true
+	t.records[r.key], t.boundInTerm = r, true
 	return true
 }
 
-// finished says what finish did.
-type finished uint8
+// finishResult says what finish did.
+type finishResult uint8
 
 const (
-	finishApplied   finished = iota
-	finishIgnored            // nothing known of the attempt, or known already
-	finishElsewhere          // a refusal needs a number of the slot's owner
-	finishClash              // the key has another end: an invariant does not hold
+	finishApplied    finishResult = iota
+	finishIgnored                 // nothing known of the attempt, or known already
+	finishNeedsOwner              // a refusal needs a number of the slot's owner
+	finishConflict                // the key has another end: an invariant does not hold
 )
 
 // finish records how an attempt ended. ownTerm is the term at which this daemon
@@ -146,64 +146,64 @@
 // are compared. A witness takes that number from the owner of its own term
 // only: another daemon's number could be lower than one that an entry VM
 // already knows, and a delayed copy would pass as sent after the refusal.
-func (t *table) finish(end record, ownTerm, senderTerm uint64) finished {
+func (t *table) finish(end record, ownTerm, senderTerm uint64) finishResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[end.key]
-	if r == nil || end.state == bound {
+	if r == nil || end.state == stateBound {
 		return finishIgnored
 	}
 	if r.attempt != end.attempt {
-		return sentTwice(r.state.sent() && end.state.sent())
+		return conflictIf(r.state.wasSent() && end.state.wasSent())
 	}
-	if r.state != bound {
-		return sentTwice(r.state != end.state)
+	if r.state != stateBound {
+		return conflictIf(r.state != end.state)
 	}
-	if end.state == abandoned {
+	if end.state == stateAbandoned {
 		delete(t.records, end.key)
 		return finishIgnored
 	}
-	own := t.serves(ownTerm)
-	if end.state == refused && !own && (senderTerm == 0 || senderTerm != t.term) {
-		return finishElsewhere
+	own := t.isServingLocked(ownTerm)
+	if end.state == stateRefused && !own && (senderTerm == 0 || senderTerm != t.term) {
+		return finishNeedsOwner
 	}
-	r.state, r.out, r.refusedAt, r.call = end.state, end.out, end.refusedAt, nil
-	if own && end.state == refused {
-		r.refusedAt = t.next()
+	r.state, r.out, r.refusalSeq, r.call = end.state, end.out, end.refusalSeq, nil
+	if own && end.state == stateRefused {
+		r.refusalSeq = t.nextSeq()
 	}
-	t.keep(r)
+	t.keepAnswer(r)
 	return finishApplied
 }
 
-func sentTwice(clash bool) finished {
+func conflictIf(clash bool) finishResult {
 	if clash {
-		return finishClash
+		return finishConflict
 	}
 	return finishIgnored
 }
 
-// keep drops an answer for which there is no room. The caller holds mu.
-func (t *table) keep(r *record) {
+// keepAnswer drops an answer for which there is no room. The caller holds mu.
+func (t *table) keepAnswer(r *record) {
 	if r.out.answer == nil {
 		return
 	}
 	n := len(r.out.answer.Body)
-	if n > maxAnswerKept || t.answers+n > maxAnswersPerSlot {
-		r.out = outcome{err: errAnswerGone()}
+	if n > maxAnswerBytes || t.answerBytes+n > maxAnswerBytesPerSlot {
+		r.out = outcome{err: errAnswerNotKept()}
 		return
 	}
-	t.answers += n
+	t.answerBytes += n
 }
 
 // undecidedFor is how long unknown keys stay undecided.
 func (t *table) undecidedFor(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return max(t.undecided.Sub(now), 0)
+	return max(t.undecidedUntil.Sub(now), 0)
 }
 
-// release ends this daemon's work on an attempt whose end it could not record.
-func (t *table) release(c *call) {
+// releaseCall ends this daemon's work on an attempt whose end it could not record.
+func (t *table) releaseCall(c *inFlightCall) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.records[c.key]; r != nil && r.call == c {
@@ -213,37 +213,37 @@
 
 // sweep removes expired keys and answers kept long enough, and counts the rest.
 // A bound key stays while this daemon still works on it.
-func (t *table) sweep(now time.Time, answersBefore time.Duration) (keys int) {
+func (t *table) sweep(now time.Time, minTTL time.Duration) (keys int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for k, r := range t.records {
 		if !r.expires.After(now) && r.call == nil {
-			t.answers -= r.bytes()
+			t.answerBytes -= r.answerBytes()
 			delete(t.records, k)
 			continue
 		}
-		if r.out.answer != nil && r.expires.Sub(now) < answersBefore {
-			t.answers -= r.bytes()
-			r.out = outcome{err: errAnswerGone()}
+		if r.out.answer != nil && r.expires.Sub(now) < minTTL {
+			t.answerBytes -= r.answerBytes()
+			r.out = outcome{err: errAnswerNotKept()}
 		}
 	}
 	return len(t.records)
 }
 
-// size is the number of known keys.
-func (t *table) size() int {
+// keyCount is the number of known keys.
+func (t *table) keyCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.records)
 }
 
-// all returns every record and the end of the undecided time.
-func (t *table) all() ([]record, time.Time) {
+// snapshot returns every record and the end of the undecided time.
+func (t *table) snapshot() ([]record, time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make([]record, 0, len(t.records))
 	for _, r := range t.records {
 		out = append(out, *r)
 	}
-	return out, t.undecided
+	return out, t.undecidedUntil
 }
--- a/serve/once/terms.go
+++ b/serve/once/terms.go
@@ -10,27 +10,27 @@
 // a newer term are always higher.
 const termShift = 32
 
-// serves reports whether keys may be bound here at term. The caller holds mu.
-func (t *table) serves(term uint64) bool {
+// isServingLocked reports whether keys may be bound here at term. The caller holds mu.
+func (t *table) isServingLocked(term uint64) bool {
 	return term > 0 && t.term == term && t.sealed < term
 }
 
-// seen returns the newest number if this daemon owns the slot at term, else 0:
+// lastSeqAt returns the newest number if this daemon owns the slot at term, else 0:
 // numbers of a term that the store has not accepted must not reach entry VMs.
-func (t *table) seen(term uint64) uint64 {
+func (t *table) lastSeqAt(term uint64) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.serves(term) {
+	if !t.isServingLocked(term) {
 		return 0
 	}
-	return t.counter
+	return t.lastSeq
 }
 
-// active reports whether keys may be bound here at term.
-func (t *table) active(term uint64) bool {
+// isServing reports whether keys may be bound here at term.
+func (t *table) isServing(term uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.serves(term)
+	return t.isServingLocked(term)
 }
 
 // seal refuses keys of terms up to term from now on and returns what is known,
@@ -40,13 +40,13 @@
 	defer t.mu.Unlock()
 	t.sealed = max(t.sealed, term)
 	if t.term < term {
-		return false, nil, t.undecided
+		return false, nil, t.undecidedUntil
 	}
 	records = make([]record, 0, len(t.records))
 	for _, r := range t.records {
 		records = append(records, *r)
 	}
-	return true, records, t.undecided
+	return true, records, t.undecidedUntil
 }
 
 // install replaces the table by that of the next term, or by another one of the
@@ -58,27 +58,27 @@
 func (t *table) install(term uint64, records []record, undecided time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if term < t.term || term <= t.sealed || (term == t.term && t.used) {
+	if term < t.term || term <= t.sealed || (term == t.term && t.boundInTerm) {
 		return false
 	}
 	fresh := make(map[slot.Key]*record, len(records))
-	kept := 0
+	answerBytes := 0
 	for i := range records {
 		r := &records[i]
-		if old := t.records[r.key]; old != nil && old.attempt == r.attempt && r.state == bound {
+		if old := t.records[r.key]; old != nil && old.attempt == r.attempt && r.state == stateBound {
 			r.call = old.call
 		}
 		fresh[r.key] = r
-		kept += r.bytes()
+		answerBytes += r.answerBytes()
 	}
-	t.records, t.answers = fresh, kept
-	t.promote(term, undecided)
+	t.records, t.answerBytes = fresh, answerBytes
+	t.setTerm(term, undecided)
 	return true
 }
 
-// advance moves a table whose keys are all here to the next term. It is
+// advanceTerm moves a table whose keys are all here to the next term. It is
 // refused unless the term before was sealed here.
-func (t *table) advance(term uint64) bool {
+func (t *table) advanceTerm(term uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.term+1 < term || t.sealed+1 < term || t.sealed >= term {
@@ -87,27 +87,27 @@
 	if t.records == nil {
 		t.records = make(map[slot.Key]*record)
 	}
-	t.promote(term, t.undecided)
+	t.setTerm(term, t.undecidedUntil)
 	return true
 }
 
-// promote is the common end of install and advance. The caller holds mu.
-func (t *table) promote(term uint64, undecided time.Time) {
+// setTerm is the common end of install and advance. The caller holds mu.
+func (t *table) setTerm(term uint64, undecided time.Time) {
 	if term > t.term {
-		t.used = false
+		t.boundInTerm = false
 	}
-	t.term, t.undecided = max(t.term, term), undecided
+	t.term, t.undecidedUntil = max(t.term, term), undecided
 	t.sealed = max(t.sealed, term-1)
-	t.counter = max(t.counter, term<<termShift)
+	t.lastSeq = max(t.lastSeq, term<<termShift)
 }
 
-// drop forgets the whole table after the store gave the slot to others at
+// dropUpTo forgets the whole table after the store gave the slot to others at
 // term. Tables of a newer term stay: their change may not have been read yet.
-func (t *table) drop(term uint64) {
+func (t *table) dropUpTo(term uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.term <= term {
-		t.records, t.term, t.answers = nil, 0, 0
+		t.records, t.term, t.answerBytes = nil, 0, 0
 		t.sealed = max(t.sealed, term)
 	}
 }
--- a/serve/once/transfer.go
+++ b/serve/once/transfer.go
@@ -14,43 +14,43 @@
 )
 
 var (
-	errNoSource = errors.New("neither of the slot's pair gave its keys")
-	errRace     = errors.New("another change of the slot is under way here")
-	errRefused  = errors.New("the witness refused the slot")
+	errNoSource         = errors.New("neither of the slot's pair gave its keys")
+	errConcurrentChange = errors.New("another change of the slot is under way here")
+	errWitnessRefused   = errors.New("the witness refused the slot")
 )
 
-// change is one slot on its way to this daemon.
-type change struct {
+// slotChange is one slot on its way to this daemon.
+type slotChange struct {
 	move     slot.Move
 	next     slot.Assignment
 	gathered bool // this daemon's table is complete for the next term
 	err      error
 }
 
-func (c *change) open() bool { return c.err == nil && !c.gathered }
+func (c *slotChange) needsKeys() bool { return c.err == nil && !c.gathered }
 
 // prepare ends the old terms of slots, brings their keys here and gives them to
 // the new witnesses. It returns the changes for which only the store's consent
 // is missing.
-func (s *Service) prepare(ctx context.Context, moves []slot.Move) []*change {
-	changes := make([]*change, len(moves))
+func (s *Service) prepare(ctx context.Context, moves []slot.Move) []*slotChange {
+	changes := make([]*slotChange, len(moves))
 	id := uuid.NewString()
 	for i, m := range moves {
-		changes[i] = &change{move: m, next: slot.Assignment{
+		changes[i] = &slotChange{move: m, next: slot.Assignment{
 			Slot: m.From.Slot, Term: m.From.Term + 1,
 			Owner: s.self, Witness: m.Witness, ChangeID: id,
 		}}
 	}
-	s.gather(ctx, changes)
+	s.gatherKeys(ctx, changes)
 	s.installAll(ctx, changes)
-	var ready []*change
+	var ready []*slotChange
 	for _, c := range changes {
 		if c.err == nil {
 			ready = append(ready, c)
 			continue
 		}
-		s.metrics.moved(c.move.Reason, "failed")
-		if !s.postponed.add(c.move, time.Now()) {
+		s.metrics.countMove(c.move.Reason, "failed")
+		if !s.backoff.recordFailure(c.move, time.Now()) {
 			continue
 		}
 		s.Log.Emit(event.SlotTakeFailed, c.next.Slot, c.next.Term, c.move.Reason.String(), c.err.Error())
@@ -58,36 +58,36 @@
 	return ready
 }
 
-// gather makes this daemon's tables complete for the next terms: from what is
+// gatherKeys makes this daemon's tables complete for the next terms: from what is
 // here, else from the member of the old pair that seems alive, else from the
 // other, else, when neither can bind keys any more, as tables without history.
-func (s *Service) gather(ctx context.Context, changes []*change) {
+func (s *Service) gatherKeys(ctx context.Context, changes []*slotChange) {
 	for _, c := range changes {
-		s.gatherHere(c)
+		s.gatherLocal(c)
 	}
-	s.gatherFrom(ctx, changes, s.likelySource)
-	s.gatherFrom(ctx, changes, func(a slot.Assignment) slot.Member {
-		if s.likelySource(a).IsSameProcess(a.Owner) {
+	s.gatherRemote(ctx, changes, s.preferredSource)
+	s.gatherRemote(ctx, changes, func(a slot.Assignment) slot.Member {
+		if s.preferredSource(a).IsSameProcess(a.Owner) {
 			return a.Witness
 		}
 		return a.Owner
 	})
 	for _, c := range changes {
-		if c.open() {
-			s.startOver(c)
+		if c.needsKeys() {
+			s.startEmpty(c)
 		}
 	}
 }
 
-func (s *Service) likelySource(a slot.Assignment) slot.Member {
-	if s.alive(a.Owner) || !s.alive(a.Witness) {
+func (s *Service) preferredSource(a slot.Assignment) slot.Member {
+	if s.isAlive(a.Owner) || !s.isAlive(a.Witness) {
 		return a.Owner
 	}
 	return a.Witness
 }
 
-// gatherHere uses the table of this daemon if it is fresh or one of the pair.
-func (s *Service) gatherHere(c *change) {
+// gatherLocal uses the table of this daemon if it is fresh or one of the pair.
+func (s *Service) gatherLocal(c *slotChange) {
 	t, from := &s.tables[c.next.Slot], c.move.From
 	if from.Term > 0 {
 		if !from.Includes(s.self) {
@@ -97,25 +97,25 @@
 			return
 		}
 	}
-	c.done(t.advance(c.next.Term))
+	c.setGathered(t.advanceTerm(c.next.Term))
 }
 
-func (c *change) done(ok bool) {
+func (c *slotChange) setGathered(ok bool) {
 	c.gathered = ok
 	if !ok {
-		c.err = errRace
+		c.err = errConcurrentChange
 	}
 }
 
-// gatherFrom seals slots at the members that pick names and copies their keys.
-func (s *Service) gatherFrom(ctx context.Context, changes []*change, pick func(slot.Assignment) slot.Member) {
-	s.each(changes, (*change).open, func(c *change) slot.Member { return pick(c.move.From) },
-		func(from slot.Member, group []*change) { s.fetch(ctx, from, group) })
+// gatherRemote seals slots at the members that pick names and copies their keys.
+func (s *Service) gatherRemote(ctx context.Context, changes []*slotChange, pick func(slot.Assignment) slot.Member) {
+	s.forEachMember(changes, (*slotChange).needsKeys, func(c *slotChange) slot.Member { return pick(c.move.From) },
+		func(from slot.Member, group []*slotChange) { s.fetchKeys(ctx, from, group) })
 }
 
-// each calls f at once for every other member that pick names, with its changes.
-func (s *Service) each(changes []*change, when func(*change) bool, pick func(*change) slot.Member, f func(slot.Member, []*change)) {
-	groups := make(map[slot.Member][]*change)
+// forEachMember calls f at once for every other member that pick names, with its changes.
+func (s *Service) forEachMember(changes []*slotChange, when func(*slotChange) bool, pick func(*slotChange) slot.Member, f func(slot.Member, []*slotChange)) {
+	groups := make(map[slot.Member][]*slotChange)
 	for _, c := range changes {
 		if m := pick(c); when(c) && !m.IsNone() && !m.IsSameProcess(s.self) {
 			groups[m] = append(groups[m], c)
@@ -128,9 +128,9 @@
 	wg.Wait()
 }
 
-// fetch seals a group of slots at one member and installs its keys here. What
+// fetchKeys seals a group of slots at one member and installs its keys here. What
 // the member does not hold whole stays open.
-func (s *Service) fetch(ctx context.Context, from slot.Member, group []*change) {
+func (s *Service) fetchKeys(ctx context.Context, from slot.Member, group []*slotChange) {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	w := &pb.SealRequest{}
@@ -150,36 +150,36 @@
 		}
 		c := group[i]
 		undecided := now.Add(time.Duration(sealed.GetUndecidedMs()) * time.Millisecond)
-		c.done(s.tables[c.next.Slot].install(c.next.Term, records, undecided))
+		c.setGathered(s.tables[c.next.Slot].install(c.next.Term, records, undecided))
 	}
 }
 
-// startOver begins a slot whose history is lost, if that is certain. Neither of
+// startEmpty begins a slot whose history is lost, if that is certain. Neither of
 // the pair can bind keys any more then, but any key may be among those they
 // bound, so none is dispatched until the retention of the last is over.
-func (s *Service) startOver(c *change) {
-	if !s.deaths.ended(s.Members.Current(), c.move.From) {
+func (s *Service) startEmpty(c *slotChange) {
+	if !s.deathProofs.hasDeadMember(s.Members.Current(), c.move.From) {
 		c.err = errNoSource
 		return
 	}
 	ttl := s.limits().KeyTTL
 	s.Log.Emit(event.SlotHistoryLost, c.next.Slot, c.next.Term, ttl.String())
-	c.done(s.tables[c.next.Slot].install(c.next.Term, nil, time.Now().Add(ttl)))
+	c.setGathered(s.tables[c.next.Slot].install(c.next.Term, nil, time.Now().Add(ttl)))
 }
 
 // installAll gives the new witnesses the slots' keys.
-func (s *Service) installAll(ctx context.Context, changes []*change) {
-	s.each(changes, func(c *change) bool { return c.gathered }, func(c *change) slot.Member { return c.next.Witness },
-		func(witness slot.Member, group []*change) { s.install(ctx, witness, group) })
+func (s *Service) installAll(ctx context.Context, changes []*slotChange) {
+	s.forEachMember(changes, func(c *slotChange) bool { return c.gathered }, func(c *slotChange) slot.Member { return c.next.Witness },
+		func(witness slot.Member, group []*slotChange) { s.installAt(ctx, witness, group) })
 }
 
-func (s *Service) install(ctx context.Context, witness slot.Member, group []*change) {
+func (s *Service) installAt(ctx context.Context, witness slot.Member, group []*slotChange) {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	now := time.Now()
 	w := &pb.InstallRequest{}
 	for _, c := range group {
-		records, undecided := s.tables[c.next.Slot].all()
+		records, undecided := s.tables[c.next.Slot].snapshot()
 		w.Slots = append(w.Slots, &pb.SlotInstall{
 			Slot: uint32(c.next.Slot), Term: c.next.Term,
 			Records: recordsToWire(records, now), UndecidedMs: max(undecided.Sub(now), 0).Milliseconds(),
@@ -187,13 +187,13 @@
 	}
 	reply, err := s.client(witness).Install(ctx, w)
 	if err == nil && len(reply.GetAccepted()) != len(group) {
-		err = errRefused
+		err = errWitnessRefused
 	}
 	if err != nil {
 		s.Dialer.DropIdle()
-		s.silent.add(witness.ID, now)
+		s.unresponsive.add(witness.ID, now)
 	} else {
-		s.silent.clear(witness.ID)
+		s.unresponsive.clear(witness.ID)
 	}
 	for i, c := range group {
 		switch {
@@ -201,8 +201,8 @@
 			c.err = errors.Wrap(err, "installing at the witness")
 		case !reply.GetAccepted()[i]:
 			// It serves this term for another daemon already, or a later one.
-			s.silent.add(witness.ID, now)
-			c.err = errRefused
+			s.unresponsive.add(witness.ID, now)
+			c.err = errWitnessRefused
 		}
 	}
 }
--- a/serve/once/wire.go
+++ b/serve/once/wire.go
@@ -99,7 +99,7 @@
 	return &pb.KeyRecord{
 		Key: r.key[:], BodyDigest: r.digest[:], Attempt: r.attempt,
 		Dispatcher: memberToWire(r.dispatcher), State: pb.KeyState(r.state),
-		RefusedAt: r.refusedAt, Error: errorToWire(r.out.err), Answer: answerToWire(r.out.answer),
+		RefusedAt: r.refusalSeq, Error: errorToWire(r.out.err), Answer: answerToWire(r.out.answer),
 		TtlMs: r.expires.Sub(now).Milliseconds(),
 	}
 }
@@ -108,11 +108,11 @@
 func recordFromWire(r *pb.KeyRecord, now time.Time) (record, bool) {
 	out := record{
 		attempt: r.GetAttempt(), dispatcher: memberFromWire(r.GetDispatcher()),
-		state: state(r.GetState()), refusedAt: r.GetRefusedAt(),
+		state: state(r.GetState()), refusalSeq: r.GetRefusedAt(),
 		out:     outcome{answer: answerFromWire(r.GetAnswer()), err: errorFromWire(r.GetError())},
 		expires: now.Add(time.Duration(r.GetTtlMs()) * time.Millisecond),
 	}
-	ok := len(r.GetKey()) == len(out.key) && len(r.GetBodyDigest()) == len(out.digest) && out.state <= abandoned
+	ok := len(r.GetKey()) == len(out.key) && len(r.GetBodyDigest()) == len(out.digest) && out.state <= stateAbandoned
 	copy(out.key[:], r.GetKey())
 	copy(out.digest[:], r.GetBodyDigest())
 	return out, ok
