--- a/serve/once/backoff.go
+++ b/serve/once/backoff.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// minMoveBackoff and lastWait space the attempts to take one slot. The failure
-	// they guard against: both VMs that know a slot's keys are unreachable for
-	// minutes. Taking it fails then at every tick, with a question to each of
-	// the two and a log line, for a thousand slots; and since one round makes a
-	// bounded number of moves, the slots tried in vain kept those from their
-	// turn that could be taken.
+	// minMoveBackoff and maxMoveBackoff space the attempts to take one slot. Without the
+	// backoff, when both VMs that know a slot's keys are unreachable for minutes, taking it
+	// fails at every tick, with an RPC to each of the two and a log line, for a thousand slots.
+	// Since one round makes a bounded number of moves, the failing slots would also delay those
+	// that could be taken.
 	minMoveBackoff = 400 * time.Millisecond
 	maxMoveBackoff = 5 * time.Second
 )
 
-// moveBackoff remembers the slots that could not be taken. Only Run uses it.
+// moveBackoff holds the slots that could not be taken and when to try them again. Only Run uses
+// it.
 type moveBackoff struct {
 	slots map[int]backoffState
 }
 
-// backoffState are those to end one term of a slot, for one reason.
+// backoffState is the backoff of the attempts to end one term of a slot for one reason.
 type backoffState struct {
 	term    uint64
 	reason  slot.Reason
@@ -30,7 +30,7 @@
 	retryAt time.Time
 }
 
-// recordFailure postpones a move that failed; it reports whether this is its first failure.
+// recordFailure postpones a move that failed. It reports whether this is its first failure.
 func (p *moveBackoff) recordFailure(m slot.Move, now time.Time) (first bool) {
 	if p.slots == nil {
 		p.slots = make(map[int]backoffState)
@@ -45,7 +45,7 @@
 	return first
 }
 
-// due returns the first moves that need not wait, at most limit.
+// due returns the first moves that are not in backoff, at most limit.
 func (p *moveBackoff) due(moves []slot.Move, limit int, now time.Time) []slot.Move {
 	out := moves[:0]
 	for _, m := range moves {
@@ -61,5 +61,5 @@
 	return out
 }
 
-// reset drops what concerns a slot that was taken.
+// reset forgets the failures of a slot that was taken.
 func (p *moveBackoff) reset(i int) { delete(p.slots, i) }
--- a/serve/once/bench_test.go
+++ b/serve/once/bench_test.go
@@ -24,10 +24,11 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// storeWritesPerSecond is the rate that the benchmark's store takes: "several hundred".
+// storeWritesPerSecond is the write rate to which the benchmark limits the store. The
+// platform's store takes several hundred writes per second.
 const storeWritesPerSecond = 800
 
-// benchStore returns a client of a stand-in store over loopback HTTP.
+// benchStore returns a client of a simulated store over loopback HTTP.
 func benchStore(b *testing.B) (*store.EtcdClient, *store.Faulty) {
 	faulty := store.NewFaulty(store.NewMemory())
 	server := httptest.NewServer(storesim.Handler(faulty))
@@ -40,14 +41,14 @@
 	return client, faulty
 }
 
-// instantCaller is a backend server that answers at once.
+// instantCaller is a backend server that answers immediately.
 type instantCaller struct{}
 
 func (instantCaller) Do(context.Context, string, plain.Call) (plain.Answer, error) {
 	return plain.Answer{Status: http.StatusOK, Body: []byte("confirmed")}, nil
 }
 
-// benchDaemons starts three daemons with settled slots on loopback.
+// benchDaemons starts three daemons on loopback and waits until their slots are assigned.
 func benchDaemons(b *testing.B, s store.Store) []*Service {
 	view := &membership.View{}
 	servers := make([]*httptest.Server, 3)
@@ -84,7 +85,7 @@
 	return out
 }
 
-// waitUntilSettled waits until every slot has a pair that the first daemon knows.
+// waitUntilSettled waits until the first daemon knows an owner and a witness for every slot.
 func waitUntilSettled(b *testing.B, daemons []*Service) {
 	for range 300 {
 		time.Sleep(100 * time.Millisecond)
@@ -96,7 +97,7 @@
 	b.Fatal("slots did not settle")
 }
 
-// latencies collects the times of calls and reports quantiles.
+// latencies collects the durations of calls and reports quantiles.
 type latencies struct {
 	mu  sync.Mutex
 	all []time.Duration
@@ -118,8 +119,8 @@
 	b.ReportMetric(at(0.99), "p99-µs")
 }
 
-// BenchmarkOnce compares a whole call that may not be repeated, with keys bound
-// at owner and witness, with one create-if-absent per key in the store.
+// BenchmarkOnce compares a whole call that may not be repeated, with its key bound at owner and
+// witness, with one create-if-absent per key in the store.
 func BenchmarkOnce(b *testing.B) {
 	b.Run("owner-and-witness", func(b *testing.B) {
 		client, faulty := benchStore(b)
@@ -142,7 +143,8 @@
 	}
 }
 
-// benchStoreWritePerKey binds by a write to the store; a write above its rate is tried again.
+// benchStoreWritePerKey binds each key by a write to the store and retries a write that exceeds
+// the store's rate limit.
 func benchStoreWritePerKey(b *testing.B, limit int) {
 	client, faulty := benchStore(b)
 	faulty.SetLimits(0, limit)
@@ -176,8 +178,8 @@
 	}
 }
 
-// BenchmarkBind measures the witness's part alone, without the network, and
-// what a remembered key weighs.
+// BenchmarkBind measures the witness's part alone, without the network, and the memory that a
+// bound key takes.
 func BenchmarkBind(b *testing.B) {
 	b.ReportAllocs()
 	w := newServingTable(b, 1)
--- a/serve/once/cluster_test.go
+++ b/serve/once/cluster_test.go
@@ -28,23 +28,24 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// cluster holds the daemons of one test and the faults between them. It runs
-// inside a synctest bubble, so its time is virtual.
+// cluster holds the daemons of one test and the faults between them. It runs inside a synctest
+// bubble, so its time is virtual.
 type cluster struct {
 	t       testing.TB
 	store   *fakeStore
 	backend *fakeBackend
-	siteMu  sync.RWMutex // guards site, which is replaced whole
+	siteMu  sync.RWMutex // guards site, which is replaced as a whole
 	site    *site.Site
 
 	mu           sync.Mutex
 	daemons      map[string]*daemon
-	cutLinks     map[[2]string]bool // links that drop everything
+	cutLinks     map[[2]string]bool // links that drop all messages
 	incarnations uint64
-	replaced     []*daemon // replaced ones
+	replaced     []*daemon // daemons replaced by a newer incarnation on the same VM
 }
 
-// daemon is one process: a Service with its own view, which can pause or die.
+// daemon is one process: a Service with its own view of the members, which can be paused or
+// killed.
 type daemon struct {
 	*Service
 	cluster      *cluster
@@ -82,7 +83,8 @@
 	return cl.site
 }
 
-// setRetention puts a text in force that keeps keys and answers this long.
+// setRetention replaces the site configuration by one that keeps keys and answers for these
+// times.
 func (cl *cluster) setRetention(keys, answers time.Duration) {
 	cl.siteMu.Lock()
 	defer cl.siteMu.Unlock()
@@ -126,7 +128,7 @@
 // Current implements membership.Source.
 func (d *daemon) Current() *membership.View { return d.view.Load() }
 
-// syncViews gives every live daemon a view of all live ones.
+// syncViews gives every daemon a view of all live ones.
 func (cl *cluster) syncViews() {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -141,7 +143,7 @@
 	}
 }
 
-// member is how the others should see d.
+// member returns the entry for d in the other daemons' views.
 func (d *daemon) member() membership.Member {
 	m := d.view.Load().Self
 	if d.shownLeaving.Load() {
@@ -150,7 +152,7 @@
 	return m
 }
 
-// List implements vmlist.Source: the platform lists live VMs.
+// List implements vmlist.Source. The platform lists the VMs of live daemons.
 func (cl *cluster) List(context.Context) ([]vmlist.VM, error) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -169,14 +171,14 @@
 	return cl.daemons[id]
 }
 
-// partition cuts or mends the link between two daemons, in both directions.
+// partition cuts or restores the link between two daemons, in both directions.
 func (cl *cluster) partition(a, b string, cut bool) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	cl.cutLinks[[2]string{a, b}], cl.cutLinks[[2]string{b, a}] = cut, cut
 }
 
-// healLinks mends all links.
+// healLinks restores all links.
 func (cl *cluster) healLinks() {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -189,7 +191,7 @@
 	return cl.cutLinks[[2]string{a, b}]
 }
 
-// kill ends a daemon at once: nothing of it acts any more.
+// kill ends a daemon immediately: it takes no further action.
 func (d *daemon) kill() {
 	d.dead.Store(true)
 	d.resume()
@@ -210,7 +212,7 @@
 
 var errDead = errors.New("the process is dead")
 
-// waitRunnable is called wherever a daemon acts on the outside: it blocks while the
+// waitRunnable is called wherever a daemon interacts with the outside. It blocks while the
 // daemon is paused and fails once it is dead.
 func (d *daemon) waitRunnable() error {
 	for gate := d.pauseGate.Load(); gate != nil; gate = d.pauseGate.Load() {
@@ -222,7 +224,7 @@
 	return nil
 }
 
-// close ends all daemons and waits for everything they started.
+// close stops all daemons and waits for everything they started.
 func (cl *cluster) close() {
 	all := cl.replaced
 	for _, d := range cl.daemons {
@@ -238,10 +240,10 @@
 		d.inFlight.Wait()
 		must.EqOp(cl.t, 0, testutil.ToFloat64(d.metrics.violations))
 	}
-	time.Sleep(10 * time.Second) // reads of the store that nobody waits for
+	time.Sleep(10 * time.Second) // lets store reads finish that have no waiter
 }
 
-// fakeTransport carries calls between daemons without a network.
+// fakeTransport carries RPCs between daemons without a network.
 type fakeTransport struct{ from *daemon }
 
 func (tr *fakeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -273,7 +275,8 @@
 	}
 }
 
-// deliver returns nil when request or answer got lost on a cut link.
+// deliver returns nil if the request or the answer is lost on a cut link, or if the receiver is
+// dead.
 func (tr *fakeTransport) deliver(to *daemon, r *http.Request, body []byte) *http.Response {
 	time.Sleep(time.Millisecond)
 	if tr.from.cluster.isCut(tr.from.id, to.id) || to.waitRunnable() != nil {
@@ -290,7 +293,7 @@
 	return out.Result()
 }
 
-// daemonStore is one daemon's way to the store.
+// daemonStore is one daemon's access to the shared fakeStore.
 type daemonStore struct {
 	store.Store
 	d     *daemon
@@ -316,7 +319,7 @@
 	mu                sync.Mutex
 	kv                store.KV
 	down              bool
-	lostConfirmations int // so many next writes lose their confirmation
+	lostConfirmations int // number of next writes whose confirmation is lost
 	applyDelay        time.Duration
 	writes            int
 }
@@ -380,7 +383,7 @@
 	return s.kv.Version, nil
 }
 
-// fakeFlow admits everything unless told otherwise.
+// fakeFlow admits every call unless refuse is set.
 type fakeFlow struct {
 	refuse atomic.Bool
 	hold   atomic.Pointer[chan struct{}] // Acquire waits until it is closed
@@ -403,14 +406,14 @@
 func (grant) Progress(int, time.Duration) {}
 func (grant) Done(flow.Outcome)           {}
 
-// fakeBackend is a plain service that runs whatever reaches it and keeps count.
+// fakeBackend is a plain service that runs every call it receives and counts the runs.
 type fakeBackend struct {
 	mu          sync.Mutex
 	runs        map[string]int
 	history     []backendRun
 	runDuration time.Duration
-	lostAnswers int // so many next calls run and give no answer
-	failedSends int // so many next calls can't be sent
+	lostAnswers int // number of next calls that run and give no answer
+	failedSends int // number of next calls that can't be sent
 }
 
 type backendRun struct {
@@ -424,7 +427,7 @@
 	return b.runs[body]
 }
 
-// run is called when the bytes arrive; it counts even if the caller is gone.
+// run is called when the bytes arrive. The run counts even if the caller is gone.
 func (b *fakeBackend) run(body string) (answer string, lost, failed bool, takes time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -441,12 +444,12 @@
 	return fmt.Sprintf("%s run %d", body, b.runs[body]), lost, false, b.runDuration
 }
 
-// fakeCaller is one daemon's way to the backend server.
+// fakeCaller is one daemon's access to the backend server.
 type fakeCaller struct{ d *daemon }
 
 func (c *fakeCaller) Do(ctx context.Context, _ string, call plain.Call) (plain.Answer, error) {
-	// A paused process sends late: nothing between the check and the send looks
-	// at a clock.
+	// A paused process sends late: between the daemon's last check and the send nothing checks
+	// the time.
 	if err := c.d.waitRunnable(); err != nil {
 		return plain.Answer{}, errors.Wrap(plain.ErrNotSent, err.Error())
 	}
@@ -465,7 +468,7 @@
 	return plain.Answer{Status: http.StatusOK, Body: []byte(answer)}, nil
 }
 
-// showLeaving shows a daemon as leaving in every view.
+// showLeaving marks a daemon as leaving in every view.
 func (cl *cluster) showLeaving(d *daemon) {
 	d.shownLeaving.Store(true)
 	cl.syncViews()
--- a/serve/once/dispatch.go
+++ b/serve/once/dispatch.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	// maxBackendsTried bounds the backend servers tried for one call. Another is tried
-	// only while nothing was sent (or, for repeatable calls, regardless).
+	// maxBackendsTried bounds the backend servers tried for one call. Another one is tried only
+	// if nothing was sent, or if the call is repeatable.
 	maxBackendsTried = 3
 	// bindRPCTimeout is far above a round trip between zones and regions.
 	bindRPCTimeout = 500 * time.Millisecond
-	// bindTotalTimeout covers the replacement of a lost witness.
+	// bindTotalTimeout is long enough to replace a lost witness.
 	bindTotalTimeout  = 5 * time.Second
 	bindRetryInterval = 25 * time.Millisecond
-	// witnessRefusalTimeout is how long a witness may withhold its consent before it
-	// is replaced. A daemon that died while it took the slot leaves the witness
-	// sealed, and nothing but the refusals shows it.
+	// witnessRefusalTimeout is how long a witness may withhold its consent before it is
+	// replaced. A daemon that died while it was taking the slot leaves the witness sealed, and
+	// only the refusals reveal it.
 	witnessRefusalTimeout = time.Second
 )
 
-// bindResult says how binding a key ended.
+// bindResult is the result of binding a key.
 type bindResult uint8
 
 const (
 	bindDone     bindResult = iota // the call may be dispatched
-	bindMoved                      // the slot is another daemon's now
-	bindTimedOut                   // no witness answered in time
+	bindMoved                      // another daemon owns the slot now
+	bindTimedOut                   // no witness consented in time
 )
 
-// bind has the witness record the key. It goes on while this daemon owns the
-// slot, also over a change of witness.
+// bind has the witness record the key. It keeps trying while this daemon owns the slot, also if
+// the witness is replaced.
 func (s *Service) bind(ctx context.Context, c *inFlightCall, r record) bindResult {
 	ctx, cancel := context.WithTimeout(ctx, bindTotalTimeout)
 	defer cancel()
@@ -69,7 +69,8 @@
 	}
 }
 
-// bindAtWitness asks the witness of a, if there is one.
+// bindAtWitness asks the witness of a for consent. Without a witness, the key is bound if this
+// daemon serves the slot.
 func (s *Service) bindAtWitness(ctx context.Context, c *inFlightCall, r record, a slot.Assignment) bool {
 	if a.Witness.IsNone() {
 		return s.tables[c.slot].isServing(a.Term)
@@ -77,10 +78,10 @@
 	return s.sendBind(ctx, c.slot, r, a.Witness.PeerAddr, a.Term)
 }
 
-// checkStillBound guards against a slot that went to another daemon and came back
-// while the witness was asked: the table was replaced, the key is not in it, and
-// a later copy would be taken for the first. Only a key in this daemon's table
-// and the witness's is known to whoever takes the slot next.
+// checkStillBound guards against a slot that went to another daemon and came back while the
+// witness was asked. The table was replaced then, the key is not in it, and a later copy would
+// be taken for the first. Only a key in both this daemon's and the witness's table is known to
+// whichever daemon takes the slot next.
 func (s *Service) checkStillBound(c *inFlightCall) bindResult {
 	r, ok := s.tables[c.slot].lookup(c.key)
 	if ok && r.attempt == c.attempt && r.state == stateBound {
@@ -102,8 +103,8 @@
 	return reply.GetAccepted()
 }
 
-// dispatch sends a bound call. Its result is decided by what was sent: refused
-// only if nothing was.
+// dispatch sends a bound call. The result depends on what was sent: refused only if nothing
+// was.
 func (s *Service) dispatch(ctx context.Context, c *inFlightCall, account *site.Account, service *site.Service) record {
 	end := record{key: c.key, attempt: c.attempt, state: stateRefused}
 	var exclude []string
@@ -126,7 +127,7 @@
 	return end
 }
 
-// send hands a bound call to one backend server.
+// send sends a bound call to one backend server.
 func (s *Service) send(ctx context.Context, c *inFlightCall, address string) (state, outcome) {
 	if !s.canSend(c) {
 		return stateUnknown, outcome{err: verdict.New(verdict.MayHaveRun, verdict.CodeInvariantViolation,
@@ -143,9 +144,9 @@
 	}
 }
 
-// canSend asserts the invariant of this package just before bytes leave: the
-// attempt still holds its key, and the key has not ended. A table that moved to
-// other daemons meanwhile is no violation, since they received the key as bound.
+// canSend checks the invariant of this package immediately before the call is sent: the attempt
+// still holds its key, and no outcome is recorded for the key. A table that moved to other
+// daemons in the meantime is no violation, since they received the key as bound.
 func (s *Service) canSend(c *inFlightCall) bool {
 	r, ok := s.tables[c.slot].lookup(c.key)
 	if !ok || (r.attempt == c.attempt && r.state == stateBound) {
@@ -162,8 +163,8 @@
 	}
 }
 
-// handleRepeatable runs a call whose repetition does no harm: no key is bound, and
-// another backend server is tried whatever became of the first.
+// handleRepeatable runs a call that may be repeated safely: no key is bound, and after any
+// failed send another backend server is tried.
 func (s *Service) handleRepeatable(ctx context.Context, req Request) (plain.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, callDeadline(req.Service))
 	defer cancel()
@@ -195,7 +196,7 @@
 	return plain.Answer{}, last
 }
 
-// logOutcome writes the one line that each dispatched call has.
+// logOutcome writes the one log line of each dispatched call.
 func (s *Service) logOutcome(c *inFlightCall, end record, backend string) {
 	code := verdict.Code("")
 	if end.out.err != nil {
--- a/serve/once/entry.go
+++ b/serve/once/entry.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// maxExecuteWait is how long an owner holds one Execute before it answers "running".
-	// Short slices tell a call that takes long from a connection that went
-	// silent for good; the second shows as a timeout and gets a fresh connection.
+	// maxExecuteWait is how long an owner holds one Execute before it answers "running". A
+	// short wait distinguishes a call that takes long from a stalled link: the latter shows as
+	// a timeout and is replaced by a new connection.
 	maxExecuteWait = 2 * time.Second
 	rpcTimeout     = time.Second
-	// ownerSearchTimeout bounds the search for a daemon that serves the slot. A slot
-	// whose owner died is taken over in less; after that the caller is told.
+	// ownerSearchTimeout bounds the search for a daemon that serves the slot. A slot whose
+	// owner died is taken over in less time. After the timeout the caller gets an error.
 	ownerSearchTimeout = 5 * time.Second
 	minSearchInterval  = 10 * time.Millisecond
 	maxSearchInterval  = 250 * time.Millisecond
@@ -25,14 +25,14 @@
 	storeTimeout = 300 * time.Millisecond
 )
 
-// executeReply is what an owner says of one copy.
+// executeReply is the owner's reply to one copy of a call.
 type executeReply struct {
 	outcome
 	running bool
 }
 
-// route takes a copy to the owner of its slot until it has an outcome. Sending
-// a copy twice is safe: the owner knows its key.
+// route sends a copy to the owner of its slot until it has an outcome. Sending a copy twice is
+// safe, because the owner recognises its key.
 func (s *Service) route(ctx context.Context, e executeRequest) outcome {
 	ownerSeenAt := time.Now()
 	pause := minSearchInterval
@@ -92,7 +92,8 @@
 	return executeReply{outcome: out, running: w.GetRunning()}
 }
 
-// learnSeq remembers the newest refusal number of a slot.
+// learnSeq stores number as the newest known sequence number of slot i unless a higher one is
+// known.
 func (s *Service) learnSeq(i int, number uint64) {
 	for {
 		have := s.knownSeqs[i].Load()
@@ -102,8 +103,8 @@
 	}
 }
 
-// awaitNewerAssignment looks for a newer assignment than a: in the store, and in an outage
-// of the store at a few peers. It returns after pause at the earliest.
+// awaitNewerAssignment looks for a newer assignment than a: in the store and, during an outage
+// of the store, at a few peers. It returns after pause at the earliest, unless ctx ends.
 func (s *Service) awaitNewerAssignment(ctx context.Context, a slot.Assignment, pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
@@ -116,9 +117,9 @@
 	}
 }
 
-// refreshAssignment asks the store, and peers if the store does not answer or the search
-// goes on for long. Asking also tells the peers of a, so that the daemon which
-// should take over a slot whose pair is lost learns that it was assigned.
+// refreshAssignment asks the store, and also peers if the store does not answer or the search
+// is prolonged. Asking peers also tells them of a, so that the daemon which should take over a
+// slot whose owner and witness are both lost learns that the slot was assigned.
 func (s *Service) refreshAssignment(ctx context.Context, a slot.Assignment, prolonged bool) {
 	short, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -127,8 +128,8 @@
 	}
 }
 
-// queryPeers asks members that may know more than this daemon: those that would
-// own or witness the slot next.
+// queryPeers asks the highest-ranked members for the slot, which would be its next owner or
+// witness and may know a newer assignment.
 func (s *Service) queryPeers(ctx context.Context, a slot.Assignment) {
 	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
 	defer cancel()
--- a/serve/once/errors.go
+++ b/serve/once/errors.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// defaultRetryAfter is advised where a slot changes hands, which takes about a second.
+	// defaultRetryAfter is the advised delay while a slot changes its owner, which takes about
+	// a second.
 	defaultRetryAfter = time.Second
 )
 
-// errUndecided says that the call may have run, or may still run elsewhere.
+// errUndecided says that the call may have run or may still run elsewhere.
 func errUndecided(why string, after time.Duration) *verdict.Error {
 	return verdict.New(verdict.MayHaveRun, verdict.CodeKeyUndecided,
 		"%s; send it again with the same key to learn more", why).WithRetryAfter(after)
 }
 
-// errStale answers a copy that may have been held up since before its key was
-// refused. It is not dispatched, or a caller that trusted the refusal and used
-// a new key would get two runs. It is no not_run either: a newer copy may run.
+// errStale answers a copy that may have been delayed since before its key was refused. It is
+// not dispatched, or a caller that trusted the refusal and used a new key would get two runs.
+// The verdict is not not_run either, because a newer copy may run.
 func errStale() *verdict.Error {
 	return errUndecided("an earlier copy of this call was refused, and this one may be as old", defaultRetryAfter)
 }
@@ -49,8 +50,8 @@
 		"the call was sent and no whole answer came back").WithCause(err)
 }
 
-// asNotRun turns an error of the flow, which sent nothing, into one that says so
-// and when to come back.
+// asNotRun converts an error of the flow dispatcher, which has sent nothing, to a not_run error
+// with a retry delay.
 func asNotRun(err error) *verdict.Error {
 	e := verdict.FromError(err)
 	after := max(e.RetryAfter, defaultRetryAfter)
--- a/serve/once/health.go
+++ b/serve/once/health.go
@@ -11,23 +11,24 @@
 )
 
 const (
-	// unresponsivePeriod keeps a member that did not answer from being chosen as witness.
+	// unresponsivePeriod is how long a member that did not answer is not chosen as a witness.
 	unresponsivePeriod = 10 * time.Second
-	// vmListInterval and listLag: the platform's list is read seldom, and a VM counts
-	// as gone only after it was absent for longer than the list lags.
+	// vmListInterval is the least time between two reads of the platform's VM list. A VM counts
+	// as gone only after it was absent for longer than maxVMListLag, the delay with which the
+	// list may lag.
 	vmListInterval = 10 * time.Second
 	maxVMListLag   = time.Minute
 )
 
-// unresponsiveSet remembers members that did not answer as witnesses.
+// unresponsiveSet holds the members that recently failed to answer, or refused, as witnesses.
 type unresponsiveSet struct {
 	mu    sync.Mutex
 	until map[string]time.Time
-	// changes counts how often the set of silent members changed.
+	// changes counts how often the set of unresponsive members changed.
 	changes int
 }
 
-// add reports whether id was not known as silent.
+// add reports whether id was not known to be unresponsive.
 func (s *unresponsiveSet) add(id string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,7 +43,7 @@
 	return !known
 }
 
-// clear forgets a member that answered.
+// clear removes a member that answered.
 func (s *unresponsiveSet) clear(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,7 +53,8 @@
 	}
 }
 
-// ids returns the members silent now, and a number that differs whenever they do.
+// ids returns the members that are unresponsive now, and a number that differs whenever they
+// do.
 func (s *unresponsiveSet) ids(now time.Time) (map[string]bool, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,14 +70,14 @@
 	return out, s.changes
 }
 
-// slotHistory is what this daemon saw of each slot. Only Run uses it.
+// slotHistory is what this daemon observed of each slot. Only Run uses it.
 type slotHistory struct {
 	now        time.Time
 	stuckCount int
 	slots      [slot.Count]struct {
 		term    uint64
-		changed time.Time // when term was first seen
-		stopped time.Time // since when it has not been served here; zero if it is
+		termFirstSeen time.Time // when term was first observed
+		notServingSince time.Time // since when this daemon has owned the slot without serving it; zero if it serves it or does not own it
 	}
 }
 
@@ -83,37 +85,38 @@
 	h.now = now
 	s := &h.slots[i]
 	if s.term != term {
-		s.term, s.changed, s.stopped = term, now, time.Time{}
+		s.term, s.termFirstSeen, s.notServingSince = term, now, time.Time{}
 	}
 	switch {
 	case active:
-		s.stopped = time.Time{}
-	case s.stopped.IsZero():
-		s.stopped = now
+		s.notServingSince = time.Time{}
+	case s.notServingSince.IsZero():
+		s.notServingSince = now
 	}
 }
 
-// isStuck reports whether the slot has not been served here for a while.
+// isStuck reports whether this daemon has owned the slot without serving it for longer than
+// sealGrace.
 func (h *slotHistory) isStuck(i int) bool {
 	s := &h.slots[i]
-	return !s.stopped.IsZero() && h.now.Sub(s.stopped) > sealGrace
+	return !s.notServingSince.IsZero() && h.now.Sub(s.notServingSince) > sealGrace
 }
 
-// isStable reports whether the slot did not change hands lately.
-func (h *slotHistory) isStable(i int) bool { return h.now.Sub(h.slots[i].changed) > minStablePeriod }
+// isStable reports whether the slot's assignment has not changed recently.
+func (h *slotHistory) isStable(i int) bool { return h.now.Sub(h.slots[i].termFirstSeen) > minStablePeriod }
 
-// deathProofs collects proof that processes are gone for good. What membership
-// believes is not enough to give up a slot's keys: both of the pair may be cut
-// off together and still serve callers on their side. But since a key needs
-// both of them, proof for one suffices.
+// deathProofs collects proof that processes are permanently gone. A member's absence from the
+// membership view is not enough to give up a slot's keys: owner and witness may be partitioned
+// from the rest together and still serve callers on their side. Since binding a key needs both
+// of them, proof of death of one suffices.
 type deathProofs struct {
 	mu          sync.Mutex
 	lastRead    time.Time
 	listed      map[string]bool
-	absentSince map[string]time.Time // VM id -> first time it was not listed
+	absentSince map[string]time.Time // VM id -> when it was first found not to be listed
 }
 
-// refreshVMList reads the platform's list now and then.
+// refreshVMList reads the platform's VM list at most once per vmListInterval.
 func (d *deathProofs) refreshVMList(ctx context.Context, source vmlist.Source, now time.Time) {
 	if source == nil || now.Sub(d.lastRead) < vmListInterval {
 		return
@@ -139,8 +142,8 @@
 	}
 }
 
-// hasDeadMember reports whether one of the pair is certainly dead: its VM runs a newer
-// process, or the platform has not listed the VM for longer than the list lags.
+// hasDeadMember reports whether the owner or the witness is certainly dead: its VM runs a newer
+// incarnation, or the platform has not listed the VM for longer than maxVMListLag.
 func (d *deathProofs) hasDeadMember(view *membership.View, a slot.Assignment) bool {
 	return d.isDead(view, a.Owner) || d.isDead(view, a.Witness)
 }
--- a/serve/once/key.go
+++ b/serve/once/key.go
@@ -2,12 +2,12 @@
 
 import "mallowwind.dev/decision/verdict"
 
-// MaxKeyBytes is the largest length of an idempotency key, in bytes.
+// MaxKeyBytes is the largest length of an idempotency key.
 const MaxKeyBytes = 255
 
-// CheckKey returns an error with verdict not_run unless key is 1 to MaxKey
-// visible ASCII characters. Such a call never runs on any entry VM, so the
-// verdict is a fact. The limits keep keys safe in headers and logs.
+// CheckKey returns an error with verdict not_run unless key is 1 to MaxKeyBytes visible ASCII
+// characters. No entry VM ever runs a call with such a key, so the verdict is certain. The
+// limits keep keys safe in headers and logs.
 func CheckKey(key string) error {
 	switch {
 	case key == "":
--- a/serve/once/maintenance.go
+++ b/serve/once/maintenance.go
@@ -15,25 +15,27 @@
 )
 
 const (
-	// maintenanceInterval is how often a daemon looks at its slots. Repair adds at most this
-	// to the time that membership takes to notice a death.
+	// maintenanceInterval is the average time between two checks of the slots. The wait for the
+	// next check adds at most 1.25 times this to the time that membership takes to detect a
+	// death.
 	maintenanceInterval = 200 * time.Millisecond
-	// maxMovesPerRound bounds the slots moved by one write to the store, and with it how
-	// long the first of them stands sealed.
+	// maxMovesPerRound bounds the slots moved by one write to the store, and thereby how long
+	// the first of them stays sealed.
 	maxMovesPerRound = 128
-	// sealGrace leaves whoever sealed a slot the time to take it before its
-	// owner starts the next term itself.
+	// sealGrace gives a daemon that sealed a slot the time to take it before the slot's owner
+	// starts the next term itself.
 	sealGrace = 3 * time.Second
-	// minStablePeriod is how long a slot stays put before it is rebalanced. Daemons
-	// that see the members differently could pass it back and forth otherwise.
+	// minStablePeriod is how long a slot's assignment must be unchanged before the slot is
+	// rebalanced. Otherwise daemons with different views of the members could pass a slot back
+	// and forth.
 	minStablePeriod = 30 * time.Second
-	// transferTimeout bounds one transfer of a slot's keys.
+	// transferTimeout bounds one transfer of keys and one read of the platform's VM list.
 	transferTimeout = 2 * time.Second
 	commitTimeout   = 5 * time.Second
-	// rebalanceDelayAfterFailure keeps rebalancing, which can wait, from sealing slots
-	// while the store does not take writes.
+	// rebalanceDelayAfterFailure keeps rebalancing, which is not urgent, from sealing slots
+	// while the store does not accept writes.
 	rebalanceDelayAfterFailure = 30 * time.Second
-	// ticksPerSweep ticks go by until expired keys of every slot are removed.
+	// ticksPerSweep is the number of ticks in which the expired keys of every slot are removed.
 	ticksPerSweep     = 16
 	rebalanceInterval = 2 * time.Second
 	leavePollInterval = 200 * time.Millisecond
@@ -62,7 +64,7 @@
 	}
 }
 
-// repair makes the moves that fall to this daemon.
+// repair carries out the moves for which this daemon is responsible.
 func (s *Service) repair(ctx context.Context, rebalance bool) error {
 	if !rebalance && s.idleInputs == s.planInputs() {
 		return nil
@@ -76,8 +78,8 @@
 			return nil
 		}
 	}
-	// Plan on what the store says now. This also keeps a daemon from sealing
-	// slots, which go on without the store, while it can't be reached.
+	// Plan on the store's current state. This also keeps a daemon from sealing slots while it
+	// can't reach the store, since those slots keep serving without the store.
 	if err := s.Roster.Refresh(ctx); err != nil {
 		return err
 	}
@@ -88,8 +90,8 @@
 	return s.commit(ctx, ready)
 }
 
-// planInputs is what a plan without rebalancing depends on. While it stays the
-// same as when nothing was to do, nothing is to do.
+// planInputs holds what a plan without rebalancing depends on. While it equals the inputs of
+// the last empty plan, there is nothing to do.
 type planInputs struct {
 	slots               *slot.Assignment
 	view                *membership.View
@@ -105,9 +107,9 @@
 
 func (s *Service) planMoves(rebalance bool) []slot.Move {
 	view := s.Members.Current()
-	peers := make([]slot.MemberStatus, 0, len(view.Members))
+	members := make([]slot.MemberStatus, 0, len(view.Members))
 	for _, m := range view.Members {
-		peers = append(peers, slot.MemberStatus{Member: toMember(m), Leaving: m.State == membership.Leaving})
+		members = append(members, slot.MemberStatus{Member: toMember(m), Leaving: m.State == membership.Leaving})
 	}
 	slots, known := s.Roster.All()
 	if !known {
@@ -116,7 +118,7 @@
 	avoid, _ := s.unresponsive.ids(time.Now())
 	return slot.Plan(slot.Snapshot{
 		Self: s.self, Leaving: s.leaving.Load() || view.Self.State == membership.Leaving,
-		Members: peers, Slots: slots, AvoidWitnesses: avoid,
+		Members: members, Slots: slots, AvoidWitnesses: avoid,
 		Rebalance: rebalance,
 		IsSealed:  func(i int) bool { return s.history.isStuck(i) },
 		IsStable:  func(i int) bool { return s.history.isStable(i) },
@@ -138,7 +140,7 @@
 	return out
 }
 
-// commit asks the store's consent and tells the old pairs of their successors.
+// commit proposes the new assignments to the store and announces those that were accepted.
 func (s *Service) commit(ctx context.Context, ready []*slotChange) error {
 	proposals := make([]slot.Assignment, len(ready))
 	bySlot := make(map[int]*slotChange, len(ready))
@@ -160,8 +162,8 @@
 	return err
 }
 
-// announce passes new assignments to the pairs before them, so that they send
-// callers on, and to the new witnesses.
+// announce sends new assignments to the previous owners and witnesses, so that they redirect
+// callers, and to the new witnesses.
 func (s *Service) announce(taken []*slotChange) {
 	ctx, cancel := context.WithTimeout(context.Background(), rpcTimeout)
 	defer cancel()
@@ -180,7 +182,8 @@
 	wg.Wait()
 }
 
-// markWitnessUnresponsive has a witness that did not answer replaced.
+// markWitnessUnresponsive has a witness replaced that does not answer or keeps refusing, if
+// term is still the slot's term.
 func (s *Service) markWitnessUnresponsive(i int, term uint64) {
 	a := s.Roster.Slot(i)
 	if a.Term != term {
@@ -191,7 +194,7 @@
 	}
 }
 
-// cleanUp drops tables that belong to others now, and expired keys.
+// cleanUp removes tables of slots that other daemons hold now, and expired keys.
 func (s *Service) cleanUp(now time.Time) {
 	slots, _ := s.Roster.All()
 	owned, keys, stuck := 0, 0, 0
@@ -221,9 +224,10 @@
 	s.metrics.setSizes(owned, keys)
 }
 
-// Leave waits until no slot needs this daemon and no call it dispatched is
-// still running, or until ctx ends. Membership must show the daemon as leaving,
-// so that others take its slots; Run must go on meanwhile.
+// Leave waits until this daemon is no slot's owner or witness and no call it dispatched is
+// running, or until ctx ends. If there are no other members, it only waits for the calls.
+// Membership must show the daemon as leaving, so that others take its slots. Run must keep
+// running in the meantime.
 func (s *Service) Leave(ctx context.Context) error {
 	s.leaving.Store(true)
 	for {
@@ -239,7 +243,7 @@
 	}
 }
 
-// heldSlots counts the slots whose pair includes this daemon.
+// heldSlots counts the slots of which this daemon is owner or witness.
 func (s *Service) heldSlots() int {
 	n := 0
 	for i := range s.tables {
--- a/serve/once/metrics.go
+++ b/serve/once/metrics.go
@@ -8,7 +8,7 @@
 	"mallowwind.dev/decision/slot"
 )
 
-// metrics of calls that run at most once.
+// metrics are the metrics of calls that run at most once.
 type metrics struct {
 	calls      *prometheus.CounterVec
 	moves      *prometheus.CounterVec
--- a/serve/once/once.go
+++ b/serve/once/once.go
@@ -1,17 +1,22 @@
-// Package once runs calls to plain services that may not be repeated at most
-// once, whichever entry VMs a caller sends them to and whatever fails.
+// Package once runs calls that may not be repeated to plain services at most once, whichever
+// entry VMs a caller sends them to and whatever fails.
 //
-// Every idempotency key belongs to a slot, and every slot to an owner and a
-// witness (packages decision/slot and control/roster). The entry VM that a call
-// reaches sends it to the owner. The owner records the key, has the witness
-// record it, and only then dispatches the call. A copy of a known key waits for
-// the outcome or is given it. Neither the store nor a lease is on this path, so
-// calls go on in an outage of the store.
+// Without it, a caller that retries after a timeout or sends copies of a call to several entry
+// VMs causes the call to run several times. Deciding between the copies by a write to the store
+// for each call would exceed the store's write rate and stop all calls during an outage of the
+// store.
 //
-// When one of a pair is lost the other, or whoever takes over, first seals the
-// slot at one of the old pair. That ends the old term without a clock: a paused
-// owner can't get a new key bound, and the keys it had bound are known to the
-// next owner, which never dispatches them.
+// Every idempotency key belongs to a slot, and every slot has a pair of members: an owner and a
+// witness (packages decision/slot and control/roster). The entry VM that a call reaches sends
+// it to the owner. The owner records the key, has the witness record it, and only then
+// dispatches the call. A copy of a known key waits for the outcome or receives it immediately.
+// Neither the store nor a lease is on this path, so calls continue during an outage of the
+// store.
+//
+// When one of the pair is lost, the other one or whichever member takes over first seals the
+// slot at a member of the old pair. That ends the old term without relying on a clock: a paused
+// owner can't get a new key bound, and the keys that it had bound are known to the next owner,
+// which never dispatches them.
 package once
 
 import (
@@ -37,7 +42,7 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// Deps are what a Service needs. All but VMs are required.
+// Deps are the dependencies of a Service. All but VMs are required.
 type Deps struct {
 	Members  membership.Source
 	Roster   *roster.Manager
@@ -47,12 +52,12 @@
 	Dialer   *link.Dialer
 	Log      *event.Log
 	Registry prometheus.Registerer
-	// VMs is the platform's list. It proves that a VM is gone for good; without
-	// it only a restart of the same VM does.
+	// VMs is the platform's list of VMs. It proves that a VM is permanently gone. Without it,
+	// only a restart of the daemon on the same VM proves that its predecessor is dead.
 	VMs vmlist.Source
 }
 
-// Request is one call of a caller to a plain service.
+// Request is a caller's call to a plain service.
 type Request struct {
 	Account *site.Account
 	Service *site.Service
@@ -60,15 +65,14 @@
 	Call    plain.Call
 }
 
-// Service is the entry side, the owner side and the witness side of one
-// daemon. It is safe for concurrent use.
+// Service acts as entry VM, owner and witness for one daemon. It is safe for concurrent use.
 type Service struct {
 	Deps
 	self          slot.Member
 	tables        [slot.Count]table
-	knownSeqs     [slot.Count]atomic.Uint64 // newest refusal number heard of, by slot
+	knownSeqs     [slot.Count]atomic.Uint64 // newest known sequence number, by slot
 	metrics       *metrics
-	inFlight      sync.WaitGroup // calls being worked on and reports on their way
+	inFlight      sync.WaitGroup // calls in progress and reports in flight
 	inFlightCount atomic.Int64
 	leaving       atomic.Bool
 	deathProofs   deathProofs
@@ -76,14 +80,13 @@
 	history       slotHistory
 	backoff       moveBackoff
 	refusedSlots  slotSet
-	// The rest belongs to Run.
+	// The remaining fields belong to Run.
 	idleInputs planInputs
 	nextSweep  int
 	keyCounts  [slot.Count]int
 }
 
-// NewService returns a Service. Mount Handler on the listener for other
-// daemons and call Run.
+// NewService returns a Service. Mount Handler on the listener for other daemons and call Run.
 func NewService(d Deps) *Service {
 	self := d.Members.Current().Self
 	s := &Service{
@@ -104,9 +107,9 @@
 	return server.PathPrefix(), server
 }
 
-// Handle runs one call and returns its answer. Errors are *verdict.Error:
-// not_run when nothing was and nothing will be sent for the copies of the call
-// seen so far, ran when the answer is no longer kept, else may_have_run.
+// Handle runs one call and returns its answer. Errors are *verdict.Error: not_run if nothing
+// was and nothing will be sent for the copies of the call seen so far, ran if the answer is no
+// longer kept, else may_have_run.
 func (s *Service) Handle(ctx context.Context, req Request) (plain.Answer, error) {
 	if req.Service.Repeatable {
 		return s.handleRepeatable(ctx, req)
@@ -133,7 +136,7 @@
 	}
 }
 
-// executeRequest is one copy of a call on its way to the owner of its slot.
+// executeRequest is one copy of a call, addressed to the owner of its slot.
 type executeRequest struct {
 	slot    int
 	key     slot.Key
@@ -141,7 +144,8 @@
 	account string
 	service string
 	call    plain.Call
-	// knownSeq is the newest refusal number known when the copy arrived here.
+	// knownSeq is the newest sequence number of the slot that the entry VM knew when the copy
+	// arrived there.
 	knownSeq uint64
 }
 
@@ -160,7 +164,7 @@
 	return digest(h.Sum(nil)[:len(digest{})])
 }
 
-// defaultDeadline applies where the site text gives a service none.
+// defaultDeadline applies to services for which the site text sets none.
 const defaultDeadline = 30 * time.Second
 
 func callDeadline(service *site.Service) time.Duration {
@@ -183,7 +187,7 @@
 	s.Log.Emit(event.InvariantViolated, invariant, subject, detail)
 }
 
-// background runs f and lets Leave wait for it.
+// background runs f in a goroutine for which Leave waits.
 func (s *Service) background(f func()) {
 	s.inFlightCount.Add(1)
 	s.inFlight.Add(1)
--- a/serve/once/owner.go
+++ b/serve/once/owner.go
@@ -10,12 +10,12 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// awaitPollInterval is how often a copy looks for the outcome of a call that another
-// daemon dispatched before this one took the slot.
+// awaitPollInterval is how often a copy polls for the outcome of a call that another daemon
+// dispatched before this one took the slot.
 const awaitPollInterval = 25 * time.Millisecond
 
-// execute takes one copy at the owner: the first of its key starts the call,
-// which goes on when ctx ends, and all wait for its outcome until ctx ends.
+// execute handles one copy at the owner. The first copy of a key starts the call, which
+// continues when ctx ends. All copies wait for its outcome until ctx ends.
 func (s *Service) execute(ctx context.Context, e executeRequest) executeReply {
 	a := s.Roster.Slot(e.slot)
 	if !a.Owner.IsSameProcess(s.self) {
@@ -50,7 +50,8 @@
 	}
 }
 
-// lookupService finds account and service in the site text in force here.
+// lookupService finds the account and the service of e in this daemon's current site
+// configuration.
 func (s *Service) lookupService(e executeRequest) (*site.Account, *site.Service) {
 	current := s.Site.Current()
 	if current == nil || current.Accounts[e.account] == nil {
@@ -86,7 +87,7 @@
 	}
 }
 
-// runAttempt works on one attempt to its end.
+// runAttempt binds, dispatches and finishes one attempt.
 func (s *Service) runAttempt(c *inFlightCall, r record, account *site.Account, service *site.Service) {
 	ctx, cancel := context.WithTimeout(context.Background(), callDeadline(service))
 	defer cancel()
@@ -99,8 +100,8 @@
 	s.finishAttempt(c, end)
 }
 
-// abandon ends an attempt that was never dispatched and never will be. Another
-// copy of the key may run elsewhere, so this is no not_run.
+// abandon ends an attempt that was never dispatched and never will be. Another copy of the key
+// may run elsewhere, so the verdict is not not_run.
 func (s *Service) abandon(c *inFlightCall, result bindResult) {
 	s.tables[c.slot].unbind(c.key, c.attempt)
 	out := outcome{moved: true}
@@ -114,8 +115,8 @@
 	}
 }
 
-// finishAttempt records how a dispatched attempt ended and tells its callers first,
-// then the witness, or the new owner if the slot moved meanwhile.
+// finishAttempt records how a dispatched attempt ended and completes it for its waiting callers
+// first, then reports it to the witness, or to the new owner if the slot moved in the meantime.
 func (s *Service) finishAttempt(c *inFlightCall, end record) {
 	t, term := &s.tables[c.slot], s.ownedTerm(c.slot)
 	result := t.finish(end, term, 0)
@@ -140,8 +141,7 @@
 	}
 }
 
-// ownedTerm is the term at which this daemon owns the slot as far as it knows,
-// or 0.
+// ownedTerm returns the term at which this daemon owns slot i according to its roster, or 0.
 func (s *Service) ownedTerm(i int) uint64 {
 	if a := s.Roster.Slot(i); a.Owner.IsSameProcess(s.self) {
 		return a.Term
--- a/serve/once/peer.go
+++ b/serve/once/peer.go
@@ -10,7 +10,7 @@
 	pb "mallowwind.dev/peer/peerpb"
 )
 
-// peerServer answers other daemons.
+// peerServer implements the RPCs of other daemons.
 type peerServer struct{ s *Service }
 
 func errBadSlot() error { return twirp.InvalidArgumentError("slot", "out of range") }
@@ -74,14 +74,14 @@
 func (p *peerServer) Seal(_ context.Context, w *pb.SealRequest) (*pb.SealReply, error) {
 	reply := &pb.SealReply{}
 	now := time.Now()
-	for _, which := range w.GetSlots() {
-		if which.GetSlot() >= slot.Count {
+	for _, slotTerm := range w.GetSlots() {
+		if slotTerm.GetSlot() >= slot.Count {
 			return nil, errBadSlot()
 		}
-		complete, records, undecided := p.s.tables[which.GetSlot()].seal(which.GetTerm())
+		complete, records, undecidedUntil := p.s.tables[slotTerm.GetSlot()].seal(slotTerm.GetTerm())
 		reply.Slots = append(reply.Slots, &pb.SealedSlot{
 			Complete: complete, Records: recordsToWire(records, now),
-			UndecidedMs: max(undecided.Sub(now), 0).Milliseconds(),
+			UndecidedMs: max(undecidedUntil.Sub(now), 0).Milliseconds(),
 		})
 	}
 	return reply, nil
@@ -96,9 +96,9 @@
 		if !ok || in.GetSlot() >= slot.Count {
 			return nil, twirp.InvalidArgumentError("records", "malformed")
 		}
-		undecided := now.Add(time.Duration(in.GetUndecidedMs()) * time.Millisecond)
+		undecidedUntil := now.Add(time.Duration(in.GetUndecidedMs()) * time.Millisecond)
 		t := &p.s.tables[in.GetSlot()]
-		reply.Accepted = append(reply.Accepted, t.install(in.GetTerm(), records, undecided))
+		reply.Accepted = append(reply.Accepted, t.install(in.GetTerm(), records, undecidedUntil))
 	}
 	return reply, nil
 }
--- a/serve/once/propose.go
+++ b/serve/once/propose.go
@@ -9,16 +9,16 @@
 	pb "mallowwind.dev/peer/peerpb"
 )
 
-// proposeRPCTimeout bounds the wait for the daemon that writes for the others. One
-// that is paused costs a slot this much, then its new owner writes by itself.
+// proposeRPCTimeout bounds the wait for the daemon that writes for the others. A paused writer
+// delays a slot by this long, then the slot's new owner writes the assignment itself.
 const proposeRPCTimeout = time.Second
 
 // propose has assignments written and returns those that the store accepted.
 //
-// One daemon, the same one in all views that agree, writes the proposals of all
-// others with its own. Views that differ, and a writer that is gone, lead to
-// more writes and to nothing worse: the store's compare-and-swap decides between
-// writers, and a change is recognised by its id however often it is proposed.
+// One daemon, the same one in all views that agree, writes the proposals of all others together
+// with its own. Differing views and a writer that is gone cause more writes but no other harm:
+// the store's compare-and-swap decides between writers, and a change is recognised by its id
+// however often it is proposed.
 func (s *Service) propose(ctx context.Context, proposals []slot.Assignment) ([]slot.Assignment, error) {
 	if w := s.writer(); !w.IsSameProcess(s.self) && s.proposeTo(ctx, w, proposals) == nil {
 		return s.accepted(proposals), nil
@@ -27,8 +27,8 @@
 	return s.accepted(proposals), err
 }
 
-// writer is the member that writes the roster for the others: the first by id
-// that is alive and not silent.
+// writer returns the member that writes the roster for the others: among this daemon and the
+// members that are alive and not known to be unresponsive, the one with the lowest id.
 func (s *Service) writer() slot.Member {
 	avoid, _ := s.unresponsive.ids(time.Now())
 	first := s.self
@@ -40,7 +40,7 @@
 	return first
 }
 
-// proposeTo hands proposals to the writer and learns what became of them.
+// proposeTo sends proposals to the writer and learns the resulting assignments.
 func (s *Service) proposeTo(ctx context.Context, w slot.Member, proposals []slot.Assignment) error {
 	ctx, cancel := context.WithTimeout(ctx, proposeRPCTimeout)
 	defer cancel()
--- a/serve/once/random_test.go
+++ b/serve/once/random_test.go
@@ -26,11 +26,11 @@
 	onceSeed = flag.Uint64("once.seed", 1, "seed of the first randomised run")
 )
 
-// TestRandomFaults plays callers that send orders to any entry VM, several
-// copies at once and again after errors, while daemons pause, die, are replaced
-// and lose links, views differ, the store fails and loses confirmations, and
-// the backend server loses answers. Whatever callers see, every order has run
-// at most once, and one that was told not_run did not run.
+// TestRandomFaults simulates callers that send orders to any entry VM, several copies
+// concurrently and again after errors. Meanwhile daemons pause, die, are replaced and lose
+// links, membership views differ, the store fails and loses confirmations, and the backend
+// server loses answers. Whatever the callers are told, every order runs at most once, and an
+// order does not run after not_run was returned unless it is sent again.
 func TestRandomFaults(t *testing.T) {
 	for i := range uint64(*onceRuns) {
 		seed := *onceSeed + i
@@ -45,11 +45,11 @@
 	settleDuration   = 6 * time.Second
 	faultDuration    = 12 * time.Second
 	callerCount      = 6
-	maxCopies        = 3 // copies of one order at most
+	maxCopies        = 3 // of one order at a time
 	maxTriesPerOrder = 4
 )
 
-// copyResult is what one copy of an order was told.
+// copyResult is the result that the caller received for one copy of an order.
 type copyResult struct {
 	client     int
 	order      string
@@ -62,7 +62,7 @@
 // chaosRun is one randomised run.
 type chaosRun struct {
 	*cluster
-	rng     *rand.Rand // of the faults
+	rng     *rand.Rand // selects the faults
 	mu      sync.Mutex
 	results []copyResult
 }
@@ -88,7 +88,7 @@
 	c.checkServing(t)
 }
 
-// runCaller plays one caller until the faults end.
+// runCaller simulates one caller until the faults end.
 func (c *chaosRun) runCaller(client int, rng *rand.Rand) {
 	end := time.Now().Add(faultDuration)
 	for n := 0; time.Now().Before(end); n++ {
@@ -102,8 +102,8 @@
 	}
 }
 
-// sendCopies sends an order to some entry VMs at once and reports whether it should
-// be sent again: after an error, and sometimes after an answer too.
+// sendCopies sends copies of an order to n entry VMs concurrently and reports whether the order
+// should be sent again: after an error, and sometimes after an answer too.
 func (c *chaosRun) sendCopies(client int, order string, n int, rng *rand.Rand) (again bool) {
 	var wg sync.WaitGroup
 	results := make([]copyResult, n)
@@ -139,7 +139,7 @@
 	return c.daemons[ids[rng.IntN(len(ids))]]
 }
 
-// injectFault brings about one fault, and often ends it a while later.
+// injectFault starts one random fault and, for most kinds, ends it some time later.
 func (c *chaosRun) injectFault() {
 	d, o := c.randomDaemon(c.rng), c.randomDaemon(c.rng)
 	span := time.Duration(100+c.rng.IntN(6000)) * time.Millisecond
@@ -177,7 +177,7 @@
 	b.lostAnswers, b.failedSends = lose, fail
 }
 
-// replace kills a daemon and starts another on the same VM or a new one.
+// replace kills a daemon and starts another one on the same VM or on a new one.
 func (c *chaosRun) replace(d *daemon) {
 	d.kill()
 	id := d.id
@@ -188,7 +188,8 @@
 	time.AfterFunc(time.Second, c.syncViews)
 }
 
-// leaveAndReplace has a daemon leave as planned, and end at the limit at the latest.
+// leaveAndReplace makes a daemon leave as planned, kills it when it has left or after limit,
+// and starts a new one in its zone.
 func (c *chaosRun) leaveAndReplace(d *daemon, limit time.Duration) {
 	c.showLeaving(d)
 	d.goroutines.Go(func() {
@@ -202,7 +203,7 @@
 	time.AfterFunc(time.Second, c.syncViews)
 }
 
-// dropFromViews takes a paused daemon out of everyone else's view.
+// dropFromViews removes a daemon that is still paused from the views of the others.
 func (c *chaosRun) dropFromViews(d *daemon) {
 	if d.pauseGate.Load() == nil {
 		return
@@ -216,7 +217,7 @@
 	}
 }
 
-// divergeView lets d believe that o is gone.
+// divergeView removes o from the view of d.
 func (c *chaosRun) divergeView(d, o *daemon) {
 	if d != o {
 		d.dropFromView(o.id)
@@ -248,8 +249,8 @@
 	c.syncViews()
 }
 
-// checkServes: once the faults are over every slot must serve again, though a
-// change that was cut short may have left one of its pair sealed.
+// checkServing checks that slots serve again after the faults end, although an aborted change
+// may have left one member of a pair sealed.
 func (c *chaosRun) checkServing(t *testing.T) {
 	var wg sync.WaitGroup
 	for i := range 100 {
@@ -262,24 +263,24 @@
 	wg.Wait()
 }
 
-// describeSlot shows what each daemon knows of an order's slot.
+// describeSlot describes what each daemon knows of an order's slot.
 func (c *chaosRun) describeSlot(order string) string {
 	i := slot.ForKey(slot.KeyOf("depot", "desk", order))
 	out := fmt.Sprintf("\n  slot %d", i)
 	for id, d := range c.daemons {
 		a, t := d.Roster.Slot(i), &d.tables[i]
-		silent, _ := d.unresponsive.ids(time.Now())
+		unresponsive, _ := d.unresponsive.ids(time.Now())
 		t.mu.Lock()
 		out += fmt.Sprintf("\n  %s dead=%v leaving=%v: roster %d %s/%s, table %d, sealed %d, silent %v, view %d", id,
-			d.dead.Load(), d.leaving.Load(), a.Term, a.Owner.ID, a.Witness.ID, t.term, t.sealed, silent, len(d.Current().Members))
+			d.dead.Load(), d.leaving.Load(), a.Term, a.Owner.ID, a.Witness.ID, t.term, t.sealed, unresponsive, len(d.Current().Members))
 		t.mu.Unlock()
 	}
 	return out
 }
 
-// isPairLost reports whether both of the pair that served an order's key are dead. The
-// slot then waits for proof, or unknown keys wait for the retention to end; both
-// take longer than a run.
+// isPairLost reports whether the owner and the witness of an order's key are both dead, or
+// unknown keys of its slot are undecided. The slot then waits for proof of death or for the end
+// of the retention, both of which take longer than a run.
 func (c *chaosRun) isPairLost(order string) bool {
 	a := c.newestAssignment(slot.ForKey(slot.KeyOf("depot", "desk", order)))
 	for _, d := range c.daemons {
@@ -294,7 +295,7 @@
 	return !alive(a.Owner) && !alive(a.Witness)
 }
 
-// checkResults looks at everything callers were told beside what ran.
+// checkResults compares everything that callers were told with what ran.
 func (c *chaosRun) checkResults(t *testing.T) {
 	orders := map[string][]copyResult{}
 	for _, r := range c.results {
@@ -312,7 +313,7 @@
 	}
 }
 
-// String puts one copy on a line.
+// String formats the result as one line.
 func (r copyResult) String() string {
 	out := r.answer
 	if r.err != nil {
@@ -323,7 +324,7 @@
 
 const timeFormat = "05.000000"
 
-// countResults counts what callers were told.
+// countResults counts the results by verdict and code.
 func countResults(all []copyResult) map[string]int {
 	counts := map[string]int{}
 	for _, r := range all {
@@ -336,7 +337,8 @@
 	return counts
 }
 
-// checkRun: a run needs a copy that was sent after the last not_run before it.
+// checkRun checks that a copy was sent between the last not_run before the run and the run
+// itself.
 func (c *chaosRun) checkRun(t *testing.T, run backendRun, copies []copyResult) {
 	var refusedAt time.Time
 	for _, r := range copies {
@@ -354,7 +356,7 @@
 
 func (r copyResult) isNotRun() bool { return r.err != nil && r.err.Verdict == verdict.NotRun }
 
-// operations turns what was told into operations. One that may have run has no end.
+// operations converts results to porcupine operations. One that may have run has no end.
 func operations(copies []copyResult) []porcupine.Operation {
 	var ops []porcupine.Operation
 	for i, r := range copies {
@@ -367,7 +369,7 @@
 	return ops
 }
 
-// atMostOnce is a register that is written once: false before the run.
+// atMostOnce models a register that is written once: false before the run, true after it.
 var atMostOnce = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{false} },
 	Step: func(state, input, output any) []any {
--- a/serve/once/record.go
+++ b/serve/once/record.go
@@ -9,24 +9,24 @@
 	"mallowwind.dev/external/plain"
 )
 
-// state is what is known of a key. Within one attempt it only grows.
+// state is the state of a key. Within one attempt it only increases.
 type state uint8
 
 const (
-	// bound: some daemon may dispatch the call, or did and did not say how it ended.
+	// stateBound: some daemon may dispatch the call, or did and has not reported how it ended.
 	stateBound state = iota
-	// refused: given up before anything was sent.
+	// stateRefused: given up before anything was sent.
 	stateRefused
-	// unknown: sent, and no whole answer came back.
+	// stateUnknown: sent, and no whole answer came back.
 	stateUnknown
-	// ran: a whole answer came back.
+	// stateRan: a whole answer came back.
 	stateRan
-	// abandoned: given up before the witness's consent was known. It is only
-	// reported, never kept: the key is forgotten, and another copy may bind it.
+	// stateAbandoned: given up before the witness's consent was known. It is only reported,
+	// never stored: the key is removed, and another copy may bind it.
 	stateAbandoned
 )
 
-// wasSent reports whether bytes of the call may have left.
+// wasSent reports whether bytes of the call may have been sent.
 func (s state) wasSent() bool { return s == stateUnknown || s == stateRan }
 
 // String returns the name used in logs.
@@ -36,12 +36,13 @@
 
 // outcome is how a call ended, or what its caller is told.
 type outcome struct {
-	answer *plain.Answer  // nil unless it ran and the answer is kept
-	err    *verdict.Error // nil when answer is set
+	answer *plain.Answer  // nil unless the call ran and the answer is kept
+	err    *verdict.Error // nil if answer is set
 	moved  bool           // another daemon serves the slot
 }
 
-// asError is the error that the flow is told of.
+// asError returns the error that is reported to the flow dispatcher, a plain nil if there is
+// none.
 func (o outcome) asError() error {
 	if o.err == nil {
 		return nil
@@ -49,14 +50,14 @@
 	return o.err
 }
 
-// record is one remembered key. The table's mutex guards it.
+// record is the state of one key. The table's mutex guards it.
 type record struct {
 	key        slot.Key
 	digest     digest
-	attempt    uint64      // grows each time the key is bound
+	attempt    uint64      // increases each time the key is bound
 	dispatcher slot.Member // the only process that may send this attempt
 	state      state
-	refusalSeq uint64 // number of the refusal
+	refusalSeq uint64 // sequence number of the refusal
 	out        outcome
 	expires    time.Time
 	call       *inFlightCall // set at the dispatcher while it works on the attempt
@@ -64,7 +65,7 @@
 
 func keyString(k slot.Key) string { return hex.EncodeToString(k[:]) }
 
-// answerBytes is the size of the kept answer.
+// answerBytes returns the size of the kept answer's body.
 func (r *record) answerBytes() int {
 	if r.out.answer == nil {
 		return 0
@@ -72,8 +73,7 @@
 	return len(r.out.answer.Body)
 }
 
-// inFlightCall is one attempt being worked on by this daemon. out may be read after
-// done is closed.
+// inFlightCall is one attempt that this daemon works on. out may be read after done is closed.
 type inFlightCall struct {
 	slot    int
 	key     slot.Key
--- a/serve/once/refusals.go
+++ b/serve/once/refusals.go
@@ -7,13 +7,13 @@
 	pb "mallowwind.dev/peer/peerpb"
 )
 
-// maxBroadcastPeers is the largest fleet in which refusal numbers go to everyone.
-// A copy sent after a refusal passes at once where the number is known, else
-// with the next try. In a large fleet an account uses a few entry VMs only,
-// and those learn the number with the first answer.
+// maxBroadcastPeers is the largest number of peers to which refusal numbers are broadcast. A
+// copy sent after a refusal is accepted immediately where the number is known, else at the next
+// retry. In a large fleet an account uses only a few entry VMs, and those learn the number with
+// their first answer.
 const maxBroadcastPeers = 32
 
-// slotSet collects the slots that had refusals since they were last spread.
+// slotSet collects the slots that had refusals since the last broadcast.
 type slotSet struct {
 	mu    sync.Mutex
 	slots map[int]bool
@@ -36,9 +36,9 @@
 	return out
 }
 
-// broadcastRefusals tells the other entry VMs the newest numbers of slots with refusals,
-// so that a caller who tries again at another entry VM is not taken for an old
-// copy. Nothing depends on its arrival.
+// broadcastRefusals sends the newest sequence numbers of slots with refusals to the other entry
+// VMs, so that a caller that retries at another entry VM is not taken for an old copy.
+// Correctness does not depend on the delivery.
 func (s *Service) broadcastRefusals() {
 	slots, peers := s.refusedSlots.take(), s.peers()
 	if len(slots) == 0 || len(peers) > maxBroadcastPeers {
--- a/serve/once/report.go
+++ b/serve/once/report.go
@@ -14,9 +14,9 @@
 	reportTotalTimeout  = 10 * time.Second
 )
 
-// reportToWitness copies the end of a key to the witness, so that the answer
-// outlives this daemon. A copy that fails costs an answer, never a second run:
-// at the witness the key stays bound.
+// reportToWitness copies the outcome of a key to the witness, so that the answer survives the
+// loss of this daemon. A failed copy costs an answer, never a second run: at the witness the
+// key stays bound.
 func (s *Service) reportToWitness(i int, key slot.Key) {
 	a := s.Roster.Slot(i)
 	r, ok := s.tables[i].lookup(key)
@@ -32,14 +32,14 @@
 	}
 	s.report(a.Witness, i, a.Term, &r)
 	if now := s.Roster.Slot(i); now.Term > a.Term {
-		// The slot moved on while the report travelled.
+		// The slot moved while the report was in flight.
 		s.reportToOwner(r, i)
 	}
 }
 
-// reportToOwner tells the owner of a slot how an attempt of this daemon ended
-// after the slot moved. It keeps looking for the owner for a while, since the
-// move may not be known here yet.
+// reportToOwner tells the owner of a slot how an attempt of this daemon ended after the slot
+// moved. It keeps looking for the owner for up to reportTotalTimeout, since this daemon may not
+// know of the move yet.
 func (s *Service) reportToOwner(end record, i int) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportTotalTimeout)
 	defer cancel()
--- a/serve/once/scenario_test.go
+++ b/serve/once/scenario_test.go
@@ -19,7 +19,7 @@
 
 func newReader(b []byte) io.Reader { return bytes.NewReader(b) }
 
-// runScenario runs f with n daemons that have settled their slots.
+// runScenario runs f with n daemons whose slots are assigned.
 func runScenario(t *testing.T, n int, f func(t *testing.T, cl *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newCluster(t, n)
@@ -29,7 +29,7 @@
 	})
 }
 
-// send plays a caller that sends key and body to one entry VM.
+// send simulates a caller that sends key and body to this daemon's entry VM.
 func (d *daemon) send(key, body string) (string, *verdict.Error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -43,7 +43,7 @@
 	return string(answer.Body), nil
 }
 
-// verdictOf is the verdict a caller reads; an answer says that the call ran.
+// verdictOf returns the verdict that a caller receives. An answer means that the call ran.
 func verdictOf(err *verdict.Error) verdict.Verdict {
 	if err == nil {
 		return verdict.Ran
@@ -51,7 +51,7 @@
 	return err.Verdict
 }
 
-// pairOf returns the owner and the witness of key, and another daemon.
+// pairOf returns the owner and the witness of key, and another live daemon.
 func (cl *cluster) pairOf(key string) (owner, witness, other *daemon) {
 	i := slot.ForKey(slot.KeyOf("depot", "desk", key))
 	a := cl.newestAssignment(i)
@@ -74,16 +74,16 @@
 	return a
 }
 
-// killAndSyncViews kills a daemon and takes it out of all views.
+// killAndSyncViews kills a daemon and removes it from all views.
 func (cl *cluster) killAndSyncViews(d *daemon) {
 	d.kill()
 	cl.syncViews()
 }
 
 func TestSameKeyAtThreeEntryVMsAtOnceRunsOnce(t *testing.T) {
-	// A driver's phone sends one confirmation over three entry VMs at the same
-	// moment. All three get the answer of the one run; a fourth copy much later
-	// gets it too, and the key with another body is refused.
+	// Copies of a call arrive at three entry VMs at the same moment, as from a client that
+	// sends them to all. All three get the answer of the one run. A fourth copy much later gets
+	// it too, and the same key with another body is refused.
 	runScenario(t, 6, func(t *testing.T, cl *cluster) {
 		cl.backend.runDuration = 3 * time.Second
 		answers := make(chan string, 3)
@@ -109,10 +109,10 @@
 }
 
 func TestPausedOwnerSendsLateAndTheRetryDoesNotRunAgain(t *testing.T) {
-	// The owner binds a dispatch at its witness and is paused before it sends.
-	// The others believe it gone, the witness takes over, the caller asks again
-	// and learns that the call may have run. Then the old owner wakes and sends.
-	// The cause of the danger: nothing tells a paused process that it lost a slot.
+	// The owner binds a key at its witness and is paused before it sends. The others consider
+	// it dead, the witness takes over, and a retry of the call learns that it may have run.
+	// Then the old owner resumes and sends. A paused process does not learn that it lost a
+	// slot, so the new owner must not dispatch the key.
 	runScenario(t, 6, func(t *testing.T, cl *cluster) {
 		owner, witness, other := cl.pairOf("k2")
 		hold := make(chan struct{})
@@ -128,8 +128,8 @@
 		must.EqOp(t, "", answer)
 		must.EqOp(t, verdict.MayHaveRun, verdictOf(err))
 		must.EqOp(t, 0, cl.backend.count("dispatch excavator"))
-		now, _, _ := cl.pairOf("k2")
-		must.EqOp(t, witness.id, now.id)
+		newOwner, _, _ := cl.pairOf("k2")
+		must.EqOp(t, witness.id, newOwner.id)
 		close(hold)
 		owner.resume()
 		time.Sleep(5 * time.Second)
@@ -141,11 +141,10 @@
 	})
 }
 
-func TestStoreOutageStopsNoCallOfAWholePair(t *testing.T) {
-	// The store is down for minutes. Calls go on, also at an entry VM that was
-	// never asked before. When the owner dies in the outage its slot can't move:
-	// callers are told at once that the outcome is open and when to ask again,
-	// and after the outage the key still has its one run.
+func TestStoreOutageStopsNoCallWhilePairIsAlive(t *testing.T) {
+	// The store is down for minutes. Calls continue, also at an entry VM that received none
+	// before. If the owner dies during the outage, its slot can't move: callers get
+	// may_have_run with a retry delay, and after the outage the key still has its one run.
 	runScenario(t, 6, func(t *testing.T, cl *cluster) {
 		cl.store.setDown(true)
 		answer, err := cl.daemon("vm3").send("k3", "order 12")
@@ -167,9 +166,9 @@
 	})
 }
 
-func TestOwnerDiesAfterAnsweringAndTheWitnessKnowsTheAnswer(t *testing.T) {
-	// The answer is lost on the way back because the owner dies. The caller
-	// asks another entry VM with the same key and gets the recorded answer.
+func TestWitnessReturnsAnswerAfterOwnerDies(t *testing.T) {
+	// The owner dies after it answered, so the answer may be lost on the way to the caller. A
+	// retry with the same key at another entry VM must get the recorded answer.
 	runScenario(t, 6, func(t *testing.T, cl *cluster) {
 		owner, _, other := cl.pairOf("k4")
 		answer, err := other.send("k4", "confirm 7")
@@ -177,18 +176,18 @@
 		must.EqOp(t, "confirm 7 run 1", answer)
 		time.Sleep(100 * time.Millisecond)
 		cl.killAndSyncViews(owner)
-		noticed := time.Now()
+		updated := time.Now()
 		answer, err = other.send("k4", "confirm 7")
 		must.Nil(t, err)
 		must.EqOp(t, "confirm 7 run 1", answer)
-		t.Logf("answered %v after the death was noticed", time.Since(noticed))
+		t.Logf("answered %v after the death was noticed", time.Since(updated))
 	})
 }
 
 func TestLostConfirmationOfTheRosterWrite(t *testing.T) {
-	// The owner dies. The store takes the write that names its successor, but
-	// the confirmation is lost, and the first write even takes effect late.
-	// Callers see a short wait and then one owner, which knows the key.
+	// The owner dies. The store accepts the write that names its successor, but the
+	// confirmation is lost, and the write even takes effect late in the second case. Callers
+	// must see a short wait and then one owner, which knows the key.
 	for _, late := range []time.Duration{0, 20 * time.Millisecond} {
 		runScenario(t, 6, func(t *testing.T, cl *cluster) {
 			owner, _, other := cl.pairOf("k5")
@@ -205,23 +204,23 @@
 }
 
 func TestPartitionBetweenOwnerAndWitness(t *testing.T) {
-	// Owner and witness of a key can't reach each other, while everyone else
-	// reaches both. The owner takes another witness and the call runs once.
+	// Owner and witness of a key can't reach each other, while all other daemons reach both.
+	// The owner selects another witness and the call runs once.
 	runScenario(t, 6, func(t *testing.T, cl *cluster) {
 		owner, witness, other := cl.pairOf("k6")
 		cl.partition(owner.id, witness.id, true)
 		answer, err := other.send("k6", "tow pump")
 		must.Nil(t, err)
 		must.EqOp(t, "tow pump run 1", answer)
-		_, now, _ := cl.pairOf("k6")
-		must.NotEqOp(t, witness.id, now.id)
+		_, newWitness, _ := cl.pairOf("k6")
+		must.NotEqOp(t, witness.id, newWitness.id)
 	})
 }
 
-func TestBothOfThePairLostIsNeverGuessed(t *testing.T) {
-	// Owner and witness die together after a run. Nobody knows the key any
-	// more, so every unknown key of the slot is answered with may_have_run
-	// until the retention time is over, and nothing runs a second time.
+func TestLossOfOwnerAndWitnessLeavesKeysUndecided(t *testing.T) {
+	// Owner and witness die together after a run. No daemon knows the key any more, so every
+	// unknown key of the slot must be answered with may_have_run until the retention has
+	// passed.
 	runScenario(t, 6, func(t *testing.T, cl *cluster) {
 		cl.setRetention(4*time.Minute, time.Minute)
 		owner, witness, other := cl.pairOf("k7")
@@ -241,10 +240,10 @@
 	})
 }
 
-func TestPairCutOffTogetherIsNotTakenForDead(t *testing.T) {
-	// The pair of a slot is cut off from everyone else, as when regions lose
-	// each other, and goes on serving on its side. The other side must neither
-	// run keys of the slot nor take it: both come back in an hour.
+func TestPartitionedPairIsNotTreatedAsDead(t *testing.T) {
+	// The pair of a slot is partitioned from all other daemons, as when regions lose their
+	// connection, and both daemons stay alive. The other side must neither run keys of the slot
+	// nor take it, since both may return later.
 	runScenario(t, 6, func(t *testing.T, cl *cluster) {
 		owner, witness, other := cl.pairOf("k8")
 		for _, a := range []*daemon{owner, witness} {
@@ -272,17 +271,17 @@
 	})
 }
 
-func TestRefusalIsNotUndoneByACopyThatWasHeldUp(t *testing.T) {
-	// A caller sends one order over two entry VMs. One copy is held up inside
-	// the first; the other is refused for overload with not_run. The caller
-	// trusts that and orders under a new key. When the held copy arrives at
-	// last it must not run. A copy sent after the refusal runs, wherever it goes.
+func TestDelayedCopyDoesNotRunAfterRefusal(t *testing.T) {
+	// A caller sends one call to two entry VMs. One copy is delayed inside the first; the other
+	// is refused for overload with not_run. A caller that trusts the verdict repeats the order
+	// under a new key, so the delayed copy must not run when it arrives. A copy sent after the
+	// refusal runs at any entry VM.
 	runScenario(t, 6, func(t *testing.T, cl *cluster) {
-		owner, witness, held := cl.pairOf("k9")
-		held.pause()
+		owner, witness, delayed := cl.pairOf("k9")
+		delayed.pause()
 		late := make(chan *verdict.Error)
 		go func() {
-			_, err := held.send("k9", "20 sacks")
+			_, err := delayed.send("k9", "20 sacks")
 			late <- err
 		}()
 		time.Sleep(time.Millisecond)
@@ -291,20 +290,20 @@
 		must.EqOp(t, verdict.NotRun, verdictOf(err))
 		must.Positive(t, err.RetryAfter)
 		owner.flow.refuse.Store(false)
-		held.resume()
+		delayed.resume()
 		must.EqOp(t, verdict.MayHaveRun, verdictOf(<-late))
 		must.EqOp(t, 0, cl.backend.count("20 sacks"))
 		time.Sleep(err.RetryAfter)
-		answer, err := held.send("k9", "20 sacks")
+		answer, err := delayed.send("k9", "20 sacks")
 		must.Nil(t, err)
 		must.EqOp(t, "20 sacks run 1", answer)
 	})
 }
 
-func TestVerdictsFollowWhatWasSent(t *testing.T) {
-	// A backend server that can't be connected to is passed over; when all are
-	// the caller reads not_run. One that takes the call and says nothing may
-	// have run it: it is not sent again, now or on a retry.
+func TestVerdictReflectsWhatWasSent(t *testing.T) {
+	// A backend server that can't be connected to is skipped; if none can be, the caller gets
+	// not_run. A server that received the call and did not answer may have run it, so the call
+	// is not sent again, neither now nor on a retry.
 	runScenario(t, 3, func(t *testing.T, cl *cluster) {
 		cl.backend.failedSends = 2
 		_, err := cl.daemon("vm0").send("a", "order a")
@@ -321,9 +320,9 @@
 	})
 }
 
-func TestPlannedLeaveRefusesNothing(t *testing.T) {
-	// A daemon is replaced as planned while callers send orders without pause,
-	// one of them running for seconds. None is refused or left open.
+func TestPlannedLeaveRefusesNoCall(t *testing.T) {
+	// A daemon leaves as planned while callers keep sending calls, one of which runs for
+	// seconds. No call may be refused or left undecided.
 	runScenario(t, 6, func(t *testing.T, cl *cluster) {
 		owner, _, other := cl.pairOf("k0")
 		cl.backend.runDuration = 2 * time.Second
@@ -353,7 +352,8 @@
 }
 
 func TestNewKeyNeedsNoStoreWrite(t *testing.T) {
-	// Hundreds of orders: the store sees no write, so its rate bounds nothing.
+	// Calls with new keys must cause no store writes, or the store's write rate would limit the
+	// rate of calls.
 	runScenario(t, 6, func(t *testing.T, cl *cluster) {
 		before := cl.store.writeCount()
 		for i := range 300 {
@@ -365,10 +365,10 @@
 	})
 }
 
-func TestKeyThatLeftTheTableIsNotDispatched(t *testing.T) {
-	// While an owner waits for the witness, the slot goes to another daemon and
-	// comes back. The owner's table was replaced and does not hold the key. If it
-	// were sent now, a second copy would find no trace of it and run again.
+func TestKeyMissingFromTableIsNotDispatched(t *testing.T) {
+	// While an owner waits for the witness, the slot goes to another daemon and comes back. The
+	// owner's table was replaced and does not contain the key. If the call were sent now, a
+	// second copy would find no record of it and run again.
 	runScenario(t, 6, func(t *testing.T, cl *cluster) {
 		owner, _, _ := cl.pairOf("k10")
 		key := slot.KeyOf("depot", "desk", "k10")
@@ -381,10 +381,10 @@
 	})
 }
 
-func TestChangeCutShortLeavesNoSlotBehind(t *testing.T) {
-	// A daemon seals one of a pair to take its slot, and dies before it asks the
-	// store. The pair is alive and in every roster, and yet half of it refuses
-	// every key. Callers must see a short wait, not refusals for ever.
+func TestSlotServesAgainAfterAbortedChange(t *testing.T) {
+	// A daemon seals one member of a pair to take its slot and dies before it writes to the
+	// store. The pair is alive and in every roster, but one of the two refuses every key.
+	// Callers must see a short wait, not permanent refusals.
 	for _, sealOwner := range []bool{true, false} {
 		runScenario(t, 6, func(t *testing.T, cl *cluster) {
 			owner, witness, other := cl.pairOf("k11")
@@ -401,11 +401,11 @@
 	}
 }
 
-func TestSlotsThatCannotBeTakenKeepNoneBack(t *testing.T) {
-	// Two of three entry VMs are lost within seconds, and the platform still
-	// lists them. Nobody can give the keys of the slots that they shared, for a
-	// minute and more. The one that is left must neither ask for them five
-	// times a second nor keep back the slots that it can take.
+func TestSlotsThatCannotBeTakenDelayNoOthers(t *testing.T) {
+	// Two of three entry VMs are lost. No reachable daemon holds the keys of the slots that
+	// they shared, and their death is not proven for a minute and more. The remaining daemon
+	// must neither try to take these slots five times per second nor delay the slots that it
+	// can take.
 	runScenario(t, 3, func(t *testing.T, cl *cluster) {
 		owner, witness, other := cl.pairOf("k12")
 		owner.kill()
--- a/serve/once/table.go
+++ b/serve/once/table.go
@@ -9,33 +9,31 @@
 
 // table holds the keys of one slot at its owner or witness. Its rules:
 //
-//   - The owner records a key before it asks the witness, and dispatches only
-//     after the witness recorded it too. So either of the pair knows every key
-//     that was ever dispatched.
-//   - A sealed table takes no key of that term or an older one. Sealing either
-//     of the pair therefore ends the term: an owner that was paused or cut off
-//     can dispatch only keys that the next owner received as bound.
-//   - A key that is bound is never dispatched by another daemon. It may be
-//     bound anew only after a refusal, and only for a copy that reached an
-//     entry VM after that refusal was known there.
+//   - The owner records a key before it asks the witness, and dispatches only after the witness
+//     recorded it too. So each of the pair knows every key that was ever dispatched.
+//   - A sealed table accepts no key of that term or an older one. Sealing either of the pair
+//     therefore ends the term: an owner that was paused or partitioned can dispatch only keys
+//     that the next owner received as bound.
+//   - A bound key is never dispatched by another daemon. It may be bound again only after a
+//     refusal, and only for a copy that reached an entry VM after that refusal was known there.
 type table struct {
 	mu          sync.Mutex
-	term        uint64 // newest term whose keys are all here; 0: none
+	term        uint64 // newest term for which all keys are here; 0 if none
 	sealed      uint64 // keys of terms up to this one are refused
 	boundInTerm bool   // a key was bound at term
 	// lastSeq numbers attempts and refusals in the order in which they happen.
 	lastSeq        uint64
 	records        map[slot.Key]*record
-	undecidedUntil time.Time // until then unknown keys may have run
-	answerBytes    int       // bytes of kept answers
+	undecidedUntil time.Time // before this time unknown keys may have run
+	answerBytes    int       // size of the bodies of kept answers
 }
 
 const (
-	// maxKeysPerSlot holds two hours of 8,200 calls a second, all of them not
+	// maxKeysPerSlot holds the keys of two hours at 8,200 calls per second, none of them
 	// repeatable, over 1,024 slots.
 	maxKeysPerSlot = 1 << 16
-	// maxAnswerBytes and maxAnswersPerSlot bound kept answers, in bytes. A
-	// daemon holds five slots in a fleet of full size, up to 350 among six daemons.
+	// maxAnswerBytes and maxAnswerBytesPerSlot bound the kept answers. A daemon holds five
+	// slots in a fleet of full size and up to 350 in a fleet of six daemons.
 	maxAnswerBytes        = 64 << 10
 	maxAnswerBytesPerSlot = 256 << 10
 )
@@ -45,22 +43,21 @@
 	return t.lastSeq
 }
 
-// claimResult says what became of a claim.
+// claimResult is the result of a claim.
 type claimResult uint8
 
 const (
 	claimNew       claimResult = iota // the caller works on the call now
-	claimKnown                        // the key is known: wait, or give its outcome
+	claimKnown                        // the key is known: wait for its outcome or return it
 	claimNotServed                    // this daemon does not serve the slot
 	claimStale                        // refused before, and this copy may be older than the refusal
-	claimKeyReused                    // the key was used with another body
+	claimKeyReused                    // the key was used with another method, path or body
 	claimUndecided                    // the slot's history is lost
-	claimFull                         // no room for another key
+	claimFull                         // the table has no capacity for another key
 )
 
-// claim looks a key up for one copy of a call and binds it if it is new, in
-// one step, so that of many copies one is dispatched. The record is that of a
-// new claim.
+// claim looks up the key of one copy of a call and binds it if it is new, atomically, so that
+// only one of many copies is dispatched. The returned record is set only for claimNew.
 func (t *table) claim(now time.Time, c *inFlightCall, self slot.Member, term uint64, ttl time.Duration) (record, claimResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -112,7 +109,8 @@
 	}
 }
 
-// bind is the witness's consent to dispatch r at term.
+// bind records r at the witness. It reports whether the witness consents to dispatching r at
+// term.
 func (t *table) bind(term uint64, r *record) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -130,22 +128,22 @@
 	return true
 }
 
-// finishResult says what finish did.
+// finishResult is the result of finish.
 type finishResult uint8
 
 const (
 	finishApplied    finishResult = iota
-	finishIgnored                 // nothing known of the attempt, or known already
-	finishNeedsOwner              // a refusal needs a number of the slot's owner
-	finishConflict                // the key has another end: an invariant does not hold
+	finishIgnored                 // the attempt is unknown, was abandoned, or its outcome is known already
+	finishNeedsOwner              // only the slot's owner can number this refusal
+	finishConflict                // the key has a conflicting outcome: an invariant does not hold
 )
 
-// finish records how an attempt ended. ownTerm is the term at which this daemon
-// owns the slot, senderTerm that of the daemon that says so; 0 if it does not
-// own it. At the owner a refusal gets a number of this table, with which copies
-// are compared. A witness takes that number from the owner of its own term
-// only: another daemon's number could be lower than one that an entry VM
-// already knows, and a delayed copy would pass as sent after the refusal.
+// finish records how an attempt ended. ownTerm is the term at which this daemon owns the slot,
+// senderTerm the one at which the reporting daemon owns it; each is 0 if the daemon does not
+// own the slot. At the owner a refusal gets a sequence number of this table, with which copies
+// are compared. A witness accepts that number only from the owner of its own term: another
+// daemon's number could be lower than one that an entry VM already knows, and a delayed copy
+// would pass as sent after the refusal.
 func (t *table) finish(end record, ownTerm, senderTerm uint64) finishResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -182,7 +180,7 @@
 	return finishIgnored
 }
 
-// keepAnswer drops an answer for which there is no room. The caller holds mu.
+// keepAnswer drops the answer of r if there is no capacity for it. The caller holds mu.
 func (t *table) keepAnswer(r *record) {
 	if r.out.answer == nil {
 		return
@@ -195,14 +193,14 @@
 	t.answerBytes += n
 }
 
-// undecidedFor is how long unknown keys stay undecided.
+// undecidedFor returns how long unknown keys stay undecided.
 func (t *table) undecidedFor(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return max(t.undecidedUntil.Sub(now), 0)
 }
 
-// releaseCall ends this daemon's work on an attempt whose end it could not record.
+// releaseCall ends this daemon's work on an attempt whose outcome it could not record.
 func (t *table) releaseCall(c *inFlightCall) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -211,8 +209,8 @@
 	}
 }
 
-// sweep removes expired keys and answers kept long enough, and counts the rest.
-// A bound key stays while this daemon still works on it.
+// sweep removes expired keys, and answers whose keys expire in less than minTTL, and returns
+// the number of remaining keys. An expired key stays while this daemon still works on its call.
 func (t *table) sweep(now time.Time, minTTL time.Duration) (keys int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -230,14 +228,14 @@
 	return len(t.records)
 }
 
-// keyCount is the number of known keys.
+// keyCount returns the number of known keys.
 func (t *table) keyCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.records)
 }
 
-// snapshot returns every record and the end of the undecided time.
+// snapshot returns all records and the end of the undecided time.
 func (t *table) snapshot() ([]record, time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/serve/once/table_test.go
+++ b/serve/once/table_test.go
@@ -29,14 +29,14 @@
 	return &record{key: slot.Key{key}, attempt: attempt, dispatcher: owner1, expires: time.Now().Add(hour)}
 }
 
-func newCall(key byte, seen uint64) *inFlightCall {
-	return &inFlightCall{key: slot.Key{key}, req: executeRequest{knownSeq: seen}, done: make(chan struct{})}
+func newCall(key byte, knownSeq uint64) *inFlightCall {
+	return &inFlightCall{key: slot.Key{key}, req: executeRequest{knownSeq: knownSeq}, done: make(chan struct{})}
 }
 
-func TestSealedWitnessGivesNoConsent(t *testing.T) {
-	// An owner is cut off. A third daemon seals the witness, copies its keys and
-	// owns the slot next. The old owner asks the witness for one more key: with
-	// its consent the key could run at the old and at the new owner.
+func TestSealedWitnessRejectsBind(t *testing.T) {
+	// An owner is partitioned. A third daemon seals the witness, copies its keys and owns the
+	// slot next. The old owner asks the witness for one more key: with the witness's consent
+	// the key could run at both the old and the new owner.
 	w := newServingTable(t, 4)
 	must.True(t, w.bind(4, boundRecord(1, 41)))
 	complete, records, _ := w.seal(4)
@@ -55,16 +55,16 @@
 	must.EqOp(t, claimNotServed, got)
 }
 
-func TestTableOfAnOlderTermIsNoSource(t *testing.T) {
-	// A daemon that missed a change holds a part of the keys only. Copying from
-	// it would lose those bound since, and they could run again.
+func TestTableOfOlderTermIsIncomplete(t *testing.T) {
+	// A daemon that missed a change holds only some of the keys. Copying from it would lose
+	// those bound since, and they could run again.
 	complete, _, _ := newServingTable(t, 4).seal(5)
 	must.False(t, complete)
 }
 
 func TestInstallNeverReplacesATableThatMayHaveBoundKeys(t *testing.T) {
-	// Two daemons race for the next term and both choose this witness. The store
-	// lets one win; the delayed transfer of the other must not wipe its keys.
+	// Two daemons race for the next term and choose the same witness. The store accepts one of
+	// them; the delayed transfer of the other must not remove its keys.
 	w := newServingTable(t, 4)
 	must.True(t, w.install(5, nil, time.Time{}))
 	must.True(t, w.bind(5, boundRecord(1, 51)))
@@ -74,9 +74,9 @@
 	must.True(t, known)
 }
 
-func TestOwnerThatTriesAgainFindsItsWitness(t *testing.T) {
-	// The store is down when an owner gives a witness the next term, and the
-	// owner tries again. If each try shut one witness, none would be left.
+func TestRetriedInstallAndAdvanceAreAccepted(t *testing.T) {
+	// The store is down when an owner installs the next term at a witness, and the owner
+	// retries. If each attempt made one witness unusable, none would be left.
 	w := newServingTable(t, 4)
 	must.True(t, w.install(5, nil, time.Time{}))
 	must.True(t, w.install(5, []record{*boundRecord(1, 41)}, time.Time{}))
@@ -91,9 +91,9 @@
 	must.False(t, o.install(5, nil, time.Time{}))
 }
 
-func TestRefusalClosesTheKeyForOlderCopies(t *testing.T) {
-	// A key is refused. A copy that reached an entry VM before that is known
-	// there must not run, a later one may, and under a new attempt.
+func TestRefusalRejectsOlderCopies(t *testing.T) {
+	// A key is refused. A copy that reached an entry VM before the refusal was known there must
+	// not run; a later copy may, as a new attempt.
 	o := newServingTable(t, 4)
 	c := newCall(1, 0)
 	_, _ = o.claim(time.Now(), c, owner1, 4, hour)
@@ -107,10 +107,10 @@
 	must.Greater(t, c.attempt, again.attempt)
 }
 
-func TestWitnessTakesRefusalNumbersOfItsOwnerOnly(t *testing.T) {
-	// An owner that lost the slot reports a refusal with a number of its old
-	// term. Entry VMs know higher ones already, so a copy held up since before
-	// the refusal would pass as newer.
+func TestWitnessAcceptsRefusalNumbersOnlyFromItsOwner(t *testing.T) {
+	// An owner that lost the slot reports a refusal with a sequence number of its old term.
+	// Entry VMs know higher ones already, so a copy delayed since before the refusal would pass
+	// as newer.
 	w := newServingTable(t, 5)
 	must.True(t, w.bind(5, boundRecord(1, 51)))
 	end := record{key: slot.Key{1}, attempt: 51, state: stateRefused, refusalSeq: 44}
@@ -118,7 +118,7 @@
 	must.EqOp(t, finishApplied, w.finish(end, 0, 5))
 }
 
-func TestTwoEndsOfOneKeyAreNoticed(t *testing.T) {
+func TestConflictingOutcomesAreDetected(t *testing.T) {
 	o := newServingTable(t, 4)
 	must.True(t, o.bind(4, boundRecord(1, 41)))
 	must.EqOp(t, finishApplied, o.finish(record{key: slot.Key{1}, attempt: 41, state: stateRan}, 0, 4))
@@ -127,7 +127,7 @@
 	must.EqOp(t, finishConflict, o.finish(record{key: slot.Key{1}, attempt: 42, state: stateRan}, 0, 4))
 }
 
-func TestAnswersAreBoundedAndForgottenBeforeKeys(t *testing.T) {
+func TestAnswersAreBoundedAndDroppedBeforeKeys(t *testing.T) {
 	o := newServingTable(t, 4)
 	now := time.Now()
 	for i := range byte(20) {
@@ -177,9 +177,9 @@
 	})
 }
 
-func TestSlotsThatCannotMoveHoldUpNoOthers(t *testing.T) {
-	// Two daemons die together. Hundreds of slots wait for proof of that and
-	// can't move; a sealed slot that needs only its owner must not wait behind.
+func TestFailingMovesDelayNoOthers(t *testing.T) {
+	// Two daemons die together. Hundreds of slots can't move until their deaths are proven. A
+	// sealed slot that needs only its owner must not wait for them.
 	p, now := &moveBackoff{}, time.Now()
 	var moves []slot.Move
 	for i := range 3 * maxMovesPerRound {
@@ -195,9 +195,9 @@
 	must.EqOp(t, 0, p.due(slices.Clone(moves), maxMovesPerRound, now)[0].From.Slot)
 }
 
-func TestOneSilentMemberForAnotherIsAChange(t *testing.T) {
-	// A witness falls silent in the moment in which another one is trusted again.
-	// Their number stays the same, and yet slots must move.
+func TestUnresponsiveMemberReplacedByAnotherIsAChange(t *testing.T) {
+	// One witness becomes unresponsive at the moment at which another one is trusted again. The
+	// number of unresponsive members stays the same, but slots must move.
 	s, now := &unresponsiveSet{}, time.Now()
 	s.add("vm4", now)
 	_, before := s.ids(now)
--- a/serve/once/terms.go
+++ b/serve/once/terms.go
@@ -6,8 +6,8 @@
 	"mallowwind.dev/decision/slot"
 )
 
-// termShift leaves the lower half of a counter to one term, so that numbers of
-// a newer term are always higher.
+// termShift leaves the lower half of a sequence number to one term, so that numbers of a newer
+// term are always higher.
 const termShift = 32
 
 // isServingLocked reports whether keys may be bound here at term. The caller holds mu.
@@ -15,8 +15,9 @@
 	return term > 0 && t.term == term && t.sealed < term
 }
 
-// lastSeqAt returns the newest number if this daemon owns the slot at term, else 0:
-// numbers of a term that the store has not accepted must not reach entry VMs.
+// lastSeqAt returns the newest sequence number if keys may be bound here at term, which is the
+// term at which this daemon owns the slot, else 0. Numbers of a term that the store has not
+// accepted must not reach entry VMs.
 func (t *table) lastSeqAt(term uint64) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -33,9 +34,9 @@
 	return t.isServingLocked(term)
 }
 
-// seal refuses keys of terms up to term from now on and returns what is known,
-// if that is everything.
-func (t *table) seal(term uint64) (complete bool, records []record, undecided time.Time) {
+// seal makes the table refuse keys of terms up to term from now on. It returns the records if
+// the table is complete for term.
+func (t *table) seal(term uint64) (complete bool, records []record, undecidedUntil time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sealed = max(t.sealed, term)
@@ -49,13 +50,12 @@
 	return true, records, t.undecidedUntil
 }
 
-// install replaces the table by that of the next term, or by another one of the
-// same term as long as no key was bound at it here. Every table offered for a
-// term is complete, since its maker sealed one of the pair before; what it must
-// not do is wipe keys bound at the term since. Accepting a second one matters
-// when the store was down: a daemon that tries again must not find its former
-// witnesses shut.
-func (t *table) install(term uint64, records []record, undecided time.Time) bool {
+// install replaces the table by that of the next term, or by another one of the same term as
+// long as no key was bound at that term here. Every table offered for a term is complete,
+// because its sender sealed one of the pair before, but it must not remove keys bound at the
+// term since. Accepting a second table matters during an outage of the store: a daemon that
+// retries must not find its former witnesses unusable.
+func (t *table) install(term uint64, records []record, undecidedUntil time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if term < t.term || term <= t.sealed || (term == t.term && t.boundInTerm) {
@@ -72,12 +72,12 @@
 		answerBytes += r.answerBytes()
 	}
 	t.records, t.answerBytes = fresh, answerBytes
-	t.setTerm(term, undecided)
+	t.setTerm(term, undecidedUntil)
 	return true
 }
 
-// advanceTerm moves a table whose keys are all here to the next term. It is
-// refused unless the term before was sealed here.
+// advanceTerm moves a complete table to the next term. It fails unless the previous term was
+// sealed here.
 func (t *table) advanceTerm(term uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,18 +91,18 @@
 	return true
 }
 
-// setTerm is the common end of install and advance. The caller holds mu.
-func (t *table) setTerm(term uint64, undecided time.Time) {
+// setTerm is the common last step of install and advanceTerm. The caller holds mu.
+func (t *table) setTerm(term uint64, undecidedUntil time.Time) {
 	if term > t.term {
 		t.boundInTerm = false
 	}
-	t.term, t.undecidedUntil = max(t.term, term), undecided
+	t.term, t.undecidedUntil = max(t.term, term), undecidedUntil
 	t.sealed = max(t.sealed, term-1)
 	t.lastSeq = max(t.lastSeq, term<<termShift)
 }
 
-// dropUpTo forgets the whole table after the store gave the slot to others at
-// term. Tables of a newer term stay: their change may not have been read yet.
+// dropUpTo removes the whole table after the store assigned the slot to others at term. Tables
+// of a newer term stay, since this daemon may not have read their assignment yet.
 func (t *table) dropUpTo(term uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/serve/once/transfer.go
+++ b/serve/once/transfer.go
@@ -19,7 +19,7 @@
 	errWitnessRefused   = errors.New("the witness refused the slot")
 )
 
-// slotChange is one slot on its way to this daemon.
+// slotChange is the transfer of one slot to this daemon.
 type slotChange struct {
 	move     slot.Move
 	next     slot.Assignment
@@ -29,9 +29,8 @@
 
 func (c *slotChange) needsKeys() bool { return c.err == nil && !c.gathered }
 
-// prepare ends the old terms of slots, brings their keys here and gives them to
-// the new witnesses. It returns the changes for which only the store's consent
-// is missing.
+// prepare ends the old terms of slots, copies their keys to this daemon and installs them at
+// the new witnesses. It returns the changes that only need to be accepted by the store.
 func (s *Service) prepare(ctx context.Context, moves []slot.Move) []*slotChange {
 	changes := make([]*slotChange, len(moves))
 	id := uuid.NewString()
@@ -58,9 +57,9 @@
 	return ready
 }
 
-// gatherKeys makes this daemon's tables complete for the next terms: from what is
-// here, else from the member of the old pair that seems alive, else from the
-// other, else, when neither can bind keys any more, as tables without history.
+// gatherKeys makes this daemon's tables complete for the next terms: from its own table, else
+// from the member of the old pair that seems alive, else from the other one, else, if neither
+// can bind keys any more, as empty tables.
 func (s *Service) gatherKeys(ctx context.Context, changes []*slotChange) {
 	for _, c := range changes {
 		s.gatherLocal(c)
@@ -86,7 +85,8 @@
 	return a.Witness
 }
 
-// gatherLocal uses the table of this daemon if it is fresh or one of the pair.
+// gatherLocal uses this daemon's own table if the slot was never assigned or this daemon is one
+// of its pair.
 func (s *Service) gatherLocal(c *slotChange) {
 	t, from := &s.tables[c.next.Slot], c.move.From
 	if from.Term > 0 {
@@ -107,13 +107,14 @@
 	}
 }
 
-// gatherRemote seals slots at the members that pick names and copies their keys.
+// gatherRemote seals slots at the members that pick returns and copies their keys.
 func (s *Service) gatherRemote(ctx context.Context, changes []*slotChange, pick func(slot.Assignment) slot.Member) {
 	s.forEachMember(changes, (*slotChange).needsKeys, func(c *slotChange) slot.Member { return pick(c.move.From) },
 		func(from slot.Member, group []*slotChange) { s.fetchKeys(ctx, from, group) })
 }
 
-// forEachMember calls f at once for every other member that pick names, with its changes.
+// forEachMember groups the changes that satisfy when by the member that pick returns, and calls
+// f concurrently for each member other than this daemon.
 func (s *Service) forEachMember(changes []*slotChange, when func(*slotChange) bool, pick func(*slotChange) slot.Member, f func(slot.Member, []*slotChange)) {
 	groups := make(map[slot.Member][]*slotChange)
 	for _, c := range changes {
@@ -128,8 +129,8 @@
 	wg.Wait()
 }
 
-// fetchKeys seals a group of slots at one member and installs its keys here. What
-// the member does not hold whole stays open.
+// fetchKeys seals a group of slots at one member and installs their keys here. Slots of which
+// the member does not hold all keys are left for the next source.
 func (s *Service) fetchKeys(ctx context.Context, from slot.Member, group []*slotChange) {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
@@ -149,14 +150,14 @@
 			continue
 		}
 		c := group[i]
-		undecided := now.Add(time.Duration(sealed.GetUndecidedMs()) * time.Millisecond)
-		c.setGathered(s.tables[c.next.Slot].install(c.next.Term, records, undecided))
+		undecidedUntil := now.Add(time.Duration(sealed.GetUndecidedMs()) * time.Millisecond)
+		c.setGathered(s.tables[c.next.Slot].install(c.next.Term, records, undecidedUntil))
 	}
 }
 
-// startEmpty begins a slot whose history is lost, if that is certain. Neither of
-// the pair can bind keys any more then, but any key may be among those they
-// bound, so none is dispatched until the retention of the last is over.
+// startEmpty starts a slot whose history is lost without keys, if it is certain that the old
+// pair can't bind keys any more. Any key may be among those that the pair had bound, so unknown
+// keys are not dispatched until the retention of the last one has passed.
 func (s *Service) startEmpty(c *slotChange) {
 	if !s.deathProofs.hasDeadMember(s.Members.Current(), c.move.From) {
 		c.err = errNoSource
@@ -167,7 +168,7 @@
 	c.setGathered(s.tables[c.next.Slot].install(c.next.Term, nil, time.Now().Add(ttl)))
 }
 
-// installAll gives the new witnesses the slots' keys.
+// installAll gives the slots' keys to the new witnesses.
 func (s *Service) installAll(ctx context.Context, changes []*slotChange) {
 	s.forEachMember(changes, func(c *slotChange) bool { return c.gathered }, func(c *slotChange) slot.Member { return c.next.Witness },
 		func(witness slot.Member, group []*slotChange) { s.installAt(ctx, witness, group) })
@@ -179,10 +180,10 @@
 	now := time.Now()
 	w := &pb.InstallRequest{}
 	for _, c := range group {
-		records, undecided := s.tables[c.next.Slot].snapshot()
+		records, undecidedUntil := s.tables[c.next.Slot].snapshot()
 		w.Slots = append(w.Slots, &pb.SlotInstall{
 			Slot: uint32(c.next.Slot), Term: c.next.Term,
-			Records: recordsToWire(records, now), UndecidedMs: max(undecided.Sub(now), 0).Milliseconds(),
+			Records: recordsToWire(records, now), UndecidedMs: max(undecidedUntil.Sub(now), 0).Milliseconds(),
 		})
 	}
 	reply, err := s.client(witness).Install(ctx, w)
@@ -200,7 +201,7 @@
 		case err != nil:
 			c.err = errors.Wrap(err, "installing at the witness")
 		case !reply.GetAccepted()[i]:
-			// It serves this term for another daemon already, or a later one.
+			// The witness already serves this term for another daemon, or a later term.
 			s.unresponsive.add(witness.ID, now)
 			c.err = errWitnessRefused
 		}
--- a/serve/once/wire.go
+++ b/serve/once/wire.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// errorFromWire reads an error of a peer. A verdict it does not know is
-// may_have_run, which promises nothing.
+// errorFromWire converts an error of a peer. An unknown verdict becomes may_have_run, which
+// promises nothing.
 func errorFromWire(e *pb.CallError) *verdict.Error {
 	if e == nil {
 		return nil
@@ -104,7 +104,7 @@
 	}
 }
 
-// recordFromWire returns false for a record no daemon writes.
+// recordFromWire returns false for a malformed record.
 func recordFromWire(r *pb.KeyRecord, now time.Time) (record, bool) {
 	out := record{
 		attempt: r.GetAttempt(), dispatcher: memberFromWire(r.GetDispatcher()),
@@ -126,8 +126,8 @@
 	return out
 }
 
-// recordsFromWire returns false if any record is malformed: a table with a gap
-// could dispatch a key twice.
+// recordsFromWire returns false if any record is malformed: a table with a missing key could
+// dispatch that key twice.
 func recordsFromWire(records []*pb.KeyRecord, now time.Time) ([]record, bool) {
 	out := make([]record, 0, len(records))
 	for _, w := range records {
