--- a/serve/once/bench_test.go
+++ b/serve/once/bench_test.go
@@ -94,7 +94,7 @@
 			return
 		}
 	}
-	b.Fatal("slots did not settle")
+	b.Fatal("not every slot has an owner and a witness")
 }
 
 // latencies collects the durations of calls and reports quantiles.
@@ -186,7 +186,7 @@
 	for i := range b.N {
 		key := slot.KeyOf("depot", "desk", fmt.Sprint(i))
 		if !w.bind(1, &record{key: key, attempt: uint64(i + 1), dispatcher: owner1}) {
-			b.Fatal("refused")
+			b.Fatal("the witness refused to bind the key")
 		}
 	}
 }
--- a/serve/once/cluster_test.go
+++ b/serve/once/cluster_test.go
@@ -83,8 +83,7 @@
 	return cl.site
 }
 
-// setRetention replaces the site configuration by one that keeps keys and answers for these
-// times.
+// setRetention replaces the site text by one that keeps keys and answers for these times.
 func (cl *cluster) setRetention(keys, answers time.Duration) {
 	cl.siteMu.Lock()
 	defer cl.siteMu.Unlock()
--- a/serve/once/health.go
+++ b/serve/once/health.go
@@ -75,8 +75,8 @@
 	now        time.Time
 	stuckCount int
 	slots      [slot.Count]struct {
-		term    uint64
-		termFirstSeen time.Time // when term was first observed
+		term            uint64
+		termFirstSeen   time.Time // when term was first observed
 		notServingSince time.Time // since when this daemon has owned the slot without serving it; zero if it serves it or does not own it
 	}
 }
@@ -103,7 +103,9 @@
 }
 
 // isStable reports whether the slot's assignment has not changed recently.
-func (h *slotHistory) isStable(i int) bool { return h.now.Sub(h.slots[i].termFirstSeen) > minStablePeriod }
+func (h *slotHistory) isStable(i int) bool {
+	return h.now.Sub(h.slots[i].termFirstSeen) > minStablePeriod
+}
 
 // deathProofs collects proof that processes are permanently gone. A member's absence from the
 // membership view is not enough to give up a slot's keys: owner and witness may be partitioned
--- a/serve/once/maintenance.go
+++ b/serve/once/maintenance.go
@@ -237,7 +237,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrapf(ctx.Err(), "leaving with %d slots and %d calls", s.heldSlots(), s.inFlightCount.Load())
+			return errors.Wrapf(ctx.Err(), "leave ended with %d slots still held and %d calls in flight", s.heldSlots(), s.inFlightCount.Load())
 		case <-time.After(leavePollInterval):
 		}
 	}
--- a/serve/once/once.go
+++ b/serve/once/once.go
@@ -1,10 +1,9 @@
-// Package once runs calls that may not be repeated to plain services at most once, whichever
-// entry VMs a caller sends them to and whatever fails.
+// Package once runs each call that may not be repeated at most once, whichever entry VMs the
+// caller sends it to and whatever fails. Such calls go to plain services.
 //
-// Without it, a caller that retries after a timeout or sends copies of a call to several entry
-// VMs causes the call to run several times. Deciding between the copies by a write to the store
-// for each call would exceed the store's write rate and stop all calls during an outage of the
-// store.
+// Without it, a call runs several times if its caller retries after a timeout or sends copies
+// to several entry VMs. Binding each key by a write to the store instead would exceed the
+// store's write rate and stop these calls during an outage of the store.
 //
 // Every idempotency key belongs to a slot, and every slot has a pair of members: an owner and a
 // witness (packages decision/slot and control/roster). The entry VM that a call reaches sends
--- a/serve/once/owner.go
+++ b/serve/once/owner.go
@@ -50,8 +50,7 @@
 	}
 }
 
-// lookupService finds the account and the service of e in this daemon's current site
-// configuration.
+// lookupService finds the account and the service of e in this daemon's current site text.
 func (s *Service) lookupService(e executeRequest) (*site.Account, *site.Service) {
 	current := s.Site.Current()
 	if current == nil || current.Accounts[e.account] == nil {
--- a/serve/once/random_test.go
+++ b/serve/once/random_test.go
@@ -271,7 +271,7 @@
 		a, t := d.Roster.Slot(i), &d.tables[i]
 		unresponsive, _ := d.unresponsive.ids(time.Now())
 		t.mu.Lock()
-		out += fmt.Sprintf("\n  %s dead=%v leaving=%v: roster %d %s/%s, table %d, sealed %d, silent %v, view %d", id,
+		out += fmt.Sprintf("\n  %s dead=%v leaving=%v: roster %d %s/%s, table %d, sealed %d, unresponsive %v, view %d", id,
 			d.dead.Load(), d.leaving.Load(), a.Term, a.Owner.ID, a.Witness.ID, t.term, t.sealed, unresponsive, len(d.Current().Members))
 		t.mu.Unlock()
 	}
@@ -305,9 +305,9 @@
 	for order, copies := range orders {
 		must.LessEq(t, 1, c.backend.count(order), must.Sprintf("%s ran twice: %v", order, copies))
 		must.True(t, porcupine.CheckOperations(atMostOnce.ToModel(), operations(copies)),
-			must.Sprintf("%s: no order of events explains %v", order, copies))
+			must.Sprintf("%s: results are not linearizable: %v", order, copies))
 	}
-	t.Logf("%d orders, %d copies, %d runs, told: %v", len(orders), len(c.results), len(c.backend.history), countResults(c.results))
+	t.Logf("%d orders, %d copies, %d runs, results: %v", len(orders), len(c.results), len(c.backend.history), countResults(c.results))
 	for _, run := range c.backend.history {
 		c.checkRun(t, run, orders[run.body])
 	}
@@ -351,7 +351,7 @@
 			return
 		}
 	}
-	t.Fatalf("%s ran at %s although not_run was told at %s: %v", run.body, run.at.Format(timeFormat), refusedAt.Format(timeFormat), copies)
+	t.Fatalf("%s ran at %s although not_run was returned at %s: %v", run.body, run.at.Format(timeFormat), refusedAt.Format(timeFormat), copies)
 }
 
 func (r copyResult) isNotRun() bool { return r.err != nil && r.err.Verdict == verdict.NotRun }
--- a/serve/once/scenario_test.go
+++ b/serve/once/scenario_test.go
@@ -180,7 +180,7 @@
 		answer, err = other.send("k4", "confirm 7")
 		must.Nil(t, err)
 		must.EqOp(t, "confirm 7 run 1", answer)
-		t.Logf("answered %v after the death was noticed", time.Since(updated))
+		t.Logf("answered %v after the views were updated", time.Since(updated))
 	})
 }
 
--- a/serve/once/transfer.go
+++ b/serve/once/transfer.go
@@ -14,9 +14,9 @@
 )
 
 var (
-	errNoSource         = errors.New("neither of the slot's pair gave its keys")
-	errConcurrentChange = errors.New("another change of the slot is under way here")
-	errWitnessRefused   = errors.New("the witness refused the slot")
+	errNoSource         = errors.New("neither the owner nor the witness returned the slot's keys")
+	errConcurrentChange = errors.New("another change of the slot is in progress at this daemon")
+	errWitnessRefused   = errors.New("the witness rejected the slot's keys")
 )
 
 // slotChange is the transfer of one slot to this daemon.
@@ -199,7 +199,7 @@
 	for i, c := range group {
 		switch {
 		case err != nil:
-			c.err = errors.Wrap(err, "installing at the witness")
+			c.err = errors.Wrap(err, "installing the slot's keys at the witness")
 		case !reply.GetAccepted()[i]:
 			// The witness already serves this term for another daemon, or a later term.
 			s.unresponsive.add(witness.ID, now)
