--- a/serve/once/dispatch.go
+++ b/serve/once/dispatch.go
@@ -196,7 +196,7 @@
 	return plain.Answer{}, last
 }
 
-// logOutcome writes the one log line of each dispatched call.
+// logOutcome logs the outcome of a bound call, in one line for each call.
 func (s *Service) logOutcome(c *inFlightCall, end record, backend string) {
 	code := verdict.Code("")
 	if end.out.err != nil {
--- a/serve/once/health.go
+++ b/serve/once/health.go
@@ -11,11 +11,12 @@
 )
 
 const (
-	// unresponsivePeriod is how long a member that did not answer is not chosen as a witness.
+	// unresponsivePeriod is how long a member that did not answer is chosen neither as a witness
+	// nor as the writer of the roster.
 	unresponsivePeriod = 10 * time.Second
 	// vmListInterval is the least time between two reads of the platform's VM list. A VM counts
-	// as gone only after it was absent for longer than maxVMListLag, the delay with which the
-	// list may lag.
+	// as gone only after it was absent for longer than maxVMListLag, the
+	// largest lag of the list.
 	vmListInterval = 10 * time.Second
 	maxVMListLag   = time.Minute
 )
@@ -28,7 +29,7 @@
 	changes int
 }
 
-// add reports whether id was not known to be unresponsive.
+// add marks id as unresponsive and reports whether it was not marked already.
 func (s *unresponsiveSet) add(id string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,8 +54,7 @@
 	}
 }
 
-// ids returns the members that are unresponsive now, and a number that differs whenever they
-// do.
+// ids returns the members that are unresponsive now, and a number that changes with this set.
 func (s *unresponsiveSet) ids(now time.Time) (map[string]bool, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,9 +75,11 @@
 	now        time.Time
 	stuckCount int
 	slots      [slot.Count]struct {
-		term            uint64
-		termFirstSeen   time.Time // when term was first observed
-		notServingSince time.Time // since when this daemon has owned the slot without serving it; zero if it serves it or does not own it
+		term       uint64
+		termSeenAt time.Time // when term was first observed
+		// notServingSince is when this daemon was first observed to own the slot without serving
+		// it, or zero.
+		notServingSince time.Time
 	}
 }
 
@@ -85,7 +87,7 @@
 	h.now = now
 	s := &h.slots[i]
 	if s.term != term {
-		s.term, s.termFirstSeen, s.notServingSince = term, now, time.Time{}
+		s.term, s.termSeenAt, s.notServingSince = term, now, time.Time{}
 	}
 	switch {
 	case active:
@@ -103,9 +105,7 @@
 }
 
 // isStable reports whether the slot's assignment has not changed recently.
-func (h *slotHistory) isStable(i int) bool {
-	return h.now.Sub(h.slots[i].termFirstSeen) > minStablePeriod
-}
+func (h *slotHistory) isStable(i int) bool { return h.now.Sub(h.slots[i].termSeenAt) > stableAfter }
 
 // deathProofs collects proof that processes are permanently gone. A member's absence from the
 // membership view is not enough to give up a slot's keys: owner and witness may be partitioned
--- a/serve/once/maintenance.go
+++ b/serve/once/maintenance.go
@@ -25,10 +25,10 @@
 	// sealGrace gives a daemon that sealed a slot the time to take it before the slot's owner
 	// starts the next term itself.
 	sealGrace = 3 * time.Second
-	// minStablePeriod is how long a slot's assignment must be unchanged before the slot is
+	// stableAfter is how long a slot's assignment must be unchanged before the slot is
 	// rebalanced. Otherwise daemons with different views of the members could pass a slot back
 	// and forth.
-	minStablePeriod = 30 * time.Second
+	stableAfter = 30 * time.Second
 	// transferTimeout bounds one transfer of keys and one read of the platform's VM list.
 	transferTimeout = 2 * time.Second
 	commitTimeout   = 5 * time.Second
@@ -237,7 +237,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrapf(ctx.Err(), "leave ended with %d slots still held and %d calls in flight", s.heldSlots(), s.inFlightCount.Load())
+			return errors.Wrapf(ctx.Err(), "still leaving with %d slots held and %d calls in flight", s.heldSlots(), s.inFlightCount.Load())
 		case <-time.After(leavePollInterval):
 		}
 	}
--- a/serve/once/scenario_test.go
+++ b/serve/once/scenario_test.go
@@ -167,8 +167,8 @@
 }
 
 func TestWitnessReturnsAnswerAfterOwnerDies(t *testing.T) {
-	// The owner dies after it answered, so the answer may be lost on the way to the caller. A
-	// retry with the same key at another entry VM must get the recorded answer.
+	// The owner dies after it answered. A retry with the same key, as by a caller that lost the
+	// answer, must get the recorded answer from the witness, which takes over.
 	runScenario(t, 6, func(t *testing.T, cl *cluster) {
 		owner, _, other := cl.pairOf("k4")
 		answer, err := other.send("k4", "confirm 7")
--- a/serve/once/transfer.go
+++ b/serve/once/transfer.go
@@ -16,7 +16,7 @@
 var (
 	errNoSource         = errors.New("neither the owner nor the witness returned the slot's keys")
 	errConcurrentChange = errors.New("another change of the slot is in progress at this daemon")
-	errWitnessRefused   = errors.New("the witness rejected the slot's keys")
+	errWitnessRefused   = errors.New("the witness refused the slot's keys")
 )
 
 // slotChange is the transfer of one slot to this daemon.
