--- a/serve/once/bench_test.go
+++ b/serve/once/bench_test.go
@@ -24,10 +24,11 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// storeWrites is the rate that the benchmark's store takes: "several hundred".
-const storeWrites = 800
+// storeWritesPerSecond is the write rate to which the benchmark limits the store. The
+// platform's store takes several hundred writes per second.
+const storeWritesPerSecond = 800
 
-// benchStore returns a client of a stand-in store over loopback HTTP.
+// benchStore returns a client of a simulated store over loopback HTTP.
 func benchStore(b *testing.B) (*store.EtcdClient, *store.Faulty) {
 	faulty := store.NewFaulty(store.NewMemory())
 	server := httptest.NewServer(storesim.Handler(faulty))
@@ -40,14 +41,14 @@
 	return client, faulty
 }
 
-// instant is a backend server that answers at once.
-type instant struct{}
+// instantCaller is a backend server that answers immediately.
+type instantCaller struct{}
 
-func (instant) Do(context.Context, string, plain.Call) (plain.Answer, error) {
+func (instantCaller) Do(context.Context, string, plain.Call) (plain.Answer, error) {
 	return plain.Answer{Status: http.StatusOK, Body: []byte("confirmed")}, nil
 }
 
-// benchDaemons starts three daemons with settled slots on loopback.
+// benchDaemons starts three daemons on loopback and waits until their slots are assigned.
 func benchDaemons(b *testing.B, s store.Store) []*Service {
 	view := &membership.View{}
 	servers := make([]*httptest.Server, 3)
@@ -61,7 +62,7 @@
 			ID: fmt.Sprint("vm", i), Incarnation: 1, Zone: fmt.Sprint("z", i), Peer: servers[i].Listener.Addr().String(),
 		})
 	}
-	w := &world{site: &site.Site{
+	cl := &cluster{site: &site.Site{
 		Services: map[string]*site.Service{"desk": {Name: "desk"}},
 		Accounts: map[string]*site.Account{"depot": {Name: "depot"}}, Limits: site.DefaultLimits(),
 	}}
@@ -72,7 +73,7 @@
 		own := &membership.View{Self: view.Members[i], Members: view.Members}
 		manager := roster.NewManager(s, membership.Static{View: own}, event.Discard())
 		out[i] = NewService(Deps{
-			Members: membership.Static{View: own}, Roster: manager, Site: w, Flow: &fakeFlow{}, Caller: instant{},
+			Members: membership.Static{View: own}, Roster: manager, Site: cl, Flow: &fakeFlow{}, Caller: instantCaller{},
 			Dialer: link.NewDialer(nil), Log: event.Discard(), Registry: prometheus.NewRegistry(),
 		})
 		_, h := out[i].Handler()
@@ -80,12 +81,12 @@
 		go func() { _ = manager.Run(ctx) }()
 		go func() { _ = out[i].Run(ctx) }()
 	}
-	settled(b, out)
+	waitUntilSettled(b, out)
 	return out
 }
 
-// settled waits until every slot has a pair that the first daemon knows.
-func settled(b *testing.B, daemons []*Service) {
+// waitUntilSettled waits until the first daemon knows an owner and a witness for every slot.
+func waitUntilSettled(b *testing.B, daemons []*Service) {
 	for range 300 {
 		time.Sleep(100 * time.Millisecond)
 		slots, _ := daemons[0].Roster.All()
@@ -93,10 +94,10 @@
 			return
 		}
 	}
-	b.Fatal("slots did not settle")
+	b.Fatal("not every slot has an owner and a witness")
 }
 
-// latencies collects the times of calls and reports quantiles.
+// latencies collects the durations of calls and reports quantiles.
 type latencies struct {
 	mu  sync.Mutex
 	all []time.Duration
@@ -118,8 +119,8 @@
 	b.ReportMetric(at(0.99), "p99-µs")
 }
 
-// BenchmarkOnce compares a whole call that may not be repeated, with keys bound
-// at owner and witness, with one create-if-absent per key in the store.
+// BenchmarkOnce compares a whole call that may not be repeated, with its key bound at owner and
+// witness, with one create-if-absent per key in the store.
 func BenchmarkOnce(b *testing.B) {
 	b.Run("owner-and-witness", func(b *testing.B) {
 		client, faulty := benchStore(b)
@@ -137,13 +138,14 @@
 		took.report(b)
 		b.ReportMetric(float64(faulty.Counts().Writes()-before)/float64(b.N), "store-writes/op")
 	})
-	for name, limit := range map[string]int{"store-write-per-key": 0, "store-write-per-key-limited": storeWrites} {
-		b.Run(name, func(b *testing.B) { perKey(b, limit) })
+	for name, limit := range map[string]int{"store-write-per-key": 0, "store-write-per-key-limited": storeWritesPerSecond} {
+		b.Run(name, func(b *testing.B) { benchStoreWritePerKey(b, limit) })
 	}
 }
 
-// perKey binds by a write to the store; a write above its rate is tried again.
-func perKey(b *testing.B, limit int) {
+// benchStoreWritePerKey binds each key by a write to the store and retries a write that exceeds
+// the store's rate limit.
+func benchStoreWritePerKey(b *testing.B, limit int) {
 	client, faulty := benchStore(b)
 	faulty.SetLimits(0, limit)
 	var n atomic.Int64
@@ -176,15 +178,15 @@
 	}
 }
 
-// BenchmarkBind measures the witness's part alone, without the network, and
-// what a remembered key weighs.
+// BenchmarkBind measures the witness's part alone, without the network, and the memory that a
+// bound key takes.
 func BenchmarkBind(b *testing.B) {
 	b.ReportAllocs()
-	w := served(b, 1)
+	w := newServingTable(b, 1)
 	for i := range b.N {
 		key := slot.KeyOf("depot", "desk", fmt.Sprint(i))
 		if !w.bind(1, &record{key: key, attempt: uint64(i + 1), dispatcher: owner1}) {
-			b.Fatal("refused")
+			b.Fatal("the witness refused to bind the key")
 		}
 	}
 }
