--- a/serve/once/cluster_test.go
+++ b/serve/once/cluster_test.go
@@ -96,7 +96,7 @@
 	cl.mu.Lock()
 	cl.incarnations++
 	d := &daemon{cluster: cl, id: id}
-	self := membership.Member{ID: id, Incarnation: cl.incarnations, Zone: zone, Peer: id}
+	self := membership.Member{ID: id, Incarnation: cl.incarnations, Zone: zone, PeerAddr: id}
 	d.view.Store(&membership.View{Self: self, Members: []membership.Member{self}})
 	cl.mu.Unlock()
 	faulty := &daemonStore{d: d, inner: cl.store}
--- a/serve/once/entry.go
+++ b/serve/once/entry.go
@@ -79,7 +79,7 @@
 		s.Dialer.DropIdle()
 		return executeReply{outcome: outcome{moved: true}}
 	}
-	s.Roster.Learn(assignmentFromWire(w.GetAssignment()))
+	s.Roster.MergeAssignment(assignmentFromWire(w.GetAssignment()))
 	s.learnSeq(e.slot, w.GetSeen())
 	return executeReplyFromWire(w)
 }
@@ -136,7 +136,7 @@
 	for _, m := range slot.HighestRanked(s.peers(), a.Slot, maxPeersQueried) {
 		w, err := s.client(m).Learn(ctx, &pb.SlotAssignments{Assignments: []*pb.SlotAssignment{assignmentToWire(a)}})
 		if err == nil && len(w.GetAssignments()) == 1 {
-			s.Roster.Learn(assignmentFromWire(w.GetAssignments()[0]))
+			s.Roster.MergeAssignment(assignmentFromWire(w.GetAssignments()[0]))
 		}
 	}
 }
