--- a/control/lease/candidates.go
+++ b/control/lease/candidates.go
@@ -34,16 +34,16 @@
 func weight(m membership.Member) uint64 { return xxhash.Sum64String(m.Zone + "\x00" + m.ID) }
 
 type metrics struct {
-	calls, taken prometheus.Counter
-	held         prometheus.Gauge
+	storeCalls, acquired prometheus.Counter
+	held                 prometheus.Gauge
 }
 
 func newMetrics(r prometheus.Registerer) metrics {
 	m := metrics{
-		calls: prometheus.NewCounter(prometheus.CounterOpts{
+		storeCalls: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "mallowwind_lease_store_calls_total", Help: "Calls to the store for the zone's lease.",
 		}),
-		taken: prometheus.NewCounter(prometheus.CounterOpts{
+		acquired: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "mallowwind_lease_taken_total", Help: "Times this daemon became the zone's holder.",
 		}),
 		held: prometheus.NewGauge(prometheus.GaugeOpts{
@@ -51,7 +51,7 @@
 		}),
 	}
 	if r != nil {
-		r.MustRegister(m.calls, m.taken, m.held)
+		r.MustRegister(m.storeCalls, m.acquired, m.held)
 	}
 	return m
 }
--- a/control/lease/lease.go
+++ b/control/lease/lease.go
@@ -29,13 +29,13 @@
 	AcquiredAt time.Time
 	// ExpiresAt is when the hold ends unless it is renewed.
 	ExpiresAt time.Time
-	// wall is Until without the monotonic reading.
-	wall time.Time
+	// expiresAtWall is Until without the monotonic reading.
+	expiresAtWall time.Time
 }
 
-// newHold returns a hold that lasts until the given time.
-func newHold(fence uint64, taken, until time.Time) Lease {
-	return Lease{FencingToken: fence, AcquiredAt: taken, ExpiresAt: until, wall: until.Round(0)}
+// newLease returns a hold that lasts until the given time.
+func newLease(fence uint64, taken, until time.Time) Lease {
+	return Lease{FencingToken: fence, AcquiredAt: taken, ExpiresAt: until, expiresAtWall: until.Round(0)}
 }
 
 // IsValid reports whether the hold lasts at now.
@@ -46,7 +46,7 @@
 // set right after a thaw and gives it away; while the wall clock is wrong the
 // monotonic one still bounds the hold.
 func (h Lease) IsValid(now time.Time) bool {
-	return h.FencingToken != 0 && now.Before(h.ExpiresAt) && now.Round(0).Before(h.wall)
+	return h.FencingToken != 0 && now.Before(h.ExpiresAt) && now.Round(0).Before(h.expiresAtWall)
 }
 
 // Source tells whether this daemon holds the lease.
--- a/control/lease/manager.go
+++ b/control/lease/manager.go
@@ -32,18 +32,18 @@
 // Manager takes, renews and gives up the lease of this daemon's zone. It
 // implements Source.
 type Manager struct {
-	deps  Deps
-	cfg   Config
-	met   metrics
-	key   string
-	value string
-	rng   *rand.Rand
-	hold  atomic.Pointer[Lease]
+	deps    Deps
+	cfg     Config
+	metrics metrics
+	key     string
+	value   string
+	rng     *rand.Rand
+	current atomic.Pointer[Lease]
 
 	// Used by Run only.
-	id     store.LeaseID // the lease behind hold, or one to try again
-	fence  uint64
-	absent time.Time // when the key was first seen missing
+	leaseID      store.LeaseID // the lease behind hold, or one to try again
+	fencingToken uint64
+	absentSince  time.Time // when the key was first seen missing
 }
 
 // NewManager returns a Manager that holds nothing until Run takes the lease.
@@ -57,19 +57,19 @@
 	self := deps.Members.Current().Self
 	seed := xxhash.Sum64String(self.ID)
 	m := &Manager{
-		deps:  deps,
-		cfg:   deps.Config,
-		met:   newMetrics(deps.Registerer),
-		key:   Prefix + self.Zone,
-		value: self.ID + " " + strconv.FormatUint(self.Incarnation, 10),
-		rng:   rand.New(rand.NewPCG(seed, self.Incarnation)),
-	}
-	m.hold.Store(&Lease{})
+		deps:    deps,
+		cfg:     deps.Config,
+		metrics: newMetrics(deps.Registerer),
+		key:     Prefix + self.Zone,
+		value:   self.ID + " " + strconv.FormatUint(self.Incarnation, 10),
+		rng:     rand.New(rand.NewPCG(seed, self.Incarnation)),
+	}
+	m.current.Store(&Lease{})
 	return m
 }
 
 // Current implements Source.
-func (m *Manager) Current() Lease { return *m.hold.Load() }
+func (m *Manager) Current() Lease { return *m.current.Load() }
 
 // Run competes for the lease until ctx ends, then gives it up.
 func (m *Manager) Run(ctx context.Context) error {
@@ -83,16 +83,16 @@
 // step does one thing and returns the time to the next.
 func (m *Manager) step(ctx context.Context) time.Duration {
 	view := m.deps.Members.Current()
-	if view.Self.State == membership.Leaving && m.id != 0 {
+	if view.Self.State == membership.Leaving && m.leaseID != 0 {
 		m.release("the daemon leaves")
 	}
 	rank := Rank(view, m.cfg.Candidates)
 	switch {
-	case m.id != 0:
+	case m.leaseID != 0:
 		return m.renew(ctx)
 	case rank < 0:
-		m.absent = time.Time{}
-		return m.jittered(m.cfg.CheckInterval)
+		m.absentSince = time.Time{}
+		return m.withJitter(m.cfg.CheckInterval)
 	default:
 		return m.contend(ctx, rank)
 	}
@@ -105,22 +105,22 @@
 func (m *Manager) renew(ctx context.Context) time.Duration {
 	before := time.Now()
 	callCtx, cancel := context.WithTimeout(ctx, m.cfg.CallTimeout)
-	ttl, err := m.deps.Store.KeepAlive(callCtx, m.id)
+	ttl, err := m.deps.Store.KeepAlive(callCtx, m.leaseID)
 	cancel()
-	m.met.calls.Inc()
+	m.metrics.storeCalls.Inc()
 	switch {
 	case err == nil:
-		m.holdUntil(before.Add(min(ttl, m.cfg.TTL) - m.cfg.ExpiryMargin))
+		m.extend(before.Add(min(ttl, m.cfg.TTL) - m.cfg.ExpiryMargin))
 		return m.cfg.RenewInterval
 	case errors.Is(err, store.ErrLeaseGone):
-		m.drop("the store ended the lease")
-		return m.jittered(m.cfg.CheckInterval)
+		m.forget("the store ended the lease")
+		return m.withJitter(m.cfg.CheckInterval)
 	}
 	m.deps.Log.Emit(event.LeaseFailed, m.key, err.Error())
 	if h := m.Current(); h.FencingToken != 0 && !h.IsValid(time.Now()) {
-		m.clear("not renewed in time")
+		m.markLost("not renewed in time")
 	}
-	return m.jittered(m.cfg.RenewInterval / 3)
+	return m.withJitter(m.cfg.RenewInterval / 3)
 }
 
 // contend looks at the key and takes the lease if nobody holds it. Candidates
@@ -129,36 +129,36 @@
 	callCtx, cancel := context.WithTimeout(ctx, m.cfg.CallTimeout)
 	_, err := m.deps.Store.Get(callCtx, m.key)
 	cancel()
-	m.met.calls.Inc()
+	m.metrics.storeCalls.Inc()
 	now := time.Now()
 	switch {
 	case err == nil:
-		m.absent = time.Time{}
-		return m.jittered(m.cfg.CheckInterval)
+		m.absentSince = time.Time{}
+		return m.withJitter(m.cfg.CheckInterval)
 	case !errors.Is(err, store.ErrNotFound):
 		m.deps.Log.Emit(event.LeaseFailed, m.key, err.Error())
-		return m.jittered(m.cfg.CheckInterval)
+		return m.withJitter(m.cfg.CheckInterval)
 	}
-	if m.absent.IsZero() {
-		m.absent = now
+	if m.absentSince.IsZero() {
+		m.absentSince = now
 	}
-	if turn := m.absent.Add(time.Duration(rank) * m.cfg.RenewInterval / 2); now.Before(turn) {
+	if turn := m.absentSince.Add(time.Duration(rank) * m.cfg.RenewInterval / 2); now.Before(turn) {
 		return turn.Sub(now)
 	}
 	if m.acquire(ctx) {
 		return m.cfg.RenewInterval
 	}
-	return m.jittered(m.cfg.CheckInterval)
+	return m.withJitter(m.cfg.CheckInterval)
 }
 
 // acquire starts a lease and binds the key to it.
 func (m *Manager) acquire(ctx context.Context) bool {
-	m.absent = time.Time{}
+	m.absentSince = time.Time{}
 	before := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, 2*m.cfg.CallTimeout)
 	defer cancel()
 	id, err := m.deps.Store.Grant(ctx, m.cfg.TTL)
-	m.met.calls.Inc()
+	m.metrics.storeCalls.Inc()
 	if err != nil {
 		m.deps.Log.Emit(event.LeaseFailed, m.key, err.Error())
 		return false
@@ -171,8 +171,8 @@
 		}
 		return false
 	}
-	m.id, m.fence = id, uint64(version)
-	m.holdUntil(before.Add(m.cfg.TTL - m.cfg.ExpiryMargin))
+	m.leaseID, m.fencingToken = id, uint64(version)
+	m.extend(before.Add(m.cfg.TTL - m.cfg.ExpiryMargin))
 	return true
 }
 
@@ -180,12 +180,12 @@
 // with this lease means that it took effect.
 func (m *Manager) create(ctx context.Context, id store.LeaseID) (int64, error) {
 	version, err := m.deps.Store.CompareAndSwap(ctx, m.key, 0, []byte(m.value), id)
-	m.met.calls.Inc()
+	m.metrics.storeCalls.Inc()
 	if !errors.Is(err, store.ErrUnknown) {
 		return version, err
 	}
 	kv, readErr := m.deps.Store.Get(ctx, m.key)
-	m.met.calls.Inc()
+	m.metrics.storeCalls.Inc()
 	if readErr != nil {
 		return 0, err
 	}
@@ -195,46 +195,46 @@
 	return kv.Version, nil
 }
 
-// holdUntil sets the deadline of the hold and logs it when it is new. An
+// extend sets the deadline of the hold and logs it when it is new. An
 // answer that came too late to hold anything begins none.
-func (m *Manager) holdUntil(until time.Time) {
+func (m *Manager) extend(until time.Time) {
 	h := m.Current()
 	if h.FencingToken == 0 && !time.Now().Before(until) {
 		return
 	}
 	if h.FencingToken == 0 {
-		h = newHold(m.fence, time.Now(), until)
-		m.deps.Log.Emit(event.LeaseTaken, m.key, m.fence)
-		m.met.held.Set(1)
-		m.met.taken.Inc()
+		h = newLease(m.fencingToken, time.Now(), until)
+		m.deps.Log.Emit(event.LeaseTaken, m.key, m.fencingToken)
+		m.metrics.held.Set(1)
+		m.metrics.acquired.Inc()
 	} else {
-		h = newHold(h.FencingToken, h.AcquiredAt, until)
+		h = newLease(h.FencingToken, h.AcquiredAt, until)
 	}
-	m.hold.Store(&h)
+	m.current.Store(&h)
 }
 
-// clear ends the hold but keeps the lease's id for another try.
-func (m *Manager) clear(reason string) {
+// markLost ends the hold but keeps the lease's id for another try.
+func (m *Manager) markLost(reason string) {
 	if h := m.Current(); h.FencingToken != 0 {
 		m.deps.Log.Emit(event.LeaseLost, m.key, h.FencingToken, reason)
 	}
-	m.hold.Store(&Lease{})
-	m.met.held.Set(0)
+	m.current.Store(&Lease{})
+	m.metrics.held.Set(0)
 }
 
-// drop ends the hold and forgets the lease.
-func (m *Manager) drop(reason string) {
-	m.clear(reason)
-	m.id, m.fence = 0, 0
+// forget ends the hold and forgets the lease.
+func (m *Manager) forget(reason string) {
+	m.markLost(reason)
+	m.leaseID, m.fencingToken = 0, 0
 }
 
 // release gives the lease back, so that another daemon need not wait for its end.
 func (m *Manager) release(reason string) {
-	if m.id == 0 {
+	if m.leaseID == 0 {
 		return
 	}
-	id := m.id
-	m.drop(reason)
+	id := m.leaseID
+	m.forget(reason)
 	m.revoke(id)
 }
 
@@ -242,12 +242,12 @@
 func (m *Manager) revoke(id store.LeaseID) {
 	ctx, cancel := context.WithTimeout(context.Background(), m.cfg.CallTimeout)
 	defer cancel()
-	m.met.calls.Inc()
+	m.metrics.storeCalls.Inc()
 	if err := m.deps.Store.Revoke(ctx, id); err != nil {
 		m.deps.Log.Emit(event.LeaseFailed, m.key, err.Error())
 	}
 }
 
-func (m *Manager) jittered(d time.Duration) time.Duration {
+func (m *Manager) withJitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + m.cfg.JitterRatio*(2*m.rng.Float64()-1)))
 }
--- a/control/lease/manager_test.go
+++ b/control/lease/manager_test.go
@@ -14,9 +14,9 @@
 	"mallowwind.dev/external/store"
 )
 
-// world is one zone's daemons before one store. A pause keeps a daemon's
+// testZone is one zone's daemons before one store. A pause keeps a daemon's
 // calls from returning; its clock goes on, as that of a paused process does.
-type world struct {
+type testZone struct {
 	store    *store.Faulty
 	managers []*Manager
 	cancels  []context.CancelFunc
@@ -24,15 +24,15 @@
 	views    []*membership.Static
 }
 
-func newWorld(t *testing.T, n int) *world {
-	w := &world{store: store.NewFaulty(store.NewMemory())}
+func newTestZone(t *testing.T, n int) *testZone {
+	w := &testZone{store: store.NewFaulty(store.NewMemory())}
 	var members []membership.Member
 	for i := range n {
 		members = append(members, membership.Member{ID: fmt.Sprintf("vm%03d", i), Zone: "a", Incarnation: 1})
 	}
 	for i := range n {
 		view := &membership.Static{View: &membership.View{Self: members[i], Members: members}}
-		m := NewManager(Deps{Store: &gate{Store: w.store}, Members: view})
+		m := NewManager(Deps{Store: &stallingStore{Store: w.store}, Members: view})
 		w.managers, w.views = append(w.managers, m), append(w.views, view)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
@@ -41,7 +41,7 @@
 	}
 	t.Cleanup(func() {
 		for i := range w.cancels {
-			w.gate(i).open()
+			w.storeOf(i).resume()
 			w.cancels[i]()
 			<-w.done[i]
 		}
@@ -49,16 +49,16 @@
 	return w
 }
 
-// gate holds back one daemon's renewals after the store has taken them.
-type gate struct {
+// stallingStore holds back one daemon's renewals after the store has taken them.
+type stallingStore struct {
 	store.Store
-	mu   sync.Mutex
-	held chan struct{}
+	mu      sync.Mutex
+	stalled chan struct{}
 }
 
-func (g *gate) KeepAlive(ctx context.Context, id store.LeaseID) (time.Duration, error) {
+func (g *stallingStore) KeepAlive(ctx context.Context, id store.LeaseID) (time.Duration, error) {
 	g.mu.Lock()
-	shut := g.held
+	shut := g.stalled
 	g.mu.Unlock()
 	ttl, err := g.Store.KeepAlive(ctx, id)
 	if shut != nil {
@@ -67,26 +67,26 @@
 	return ttl, err
 }
 
-func (g *gate) shut() {
+func (g *stallingStore) stall() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.held = make(chan struct{})
+	g.stalled = make(chan struct{})
 }
 
-func (g *gate) open() {
+func (g *stallingStore) resume() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.held != nil {
-		close(g.held)
-		g.held = nil
+	if g.stalled != nil {
+		close(g.stalled)
+		g.stalled = nil
 	}
 }
 
-func (w *world) gate(i int) *gate { return w.managers[i].deps.Store.(*gate) }
+func (w *testZone) storeOf(i int) *stallingStore { return w.managers[i].deps.Store.(*stallingStore) }
 
 // holder returns the index of the only daemon with a valid hold, or -1; two
 // at once fail the test.
-func (w *world) holder(t *testing.T) int {
+func (w *testZone) holder(t *testing.T) int {
 	t.Helper()
 	synctest.Wait()
 	holder := -1
@@ -103,7 +103,7 @@
 // at 56 of them the store must not see 56 contenders.
 func TestOneHolderAndFewCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 56)
+		w := newTestZone(t, 56)
 		time.Sleep(10 * time.Second)
 		first := w.holder(t)
 		must.NotEq(t, -1, first)
@@ -122,7 +122,7 @@
 // each time under a higher fencing number.
 func TestNextHolderHasHigherFence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3)
+		w := newTestZone(t, 3)
 		time.Sleep(10 * time.Second)
 		first := w.holder(t)
 		fence := w.managers[first].Current().FencingToken
@@ -133,7 +133,7 @@
 		must.Greater(t, fence, w.managers[second].Current().FencingToken)
 
 		fence = w.managers[second].Current().FencingToken
-		w.gate(second).shut() // never answers again
+		w.storeOf(second).stall() // never answers again
 		time.Sleep(25 * time.Second)
 		third := w.holder(t)
 		must.NotEq(t, -1, third)
@@ -147,17 +147,17 @@
 // taken over. A deadline measured from the answer would let both give orders.
 func TestPausedHolderComesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3)
+		w := newTestZone(t, 3)
 		time.Sleep(10 * time.Second)
 		first := w.holder(t)
-		w.gate(first).shut()
+		w.storeOf(first).stall()
 		for range 60 {
 			time.Sleep(time.Second)
 			w.holder(t)
 		}
 		second := w.holder(t)
 		must.NotEq(t, first, second)
-		w.gate(first).open()
+		w.storeOf(first).resume()
 		for range 300 {
 			time.Sleep(100 * time.Millisecond)
 			must.Eq(t, second, w.holder(t))
@@ -169,7 +169,7 @@
 // lease longer than the lease lasts, and one must hold it again soon after.
 func TestStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3)
+		w := newTestZone(t, 3)
 		time.Sleep(10 * time.Second)
 		fence := w.managers[w.holder(t)].Current().FencingToken
 		w.store.SetDown(true)
@@ -189,7 +189,7 @@
 func TestLostAnswerOnTaking(t *testing.T) {
 	for _, lose := range []func(*store.Faulty){(*store.Faulty).LoseNextWrite, (*store.Faulty).DropNextWrite} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, 3)
+			w := newTestZone(t, 3)
 			lose(w.store)
 			time.Sleep(25 * time.Second)
 			holder := w.holder(t)
@@ -206,9 +206,9 @@
 // its wall clock was set. The hold must be over by the wall clock.
 func TestHoldEndsByWallClock(t *testing.T) {
 	now := time.Now()
-	h := newHold(1, now, now.Add(9*time.Second))
+	h := newLease(1, now, now.Add(9*time.Second))
 	must.True(t, h.IsValid(now.Add(8*time.Second)))
-	h.wall = h.wall.Add(-10 * time.Second)
+	h.expiresAtWall = h.expiresAtWall.Add(-10 * time.Second)
 	must.False(t, h.IsValid(now.Add(8*time.Second)))
 	must.False(t, Lease{}.IsValid(now))
 }
--- a/control/membership/news.go
+++ b/control/membership/broadcasts.go
@@ -19,23 +19,23 @@
 	SeenAt time.Time
 }
 
-// row is a VMNews without its time.
-type row struct {
-	vm   vmlist.VM
-	gone bool
+// vmState is a VMNews without its time.
+type vmState struct {
+	vm      vmlist.VM
+	removed bool
 }
 
 // OnVMChange registers f to be called with changes of the VM list that others found.
 // f must not block. Call OnVM before Run.
-func (m *Manager) OnVMChange(f func(VMChange)) { m.onVM = append(m.onVM, f) }
+func (m *Manager) OnVMChange(f func(VMChange)) { m.onVMChange = append(m.onVMChange, f) }
 
 // BroadcastVMChange passes on a change of the VM list that this daemon found.
 func (m *Manager) BroadcastVMChange(n VMChange) {
 	m.mu.Lock()
-	fresh := m.vms.keep(n.VM.ID, row{n.VM, n.Removed}, n.SeenAt, len(m.Current().Members))
+	fresh := m.vmChanges.add(n.VM.ID, vmState{n.VM, n.Removed}, n.SeenAt, len(m.Current().Members))
 	m.mu.Unlock()
 	if fresh {
-		m.wake()
+		m.requestFanout()
 	}
 }
 
@@ -43,36 +43,36 @@
 // backend server changed; digest is a hash of the new one. f must not block.
 // Call OnReport before Run.
 func (m *Manager) OnReportChange(f func(id string, digest uint64)) {
-	m.onReport = append(m.onReport, f)
+	m.onReportChange = append(m.onReportChange, f)
 }
 
 // BroadcastReportChange passes on that this daemon found a backend server's report changed.
 func (m *Manager) BroadcastReportChange(id string, digest uint64) {
 	m.mu.Lock()
-	fresh := m.reports.keep(id, digest, time.Now(), len(m.Current().Members))
+	fresh := m.reportChanges.add(id, digest, time.Now(), len(m.Current().Members))
 	m.mu.Unlock()
 	if fresh {
-		m.wake()
+		m.requestFanout()
 	}
 }
 
-// addNews puts the news to pass on into a message. Manager.mu is held.
-func (m *Manager) addNews(g *peerpb.Gossip) {
+// addBroadcasts puts the news to pass on into a message. Manager.mu is held.
+func (m *Manager) addBroadcasts(g *peerpb.Gossip) {
 	now := time.Now()
-	for _, n := range m.vms.due(now) {
+	for _, n := range m.vmChanges.nextBatch(now) {
 		vm := n.value.vm
 		g.Vms = append(g.Vms, &peerpb.VMNews{
 			Id: vm.ID, Address: vm.Address, Zone: vm.Zone, Region: vm.Region, Role: string(vm.Role),
-			Pool: vm.Pool, State: string(vm.State), Gone: n.value.gone, Seen: uint64(n.seen.UnixNano()),
+			Pool: vm.Pool, State: string(vm.State), Gone: n.value.removed, Seen: uint64(n.seenAt.UnixNano()),
 		})
 	}
-	for _, n := range m.reports.due(now) {
-		g.Reports = append(g.Reports, &peerpb.ReportNews{Id: n.id, Digest: n.value, Seen: uint64(n.seen.UnixNano())})
+	for _, n := range m.reportChanges.nextBatch(now) {
+		g.Reports = append(g.Reports, &peerpb.ReportNews{Id: n.id, Digest: n.value, Seen: uint64(n.seenAt.UnixNano())})
 	}
 }
 
-// absorbNews takes over news from another daemon.
-func (m *Manager) absorbNews(g *peerpb.Gossip) {
+// applyBroadcasts takes over news from another daemon.
+func (m *Manager) applyBroadcasts(g *peerpb.Gossip) {
 	members := len(m.Current().Members)
 	for _, p := range g.Vms {
 		n := VMChange{
@@ -83,25 +83,25 @@
 			Removed: p.Gone, SeenAt: time.Unix(0, int64(p.Seen)),
 		}
 		m.mu.Lock()
-		fresh := m.vms.keep(n.VM.ID, row{n.VM, n.Removed}, n.SeenAt, members)
+		fresh := m.vmChanges.add(n.VM.ID, vmState{n.VM, n.Removed}, n.SeenAt, members)
 		m.mu.Unlock()
 		if !fresh {
 			continue
 		}
-		m.wake()
-		for _, f := range m.onVM {
+		m.requestFanout()
+		for _, f := range m.onVMChange {
 			f(n)
 		}
 	}
 	for _, p := range g.Reports {
 		m.mu.Lock()
-		fresh := m.reports.keep(p.Id, p.Digest, time.Unix(0, int64(p.Seen)), members)
+		fresh := m.reportChanges.add(p.Id, p.Digest, time.Unix(0, int64(p.Seen)), members)
 		m.mu.Unlock()
 		if !fresh {
 			continue
 		}
-		m.wake()
-		for _, f := range m.onReport {
+		m.requestFanout()
+		for _, f := range m.onReportChange {
 			f(p.Id, p.Digest)
 		}
 	}
--- a/control/membership/exchange.go
+++ b/control/membership/exchange.go
@@ -11,9 +11,9 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// pauseSlack is how much longer than its timeouts a probe may take before the
+// pauseTolerance is how much longer than its timeouts a probe may take before the
 // daemon concludes that it was paused itself and the failure says nothing.
-const pauseSlack = time.Second
+const pauseTolerance = time.Second
 
 // probe exchanges with target and, if that fails, finds out whether it is the
 // target or the way to it that failed.
@@ -31,11 +31,11 @@
 	if m.exchange(ctx, target) == nil {
 		return
 	}
-	if m.indirect(ctx, target) {
-		m.met.indirect.Inc()
+	if m.probeIndirectly(ctx, target) {
+		m.metrics.indirectlyReached.Inc()
 		return
 	}
-	limit := 2*m.cfg.ProbeTimeout + m.cfg.IndirectTimeout + pauseSlack
+	limit := 2*m.cfg.ProbeTimeout + m.cfg.IndirectTimeout + pauseTolerance
 	if ctx.Err() != nil || time.Since(start) > limit {
 		return
 	}
@@ -43,12 +43,12 @@
 	c, ok := m.table.RecordProbeFailure(target, time.Now())
 	m.mu.Unlock()
 	if ok {
-		m.changed([]gossip.Change{c}, "")
+		m.handleChanges([]gossip.Change{c}, "")
 	}
 }
 
-// indirect asks others to exchange with target and reports whether one could.
-func (m *Manager) indirect(ctx context.Context, target gossip.Record) bool {
+// probeIndirectly asks others to exchange with target and reports whether one could.
+func (m *Manager) probeIndirectly(ctx context.Context, target gossip.Record) bool {
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.IndirectTimeout)
 	defer cancel()
 	m.mu.Lock()
@@ -77,22 +77,22 @@
 func (m *Manager) exchange(ctx context.Context, target gossip.Record) error {
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.ProbeTimeout)
 	defer cancel()
-	m.met.exchanges.Inc()
+	m.metrics.exchanges.Inc()
 	reply, err := m.client(target).Exchange(ctx, m.message(target.ID))
 	if err != nil {
-		m.met.failures.Inc()
+		m.metrics.failures.Inc()
 		m.deps.Log.Emit(event.GossipFailed, target.ID, err.Error())
 		return errors.Wrap(err, "exchange")
 	}
-	m.absorb(reply)
-	if !m.agrees(reply.Root) && len(reply.Buckets) > 0 {
-		m.sync(ctx, target, reply.Buckets)
+	m.applyMessage(reply)
+	if !m.isInSync(reply.Root) && len(reply.Buckets) > 0 {
+		m.syncBuckets(ctx, target, reply.Buckets)
 	}
 	return nil
 }
 
-// agrees reports whether another daemon's table has the same hash as this one.
-func (m *Manager) agrees(root uint64) bool {
+// isInSync reports whether another daemon's table has the same hash as this one.
+func (m *Manager) isInSync(root uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if root != m.table.RootHash() {
@@ -102,8 +102,8 @@
 	return true
 }
 
-// sync repairs a few parts of the table in which the other daemon differs.
-func (m *Manager) sync(ctx context.Context, target gossip.Record, hashes []uint64) {
+// syncBuckets repairs a few parts of the table in which the other daemon differs.
+func (m *Manager) syncBuckets(ctx context.Context, target gossip.Record, hashes []uint64) {
 	m.mu.Lock()
 	parts := m.table.BucketsToSync(hashes, time.Now())
 	records := m.table.RecordsIn(parts)
@@ -111,7 +111,7 @@
 	if len(parts) == 0 {
 		return
 	}
-	m.met.syncs.Inc()
+	m.metrics.syncs.Inc()
 	reply, err := m.client(target).Sync(ctx, &peerpb.SyncRequest{Buckets: parts, Records: toPBs(records)})
 	if err != nil {
 		m.deps.Log.Emit(event.GossipFailed, target.ID, err.Error())
@@ -131,7 +131,7 @@
 		Updates: toPBs(m.table.Updates()),
 		Root:    m.table.RootHash(),
 	}
-	m.addNews(g)
+	m.addBroadcasts(g)
 	if rec, ok := m.table.Get(to); ok && rec.State != gossip.Alive {
 		g.Updates = append(g.Updates, toPB(rec))
 	}
@@ -141,13 +141,13 @@
 	return g
 }
 
-// absorb takes over what another daemon said.
-func (m *Manager) absorb(g *peerpb.Gossip) {
+// applyMessage takes over what another daemon said.
+func (m *Manager) applyMessage(g *peerpb.Gossip) {
 	if g.From == nil {
 		return
 	}
 	m.merge(append(g.Updates, g.From), g.From.Id)
-	m.absorbNews(g)
+	m.applyBroadcasts(g)
 	from := toMember(fromPB(g.From))
 	for _, d := range g.Digests {
 		for _, f := range m.onDigest {
@@ -164,18 +164,18 @@
 	m.mu.Lock()
 	changes := m.table.Merge(claims, time.Now())
 	m.mu.Unlock()
-	m.changed(changes, by)
+	m.handleChanges(changes, by)
 }
 
 // Exchange implements peerpb.Membership.
 func (m *Manager) Exchange(_ context.Context, g *peerpb.Gossip) (*peerpb.Gossip, error) {
-	m.absorb(g)
+	m.applyMessage(g)
 	to := ""
 	if g.From != nil {
 		to = g.From.Id
 	}
 	reply := m.message(to)
-	if !m.agrees(g.Root) {
+	if !m.isInSync(g.Root) {
 		m.mu.Lock()
 		hashes := m.table.BucketHashes()
 		m.mu.Unlock()
--- a/control/membership/fleet_test.go
+++ b/control/membership/fleet_test.go
@@ -18,8 +18,8 @@
 	"mallowwind.dev/peer/peerpb"
 )
 
-// hop is the one-way delay of the test network.
-const hop = 2 * time.Millisecond
+// oneWayDelay is the one-way delay of the test network.
+const oneWayDelay = 2 * time.Millisecond
 
 // fleet runs Managers on a network in memory that a test can cut.
 type fleet struct {
@@ -27,7 +27,7 @@
 	mu    sync.Mutex
 	nodes map[string]*node
 	list  []vmlist.VM
-	cut   func(from, to *node) bool // loses a message; nil loses none
+	drops func(from, to *node) bool // loses a message; nil loses none
 	calls int
 }
 
@@ -64,7 +64,7 @@
 	nd.Manager = NewManager(Deps{
 		Self:   Member{ID: nd.id, Incarnation: incarnation, Zone: nd.zone, Region: nd.region, PeerAddr: nd.id, CallerAddr: nd.id},
 		VMs:    f,
-		Dialer: link.NewDialerWith(&http.Client{Transport: &wire{f: f, from: nd}}),
+		Dialer: link.NewDialerWith(&http.Client{Transport: &memoryTransport{f: f, from: nd}}),
 	})
 	nd.handler = peerpb.NewMembershipServer(nd.Manager)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -90,52 +90,52 @@
 	return append([]vmlist.VM(nil), f.list...), nil
 }
 
-func (f *fleet) listState(i int, state vmlist.State) {
+func (f *fleet) setListState(i int, state vmlist.State) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.list[i].State = state
 }
 
-func (f *fleet) setCut(cut func(from, to *node) bool) {
+func (f *fleet) setDrops(cut func(from, to *node) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cut = cut
+	f.drops = cut
 }
 
-func (f *fleet) lost(from, to *node) bool {
+func (f *fleet) isLost(from, to *node) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return to == nil || to.handler == nil || (f.cut != nil && f.cut(from, to))
+	return to == nil || to.handler == nil || (f.drops != nil && f.drops(from, to))
 }
 
-// wire carries one daemon's calls.
-type wire struct {
+// memoryTransport carries one daemon's calls.
+type memoryTransport struct {
 	f    *fleet
 	from *node
 }
 
-func (w *wire) RoundTrip(r *http.Request) (*http.Response, error) {
+func (w *memoryTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	f, to := w.f, w.f.nodes[r.URL.Host]
 	f.mu.Lock()
 	f.calls++
 	f.mu.Unlock()
-	time.Sleep(hop)
-	if f.lost(w.from, to) {
+	time.Sleep(oneWayDelay)
+	if f.isLost(w.from, to) {
 		<-r.Context().Done()
 		return nil, errors.Wrap(r.Context().Err(), "request lost")
 	}
 	rec := httptest.NewRecorder()
 	to.handler.ServeHTTP(rec, r)
-	time.Sleep(hop)
-	if f.lost(to, w.from) {
+	time.Sleep(oneWayDelay)
+	if f.isLost(to, w.from) {
 		<-r.Context().Done()
 		return nil, errors.Wrap(r.Context().Err(), "answer lost")
 	}
 	return rec.Result(), nil
 }
 
-// believed counts the daemons among those running that believe state of id.
-func (f *fleet) believed(id string, state State) int {
+// countBelieving counts the daemons among those running that believe state of id.
+func (f *fleet) countBelieving(id string, state State) int {
 	n := 0
 	for _, nd := range f.nodes {
 		if nd.handler == nil || nd.id == id {
@@ -149,8 +149,8 @@
 	return n
 }
 
-// whole reports whether every running daemon believes every running one alive.
-func (f *fleet) whole() bool {
+// allSeeAllAlive reports whether every running daemon believes every running one alive.
+func (f *fleet) allSeeAllAlive() bool {
 	running := 0
 	for _, nd := range f.nodes {
 		if nd.handler != nil {
@@ -158,14 +158,14 @@
 		}
 	}
 	for _, nd := range f.nodes {
-		if nd.handler != nil && f.alive(nd) != running {
+		if nd.handler != nil && f.countAlive(nd) != running {
 			return false
 		}
 	}
 	return true
 }
 
-func (f *fleet) alive(nd *node) int {
+func (f *fleet) countAlive(nd *node) int {
 	n := 0
 	for _, m := range nd.Current().Members {
 		if m.State == Alive {
@@ -175,8 +175,8 @@
 	return n
 }
 
-// until lets virtual time pass until ok and returns how long that took.
-func (f *fleet) until(what string, limit time.Duration, ok func() bool) time.Duration {
+// waitUntil lets virtual time pass until ok and returns how long that took.
+func (f *fleet) waitUntil(what string, limit time.Duration, ok func() bool) time.Duration {
 	f.t.Helper()
 	start := time.Now()
 	for !ok() {
@@ -190,8 +190,8 @@
 	return time.Since(start)
 }
 
-// lossy loses each message with probability p, from a fixed seed.
-func lossy(p float64) func(_, _ *node) bool {
+// dropRandomly loses each message with probability p, from a fixed seed.
+func dropRandomly(p float64) func(_, _ *node) bool {
 	rng := rand.New(rand.NewPCG(7, 7))
 	return func(_, _ *node) bool { return rng.Float64() < p }
 }
--- a/control/membership/manager.go
+++ b/control/membership/manager.go
@@ -36,27 +36,27 @@
 
 // Manager is the Source in use and the twirp service Membership.
 type Manager struct {
-	deps    Deps
-	cfg     Config
-	met     metrics
-	current atomic.Pointer[View]
-	news    chan struct{}
-	probes  sync.WaitGroup
+	deps            Deps
+	cfg             Config
+	metrics         metrics
+	current         atomic.Pointer[View]
+	fanoutRequested chan struct{}
+	probes          sync.WaitGroup
 
-	onDigest []func(m Member, name string, version uint64)
-	onChange []func(*View)
-	onVM     []func(VMChange)
-	onReport []func(id string, digest uint64)
+	onDigest       []func(m Member, name string, version uint64)
+	onChange       []func(*View)
+	onVMChange     []func(VMChange)
+	onReportChange []func(id string, digest uint64)
 
-	mu         sync.Mutex
-	table      *gossip.Table
-	rng        *rand.Rand
-	digests    map[string]uint64
-	vms        board[row]
-	reports    board[uint64]
-	leaving    bool
-	superseded bool
-	published  uint64
+	mu               sync.Mutex
+	table            *gossip.Table
+	rng              *rand.Rand
+	digests          map[string]uint64
+	vmChanges        broadcastQueue[vmState]
+	reportChanges    broadcastQueue[uint64]
+	leaving          bool
+	supersededLogged bool
+	publishedVersion uint64
 }
 
 var _ peerpb.Membership = (*Manager)(nil)
@@ -76,14 +76,14 @@
 	seed := xxhash.Sum64String(deps.Self.ID)
 	rng := rand.New(rand.NewPCG(seed, deps.Self.Incarnation))
 	m := &Manager{
-		deps:    deps,
-		cfg:     deps.Config,
-		met:     newMetrics(deps.Registerer),
-		news:    make(chan struct{}, 1),
-		rng:     rng,
-		digests: make(map[string]uint64),
-		vms:     make(board[row]),
-		reports: make(board[uint64]),
+		deps:            deps,
+		cfg:             deps.Config,
+		metrics:         newMetrics(deps.Registerer),
+		fanoutRequested: make(chan struct{}, 1),
+		rng:             rng,
+		digests:         make(map[string]uint64),
+		vmChanges:       make(broadcastQueue[vmState]),
+		reportChanges:   make(broadcastQueue[uint64]),
 	}
 	deps.Self.State = Alive
 	m.table = gossip.New(toRecord(deps.Self), m.cfg.Gossip, rng)
@@ -113,7 +113,7 @@
 	m.digests[name] = version
 	m.mu.Unlock()
 	if changed {
-		m.wake()
+		m.requestFanout()
 	}
 }
 
@@ -123,7 +123,7 @@
 	m.mu.Lock()
 	c := m.table.SetCallerAddr(caller)
 	m.mu.Unlock()
-	m.changed([]gossip.Change{c}, "")
+	m.handleChanges([]gossip.Change{c}, "")
 }
 
 // Leave tells the others that this daemon leaves. It keeps taking part until
@@ -138,13 +138,13 @@
 	}
 	m.mu.Unlock()
 	if !done {
-		m.changed([]gossip.Change{c}, "")
+		m.handleChanges([]gossip.Change{c}, "")
 	}
 }
 
-func (m *Manager) wake() {
+func (m *Manager) requestFanout() {
 	select {
-	case m.news <- struct{}{}:
+	case m.fanoutRequested <- struct{}{}:
 	default:
 	}
 }
@@ -153,7 +153,7 @@
 // then says goodbye.
 func (m *Manager) Run(ctx context.Context) error {
 	list := time.NewTimer(0)
-	round := time.NewTimer(m.firstRound())
+	round := time.NewTimer(m.firstRoundDelay())
 	spread := time.NewTimer(time.Hour)
 	spread.Stop()
 	pending := false
@@ -162,34 +162,34 @@
 		select {
 		case <-ctx.Done():
 			m.probes.Wait()
-			m.goodbye()
+			m.announceDeparture()
 			return ctx.Err()
 		case <-list.C:
 			m.readList(ctx)
 			list.Reset(m.cfg.ListInterval)
 		case <-round.C:
 			m.round(ctx)
-			round.Reset(m.interval())
-		case <-m.news:
+			round.Reset(m.roundInterval())
+		case <-m.fanoutRequested:
 			if !pending {
 				pending = true
 				spread.Reset(max(m.cfg.FanoutDelay, budget.Reserve().Delay()))
 			}
 		case <-spread.C:
 			pending = false
-			m.spread(ctx)
+			m.fanOut(ctx)
 		}
 	}
 }
 
-// firstRound puts daemons that start together at different places of the interval.
-func (m *Manager) firstRound() time.Duration {
+// firstRoundDelay puts daemons that start together at different places of the interval.
+func (m *Manager) firstRoundDelay() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return time.Duration(m.rng.Int64N(int64(m.cfg.Gossip.ProbeInterval)))
 }
 
-func (m *Manager) interval() time.Duration {
+func (m *Manager) roundInterval() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return time.Duration(float64(m.cfg.Gossip.ProbeInterval) * (1 + m.cfg.JitterRatio*(2*m.rng.Float64()-1)))
@@ -224,14 +224,14 @@
 	changes := m.table.Tick(now)
 	targets := m.table.ExchangeTargets()
 	m.mu.Unlock()
-	m.changed(changes, "")
+	m.handleChanges(changes, "")
 	for _, target := range targets {
 		m.probes.Go(func() { m.probe(ctx, target) })
 	}
 }
 
-// spread passes news on at once.
-func (m *Manager) spread(ctx context.Context) {
+// fanOut passes news on at once.
+func (m *Manager) fanOut(ctx context.Context) {
 	m.mu.Lock()
 	targets := m.table.FanoutTargets()
 	m.mu.Unlock()
@@ -240,9 +240,9 @@
 	}
 }
 
-// goodbye tells a few others that a daemon that left is gone, so that nobody
+// announceDeparture tells a few others that a daemon that left is gone, so that nobody
 // spends probes on finding out.
-func (m *Manager) goodbye() {
+func (m *Manager) announceDeparture() {
 	m.mu.Lock()
 	leaving := m.leaving
 	if leaving {
@@ -250,32 +250,32 @@
 	}
 	m.mu.Unlock()
 	if leaving {
-		m.spread(context.Background())
+		m.fanOut(context.Background())
 		m.probes.Wait()
 	}
 }
 
-// changed logs changes, publishes the view and passes the news on.
-func (m *Manager) changed(changes []gossip.Change, by string) {
+// handleChanges logs changes, publishes the view and passes the news on.
+func (m *Manager) handleChanges(changes []gossip.Change, by string) {
 	if len(changes) == 0 {
 		return
 	}
 	for _, c := range changes {
-		m.report(c, by)
+		m.logChange(c, by)
 	}
 	m.publish()
-	m.wake()
+	m.requestFanout()
 }
 
-func (m *Manager) report(c gossip.Change, by string) {
-	m.met.changes.WithLabelValues(c.Record.State.String()).Inc()
+func (m *Manager) logChange(c gossip.Change, by string) {
+	m.metrics.changes.WithLabelValues(c.Record.State.String()).Inc()
 	switch c.Reason {
 	case gossip.ReasonRefuted:
 		m.deps.Log.Emit(event.MemberRefuted, c.From.String(), c.Record.Refutation, by)
 	case gossip.ReasonSuperseded:
 		m.mu.Lock()
-		first := !m.superseded
-		m.superseded = true
+		first := !m.supersededLogged
+		m.supersededLogged = true
 		m.mu.Unlock()
 		if first {
 			m.deps.Log.Emit(event.MemberSuperseded, c.Record.Incarnation, by)
@@ -288,11 +288,11 @@
 // publish swaps in a new view if the table changed.
 func (m *Manager) publish() {
 	m.mu.Lock()
-	if m.published == m.table.Version() {
+	if m.publishedVersion == m.table.Version() {
 		m.mu.Unlock()
 		return
 	}
-	m.published = m.table.Version()
+	m.publishedVersion = m.table.Version()
 	records := m.table.Members()
 	view := &View{Self: toMember(m.table.Self()), Members: make([]Member, len(records))}
 	for i, rec := range records {
@@ -300,7 +300,7 @@
 	}
 	m.current.Store(view)
 	m.mu.Unlock()
-	m.met.known.Set(float64(len(view.Members)))
+	m.metrics.knownMembers.Set(float64(len(view.Members)))
 	for _, f := range m.onChange {
 		f(view)
 	}
--- a/control/membership/manager_test.go
+++ b/control/membership/manager_test.go
@@ -19,12 +19,12 @@
 	for _, n := range []int{6, 30, 90} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, n, 3, 3)
-			f.until("joined", 30*time.Second, f.whole)
+			f.waitUntil("joined", 30*time.Second, f.allSeeAllAlive)
 			f.kill("vm001")
-			f.until("given up by all", 25*time.Second, func() bool { return f.believed("vm001", Gone) == n-1 })
-			must.True(t, f.whole())
+			f.waitUntil("given up by all", 25*time.Second, func() bool { return f.countBelieving("vm001", Gone) == n-1 })
+			must.True(t, f.allSeeAllAlive())
 			f.start(f.nodes["vm001"], 2)
-			f.until("restarted and known", 15*time.Second, f.whole)
+			f.waitUntil("restarted and known", 15*time.Second, f.allSeeAllAlive)
 		})
 	}
 }
@@ -34,13 +34,13 @@
 func TestLeaveIsKnownAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 30, 3, 1)
-		f.until("joined", 30*time.Second, f.whole)
+		f.waitUntil("joined", 30*time.Second, f.allSeeAllAlive)
 		f.nodes["vm004"].Leave()
-		f.until("known to leave", 3*time.Second, func() bool { return f.believed("vm004", Leaving) == 29 })
+		f.waitUntil("known to leave", 3*time.Second, func() bool { return f.countBelieving("vm004", Leaving) == 29 })
 		time.Sleep(time.Minute)
-		must.Eq(t, 29, f.believed("vm004", Leaving))
+		must.Eq(t, 29, f.countBelieving("vm004", Leaving))
 		f.kill("vm004")
-		f.until("gone", 3*time.Second, func() bool { return f.believed("vm004", Gone) == 29 })
+		f.waitUntil("gone", 3*time.Second, func() bool { return f.countBelieving("vm004", Gone) == 29 })
 	})
 }
 
@@ -49,9 +49,9 @@
 func TestListSaysLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 6, 3, 1)
-		f.until("joined", 30*time.Second, f.whole)
-		f.listState(2, vmlist.Leaving)
-		f.until("seen as leaving", 3*time.Second, func() bool { return f.believed("vm002", Leaving) == 5 })
+		f.waitUntil("joined", 30*time.Second, f.allSeeAllAlive)
+		f.setListState(2, vmlist.Leaving)
+		f.waitUntil("seen as leaving", 3*time.Second, func() bool { return f.countBelieving("vm002", Leaving) == 5 })
 	})
 }
 
@@ -62,11 +62,11 @@
 func TestOneWayCutSuspectsNobodyForLong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12, 3, 1)
-		f.until("joined", 30*time.Second, f.whole)
-		f.setCut(func(from, to *node) bool { return from.id == "vm000" && to.zone == "z0" })
+		f.waitUntil("joined", 30*time.Second, f.allSeeAllAlive)
+		f.setDrops(func(from, to *node) bool { return from.id == "vm000" && to.zone == "z0" })
 		for range 600 {
 			time.Sleep(time.Second)
-			must.True(t, f.whole())
+			must.True(t, f.allSeeAllAlive())
 		}
 	})
 }
@@ -77,22 +77,22 @@
 func TestZoneCutOffAndBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 30, 3, 3)
-		f.until("joined", 30*time.Second, f.whole)
-		f.setCut(func(from, to *node) bool { return (from.zone == "z1") != (to.zone == "z1") })
-		f.until("sides apart", 90*time.Second, func() bool {
+		f.waitUntil("joined", 30*time.Second, f.allSeeAllAlive)
+		f.setDrops(func(from, to *node) bool { return (from.zone == "z1") != (to.zone == "z1") })
+		f.waitUntil("sides apart", 90*time.Second, func() bool {
 			for _, nd := range f.nodes {
 				want := 20
 				if nd.zone == "z1" {
 					want = 10
 				}
-				if f.alive(nd) != want {
+				if f.countAlive(nd) != want {
 					return false
 				}
 			}
 			return true
 		})
-		f.setCut(nil)
-		f.until("whole again", 40*time.Second, f.whole)
+		f.setDrops(nil)
+		f.waitUntil("whole again", 40*time.Second, f.allSeeAllAlive)
 	})
 }
 
@@ -101,12 +101,12 @@
 func TestRegionsApartForAnHour(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 21, 7, 3)
-		f.until("joined", 30*time.Second, f.whole)
-		f.setCut(func(from, to *node) bool { return from.region != to.region })
+		f.waitUntil("joined", 30*time.Second, f.allSeeAllAlive)
+		f.setDrops(func(from, to *node) bool { return from.region != to.region })
 		time.Sleep(70 * time.Minute)
-		must.False(t, f.whole())
-		f.setCut(nil)
-		f.until("whole again", 40*time.Second, f.whole)
+		must.False(t, f.allSeeAllAlive())
+		f.setDrops(nil)
+		f.waitUntil("whole again", 40*time.Second, f.allSeeAllAlive)
 	})
 }
 
@@ -116,12 +116,12 @@
 func TestSilentDaemonReturns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12, 3, 1)
-		f.until("joined", 30*time.Second, f.whole)
-		f.setCut(func(from, to *node) bool { return from.id == "vm003" || to.id == "vm003" })
-		f.until("given up", 25*time.Second, func() bool { return f.believed("vm003", Gone) == 11 })
+		f.waitUntil("joined", 30*time.Second, f.allSeeAllAlive)
+		f.setDrops(func(from, to *node) bool { return from.id == "vm003" || to.id == "vm003" })
+		f.waitUntil("given up", 25*time.Second, func() bool { return f.countBelieving("vm003", Gone) == 11 })
 		time.Sleep(time.Minute)
-		f.setCut(nil)
-		f.until("back", 20*time.Second, f.whole)
+		f.setDrops(nil)
+		f.waitUntil("back", 20*time.Second, f.allSeeAllAlive)
 		m, _ := f.nodes["vm000"].Current().Find("vm003")
 		must.Eq(t, 1, m.Incarnation)
 	})
@@ -132,14 +132,14 @@
 func TestLossGivesNobodyUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 30, 3, 1)
-		f.until("joined", 30*time.Second, f.whole)
-		f.setCut(lossy(0.01))
+		f.waitUntil("joined", 30*time.Second, f.allSeeAllAlive)
+		f.setDrops(dropRandomly(0.01))
 		suspected := 0
 		for range 600 {
 			time.Sleep(time.Second)
 			for _, vm := range f.list {
-				must.Eq(t, 0, f.believed(vm.ID, Gone))
-				suspected += f.believed(vm.ID, Suspect)
+				must.Eq(t, 0, f.countBelieving(vm.ID, Gone))
+				suspected += f.countBelieving(vm.ID, Suspect)
 			}
 		}
 		t.Logf("suspicions seen in 600 samples of 870 beliefs: %d", suspected)
@@ -162,9 +162,9 @@
 				}
 			})
 		}
-		f.until("joined", 30*time.Second, f.whole)
+		f.waitUntil("joined", 30*time.Second, f.allSeeAllAlive)
 		f.nodes["vm000"].SetDigest("site", 7)
-		f.until("offered to all", 4*time.Second, func() bool { return held.Load() >= 29 })
+		f.waitUntil("offered to all", 4*time.Second, func() bool { return held.Load() >= 29 })
 	})
 }
 
@@ -188,13 +188,13 @@
 				}
 			})
 		}
-		f.until("joined", 30*time.Second, f.whole)
+		f.waitUntil("joined", 30*time.Second, f.allSeeAllAlive)
 		vm := vmlist.VM{ID: "b1", Role: vmlist.RoleBackend, State: vmlist.Leaving}
 		for _, id := range readers {
 			f.nodes[id].BroadcastVMChange(VMChange{VM: vm, SeenAt: time.Now()})
 			time.Sleep(10 * time.Millisecond)
 		}
-		f.until("heard by all", 2*time.Second, func() bool { return heard.Load() >= 27 })
+		f.waitUntil("heard by all", 2*time.Second, func() bool { return heard.Load() >= 27 })
 		time.Sleep(time.Minute)
 		must.Eq(t, 27, heard.Load())
 		for id, n := range times {
--- a/control/roster/gather.go
+++ b/control/roster/batcher.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// gatherFor is how long proposals are collected before they are written. The
+	// batchDelay is how long proposals are collected before they are written. The
 	// daemons that repair the slots of a lost one notice it over some hundred
 	// milliseconds; a slot waits this long more for its new owner.
-	gatherFor = 150 * time.Millisecond
-	// gatherLimit bounds the write of a group.
-	gatherLimit = 4 * time.Second
+	batchDelay = 150 * time.Millisecond
+	// batchWriteTimeout bounds the write of a group.
+	batchWriteTimeout = 4 * time.Second
 )
 
-// gatherer joins the proposals of many daemons into one write.
+// batcher joins the proposals of many daemons into one write.
 //
 // The load pattern: after a loss every daemon proposes new pairs for a few
 // slots, and all of them change one value by compare-and-swap. Each write makes
 // all others fail and try again, so the writes grow faster than the daemons.
-type gatherer struct {
+type batcher struct {
 	mu      sync.Mutex
-	waiting []*group
-	busy    bool // somebody collects
+	pending []*proposalBatch
+	running bool // somebody collects
 }
 
-// group is the proposals of one caller.
-type group struct {
+// proposalBatch is the proposals of one caller.
+type proposalBatch struct {
 	proposals []slot.Assignment
 	done      chan error
 }
@@ -38,14 +38,14 @@
 // for the write. Slot tells afterwards what the store accepted; on an error the
 // outcome is open.
 func (m *Manager) CommitBatched(ctx context.Context, proposals []slot.Assignment) error {
-	g := &group{proposals: proposals, done: make(chan error, 1)}
-	m.gather.mu.Lock()
-	m.gather.waiting = append(m.gather.waiting, g)
-	first := !m.gather.busy
-	m.gather.busy = true
-	m.gather.mu.Unlock()
+	g := &proposalBatch{proposals: proposals, done: make(chan error, 1)}
+	m.batcher.mu.Lock()
+	m.batcher.pending = append(m.batcher.pending, g)
+	first := !m.batcher.running
+	m.batcher.running = true
+	m.batcher.mu.Unlock()
 	if first {
-		go m.writeGroups()
+		go m.writeBatches()
 	}
 	select {
 	case err := <-g.done:
@@ -55,16 +55,16 @@
 	}
 }
 
-// writeGroups collects and writes until nothing waits.
-func (m *Manager) writeGroups() {
+// writeBatches collects and writes until nothing waits.
+func (m *Manager) writeBatches() {
 	for {
-		time.Sleep(gatherFor)
-		groups := m.takeGroups()
+		time.Sleep(batchDelay)
+		groups := m.takePending()
 		if len(groups) == 0 {
 			return
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), gatherLimit)
-		_, err := m.Commit(ctx, join(groups))
+		ctx, cancel := context.WithTimeout(context.Background(), batchWriteTimeout)
+		_, err := m.Commit(ctx, mergeProposals(groups))
 		cancel()
 		for _, g := range groups {
 			g.done <- err
@@ -72,19 +72,19 @@
 	}
 }
 
-func (m *Manager) takeGroups() []*group {
-	m.gather.mu.Lock()
-	defer m.gather.mu.Unlock()
-	groups := m.gather.waiting
-	m.gather.waiting = nil
-	m.gather.busy = len(groups) > 0
+func (m *Manager) takePending() []*proposalBatch {
+	m.batcher.mu.Lock()
+	defer m.batcher.mu.Unlock()
+	groups := m.batcher.pending
+	m.batcher.pending = nil
+	m.batcher.running = len(groups) > 0
 	return groups
 }
 
-// join puts the groups' proposals together, at most one for each slot: the
+// mergeProposals puts the groups' proposals together, at most one for each slot: the
 // first. Two in one write would overwrite each other, and both would seem to
 // have been accepted.
-func join(groups []*group) []slot.Assignment {
+func mergeProposals(groups []*proposalBatch) []slot.Assignment {
 	var out []slot.Assignment
 	taken := make(map[int]bool)
 	for _, g := range groups {
--- a/control/roster/encoding.go
+++ b/control/roster/encoding.go
@@ -13,12 +13,12 @@
 type document struct {
 	Members []slot.Member `json:"members"`
 	Changes []string      `json:"changes"`
-	Slots   []row         `json:"slots"`
+	Slots   []slotRow     `json:"slots"`
 }
 
-// row is one slot: its term, then indexes of owner, witness and change, -1 for
+// slotRow is one slot: its term, then indexes of owner, witness and change, -1 for
 // none. Rows without field names halve the value and the time to read it.
-type row [4]int64
+type slotRow [4]int64
 
 const (
 	rowTerm = iota
@@ -29,24 +29,24 @@
 
 // encode writes table in the stored form.
 func encode(table *[slot.Count]slot.Assignment) ([]byte, error) {
-	d := document{Slots: make([]row, 0, slot.Count)}
+	d := document{Slots: make([]slotRow, 0, slot.Count)}
 	members := map[slot.Member]int{}
 	changes := map[string]int{}
 	for _, a := range table {
-		r := row{int64(a.Term), -1, -1, -1}
+		r := slotRow{int64(a.Term), -1, -1, -1}
 		if a.Term > 0 {
-			r[rowOwner] = index(&d.Members, members, a.Owner)
-			r[rowChange] = index(&d.Changes, changes, a.ChangeID)
+			r[rowOwner] = indexOf(&d.Members, members, a.Owner)
+			r[rowChange] = indexOf(&d.Changes, changes, a.ChangeID)
 		}
 		if !a.Witness.IsNone() {
-			r[rowWitness] = index(&d.Members, members, a.Witness)
+			r[rowWitness] = indexOf(&d.Members, members, a.Witness)
 		}
 		d.Slots = append(d.Slots, r)
 	}
 	return json.Marshal(d)
 }
 
-func index[T comparable](list *[]T, seen map[T]int, v T) int64 {
+func indexOf[T comparable](list *[]T, seen map[T]int, v T) int64 {
 	i, ok := seen[v]
 	if !ok {
 		i = len(*list)
@@ -65,7 +65,7 @@
 	if len(d.Slots) != slot.Count {
 		return nil, errors.Errorf("roster: %d slots, want %d", len(d.Slots), slot.Count)
 	}
-	table := empty()
+	table := emptyTable()
 	for i, r := range d.Slots {
 		a, err := d.assignment(i, r)
 		if err != nil {
@@ -76,7 +76,7 @@
 	return table, nil
 }
 
-func (d *document) assignment(i int, r row) (slot.Assignment, error) {
+func (d *document) assignment(i int, r slotRow) (slot.Assignment, error) {
 	a := slot.Assignment{Slot: i, Term: uint64(r[rowTerm])}
 	members, changes := int64(len(d.Members)), int64(len(d.Changes))
 	if r[rowTerm] < 0 || r[rowOwner] >= members || r[rowWitness] >= members || r[rowChange] >= changes {
@@ -95,8 +95,8 @@
 	return a, nil
 }
 
-// empty returns a table of slots that were never assigned.
-func empty() *[slot.Count]slot.Assignment {
+// emptyTable returns a table of slots that were never assigned.
+func emptyTable() *[slot.Count]slot.Assignment {
 	var table [slot.Count]slot.Assignment
 	for i := range table {
 		table[i].Slot = i
--- a/control/roster/roster.go
+++ b/control/roster/roster.go
@@ -35,13 +35,13 @@
 const PollIntervalPerMember = time.Second
 
 const (
-	pollMin = 2 * time.Second
-	// refreshGap bounds reads on suspicion, which calls may set off.
-	refreshGap = 200 * time.Millisecond
-	// callTimeout bounds one call to the store.
-	callTimeout = 2 * time.Second
-	retryMin    = 5 * time.Millisecond
-	retryMax    = 200 * time.Millisecond
+	minPollInterval = 2 * time.Second
+	// minRefreshInterval bounds reads on suspicion, which calls may set off.
+	minRefreshInterval = 200 * time.Millisecond
+	// storeTimeout bounds one call to the store.
+	storeTimeout  = 2 * time.Second
+	minRetryDelay = 5 * time.Millisecond
+	maxRetryDelay = 200 * time.Millisecond
 )
 
 // Manager holds this daemon's copy of the roster. It is safe for concurrent use.
@@ -50,34 +50,34 @@
 	members membership.Source
 	log     *event.Log
 
-	mu    sync.RWMutex
-	table *[slot.Count]slot.Assignment
-	known bool // read from the store at least once
+	mu       sync.RWMutex
+	table    *[slot.Count]slot.Assignment
+	everRead bool // read from the store at least once
 	// snapshot is a copy of table, built when asked for after a change.
 	snapshot []slot.Assignment
-	// violated is called when two assignments of one term differ.
-	violated func(subject, detail string)
+	// onViolation is called when two assignments of one term differ.
+	onViolation func(subject, detail string)
 
-	gather    gatherer
-	flight    singleflight.Group
-	refreshed time.Time // guarded by mu
-	version   int64     // of the value merged last; guarded by mu
+	batcher       batcher
+	reads         singleflight.Group
+	refreshedAt   time.Time // guarded by mu
+	mergedVersion int64     // of the value merged last; guarded by mu
 }
 
 // NewManager returns a Manager that knows nothing yet.
 func NewManager(s store.Store, members membership.Source, log *event.Log) *Manager {
-	return &Manager{store: s, members: members, log: log, table: empty()}
+	return &Manager{store: s, members: members, log: log, table: emptyTable()}
 }
 
 // OnViolation sets what is called when two assignments of one term differ,
 // which no sequence of failures may bring about. Call it before Run.
-func (m *Manager) OnViolation(f func(subject, detail string)) { m.violated = f }
+func (m *Manager) OnViolation(f func(subject, detail string)) { m.onViolation = f }
 
 // Run polls the store until ctx ends.
 func (m *Manager) Run(ctx context.Context) error {
 	for {
 		_ = m.Refresh(ctx)
-		wait := max(pollMin, time.Duration(len(m.members.Current().Members))*PollIntervalPerMember)
+		wait := max(minPollInterval, time.Duration(len(m.members.Current().Members))*PollIntervalPerMember)
 		wait = wait*3/4 + rand.N(wait/2)
 		select {
 		case <-ctx.Done():
@@ -103,7 +103,7 @@
 	if m.snapshot == nil {
 		m.snapshot = append([]slot.Assignment(nil), m.table[:]...)
 	}
-	return m.snapshot, m.known
+	return m.snapshot, m.everRead
 }
 
 // MergeAssignment takes an assignment that the store accepted, from a peer. Older ones
@@ -120,8 +120,8 @@
 // merge keeps the higher term. The caller holds mu.
 func (m *Manager) merge(a slot.Assignment) {
 	have := &m.table[a.Slot]
-	if a.Term == have.Term && a.ChangeID != have.ChangeID && m.violated != nil {
-		m.violated(fmt.Sprintf("slot %d term %d", a.Slot, a.Term), have.ChangeID+" and "+a.ChangeID)
+	if a.Term == have.Term && a.ChangeID != have.ChangeID && m.onViolation != nil {
+		m.onViolation(fmt.Sprintf("slot %d term %d", a.Slot, a.Term), have.ChangeID+" and "+a.ChangeID)
 	}
 	if a.Term > have.Term {
 		*have = a
@@ -132,10 +132,10 @@
 // Refresh reads the store unless that was done a moment ago. Concurrent calls
 // share one read, so that a slow store does not make them queue.
 func (m *Manager) Refresh(ctx context.Context) error {
-	if m.fresh() {
+	if m.isFresh() {
 		return nil
 	}
-	result := m.flight.DoChan(Key, func() (any, error) {
+	result := m.reads.DoChan(Key, func() (any, error) {
 		_, _, err := m.read(context.WithoutCancel(ctx))
 		return nil, err
 	})
@@ -147,26 +147,26 @@
 	}
 }
 
-func (m *Manager) fresh() bool {
+func (m *Manager) isFresh() bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return m.known && time.Since(m.refreshed) < refreshGap
+	return m.everRead && time.Since(m.refreshedAt) < minRefreshInterval
 }
 
 // read merges the stored table into the copy and returns the result with the
 // version it was read at.
 func (m *Manager) read(ctx context.Context) (*[slot.Count]slot.Assignment, int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	kv, err := m.store.Get(ctx, Key)
-	stored := empty()
+	stored := emptyTable()
 	switch {
-	case errors.Is(err, store.ErrNotFound) && m.assigned():
-		return nil, 0, errMissing
+	case errors.Is(err, store.ErrNotFound) && m.hasAssignments():
+		return nil, 0, errRosterMissing
 	case errors.Is(err, store.ErrNotFound):
 	case err != nil:
 		return nil, 0, errors.Wrap(err, "reading the roster")
-	case m.merged(kv.Version):
+	case m.isMerged(kv.Version):
 		stored = nil
 	default:
 		if stored, err = decode(kv.Value); err != nil {
@@ -180,29 +180,29 @@
 			m.merge(a)
 		}
 	}
-	m.known, m.refreshed, m.version = true, time.Now(), kv.Version
+	m.everRead, m.refreshedAt, m.mergedVersion = true, time.Now(), kv.Version
 	merged := *m.table
 	return &merged, kv.Version, nil
 }
 
-// errMissing guards against a store that lost the roster, by mistake or by a
+// errRosterMissing guards against a store that lost the roster, by mistake or by a
 // restored backup. Writing back what this daemon knows could name pairs that
 // were replaced since, beside those that serve now, and keys could run at both.
-var errMissing = errors.New("the store has no roster although slots were assigned")
+var errRosterMissing = errors.New("the store has no roster although slots were assigned")
 
-// assigned reports whether any slot is known to have a pair.
-func (m *Manager) assigned() bool {
+// hasAssignments reports whether any slot is known to have a pair.
+func (m *Manager) hasAssignments() bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return slices.ContainsFunc(m.table[:], func(a slot.Assignment) bool { return a.Term > 0 })
 }
 
-// merged reports whether the stored value of this version is in the copy, so
+// isMerged reports whether the stored value of this version is in the copy, so
 // that polling decodes only what changed.
-func (m *Manager) merged(version int64) bool {
+func (m *Manager) isMerged(version int64) bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return m.known && m.version == version
+	return m.everRead && m.mergedVersion == version
 }
 
 // Commit proposes assignments, each for the term after the newest one, and
@@ -215,16 +215,16 @@
 // change ids are there, repeats the compare-and-swap at the version it read. A
 // delayed first write then either shows or has lost to the second.
 func (m *Manager) Commit(ctx context.Context, proposals []slot.Assignment) ([]slot.Assignment, error) {
-	for pause := retryMin; ; pause = min(2*pause, retryMax) {
+	for pause := minRetryDelay; ; pause = min(2*pause, maxRetryDelay) {
 		table, version, err := m.read(ctx)
 		if err != nil {
 			return nil, err
 		}
-		won, open := sift(table, proposals)
+		won, open := splitProposals(table, proposals)
 		if len(open) == 0 {
 			return won, nil
 		}
-		err = m.swap(ctx, table, version, open)
+		err = m.writeProposals(ctx, table, version, open)
 		if err != nil && !errors.Is(err, store.ErrConflict) && !errors.Is(err, store.ErrUnknown) {
 			return nil, err
 		}
@@ -242,9 +242,9 @@
 	}
 }
 
-// sift splits proposals into those the table already shows and those still
+// splitProposals splits proposals into those the table already shows and those still
 // possible; the rest lost to another daemon.
-func sift(table *[slot.Count]slot.Assignment, proposals []slot.Assignment) (won, open []slot.Assignment) {
+func splitProposals(table *[slot.Count]slot.Assignment, proposals []slot.Assignment) (won, open []slot.Assignment) {
 	for _, p := range proposals {
 		have := table[p.Slot]
 		switch {
@@ -257,8 +257,8 @@
 	return won, open
 }
 
-// swap writes table with the proposals applied.
-func (m *Manager) swap(ctx context.Context, table *[slot.Count]slot.Assignment, version int64, proposals []slot.Assignment) error {
+// writeProposals writes table with the proposals applied.
+func (m *Manager) writeProposals(ctx context.Context, table *[slot.Count]slot.Assignment, version int64, proposals []slot.Assignment) error {
 	for _, p := range proposals {
 		table[p.Slot] = p
 	}
@@ -266,7 +266,7 @@
 	if err != nil {
 		return errors.Wrap(err, "encoding the roster")
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	_, err = m.store.CompareAndSwap(ctx, Key, version, value, 0)
 	if err != nil {
--- a/control/roster/roster_test.go
+++ b/control/roster/roster_test.go
@@ -26,7 +26,7 @@
 	return NewManager(s, view, event.Discard())
 }
 
-func first(change string, owner slot.Member) []slot.Assignment {
+func firstTerm(change string, owner slot.Member) []slot.Assignment {
 	return []slot.Assignment{{Slot: 5, Term: 1, Owner: owner, Witness: vm2, ChangeID: change}}
 }
 
@@ -37,7 +37,7 @@
 		faulty := store.NewFaulty(store.NewMemory())
 		m := newManager(faulty)
 		faulty.LoseNextWrite()
-		won, err := m.Commit(t.Context(), first("a", vm1))
+		won, err := m.Commit(t.Context(), firstTerm("a", vm1))
 		must.NoError(t, err)
 		must.Len(t, 1, won)
 		must.EqOp(t, vm1, m.Slot(5).Owner)
@@ -50,7 +50,7 @@
 		faulty := store.NewFaulty(store.NewMemory())
 		m := newManager(faulty)
 		faulty.DropNextWrite()
-		won, err := m.Commit(t.Context(), first("a", vm1))
+		won, err := m.Commit(t.Context(), firstTerm("a", vm1))
 		must.NoError(t, err)
 		must.Len(t, 1, won)
 	})
@@ -63,8 +63,8 @@
 		a, b := newManager(shared), newManager(shared)
 		var wg sync.WaitGroup
 		var byA, byB []slot.Assignment
-		wg.Go(func() { byA, _ = a.Commit(t.Context(), first("a", vm1)) })
-		wg.Go(func() { byB, _ = b.Commit(t.Context(), first("b", vm2)) })
+		wg.Go(func() { byA, _ = a.Commit(t.Context(), firstTerm("a", vm1)) })
+		wg.Go(func() { byB, _ = b.Commit(t.Context(), firstTerm("b", vm2)) })
 		wg.Wait()
 		must.EqOp(t, 1, len(byA)+len(byB))
 		time.Sleep(time.Second)
@@ -93,20 +93,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		shared := store.NewMemory()
 		m := newManager(shared)
-		_, err := m.Commit(t.Context(), first("a", vm1))
+		_, err := m.Commit(t.Context(), firstTerm("a", vm1))
 		must.NoError(t, err)
 		kv, err := shared.Get(t.Context(), Key)
 		must.NoError(t, err)
 		must.NoError(t, shared.Delete(t.Context(), Key, kv.Version))
-		next := first("b", vm2)
+		next := firstTerm("b", vm2)
 		next[0].Term = 2
 		_, err = m.Commit(t.Context(), next)
-		must.ErrorIs(t, err, errMissing)
+		must.ErrorIs(t, err, errRosterMissing)
 	})
 }
 
 func TestEncodeDecode(t *testing.T) {
-	table := empty()
+	table := emptyTable()
 	table[7] = slot.Assignment{Slot: 7, Term: 9, Owner: vm1, Witness: vm2, ChangeID: "x"}
 	table[8] = slot.Assignment{Slot: 8, Term: 1, Owner: vm2, ChangeID: "y"}
 	b, err := encode(table)
@@ -119,7 +119,7 @@
 // FuzzDecode: whatever the store holds, decode neither panics nor returns a
 // table that encodes differently.
 func FuzzDecode(f *testing.F) {
-	b, _ := encode(empty())
+	b, _ := encode(emptyTable())
 	f.Add(b)
 	f.Add([]byte(`{"slots":[[1,0,-1,0]]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -137,7 +137,7 @@
 
 // BenchmarkRoster measures one change of the roster at full size: 390 daemons.
 func BenchmarkRoster(b *testing.B) {
-	table := empty()
+	table := emptyTable()
 	members := make([]slot.Member, 390)
 	for i := range members {
 		members[i] = slot.Member{ID: fmt.Sprintf("entry-%04d", i), Incarnation: 1764700000000000000, Zone: "zone-1", PeerAddr: "10.11.12.13:7443"}
@@ -194,7 +194,7 @@
 		m := newManager(shared)
 		m.OnViolation(func(subject, detail string) { t.Errorf("%s: %s", subject, detail) })
 		var wg sync.WaitGroup
-		for _, p := range [][]slot.Assignment{first("a", vm1), first("b", vm2)} {
+		for _, p := range [][]slot.Assignment{firstTerm("a", vm1), firstTerm("b", vm2)} {
 			wg.Go(func() { must.NoError(t, m.CommitBatched(t.Context(), p)) })
 		}
 		wg.Wait()
--- a/control/tlsfiles/tlsfiles.go
+++ b/control/tlsfiles/tlsfiles.go
@@ -22,27 +22,27 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// pollEvery is how often files are looked at. Renewals come days before the
+// pollInterval is how often files are looked at. Renewals come days before the
 // old certificate ends.
-const pollEvery = 30 * time.Second
+const pollInterval = 30 * time.Second
 
 // Files holds the certificates in use.
 type Files struct {
-	caller *pair // nil when callers use plain TCP
-	peer   *pair // nil when peers use plain TCP
-	ca     *pool
-	log    *event.Log
+	caller  *keyPair // nil when callers use plain TCP
+	peer    *keyPair // nil when peers use plain TCP
+	peerCAs *caPool
+	log     *event.Log
 }
 
 // New reads the files that t names.
 func New(t settings.TLS, log *event.Log) (*Files, error) {
 	f := &Files{log: log}
 	if t.Cert != "" {
-		f.caller = &pair{cert: t.Cert, key: t.Key}
+		f.caller = &keyPair{cert: t.Cert, key: t.Key}
 	}
 	if t.PeerCert != "" {
-		f.peer = &pair{cert: t.PeerCert, key: t.PeerKey}
-		f.ca = &pool{file: t.PeerCA}
+		f.peer = &keyPair{cert: t.PeerCert, key: t.PeerKey}
+		f.peerCAs = &caPool{file: t.PeerCA}
 	}
 	for _, s := range f.sources() {
 		if err := s.load(); err != nil {
@@ -55,10 +55,10 @@
 // source is a file or pair of files that is read again when it changes.
 type source interface {
 	name() string
-	stamp() stamp
-	seen() stamp
+	fileVersion() fileVersion
+	lastAttempted() fileVersion
 	load() error
-	expires() time.Time // zero when it does not matter
+	expiresAt() time.Time // zero when it does not matter
 }
 
 func (f *Files) sources() []source {
@@ -67,14 +67,14 @@
 		list = append(list, f.caller)
 	}
 	if f.peer != nil {
-		list = append(list, f.peer, f.ca)
+		list = append(list, f.peer, f.peerCAs)
 	}
 	return list
 }
 
 // Run looks for changed files until ctx ends.
 func (f *Files) Run(ctx context.Context) error {
-	ticker := time.NewTicker(pollEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -89,14 +89,14 @@
 // Reload reads the files that changed since they were last read.
 func (f *Files) Reload() {
 	for _, s := range f.sources() {
-		if s.stamp() == s.seen() {
+		if s.fileVersion() == s.lastAttempted() {
 			continue
 		}
 		if err := s.load(); err != nil {
 			f.log.Emit(event.CertificateRefused, s.name(), err.Error())
 			continue
 		}
-		f.log.Emit(event.CertificateLoaded, s.name(), s.expires())
+		f.log.Emit(event.CertificateLoaded, s.name(), s.expiresAt())
 	}
 }
 
@@ -105,7 +105,7 @@
 	if f.caller == nil {
 		return nil
 	}
-	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: f.caller.server}
+	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: f.caller.serverCertificate}
 }
 
 // PeerServer returns the configuration of the listener for other entry VMs,
@@ -116,10 +116,10 @@
 	}
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS13,
-		GetCertificate: f.peer.server,
+		GetCertificate: f.peer.serverCertificate,
 		ClientAuth:     tls.RequireAnyClientCert,
 		// Verified here and not by ClientCAs, which could not be reloaded.
-		VerifyConnection: f.verify(x509.ExtKeyUsageClientAuth),
+		VerifyConnection: f.chainVerifier(x509.ExtKeyUsageClientAuth),
 	}
 }
 
@@ -131,23 +131,23 @@
 	}
 	return &tls.Config{
 		MinVersion:           tls.VersionTLS13,
-		GetClientCertificate: f.peer.client,
+		GetClientCertificate: f.peer.clientCertificate,
 		// The chain is verified below against the authorities in use now;
 		// the package comment says why the name is not.
 		InsecureSkipVerify: true,
-		VerifyConnection:   f.verify(x509.ExtKeyUsageServerAuth),
+		VerifyConnection:   f.chainVerifier(x509.ExtKeyUsageServerAuth),
 	}
 }
 
-// verify checks the other end's chain. It also runs on resumed sessions, so a
+// chainVerifier checks the other end's chain. It also runs on resumed sessions, so a
 // removed authority ends them.
-func (f *Files) verify(usage x509.ExtKeyUsage) func(tls.ConnectionState) error {
+func (f *Files) chainVerifier(usage x509.ExtKeyUsage) func(tls.ConnectionState) error {
 	return func(state tls.ConnectionState) error {
 		if len(state.PeerCertificates) == 0 {
 			return errors.New("the peer has no certificate")
 		}
 		options := x509.VerifyOptions{
-			Roots:         f.ca.current.Load(),
+			Roots:         f.peerCAs.current.Load(),
 			Intermediates: x509.NewCertPool(),
 			KeyUsages:     []x509.ExtKeyUsage{usage},
 		}
@@ -159,14 +159,14 @@
 	}
 }
 
-// stamp tells versions of a file apart.
-type stamp struct {
+// fileVersion tells versions of a file apart.
+type fileVersion struct {
 	modified time.Time
 	size     int64
 }
 
-func stampOf(files ...string) stamp {
-	var s stamp
+func versionOf(files ...string) fileVersion {
+	var s fileVersion
 	for _, file := range files {
 		info, err := os.Stat(file)
 		if err != nil {
@@ -180,19 +180,19 @@
 	return s
 }
 
-// pair is a certificate with its key.
-type pair struct {
+// keyPair is a certificate with its key.
+type keyPair struct {
 	cert, key string
-	last      stamp
+	attempted fileVersion
 	current   atomic.Pointer[tls.Certificate]
 }
 
-func (p *pair) name() string { return p.cert }
-func (p *pair) stamp() stamp { return stampOf(p.cert, p.key) }
-func (p *pair) seen() stamp  { return p.last }
+func (p *keyPair) name() string               { return p.cert }
+func (p *keyPair) fileVersion() fileVersion   { return versionOf(p.cert, p.key) }
+func (p *keyPair) lastAttempted() fileVersion { return p.attempted }
 
-func (p *pair) load() error {
-	p.last = p.stamp()
+func (p *keyPair) load() error {
+	p.attempted = p.fileVersion()
 	loaded, err := tls.LoadX509KeyPair(p.cert, p.key)
 	if err != nil {
 		return errors.Wrap(err, p.cert)
@@ -201,28 +201,30 @@
 	return nil
 }
 
-func (p *pair) expires() time.Time { return p.current.Load().Leaf.NotAfter }
+func (p *keyPair) expiresAt() time.Time { return p.current.Load().Leaf.NotAfter }
 
-func (p *pair) server(*tls.ClientHelloInfo) (*tls.Certificate, error) { return p.current.Load(), nil }
+func (p *keyPair) serverCertificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
+	return p.current.Load(), nil
+}
 
-func (p *pair) client(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
+func (p *keyPair) clientCertificate(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 	return p.current.Load(), nil
 }
 
-// pool is a file of authorities.
-type pool struct {
-	file    string
-	last    stamp
-	current atomic.Pointer[x509.CertPool]
+// caPool is a file of authorities.
+type caPool struct {
+	file      string
+	attempted fileVersion
+	current   atomic.Pointer[x509.CertPool]
 }
 
-func (p *pool) name() string       { return p.file }
-func (p *pool) stamp() stamp       { return stampOf(p.file) }
-func (p *pool) seen() stamp        { return p.last }
-func (p *pool) expires() time.Time { return time.Time{} }
+func (p *caPool) name() string               { return p.file }
+func (p *caPool) fileVersion() fileVersion   { return versionOf(p.file) }
+func (p *caPool) lastAttempted() fileVersion { return p.attempted }
+func (p *caPool) expiresAt() time.Time       { return time.Time{} }
 
-func (p *pool) load() error {
-	p.last = p.stamp()
+func (p *caPool) load() error {
+	p.attempted = p.fileVersion()
 	text, err := os.ReadFile(p.file)
 	if err != nil {
 		return errors.Wrap(err, p.file)
--- a/serve/daemon/calls.go
+++ b/serve/daemon/calls.go
@@ -10,26 +10,26 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// calls counts the calls to plain services that run here, so that a graceful
+// callTracker counts the calls to plain services that run here, so that a graceful
 // shutdown waits for them.
-type calls struct {
+type callTracker struct {
 	service *once.Service
 	log     *event.Log
 	active  atomic.Int64
 }
 
 // Call implements api.Calls.
-func (c *calls) Call(ctx context.Context, account *site.Account, service *site.Service, key string, call plain.Call) (plain.Answer, error) {
+func (c *callTracker) Call(ctx context.Context, account *site.Account, service *site.Service, key string, call plain.Call) (plain.Answer, error) {
 	c.active.Add(1)
 	defer c.active.Add(-1)
 	return c.service.Handle(ctx, once.Request{Account: account, Service: service, Key: key, Call: call})
 }
 
-// running returns the number of calls not yet answered.
-func (c *calls) running() int { return int(c.active.Load()) }
+// activeCount returns the number of calls not yet answered.
+func (c *callTracker) activeCount() int { return int(c.active.Load()) }
 
-// leave hands the keys bound here to other entry VMs.
-func (c *calls) leave(ctx context.Context) {
+// handOverKeys hands the keys bound here to other entry VMs.
+func (c *callTracker) handOverKeys(ctx context.Context) {
 	if err := c.service.Leave(ctx); err != nil {
 		c.log.Emit(event.HandoverIncomplete, err.Error())
 	}
--- a/serve/daemon/daemon.go
+++ b/serve/daemon/daemon.go
@@ -82,7 +82,7 @@
 	reconcile   *reconcile.Manager
 	flow        *flow.Manager
 	generations *generation.Manager
-	calls       *calls
+	calls       *callTracker
 	serving     atomic.Bool // named to callers
 	drain       *drainer
 	api         *api.API
@@ -101,9 +101,9 @@
 	return d
 }
 
-// seed makes the random choices of different daemons differ, and those of one
+// randomSeed makes the random choices of different daemons differ, and those of one
 // daemon the same at every start.
-func (d *Daemon) seed() uint64 { return xxhash.Sum64String(d.opts.Settings.VM) }
+func (d *Daemon) randomSeed() uint64 { return xxhash.Sum64String(d.opts.Settings.VM) }
 
 func (d *Daemon) assembleControl() {
 	s, p := d.opts.Settings, d.opts.Platform
@@ -138,7 +138,7 @@
 	})
 	d.inforce = inforce.New(inforce.Config{
 		Site: s.Site, VM: s.VM, Zone: s.Zone, Store: p.Store, Members: d.members,
-		Dialer: d.opts.Dialer, Log: d.log, Metrics: d.registry, Seed: d.seed(),
+		Dialer: d.opts.Dialer, Log: d.log, Metrics: d.registry, Seed: d.randomSeed(),
 		Announce: d.members.SetDigest,
 	})
 	d.members.OnDigest(func(from membership.Member, name string, version uint64) {
@@ -181,13 +181,13 @@
 	d.flow = flow.New(flow.Config{
 		Place: flow.Place{VM: s.VM, Zone: s.Zone, Region: s.Region},
 		Site:  d.inforce, Backends: d.backends, Members: d.members,
-		Log: d.log, Registerer: d.registry, Seed: d.seed(),
+		Log: d.log, Registerer: d.registry, Seed: d.randomSeed(),
 	})
 	d.generations = generation.NewManager(generation.Config{
 		Site: d.inforce, Members: d.members, Flow: d.flow, Dialer: d.opts.Dialer,
-		Log: d.log, Metrics: d.registry, Version: d.version, NotReady: d.backends.Hint,
+		Log: d.log, Metrics: d.registry, Version: d.chooseVersion, NotReady: d.backends.Hint,
 	})
-	d.calls = &calls{log: d.log, service: once.NewService(once.Deps{
+	d.calls = &callTracker{log: d.log, service: once.NewService(once.Deps{
 		Members: d.members, Roster: d.roster, Site: d.inforce, Flow: d.flow,
 		Caller: d.opts.Platform.Plain, Dialer: d.opts.Dialer, Log: d.log,
 		Registry: d.registry, VMs: d.backends,
@@ -195,18 +195,18 @@
 	d.drain = &drainer{d: d}
 	d.api = api.New(api.Config{
 		Site: d.inforce, Generations: d.generations, Calls: d.calls,
-		Entries: &entries{site: d.inforce, members: d.members, log: d.log},
+		Entries: &entrySelector{site: d.inforce, members: d.members, log: d.log},
 		Log:     d.log, Metrics: d.registry,
-		Refusing: d.drain.refusing,
+		Refusing: d.drain.isRefusing,
 		Starting: func() bool { return !d.serving.Load() },
-		Ready:    d.ready,
+		Ready:    d.isReady,
 	})
 }
 
-// version returns the service with the version that a new request runs with,
+// chooseVersion returns the service with the version that a new request runs with,
 // none of those in except where another is ready. An answer that has begun
 // stays with its version, which its copy carries.
-func (d *Daemon) version(s *site.Service, except ...string) *site.Service {
+func (d *Daemon) chooseVersion(s *site.Service, except ...string) *site.Service {
 	ref := engine.ModelRef{Model: s.Model, Adapter: s.Adapter, Version: s.Version}
 	chosen := d.backends.Current().Choose(s.Pool, ref, rand.Uint64(), except...)
 	if chosen == ref {
@@ -239,8 +239,8 @@
 	return alive >= n
 }
 
-// ready reports whether callers should be sent here.
-func (d *Daemon) ready() bool { return d.serving.Load() && !d.drain.leaving() }
+// isReady reports whether callers should be sent here.
+func (d *Daemon) isReady() bool { return d.serving.Load() && !d.drain.isLeaving() }
 
 // Run serves until ctx ends and then drains: it leaves the address answers,
 // waits out the longest answer a caller may have kept, lets running work end,
@@ -249,7 +249,7 @@
 	work, stopWork := context.WithCancel(context.Background())
 	defer stopWork()
 	g, work := errgroup.WithContext(work)
-	for _, run := range d.loops() {
+	for _, run := range d.backgroundTasks() {
 		g.Go(func() error { return ignoreCancelled(run(work)) })
 	}
 	servers := d.servers()
@@ -270,12 +270,12 @@
 	return g.Wait()
 }
 
-// loops are the parts that run until the daemon ends.
-func (d *Daemon) loops() []func(context.Context) error {
+// backgroundTasks are the parts that run until the daemon ends.
+func (d *Daemon) backgroundTasks() []func(context.Context) error {
 	parts := []func(context.Context) error{
 		d.backends.Run, d.members.Run, d.inforce.Run, d.flow.Run,
-		d.lease.Run, d.reconcile.Run, d.generations.Run, d.roster.Run, d.ownKeys,
-		d.starting,
+		d.lease.Run, d.reconcile.Run, d.generations.Run, d.roster.Run, d.runKeyOwnership,
+		d.announceWhenReady,
 	}
 	if d.opts.TLS != nil {
 		parts = append(parts, d.opts.TLS.Run)
--- a/serve/daemon/drain.go
+++ b/serve/daemon/drain.go
@@ -9,8 +9,8 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// drainPoll is how often a draining daemon looks whether its work has ended.
-const drainPoll = 50 * time.Millisecond
+// drainPollInterval is how often a draining daemon looks whether its work has ended.
+const drainPollInterval = 50 * time.Millisecond
 
 // drainer carries out a graceful shutdown. The failure it guards against is a
 // planned stop that cuts requests: callers keep an answer of /v1/entries for a
@@ -28,26 +28,26 @@
 	stageRefusing
 )
 
-func (r *drainer) leaving() bool  { return r.stage.Load() >= stageLeaving }
-func (r *drainer) refusing() bool { return r.stage.Load() >= stageRefusing }
+func (r *drainer) isLeaving() bool  { return r.stage.Load() >= stageLeaving }
+func (r *drainer) isRefusing() bool { return r.stage.Load() >= stageRefusing }
 
 // run drains until all work has ended, the limit is reached or hard ends.
 func (r *drainer) run(hard context.Context) {
 	limit := r.d.opts.Settings.DrainLimit
 	ctx, cancel := context.WithTimeout(hard, limit)
 	defer cancel()
-	kept := r.keptAnswers()
+	kept := r.entriesTTL()
 	r.d.log.Emit(event.DaemonDraining, r.d.generations.Running(), kept)
 	r.stage.Store(stageLeaving)
 	r.d.members.Leave()
 	r.wait(ctx, kept)
 	r.stage.Store(stageRefusing)
-	r.d.calls.leave(ctx)
-	for ctx.Err() == nil && r.busy() {
-		r.wait(ctx, drainPoll)
+	r.d.calls.handOverKeys(ctx)
+	for ctx.Err() == nil && r.isBusy() {
+		r.wait(ctx, drainPollInterval)
 	}
 	r.d.generations.HandOver(ctx)
-	r.d.log.Emit(event.DaemonStopped, r.d.generations.Running(), r.d.calls.running())
+	r.d.log.Emit(event.DaemonStopped, r.d.generations.Running(), r.d.calls.activeCount())
 }
 
 func (r *drainer) wait(ctx context.Context, d time.Duration) {
@@ -57,13 +57,13 @@
 	}
 }
 
-func (r *drainer) busy() bool {
-	return r.d.generations.Running() > 0 || r.d.calls.running() > 0 || r.d.api.Active() > 0
+func (r *drainer) isBusy() bool {
+	return r.d.generations.Running() > 0 || r.d.calls.activeCount() > 0 || r.d.api.Active() > 0
 }
 
-// keptAnswers is the longest time for which a caller may keep an answer that
+// entriesTTL is the longest time for which a caller may keep an answer that
 // names this entry VM.
-func (r *drainer) keptAnswers() time.Duration {
+func (r *drainer) entriesTTL() time.Duration {
 	if s := r.d.inforce.Current(); s != nil {
 		return s.Limits.EntriesTTL
 	}
--- a/serve/daemon/entries.go
+++ b/serve/daemon/entries.go
@@ -12,18 +12,18 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// entries answers which entry VMs an account should use.
-type entries struct {
-	site    site.Source
-	members membership.Source
-	log     *event.Log
-	turn    atomic.Uint64
+// entrySelector answers which entry VMs an account should use.
+type entrySelector struct {
+	site     site.Source
+	members  membership.Source
+	log      *event.Log
+	rotation atomic.Uint64
 }
 
 // For implements api.Entries. Only members seen alive are named: one that is
 // leaving vanishes from the answers at once and serves on for the callers that
 // still keep it.
-func (e *entries) For(account *site.Account) []api.Entry {
+func (e *entrySelector) For(account *site.Account) []api.Entry {
 	members := e.members.Current().Members
 	vms := make([]ask.VM, 0, len(members))
 	for _, m := range members {
@@ -32,8 +32,8 @@
 			Usable: m.State == membership.Alive && m.CallerAddr != "",
 		})
 	}
-	part, before := ask.LoadPosition(shares(e.site.Current()), account.Name)
-	a := ask.Select(vms, ask.Query{LoadShare: part, ShareBefore: before, Rotation: e.turn.Add(1)})
+	part, before := ask.LoadPosition(accountLoads(e.site.Current()), account.Name)
+	a := ask.Select(vms, ask.Query{LoadShare: part, ShareBefore: before, Rotation: e.rotation.Add(1)})
 	e.log.Emit(event.EntriesAnswered, account.Name, len(a.VMs), len(vms), a.Reason)
 	out := make([]api.Entry, 0, len(a.VMs))
 	for _, i := range a.VMs {
@@ -42,8 +42,8 @@
 	return out
 }
 
-// shares are the accounts' declared weights in the load.
-func shares(s *site.Site) []ask.AccountLoad {
+// accountLoads are the accounts' declared weights in the load.
+func accountLoads(s *site.Site) []ask.AccountLoad {
 	out := make([]ask.AccountLoad, 0, len(s.Accounts))
 	for name, a := range s.Accounts {
 		out = append(out, ask.AccountLoad{Name: name, Hash: xxhash.Sum64String(name), Weight: a.Share})
--- a/serve/daemon/listen.go
+++ b/serve/daemon/listen.go
@@ -31,12 +31,12 @@
 // Secure puts TLS on the listeners for callers and for other entry VMs where
 // certificates are set.
 func (l Listeners) Secure(files *tlsfiles.Files) Listeners {
-	l.Callers = secured(l.Callers, files.CallerServer())
-	l.Peers = secured(l.Peers, files.PeerServer())
+	l.Callers = withTLS(l.Callers, files.CallerServer())
+	l.Peers = withTLS(l.Peers, files.PeerServer())
 	return l
 }
 
-func secured(l net.Listener, config *tls.Config) net.Listener {
+func withTLS(l net.Listener, config *tls.Config) net.Listener {
 	if config == nil {
 		return l
 	}
--- a/serve/daemon/platform.go
+++ b/serve/daemon/platform.go
@@ -17,8 +17,8 @@
 // platformTimeout bounds one question to the VM list or the weight store.
 const platformTimeout = 2 * time.Second
 
-// maxAnswer bounds the answer of a plain service, in bytes.
-const maxAnswer = 16 << 20
+// maxAnswerBytes bounds the answer of a plain service, in bytes.
+const maxAnswerBytes = 16 << 20
 
 // Connect returns the platform that the settings name, over its wire forms.
 func Connect(s *settings.Settings) (Platform, error) {
@@ -31,7 +31,7 @@
 		Store:  kv,
 		VMs:    vmlist.NewClient(s.VMList, plainHTTP),
 		Engine: func(address string) engine.Engine { return engine.NewClient("http://"+address, nil) },
-		Plain:  plain.NewClient(nil, maxAnswer),
+		Plain:  plain.NewClient(nil, maxAnswerBytes),
 	}
 	if s.Weights != "" {
 		p.Weights = weights.NewClient(s.Weights, plainHTTP)
--- a/serve/daemon/start.go
+++ b/serve/daemon/start.go
@@ -13,66 +13,66 @@
 )
 
 const (
-	// startPoll is how often a daemon that starts looks whether it knows enough.
-	startPoll = 50 * time.Millisecond
-	// startLimit is how long it waits for other entry VMs and backend servers
+	// startPollInterval is how often a daemon that starts looks whether it knows enough.
+	startPollInterval = 50 * time.Millisecond
+	// startTimeout is how long it waits for other entry VMs and backend servers
 	// that the platform's list names: they may be what is broken.
-	startLimit = 4 * time.Second
-	// startSettle lets the flow take up what the other parts know.
-	startSettle = 500 * time.Millisecond
+	startTimeout = 4 * time.Second
+	// startSettleDelay lets the flow take up what the other parts know.
+	startSettleDelay = 500 * time.Millisecond
 )
 
-// starting names this entry VM to callers when it knows enough to serve them.
+// announceWhenReady names this entry VM to callers when it knows enough to serve them.
 //
 // The failure it guards against: a new entry VM is in the address answers as
 // soon as it is alive, and in its first second knows neither an engine nor who
 // holds the copies of running answers. A caller sent there during a planned
 // replacement is refused, and one that repeats its key is told that its request
 // was not run while another entry VM runs it.
-func (d *Daemon) starting(ctx context.Context) error {
+func (d *Daemon) announceWhenReady(ctx context.Context) error {
 	began := time.Now()
-	for !d.knowsEnough(time.Since(began) >= startLimit) {
-		if !pause.For(ctx, startPoll) {
+	for !d.hasStartState(time.Since(began) >= startTimeout) {
+		if !pause.For(ctx, startPollInterval) {
 			return nil
 		}
 	}
-	if !pause.For(ctx, startSettle) {
+	if !pause.For(ctx, startSettleDelay) {
 		return nil
 	}
 	d.serving.Store(true)
-	if !d.drain.leaving() {
+	if !d.drain.isLeaving() {
 		d.members.AnnounceCallerAddr(d.opts.Listeners.Callers.Addr().String())
 	}
 	return nil
 }
 
-// knowsEnough reports whether this daemon has a text, has heard of the other
+// hasStartState reports whether this daemon has a text, has heard of the other
 // entry VMs and has a backend server for each service. When late, the text and
 // the platform's list are enough.
-func (d *Daemon) knowsEnough(late bool) bool {
+func (d *Daemon) hasStartState(late bool) bool {
 	s := d.inforce.Current()
 	rows, err := d.backends.List(context.Background())
 	if s == nil || err != nil {
 		return false
 	}
-	return late || d.knowsMembers(rows) && d.knowsBackends(s)
+	return late || d.hasPeerContact(rows) && d.hasBackends(s)
 }
 
-// knowsMembers reports whether this daemon has heard from another entry VM, if
+// hasPeerContact reports whether this daemon has heard from another entry VM, if
 // the list shows one: the first exchange brings the whole table of a small
 // fleet. It does not wait for each VM on the list, since one that has just died
 // stays there until the platform notices.
-func (d *Daemon) knowsMembers(rows []vmlist.VM) bool {
+func (d *Daemon) hasPeerContact(rows []vmlist.VM) bool {
 	listed := func(vm vmlist.VM) bool {
 		return vm.Role == vmlist.RoleEntry && vm.State == vmlist.Live && vm.ID != d.opts.Settings.VM
 	}
 	return len(d.members.Current().Members) > 1 || !slices.ContainsFunc(rows, listed)
 }
 
-func (d *Daemon) knowsBackends(s *site.Site) bool {
+func (d *Daemon) hasBackends(s *site.Site) bool {
 	pools := d.backends.Current().Pools
 	for _, service := range s.Services {
-		fit := func(b *backends.Backend) bool { return serves(b, service) }
+		fit := func(b *backends.Backend) bool { return canServe(b, service) }
 		if !slices.ContainsFunc(pools[service.Pool], fit) {
 			return false
 		}
@@ -80,8 +80,8 @@
 	return true
 }
 
-// serves reports whether a backend server can run a service's requests now.
-func serves(b *backends.Backend, service *site.Service) bool {
+// canServe reports whether a backend server can run a service's requests now.
+func canServe(b *backends.Backend, service *site.Service) bool {
 	if !b.Reachable {
 		return false
 	}
@@ -94,12 +94,12 @@
 	return slices.ContainsFunc(b.Status.Models, ready)
 }
 
-// ownKeys takes slots of idempotency keys from the time on at which this daemon
+// runKeyOwnership takes slots of idempotency keys from the time on at which this daemon
 // can dispatch calls. One that owned slots in its first second refused calls
 // with no_backend_server that every other entry VM could have run.
-func (d *Daemon) ownKeys(ctx context.Context) error {
+func (d *Daemon) runKeyOwnership(ctx context.Context) error {
 	for !d.serving.Load() {
-		if !pause.For(ctx, startPoll) {
+		if !pause.For(ctx, startPollInterval) {
 			return nil
 		}
 	}
--- a/serve/daemon/status.go
+++ b/serve/daemon/status.go
@@ -7,8 +7,8 @@
 	"mallowwind.dev/decision/placement"
 )
 
-// page is what this daemon tells operators of itself.
-func (d *Daemon) page() statuspage.Page {
+// statusPage is what this daemon tells operators of itself.
+func (d *Daemon) statusPage() statuspage.Page {
 	s := d.opts.Settings
 	p := statuspage.Page{
 		VM: s.VM, Zone: s.Zone, Region: s.Region, Version: d.opts.Version,
@@ -21,7 +21,7 @@
 
 func (d *Daemon) state() string {
 	switch {
-	case d.drain.leaving():
+	case d.drain.isLeaving():
 		return "draining"
 	case d.inforce.Current() == nil:
 		return "starting"
--- a/serve/versions/decide.go
+++ b/serve/versions/decide.go
@@ -16,35 +16,35 @@
 const (
 	// writeTimeout bounds one attempt to write how far a roll-out is.
 	writeTimeout = time.Second
-	// writeAgain is the time between two attempts.
-	writeAgain = 300 * time.Millisecond
-	// settled is how long after an outage of the store the view still shows servers that are gone.
-	settled = 2600 * time.Millisecond
-	// lookShare bounds the part of this daemon's time that looking at what was seen may take: one
+	// writeRetryDelay is the time between two attempts.
+	writeRetryDelay = 300 * time.Millisecond
+	// viewSettleTime is how long after an outage of the store the view still shows servers that are gone.
+	viewSettleTime = 2600 * time.Millisecond
+	// analysisTimeDivisor bounds the part of this daemon's time that looking at what was seen may take: one
 	// part in so many.
-	lookShare = 20
+	analysisTimeDivisor = 20
 )
 
 // decide takes the next step of a roll-out, if it is due.
 func (m *Manager) decide(ctx context.Context, s *service) {
 	view := m.opts.Feed.View()
-	underWay := m.underWay(s.name, m.Snapshot(view).State(s.name))
+	underWay := m.countInFlight(s.name, m.Snapshot(view).State(s.name))
 	m.mu.Lock()
 	now := m.opts.Clock()
-	if now < max(s.retry, s.look) || s.evidence == nil || view.Config == nil {
+	if now < max(s.retryAt, s.nextAnalysisAt) || s.evidence == nil || view.Config == nil {
 		m.mu.Unlock()
 		return
 	}
 	step := rollout.Step{State: s.state}
 	if !s.state.Stage.IsTerminal() {
 		began := time.Now()
-		step = rollout.Next(m.input(now, view, s, underWay))
-		s.look = now + lookShare*time.Since(began)
+		step = rollout.Next(m.stepInput(now, view, s, underWay))
+		s.nextAnalysisAt = now + analysisTimeDivisor*time.Since(began)
 	}
-	if !m.inTouch() {
-		s.apart = now
+	if !m.isConfigFresh() {
+		s.lastStaleAt = now
 	}
-	if step.State.Stage != rollout.RolledBack && s.apart != 0 && now-s.apart < settled {
+	if step.State.Stage != rollout.RolledBack && s.lastStaleAt != 0 && now-s.lastStaleAt < viewSettleTime {
 		m.mu.Unlock()
 		return // servers and orders may be others than this daemon knows
 	}
@@ -54,63 +54,63 @@
 		return
 	}
 	if step.State.Stage == rollout.RolledBack && s.state.Stage != rollout.RolledBack {
-		m.believe(s, step.State, "decided", step.Reason, step.Analysis)
-		go m.tellAll(ctx, s.name, step.State)
+		m.mergeState(s, step.State, "decided", step.Reason, step.Analysis)
+		go m.broadcastState(ctx, s.name, step.State)
 	}
-	due := time.Now().Add(s.began + s.period - now).UnixMilli()
-	s.retry = now + writeAgain
+	due := time.Now().Add(s.startedAt + s.period - now).UnixMilli()
+	s.retryAt = now + writeRetryDelay
 	m.mu.Unlock()
-	err := m.write(ctx, view, s, routing.RolloutStatus{State: step.State, DeadlineMS: due})
+	err := m.writeStatus(ctx, view, s, routing.RolloutStatus{State: step.State, DeadlineMS: due})
 	if err != nil {
 		return
 	}
 	m.mu.Lock()
-	s.retry = 0
-	m.believe(s, step.State, "decided", step.Reason, step.Analysis)
+	s.retryAt = 0
+	m.mergeState(s, step.State, "decided", step.Reason, step.Analysis)
 	m.mu.Unlock()
-	m.tellAll(ctx, s.name, step.State)
+	m.broadcastState(ctx, s.name, step.State)
 }
 
-// write writes how far a roll-out is, over what this daemon knows to lie there.
-func (m *Manager) write(ctx context.Context, view *feed.View, s *service, status routing.RolloutStatus) error {
+// writeStatus writes how far a roll-out is, over what this daemon knows to lie there.
+func (m *Manager) writeStatus(ctx context.Context, view *feed.View, s *service, status routing.RolloutStatus) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	err := m.opts.Feed.WriteRolloutStatus(ctx, s.name, status, view.Rollouts[s.name].StatusRevision)
 	if err != nil {
-		m.metrics.failed.Inc()
+		m.metrics.failedWrites.Inc()
 		m.opts.Log.Emit(event.RolloutWriteFailed, s.name, status.Stage.String(), errors.Is(err, store.ErrConflict), err)
 	}
 	return err
 }
 
-// rate is how many of something there are a second, 0 where nothing was counted.
-func rate(n int, in time.Duration) float64 {
+// perSecond is how many of something there are a second, 0 where nothing was counted.
+func perSecond(n int, in time.Duration) float64 {
 	if in <= 0 {
 		return 0
 	}
 	return float64(n) / in.Seconds()
 }
 
-// input is what the next step is decided by. The caller holds the lock.
-func (m *Manager) input(now time.Duration, view *feed.View, s *service, underWay int) rollout.Input {
-	s.evidence.Add(s.log[s.added:]...)
-	s.added = len(s.log)
+// stepInput is what the next step is decided by. The caller holds the lock.
+func (m *Manager) stepInput(now time.Duration, view *feed.View, s *service, underWay int) rollout.Input {
+	s.evidence.Add(s.samples[s.samplesAdded:]...)
+	s.samplesAdded = len(s.samples)
 	in := rollout.Input{
-		State: s.state, Limits: *m.limits.Load(), Elapsed: now - s.began, Period: s.period,
-		Evidence: s.evidence, Unanswered: s.waitingNow(now),
+		State: s.state, Limits: *m.limits.Load(), Elapsed: now - s.startedAt, Period: s.period,
+		Evidence: s.evidence, Unanswered: s.unansweredSamples(now),
 	}
-	in.DaemonsReporting, in.BaselineInFlight = s.heardLately(now)
+	in.DaemonsReporting, in.BaselineInFlight = s.recentReports(now)
 	in.DaemonsReporting++
 	in.BaselineInFlight += underWay
 	serving, _ := routing.Serving(view.VMs)
 	in.Daemons = len(serving)
-	all, drawn := s.mix.Totals()
-	in.TargetRequests, in.RequestsPerSecond = drawn, rate(all, now-s.counting)
-	for _, r := range s.heard {
-		in.TargetRequests += r.drawn
-		if now-r.at < heardFor {
-			in.RequestsPerSecond += rate(r.begun, r.counted)
-			in.Unanswered = append(in.Unanswered, r.waiting...)
+	all, drawn := s.routeCounts.Totals()
+	in.TargetRequests, in.RequestsPerSecond = drawn, perSecond(all, now-s.countingSince)
+	for _, r := range s.reporters {
+		in.TargetRequests += r.targetRequests
+		if now-r.reportedAt < reportValidity {
+			in.RequestsPerSecond += perSecond(r.requests, r.countedFor)
+			in.Unanswered = append(in.Unanswered, r.unanswered...)
 		}
 	}
 	for _, one := range view.Servers[s.name] {
--- a/serve/versions/metrics.go
+++ b/serve/versions/metrics.go
@@ -8,8 +8,8 @@
 )
 
 type metrics struct {
-	stages *prometheus.CounterVec
-	failed prometheus.Counter
+	stages       *prometheus.CounterVec
+	failedWrites prometheus.Counter
 }
 
 func newMetrics(r prometheus.Registerer) *metrics {
@@ -17,14 +17,14 @@
 		stages: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: metric.Namespace, Subsystem: "rollout", Name: "stages_total", Help: "Stages that roll-outs have come to, as this daemon learned of them.",
 		}, []string{"stage"}),
-		failed: prometheus.NewCounter(prometheus.CounterOpts{
+		failedWrites: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: metric.Namespace, Subsystem: "rollout", Name: "writes_failed_total", Help: "Attempts to write how far a roll-out is that failed.",
 		}),
 	}
 	if r != nil {
-		r.MustRegister(m.stages, m.failed)
+		r.MustRegister(m.stages, m.failedWrites)
 	}
 	return m
 }
 
-func (m *metrics) stage(s rollout.Stage) { m.stages.WithLabelValues(s.String()).Inc() }
+func (m *metrics) recordStage(s rollout.Stage) { m.stages.WithLabelValues(s.String()).Inc() }
--- a/serve/versions/service.go
+++ b/serve/versions/service.go
@@ -10,81 +10,81 @@
 )
 
 const (
-	// maxLog bounds the samples of one roll-out that a daemon keeps; what a version shows after
+	// maxSamples bounds the samples of one roll-out that a daemon keeps; what a version shows after
 	// that was seen before.
-	maxLog = 2000
-	// seenLate is how long before this daemon saw an order it was given at most, while the daemon
+	maxSamples = 2000
+	// maxOrderDelay is how long before this daemon saw an order it was given at most, while the daemon
 	// is in touch: a batch of changes and the way here.
-	seenLate = 150 * time.Millisecond
-	// outOfDate is above the age that the configuration reaches while all is well.
-	outOfDate = 2600 * time.Millisecond
+	maxOrderDelay = 150 * time.Millisecond
+	// staleConfigAge is above the age that the configuration reaches while all is well.
+	staleConfigAge = 2600 * time.Millisecond
 )
 
 // service is what is known of one service's roll-out. The manager's lock guards it.
 type service struct {
 	name  string
 	state rollout.State
-	// known says that the versions of its servers were looked at.
-	known bool
-	// began is when the order was given, at the earliest, on the feed's clock; period is its time.
-	began, period time.Duration
-	// leave are closed when answers under way at a version go on elsewhere.
-	leave map[string]chan struct{}
+	// initialized says that the versions of its servers were looked at.
+	initialized bool
+	// startedAt is when the order was given, at the earliest, on the feed's clock; period is its time.
+	startedAt, period time.Duration
+	// migrateSignals are closed when answers under way at a version go on elsewhere.
+	migrateSignals map[string]chan struct{}
 
 	busy bool // decide or report is under way
 
-	mix      rollout.RouteCounter
-	counting time.Duration    // since when mix counts
-	log      []rollout.Sample // of this daemon, At on the feed's clock
-	waiting  map[*Trial]bool
-	sent     cursor        // to the daemon that decides
-	due      time.Duration // of the next report
-	drained  bool          // the last report said that nothing is under way any more
-
-	heard    map[string]*reporter // by daemon
-	evidence *rollout.Evidence
-	added    int           // of the own log to evidence
-	retry    time.Duration // when to try to write again
-	apart    time.Duration // when this daemon was out of touch last; 0 if it never was
-	look     time.Duration // when to look again at what was seen
-	written  int64         // the order whose end lies in the store
+	routeCounts   rollout.RouteCounter
+	countingSince time.Duration    // since when mix counts
+	samples       []rollout.Sample // of this daemon, At on the feed's clock
+	unanswered    map[*Trial]bool
+	reported      reportCursor  // to the daemon that decides
+	nextReportAt  time.Duration // of the next report
+	drainReported bool          // the last report said that nothing is under way any more
+
+	reporters      map[string]*reporter // by daemon
+	evidence       *rollout.Evidence
+	samplesAdded   int           // of the own log to evidence
+	retryAt        time.Duration // when to try to write again
+	lastStaleAt    time.Duration // when this daemon was out of touch last; 0 if it never was
+	nextAnalysisAt time.Duration // when to look again at what was seen
+	storedOrder    int64         // the order whose end lies in the store
 }
 
-// cursor is how far a daemon was told what was seen here.
-type cursor struct {
+// reportCursor is how far a daemon was told what was seen here.
+type reportCursor struct {
 	daemon string
 	next   int
 }
 
 // reporter is another daemon that told what it saw.
 type reporter struct {
-	boot     uint64
-	stage    rollout.Stage // that it believed when it told last
-	next     int64
-	at       time.Duration
-	underWay int
-	waiting  []rollout.Sample
-	// begun are the requests that it counted in some time, drawn those of them for the target.
-	begun, drawn int
-	counted      time.Duration
+	bootID     uint64
+	stage      rollout.Stage // that it believed when it told last
+	nextSample int64
+	reportedAt time.Duration
+	inFlight   int
+	unanswered []rollout.Sample
+	// requests are the requests that it counted in some time, drawn those of them for the target.
+	requests, targetRequests int
+	countedFor               time.Duration
 }
 
 func newService(name string) *service {
-	return &service{name: name, leave: map[string]chan struct{}{}, waiting: map[*Trial]bool{}}
+	return &service{name: name, migrateSignals: map[string]chan struct{}{}, unanswered: map[*Trial]bool{}}
 }
 
-// active reports whether there is something to do for a roll-out.
-func (s *service) active() bool {
-	return s.state.Stage != rollout.Idle && (!s.state.Stage.IsTerminal() || s.unwritten())
+// isActive reports whether there is something to do for a roll-out.
+func (s *service) isActive() bool {
+	return s.state.Stage != rollout.Idle && (!s.state.Stage.IsTerminal() || s.hasUnstoredEnd())
 }
 
-// unwritten reports whether the end of a roll-out does not lie in the store yet.
-func (s *service) unwritten() bool {
-	return s.state.Stage.IsTerminal() && s.written != s.state.OrderRevision
+// hasUnstoredEnd reports whether the end of a roll-out does not lie in the store yet.
+func (s *service) hasUnstoredEnd() bool {
+	return s.state.Stage.IsTerminal() && s.storedOrder != s.state.OrderRevision
 }
 
-// take takes in what the store says.
-func (s *service) take(m *Manager, view *feed.View, servers []routing.Server) {
+// applyStored takes in what the store says.
+func (s *service) applyStored(m *Manager, view *feed.View, servers []routing.Server) {
 	present := map[string]int{}
 	for _, one := range servers {
 		present[one.Version]++
@@ -98,7 +98,7 @@
 	if r.Status != nil {
 		stored = &r.Status.State
 		if stored.Stage.IsTerminal() {
-			s.written = stored.OrderRevision
+			s.storedOrder = stored.OrderRevision
 		}
 	}
 	next := rollout.Resolve(order, stored, s.state, present)
@@ -106,67 +106,67 @@
 		s.period = r.Order.Period
 	}
 	if next.OrderRevision != s.state.OrderRevision && next.Stage != rollout.Idle && !next.Stage.IsTerminal() {
-		s.start(m, view, next)
+		s.startOrder(m, view, next)
 	}
 	if next != s.state {
-		s.set(m, next, "store", "", rollout.Analysis{})
+		s.setState(m, next, "store", "", rollout.Analysis{})
 	}
 }
 
-// start begins to follow another order.
-func (s *service) start(m *Manager, view *feed.View, next rollout.State) {
+// startOrder begins to follow another order.
+func (s *service) startOrder(m *Manager, view *feed.View, next rollout.State) {
 	r := view.Rollouts[s.name]
 	if next.Target == s.state.Target && s.state.Stage.IsRunning() {
 		return // the same order again
 	}
 	now := m.opts.Clock()
-	s.began = now - seenLate
-	if before := view.PreviousConfirmedAt; before > 0 && now-before > outOfDate {
-		s.began = before // it may have been given at any time since
+	s.startedAt = now - maxOrderDelay
+	if before := view.PreviousConfirmedAt; before > 0 && now-before > staleConfigAge {
+		s.startedAt = before // it may have been given at any time since
 	}
 	if r.Status != nil && r.Status.OrderRevision == next.OrderRevision && r.Status.DeadlineMS > 0 {
 		// It runs already; the rest of its time is known by the time of day alone.
 		left := time.Until(time.UnixMilli(r.Status.DeadlineMS))
-		s.began = now + min(max(left, 0), s.period) - s.period
+		s.startedAt = now + min(max(left, 0), s.period) - s.period
 	}
-	s.counting = now
-	s.mix, s.log, s.waiting, s.sent = rollout.RouteCounter{}, nil, map[*Trial]bool{}, cursor{}
-	s.heard, s.evidence, s.added = map[string]*reporter{}, &rollout.Evidence{}, 0
+	s.countingSince = now
+	s.routeCounts, s.samples, s.unanswered, s.reported = rollout.RouteCounter{}, nil, map[*Trial]bool{}, reportCursor{}
+	s.reporters, s.evidence, s.samplesAdded = map[string]*reporter{}, &rollout.Evidence{}, 0
 	m.opts.Log.Emit(event.RolloutOrdered, s.name, next.Baseline, next.Target, next.OrderRevision, s.period)
 }
 
-// set changes the state.
-func (s *service) set(m *Manager, next rollout.State, by string, reason rollout.Reason, f rollout.Analysis) {
+// setState changes the state.
+func (s *service) setState(m *Manager, next rollout.State, by string, reason rollout.Reason, f rollout.Analysis) {
 	before := s.state
 	s.state = next
 	if before.Stage != next.Stage || before.OrderRevision != next.OrderRevision {
-		if s.known || next.Stage != rollout.Idle {
-			m.metrics.stage(next.Stage)
+		if s.initialized || next.Stage != rollout.Idle {
+			m.metrics.recordStage(next.Stage)
 			m.opts.Log.Emit(event.RolloutStage, s.name, next.Baseline, next.Target, next.OrderRevision, next.Stage.String(), next.Share, by, string(reason),
-				m.opts.Clock()-s.began, f.Route, f.Kind.String(), f.Compared, f.BadSamples, f.ExpectedBad)
+				m.opts.Clock()-s.startedAt, f.Route, f.Kind.String(), f.Compared, f.BadSamples, f.ExpectedBad)
 		}
 	}
-	s.known = true
-	for version, leave := range s.leave {
+	s.initialized = true
+	for version, leave := range s.migrateSignals {
 		if next.ShouldMigrate(version) {
 			close(leave)
-			delete(s.leave, version)
+			delete(s.migrateSignals, version)
 		}
 	}
 }
 
-// leaving returns a channel that is closed when answers under way at a version go on elsewhere.
-func (s *service) leaving(version string) <-chan struct{} {
+// migrateSignal returns a channel that is closed when answers under way at a version go on elsewhere.
+func (s *service) migrateSignal(version string) <-chan struct{} {
 	if s.state.ShouldMigrate(version) {
-		return closed
+		return closedChannel
 	}
-	if s.leave[version] == nil {
-		s.leave[version] = make(chan struct{})
+	if s.migrateSignals[version] == nil {
+		s.migrateSignals[version] = make(chan struct{})
 	}
-	return s.leave[version]
+	return s.migrateSignals[version]
 }
 
-var closed = func() chan struct{} {
+var closedChannel = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
--- a/serve/versions/trial.go
+++ b/serve/versions/trial.go
@@ -10,11 +10,11 @@
 // Trial is one request at one server while a roll-out of its service is under way. Its methods do
 // nothing where it is nil.
 type Trial struct {
-	m      *Manager
-	s      *service
-	sample rollout.Sample
-	began  time.Duration
-	done   bool
+	m         *Manager
+	s         *service
+	sample    rollout.Sample
+	startedAt time.Duration
+	done      bool
 }
 
 // StartTrial begins to watch a request at a server; it returns nil where there is nothing to compare.
@@ -27,14 +27,14 @@
 	if !state.Stage.IsRunning() || server.Version != state.Target && server.Version != state.Baseline {
 		return nil
 	}
-	t := &Trial{m: m, began: m.opts.Clock(), sample: rollout.Sample{
+	t := &Trial{m: m, startedAt: m.opts.Clock(), sample: rollout.Sample{
 		Route: route, Server: server.ID, Zone: server.Zone, OnTarget: server.Version == state.Target, Kind: kind,
 	}}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	t.s = m.of(server.Service)
+	t.s = m.service(server.Service)
 	if t.sample.OnTarget {
-		t.s.waiting[t] = true
+		t.s.unanswered[t] = true
 	}
 	return t
 }
@@ -44,7 +44,7 @@
 	if t == nil {
 		return nil
 	}
-	next := &Trial{m: t.m, s: t.s, sample: t.sample, began: t.began}
+	next := &Trial{m: t.m, s: t.s, sample: t.sample, startedAt: t.startedAt}
 	next.sample.Kind = kind
 	return next
 }
@@ -52,7 +52,7 @@
 // Done records how the request ended at the server; only the first call counts.
 func (t *Trial) Done(outcome rollout.Outcome) {
 	if t != nil {
-		t.DoneWithDuration(outcome, t.m.opts.Clock()-t.began)
+		t.DoneWithDuration(outcome, t.m.opts.Clock()-t.startedAt)
 	}
 }
 
@@ -67,11 +67,11 @@
 		return
 	}
 	t.done = true
-	delete(t.s.waiting, t)
+	delete(t.s.unanswered, t)
 	sample := t.sample
 	sample.Outcome, sample.Duration, sample.EndedAt = outcome, took, t.m.opts.Clock()
-	if len(t.s.log) < maxLog {
-		t.s.log = append(t.s.log, sample)
+	if len(t.s.samples) < maxSamples {
+		t.s.samples = append(t.s.samples, sample)
 	}
 }
 
@@ -83,14 +83,14 @@
 	t.m.mu.Lock()
 	defer t.m.mu.Unlock()
 	t.done = true
-	delete(t.s.waiting, t)
+	delete(t.s.unanswered, t)
 }
 
-// waitingNow are the requests at the target that have no answer yet. The caller holds the lock.
-func (s *service) waitingNow(now time.Duration) (list []rollout.Sample) {
-	for t := range s.waiting {
+// unansweredSamples are the requests at the target that have no answer yet. The caller holds the lock.
+func (s *service) unansweredSamples(now time.Duration) (list []rollout.Sample) {
+	for t := range s.unanswered {
 		sample := t.sample
-		sample.Outcome, sample.Duration, sample.EndedAt = rollout.Unanswered, now-t.began, now
+		sample.Outcome, sample.Duration, sample.EndedAt = rollout.Unanswered, now-t.startedAt, now
 		list = append(list, sample)
 	}
 	return list
--- a/serve/versions/versions.go
+++ b/serve/versions/versions.go
@@ -26,15 +26,15 @@
 )
 
 const (
-	// idleTick and activeTick are how often roll-outs are looked after while there is none, and
+	// idleInterval and activeTick are how often roll-outs are looked after while there is none, and
 	// while there is one.
-	idleTick   = time.Second
-	activeTick = 100 * time.Millisecond
-	// endTick is the same once everything goes to the target, when answers end within it.
-	endTick = 40 * time.Millisecond
-	// touchAge is the age of the configuration from which a daemon may be out of touch with all
+	idleInterval   = time.Second
+	activeInterval = 100 * time.Millisecond
+	// finishInterval is the same once everything goes to the target, when answers end within it.
+	finishInterval = 40 * time.Millisecond
+	// maxConfigAge is the age of the configuration from which a daemon may be out of touch with all
 	// others; it draws no requests for a new version then.
-	touchAge = 3200 * time.Millisecond
+	maxConfigAge = 3200 * time.Millisecond
 )
 
 // Options configure a Manager.
@@ -52,25 +52,25 @@
 
 // Manager knows the roll-outs of all services.
 type Manager struct {
-	opts    Options
-	boot    uint64 // of this process
-	peers   *peers
-	metrics *metrics
-	limits  atomic.Pointer[rollout.Limits]
-	roused  chan struct{} // holds an item when a roll-out has begun
-	current atomic.Pointer[Snapshot]
+	opts      Options
+	bootID    uint64 // of this process
+	peers     *peers
+	metrics   *metrics
+	limits    atomic.Pointer[rollout.Limits]
+	activated chan struct{} // holds an item when a roll-out has begun
+	current   atomic.Pointer[Snapshot]
 
-	mu       sync.Mutex // guards the rest
-	services map[string]*service
-	underWay func(service string, s rollout.State) int
+	mu            sync.Mutex // guards the rest
+	services      map[string]*service
+	countInFlight func(service string, s rollout.State) int
 }
 
 // Snapshot is what holds of all services at one moment. It is immutable.
 type Snapshot struct {
-	view   *feed.View
-	states map[string]rollout.State
-	active bool // a roll-out is under way
-	ending bool // one of them sends everything to the target
+	view      *feed.View
+	states    map[string]rollout.State
+	active    bool // a roll-out is under way
+	finishing bool // one of them sends everything to the target
 }
 
 // State is the state of a service.
@@ -79,8 +79,8 @@
 // New returns a manager; Run starts it.
 func New(o Options) *Manager {
 	m := &Manager{
-		opts: o, boot: rand.Uint64(), peers: newPeers(o), metrics: newMetrics(o.Registerer), roused: make(chan struct{}, 1),
-		services: map[string]*service{}, underWay: func(string, rollout.State) int { return 0 },
+		opts: o, bootID: rand.Uint64(), peers: newPeers(o), metrics: newMetrics(o.Registerer), activated: make(chan struct{}, 1),
+		services: map[string]*service{}, countInFlight: func(string, rollout.State) int { return 0 },
 	}
 	m.SetLimits(o.Limits)
 	m.current.Store(&Snapshot{})
@@ -93,7 +93,7 @@
 // SetInFlightCounter sets how the requests under way at servers of other versions than the target are
 // counted. It is called before Run.
 func (m *Manager) SetInFlightCounter(count func(service string, s rollout.State) int) {
-	m.underWay = count
+	m.countInFlight = count
 }
 
 // Snapshot is what holds for a view of the store.
@@ -104,20 +104,20 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.follow(view)
+	return m.applyView(view)
 }
 
-// follow takes in a view. The caller holds the lock.
-func (m *Manager) follow(view *feed.View) *Snapshot {
+// applyView takes in a view. The caller holds the lock.
+func (m *Manager) applyView(view *feed.View) *Snapshot {
 	if now := m.current.Load(); now.view == view {
 		return now
 	}
 	for name, servers := range view.Servers {
-		m.of(name).take(m, view, servers)
+		m.service(name).applyStored(m, view, servers)
 	}
 	for name := range view.Rollouts {
 		if _, ok := view.Servers[name]; !ok {
-			m.of(name).take(m, view, nil)
+			m.service(name).applyStored(m, view, nil)
 		}
 	}
 	return m.publish(view)
@@ -128,20 +128,20 @@
 	next := &Snapshot{view: view, states: make(map[string]rollout.State, len(m.services))}
 	for name, s := range m.services {
 		next.states[name] = s.state
-		next.active = next.active || s.active()
-		next.ending = next.ending || s.state.Stage == rollout.Full || s.state.Stage == rollout.Migrating
+		next.active = next.active || s.isActive()
+		next.finishing = next.finishing || s.state.Stage == rollout.Full || s.state.Stage == rollout.Migrating
 	}
 	m.current.Store(next)
 	if next.active {
 		select {
-		case m.roused <- struct{}{}:
+		case m.activated <- struct{}{}:
 		default:
 		}
 	}
 	return next
 }
 
-func (m *Manager) of(name string) *service {
+func (m *Manager) service(name string) *service {
 	s := m.services[name]
 	if s == nil {
 		s = newService(name)
@@ -153,22 +153,22 @@
 // RoutesToTarget reports whether a request that begins goes to the new version of a service.
 func (m *Manager) RoutesToTarget(view *feed.View, service, route string) bool {
 	now := m.Snapshot(view)
-	if !now.active || !m.drawn(now.State(service), service, route) {
+	if !now.active || !m.drawTarget(now.State(service), service, route) {
 		return false
 	}
-	return m.inTouch()
+	return m.isConfigFresh()
 }
 
-// inTouch reports whether what this daemon knows of the store is not out of date.
-func (m *Manager) inTouch() bool {
+// isConfigFresh reports whether what this daemon knows of the store is not out of date.
+func (m *Manager) isConfigFresh() bool {
 	age, known := m.opts.Feed.ConfigAge()
-	return known && age < touchAge
+	return known && age < maxConfigAge
 }
 
-func (m *Manager) drawn(s rollout.State, service, route string) bool {
+func (m *Manager) drawTarget(s rollout.State, service, route string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return s.RoutesToTarget(rand.Float64(), route, &m.of(service).mix)
+	return s.RoutesToTarget(rand.Float64(), route, &m.service(service).routeCounts)
 }
 
 // IsBlocked reports whether a version of a service may run nothing.
@@ -181,49 +181,49 @@
 	m.Snapshot(view)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.of(server.Service).leaving(server.Version)
+	return m.service(server.Service).migrateSignal(server.Version)
 }
 
-// believe takes in a state that this daemon decided or was told. The caller holds the lock.
-func (m *Manager) believe(s *service, heard rollout.State, by string, reason rollout.Reason, f rollout.Analysis) {
+// mergeState takes in a state that this daemon decided or was told. The caller holds the lock.
+func (m *Manager) mergeState(s *service, heard rollout.State, by string, reason rollout.Reason, f rollout.Analysis) {
 	later := rollout.Merge(s.state, heard)
 	if later == s.state {
 		return
 	}
-	s.set(m, later, by, reason, f)
+	s.setState(m, later, by, reason, f)
 	m.publish(m.current.Load().view)
 }
 
 // Run looks after roll-outs until ctx ends.
 func (m *Manager) Run(ctx context.Context) {
-	tick := time.NewTimer(idleTick)
+	tick := time.NewTimer(idleInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-		case <-m.roused:
+		case <-m.activated:
 		}
 		now := m.Snapshot(m.opts.Feed.View())
-		every := idleTick
+		every := idleInterval
 		if now.active {
-			every = activeTick
-			if now.ending {
-				every = endTick
+			every = activeInterval
+			if now.finishing {
+				every = finishInterval
 			}
-			m.lookAfter(ctx)
+			m.processActive(ctx)
 		}
 		tick.Reset(every)
 	}
 }
 
-// lookAfter decides or tells, for each service of which a roll-out is under way.
-func (m *Manager) lookAfter(ctx context.Context) {
+// processActive decides or tells, for each service of which a roll-out is under way.
+func (m *Manager) processActive(ctx context.Context) {
 	m.mu.Lock()
 	var active []*service
 	for _, s := range m.services {
-		if s.active() && !s.busy {
+		if s.isActive() && !s.busy {
 			s.busy = true
 			active = append(active, s)
 		}
@@ -236,7 +236,7 @@
 				s.busy = false
 				m.mu.Unlock()
 			}()
-			if m.decides(s) {
+			if m.isCoordinator(s) {
 				m.decide(ctx, s)
 			} else {
 				m.report(ctx, s)
