--- a/control/lease/candidates.go
+++ b/control/lease/candidates.go
@@ -7,9 +7,9 @@
 	"mallowwind.dev/control/membership"
 )
 
-// Rank returns this daemon's place, from 0, among the candidates of its zone,
-// or -1 when it is none. Views differ for moments and across partitions: then
-// more or other daemons try, and the store still lets only one hold.
+// Rank returns this daemon's rank, from 0, among the candidates of its zone, or -1 if it is not a
+// candidate. While the daemons' views differ, after a change or during a partition, more or other
+// daemons compete; the store still lets only one of them hold the lease.
 func Rank(view *membership.View, candidates int) int {
 	self := view.Self
 	if self.State == membership.Leaving {
@@ -31,6 +31,7 @@
 	return rank
 }
 
+// weight is the member's rendezvous hash; the members with the highest weights are candidates.
 func weight(m membership.Member) uint64 { return xxhash.Sum64String(m.Zone + "\x00" + m.ID) }
 
 type metrics struct {
--- a/control/lease/manager.go
+++ b/control/lease/manager.go
@@ -17,10 +17,10 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// Prefix is the part of the store that holds the zones' leases.
+// Prefix is the prefix of the store keys of the zones' leases.
 const Prefix = "lease/zone/"
 
-// Deps are what a Manager works with.
+// Deps are the dependencies of a Manager.
 type Deps struct {
 	Store      store.Store
 	Members    membership.Source
@@ -29,8 +29,7 @@
 	Config     Config
 }
 
-// Manager takes, renews and gives up the lease of this daemon's zone. It
-// implements Source.
+// Manager acquires, renews and releases the lease of this daemon's zone. It implements Source.
 type Manager struct {
 	deps    Deps
 	cfg     Config
@@ -41,12 +40,12 @@
 	current atomic.Pointer[Lease]
 
 	// Used by Run only.
-	leaseID      store.LeaseID // the lease behind hold, or one to try again
+	leaseID      store.LeaseID // kept after current has expired, to retry the renewal
 	fencingToken uint64
-	absentSince  time.Time // when the key was first seen missing
+	absentSince  time.Time // when the key was first found missing
 }
 
-// NewManager returns a Manager that holds nothing until Run takes the lease.
+// NewManager returns a Manager that does not hold the lease until Run acquires it.
 func NewManager(deps Deps) *Manager {
 	if deps.Log == nil {
 		deps.Log = event.Discard()
@@ -71,7 +70,7 @@
 // Current implements Source.
 func (m *Manager) Current() Lease { return *m.current.Load() }
 
-// Run competes for the lease until ctx ends, then gives it up.
+// Run competes for the lease until ctx ends, then releases it.
 func (m *Manager) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause.For(ctx, m.step(ctx))
@@ -80,7 +79,8 @@
 	return ctx.Err()
 }
 
-// step does one thing and returns the time to the next.
+// step renews the lease, checks the key or competes for the lease, and returns the time until the
+// next step.
 func (m *Manager) step(ctx context.Context) time.Duration {
 	view := m.deps.Members.Current()
 	if view.Self.State == membership.Leaving && m.leaseID != 0 {
@@ -98,10 +98,10 @@
 	}
 }
 
-// renew prolongs the lease. While the store does not answer, the hold ends by
-// its own deadline; the lease itself may outlive it, so renewal goes on until
-// the store says that the lease is gone. If it is not, nobody else can have
-// held it meanwhile, and the fencing number still stands.
+// renew extends the lease. While the store does not answer, current expires at its own time. The
+// lease in the store may last longer, so renewal is retried until the store reports that the lease
+// is gone. If it is not gone, no other daemon can have held it in the meantime, and the fencing
+// token is still valid.
 func (m *Manager) renew(ctx context.Context) time.Duration {
 	before := time.Now()
 	callCtx, cancel := context.WithTimeout(ctx, m.cfg.CallTimeout)
@@ -117,14 +117,14 @@
 		return m.withJitter(m.cfg.CheckInterval)
 	}
 	m.deps.Log.Emit(event.LeaseFailed, m.key, err.Error())
-	if h := m.Current(); h.FencingToken != 0 && !h.IsValid(time.Now()) {
+	if l := m.Current(); l.FencingToken != 0 && !l.IsValid(time.Now()) {
 		m.markLost("not renewed in time")
 	}
 	return m.withJitter(m.cfg.RenewInterval / 3)
 }
 
-// contend looks at the key and takes the lease if nobody holds it. Candidates
-// of a lower rank wait longer before they do, so that they rarely collide.
+// contend reads the key and acquires the lease if no daemon holds it. Each candidate waits in
+// proportion to its rank before it does, so that candidates rarely collide.
 func (m *Manager) contend(ctx context.Context, rank int) time.Duration {
 	callCtx, cancel := context.WithTimeout(ctx, m.cfg.CallTimeout)
 	_, err := m.deps.Store.Get(callCtx, m.key)
@@ -151,7 +151,7 @@
 	return m.withJitter(m.cfg.CheckInterval)
 }
 
-// acquire starts a lease and binds the key to it.
+// acquire creates a store lease and writes the key bound to it. It reports whether it succeeded.
 func (m *Manager) acquire(ctx context.Context) bool {
 	m.absentSince = time.Time{}
 	before := time.Now()
@@ -176,8 +176,8 @@
 	return true
 }
 
-// create writes the key. A write whose answer is lost is read back: the value
-// with this lease means that it took effect.
+// create writes the key and returns its version. If the answer to the write is lost, it reads the
+// key: this daemon's value bound to this lease means that the write took effect.
 func (m *Manager) create(ctx context.Context, id store.LeaseID) (int64, error) {
 	version, err := m.deps.Store.CompareAndSwap(ctx, m.key, 0, []byte(m.value), id)
 	m.metrics.storeCalls.Inc()
@@ -195,40 +195,40 @@
 	return kv.Version, nil
 }
 
-// extend sets the deadline of the hold and logs it when it is new. An
-// answer that came too late to hold anything begins none.
-func (m *Manager) extend(until time.Time) {
-	h := m.Current()
-	if h.FencingToken == 0 && !time.Now().Before(until) {
+// extend sets the expiry time of current, and logs the acquisition if the lease was not held. An
+// answer that arrives after the new expiry time does not acquire the lease.
+func (m *Manager) extend(expiresAt time.Time) {
+	l := m.Current()
+	if l.FencingToken == 0 && !time.Now().Before(expiresAt) {
 		return
 	}
-	if h.FencingToken == 0 {
-		h = newLease(m.fencingToken, time.Now(), until)
+	if l.FencingToken == 0 {
+		l = newLease(m.fencingToken, time.Now(), expiresAt)
 		m.deps.Log.Emit(event.LeaseTaken, m.key, m.fencingToken)
 		m.metrics.held.Set(1)
 		m.metrics.acquired.Inc()
 	} else {
-		h = newLease(h.FencingToken, h.AcquiredAt, until)
+		l = newLease(l.FencingToken, l.AcquiredAt, expiresAt)
 	}
-	m.current.Store(&h)
+	m.current.Store(&l)
 }
 
-// markLost ends the hold but keeps the lease's id for another try.
+// markLost marks the lease as not held but keeps its id, so that the renewal is retried.
 func (m *Manager) markLost(reason string) {
-	if h := m.Current(); h.FencingToken != 0 {
-		m.deps.Log.Emit(event.LeaseLost, m.key, h.FencingToken, reason)
+	if l := m.Current(); l.FencingToken != 0 {
+		m.deps.Log.Emit(event.LeaseLost, m.key, l.FencingToken, reason)
 	}
 	m.current.Store(&Lease{})
 	m.metrics.held.Set(0)
 }
 
-// forget ends the hold and forgets the lease.
+// forget marks the lease as not held and discards its id.
 func (m *Manager) forget(reason string) {
 	m.markLost(reason)
 	m.leaseID, m.fencingToken = 0, 0
 }
 
-// release gives the lease back, so that another daemon need not wait for its end.
+// release revokes the lease, so that another daemon need not wait for it to expire.
 func (m *Manager) release(reason string) {
 	if m.leaseID == 0 {
 		return
@@ -238,7 +238,7 @@
 	m.revoke(id)
 }
 
-// revoke ends a lease. A failure is left to the lease's own end.
+// revoke revokes a store lease. If that fails, the lease expires by itself.
 func (m *Manager) revoke(id store.LeaseID) {
 	ctx, cancel := context.WithTimeout(context.Background(), m.cfg.CallTimeout)
 	defer cancel()
--- a/control/lease/manager_test.go
+++ b/control/lease/manager_test.go
@@ -14,8 +14,8 @@
 	"mallowwind.dev/external/store"
 )
 
-// testZone is one zone's daemons before one store. A pause keeps a daemon's
-// calls from returning; its clock goes on, as that of a paused process does.
+// testZone is the daemons of one zone, which share one store. A pause of a daemon is simulated by
+// store calls that do not return; its clock goes on, as that of a paused process does.
 type testZone struct {
 	store    *store.Faulty
 	managers []*Manager
@@ -49,7 +49,7 @@
 	return w
 }
 
-// stallingStore holds back one daemon's renewals after the store has taken them.
+// stallingStore delays the answers to one daemon's renewals after the store has applied them.
 type stallingStore struct {
 	store.Store
 	mu      sync.Mutex
@@ -58,11 +58,11 @@
 
 func (g *stallingStore) KeepAlive(ctx context.Context, id store.LeaseID) (time.Duration, error) {
 	g.mu.Lock()
-	shut := g.stalled
+	stalled := g.stalled
 	g.mu.Unlock()
 	ttl, err := g.Store.KeepAlive(ctx, id)
-	if shut != nil {
-		<-shut
+	if stalled != nil {
+		<-stalled
 	}
 	return ttl, err
 }
@@ -84,8 +84,8 @@
 
 func (w *testZone) storeOf(i int) *stallingStore { return w.managers[i].deps.Store.(*stallingStore) }
 
-// holder returns the index of the only daemon with a valid hold, or -1; two
-// at once fail the test.
+// holder returns the index of the only daemon with a valid lease, or -1. The test fails if two
+// daemons have one.
 func (w *testZone) holder(t *testing.T) int {
 	t.Helper()
 	synctest.Wait()
@@ -99,8 +99,8 @@
 	return holder
 }
 
-// A zone's daemons start together. Exactly one may come to hold the lease, and
-// at 56 of them the store must not see 56 contenders.
+// The daemons of a zone start together. Exactly one must acquire the lease, and in a zone of 56
+// daemons the store must not get calls from 56 contenders.
 func TestOneHolderAndFewCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestZone(t, 56)
@@ -112,15 +112,14 @@
 		must.Eq(t, first, w.holder(t))
 		after := w.store.Counts()
 		calls := float64(after.Reads()+after.Writes()-before.Reads()-before.Writes()) / 600
-		t.Logf("store calls a second of a zone of 56 daemons: %.2f", calls)
+		t.Logf("store calls per second in a zone of 56 daemons: %.2f", calls)
 		must.Less(t, 1.5, calls)
 	})
 }
 
-// A holder is stopped for an upgrade, then the next one dies. Orders of the
-// zone must go on: at once after a release, after the lease's end otherwise,
-// each time under a higher fencing number.
-func TestNextHolderHasHigherFence(t *testing.T) {
+// A holder is stopped for an upgrade, then the next one dies. Another daemon must acquire the
+// lease: soon after a release, after the expiry otherwise, each time with a higher fencing token.
+func TestNextHolderHasHigherFencingToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestZone(t, 3)
 		time.Sleep(10 * time.Second)
@@ -142,10 +141,10 @@
 	})
 }
 
-// The holder is paused for a minute right after the store renewed its lease.
-// It comes back with that good answer in hand, while another daemon has long
-// taken over. A deadline measured from the answer would let both give orders.
-func TestPausedHolderComesBack(t *testing.T) {
+// The holder is paused for a minute right after the store renewed its lease. When it resumes, it
+// receives that successful answer, although another daemon holds the lease by then. An expiry time
+// counted from the arrival of the answer would let both give orders.
+func TestPausedHolderResumes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestZone(t, 3)
 		time.Sleep(10 * time.Second)
@@ -165,8 +164,8 @@
 	})
 }
 
-// The store is away for ten minutes. No daemon may believe that it holds the
-// lease longer than the lease lasts, and one must hold it again soon after.
+// The store is unreachable for ten minutes. No daemon may consider the lease held for longer than
+// its TTL, and one must acquire it soon after the outage.
 func TestStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestZone(t, 3)
@@ -184,9 +183,9 @@
 	})
 }
 
-// The write that takes the lease takes effect and its answer is lost, or the
-// write itself is lost. The daemon must find out which before it acts.
-func TestLostAnswerOnTaking(t *testing.T) {
+// Either the answer to the write that acquires the lease is lost, or the write itself. The daemon
+// must find out which before it acts as the holder.
+func TestLostAnswerOnAcquire(t *testing.T) {
 	for _, lose := range []func(*store.Faulty){(*store.Faulty).LoseNextWrite, (*store.Faulty).DropNextWrite} {
 		synctest.Test(t, func(t *testing.T) {
 			w := newTestZone(t, 3)
@@ -202,9 +201,9 @@
 	}
 }
 
-// A virtual machine is frozen and thawed: its monotonic clock stood still,
-// its wall clock was set. The hold must be over by the wall clock.
-func TestHoldEndsByWallClock(t *testing.T) {
+// A virtual machine is suspended and resumed: its monotonic clock stood still, its wall clock was
+// corrected. The lease must have expired by the wall clock.
+func TestLeaseExpiresByWallClock(t *testing.T) {
 	now := time.Now()
 	h := newLease(1, now, now.Add(9*time.Second))
 	must.True(t, h.IsValid(now.Add(8*time.Second)))
--- a/control/pause/pause.go
+++ b/control/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits between the rounds of a loop that ends with its context.
+// Package pause provides an interruptible sleep for loops that run until their context ends.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d or the end of ctx. It reports whether d passed.
+// For waits for d or until ctx ends, whichever is first. It reports whether d has passed.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/control/pause/pause_test.go
+++ b/control/pause/pause_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestPauseLastsAsLongAsItsContext(t *testing.T) {
+func TestForStopsWhenContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		must.True(t, For(t.Context(), time.Minute))
--- a/control/roster/encoding.go
+++ b/control/roster/encoding.go
@@ -8,16 +8,16 @@
 	"mallowwind.dev/decision/slot"
 )
 
-// document is the stored form. Members and change ids are listed once and
-// slots point to them, which keeps the value small at 390 daemons.
+// document is the stored form of the table. Each member and change id is listed once and the slots
+// refer to it by index, which keeps the value small at 390 daemons.
 type document struct {
 	Members []slot.Member `json:"members"`
 	Changes []string      `json:"changes"`
 	Slots   []slotRow     `json:"slots"`
 }
 
-// slotRow is one slot: its term, then indexes of owner, witness and change, -1 for
-// none. Rows without field names halve the value and the time to read it.
+// slotRow is one slot: its term, then the indexes of its owner, witness and change id, -1 for none.
+// Rows without field names halve the size of the value and the time to decode it.
 type slotRow [4]int64
 
 const (
@@ -27,7 +27,7 @@
 	rowChange
 )
 
-// encode writes table in the stored form.
+// encode returns the stored form of the table.
 func encode(table *[slot.Count]slot.Assignment) ([]byte, error) {
 	d := document{Slots: make([]slotRow, 0, slot.Count)}
 	members := map[slot.Member]int{}
@@ -46,6 +46,8 @@
 	return json.Marshal(d)
 }
 
+// indexOf returns the index of v in list and appends v if it is missing; seen maps the values of
+// list to their indexes.
 func indexOf[T comparable](list *[]T, seen map[T]int, v T) int64 {
 	i, ok := seen[v]
 	if !ok {
@@ -56,7 +58,7 @@
 	return int64(i)
 }
 
-// decode reads the stored form.
+// decode parses the stored form of a table.
 func decode(b []byte) (*[slot.Count]slot.Assignment, error) {
 	var d document
 	if err := json.Unmarshal(b, &d); err != nil {
@@ -76,14 +78,15 @@
 	return table, nil
 }
 
+// assignment returns the assignment of slot i, or an error if r is inconsistent.
 func (d *document) assignment(i int, r slotRow) (slot.Assignment, error) {
 	a := slot.Assignment{Slot: i, Term: uint64(r[rowTerm])}
 	members, changes := int64(len(d.Members)), int64(len(d.Changes))
 	if r[rowTerm] < 0 || r[rowOwner] >= members || r[rowWitness] >= members || r[rowChange] >= changes {
-		return a, errors.Errorf("roster: slot %d points past a list", i)
+		return a, errors.Errorf("roster: slot %d: negative term or index out of range", i)
 	}
 	if a.Term > 0 && (r[rowOwner] < 0 || r[rowChange] < 0) {
-		return a, errors.Errorf("roster: slot %d has a term and no owner", i)
+		return a, errors.Errorf("roster: slot %d has a term but no owner or no change id", i)
 	}
 	if a.Term == 0 {
 		return a, nil
@@ -95,7 +98,7 @@
 	return a, nil
 }
 
-// emptyTable returns a table of slots that were never assigned.
+// emptyTable returns a table in which no slot has been assigned.
 func emptyTable() *[slot.Count]slot.Assignment {
 	var table [slot.Count]slot.Assignment
 	for i := range table {
--- a/control/roster/roster.go
+++ b/control/roster/roster.go
@@ -1,11 +1,10 @@
-// Package roster keeps, in one value of the platform's store, which entry VMs
-// own and witness each slot of idempotency keys.
+// Package roster stores, in one value of the platform's store, which entry VMs are the owner and the
+// witness of each slot of idempotency keys.
 //
-// The value changes only when entry VMs come, leave or die, never with a call.
-// Every change is a compare-and-swap, so of two daemons that both believe they
-// should own a slot one wins. Daemons learn changes from each other and poll
-// the store slowly; a stale copy does no harm, because a member that no longer
-// serves a slot says so.
+// The value changes only when entry VMs join, leave or fail, never with a call. Every change is a
+// compare-and-swap, so if two daemons both conclude that they should own a slot, only one succeeds.
+// Daemons learn of changes from each other and poll the store at a low rate. A stale copy does no
+// harm, because a member that no longer serves a slot answers so.
 package roster
 
 import (
@@ -25,20 +24,22 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// Key is where the store holds the roster.
+// Key is the store key of the roster.
 const Key = "/mallowwind/roster"
 
-// PollIntervalPerMember spreads polling so that all daemons together read the value
-// once a second at any size of the fleet, which costs each of 390 daemons about
-// 160 bytes a second. Polling only finds what nobody passed on: members of a
-// pair hear of changes from each other, callers' daemons from those they ask.
+// PollIntervalPerMember times the number of members is the mean poll interval of a daemon, so that
+// all daemons together read the value once per second at any fleet size. This costs each of 390
+// daemons about 160 bytes per second. Polling only finds changes that were not passed on otherwise:
+// the members of a pair learn of changes from each other, and the daemons that serve callers from
+// the members that they call.
 const PollIntervalPerMember = time.Second
 
 const (
 	minPollInterval = 2 * time.Second
-	// minRefreshInterval bounds reads on suspicion, which calls may set off.
+	// minRefreshInterval limits the reads that Refresh makes when calls suggest that the copy is
+	// stale.
 	minRefreshInterval = 200 * time.Millisecond
-	// storeTimeout bounds one call to the store.
+	// storeTimeout bounds one store call.
 	storeTimeout  = 2 * time.Second
 	minRetryDelay = 5 * time.Millisecond
 	maxRetryDelay = 200 * time.Millisecond
@@ -52,10 +53,10 @@
 
 	mu       sync.RWMutex
 	table    *[slot.Count]slot.Assignment
-	everRead bool // read from the store at least once
-	// snapshot is a copy of table, built when asked for after a change.
+	everRead bool // the store was read at least once
+	// snapshot is a copy of table, nil after a change until All is called.
 	snapshot []slot.Assignment
-	// onViolation is called when two assignments of one term differ.
+	// onViolation is called when two assignments of a slot have the same term but differ.
 	onViolation func(subject, detail string)
 
 	batcher       batcher
@@ -64,13 +65,13 @@
 	mergedVersion int64     // of the value merged last; guarded by mu
 }
 
-// NewManager returns a Manager that knows nothing yet.
+// NewManager returns a Manager with an empty copy.
 func NewManager(s store.Store, members membership.Source, log *event.Log) *Manager {
 	return &Manager{store: s, members: members, log: log, table: emptyTable()}
 }
 
-// OnViolation sets what is called when two assignments of one term differ,
-// which no sequence of failures may bring about. Call it before Run.
+// OnViolation sets the function to call when two assignments of a slot have the same term but
+// different change ids, which no sequence of failures may cause. Call it before Run.
 func (m *Manager) OnViolation(f func(subject, detail string)) { m.onViolation = f }
 
 // Run polls the store until ctx ends.
@@ -87,16 +88,16 @@
 	}
 }
 
-// Slot returns the newest known assignment of a slot. Term 0 means unassigned
-// or unknown.
+// Slot returns the newest known assignment of a slot. Term 0 means that the slot is unassigned or
+// its assignment is unknown.
 func (m *Manager) Slot(i int) slot.Assignment {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.table[i]
 }
 
-// All returns all assignments by slot, and whether the store was ever read. The
-// slice is shared and immutable; it is the same one until an assignment changes.
+// All returns all assignments, indexed by slot, and whether the store was ever read. The slice is
+// shared and must not be modified; it stays the same until an assignment changes.
 func (m *Manager) All() ([]slot.Assignment, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -106,8 +107,8 @@
 	return m.snapshot, m.everRead
 }
 
-// MergeAssignment takes an assignment that the store accepted, from a peer. Older ones
-// are ignored.
+// MergeAssignment applies an assignment that the store accepted, as reported by a peer. It ignores
+// assignments older than the known one.
 func (m *Manager) MergeAssignment(a slot.Assignment) {
 	if a.Slot < 0 || a.Slot >= slot.Count {
 		return
@@ -117,7 +118,7 @@
 	m.merge(a)
 }
 
-// merge keeps the higher term. The caller holds mu.
+// merge keeps the assignment with the higher term. The caller holds mu.
 func (m *Manager) merge(a slot.Assignment) {
 	have := &m.table[a.Slot]
 	if a.Term == have.Term && a.ChangeID != have.ChangeID && m.onViolation != nil {
@@ -129,8 +130,8 @@
 	}
 }
 
-// Refresh reads the store unless that was done a moment ago. Concurrent calls
-// share one read, so that a slow store does not make them queue.
+// Refresh reads the store unless it was read within minRefreshInterval. Concurrent calls share one
+// read, so that they do not queue up when the store is slow.
 func (m *Manager) Refresh(ctx context.Context) error {
 	if m.isFresh() {
 		return nil
@@ -153,8 +154,8 @@
 	return m.everRead && time.Since(m.refreshedAt) < minRefreshInterval
 }
 
-// read merges the stored table into the copy and returns the result with the
-// version it was read at.
+// read merges the stored table into the copy, and returns the merged table and the version of the
+// stored value.
 func (m *Manager) read(ctx context.Context) (*[slot.Count]slot.Assignment, int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -185,44 +186,43 @@
 	return &merged, kv.Version, nil
 }
 
-// errRosterMissing guards against a store that lost the roster, by mistake or by a
-// restored backup. Writing back what this daemon knows could name pairs that
-// were replaced since, beside those that serve now, and keys could run at both.
+// errRosterMissing is returned if the store has lost the roster, by an operator's mistake or a
+// restored backup. Writing this daemon's copy back could reinstate pairs that have been replaced
+// while their successors still serve, and the same key could run at both.
 var errRosterMissing = errors.New("the store has no roster although slots were assigned")
 
-// hasAssignments reports whether any slot is known to have a pair.
+// hasAssignments reports whether any slot is known to be assigned.
 func (m *Manager) hasAssignments() bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return slices.ContainsFunc(m.table[:], func(a slot.Assignment) bool { return a.Term > 0 })
 }
 
-// isMerged reports whether the stored value of this version is in the copy, so
-// that polling decodes only what changed.
+// isMerged reports whether the stored value of this version has been merged into the copy; such a
+// value is not decoded again.
 func (m *Manager) isMerged(version int64) bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.everRead && m.mergedVersion == version
 }
 
-// Commit proposes assignments, each for the term after the newest one, and
-// returns those that the store accepted. On an error the outcome of each is
-// open: a later Refresh shows it.
+// Commit proposes assignments, each for the term after the newest one, and returns those that the
+// store accepted. On an error the outcome of each is unknown until a later Refresh.
 //
-// A confirmation can be lost although the write took effect, and the write can
-// also take effect after a read that did not show it yet. Therefore nothing is
-// concluded from an unknown outcome: the loop reads again and, unless its
-// change ids are there, repeats the compare-and-swap at the version it read. A
-// delayed first write then either shows or has lost to the second.
+// The answer to a write can be lost although the write took effect, and the write can also take
+// effect after a read that did not show it yet. Commit therefore concludes nothing from an unknown
+// outcome: it reads again and, unless its change ids are in the table, repeats the compare-and-swap
+// at the version that it read. A delayed first write then either appears in that read or fails
+// because of the second write.
 func (m *Manager) Commit(ctx context.Context, proposals []slot.Assignment) ([]slot.Assignment, error) {
-	for pause := minRetryDelay; ; pause = min(2*pause, maxRetryDelay) {
+	for delay := minRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
 		table, version, err := m.read(ctx)
 		if err != nil {
 			return nil, err
 		}
-		won, open := splitProposals(table, proposals)
+		accepted, open := splitProposals(table, proposals)
 		if len(open) == 0 {
-			return won, nil
+			return accepted, nil
 		}
 		err = m.writeProposals(ctx, table, version, open)
 		if err != nil && !errors.Is(err, store.ErrConflict) && !errors.Is(err, store.ErrUnknown) {
@@ -232,32 +232,33 @@
 			for _, a := range open {
 				m.MergeAssignment(a)
 			}
-			return append(won, open...), nil
+			return append(accepted, open...), nil
 		}
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(pause/2 + rand.N(pause)):
+		case <-time.After(delay/2 + rand.N(delay)):
 		}
 	}
 }
 
-// splitProposals splits proposals into those the table already shows and those still
-// possible; the rest lost to another daemon.
-func splitProposals(table *[slot.Count]slot.Assignment, proposals []slot.Assignment) (won, open []slot.Assignment) {
+// splitProposals returns the proposals that the table already contains and those that can still be
+// written; for the slots of all others, another daemon's proposal was accepted.
+func splitProposals(table *[slot.Count]slot.Assignment, proposals []slot.Assignment) (accepted, open []slot.Assignment) {
 	for _, p := range proposals {
 		have := table[p.Slot]
 		switch {
 		case have.Term == p.Term && have.ChangeID == p.ChangeID:
-			won = append(won, p)
+			accepted = append(accepted, p)
 		case have.Term+1 == p.Term:
 			open = append(open, p)
 		}
 	}
-	return won, open
+	return accepted, open
 }
 
-// writeProposals writes table with the proposals applied.
+// writeProposals applies the proposals to the table and writes it if the stored value still has the
+// given version.
 func (m *Manager) writeProposals(ctx context.Context, table *[slot.Count]slot.Assignment, version int64, proposals []slot.Assignment) error {
 	for _, p := range proposals {
 		table[p.Slot] = p
--- a/control/roster/roster_test.go
+++ b/control/roster/roster_test.go
@@ -30,9 +30,9 @@
 	return []slot.Assignment{{Slot: 5, Term: 1, Owner: owner, Witness: vm2, ChangeID: change}}
 }
 
-func TestCommitReadsBackALostConfirmation(t *testing.T) {
-	// The store takes the write and the answer is lost. The daemon must find out
-	// that it owns the slot, or the slot would stand still with its owner alive.
+func TestCommitReadsBackAfterLostAnswer(t *testing.T) {
+	// The store applies the write and its answer is lost. The daemon must find out that it owns the
+	// slot; otherwise the slot would not be served although its owner is alive.
 	synctest.Test(t, func(t *testing.T) {
 		faulty := store.NewFaulty(store.NewMemory())
 		m := newManager(faulty)
@@ -44,8 +44,8 @@
 	})
 }
 
-func TestCommitRepeatsAWriteThatWasDropped(t *testing.T) {
-	// The answer is lost and so was the write: the read back shows nothing.
+func TestCommitRetriesLostWrite(t *testing.T) {
+	// Both the write and its answer are lost, so the read that follows does not show the write.
 	synctest.Test(t, func(t *testing.T) {
 		faulty := store.NewFaulty(store.NewMemory())
 		m := newManager(faulty)
@@ -57,7 +57,7 @@
 }
 
 func TestOneOfTwoRacingDaemonsWins(t *testing.T) {
-	// Two daemons believe that they should own one slot, and each writes.
+	// Two daemons conclude that they should own the same slot, and both write.
 	synctest.Test(t, func(t *testing.T) {
 		shared := store.NewMemory()
 		a, b := newManager(shared), newManager(shared)
@@ -74,8 +74,8 @@
 	})
 }
 
-func TestLearnNeverGoesBack(t *testing.T) {
-	// A peer that lags passes an old assignment on after a newer one is known.
+func TestMergeAssignmentIgnoresOlderTerm(t *testing.T) {
+	// A peer with a stale copy passes on an old assignment when a newer one is already known.
 	m := newManager(store.NewMemory())
 	m.MergeAssignment(slot.Assignment{Slot: 5, Term: 3, Owner: vm1, ChangeID: "c"})
 	m.MergeAssignment(slot.Assignment{Slot: 5, Term: 2, Owner: vm2, ChangeID: "b"})
@@ -88,8 +88,8 @@
 }
 
 func TestLostRosterIsNotWrittenBack(t *testing.T) {
-	// Somebody deletes the roster. A daemon whose copy is old must not write it:
-	// the pairs it names may have been replaced since.
+	// The roster is deleted from the store. A daemon must not write its copy back: the copy may be
+	// stale and name pairs that have been replaced.
 	synctest.Test(t, func(t *testing.T) {
 		shared := store.NewMemory()
 		m := newManager(shared)
@@ -116,8 +116,8 @@
 	must.EqOp(t, *table, *back)
 }
 
-// FuzzDecode: whatever the store holds, decode neither panics nor returns a
-// table that encodes differently.
+// FuzzDecode checks that decode does not panic on any stored value, and that a table that it returns
+// is unchanged by encoding and decoding it again.
 func FuzzDecode(f *testing.F) {
 	b, _ := encode(emptyTable())
 	f.Add(b)
@@ -135,7 +135,7 @@
 	})
 }
 
-// BenchmarkRoster measures one change of the roster at full size: 390 daemons.
+// BenchmarkRoster measures encoding and decoding the roster at full size, 390 daemons.
 func BenchmarkRoster(b *testing.B) {
 	table := emptyTable()
 	members := make([]slot.Member, 390)
@@ -165,9 +165,9 @@
 	b.ReportMetric(float64(size), "value-bytes")
 }
 
-func TestProposalsShareOneWrite(t *testing.T) {
-	// A daemon is lost and twenty others propose new pairs within a moment. Each
-	// alone would make the others' writes fail; together they are one write.
+func TestBatchedProposalsShareOneWrite(t *testing.T) {
+	// A daemon is lost and twenty others propose new pairs within 100 ms. Separate writes would make
+	// each other fail; batched they must be one write.
 	synctest.Test(t, func(t *testing.T) {
 		faulty := store.NewFaulty(store.NewMemory())
 		m := newManager(faulty)
@@ -186,9 +186,9 @@
 	})
 }
 
-func TestGatheredRivalsForASlotDoNotBothWin(t *testing.T) {
-	// Two daemons propose themselves for one slot, and their proposals meet in
-	// one group. Written one over the other, both would serve the slot's keys.
+func TestBatchAcceptsOneProposalPerSlot(t *testing.T) {
+	// Two daemons propose themselves for the same slot and their proposals are in the same batch. If
+	// one overwrote the other in that write, both daemons would serve the slot's keys.
 	synctest.Test(t, func(t *testing.T) {
 		shared := store.NewMemory()
 		m := newManager(shared)
--- a/control/tlsfiles/tlsfiles.go
+++ b/control/tlsfiles/tlsfiles.go
@@ -1,11 +1,11 @@
-// Package tlsfiles serves certificates from files that change while the daemon
-// runs: a renewed certificate is in use without a restart, a broken one leaves
-// the one before in use and is logged.
+// Package tlsfiles provides TLS configurations whose certificates are reloaded from their files
+// while the daemon runs. A renewed certificate is used without a restart; a file that cannot be
+// loaded is logged, and the previous certificate stays in use.
 //
-// Links between entry VMs authenticate both ends by the authorities in
-// peer_ca. The name in the certificate is not compared with the address: entry
-// VMs are equal and replaced at any time, so one certificate may serve all of
-// them, and whoever holds one may speak for any.
+// On links between entry VMs, both ends verify the other's certificate against the authorities in
+// peer_ca. The name in the certificate is not compared with the address: entry VMs have identical
+// roles and are replaced at any time, so they may all use the same certificate. Any process that has
+// the key of such a certificate can therefore act as any entry VM.
 package tlsfiles
 
 import (
@@ -22,19 +22,19 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// pollInterval is how often files are looked at. Renewals come days before the
-// old certificate ends.
+// pollInterval is the time between two checks for changed files. Certificates are renewed days
+// before they expire.
 const pollInterval = 30 * time.Second
 
-// Files holds the certificates in use.
+// Files holds the certificates that are in use and reloads them from their files.
 type Files struct {
-	caller  *keyPair // nil when callers use plain TCP
-	peer    *keyPair // nil when peers use plain TCP
+	caller  *keyPair // nil if callers connect by plain TCP
+	peer    *keyPair // nil if peers connect by plain TCP
 	peerCAs *caPool
 	log     *event.Log
 }
 
-// New reads the files that t names.
+// New loads the files named in t.
 func New(t settings.TLS, log *event.Log) (*Files, error) {
 	f := &Files{log: log}
 	if t.Cert != "" {
@@ -52,13 +52,13 @@
 	return f, nil
 }
 
-// source is a file or pair of files that is read again when it changes.
+// source is a file, or a certificate file with its key file, that is reloaded when it changes.
 type source interface {
 	name() string
 	fileVersion() fileVersion
 	lastAttempted() fileVersion
 	load() error
-	expiresAt() time.Time // zero when it does not matter
+	expiresAt() time.Time // zero if unknown
 }
 
 func (f *Files) sources() []source {
@@ -72,7 +72,7 @@
 	return list
 }
 
-// Run looks for changed files until ctx ends.
+// Run reloads changed files until ctx ends.
 func (f *Files) Run(ctx context.Context) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -86,7 +86,7 @@
 	}
 }
 
-// Reload reads the files that changed since they were last read.
+// Reload loads the files that have changed since the last attempt to load them.
 func (f *Files) Reload() {
 	for _, s := range f.sources() {
 		if s.fileVersion() == s.lastAttempted() {
@@ -100,7 +100,7 @@
 	}
 }
 
-// CallerServer returns the configuration of the callers' listener, nil for plain TCP.
+// CallerServer returns the TLS configuration of the listener for callers, nil for plain TCP.
 func (f *Files) CallerServer() *tls.Config {
 	if f.caller == nil {
 		return nil
@@ -108,8 +108,7 @@
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: f.caller.serverCertificate}
 }
 
-// PeerServer returns the configuration of the listener for other entry VMs,
-// nil for plain TCP.
+// PeerServer returns the TLS configuration of the listener for other entry VMs, nil for plain TCP.
 func (f *Files) PeerServer() *tls.Config {
 	if f.peer == nil {
 		return nil
@@ -118,13 +117,12 @@
 		MinVersion:     tls.VersionTLS13,
 		GetCertificate: f.peer.serverCertificate,
 		ClientAuth:     tls.RequireAnyClientCert,
-		// Verified here and not by ClientCAs, which could not be reloaded.
+		// VerifyConnection replaces ClientCAs, which cannot be reloaded.
 		VerifyConnection: f.chainVerifier(x509.ExtKeyUsageClientAuth),
 	}
 }
 
-// PeerClient returns the configuration of calls to other entry VMs, nil for
-// plain TCP.
+// PeerClient returns the TLS configuration of calls to other entry VMs, nil for plain TCP.
 func (f *Files) PeerClient() *tls.Config {
 	if f.peer == nil {
 		return nil
@@ -132,19 +130,19 @@
 	return &tls.Config{
 		MinVersion:           tls.VersionTLS13,
 		GetClientCertificate: f.peer.clientCertificate,
-		// The chain is verified below against the authorities in use now;
-		// the package comment says why the name is not.
+		// VerifyConnection verifies the chain against the current authorities; the package comment
+		// explains why the name is not verified.
 		InsecureSkipVerify: true,
 		VerifyConnection:   f.chainVerifier(x509.ExtKeyUsageServerAuth),
 	}
 }
 
-// chainVerifier checks the other end's chain. It also runs on resumed sessions, so a
-// removed authority ends them.
+// chainVerifier returns a function that verifies the peer's certificate chain. TLS calls it for
+// resumed sessions too, so a session cannot be resumed once its authority has been removed.
 func (f *Files) chainVerifier(usage x509.ExtKeyUsage) func(tls.ConnectionState) error {
 	return func(state tls.ConnectionState) error {
 		if len(state.PeerCertificates) == 0 {
-			return errors.New("the peer has no certificate")
+			return errors.New("peer sent no certificate")
 		}
 		options := x509.VerifyOptions{
 			Roots:         f.peerCAs.current.Load(),
@@ -155,11 +153,11 @@
 			options.Intermediates.AddCert(c)
 		}
 		_, err := state.PeerCertificates[0].Verify(options)
-		return errors.Wrap(err, "certificate of the peer")
+		return errors.Wrap(err, "verify peer certificate")
 	}
 }
 
-// fileVersion tells versions of a file apart.
+// fileVersion identifies the content of a file, or of two, by modification time and size.
 type fileVersion struct {
 	modified time.Time
 	size     int64
@@ -180,10 +178,10 @@
 	return s
 }
 
-// keyPair is a certificate with its key.
+// keyPair is a certificate file with its key file.
 type keyPair struct {
 	cert, key string
-	attempted fileVersion
+	attempted fileVersion // of the last attempt to load
 	current   atomic.Pointer[tls.Certificate]
 }
 
@@ -211,10 +209,10 @@
 	return p.current.Load(), nil
 }
 
-// caPool is a file of authorities.
+// caPool is a file of certificate authorities.
 type caPool struct {
 	file      string
-	attempted fileVersion
+	attempted fileVersion // of the last attempt to load
 	current   atomic.Pointer[x509.CertPool]
 }
 
@@ -231,7 +229,7 @@
 	}
 	loaded := x509.NewCertPool()
 	if !loaded.AppendCertsFromPEM(text) {
-		return errors.Errorf("%s holds no certificate", p.file)
+		return errors.Errorf("%s contains no PEM certificate", p.file)
 	}
 	p.current.Store(loaded)
 	return nil
--- a/control/tlsfiles/tlsfiles_test.go
+++ b/control/tlsfiles/tlsfiles_test.go
@@ -77,9 +77,9 @@
 	return f
 }
 
-// handshake returns the serial number that the client saw and both ends'
-// errors. It needs the buffers of real connections: over a pipe an end that
-// refuses and one that still writes would wait for each other.
+// handshake returns the serial number of the certificate that the client received, and the errors
+// of both ends. It uses TCP because of the buffers: over an unbuffered pipe, an end that refuses the
+// handshake and an end that is still writing would wait for each other.
 func handshake(t *testing.T, client, server *tls.Config) (serial int64, clientErr, serverErr error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -106,9 +106,9 @@
 	return serial, clientErr, <-done
 }
 
-// A certificate is renewed while the daemon runs, and one renewal is cut short
-// by a full disk. New connections use the renewed one at once; the broken
-// file changes nothing, and neither shows a key in the log.
+// A certificate is renewed while the daemon runs, and a second renewal leaves a truncated key file,
+// as a full disk does. New connections must use the renewed certificate at once, the truncated file
+// must not change the certificate in use, and no key may appear in the log.
 func TestReload(t *testing.T) {
 	dir, a, out := t.TempDir(), newAuthority(t), &bytes.Buffer{}
 	a.issue(t, dir, 7)
@@ -138,9 +138,9 @@
 	must.StrNotContains(t, out.String(), string(key[40:60]))
 }
 
-// A machine inside the network speaks the peers' protocol with a certificate
-// of another authority, or with none, and tries to serve a text of its own.
-// Neither end talks to it.
+// A machine inside the network connects as a peer, or accepts connections as one, with a certificate
+// of another authority or without any, for example to distribute a forged configuration. The
+// handshake must fail on both sides.
 func TestPeersAuthenticateEachOther(t *testing.T) {
 	own, foreign := newAuthority(t), newAuthority(t)
 	ownDir, foreignDir := t.TempDir(), t.TempDir()
@@ -152,12 +152,12 @@
 	_, _, serverErr := handshake(t, g.PeerClient(), f.PeerServer())
 	must.ErrorContains(t, serverErr, "certificate")
 	_, clientErr, _ := handshake(t, f.PeerClient(), g.PeerServer())
-	must.ErrorContains(t, clientErr, "certificate of the peer")
+	must.ErrorContains(t, clientErr, "verify peer certificate")
 	_, _, serverErr = handshake(t, &tls.Config{InsecureSkipVerify: true}, f.PeerServer())
 	must.Error(t, serverErr)
 }
 
-func TestPlainWithoutCertificates(t *testing.T) {
+func TestPlainTCPWithoutCertificates(t *testing.T) {
 	f, err := New(settings.TLS{}, event.Discard())
 	must.NoError(t, err)
 	must.Nil(t, f.CallerServer())
