--- a/control/roster/encoding.go
+++ b/control/roster/encoding.go
@@ -83,7 +83,7 @@
 	a := slot.Assignment{Slot: i, Term: uint64(r[rowTerm])}
 	members, changes := int64(len(d.Members)), int64(len(d.Changes))
 	if r[rowTerm] < 0 || r[rowOwner] >= members || r[rowWitness] >= members || r[rowChange] >= changes {
-		return a, errors.Errorf("roster: slot %d: negative term or index out of range", i)
+		return a, errors.Errorf("roster: slot %d has a negative term or points past the end of a list", i)
 	}
 	if a.Term > 0 && (r[rowOwner] < 0 || r[rowChange] < 0) {
 		return a, errors.Errorf("roster: slot %d has a term but no owner or no change id", i)
--- a/control/tlsfiles/tlsfiles.go
+++ b/control/tlsfiles/tlsfiles.go
@@ -28,8 +28,8 @@
 
 // Files holds the certificates that are in use and reloads them from their files.
 type Files struct {
-	caller  *keyPair // nil if callers connect by plain TCP
-	peer    *keyPair // nil if peers connect by plain TCP
+	caller  *pair // nil if callers connect by plain TCP
+	peer    *pair // nil if peers connect by plain TCP
 	peerCAs *caPool
 	log     *event.Log
 }
@@ -38,10 +38,10 @@
 func New(t settings.TLS, log *event.Log) (*Files, error) {
 	f := &Files{log: log}
 	if t.Cert != "" {
-		f.caller = &keyPair{cert: t.Cert, key: t.Key}
+		f.caller = &pair{cert: t.Cert, key: t.Key}
 	}
 	if t.PeerCert != "" {
-		f.peer = &keyPair{cert: t.PeerCert, key: t.PeerKey}
+		f.peer = &pair{cert: t.PeerCert, key: t.PeerKey}
 		f.peerCAs = &caPool{file: t.PeerCA}
 	}
 	for _, s := range f.sources() {
@@ -105,7 +105,7 @@
 	if f.caller == nil {
 		return nil
 	}
-	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: f.caller.serverCertificate}
+	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: f.caller.server}
 }
 
 // PeerServer returns the TLS configuration of the listener for other entry VMs, nil for plain TCP.
@@ -115,7 +115,7 @@
 	}
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS13,
-		GetCertificate: f.peer.serverCertificate,
+		GetCertificate: f.peer.server,
 		ClientAuth:     tls.RequireAnyClientCert,
 		// VerifyConnection replaces ClientCAs, which cannot be reloaded.
 		VerifyConnection: f.chainVerifier(x509.ExtKeyUsageClientAuth),
@@ -129,7 +129,7 @@
 	}
 	return &tls.Config{
 		MinVersion:           tls.VersionTLS13,
-		GetClientCertificate: f.peer.clientCertificate,
+		GetClientCertificate: f.peer.client,
 		// VerifyConnection verifies the chain against the current authorities; the package comment
 		// explains why the name is not verified.
 		InsecureSkipVerify: true,
@@ -178,18 +178,18 @@
 	return s
 }
 
-// keyPair is a certificate file with its key file.
-type keyPair struct {
+// pair is a certificate file with its key file.
+type pair struct {
 	cert, key string
 	attempted fileVersion // of the last attempt to load
 	current   atomic.Pointer[tls.Certificate]
 }
 
-func (p *keyPair) name() string               { return p.cert }
-func (p *keyPair) fileVersion() fileVersion   { return versionOf(p.cert, p.key) }
-func (p *keyPair) lastAttempted() fileVersion { return p.attempted }
+func (p *pair) name() string               { return p.cert }
+func (p *pair) fileVersion() fileVersion   { return versionOf(p.cert, p.key) }
+func (p *pair) lastAttempted() fileVersion { return p.attempted }
 
-func (p *keyPair) load() error {
+func (p *pair) load() error {
 	p.attempted = p.fileVersion()
 	loaded, err := tls.LoadX509KeyPair(p.cert, p.key)
 	if err != nil {
@@ -199,13 +199,13 @@
 	return nil
 }
 
-func (p *keyPair) expiresAt() time.Time { return p.current.Load().Leaf.NotAfter }
+func (p *pair) expiresAt() time.Time { return p.current.Load().Leaf.NotAfter }
 
-func (p *keyPair) serverCertificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-	return p.current.Load(), nil
-}
+// server implements tls.Config.GetCertificate.
+func (p *pair) server(*tls.ClientHelloInfo) (*tls.Certificate, error) { return p.current.Load(), nil }
 
-func (p *keyPair) clientCertificate(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
+// client implements tls.Config.GetClientCertificate.
+func (p *pair) client(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 	return p.current.Load(), nil
 }
 
