--- a/control/membership/broadcasts.go
+++ b/control/membership/broadcasts.go
@@ -39,12 +39,10 @@
 	}
 }
 
-// OnReportChange registers f to be called when others found that the report of a
+// OnReport registers f to be called when others found that the report of a
 // backend server changed; digest is a hash of the new one. f must not block.
 // Call OnReport before Run.
-func (m *Manager) OnReportChange(f func(id string, digest uint64)) {
-	m.onReportChange = append(m.onReportChange, f)
-}
+func (m *Manager) OnReport(f func(id string, digest uint64)) { m.onReport = append(m.onReport, f) }
 
 // BroadcastReportChange passes on that this daemon found a backend server's report changed.
 func (m *Manager) BroadcastReportChange(id string, digest uint64) {
@@ -101,7 +99,7 @@
 			continue
 		}
 		m.requestFanout()
-		for _, f := range m.onReportChange {
+		for _, f := range m.onReport {
 			f(p.Id, p.Digest)
 		}
 	}
--- a/control/membership/manager.go
+++ b/control/membership/manager.go
@@ -43,10 +43,10 @@
 	fanoutRequested chan struct{}
 	probes          sync.WaitGroup
 
-	onDigest       []func(m Member, name string, version uint64)
-	onChange       []func(*View)
-	onVMChange     []func(VMChange)
-	onReportChange []func(id string, digest uint64)
+	onDigest   []func(m Member, name string, version uint64)
+	onChange   []func(*View)
+	onVMChange []func(VMChange)
+	onReport   []func(id string, digest uint64)
 
 	mu               sync.Mutex
 	table            *gossip.Table
--- a/serve/daemon/daemon.go
+++ b/serve/daemon/daemon.go
@@ -132,7 +132,7 @@
 		d.members.BroadcastReportChange(id, digest)
 		d.reconcile.Hint(id)
 	})
-	d.members.OnReportChange(func(id string, digest uint64) {
+	d.members.OnReport(func(id string, digest uint64) {
 		d.backends.LearnReport(id, digest)
 		d.reconcile.Hint(id)
 	})
--- a/serve/versions/report.go
+++ b/serve/versions/report.go
@@ -141,7 +141,7 @@
 // nextReport is what the daemon that decides is told now, nil where it was told a moment ago. Once
 // nothing is under way any more at the version before it is told at once.
 func (m *Manager) nextReport(s *service, to string) *peerpb.RolloutReport {
-	underWay := m.countInFlight(s.name, m.current.Load().State(s.name))
+	underWay := m.inFlight(s.name, m.current.Load().State(s.name))
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.opts.Clock()
--- a/serve/versions/versions.go
+++ b/serve/versions/versions.go
@@ -60,9 +60,9 @@
 	activated chan struct{} // holds an item when a roll-out has begun
 	current   atomic.Pointer[Snapshot]
 
-	mu            sync.Mutex // guards the rest
-	services      map[string]*service
-	countInFlight func(service string, s rollout.State) int
+	mu       sync.Mutex // guards the rest
+	services map[string]*service
+	inFlight func(service string, s rollout.State) int
 }
 
 // Snapshot is what holds of all services at one moment. It is immutable.
@@ -80,7 +80,7 @@
 func New(o Options) *Manager {
 	m := &Manager{
 		opts: o, bootID: rand.Uint64(), peers: newPeers(o), metrics: newMetrics(o.Registerer), activated: make(chan struct{}, 1),
-		services: map[string]*service{}, countInFlight: func(string, rollout.State) int { return 0 },
+		services: map[string]*service{}, inFlight: func(string, rollout.State) int { return 0 },
 	}
 	m.SetLimits(o.Limits)
 	m.current.Store(&Snapshot{})
@@ -92,9 +92,7 @@
 
 // SetInFlightCounter sets how the requests under way at servers of other versions than the target are
 // counted. It is called before Run.
-func (m *Manager) SetInFlightCounter(count func(service string, s rollout.State) int) {
-	m.countInFlight = count
-}
+func (m *Manager) SetInFlightCounter(f func(service string, s rollout.State) int) { m.inFlight = f }
 
 // Snapshot is what holds for a view of the store.
 func (m *Manager) Snapshot(view *feed.View) *Snapshot {
