--- a/control/membership/broadcastqueue.go
+++ b/control/membership/broadcastqueue.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// retransmitFactor scales how often news is passed on, as in decision/gossip.
+	// retransmitFactor scales how often a broadcast is sent, as in decision/gossip.
 	retransmitFactor = 4
-	// maxBroadcastsPerMessage bounds the news of one kind that an exchange carries.
+	// maxBroadcastsPerMessage bounds the broadcasts of one kind in one message.
 	maxBroadcastsPerMessage = 16
-	// maxBroadcastAge is the age at which news is passed on no more.
+	// maxBroadcastAge is the age from which a broadcast is no longer sent.
 	maxBroadcastAge = time.Minute
-	// broadcastRetention is how long news is remembered, so that it is not taken for
-	// new when it arrives again.
+	// broadcastRetention is how long a broadcast is remembered, so that it is not taken for new when
+	// it arrives again.
 	broadcastRetention = time.Hour
 )
 
-// broadcastQueue holds the newest news of each subject and how often it is still to be
-// passed on. Manager.mu guards it.
+// broadcastQueue holds the newest broadcast for each id and how often it is still to be sent.
+// Manager.mu guards it.
 type broadcastQueue[T comparable] map[string]*broadcast[T]
 
 type broadcast[T comparable] struct {
@@ -31,9 +31,8 @@
 	remainingSends int
 }
 
-// add remembers news if it is newer than what is known of its subject, and
-// reports whether it is to be passed on. Many daemons find the same change;
-// only the first report of it is.
+// add stores a broadcast if it is newer than the stored one for its id, and reports whether it is to
+// be sent on. Many daemons detect the same change; only the first report of it is sent on.
 func (b broadcastQueue[T]) add(id string, value T, seen time.Time, members int) bool {
 	if old, ok := b[id]; ok {
 		if !seen.After(old.seenAt) {
@@ -49,8 +48,8 @@
 	return true
 }
 
-// nextBatch returns the news to pass on with the next exchange, the least passed on
-// first, and counts it as passed on.
+// nextBatch returns the broadcasts for the next message, those with the most remaining sends first,
+// and counts them as sent.
 func (b broadcastQueue[T]) nextBatch(now time.Time) []*broadcast[T] {
 	var due []*broadcast[T]
 	for _, n := range b {
--- a/control/membership/broadcasts.go
+++ b/control/membership/broadcasts.go
@@ -7,29 +7,28 @@
 	"mallowwind.dev/peer/peerpb"
 )
 
-// VMChange is one change of the platform's VM list, as the daemons that read the
-// list pass it on to the others.
+// VMChange is a change of the platform's VM list that a daemon that reads the list sends to the
+// others.
 type VMChange struct {
 	VM vmlist.VM
-	// Removed says that the list no longer shows the VM.
+	// Removed means that the list no longer contains the VM.
 	Removed bool
-	// SeenAt is when the reader saw the change, by its wall clock. The newest
-	// news of a VM wins; what clocks that differ get wrong lasts until the
-	// next full read.
+	// SeenAt is when the reader detected the change, by its wall clock. For each VM the change with
+	// the newest SeenAt wins. Errors due to clocks that differ last until the next full read.
 	SeenAt time.Time
 }
 
-// vmState is a VMNews without its time.
+// vmState is a VMChange without its time.
 type vmState struct {
 	vm      vmlist.VM
 	removed bool
 }
 
-// OnVMChange registers f to be called with changes of the VM list that others found.
-// f must not block. Call OnVM before Run.
+// OnVMChange registers f to be called with changes of the VM list that other daemons detected. f must
+// not block. Call OnVMChange before Run.
 func (m *Manager) OnVMChange(f func(VMChange)) { m.onVMChange = append(m.onVMChange, f) }
 
-// BroadcastVMChange passes on a change of the VM list that this daemon found.
+// BroadcastVMChange sends a change of the VM list that this daemon detected to all others.
 func (m *Manager) BroadcastVMChange(n VMChange) {
 	m.mu.Lock()
 	fresh := m.vmChanges.add(n.VM.ID, vmState{n.VM, n.Removed}, n.SeenAt, len(m.Current().Members))
@@ -39,12 +38,12 @@
 	}
 }
 
-// OnReport registers f to be called when others found that the report of a
-// backend server changed; digest is a hash of the new one. f must not block.
-// Call OnReport before Run.
+// OnReport registers f to be called when another daemon has detected that the report of a backend
+// server changed; digest is a hash of the new report. f must not block. Call OnReport before Run.
 func (m *Manager) OnReport(f func(id string, digest uint64)) { m.onReport = append(m.onReport, f) }
 
-// BroadcastReportChange passes on that this daemon found a backend server's report changed.
+// BroadcastReportChange tells all other daemons that the report of a backend server changed; digest
+// is a hash of the new report.
 func (m *Manager) BroadcastReportChange(id string, digest uint64) {
 	m.mu.Lock()
 	fresh := m.reportChanges.add(id, digest, time.Now(), len(m.Current().Members))
@@ -54,7 +53,7 @@
 	}
 }
 
-// addBroadcasts puts the news to pass on into a message. Manager.mu is held.
+// addBroadcasts adds the broadcasts that are due to a message. The caller holds Manager.mu.
 func (m *Manager) addBroadcasts(g *peerpb.Gossip) {
 	now := time.Now()
 	for _, n := range m.vmChanges.nextBatch(now) {
@@ -69,7 +68,7 @@
 	}
 }
 
-// applyBroadcasts takes over news from another daemon.
+// applyBroadcasts applies the broadcasts of another daemon's message.
 func (m *Manager) applyBroadcasts(g *peerpb.Gossip) {
 	members := len(m.Current().Members)
 	for _, p := range g.Vms {
--- a/control/membership/config.go
+++ b/control/membership/config.go
@@ -6,30 +6,30 @@
 	"mallowwind.dev/decision/gossip"
 )
 
-// Config holds the Manager's intervals.
+// Config configures a Manager.
 type Config struct {
 	Gossip gossip.Config
-	// ProbeTimeout bounds one exchange; it covers the round trip between
-	// regions and a retransmission of a lost packet.
+	// ProbeTimeout bounds one exchange; it covers the round trip between regions and one
+	// retransmission of a lost packet.
 	ProbeTimeout time.Duration
-	// IndirectTimeout bounds a probe made through others.
+	// IndirectTimeout bounds a probe by way of other daemons.
 	IndirectTimeout time.Duration
-	// ListInterval is the time between two looks at the VM list.
+	// ListInterval is the time between two reads of the VM list.
 	ListInterval time.Duration
-	// FanoutDelay collects news before it is passed on at once.
+	// FanoutDelay is how long updates are collected before a fan-out sends them, outside the regular
+	// rounds, to a few members.
 	FanoutDelay time.Duration
-	// FanoutInterval and SpreadBurst bound how often news is passed on at once.
-	// The failure: 390 daemons start together, each hears of 389 joins and
-	// passes each on; without a bound that is 15,000 exchanges a second, which
-	// keeps the daemons too busy to finish joining. Past the bound news waits
-	// for the next regular exchange.
+	// FanoutInterval and FanoutBurst limit the rate of fan-outs. When 390 daemons start together,
+	// each learns of 389 joins and passes them on; without a limit these are 15,000 exchanges per
+	// second, which keep the daemons too busy to finish joining. Above the limit, updates wait for
+	// the next regular exchange or the next permitted fan-out.
 	FanoutInterval time.Duration
 	FanoutBurst    int
-	// JitterRatio is the share by which the interval varies.
+	// JitterRatio is the fraction by which the interval between rounds varies.
 	JitterRatio float64
 }
 
-// DefaultConfig returns the values in use.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		Gossip:          gossip.DefaultConfig(),
--- a/control/membership/convert.go
+++ b/control/membership/convert.go
@@ -5,8 +5,8 @@
 	"mallowwind.dev/peer/peerpb"
 )
 
-// The states of this package, of decision/gossip and of the wire have the
-// same numbers; the constants fail to compile when one of them moves.
+// The states of this package, of decision/gossip and of the wire format have the same numbers. These
+// constants do not compile if the numbers of the first two differ.
 const (
 	_ = uint8(Suspect) - uint8(gossip.Suspect)
 	_ = uint8(gossip.Suspect) - uint8(Suspect)
--- a/control/membership/exchange.go
+++ b/control/membership/exchange.go
@@ -11,17 +11,17 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// pauseTolerance is how much longer than its timeouts a probe may take before the
-// daemon concludes that it was paused itself and the failure says nothing.
+// pauseTolerance is how much longer than the sum of its timeouts a failed probe may take. After a
+// longer probe this daemon concludes that it was itself paused, and ignores the failure.
 const pauseTolerance = time.Second
 
-// probe exchanges with target and, if that fails, finds out whether it is the
-// target or the way to it that failed.
+// probe exchanges with target and, if that fails, determines whether the target or the path to it
+// has failed.
 //
-// A connection may have gone silent for good while new ones work, since
-// something between the two ends has lost track of it. It shows as a timeout
-// on a live member. The second try therefore runs on a fresh connection; the
-// third goes by way of others, around a cut link.
+// A connection may stay silent although new connections work, because a middlebox between the two
+// ends has dropped its state; an exchange on it then times out although the target is alive. The
+// second attempt therefore uses a new connection. The third attempt is made through other daemons,
+// in case only the link between this daemon and the target is down.
 func (m *Manager) probe(ctx context.Context, target gossip.Record) {
 	start := time.Now()
 	if m.exchange(ctx, target) == nil || target.State == gossip.Gone {
@@ -47,21 +47,21 @@
 	}
 }
 
-// probeIndirectly asks others to exchange with target and reports whether one could.
+// probeIndirectly asks other daemons to exchange with target and reports whether one succeeded.
 func (m *Manager) probeIndirectly(ctx context.Context, target gossip.Record) bool {
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.IndirectTimeout)
 	defer cancel()
 	m.mu.Lock()
-	helpers := m.table.IndirectProbers(target.ID)
+	probers := m.table.IndirectProbers(target.ID)
 	m.mu.Unlock()
-	reached := make(chan bool, len(helpers))
-	for _, helper := range helpers {
+	reached := make(chan bool, len(probers))
+	for _, prober := range probers {
 		go func() {
-			reply, err := m.client(helper).Probe(ctx, &peerpb.ProbeRequest{Target: toPB(target)})
+			reply, err := m.client(prober).Probe(ctx, &peerpb.ProbeRequest{Target: toPB(target)})
 			reached <- err == nil && reply.Reached
 		}()
 	}
-	for range helpers {
+	for range probers {
 		if <-reached {
 			return true
 		}
@@ -73,7 +73,7 @@
 	return peerpb.NewMembershipProtobufClient(m.deps.Dialer.URL(to.PeerAddr), m.deps.Dialer.Client)
 }
 
-// exchange passes news both ways with one daemon.
+// exchange sends this daemon's message to another daemon and applies the reply.
 func (m *Manager) exchange(ctx context.Context, target gossip.Record) error {
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.ProbeTimeout)
 	defer cancel()
@@ -91,7 +91,8 @@
 	return nil
 }
 
-// isInSync reports whether another daemon's table has the same hash as this one.
+// isInSync reports whether another daemon's table has the same root hash as this one, and records it
+// if so.
 func (m *Manager) isInSync(root uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -102,17 +103,17 @@
 	return true
 }
 
-// syncBuckets repairs a few parts of the table in which the other daemon differs.
+// syncBuckets exchanges the records of a few buckets in which the other daemon's table differs.
 func (m *Manager) syncBuckets(ctx context.Context, target gossip.Record, hashes []uint64) {
 	m.mu.Lock()
-	parts := m.table.BucketsToSync(hashes, time.Now())
-	records := m.table.RecordsIn(parts)
+	buckets := m.table.BucketsToSync(hashes, time.Now())
+	records := m.table.RecordsIn(buckets)
 	m.mu.Unlock()
-	if len(parts) == 0 {
+	if len(buckets) == 0 {
 		return
 	}
 	m.metrics.syncs.Inc()
-	reply, err := m.client(target).Sync(ctx, &peerpb.SyncRequest{Buckets: parts, Records: toPBs(records)})
+	reply, err := m.client(target).Sync(ctx, &peerpb.SyncRequest{Buckets: buckets, Records: toPBs(records)})
 	if err != nil {
 		m.deps.Log.Emit(event.GossipFailed, target.ID, err.Error())
 		return
@@ -120,9 +121,9 @@
 	m.merge(reply.Records, target.ID)
 }
 
-// message is what this daemon says in an exchange with another. A daemon that
-// is not believed alive is always told so, which gives it the chance to
-// contradict at its first contact after a pause or a partition.
+// message returns this daemon's message to another. If the recipient is not in state Alive here, the
+// message always contains its record, so that it can refute the record at its first contact after a
+// pause or a partition.
 func (m *Manager) message(to string) *peerpb.Gossip {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -141,7 +142,7 @@
 	return g
 }
 
-// applyMessage takes over what another daemon said.
+// applyMessage applies another daemon's message.
 func (m *Manager) applyMessage(g *peerpb.Gossip) {
 	if g.From == nil {
 		return
--- a/control/membership/fleet_test.go
+++ b/control/membership/fleet_test.go
@@ -18,16 +18,16 @@
 	"mallowwind.dev/peer/peerpb"
 )
 
-// oneWayDelay is the one-way delay of the test network.
+// oneWayDelay is the delay of a message in the test network.
 const oneWayDelay = 2 * time.Millisecond
 
-// fleet runs Managers on a network in memory that a test can cut.
+// fleet runs Managers on an in-memory network in which a test can drop messages.
 type fleet struct {
 	t     *testing.T
 	mu    sync.Mutex
 	nodes map[string]*node
 	list  []vmlist.VM
-	drops func(from, to *node) bool // loses a message; nil loses none
+	drops func(from, to *node) bool // whether a message is lost; nil loses none
 	calls int
 }
 
@@ -39,8 +39,8 @@
 	done             chan struct{}
 }
 
-// newFleet starts n daemons over zones a, b, c and, with more, further ones;
-// zone z belongs to region z modulo regions.
+// newFleet starts n daemons, spread over zones z0, z1 and so on; zone i belongs to region i modulo
+// regions.
 func newFleet(t *testing.T, n, zones, regions int) *fleet {
 	f := &fleet{t: t, nodes: make(map[string]*node)}
 	for i := range n {
@@ -74,7 +74,7 @@
 	nd.stop = func() { cancel(); <-done }
 }
 
-// kill stops a daemon without a word; the VM list goes on showing it.
+// kill stops a daemon without a message to the others; the VM list still shows it.
 func (f *fleet) kill(id string) *node {
 	nd := f.nodes[id]
 	f.mu.Lock()
@@ -96,10 +96,10 @@
 	f.list[i].State = state
 }
 
-func (f *fleet) setDrops(cut func(from, to *node) bool) {
+func (f *fleet) setDrops(drops func(from, to *node) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.drops = cut
+	f.drops = drops
 }
 
 func (f *fleet) isLost(from, to *node) bool {
@@ -108,7 +108,7 @@
 	return to == nil || to.handler == nil || (f.drops != nil && f.drops(from, to))
 }
 
-// memoryTransport carries one daemon's calls.
+// memoryTransport is one daemon's HTTP transport on the test network.
 type memoryTransport struct {
 	f    *fleet
 	from *node
@@ -134,7 +134,7 @@
 	return rec.Result(), nil
 }
 
-// countBelieving counts the daemons among those running that believe state of id.
+// countBelieving returns how many of the other running daemons see the daemon id in this state.
 func (f *fleet) countBelieving(id string, state State) int {
 	n := 0
 	for _, nd := range f.nodes {
@@ -149,7 +149,7 @@
 	return n
 }
 
-// allSeeAllAlive reports whether every running daemon believes every running one alive.
+// allSeeAllAlive reports whether every running daemon sees as many members alive as are running.
 func (f *fleet) allSeeAllAlive() bool {
 	running := 0
 	for _, nd := range f.nodes {
@@ -175,7 +175,7 @@
 	return n
 }
 
-// waitUntil lets virtual time pass until ok and returns how long that took.
+// waitUntil lets virtual time pass until ok returns true, and returns how long that took.
 func (f *fleet) waitUntil(what string, limit time.Duration, ok func() bool) time.Duration {
 	f.t.Helper()
 	start := time.Now()
@@ -190,7 +190,7 @@
 	return time.Since(start)
 }
 
-// dropRandomly loses each message with probability p, from a fixed seed.
+// dropRandomly drops each message with probability p, from a fixed seed.
 func dropRandomly(p float64) func(_, _ *node) bool {
 	rng := rand.New(rand.NewPCG(7, 7))
 	return func(_, _ *node) bool { return rng.Float64() < p }
--- a/control/membership/manager.go
+++ b/control/membership/manager.go
@@ -18,23 +18,24 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// Deps are what a Manager works with.
+// Deps are the dependencies of a Manager.
 type Deps struct {
 	// Self is this daemon; State is ignored.
 	Self Member
-	// VMs is the platform's list, usually by way of backends.Manager.
+	// VMs is the platform's VM list, usually read through backends.Manager.
 	VMs vmlist.Source
-	// Dialer reaches other daemons.
+	// Dialer connects to other daemons.
 	Dialer *link.Dialer
-	// PeerAddress returns where a listed entry VM takes calls from other
-	// daemons; nil means VM.Address. It is needed for first contact only.
+	// PeerAddress returns the address at which a listed entry VM accepts calls from other daemons;
+	// nil means VM.Address. It is used for the first contact only.
 	PeerAddress func(vmlist.VM) string
 	Log         *event.Log
 	Registerer  prometheus.Registerer // nil keeps the metrics unregistered
 	Config      Config
 }
 
-// Manager is the Source in use and the twirp service Membership.
+// Manager maintains this daemon's view of the entry VMs. It implements Source and the twirp service
+// Membership.
 type Manager struct {
 	deps            Deps
 	cfg             Config
@@ -61,8 +62,8 @@
 
 var _ peerpb.Membership = (*Manager)(nil)
 
-// NewManager returns a Manager that knows only this daemon until Run has made
-// contact with others. Its handler is peerpb.NewMembershipServer(m).
+// NewManager returns a Manager that knows only this daemon until Run has contacted others. Its HTTP
+// handler is peerpb.NewMembershipServer(m).
 func NewManager(deps Deps) *Manager {
 	if deps.Log == nil {
 		deps.Log = event.Discard()
@@ -94,19 +95,18 @@
 // Current returns the newest view.
 func (m *Manager) Current() *View { return m.current.Load() }
 
-// OnDigest registers f to be called with every versioned thing that another
-// daemon says it holds, at each exchange with that daemon. f must not block.
-// Call OnDigest before Run.
+// OnDigest registers f to be called with each version that another daemon announced by SetDigest, at
+// each exchange with that daemon. f must not block. Call OnDigest before Run.
 func (m *Manager) OnDigest(f func(from Member, name string, version uint64)) {
 	m.onDigest = append(m.onDigest, f)
 }
 
-// OnChange registers f to be called after each change of the view. f must not
-// block. Call OnChange before Run.
+// OnChange registers f to be called after each change of the view. f must not block. Call OnChange
+// before Run.
 func (m *Manager) OnChange(f func(*View)) { m.onChange = append(m.onChange, f) }
 
-// SetDigest says which version of something this daemon holds. A higher one
-// is told to a few others at once, and to each neighbour at its next exchange.
+// SetDigest announces which version of the named data this daemon holds. The version is part of
+// every later message; if it has changed, a fan-out sends it to a few members soon.
 func (m *Manager) SetDigest(name string, version uint64) {
 	m.mu.Lock()
 	changed := m.digests[name] != version
@@ -117,8 +117,8 @@
 	}
 }
 
-// AnnounceCallerAddr tells the others where callers reach this daemon. Until then it takes
-// part without being named to callers.
+// AnnounceCallerAddr announces the address at which callers reach this daemon. Until then this
+// daemon is a member that callers are not sent to.
 func (m *Manager) AnnounceCallerAddr(caller string) {
 	m.mu.Lock()
 	c := m.table.SetCallerAddr(caller)
@@ -126,8 +126,7 @@
 	m.handleChanges([]gossip.Change{c}, "")
 }
 
-// Leave tells the others that this daemon leaves. It keeps taking part until
-// Run's context ends.
+// Leave announces that this daemon is leaving. It remains a member until Run's context ends.
 func (m *Manager) Leave() {
 	m.mu.Lock()
 	done := m.leaving
@@ -149,13 +148,13 @@
 	}
 }
 
-// Run takes part in membership until ctx ends; a daemon that has called Leave
-// then says goodbye.
+// Run exchanges with other daemons until ctx ends. After Leave, it then announces that this daemon
+// is gone.
 func (m *Manager) Run(ctx context.Context) error {
 	list := time.NewTimer(0)
 	round := time.NewTimer(m.firstRoundDelay())
-	spread := time.NewTimer(time.Hour)
-	spread.Stop()
+	fanout := time.NewTimer(time.Hour)
+	fanout.Stop()
 	pending := false
 	budget := rate.NewLimiter(rate.Every(m.cfg.FanoutInterval), m.cfg.FanoutBurst)
 	for {
@@ -173,16 +172,17 @@
 		case <-m.fanoutRequested:
 			if !pending {
 				pending = true
-				spread.Reset(max(m.cfg.FanoutDelay, budget.Reserve().Delay()))
+				fanout.Reset(max(m.cfg.FanoutDelay, budget.Reserve().Delay()))
 			}
-		case <-spread.C:
+		case <-fanout.C:
 			pending = false
 			m.fanOut(ctx)
 		}
 	}
 }
 
-// firstRoundDelay puts daemons that start together at different places of the interval.
+// firstRoundDelay returns a random delay within one interval, so that daemons that start together do
+// not run their rounds at the same time.
 func (m *Manager) firstRoundDelay() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -200,7 +200,7 @@
 	defer cancel()
 	rows, err := m.deps.VMs.List(readCtx)
 	if err != nil {
-		return // whoever reads the platform's list has logged it
+		return // logged by the reader of the platform's list
 	}
 	var listed []gossip.ListedVM
 	for _, vm := range rows {
@@ -217,7 +217,7 @@
 	m.publish()
 }
 
-// round advances the time and probes this round's targets.
+// round advances the table's time and probes the targets of this round.
 func (m *Manager) round(ctx context.Context) {
 	now := time.Now()
 	m.mu.Lock()
@@ -230,7 +230,7 @@
 	}
 }
 
-// fanOut passes news on at once.
+// fanOut exchanges with a few members outside the regular rounds, to spread updates quickly.
 func (m *Manager) fanOut(ctx context.Context) {
 	m.mu.Lock()
 	targets := m.table.FanoutTargets()
@@ -240,8 +240,8 @@
 	}
 }
 
-// announceDeparture tells a few others that a daemon that left is gone, so that nobody
-// spends probes on finding out.
+// announceDeparture tells a few members that this daemon is gone if it has called Leave, so that the
+// others do not have to find out by failed probes.
 func (m *Manager) announceDeparture() {
 	m.mu.Lock()
 	leaving := m.leaving
@@ -255,7 +255,7 @@
 	}
 }
 
-// handleChanges logs changes, publishes the view and passes the news on.
+// handleChanges logs the changes, publishes the view and requests a fan-out.
 func (m *Manager) handleChanges(changes []gossip.Change, by string) {
 	if len(changes) == 0 {
 		return
@@ -285,7 +285,7 @@
 	}
 }
 
-// publish swaps in a new view if the table changed.
+// publish replaces the view and calls the OnChange functions if the table has changed.
 func (m *Manager) publish() {
 	m.mu.Lock()
 	if m.publishedVersion == m.table.Version() {
--- a/control/membership/manager_test.go
+++ b/control/membership/manager_test.go
@@ -12,31 +12,31 @@
 	"mallowwind.dev/external/vmlist"
 )
 
-// A router dies without a word. Callers that were told its address run into
-// timeouts, and answers journalled on it have no copy, until the others know.
-// The list shows it as live all the while.
+// An entry VM's daemon dies without announcing it. Until the others detect it, callers that were
+// given its address run into timeouts and answers whose copies it held have none. The VM list shows
+// the VM as live all the time.
 func TestDeadDaemonIsDetected(t *testing.T) {
 	for _, n := range []int{6, 30, 90} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, n, 3, 3)
 			f.waitUntil("joined", 30*time.Second, f.allSeeAllAlive)
 			f.kill("vm001")
-			f.waitUntil("given up by all", 25*time.Second, func() bool { return f.countBelieving("vm001", Gone) == n-1 })
+			f.waitUntil("declared gone by all", 25*time.Second, func() bool { return f.countBelieving("vm001", Gone) == n-1 })
 			must.True(t, f.allSeeAllAlive())
 			f.start(f.nodes["vm001"], 2)
-			f.waitUntil("restarted and known", 15*time.Second, f.allSeeAllAlive)
+			f.waitUntil("restarted and seen alive by all", 15*time.Second, f.allSeeAllAlive)
 		})
 	}
 }
 
-// An operator stops a daemon for an upgrade. It must vanish from the others'
-// answers at once, while it finishes its work, and be gone once it exits.
-func TestLeaveIsKnownAtOnce(t *testing.T) {
+// An operator stops a daemon for an upgrade. The others must see it as leaving within seconds, keep
+// it so while it finishes its work, and see it as gone once it exits.
+func TestLeaveSpreadsQuickly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 30, 3, 1)
 		f.waitUntil("joined", 30*time.Second, f.allSeeAllAlive)
 		f.nodes["vm004"].Leave()
-		f.waitUntil("known to leave", 3*time.Second, func() bool { return f.countBelieving("vm004", Leaving) == 29 })
+		f.waitUntil("seen as leaving by all", 3*time.Second, func() bool { return f.countBelieving("vm004", Leaving) == 29 })
 		time.Sleep(time.Minute)
 		must.Eq(t, 29, f.countBelieving("vm004", Leaving))
 		f.kill("vm004")
@@ -44,9 +44,9 @@
 	})
 }
 
-// The platform starts to take a VM away. Its daemon has not been told yet, but
-// the list already shows it as leaving: it must count as leaving here.
-func TestListSaysLeaving(t *testing.T) {
+// The platform starts to remove a VM. Its daemon has not been notified yet, but the VM list already
+// shows the VM as leaving; the other daemons must see it as leaving.
+func TestLeavingInVMList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 6, 3, 1)
 		f.waitUntil("joined", 30*time.Second, f.allSeeAllAlive)
@@ -55,11 +55,10 @@
 	})
 }
 
-// One direction between two daemons is cut (a firewall rule, a broken switch
-// port): every call of vm000 to any member of its own zone fails, all others
-// work. A detector that trusts one observer would take live daemons out of
-// service; probes through others must keep them all alive.
-func TestOneWayCutSuspectsNobodyForLong(t *testing.T) {
+// A firewall rule or a broken switch port blocks one direction: every call of vm000 to the members of
+// its own zone fails, all other calls work. A failure detector that trusts a single observer would
+// take live daemons out of service; indirect probes must keep them all alive.
+func TestOneWayPartitionKeepsAllAlive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12, 3, 1)
 		f.waitUntil("joined", 30*time.Second, f.allSeeAllAlive)
@@ -71,15 +70,15 @@
 	})
 }
 
-// A zone loses its links to the other two and stays up. Each side must give up
-// the other and keep its own, and both must find each other when it heals,
-// though each holds the other for gone.
-func TestZoneCutOffAndBack(t *testing.T) {
+// A zone is partitioned from the other two and stays up. Each side must declare the other gone and
+// keep its own members, and both sides must rejoin when the partition heals, although each considers
+// the other gone.
+func TestZonePartitionHeals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 30, 3, 3)
 		f.waitUntil("joined", 30*time.Second, f.allSeeAllAlive)
 		f.setDrops(func(from, to *node) bool { return (from.zone == "z1") != (to.zone == "z1") })
-		f.waitUntil("sides apart", 90*time.Second, func() bool {
+		f.waitUntil("each side sees only its own members", 90*time.Second, func() bool {
 			for _, nd := range f.nodes {
 				want := 20
 				if nd.zone == "z1" {
@@ -92,13 +91,13 @@
 			return true
 		})
 		f.setDrops(nil)
-		f.waitUntil("whole again", 40*time.Second, f.allSeeAllAlive)
+		f.waitUntil("all see all alive again", 40*time.Second, f.allSeeAllAlive)
 	})
 }
 
-// Regions lose each other for more than an hour, long enough for each side to
-// forget the other. The list still shows all VMs.
-func TestRegionsApartForAnHour(t *testing.T) {
+// The regions are partitioned from each other for more than an hour, long enough for each side to
+// forget the other. The VM list still shows all VMs.
+func TestRegionPartitionForAnHour(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 21, 7, 3)
 		f.waitUntil("joined", 30*time.Second, f.allSeeAllAlive)
@@ -106,30 +105,30 @@
 		time.Sleep(70 * time.Minute)
 		must.False(t, f.allSeeAllAlive())
 		f.setDrops(nil)
-		f.waitUntil("whole again", 40*time.Second, f.allSeeAllAlive)
+		f.waitUntil("all see all alive again", 40*time.Second, f.allSeeAllAlive)
 	})
 }
 
-// A daemon is paused for a minute: it answers nobody and hears nothing, and
-// the others give it up. When it comes back it must be a member again under
-// the same incarnation, since it is the same process with all it holds.
-func TestSilentDaemonReturns(t *testing.T) {
+// A daemon is cut off for a minute, as if paused: no message to or from it arrives, and the others
+// declare it gone. When it is reachable again it must become a member under the same incarnation,
+// because it is the same process with the same state.
+func TestUnreachableDaemonRejoins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12, 3, 1)
 		f.waitUntil("joined", 30*time.Second, f.allSeeAllAlive)
 		f.setDrops(func(from, to *node) bool { return from.id == "vm003" || to.id == "vm003" })
-		f.waitUntil("given up", 25*time.Second, func() bool { return f.countBelieving("vm003", Gone) == 11 })
+		f.waitUntil("declared gone by all", 25*time.Second, func() bool { return f.countBelieving("vm003", Gone) == 11 })
 		time.Sleep(time.Minute)
 		f.setDrops(nil)
-		f.waitUntil("back", 20*time.Second, f.allSeeAllAlive)
+		f.waitUntil("rejoined", 20*time.Second, f.allSeeAllAlive)
 		m, _ := f.nodes["vm000"].Current().Find("vm003")
 		must.Eq(t, 1, m.Incarnation)
 	})
 }
 
-// One message in a hundred is lost for ten minutes. Nobody may be given up;
-// a caller would be told fewer addresses than there are.
-func TestLossGivesNobodyUp(t *testing.T) {
+// One message in a hundred is lost for ten minutes. No daemon may be declared gone, since callers
+// would be given too few addresses.
+func TestPacketLossKeepsAllMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 30, 3, 1)
 		f.waitUntil("joined", 30*time.Second, f.allSeeAllAlive)
@@ -142,12 +141,12 @@
 				suspected += f.countBelieving(vm.ID, Suspect)
 			}
 		}
-		t.Logf("suspicions seen in 600 samples of 870 beliefs: %d", suspected)
+		t.Logf("suspects seen in 600 samples of 870 member states: %d", suspected)
 	})
 }
 
-// A version that one daemon holds must be offered to all within seconds when
-// each who learns of it holds it too.
+// A version that one daemon announces must reach all others within seconds if each daemon that learns
+// of it announces it too.
 func TestDigestReachesAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 30, 3, 1)
@@ -164,27 +163,27 @@
 		}
 		f.waitUntil("joined", 30*time.Second, f.allSeeAllAlive)
 		f.nodes["vm000"].SetDigest("site", 7)
-		f.waitUntil("offered to all", 4*time.Second, func() bool { return held.Load() >= 29 })
+		f.waitUntil("announced by all", 4*time.Second, func() bool { return held.Load() >= 29 })
 	})
 }
 
-// Three daemons of a zone find that a backend server leaves, at about the same
-// time. All others must hear of it well within the time in which a leaving
-// backend server may still get work, and act on it once.
-func TestVMNewsReachesAllOnce(t *testing.T) {
+// Three daemons of a zone detect at about the same time that a backend server is leaving. All others
+// must learn of it well within the time for which a leaving backend server may still get requests,
+// and get the change only once.
+func TestVMChangeReachesAllOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 30, 3, 1)
 		readers := []string{"vm000", "vm003", "vm006"}
-		var heard atomic.Int64 // by daemons that do not read the list
-		times := map[string]*atomic.Int64{}
+		var received atomic.Int64 // by daemons that do not read the list
+		calls := map[string]*atomic.Int64{}
 		for id, nd := range f.nodes {
 			n := &atomic.Int64{}
-			times[id] = n
-			nd.OnVMChange(func(news VMChange) {
-				must.Eq(t, vmlist.Leaving, news.VM.State)
+			calls[id] = n
+			nd.OnVMChange(func(change VMChange) {
+				must.Eq(t, vmlist.Leaving, change.VM.State)
 				n.Add(1)
 				if !slices.Contains(readers, id) {
-					heard.Add(1)
+					received.Add(1)
 				}
 			})
 		}
@@ -194,10 +193,10 @@
 			f.nodes[id].BroadcastVMChange(VMChange{VM: vm, SeenAt: time.Now()})
 			time.Sleep(10 * time.Millisecond)
 		}
-		f.waitUntil("heard by all", 2*time.Second, func() bool { return heard.Load() >= 27 })
+		f.waitUntil("received by all", 2*time.Second, func() bool { return received.Load() >= 27 })
 		time.Sleep(time.Minute)
-		must.Eq(t, 27, heard.Load())
-		for id, n := range times {
+		must.Eq(t, 27, received.Load())
+		for id, n := range calls {
 			must.LessEq(t, 1, n.Load(), must.Sprint(id))
 		}
 	})
--- a/control/membership/view.go
+++ b/control/membership/view.go
@@ -1,12 +1,12 @@
-// Package membership keeps each daemon's view of the entry VMs: the platform's
-// lagging list corrected by what the daemons see of each other.
+// Package membership maintains each daemon's view of the entry VMs by gossip. The platform's VM list
+// lags behind; the daemons' probes of each other correct it.
 package membership
 
-// State is what a daemon believes of another.
+// State is a member's state as this daemon sees it.
 type State uint8
 
-// The states of a member, in the order in which they may follow each other
-// within one incarnation.
+// The states of a member, in the order in which they follow each other within one incarnation unless
+// the member refutes one.
 const (
 	Alive State = iota
 	Suspect
@@ -19,7 +19,7 @@
 	return [...]string{"alive", "suspect", "leaving", "gone"}[s]
 }
 
-// Member is one entry VM as seen here.
+// Member is an entry VM as this daemon sees it.
 type Member struct {
 	ID          string // VM id
 	Incarnation uint64 // start time of the daemon process, unix nanoseconds
@@ -30,14 +30,14 @@
 	State       State
 }
 
-// View is an immutable picture of all members but those gone, ordered by ID.
-// It includes this daemon itself.
+// View is an immutable snapshot of all members except those that are gone, ordered by ID. It includes
+// this daemon itself.
 type View struct {
 	Self    Member
 	Members []Member
 }
 
-// Find returns the member with this id.
+// Find returns the member with this id, and whether there is one.
 func (v *View) Find(id string) (Member, bool) {
 	for _, m := range v.Members {
 		if m.ID == id {
@@ -47,7 +47,7 @@
 	return Member{}, false
 }
 
-// Source gives the current view; the pointer is swapped whole and never nil.
+// Source provides the current view, which is never nil.
 type Source interface {
 	Current() *View
 }
@@ -55,5 +55,5 @@
 // Static is a Source that never changes, for tests.
 type Static struct{ View *View }
 
-// Current returns the fixed view.
+// Current returns the static view.
 func (s Static) Current() *View { return s.View }
