--- a/serve/versions/decide.go
+++ b/serve/versions/decide.go
@@ -14,21 +14,23 @@
 )
 
 const (
-	// writeTimeout bounds one attempt to write how far a roll-out is.
+	// writeTimeout bounds one attempt to write the status of a rollout.
 	writeTimeout = time.Second
 	// writeRetryDelay is the time between two attempts.
 	writeRetryDelay = 300 * time.Millisecond
-	// viewSettleTime is how long after an outage of the store the view still shows servers that are gone.
+	// viewSettleTime is how long the view may still show servers that are gone after an outage of
+	// the store.
 	viewSettleTime = 2600 * time.Millisecond
-	// analysisTimeDivisor bounds the part of this daemon's time that looking at what was seen may take: one
-	// part in so many.
+	// analysisTimeDivisor limits the time spent on analysing samples to this fraction, 1/20, of the
+	// total: two analyses begin at least this many times the duration of the first one apart.
 	analysisTimeDivisor = 20
 )
 
-// decide takes the next step of a roll-out, if it is due.
+// decide takes the next step of a rollout and writes it to the store, unless it is too early for
+// another analysis or write, or this daemon lacks the configuration.
 func (m *Manager) decide(ctx context.Context, s *service) {
 	view := m.opts.Feed.View()
-	underWay := m.inFlight(s.name, m.Snapshot(view).State(s.name))
+	inFlight := m.inFlight(s.name, m.Snapshot(view).State(s.name))
 	m.mu.Lock()
 	now := m.opts.Clock()
 	if now < max(s.retryAt, s.nextAnalysisAt) || s.evidence == nil || view.Config == nil {
@@ -38,7 +40,7 @@
 	step := rollout.Step{State: s.state}
 	if !s.state.Stage.IsTerminal() {
 		began := time.Now()
-		step = rollout.Next(m.stepInput(now, view, s, underWay))
+		step = rollout.Next(m.stepInput(now, view, s, inFlight))
 		s.nextAnalysisAt = now + analysisTimeDivisor*time.Since(began)
 	}
 	if !m.isConfigFresh() {
@@ -46,7 +48,7 @@
 	}
 	if step.State.Stage != rollout.RolledBack && s.lastStaleAt != 0 && now-s.lastStaleAt < viewSettleTime {
 		m.mu.Unlock()
-		return // servers and orders may be others than this daemon knows
+		return // the servers and orders known here may be out of date
 	}
 	stored := view.Rollouts[s.name]
 	if stored.Status != nil && stored.Status.State == step.State || step.State.Stage == rollout.Pending {
@@ -57,10 +59,10 @@
 		m.mergeState(s, step.State, "decided", step.Reason, step.Analysis)
 		go m.broadcastState(ctx, s.name, step.State)
 	}
-	due := time.Now().Add(s.startedAt + s.period - now).UnixMilli()
+	deadline := time.Now().Add(s.startedAt + s.period - now).UnixMilli()
 	s.retryAt = now + writeRetryDelay
 	m.mu.Unlock()
-	err := m.writeStatus(ctx, view, s, routing.RolloutStatus{State: step.State, DeadlineMS: due})
+	err := m.writeStatus(ctx, view, s, routing.RolloutStatus{State: step.State, DeadlineMS: deadline})
 	if err != nil {
 		return
 	}
@@ -71,7 +73,7 @@
 	m.broadcastState(ctx, s.name, step.State)
 }
 
-// writeStatus writes how far a roll-out is, over what this daemon knows to lie there.
+// writeStatus writes the status of a rollout if the store still holds the revision known here.
 func (m *Manager) writeStatus(ctx context.Context, view *feed.View, s *service, status routing.RolloutStatus) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
@@ -83,16 +85,17 @@
 	return err
 }
 
-// perSecond is how many of something there are a second, 0 where nothing was counted.
-func perSecond(n int, in time.Duration) float64 {
-	if in <= 0 {
+// perSecond returns the rate of n events within a duration, 0 if the duration is not positive.
+func perSecond(n int, duration time.Duration) float64 {
+	if duration <= 0 {
 		return 0
 	}
-	return float64(n) / in.Seconds()
+	return float64(n) / duration.Seconds()
 }
 
-// stepInput is what the next step is decided by. The caller holds the lock.
-func (m *Manager) stepInput(now time.Duration, view *feed.View, s *service, underWay int) rollout.Input {
+// stepInput returns the input of the next step; inFlight is the number of requests that this daemon
+// has in flight on the baseline. The caller holds the lock.
+func (m *Manager) stepInput(now time.Duration, view *feed.View, s *service, inFlight int) rollout.Input {
 	s.evidence.Add(s.samples[s.samplesAdded:]...)
 	s.samplesAdded = len(s.samples)
 	in := rollout.Input{
@@ -101,11 +104,11 @@
 	}
 	in.DaemonsReporting, in.BaselineInFlight = s.recentReports(now)
 	in.DaemonsReporting++
-	in.BaselineInFlight += underWay
+	in.BaselineInFlight += inFlight
 	serving, _ := routing.Serving(view.VMs)
 	in.Daemons = len(serving)
-	all, drawn := s.routeCounts.Totals()
-	in.TargetRequests, in.RequestsPerSecond = drawn, perSecond(all, now-s.countingSince)
+	all, target := s.routeCounts.Totals()
+	in.TargetRequests, in.RequestsPerSecond = target, perSecond(all, now-s.countingSince)
 	for _, r := range s.reporters {
 		in.TargetRequests += r.targetRequests
 		if now-r.reportedAt < reportValidity {
@@ -113,12 +116,12 @@
 			in.Unanswered = append(in.Unanswered, r.unanswered...)
 		}
 	}
-	for _, one := range view.Servers[s.name] {
+	for _, server := range view.Servers[s.name] {
 		switch {
-		case one.Draining:
-		case one.Version == s.state.Target:
+		case server.Draining:
+		case server.Version == s.state.Target:
 			in.TargetServers++
-		case one.Version == s.state.Baseline:
+		case server.Version == s.state.Baseline:
 			in.BaselineServers++
 		}
 	}
--- a/serve/versions/report.go
+++ b/serve/versions/report.go
@@ -20,17 +20,18 @@
 const (
 	// reportInterval is the time between two reports of a daemon.
 	reportInterval = time.Second
-	// reportTimeout is how long the daemon that decides may take to answer.
+	// reportTimeout bounds one call to another daemon.
 	reportTimeout = 300 * time.Millisecond
-	// unresponsiveBackoff is how long a daemon that did not answer is left out.
+	// unresponsiveBackoff is how long no report is sent to a daemon after a failed call.
 	unresponsiveBackoff = time.Second
 	// maxSamplesPerReport bounds the samples of one report.
 	maxSamplesPerReport = 250
-	// coordinatorCount is how many daemons may decide, one in place of the other.
+	// coordinatorCount is the number of daemons that may coordinate a rollout: the coordinator and
+	// its substitute.
 	coordinatorCount = 2
-	// maxConcurrentCalls bounds the daemons that are told something at the same time.
+	// maxConcurrentCalls bounds the concurrent calls of one broadcast.
 	maxConcurrentCalls = 32
-	// reportValidity is how long what a daemon has told last counts as heard lately.
+	// reportValidity is the age up to which the last report of a daemon counts as recent.
 	reportValidity = 2500 * time.Millisecond
 )
 
@@ -38,19 +39,20 @@
 type peers struct {
 	opts      Options
 	mu        sync.Mutex
-	skipUntil map[string]time.Duration // until when a daemon is left out, by id
+	skipUntil map[string]time.Duration // until when no report is sent to a daemon, by id
 }
 
 func newPeers(o Options) *peers { return &peers{opts: o, skipUntil: map[string]time.Duration{}} }
 
-// isResponsive reports whether a daemon is not known to be silent.
+// isResponsive reports whether no call to a daemon has failed within unresponsiveBackoff.
 func (p *peers) isResponsive(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opts.Clock() >= p.skipUntil[id]
 }
 
-// call calls a daemon, which is left out for a while if it does not answer.
+// call makes one call to a daemon. If it fails, the daemon counts as unresponsive for
+// unresponsiveBackoff.
 func (p *peers) call(ctx context.Context, vm routing.VM, do func(context.Context, peerpb.Rollout) (*peerpb.RolloutReply, error)) (*peerpb.RolloutReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -64,7 +66,8 @@
 	return reply, err
 }
 
-// coordinators are the daemons that decide for a service, the first of them unless it is silent.
+// coordinators returns the daemons that may coordinate the rollouts of a service. The second one is
+// the substitute of the first.
 func coordinators(view *feed.View, service string) []routing.VM {
 	vms, hashes := routing.Serving(view.VMs)
 	var list []routing.VM
@@ -74,8 +77,8 @@
 	return list
 }
 
-// isCoordinator reports whether this daemon decides for a service: it is the nearest one, or the others
-// take it for that.
+// isCoordinator reports whether this daemon coordinates the rollouts of a service: it is the first of
+// the coordinators, or the second and another daemon has reported to it recently, or there are none.
 func (m *Manager) isCoordinator(s *service) bool {
 	list := coordinators(m.opts.Feed.View(), s.name)
 	for i, vm := range list {
@@ -87,28 +90,29 @@
 		}
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		heard, _ := s.recentReports(m.opts.Clock())
-		return heard > 0
+		reporting, _ := s.recentReports(m.opts.Clock())
+		return reporting > 0
 	}
 	return len(list) == 0
 }
 
-// recentReports is how many other daemons told lately what they saw, and how many requests are under
-// way there at the version before.
-func (s *service) recentReports(now time.Duration) (n, underWay int) {
+// recentReports returns the number of other daemons that have reported recently and the number of
+// requests in flight on the baseline there.
+func (s *service) recentReports(now time.Duration) (n, inFlight int) {
 	for _, r := range s.reporters {
 		if now-r.reportedAt < reportValidity {
 			n++
-			underWay += r.inFlight
+			inFlight += r.inFlight
 			if s.state.Stage >= rollout.Full && r.stage < rollout.Full {
-				underWay++ // it sends requests there, as far as is known
+				inFlight++ // as far as is known, that daemon still sends requests to the baseline
 			}
 		}
 	}
-	return n, underWay
+	return n, inFlight
 }
 
-// report tells the daemon that decides what was seen here, when it is time.
+// report sends a report to the coordinator if one is due, and to its substitute if the coordinator is
+// unresponsive.
 func (m *Manager) report(ctx context.Context, s *service) {
 	if m.opts.Dialer == nil {
 		return
@@ -138,29 +142,29 @@
 	}
 }
 
-// nextReport is what the daemon that decides is told now, nil where it was told a moment ago. Once
-// nothing is under way any more at the version before it is told at once.
+// nextReport returns the next report for a daemon, nil if none is due. A report is due at once when
+// no request is in flight on the baseline any more.
 func (m *Manager) nextReport(s *service, to string) *peerpb.RolloutReport {
-	underWay := m.inFlight(s.name, m.current.Load().State(s.name))
+	inFlight := m.inFlight(s.name, m.current.Load().State(s.name))
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.opts.Clock()
-	ended := s.state.Stage >= rollout.Full && underWay == 0 && !s.drainReported
-	if now < s.nextReportAt && !ended {
+	drained := s.state.Stage >= rollout.Full && inFlight == 0 && !s.drainReported
+	if now < s.nextReportAt && !drained {
 		return nil
 	}
-	s.drainReported = s.state.Stage >= rollout.Full && underWay == 0
+	s.drainReported = s.state.Stage >= rollout.Full && inFlight == 0
 	s.nextReportAt = now + reportInterval
 	if s.reported.daemon != to {
 		s.reported = reportCursor{daemon: to}
 	}
 	from := min(s.reported.next, len(s.samples))
 	q := &peerpb.RolloutReport{
-		State: stateMessage(s.name, s.state), Daemon: m.opts.Self.ID, Boot: m.bootID, First: int64(from), UnderWay: int32(underWay),
+		State: stateMessage(s.name, s.state), Daemon: m.opts.Self.ID, Boot: m.bootID, First: int64(from), UnderWay: int32(inFlight),
 		CountedMs: (now - s.countingSince).Milliseconds(),
 	}
-	all, drawn := s.routeCounts.Totals()
-	q.Begun, q.Drawn = int64(all), int64(drawn)
+	all, target := s.routeCounts.Totals()
+	q.Begun, q.Drawn = int64(all), int64(target)
 	for _, sample := range s.samples[from:min(len(s.samples), from+maxSamplesPerReport)] {
 		q.Samples = append(q.Samples, sampleMessage(now, sample))
 	}
@@ -170,15 +174,16 @@
 	return q
 }
 
-// mergeRemoteState takes in a state that another daemon believes. The caller holds the lock.
+// mergeRemoteState merges a state that another daemon has sent, unless it belongs to another order or
+// is Completed, and returns its service, nil if the message names none. The caller holds the lock.
 func (m *Manager) mergeRemoteState(message *peerpb.RolloutState) *service {
 	if message.GetService() == "" {
 		return nil
 	}
 	s := m.service(message.GetService())
-	heard, ok := parseState(message)
-	if ok && heard.OrderRevision == s.state.OrderRevision && heard.Stage != rollout.Completed {
-		m.mergeState(s, heard, "told", "", rollout.Analysis{})
+	state, ok := parseState(message)
+	if ok && state.OrderRevision == s.state.OrderRevision && state.Stage != rollout.Completed {
+		m.mergeState(s, state, "told", "", rollout.Analysis{})
 	}
 	return s
 }
@@ -198,14 +203,15 @@
 	}
 	reply := &peerpb.RolloutReply{State: stateMessage(s.name, s.state)}
 	if s.state.OrderRevision != q.GetState().GetOrder() || s.reporters == nil {
-		return reply, nil // one of the two does not know the order yet
+		return reply, nil // one of the two daemons does not know the order yet
 	}
 	reply.Next = s.recordReport(m.opts.Clock(), q)
 	return reply, nil
 }
 
-// recordReport takes in a report and returns the number of the sample that is wanted next. Samples that
-// were told before are passed over, and those after a gap are left to be told again.
+// recordReport records a report and returns the number of the next sample to send. It skips samples
+// that were reported before. If samples are missing before the first one, it records none, so that
+// the sender reports them again.
 func (s *service) recordReport(now time.Duration, q *peerpb.RolloutReport) int64 {
 	r := s.reporters[q.GetDaemon()]
 	if r == nil || r.bootID != q.GetBoot() {
@@ -215,13 +221,13 @@
 	r.reportedAt, r.inFlight, r.unanswered = now, int(q.GetUnderWay()), nil
 	r.stage, _ = rollout.ParseStage(q.GetState().GetStage())
 	r.requests, r.targetRequests, r.countedFor = int(q.GetBegun()), int(q.GetDrawn()), time.Duration(q.GetCountedMs())*time.Millisecond
-	for _, one := range q.GetWaiting() {
-		r.unanswered = append(r.unanswered, parseSample(now, one))
+	for _, sample := range q.GetWaiting() {
+		r.unanswered = append(r.unanswered, parseSample(now, sample))
 	}
 	if q.GetFirst() <= r.nextSample {
-		for i, one := range q.GetSamples() {
+		for i, sample := range q.GetSamples() {
 			if q.GetFirst()+int64(i) >= r.nextSample {
-				s.evidence.Add(parseSample(now, one))
+				s.evidence.Add(parseSample(now, sample))
 			}
 		}
 		r.nextSample = max(r.nextSample, q.GetFirst()+int64(len(q.GetSamples())))
@@ -247,23 +253,23 @@
 	return s.PathPrefix(), s
 }
 
-// broadcastState tells all other daemons how far a roll-out is. One that does not hear of it learns it
-// from the store, or in the answer to its next report.
+// broadcastState sends the state of a rollout to all other daemons. A daemon that cannot be reached
+// learns the state from the store or in the reply to its next report.
 func (m *Manager) broadcastState(ctx context.Context, service string, state rollout.State) {
 	if m.opts.Dialer == nil {
 		return
 	}
 	q := stateMessage(service, state)
-	var all errgroup.Group
-	all.SetLimit(maxConcurrentCalls)
+	var calls errgroup.Group
+	calls.SetLimit(maxConcurrentCalls)
 	for _, vm := range routing.Peers(m.opts.Feed.View().VMs, m.opts.Self.ID) {
-		all.Go(func() error {
-			// A failure is logged by call.
+		calls.Go(func() error {
+			// call logs a failure.
 			_, _ = m.peers.call(ctx, vm, func(ctx context.Context, c peerpb.Rollout) (*peerpb.RolloutReply, error) { return c.Stage(ctx, q) })
 			return nil
 		})
 	}
-	_ = all.Wait() // none returns an error
+	_ = calls.Wait() // the functions return no error
 }
 
 func stateMessage(service string, s rollout.State) *peerpb.RolloutState {
--- a/serve/versions/service.go
+++ b/serve/versions/service.go
@@ -10,61 +10,64 @@
 )
 
 const (
-	// maxSamples bounds the samples of one roll-out that a daemon keeps; what a version shows after
-	// that was seen before.
+	// maxSamples bounds the samples of one rollout that a daemon keeps; later samples of a version
+	// repeat what the kept ones have shown.
 	maxSamples = 2000
-	// maxOrderDelay is how long before this daemon saw an order it was given at most, while the daemon
-	// is in touch: a batch of changes and the way here.
+	// maxOrderDelay bounds the time from an order to its arrival at this daemon while the
+	// configuration is up to date: the batching of changes and the transmission.
 	maxOrderDelay = 150 * time.Millisecond
-	// staleConfigAge is above the age that the configuration reaches while all is well.
+	// staleConfigAge is more than the age that the configuration reaches in normal operation.
 	staleConfigAge = 2600 * time.Millisecond
 )
 
-// service is what is known of one service's roll-out. The manager's lock guards it.
+// service is the rollout state of one service. The manager's lock guards it.
 type service struct {
 	name  string
 	state rollout.State
-	// initialized says that the versions of its servers were looked at.
+	// initialized is set by the first setState, which logs and counts no change to Idle.
 	initialized bool
-	// startedAt is when the order was given, at the earliest, on the feed's clock; period is its time.
+	// startedAt is the earliest time at which the order may have been given, on the feed's clock;
+	// period is the period of the order.
 	startedAt, period time.Duration
-	// migrateSignals are closed when answers under way at a version go on elsewhere.
+	// migrateSignals holds, by version, the channels that are closed when responses in progress on
+	// the version must continue on another server.
 	migrateSignals map[string]chan struct{}
 
-	busy bool // decide or report is under way
+	busy bool // decide or report is running
 
 	routeCounts   rollout.RouteCounter
-	countingSince time.Duration    // since when mix counts
-	samples       []rollout.Sample // of this daemon, At on the feed's clock
+	countingSince time.Duration    // when routeCounts began
+	samples       []rollout.Sample // of this daemon, with EndedAt on the feed's clock
 	unanswered    map[*Trial]bool
-	reported      reportCursor  // to the daemon that decides
-	nextReportAt  time.Duration // of the next report
-	drainReported bool          // the last report said that nothing is under way any more
+	reported      reportCursor // into samples
+	nextReportAt  time.Duration
+	drainReported bool // the last report had no request in flight on the baseline
 
 	reporters      map[string]*reporter // by daemon
 	evidence       *rollout.Evidence
-	samplesAdded   int           // of the own log to evidence
-	retryAt        time.Duration // when to try to write again
-	lastStaleAt    time.Duration // when this daemon was out of touch last; 0 if it never was
-	nextAnalysisAt time.Duration // when to look again at what was seen
-	storedOrder    int64         // the order whose end lies in the store
+	samplesAdded   int           // number of samples already added to evidence
+	retryAt        time.Duration // when to retry the write of the status
+	lastStaleAt    time.Duration // when the configuration was last stale; 0 if it never was
+	nextAnalysisAt time.Duration
+	storedOrder    int64 // revision of the order whose terminal stage is in the store
 }
 
-// reportCursor is how far a daemon was told what was seen here.
+// reportCursor is the index of the next sample to report to a daemon.
 type reportCursor struct {
 	daemon string
 	next   int
 }
 
-// reporter is another daemon that told what it saw.
+// reporter holds the last report of another daemon.
 type reporter struct {
 	bootID     uint64
-	stage      rollout.Stage // that it believed when it told last
-	nextSample int64
+	stage      rollout.Stage // at that daemon when it reported
+	nextSample int64         // number of the next sample expected from it
 	reportedAt time.Duration
-	inFlight   int
+	inFlight   int // requests in flight on the baseline there
 	unanswered []rollout.Sample
-	// requests are the requests that it counted in some time, drawn those of them for the target.
+	// requests is the number of requests that the daemon has counted within countedFor, and
+	// targetRequests the number of those that went to the target.
 	requests, targetRequests int
 	countedFor               time.Duration
 }
@@ -73,17 +76,17 @@
 	return &service{name: name, migrateSignals: map[string]chan struct{}{}, unanswered: map[*Trial]bool{}}
 }
 
-// isActive reports whether there is something to do for a roll-out.
+// isActive reports whether the rollout is in progress or its end has not been stored yet.
 func (s *service) isActive() bool {
 	return s.state.Stage != rollout.Idle && (!s.state.Stage.IsTerminal() || s.hasUnstoredEnd())
 }
 
-// hasUnstoredEnd reports whether the end of a roll-out does not lie in the store yet.
+// hasUnstoredEnd reports whether the rollout has ended and its end is not in the store yet.
 func (s *service) hasUnstoredEnd() bool {
 	return s.state.Stage.IsTerminal() && s.storedOrder != s.state.OrderRevision
 }
 
-// applyStored takes in what the store says.
+// applyStored applies the order and the status that the store holds, and the versions of the servers.
 func (s *service) applyStored(m *Manager, view *feed.View, servers []routing.Server) {
 	present := map[string]int{}
 	for _, one := range servers {
@@ -113,19 +116,19 @@
 	}
 }
 
-// startOrder begins to follow another order.
+// startOrder resets the samples and times for a new order.
 func (s *service) startOrder(m *Manager, view *feed.View, next rollout.State) {
 	r := view.Rollouts[s.name]
 	if next.Target == s.state.Target && s.state.Stage.IsRunning() {
-		return // the same order again
+		return // the running rollout has the same target
 	}
 	now := m.opts.Clock()
 	s.startedAt = now - maxOrderDelay
 	if before := view.PreviousConfirmedAt; before > 0 && now-before > staleConfigAge {
-		s.startedAt = before // it may have been given at any time since
+		s.startedAt = before // the order may have been given at any time since then
 	}
 	if r.Status != nil && r.Status.OrderRevision == next.OrderRevision && r.Status.DeadlineMS > 0 {
-		// It runs already; the rest of its time is known by the time of day alone.
+		// The rollout is already running; its remaining time follows from the wall clock alone.
 		left := time.Until(time.UnixMilli(r.Status.DeadlineMS))
 		s.startedAt = now + min(max(left, 0), s.period) - s.period
 	}
@@ -135,7 +138,8 @@
 	m.opts.Log.Emit(event.RolloutOrdered, s.name, next.Baseline, next.Target, next.OrderRevision, s.period)
 }
 
-// setState changes the state.
+// setState changes the state, logs a change of the stage and closes the migrate signals of the
+// versions whose responses must continue on another server.
 func (s *service) setState(m *Manager, next rollout.State, by string, reason rollout.Reason, f rollout.Analysis) {
 	before := s.state
 	s.state = next
@@ -155,7 +159,8 @@
 	}
 }
 
-// migrateSignal returns a channel that is closed when answers under way at a version go on elsewhere.
+// migrateSignal returns a channel that is closed when responses in progress on a version must
+// continue on another server.
 func (s *service) migrateSignal(version string) <-chan struct{} {
 	if s.state.ShouldMigrate(version) {
 		return closedChannel
--- a/serve/versions/trial.go
+++ b/serve/versions/trial.go
@@ -7,8 +7,8 @@
 	"mallowwind.dev/decision/rollout"
 )
 
-// Trial is one request at one server while a roll-out of its service is under way. Its methods do
-// nothing where it is nil.
+// Trial measures one request at one server while a rollout of the service is running. The methods of
+// a nil Trial do nothing.
 type Trial struct {
 	m         *Manager
 	s         *service
@@ -17,13 +17,14 @@
 	done      bool
 }
 
-// StartTrial begins to watch a request at a server; it returns nil where there is nothing to compare.
+// StartTrial begins to measure a request at a server. It returns nil unless the server runs the
+// baseline or the target version of a running rollout.
 func (m *Manager) StartTrial(server routing.Server, route string, kind rollout.Kind) *Trial {
-	now := m.current.Load()
-	if !now.active {
+	snapshot := m.current.Load()
+	if !snapshot.active {
 		return nil
 	}
-	state := now.State(server.Service)
+	state := snapshot.State(server.Service)
 	if !state.Stage.IsRunning() || server.Version != state.Target && server.Version != state.Baseline {
 		return nil
 	}
@@ -39,7 +40,7 @@
 	return t
 }
 
-// ForKind watches the same request for something else.
+// ForKind returns a trial of the same request that measures another quantity.
 func (t *Trial) ForKind(kind rollout.Kind) *Trial {
 	if t == nil {
 		return nil
@@ -49,15 +50,15 @@
 	return next
 }
 
-// Done records how the request ended at the server; only the first call counts.
+// Done records the outcome of the request; only the first call counts.
 func (t *Trial) Done(outcome rollout.Outcome) {
 	if t != nil {
 		t.DoneWithDuration(outcome, t.m.opts.Clock()-t.startedAt)
 	}
 }
 
-// DoneWithDuration is Done with another time than that since the trial began.
-func (t *Trial) DoneWithDuration(outcome rollout.Outcome, took time.Duration) {
+// DoneWithDuration is Done with a given duration instead of the time since the trial began.
+func (t *Trial) DoneWithDuration(outcome rollout.Outcome, duration time.Duration) {
 	if t == nil {
 		return
 	}
@@ -69,13 +70,13 @@
 	t.done = true
 	delete(t.s.unanswered, t)
 	sample := t.sample
-	sample.Outcome, sample.Duration, sample.EndedAt = outcome, took, t.m.opts.Clock()
+	sample.Outcome, sample.Duration, sample.EndedAt = outcome, duration, t.m.opts.Clock()
 	if len(t.s.samples) < maxSamples {
 		t.s.samples = append(t.s.samples, sample)
 	}
 }
 
-// Discard forgets the request: how it ended says nothing of the server.
+// Discard ends the trial without a sample, for a request whose outcome says nothing about the server.
 func (t *Trial) Discard() {
 	if t == nil {
 		return
@@ -86,7 +87,8 @@
 	delete(t.s.unanswered, t)
 }
 
-// unansweredSamples are the requests at the target that have no answer yet. The caller holds the lock.
+// unansweredSamples returns samples of the requests on the target that have no response yet. The
+// caller holds the lock.
 func (s *service) unansweredSamples(now time.Duration) (list []rollout.Sample) {
 	for t := range s.unanswered {
 		sample := t.sample
--- a/serve/versions/versions.go
+++ b/serve/versions/versions.go
@@ -1,12 +1,13 @@
-// Package versions carries out roll-outs: it knows which versions of a service's servers may serve
-// a request, tells what requests show of them, and, at one daemon of the fleet, decides how far a
-// roll-out goes.
+// Package versions carries out rollouts: it determines which versions of a service's servers may
+// serve a request, measures requests on them and, on one daemon of the fleet, the coordinator,
+// decides the stages of the rollout.
 //
-// The daemon nearest to a service by rendezvous hashing decides, and the next one where that does
-// not answer. All tell it what they saw since the roll-out began, so that another that takes over
-// knows as much a second later. What it decides lies in the store under the revision that it knew:
-// one that was frozen, or cut off, undoes nothing newer. That a version is bad is told to all at
-// once, also while the store is away.
+// The coordinator of a service is the first daemon by rendezvous hashing, or the second if the first
+// does not answer. All daemons report to it the samples that they have taken since the rollout
+// began, so that a second after a change of coordinator the new one has the same evidence. The
+// coordinator writes its decisions to the store on condition of the revision that it has read:
+// after a pause or a partition it cannot overwrite a newer decision. A rollback is also sent to all
+// daemons directly, and takes effect while the store is unreachable.
 package versions
 
 import (
@@ -26,38 +27,39 @@
 )
 
 const (
-	// idleInterval and activeTick are how often roll-outs are looked after while there is none, and
-	// while there is one.
+	// idleInterval and activeInterval are the times between two runs of the rollout loop without and
+	// with an active rollout.
 	idleInterval   = time.Second
 	activeInterval = 100 * time.Millisecond
-	// finishInterval is the same once everything goes to the target, when answers end within it.
+	// finishInterval replaces activeInterval once all new requests go to the target, because the last
+	// responses on the baseline may end in less than activeInterval.
 	finishInterval = 40 * time.Millisecond
-	// maxConfigAge is the age of the configuration from which a daemon may be out of touch with all
-	// others; it draws no requests for a new version then.
+	// maxConfigAge is the age of the configuration from which this daemon may be partitioned from all
+	// others; it then routes no requests to a target version.
 	maxConfigAge = 3200 * time.Millisecond
 )
 
-// Options configure a Manager.
+// Options configures a Manager.
 type Options struct {
 	Feed  *feed.Manager
 	Clock feed.Clock
 	Log   *event.Log
 	Self  routing.VM
-	// Dialer connects to other daemons; nil where there is none.
+	// Dialer connects to other daemons; nil disables calls to them.
 	Dialer *link.Dialer
 	Limits rollout.Limits
 	// Registerer receives the metrics; it may be nil.
 	Registerer prometheus.Registerer
 }
 
-// Manager knows the roll-outs of all services.
+// Manager tracks the rollouts of all services.
 type Manager struct {
 	opts      Options
-	bootID    uint64 // of this process
+	bootID    uint64 // identifies this process
 	peers     *peers
 	metrics   *metrics
 	limits    atomic.Pointer[rollout.Limits]
-	activated chan struct{} // holds an item when a roll-out has begun
+	activated chan struct{} // wakes Run when a rollout is active
 	current   atomic.Pointer[Snapshot]
 
 	mu       sync.Mutex // guards the rest
@@ -65,18 +67,18 @@
 	inFlight func(service string, s rollout.State) int
 }
 
-// Snapshot is what holds of all services at one moment. It is immutable.
+// Snapshot holds the rollout states of all services. It is immutable.
 type Snapshot struct {
 	view      *feed.View
 	states    map[string]rollout.State
-	active    bool // a roll-out is under way
-	finishing bool // one of them sends everything to the target
+	active    bool // a rollout is active
+	finishing bool // a rollout sends all new requests to its target
 }
 
-// State is the state of a service.
+// State returns the rollout state of a service.
 func (s *Snapshot) State(service string) rollout.State { return s.states[service] }
 
-// New returns a manager; Run starts it.
+// New returns a Manager; Run starts it.
 func New(o Options) *Manager {
 	m := &Manager{
 		opts: o, bootID: rand.Uint64(), peers: newPeers(o), metrics: newMetrics(o.Registerer), activated: make(chan struct{}, 1),
@@ -87,28 +89,29 @@
 	return m
 }
 
-// SetLimits changes what a version may get that is not known to be good.
+// SetLimits sets the limits on the requests that an unproven version gets.
 func (m *Manager) SetLimits(l rollout.Limits) { m.limits.Store(&l) }
 
-// SetInFlightCounter sets how the requests under way at servers of other versions than the target are
-// counted. It is called before Run.
+// SetInFlightCounter sets the function that counts the requests in flight on servers of other versions
+// than the target. Call it before Run.
 func (m *Manager) SetInFlightCounter(f func(service string, s rollout.State) int) { m.inFlight = f }
 
-// Snapshot is what holds for a view of the store.
+// Snapshot returns the rollout states after applying a view of the store. An older view than the
+// last one is not applied.
 func (m *Manager) Snapshot(view *feed.View) *Snapshot {
-	now := m.current.Load()
-	if now.view == view || now.view != nil && view.PublishedAt.Before(now.view.PublishedAt) {
-		return now
+	current := m.current.Load()
+	if current.view == view || current.view != nil && view.PublishedAt.Before(current.view.PublishedAt) {
+		return current
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.applyView(view)
 }
 
-// applyView takes in a view. The caller holds the lock.
+// applyView applies a view to all services and publishes the result. The caller holds the lock.
 func (m *Manager) applyView(view *feed.View) *Snapshot {
-	if now := m.current.Load(); now.view == view {
-		return now
+	if current := m.current.Load(); current.view == view {
+		return current
 	}
 	for name, servers := range view.Servers {
 		m.service(name).applyStored(m, view, servers)
@@ -121,7 +124,7 @@
 	return m.publish(view)
 }
 
-// publish makes what holds known. The caller holds the lock.
+// publish replaces the current snapshot. The caller holds the lock.
 func (m *Manager) publish(view *feed.View) *Snapshot {
 	next := &Snapshot{view: view, states: make(map[string]rollout.State, len(m.services))}
 	for name, s := range m.services {
@@ -139,6 +142,7 @@
 	return next
 }
 
+// service returns the state kept for a service. The caller holds the lock.
 func (m *Manager) service(name string) *service {
 	s := m.services[name]
 	if s == nil {
@@ -148,16 +152,16 @@
 	return s
 }
 
-// RoutesToTarget reports whether a request that begins goes to the new version of a service.
+// RoutesToTarget reports whether a new request goes to the target version of a service.
 func (m *Manager) RoutesToTarget(view *feed.View, service, route string) bool {
-	now := m.Snapshot(view)
-	if !now.active || !m.drawTarget(now.State(service), service, route) {
+	snapshot := m.Snapshot(view)
+	if !snapshot.active || !m.drawTarget(snapshot.State(service), service, route) {
 		return false
 	}
 	return m.isConfigFresh()
 }
 
-// isConfigFresh reports whether what this daemon knows of the store is not out of date.
+// isConfigFresh reports whether this daemon's configuration is known and younger than maxConfigAge.
 func (m *Manager) isConfigFresh() bool {
 	age, known := m.opts.Feed.ConfigAge()
 	return known && age < maxConfigAge
@@ -169,12 +173,13 @@
 	return s.RoutesToTarget(rand.Float64(), route, &m.service(service).routeCounts)
 }
 
-// IsBlocked reports whether a version of a service may run nothing.
+// IsBlocked reports whether a server must not get requests because of its version.
 func (m *Manager) IsBlocked(view *feed.View, server routing.Server) bool {
 	return m.Snapshot(view).State(server.Service).IsBlocked(server.Version)
 }
 
-// MigrateSignal returns a channel that is closed when answers under way at a server go on elsewhere.
+// MigrateSignal returns a channel that is closed when responses in progress on a server must continue
+// on another one.
 func (m *Manager) MigrateSignal(view *feed.View, server routing.Server) <-chan struct{} {
 	m.Snapshot(view)
 	m.mu.Lock()
@@ -182,17 +187,18 @@
 	return m.service(server.Service).migrateSignal(server.Version)
 }
 
-// mergeState takes in a state that this daemon decided or was told. The caller holds the lock.
-func (m *Manager) mergeState(s *service, heard rollout.State, by string, reason rollout.Reason, f rollout.Analysis) {
-	later := rollout.Merge(s.state, heard)
-	if later == s.state {
+// mergeState merges a state that this daemon has decided or another daemon has sent. The caller holds
+// the lock.
+func (m *Manager) mergeState(s *service, state rollout.State, by string, reason rollout.Reason, f rollout.Analysis) {
+	merged := rollout.Merge(s.state, state)
+	if merged == s.state {
 		return
 	}
-	s.setState(m, later, by, reason, f)
+	s.setState(m, merged, by, reason, f)
 	m.publish(m.current.Load().view)
 }
 
-// Run looks after roll-outs until ctx ends.
+// Run processes the active rollouts until ctx ends.
 func (m *Manager) Run(ctx context.Context) {
 	tick := time.NewTimer(idleInterval)
 	defer tick.Stop()
@@ -203,20 +209,21 @@
 		case <-tick.C:
 		case <-m.activated:
 		}
-		now := m.Snapshot(m.opts.Feed.View())
-		every := idleInterval
-		if now.active {
-			every = activeInterval
-			if now.finishing {
-				every = finishInterval
+		snapshot := m.Snapshot(m.opts.Feed.View())
+		interval := idleInterval
+		if snapshot.active {
+			interval = activeInterval
+			if snapshot.finishing {
+				interval = finishInterval
 			}
 			m.processActive(ctx)
 		}
-		tick.Reset(every)
+		tick.Reset(interval)
 	}
 }
 
-// processActive decides or tells, for each service of which a roll-out is under way.
+// processActive starts, for each active rollout, a decision if this daemon is the coordinator, and
+// otherwise a report to it.
 func (m *Manager) processActive(ctx context.Context) {
 	m.mu.Lock()
 	var active []*service
