--- a/serve/daemon/calls.go
+++ b/serve/daemon/calls.go
@@ -10,7 +10,7 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// callTracker counts the calls to plain services that run here, so that a graceful
+// callTracker counts the calls to plain services in progress on this daemon, so that a graceful
 // shutdown waits for them.
 type callTracker struct {
 	service *once.Service
@@ -25,10 +25,10 @@
 	return c.service.Handle(ctx, once.Request{Account: account, Service: service, Key: key, Call: call})
 }
 
-// activeCount returns the number of calls not yet answered.
+// activeCount returns the number of calls in progress.
 func (c *callTracker) activeCount() int { return int(c.active.Load()) }
 
-// handOverKeys hands the keys bound here to other entry VMs.
+// handOverKeys hands the idempotency keys bound to this daemon over to other entry VMs.
 func (c *callTracker) handOverKeys(ctx context.Context) {
 	if err := c.service.Leave(ctx); err != nil {
 		c.log.Emit(event.HandoverIncomplete, err.Error())
--- a/serve/daemon/daemon.go
+++ b/serve/daemon/daemon.go
@@ -1,6 +1,5 @@
-// Package daemon assembles one entry VM's daemon from its parts. All daemons
-// are equal: each serves callers, holds copies for others, and may hold the
-// lease of its zone.
+// Package daemon assembles the daemon of an entry VM from its components. All daemons have the same
+// roles: each serves callers, holds copies for other daemons, and may hold the lease of its zone.
 package daemon
 
 import (
@@ -40,7 +39,7 @@
 	"mallowwind.dev/telemetry/metric"
 )
 
-// Platform is what a daemon needs from the platform.
+// Platform provides the services of the platform that a daemon uses.
 type Platform struct {
 	Store   store.Store
 	VMs     vmlist.Source
@@ -49,13 +48,13 @@
 	Plain   plain.Caller
 }
 
-// Listeners accept the daemon's connections. They are opened by the caller, so
-// that a busy port is found before anything starts.
+// Listeners accept the daemon's connections. The caller of New opens them, so that a port in use is
+// detected before anything starts.
 type Listeners struct {
 	Callers, Peers, Admin net.Listener
 }
 
-// Options configure a Daemon.
+// Options configures a Daemon.
 type Options struct {
 	Settings  *settings.Settings
 	Platform  Platform
@@ -63,13 +62,13 @@
 	Dialer    *link.Dialer
 	Logger    *logrus.Logger
 	Version   string
-	// TLS keeps the certificates current; nil means plain TCP.
+	// TLS provides the certificates and reloads them; nil means plain TCP.
 	TLS *tlsfiles.Files
-	// Backends overrides how backend servers are watched; nil means the default.
+	// Backends configures how backend servers are watched; nil means the default.
 	Backends *backends.Config
 }
 
-// Daemon is one running daemon.
+// Daemon is the daemon of one entry VM.
 type Daemon struct {
 	opts        Options
 	log         *event.Log
@@ -83,7 +82,7 @@
 	flow        *flow.Manager
 	generations *generation.Manager
 	calls       *callTracker
-	serving     atomic.Bool // named to callers
+	serving     atomic.Bool // callers are given this daemon's address
 	drain       *drainer
 	api         *api.API
 }
@@ -101,8 +100,7 @@
 	return d
 }
 
-// randomSeed makes the random choices of different daemons differ, and those of one
-// daemon the same at every start.
+// randomSeed returns a seed that differs between daemons and stays the same when a daemon restarts.
 func (d *Daemon) randomSeed() uint64 { return xxhash.Sum64String(d.opts.Settings.VM) }
 
 func (d *Daemon) assembleControl() {
@@ -148,7 +146,7 @@
 	})
 }
 
-// poolKind says what the text in force says of a pool.
+// poolKind returns the kind of a pool's servers according to the current configuration.
 func (d *Daemon) poolKind(pool string) backends.Kind {
 	s := d.inforce.Current()
 	if s == nil {
@@ -162,8 +160,8 @@
 	return backends.KindEngine
 }
 
-// assemblePlacement lets this daemon contend for its zone's lease and, while
-// it holds the lease, give the zone's engines their orders.
+// assemblePlacement creates the components that compete for the zone's lease and, while this daemon
+// holds it, give orders to the zone's engines.
 func (d *Daemon) assemblePlacement() {
 	s, p := d.opts.Settings, d.opts.Platform
 	d.roster = roster.NewManager(p.Store, d.members, d.log)
@@ -203,9 +201,9 @@
 	})
 }
 
-// chooseVersion returns the service with the version that a new request runs with,
-// none of those in except where another is ready. An answer that has begun
-// stays with its version, which its copy carries.
+// chooseVersion returns the service with the version that a new request runs on. It returns none of
+// the versions in except if another one is ready. A response in progress stays on its version, which
+// its copy contains.
 func (d *Daemon) chooseVersion(s *site.Service, except ...string) *site.Service {
 	ref := engine.ModelRef{Model: s.Model, Adapter: s.Adapter, Version: s.Version}
 	chosen := d.backends.Current().Choose(s.Pool, ref, rand.Uint64(), except...)
@@ -217,10 +215,10 @@
 	return &other
 }
 
-// Registry holds the daemon's metrics.
+// Registry returns the registry of the daemon's metrics.
 func (d *Daemon) Registry() *metric.Catalogue { return d.registry }
 
-// Revision returns the revision of the site text in force here, 0 before any.
+// Revision returns the revision of this daemon's current configuration, 0 if it has none.
 func (d *Daemon) Revision() int64 {
 	if s := d.inforce.Current(); s != nil {
 		return s.Revision
@@ -228,7 +226,8 @@
 	return 0
 }
 
-// SeesAlive reports whether this daemon sees n entry VMs alive, itself included.
+// SeesAlive reports whether this daemon sees at least n entry VMs alive that callers can be sent to,
+// itself included.
 func (d *Daemon) SeesAlive(n int) bool {
 	alive := 0
 	for _, m := range d.members.Current().Members {
@@ -239,12 +238,12 @@
 	return alive >= n
 }
 
-// isReady reports whether callers should be sent here.
+// isReady reports whether callers should be sent to this daemon.
 func (d *Daemon) isReady() bool { return d.serving.Load() && !d.drain.isLeaving() }
 
-// Run serves until ctx ends and then drains: it leaves the address answers,
-// waits out the longest answer a caller may have kept, lets running work end,
-// and returns. Ending hard as well cuts the drain short.
+// Run serves until ctx ends and then drains: it removes this daemon from the addresses given to
+// callers, waits until no caller may use a cached list with its address any more, lets the work in
+// progress end, and returns. The end of hard cuts the drain short.
 func (d *Daemon) Run(ctx, hard context.Context) error {
 	work, stopWork := context.WithCancel(context.Background())
 	defer stopWork()
@@ -270,17 +269,17 @@
 	return g.Wait()
 }
 
-// backgroundTasks are the parts that run until the daemon ends.
+// backgroundTasks returns the functions that run until the daemon stops.
 func (d *Daemon) backgroundTasks() []func(context.Context) error {
-	parts := []func(context.Context) error{
+	tasks := []func(context.Context) error{
 		d.backends.Run, d.members.Run, d.inforce.Run, d.flow.Run,
 		d.lease.Run, d.reconcile.Run, d.generations.Run, d.roster.Run, d.runKeyOwnership,
 		d.announceWhenReady,
 	}
 	if d.opts.TLS != nil {
-		parts = append(parts, d.opts.TLS.Run)
+		tasks = append(tasks, d.opts.TLS.Run)
 	}
-	return parts
+	return tasks
 }
 
 func ignoreCancelled(err error) error {
@@ -290,7 +289,7 @@
 	return err
 }
 
-// peerHandler serves other daemons.
+// peerHandler returns the handler for the calls of other daemons.
 func (d *Daemon) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(d.generations.Handler())
@@ -301,5 +300,5 @@
 	return mux
 }
 
-// CurrentSite returns the site text in force here, nil before the first.
+// CurrentSite returns this daemon's current configuration, nil if it has none.
 func (d *Daemon) CurrentSite() *site.Site { return d.inforce.Current() }
--- a/serve/daemon/drain.go
+++ b/serve/daemon/drain.go
@@ -9,13 +9,13 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// drainPollInterval is how often a draining daemon looks whether its work has ended.
+// drainPollInterval is the time between two checks whether a draining daemon's work has ended.
 const drainPollInterval = 50 * time.Millisecond
 
-// drainer carries out a graceful shutdown. The failure it guards against is a
-// planned stop that cuts requests: callers keep an answer of /v1/entries for a
-// while and connect here for as long, so the daemon first leaves the answers,
-// serves on until the longest kept answer has run out, and only then refuses.
+// drainer performs a graceful shutdown, so that a planned stop does not cut off requests. Callers
+// cache answers of /v1/entries for EntriesTTL and connect to the daemons in them. The daemon
+// therefore first removes itself from new answers, goes on serving until all cached ones have
+// expired, and only then refuses requests.
 type drainer struct {
 	d     *Daemon
 	stage atomic.Int32
@@ -24,23 +24,24 @@
 // The stages of a drain, in order.
 const (
 	stageServing int32 = iota
-	stageLeaving       // out of the address answers, still serving all
+	stageLeaving       // removed from the answers of /v1/entries, still serving all requests
 	stageRefusing
 )
 
 func (r *drainer) isLeaving() bool  { return r.stage.Load() >= stageLeaving }
 func (r *drainer) isRefusing() bool { return r.stage.Load() >= stageRefusing }
 
-// run drains until all work has ended, the limit is reached or hard ends.
+// run drains until all work has ended, DrainLimit has passed or hard ends, and then hands over the
+// generations that are still running.
 func (r *drainer) run(hard context.Context) {
 	limit := r.d.opts.Settings.DrainLimit
 	ctx, cancel := context.WithTimeout(hard, limit)
 	defer cancel()
-	kept := r.entriesTTL()
-	r.d.log.Emit(event.DaemonDraining, r.d.generations.Running(), kept)
+	ttl := r.entriesTTL()
+	r.d.log.Emit(event.DaemonDraining, r.d.generations.Running(), ttl)
 	r.stage.Store(stageLeaving)
 	r.d.members.Leave()
-	r.wait(ctx, kept)
+	r.wait(ctx, ttl)
 	r.stage.Store(stageRefusing)
 	r.d.calls.handOverKeys(ctx)
 	for ctx.Err() == nil && r.isBusy() {
@@ -61,8 +62,7 @@
 	return r.d.generations.Running() > 0 || r.d.calls.activeCount() > 0 || r.d.api.Active() > 0
 }
 
-// entriesTTL is the longest time for which a caller may keep an answer that
-// names this entry VM.
+// entriesTTL is the longest time for which a caller may cache an answer that contains this entry VM.
 func (r *drainer) entriesTTL() time.Duration {
 	if s := r.d.inforce.Current(); s != nil {
 		return s.Limits.EntriesTTL
--- a/serve/daemon/entries.go
+++ b/serve/daemon/entries.go
@@ -7,12 +7,12 @@
 
 	"mallowwind.dev/control/membership"
 	"mallowwind.dev/control/site"
-	ask "mallowwind.dev/decision/entries"
+	selection "mallowwind.dev/decision/entries"
 	"mallowwind.dev/serve/api"
 	"mallowwind.dev/telemetry/event"
 )
 
-// entrySelector answers which entry VMs an account should use.
+// entrySelector selects the entry VMs that an account should use.
 type entrySelector struct {
 	site     site.Source
 	members  membership.Source
@@ -20,20 +20,19 @@
 	rotation atomic.Uint64
 }
 
-// For implements api.Entries. Only members seen alive are named: one that is
-// leaving vanishes from the answers at once and serves on for the callers that
-// still keep it.
+// For implements api.Entries. It returns only members that are seen alive: a leaving member is no
+// longer returned, and still serves the callers that have its address in a cached answer.
 func (e *entrySelector) For(account *site.Account) []api.Entry {
 	members := e.members.Current().Members
-	vms := make([]ask.VM, 0, len(members))
+	vms := make([]selection.VM, 0, len(members))
 	for _, m := range members {
-		vms = append(vms, ask.VM{
+		vms = append(vms, selection.VM{
 			ID: m.ID, Hash: xxhash.Sum64String(m.ID), Zone: m.Zone, Address: m.CallerAddr,
 			Usable: m.State == membership.Alive && m.CallerAddr != "",
 		})
 	}
-	part, before := ask.LoadPosition(accountLoads(e.site.Current()), account.Name)
-	a := ask.Select(vms, ask.Query{LoadShare: part, ShareBefore: before, Rotation: e.rotation.Add(1)})
+	share, before := selection.LoadPosition(accountLoads(e.site.Current()), account.Name)
+	a := selection.Select(vms, selection.Query{LoadShare: share, ShareBefore: before, Rotation: e.rotation.Add(1)})
 	e.log.Emit(event.EntriesAnswered, account.Name, len(a.VMs), len(vms), a.Reason)
 	out := make([]api.Entry, 0, len(a.VMs))
 	for _, i := range a.VMs {
@@ -42,11 +41,11 @@
 	return out
 }
 
-// accountLoads are the accounts' declared weights in the load.
-func accountLoads(s *site.Site) []ask.AccountLoad {
-	out := make([]ask.AccountLoad, 0, len(s.Accounts))
+// accountLoads returns the accounts with their declared shares of the load.
+func accountLoads(s *site.Site) []selection.AccountLoad {
+	out := make([]selection.AccountLoad, 0, len(s.Accounts))
 	for name, a := range s.Accounts {
-		out = append(out, ask.AccountLoad{Name: name, Hash: xxhash.Sum64String(name), Weight: a.Share})
+		out = append(out, selection.AccountLoad{Name: name, Hash: xxhash.Sum64String(name), Weight: a.Share})
 	}
 	return out
 }
--- a/serve/daemon/listen.go
+++ b/serve/daemon/listen.go
@@ -10,7 +10,7 @@
 	"mallowwind.dev/control/tlsfiles"
 )
 
-// Listen opens the addresses that the settings name.
+// Listen opens listeners on the addresses in the settings.
 func Listen(s *settings.Settings) (l Listeners, err error) {
 	open := func(to *net.Listener, key, address string) {
 		if err != nil {
@@ -28,8 +28,8 @@
 	return l, err
 }
 
-// Secure puts TLS on the listeners for callers and for other entry VMs where
-// certificates are set.
+// Secure wraps the listeners for callers and for other entry VMs in TLS if certificates are
+// configured for them.
 func (l Listeners) Secure(files *tlsfiles.Files) Listeners {
 	l.Callers = withTLS(l.Callers, files.CallerServer())
 	l.Peers = withTLS(l.Peers, files.PeerServer())
@@ -43,11 +43,11 @@
 	return tls.NewListener(l, config)
 }
 
-// Close closes the listeners that are open.
+// Close closes the open listeners.
 func (l Listeners) Close() {
 	for _, x := range []net.Listener{l.Callers, l.Peers, l.Admin} {
 		if x != nil {
-			_ = x.Close() // nothing was accepted on it
+			_ = x.Close() // no connection was accepted on it
 		}
 	}
 }
--- a/serve/daemon/platform.go
+++ b/serve/daemon/platform.go
@@ -14,13 +14,13 @@
 	"mallowwind.dev/external/weights"
 )
 
-// platformTimeout bounds one question to the VM list or the weight store.
+// platformTimeout bounds one request to the VM list or the weight store.
 const platformTimeout = 2 * time.Second
 
-// maxAnswerBytes bounds the answer of a plain service, in bytes.
+// maxAnswerBytes bounds the response of a plain service.
 const maxAnswerBytes = 16 << 20
 
-// Connect returns the platform that the settings name, over its wire forms.
+// Connect returns clients of the platform's services at the addresses in the settings.
 func Connect(s *settings.Settings) (Platform, error) {
 	kv, err := store.NewEtcdClient(s.Store, nil)
 	if err != nil {
--- a/serve/daemon/server.go
+++ b/serve/daemon/server.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// headerTimeout bounds the time to the end of a request's headers, so that
-	// callers who open connections and send nothing hold little.
+	// headerTimeout bounds the time until a request's headers are complete, so that callers that open
+	// connections and send nothing occupy few resources.
 	headerTimeout = 10 * time.Second
-	// idleTimeout closes kept connections that carry no request.
+	// idleTimeout is how long a connection without a request is kept open.
 	idleTimeout = 2 * time.Minute
-	// closeTimeout bounds the end of connections after all work has ended.
+	// closeTimeout bounds the time for closing connections after all work has ended.
 	closeTimeout = 5 * time.Second
 )
 
-// server is one listener with its handler.
+// server serves one listener.
 type server struct {
 	http     *http.Server
 	listener net.Listener
@@ -43,13 +43,13 @@
 	return errors.Wrapf(err, "serve %s", s.listener.Addr())
 }
 
-// stop closes the listener, waits for requests to end, and closes the rest
-// when hard ends or the time is up.
+// stop closes the listener and waits for requests to end. After closeTimeout, or when hard ends, it
+// closes the remaining connections.
 func (s server) stop(hard context.Context) {
 	ctx, cancel := context.WithTimeout(hard, closeTimeout)
 	defer cancel()
 	if s.http.Shutdown(ctx) != nil {
-		_ = s.http.Close() // only connections that did not end in time are left
+		_ = s.http.Close() // only connections that did not end in time remain
 	}
 }
 
@@ -62,7 +62,7 @@
 	return out
 }
 
-// adminHandler serves operators: metrics, health and the status page.
+// adminHandler returns the handler for operators: metrics, health checks and the status page.
 func (d *Daemon) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", promhttp.HandlerFor(d.registry, promhttp.HandlerOpts{}))
--- a/serve/daemon/start.go
+++ b/serve/daemon/start.go
@@ -13,21 +13,22 @@
 )
 
 const (
-	// startPollInterval is how often a daemon that starts looks whether it knows enough.
+	// startPollInterval is the time between two checks of a starting daemon whether it has the state
+	// that it needs to serve.
 	startPollInterval = 50 * time.Millisecond
-	// startTimeout is how long it waits for other entry VMs and backend servers
-	// that the platform's list names: they may be what is broken.
+	// startTimeout bounds the wait for contact with another entry VM and for backend servers, because
+	// these may be down although the platform's list contains them.
 	startTimeout = 4 * time.Second
-	// startSettleDelay lets the flow take up what the other parts know.
+	// startSettleDelay gives the flow manager time to take over the state of the other components.
 	startSettleDelay = 500 * time.Millisecond
 )
 
-// announceWhenReady names this entry VM to callers when it knows enough to serve them.
+// announceWhenReady announces the caller address of this entry VM once it has the state that it needs
+// to serve callers.
 //
-// The failure it guards against: a new entry VM is in the address answers as
-// soon as it is alive, and in its first second knows neither an engine nor who
-// holds the copies of running answers. A caller sent there during a planned
-// replacement is refused, and one that repeats its key is told that its request
+// If callers were sent to a new entry VM as soon as it is alive, it would in its first second know
+// neither an engine nor which daemons hold the copies of responses in progress. During a planned
+// replacement it would refuse callers, and would tell a caller that retries a key that its request
 // was not run while another entry VM runs it.
 func (d *Daemon) announceWhenReady(ctx context.Context) error {
 	began := time.Now()
@@ -46,22 +47,21 @@
 	return nil
 }
 
-// hasStartState reports whether this daemon has a text, has heard of the other
-// entry VMs and has a backend server for each service. When late, the text and
-// the platform's list are enough.
-func (d *Daemon) hasStartState(late bool) bool {
+// hasStartState reports whether this daemon has a configuration and the platform's VM list and,
+// unless timedOut is set, contact with another entry VM and a backend server for each service.
+func (d *Daemon) hasStartState(timedOut bool) bool {
 	s := d.inforce.Current()
 	rows, err := d.backends.List(context.Background())
 	if s == nil || err != nil {
 		return false
 	}
-	return late || d.hasPeerContact(rows) && d.hasBackends(s)
+	return timedOut || d.hasPeerContact(rows) && d.hasBackends(s)
 }
 
-// hasPeerContact reports whether this daemon has heard from another entry VM, if
-// the list shows one: the first exchange brings the whole table of a small
-// fleet. It does not wait for each VM on the list, since one that has just died
-// stays there until the platform notices.
+// hasPeerContact reports whether this daemon knows another entry VM as a member or the list contains
+// no other live one. One contact is enough, because the first exchange transfers the whole table of
+// a small fleet. The function does not require every listed VM, because a VM that has just failed
+// stays on the list until the platform detects it.
 func (d *Daemon) hasPeerContact(rows []vmlist.VM) bool {
 	listed := func(vm vmlist.VM) bool {
 		return vm.Role == vmlist.RoleEntry && vm.State == vmlist.Live && vm.ID != d.opts.Settings.VM
@@ -72,15 +72,15 @@
 func (d *Daemon) hasBackends(s *site.Site) bool {
 	pools := d.backends.Current().Pools
 	for _, service := range s.Services {
-		fit := func(b *backends.Backend) bool { return canServe(b, service) }
-		if !slices.ContainsFunc(pools[service.Pool], fit) {
+		suitable := func(b *backends.Backend) bool { return canServe(b, service) }
+		if !slices.ContainsFunc(pools[service.Pool], suitable) {
 			return false
 		}
 	}
 	return true
 }
 
-// canServe reports whether a backend server can run a service's requests now.
+// canServe reports whether a backend server can currently run a service's requests.
 func canServe(b *backends.Backend, service *site.Service) bool {
 	if !b.Reachable {
 		return false
@@ -94,9 +94,9 @@
 	return slices.ContainsFunc(b.Status.Models, ready)
 }
 
-// runKeyOwnership takes slots of idempotency keys from the time on at which this daemon
-// can dispatch calls. One that owned slots in its first second refused calls
-// with no_backend_server that every other entry VM could have run.
+// runKeyOwnership takes ownership of slots of idempotency keys once this daemon can dispatch calls. If
+// it owned slots in its first second, it would refuse calls with no_backend_server that any other
+// entry VM could run.
 func (d *Daemon) runKeyOwnership(ctx context.Context) error {
 	for !d.serving.Load() {
 		if !pause.For(ctx, startPollInterval) {
--- a/serve/daemon/status.go
+++ b/serve/daemon/status.go
@@ -7,7 +7,7 @@
 	"mallowwind.dev/decision/placement"
 )
 
-// statusPage is what this daemon tells operators of itself.
+// statusPage returns the content of this daemon's status page for operators.
 func (d *Daemon) statusPage() statuspage.Page {
 	s := d.opts.Settings
 	p := statuspage.Page{
@@ -29,7 +29,7 @@
 	return "serving"
 }
 
-// fillPlacement adds the change under way, which only the lease holder knows.
+// fillPlacement adds the placement change in progress, which only the lease holder knows.
 func (d *Daemon) fillPlacement(p *statuspage.Page) {
 	r := d.reconcile.Report()
 	if !r.Holds || r.Step.Kind == placement.None {
--- a/serve/versions/decide.go
+++ b/serve/versions/decide.go
@@ -21,8 +21,8 @@
 	// viewSettleTime is how long the view may still show servers that are gone after an outage of
 	// the store.
 	viewSettleTime = 2600 * time.Millisecond
-	// analysisTimeDivisor limits the time spent on analysing samples to this fraction, 1/20, of the
-	// total: two analyses begin at least this many times the duration of the first one apart.
+	// analysisTimeDivisor limits the analysis of a rollout's samples to 1/20 of this daemon's time: the
+	// next analysis begins, at the earliest, this many times the duration of the last one after it.
 	analysisTimeDivisor = 20
 )
 
--- a/serve/versions/service.go
+++ b/serve/versions/service.go
@@ -89,8 +89,8 @@
 // applyStored applies the order and the status that the store holds, and the versions of the servers.
 func (s *service) applyStored(m *Manager, view *feed.View, servers []routing.Server) {
 	present := map[string]int{}
-	for _, one := range servers {
-		present[one.Version]++
+	for _, server := range servers {
+		present[server.Version]++
 	}
 	r := view.Rollouts[s.name]
 	var order *rollout.Order
--- a/serve/versions/versions.go
+++ b/serve/versions/versions.go
@@ -167,6 +167,7 @@
 	return known && age < maxConfigAge
 }
 
+// drawTarget counts a new request and draws whether it goes to the target.
 func (m *Manager) drawTarget(s rollout.State, service, route string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
