--- a/control/roster/roster.go
+++ b/control/roster/roster.go
@@ -27,11 +27,11 @@
 // Key is the store key of the roster.
 const Key = "/mallowwind/roster"
 
-// PollIntervalPerMember times the number of members is the mean poll interval of a daemon, so that
-// all daemons together read the value once per second at any fleet size. This costs each of 390
-// daemons about 160 bytes per second. Polling only finds changes that were not passed on otherwise:
-// the members of a pair learn of changes from each other, and the daemons that serve callers from
-// the members that they call.
+// PollIntervalPerMember times the number of members is the mean poll interval of a daemon, but not
+// less than minPollInterval. All daemons together thus read the value once per second at any fleet
+// size, which costs each of 390 daemons about 160 bytes per second. Polling only finds changes that
+// were not passed on otherwise: the members of a pair learn of changes from each other, and the
+// daemons that serve callers learn of them from the members that they call.
 const PollIntervalPerMember = time.Second
 
 const (
--- a/serve/versions/service.go
+++ b/serve/versions/service.go
@@ -60,7 +60,7 @@
 
 // reporter holds the last report of another daemon.
 type reporter struct {
-	bootID     uint64
+	bootID     uint64        // identifies the process; a restart resets nextSample
 	stage      rollout.Stage // at that daemon when it reported
 	nextSample int64         // number of the next sample expected from it
 	reportedAt time.Duration
