--- a/decision/absence/absence.go
+++ b/decision/outage/absence.go
@@ -1,4 +1,4 @@
-// Package absence decides how long a request waits while no server of its service is available, and
+// Package outage decides how long a request waits while no server of its service is available, and
 // after how long its caller retries if it is refused.
 //
 // Load pattern: all servers of a service fail at once, with all answers in progress there, and are
@@ -12,7 +12,7 @@
 // length. A request waits for about as long, if its objective leaves enough time, and a refused
 // caller is told to retry after the same time. Before the first observed outage, a request waits
 // only for a short default time.
-package absence
+package outage
 
 import (
 	"time"
--- a/decision/absence/absence_test.go
+++ b/decision/outage/absence_test.go
@@ -1,4 +1,4 @@
-package absence
+package outage
 
 import (
 	"testing"
--- a/serve/forward/pool.go
+++ b/serve/forward/pool.go
@@ -6,7 +6,7 @@
 
 	"mallowwind.dev/control/feed"
 	"mallowwind.dev/control/routing"
-	"mallowwind.dev/decision/absence"
+	"mallowwind.dev/decision/outage"
 	"mallowwind.dev/decision/repeats"
 	"mallowwind.dev/decision/route"
 	"mallowwind.dev/serve/versions"
@@ -50,7 +50,7 @@
 	successors map[routing.Incarnation]routing.Incarnation
 	// down holds the servers that failed and have not returned since, by address.
 	down      map[string]downServer
-	downtimes map[string]*absence.Estimator // by service
+	downtimes map[string]*outage.Estimator // by service
 	// onWorkChanged is called, without the lock, for each server at which this daemon's prefills,
 	// running answers or suspicion have changed.
 	onWorkChanged func(routing.Server)
@@ -71,7 +71,7 @@
 		self: self, startedAt: time.Now(), retryRule: rule, serverSets: map[string]*serverSet{},
 		loads: map[routing.Incarnation]*serverLoad{}, budgets: map[string]*repeats.Budget{},
 		successors: map[routing.Incarnation]routing.Incarnation{},
-		down:       map[string]downServer{}, downtimes: map[string]*absence.Estimator{},
+		down:       map[string]downServer{}, downtimes: map[string]*outage.Estimator{},
 		onWorkChanged: func(routing.Server) {}, versions: versions,
 	}
 }
--- a/serve/forward/recovery.go
+++ b/serve/forward/recovery.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"mallowwind.dev/control/feed"
-	"mallowwind.dev/decision/absence"
+	"mallowwind.dev/decision/outage"
 )
 
 // recoveryPollInterval is how often a waiting request checks whether an engine has returned. The
@@ -18,7 +18,7 @@
 const downServerTTL = 2 * time.Minute
 
 // downtime returns the observed downtimes of a service's servers. The caller holds p.mu.
-func (p *pool) downtime(service string) *absence.Estimator {
+func (p *pool) downtime(service string) *outage.Estimator {
 	return getOrCreate(p.downtimes, service)
 }
 
