--- a/control/feed/calls_test.go
+++ b/control/feed/calls_test.go
@@ -14,7 +14,7 @@
 	"github.com/shoenig/test/must"
 
 	"mallowwind.dev/control/routing"
-	"mallowwind.dev/decision/watching"
+	"mallowwind.dev/decision/watchplan"
 	"mallowwind.dev/external/standin/storesim"
 	"mallowwind.dev/external/store"
 	"mallowwind.dev/peer/link"
@@ -276,15 +276,15 @@
 // remaining daemons must see that within two seconds, whichever daemons were lost.
 func TestChangeArrivesWhileSourcesAreLost(t *testing.T) {
 	const size, zones, within = 130, 3, 2 * time.Second
-	groups := map[string]func(plan *watching.Plan) []string{
-		"watching daemons": func(plan *watching.Plan) []string { return plan.Watchers() },
-		"relays": func(plan *watching.Plan) (ids []string) {
+	groups := map[string]func(plan *watchplan.Plan) []string{
+		"watching daemons": func(plan *watchplan.Plan) []string { return plan.Watchers() },
+		"relays": func(plan *watchplan.Plan) (ids []string) {
 			for n := range zones {
 				ids = append(ids, plan.Relays(fmt.Sprintf("z%d", n))...)
 			}
 			return ids
 		},
-		"two thirds of the fleet": func(*watching.Plan) (ids []string) {
+		"two thirds of the fleet": func(*watchplan.Plan) (ids []string) {
 			for n := range size {
 				if n%3 != 0 {
 					ids = append(ids, strconv.Itoa(n))
--- a/control/feed/feed.go
+++ b/control/feed/feed.go
@@ -16,7 +16,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"mallowwind.dev/control/routing"
-	"mallowwind.dev/decision/watching"
+	"mallowwind.dev/decision/watchplan"
 	"mallowwind.dev/external/store"
 	"mallowwind.dev/peer/link"
 	"mallowwind.dev/telemetry/event"
@@ -57,7 +57,7 @@
 	departed map[string]time.Duration
 	// watchPlan decides which of VMs watch the store and which daemons the others poll; nil in the
 	// empty view.
-	watchPlan *watching.Plan
+	watchPlan *watchplan.Plan
 }
 
 // HasDeparted reports whether a server is known to be leaving or gone.
--- a/control/feed/fleet_test.go
+++ b/control/feed/fleet_test.go
@@ -15,7 +15,7 @@
 	"github.com/shoenig/test/must"
 
 	"mallowwind.dev/control/routing"
-	"mallowwind.dev/decision/watching"
+	"mallowwind.dev/decision/watchplan"
 	"mallowwind.dev/external/standin/storesim"
 	"mallowwind.dev/external/store"
 	"mallowwind.dev/peer/link"
@@ -264,7 +264,7 @@
 			must.Eq(t, "2", m.View().Servers["s"][0].ID)
 		}
 		time.Sleep(9 * time.Second)
-		must.LessEq(t, watching.SmallFleetSize, int(calls()-before)) // no watch was reopened
+		must.LessEq(t, watchplan.SmallFleetSize, int(calls()-before)) // no watch was reopened
 		for _, id := range f.feeds[0].View().watchPlan.Watchers() {
 			n, err := strconv.Atoi(id)
 			must.NoError(t, err)
@@ -349,9 +349,9 @@
 			polls[near[0]]++
 		}
 	}
-	must.MapLen(t, size/watching.ClientsPerRelay, polls)
+	must.MapLen(t, size/watchplan.ClientsPerRelay, polls)
 	for _, n := range polls {
-		must.LessEq(t, 5*watching.ClientsPerRelay*3/2, n)
+		must.LessEq(t, 5*watchplan.ClientsPerRelay*3/2, n)
 	}
 }
 
--- a/control/feed/log_test.go
+++ b/control/feed/log_test.go
@@ -12,7 +12,7 @@
 	"github.com/shoenig/test/must"
 	"github.com/sirupsen/logrus"
 
-	"mallowwind.dev/decision/watching"
+	"mallowwind.dev/decision/watchplan"
 	"mallowwind.dev/external/store"
 	"mallowwind.dev/telemetry/event"
 )
@@ -102,7 +102,7 @@
 // daemon that polls others gets a later revision each time. Only changes of servers or of the
 // configuration are logged.
 func TestPeerChangesAreLoggedOnlyIfRelevant(t *testing.T) {
-	const size = watching.SmallFleetSize + 4
+	const size = watchplan.SmallFleetSize + 4
 	inFleet(t, size, func(f *fleet) {
 		logs := make([]*logRecorder, size)
 		for n := range f.feeds {
--- a/control/feed/peers.go
+++ b/control/feed/peers.go
@@ -10,7 +10,7 @@
 
 	"mallowwind.dev/control/pause"
 	"mallowwind.dev/control/routing"
-	"mallowwind.dev/decision/watching"
+	"mallowwind.dev/decision/watchplan"
 	"mallowwind.dev/external/store"
 	"mallowwind.dev/peer/peerpb"
 	"mallowwind.dev/telemetry/event"
@@ -70,7 +70,7 @@
 // seconds before.
 func (m *Manager) shouldWatch() bool {
 	view := m.View()
-	if m.opts.Dialer == nil || len(view.VMs) <= watching.SmallFleetSize || m.hasNoSource() {
+	if m.opts.Dialer == nil || len(view.VMs) <= watchplan.SmallFleetSize || m.hasNoSource() {
 		return true
 	}
 	if age, known := m.confirmationAge(); !known || age > selfWatchAge {
@@ -83,14 +83,14 @@
 func (m *Manager) hasNoSource() bool { return int64(m.opts.Clock()) < m.noSourceUntil.Load() }
 
 // newWatchPlan returns the plan of which of the VMs that are not leaving watch the store.
-func newWatchPlan(vms []routing.VM) *watching.Plan {
-	list := make([]watching.VM, 0, len(vms))
+func newWatchPlan(vms []routing.VM) *watchplan.Plan {
+	list := make([]watchplan.VM, 0, len(vms))
 	for _, vm := range vms {
 		if !vm.Draining {
-			list = append(list, watching.VM{ID: vm.ID, Hash: xxhash.Sum64String(vm.ID), Zone: vm.Zone})
+			list = append(list, watchplan.VM{ID: vm.ID, Hash: xxhash.Sum64String(vm.ID), Zone: vm.Zone})
 		}
 	}
-	return watching.New(list)
+	return watchplan.New(list)
 }
 
 // pollPeers gets changes from the daemons that watch the store, and from any daemon while this one
--- a/control/feed/watch.go
+++ b/control/feed/watch.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"mallowwind.dev/control/pause"
-	"mallowwind.dev/decision/watching"
+	"mallowwind.dev/decision/watchplan"
 	"mallowwind.dev/external/store"
 )
 
@@ -111,7 +111,7 @@
 	switch {
 	case !known:
 		return min(retryDelay<<min(failures, 8), maxStartupRetryDelay)
-	case len(view.VMs) <= watching.SmallFleetSize:
+	case len(view.VMs) <= watchplan.SmallFleetSize:
 		return retryDelay
 	case view.watchPlan.IsWatcher(m.opts.Self) && failures >= longFailureStreak:
 		return watchingRetryDelay
--- a/decision/watching/watching.go
+++ b/decision/watchplan/watching.go
@@ -1,4 +1,4 @@
-// Package watching decides which daemons of a fleet watch the store, and which daemons the others
+// Package watchplan decides which daemons of a fleet watch the store, and which daemons the others
 // query for its changes.
 //
 // Load pattern: hundreds of daemons all have to learn of each change within a second or two, from a
@@ -14,7 +14,7 @@
 // twenty daemons, and all daemons except the relays query within their zone. Every daemon computes
 // the same plan from the same VMs, which needs no agreement. A plan has no state that could be lost:
 // if the watchers fail, a daemon that finds no other to query watches the store itself.
-package watching
+package watchplan
 
 import (
 	"cmp"
--- a/decision/watching/watching_test.go
+++ b/decision/watchplan/watching_test.go
@@ -1,4 +1,4 @@
-package watching
+package watchplan
 
 import (
 	"fmt"
--- a/lab/capacity/forward.go
+++ b/lab/capacity/forward.go
@@ -2,7 +2,7 @@
 
 import (
 	"mallowwind.dev/control/feed"
-	"mallowwind.dev/decision/watching"
+	"mallowwind.dev/decision/watchplan"
 	"mallowwind.dev/serve/forward"
 )
 
@@ -12,7 +12,7 @@
 // seen at 30, 100 and 300 daemons.
 func (m *Model) forward() []Row {
 	s := m.Size
-	watchers := float64(watching.CountWatchers(s.Daemons))
+	watchers := float64(watchplan.CountWatchers(s.Daemons))
 	return []Row{
 		{
 			Role: Forward, Kind: Messages, What: "reports asked of engines before prompts", Unit: PerS, Carrier: "`serve/forward`",
@@ -20,7 +20,7 @@
 		},
 		{
 			Role: Forward, Kind: Messages, What: "questions of other daemons to one that passes on what the store tells", Unit: PerS, Carrier: "`control/feed`",
-			Factors: []Factor{given(watching.ClientsPerRelay, "daemons that ask it"), given(feed.MaxBatchesPerSecond, "batches/s at most")},
+			Factors: []Factor{given(watchplan.ClientsPerRelay, "daemons that ask it"), given(feed.MaxBatchesPerSecond, "batches/s at most")},
 		},
 		{
 			Role: Store, Kind: Messages, What: "waiting watches of daemons that forward, with a change in each", Unit: PerS, Carrier: "`control/feed`",
