--- a/cmd/mallowwind/forward.go
+++ b/cmd/mallowwind/forward.go
@@ -14,7 +14,7 @@
 	"github.com/pkg/errors"
 
 	"mallowwind.dev/control/routing"
-	"mallowwind.dev/decision/repeats"
+	"mallowwind.dev/decision/retrybudget"
 	"mallowwind.dev/decision/rollout"
 	"mallowwind.dev/peer/link"
 	"mallowwind.dev/platform/kv"
@@ -80,7 +80,7 @@
 func bounds(s *nodefile.Settings) gateway.Bounds {
 	return gateway.Bounds{
 		KeyAge: s.KeyRevocationDelay, Grace: s.DrainGrace, Seeds: s.Seeds,
-		Repeats:  repeats.Policy{Ratio: s.RetryRatio, Slack: s.RetrySlack, Window: s.RetryWindow},
+		Repeats:  retrybudget.Policy{Ratio: s.RetryRatio, Slack: s.RetrySlack, Window: s.RetryWindow},
 		Rollouts: rollout.Limits{Share: s.CanaryRatio, Slack: s.CanarySlack},
 	}
 }
--- a/cmd/mallowwind/forwardown.go
+++ b/cmd/mallowwind/forwardown.go
@@ -12,7 +12,7 @@
 	"mallowwind.dev/control/feed"
 	"mallowwind.dev/control/routing"
 	"mallowwind.dev/control/settings"
-	"mallowwind.dev/decision/repeats"
+	"mallowwind.dev/decision/retrybudget"
 	"mallowwind.dev/decision/rollout"
 	"mallowwind.dev/external/store"
 	"mallowwind.dev/peer/link"
@@ -31,7 +31,7 @@
 
 // ownRepeats is the fleet's budget of sends beyond the first: four in five
 // requests and a hundred and fifty in ten seconds carry the loss of a zone.
-var ownRepeats = repeats.Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
+var ownRepeats = retrybudget.Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 
 // ownRollouts lets a version that is not known to be good have a tenth of a service's requests
 // and fifty.
--- a/decision/repeats/peers.go
+++ b/decision/retrybudget/peers.go
@@ -1,4 +1,4 @@
-package repeats
+package retrybudget
 
 import (
 	"slices"
--- a/decision/repeats/peers_test.go
+++ b/decision/retrybudget/peers_test.go
@@ -1,4 +1,4 @@
-package repeats
+package retrybudget
 
 import (
 	"math/rand/v2"
--- a/decision/repeats/repeats.go
+++ b/decision/retrybudget/repeats.go
@@ -1,4 +1,4 @@
-// Package repeats implements a retry budget that all daemons share without exchanging messages: it
+// Package retrybudget implements a retry budget that all daemons share without exchanging messages: it
 // decides whether a request may be sent once more.
 //
 // Load pattern: an availability zone of backend servers is lost at once, servers fail a part of
@@ -13,7 +13,7 @@
 // count. In its first window a daemon has no part of Slack, because a previous process may have
 // used it: otherwise killing and restarting half of a fleet would exceed the budget by half of
 // Slack.
-package repeats
+package retrybudget
 
 import "time"
 
--- a/serve/forward/borrow.go
+++ b/serve/forward/borrow.go
@@ -9,7 +9,7 @@
 
 	"mallowwind.dev/control/feed"
 	"mallowwind.dev/control/routing"
-	"mallowwind.dev/decision/repeats"
+	"mallowwind.dev/decision/retrybudget"
 	"mallowwind.dev/peer/link"
 	"mallowwind.dev/peer/peerpb"
 	"mallowwind.dev/telemetry/event"
@@ -30,11 +30,11 @@
 	self   string
 
 	mu      sync.Mutex
-	lenders map[string]*repeats.PeerSelector // by service
+	lenders map[string]*retrybudget.PeerSelector // by service
 }
 
 func newRetryBorrower(o Options) *retryBorrower {
-	return &retryBorrower{dialer: o.Dialer, log: o.Log, self: o.Self.ID, lenders: map[string]*repeats.PeerSelector{}}
+	return &retryBorrower{dialer: o.Dialer, log: o.Log, self: o.Self.ID, lenders: map[string]*retrybudget.PeerSelector{}}
 }
 
 // borrow reports whether another daemon lent one retry for a request to a service.
--- a/serve/forward/borrow_test.go
+++ b/serve/forward/borrow_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 
 	"mallowwind.dev/control/routing"
-	"mallowwind.dev/decision/repeats"
+	"mallowwind.dev/decision/retrybudget"
 	"mallowwind.dev/peer/link"
 )
 
@@ -45,8 +45,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			withTestCluster(t, streamRoute(), func(w *testCluster) {
-				lender := newPool(routing.VM{ID: "vm-3"}, repeats.Policy{Slack: c.slack, Window: 10 * time.Second}, w.handler.versions)
-				w.handler.SetBounds(5*time.Second, repeats.Policy{Window: 10 * time.Second})
+				lender := newPool(routing.VM{ID: "vm-3"}, retrybudget.Policy{Slack: c.slack, Window: 10 * time.Second}, w.handler.versions)
+				w.handler.SetBounds(5*time.Second, retrybudget.Policy{Window: 10 * time.Second})
 				w.handler.borrower.dialer = link.NewDialerWith(&http.Client{Transport: lenderPools{"three:1": lender}})
 				lender.startedAt = lender.startedAt.Add(-10 * time.Second)
 				w.handler.pool.startedAt = lender.startedAt
--- a/serve/forward/budgets.go
+++ b/serve/forward/budgets.go
@@ -5,13 +5,13 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"mallowwind.dev/decision/repeats"
+	"mallowwind.dev/decision/retrybudget"
 )
 
 // budgetShare returns this daemon's share of the fleet-wide retry budgets. Its offset is a hash
 // of the daemon's ID: evenly spaced offsets would require the same list of daemons everywhere.
-func (p *pool) budgetShare() repeats.Share {
-	share := repeats.Share{Daemons: 1}
+func (p *pool) budgetShare() retrybudget.Share {
+	share := retrybudget.Share{Daemons: 1}
 	if p.view != nil && len(p.view.VMs) > 1 {
 		share.Daemons = len(p.view.VMs)
 		share.RoundingOffset = float64(xxhash.Sum64String(p.self.ID)>>11) / (1 << 53)
@@ -19,10 +19,10 @@
 	return share
 }
 
-func (p *pool) retryBudget(service string) *repeats.Budget {
+func (p *pool) retryBudget(service string) *retrybudget.Budget {
 	b, ok := p.budgets[service]
 	if !ok {
-		b = repeats.New(p.retryRule, p.startedAt)
+		b = retrybudget.New(p.retryRule, p.startedAt)
 		p.budgets[service] = b
 	}
 	return b
@@ -30,7 +30,7 @@
 
 // setRetryRule changes the retry budgets of all services. They start again without a share of the
 // slack, because the retries made so far are forgotten.
-func (p *pool) setRetryRule(rule repeats.Policy) {
+func (p *pool) setRetryRule(rule retrybudget.Policy) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if rule != p.retryRule {
--- a/serve/forward/cluster_test.go
+++ b/serve/forward/cluster_test.go
@@ -23,7 +23,7 @@
 
 	"mallowwind.dev/control/feed"
 	"mallowwind.dev/control/routing"
-	"mallowwind.dev/decision/repeats"
+	"mallowwind.dev/decision/retrybudget"
 	"mallowwind.dev/external/standin/faultnet"
 	"mallowwind.dev/external/standin/storesim"
 	"mallowwind.dev/external/store"
@@ -344,7 +344,7 @@
 	})
 }
 
-var testRetryRule = repeats.Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
+var testRetryRule = retrybudget.Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 
 func newTestCluster(t *testing.T, routes []*routing.Route) *testCluster {
 	services := []*routing.Service{
--- a/serve/forward/handler.go
+++ b/serve/forward/handler.go
@@ -13,7 +13,7 @@
 
 	"mallowwind.dev/control/feed"
 	"mallowwind.dev/control/routing"
-	"mallowwind.dev/decision/repeats"
+	"mallowwind.dev/decision/retrybudget"
 	"mallowwind.dev/decision/verdict"
 	"mallowwind.dev/external/sent"
 	"mallowwind.dev/peer/link"
@@ -63,7 +63,7 @@
 	// to be trusted.
 	MaxKeyAge time.Duration
 	// RetryBudget bounds the retries of the whole fleet.
-	RetryBudget repeats.Policy
+	RetryBudget retrybudget.Policy
 	// Registerer receives the metrics; it may be nil.
 	Registerer prometheus.Registerer
 	// Dial opens connections to servers; nil means TCP.
@@ -124,7 +124,7 @@
 
 // SetBounds changes the maximum age of the configuration for account keys, and the fleet's retry
 // budget.
-func (h *Handler) SetBounds(keyAge time.Duration, rule repeats.Policy) {
+func (h *Handler) SetBounds(keyAge time.Duration, rule retrybudget.Policy) {
 	h.maxKeyAge.Store(int64(keyAge))
 	h.pool.setRetryRule(rule)
 }
--- a/serve/forward/pool.go
+++ b/serve/forward/pool.go
@@ -7,7 +7,7 @@
 	"mallowwind.dev/control/feed"
 	"mallowwind.dev/control/routing"
 	"mallowwind.dev/decision/outage"
-	"mallowwind.dev/decision/repeats"
+	"mallowwind.dev/decision/retrybudget"
 	"mallowwind.dev/decision/route"
 	"mallowwind.dev/serve/versions"
 )
@@ -40,12 +40,12 @@
 	mu         sync.Mutex
 	self       routing.VM
 	startedAt  time.Time
-	retryRule  repeats.Policy
+	retryRule  retrybudget.Policy
 	view       *feed.View
 	serverSets map[string]*serverSet
 	// loads are kept by incarnation: what was learned of a server does not outlive its process.
 	loads   map[routing.Incarnation]*serverLoad
-	budgets map[string]*repeats.Budget
+	budgets map[string]*retrybudget.Budget
 	// successors maps an incarnation listed in the view to a newer one at the same address.
 	successors map[routing.Incarnation]routing.Incarnation
 	// down holds the servers that failed and have not returned since, by address.
@@ -66,10 +66,10 @@
 	since       time.Time
 }
 
-func newPool(self routing.VM, rule repeats.Policy, versions *versions.Manager) *pool {
+func newPool(self routing.VM, rule retrybudget.Policy, versions *versions.Manager) *pool {
 	return &pool{
 		self: self, startedAt: time.Now(), retryRule: rule, serverSets: map[string]*serverSet{},
-		loads: map[routing.Incarnation]*serverLoad{}, budgets: map[string]*repeats.Budget{},
+		loads: map[routing.Incarnation]*serverLoad{}, budgets: map[string]*retrybudget.Budget{},
 		successors: map[routing.Incarnation]routing.Incarnation{},
 		down:       map[string]downServer{}, downtimes: map[string]*outage.Estimator{},
 		onWorkChanged: func(routing.Server) {}, versions: versions,
--- a/serve/forward/stalledlink_test.go
+++ b/serve/forward/stalledlink_test.go
@@ -13,7 +13,7 @@
 	"github.com/shoenig/test/must"
 
 	"mallowwind.dev/control/routing"
-	"mallowwind.dev/decision/repeats"
+	"mallowwind.dev/decision/retrybudget"
 )
 
 // dialTimeoutError is the error of a connection attempt that timed out.
@@ -80,7 +80,7 @@
 func TestAnswersSurviveStalledLink(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		rule       repeats.Policy
+		rule       retrybudget.Policy
 		stallAfter time.Duration // time before the link stalls: during prefills or in mid-answer
 	}{
 		{"in mid-answer, no retries left", noRetries, 1500 * time.Millisecond},
@@ -310,7 +310,7 @@
 		}
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
-		w.setRetryBudget(repeats.Policy{Slack: 1.2, Window: 10 * time.Second}) // one retry
+		w.setRetryBudget(retrybudget.Policy{Slack: 1.2, Window: 10 * time.Second}) // one retry
 		w.background(func() {
 			<-asked
 			w.stallLink(20*time.Millisecond, 450*time.Millisecond)
@@ -449,7 +449,7 @@
 		}
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
-		w.setRetryBudget(repeats.Policy{Slack: 1.2, Window: 10 * time.Second}) // one retry
+		w.setRetryBudget(retrybudget.Policy{Slack: 1.2, Window: 10 * time.Second}) // one retry
 		w.background(func() {
 			<-asked
 			w.stallLink(20*time.Millisecond, 265*time.Millisecond)
--- a/serve/forward/takeover_test.go
+++ b/serve/forward/takeover_test.go
@@ -10,14 +10,14 @@
 
 	"github.com/shoenig/test/must"
 
-	"mallowwind.dev/decision/repeats"
+	"mallowwind.dev/decision/retrybudget"
 )
 
 // noRetries is a retry budget without any retries.
-var noRetries = repeats.Policy{Window: 10 * time.Second}
+var noRetries = retrybudget.Policy{Window: 10 * time.Second}
 
 // setRetryBudget replaces the fleet's retry budget. The daemon has its share of the slack.
-func (w *testCluster) setRetryBudget(rule repeats.Policy) {
+func (w *testCluster) setRetryBudget(rule retrybudget.Policy) {
 	w.handler.pool.mu.Lock()
 	defer w.handler.pool.mu.Unlock()
 	w.handler.pool.retryRule, w.handler.pool.startedAt = rule, time.Now().Add(-rule.Window)
@@ -57,7 +57,7 @@
 		handle := withCopyReleased(0, 600*time.Millisecond)
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
-		w.setRetryBudget(repeats.Policy{Slack: 1.2, Window: 10 * time.Second}) // one repeat
+		w.setRetryBudget(retrybudget.Policy{Slack: 1.2, Window: 10 * time.Second}) // one repeat
 		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(1, 20), got.body)
@@ -102,7 +102,7 @@
 		handle := streamEvents(40, time.Second, 40*time.Millisecond)
 		a := w.add("e-a", "llm", "a", handle)
 		b := w.add("e-b", "llm", "b", handle)
-		w.setRetryBudget(repeats.Policy{Slack: 1.2, Window: 1500 * time.Millisecond})
+		w.setRetryBudget(retrybudget.Policy{Slack: 1.2, Window: 1500 * time.Millisecond})
 		w.background(func() {
 			time.Sleep(1500 * time.Millisecond)
 			runner, _ := runnerAndHolder(a, b)
@@ -208,7 +208,7 @@
 		handle := withCopyReleased(300*time.Millisecond, 900*time.Millisecond)
 		w.add("e-a", "llm", "a", handle)
 		w.add("e-b", "llm", "b", handle)
-		w.setRetryBudget(repeats.Policy{Slack: 1.2, Window: 10 * time.Second}) // one repeat
+		w.setRetryBudget(retrybudget.Policy{Slack: 1.2, Window: 10 * time.Second}) // one repeat
 		got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 		must.NoError(w.t, got.err)
 		must.Eq(w.t, events(1, 20), got.body)
--- a/serve/gateway/fleet_test.go
+++ b/serve/gateway/fleet_test.go
@@ -19,7 +19,7 @@
 
 	"mallowwind.dev/control/feed"
 	"mallowwind.dev/control/routing"
-	"mallowwind.dev/decision/repeats"
+	"mallowwind.dev/decision/retrybudget"
 	"mallowwind.dev/decision/rollout"
 	"mallowwind.dev/external/standin/faultnet"
 	"mallowwind.dev/external/standin/storesim"
@@ -102,7 +102,7 @@
 		Clock: func() time.Duration { return time.Since(f.began) + time.Hour }, Log: event.Discard(),
 		Bounds: Bounds{
 			KeyAge: 5 * time.Second, Grace: 8 * time.Second, Seeds: []string{"vm-0:2", "vm-1:2"},
-			Repeats:  repeats.Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second},
+			Repeats:  retrybudget.Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second},
 			Rollouts: rollout.Limits{Share: 0.1, Slack: 50},
 		},
 		KeepAnswers: time.Second, LeaseMin: time.Second,
--- a/serve/gateway/gateway.go
+++ b/serve/gateway/gateway.go
@@ -21,7 +21,7 @@
 	"mallowwind.dev/control/feed"
 	"mallowwind.dev/control/routing"
 	"mallowwind.dev/decision/entries"
-	"mallowwind.dev/decision/repeats"
+	"mallowwind.dev/decision/retrybudget"
 	"mallowwind.dev/decision/rollout"
 	"mallowwind.dev/external/sent"
 	"mallowwind.dev/external/store"
@@ -110,7 +110,7 @@
 	// KeyAge is how old the configuration may be for an account key to be trusted.
 	KeyAge time.Duration
 	// Repeats bounds the sends beyond the first of the whole fleet.
-	Repeats repeats.Policy
+	Repeats retrybudget.Policy
 	// Rollouts bounds what a version of a service may get that is not known to be good.
 	Rollouts rollout.Limits
 	// Grace is the time between SIGTERM and the end.
--- a/serve/gateway/gateway_test.go
+++ b/serve/gateway/gateway_test.go
@@ -17,7 +17,7 @@
 
 	"mallowwind.dev/control/feed"
 	"mallowwind.dev/control/routing"
-	"mallowwind.dev/decision/repeats"
+	"mallowwind.dev/decision/retrybudget"
 	"mallowwind.dev/external/standin/faultnet"
 	"mallowwind.dev/external/standin/storesim"
 	"mallowwind.dev/external/store"
@@ -61,7 +61,7 @@
 			Store: storesim.Confirming{Store: s.store, Hold: time.Second}, Schema: feed.OwnSchema{}, Codec: forward.DefaultCodec{},
 			Clock: func() time.Duration { return time.Since(start) + time.Hour }, Log: event.Discard(),
 			Bounds: Bounds{
-				KeyAge: 5 * time.Second, Grace: 8 * time.Second, Repeats: repeats.Policy{Ratio: 1, Slack: 10, Window: time.Second},
+				KeyAge: 5 * time.Second, Grace: 8 * time.Second, Repeats: retrybudget.Policy{Ratio: 1, Slack: 10, Window: time.Second},
 			},
 			KeepAnswers: time.Second,
 			Registry:    metric.NewCatalogue(), Callers: s.callers, Readiness: s.ready, Directory: s.directory,
