--- a/decision/lineage/lineage.go
+++ b/decision/epochs/lineage.go
@@ -1,4 +1,4 @@
-// Package lineage tracks the ownership epochs of a generation and decides whether the tokens
+// Package epochs tracks the ownership epochs of a generation and decides whether the tokens
 // that a caller holds are a prefix of an answer.
 //
 // A generation has one owner at a time. When another entry VM adopts it, a new epoch forks off
@@ -7,7 +7,7 @@
 // moves between entry VMs presents its Position, and only a position in the answer's ownership
 // history is continued. Without this check a returning owner could extend text of its
 // successor, and the caller would hold two answers mixed into one.
-package lineage
+package epochs
 
 import (
 	"errors"
--- a/decision/lineage/lineage_test.go
+++ b/decision/epochs/lineage_test.go
@@ -1,4 +1,4 @@
-package lineage
+package epochs
 
 import (
 	"testing"
--- a/lab/world/answer_test.go
+++ b/lab/world/answer_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 
 	"mallowwind.dev/control/membership"
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/decision/verdict"
 )
 
@@ -271,9 +271,9 @@
 		must.NoError(t, c.Submit(ctx, 0))
 		must.NoError(t, c.ReadTo(ctx, 10))
 		for vm := range 6 {
-			_, err := w.Manager(vm).Find(c.ID, "other").Read(ctx, lineage.Position{})
+			_, err := w.Manager(vm).Find(c.ID, "other").Read(ctx, epochs.Position{})
 			must.Eq(t, verdict.CodeUnknownGeneration, codeOf(t, err))
-			_, never := w.Manager(vm).Find("g0123456789abcdef0123456789abcdef", "other").Read(ctx, lineage.Position{})
+			_, never := w.Manager(vm).Find("g0123456789abcdef0123456789abcdef", "other").Read(ctx, epochs.Position{})
 			must.EqError(t, err, never.Error())
 		}
 	})
--- a/lab/world/caller.go
+++ b/lab/world/caller.go
@@ -7,7 +7,7 @@
 
 	"github.com/pkg/errors"
 
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/decision/verdict"
 	"mallowwind.dev/external/standin/tokencheck"
 	"mallowwind.dev/serve/generation"
@@ -27,7 +27,7 @@
 	Tokens      int // asked for
 	Account     string
 	ID          string // of the generation, once known
-	Pos         lineage.Position
+	Pos         epochs.Position
 	Done        bool // the terminal event came
 
 	w    *World
@@ -55,7 +55,7 @@
 		return err
 	}
 	c.h, c.ID = h, h.ID()
-	c.Pos = lineage.Position{}
+	c.Pos = epochs.Position{}
 	c.text.Reset()
 	return nil
 }
--- a/serve/api/completions.go
+++ b/serve/api/completions.go
@@ -9,7 +9,7 @@
 	"github.com/gorilla/mux"
 
 	"mallowwind.dev/control/site"
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/serve/generation"
 )
 
@@ -42,7 +42,7 @@
 	if q.Stream {
 		form.usage = q.StreamOptions != nil && q.StreamOptions.IncludeUsage
 		form.promptTokens = spec.PromptTokens()
-		return stream(r.Context(), w, h, lineage.Position{}, form)
+		return stream(r.Context(), w, h, epochs.Position{}, form)
 	}
 	return whole(r.Context(), w, h, spec, form)
 }
@@ -52,7 +52,7 @@
 func whole(ctx context.Context, w http.ResponseWriter, h *generation.Handle, spec *generation.Spec, form answerForm) error {
 	var (
 		text strings.Builder
-		pos  lineage.Position
+		pos  epochs.Position
 	)
 	for {
 		b, err := h.Read(ctx, pos)
@@ -74,12 +74,12 @@
 // resume continues a stream whose connection broke, on any entry VM.
 func (a *API) resume(w http.ResponseWriter, r *http.Request, _ *site.Site, account *site.Account) error {
 	id := mux.Vars(r)["id"]
-	if !lineage.IsValidID(id) {
+	if !epochs.IsValidID(id) {
 		return badRequest("%q is not the id of a generation", id)
 	}
-	var pos lineage.Position
+	var pos epochs.Position
 	if last := r.Header.Get("Last-Event-ID"); last != "" {
-		c, err := lineage.ParseCursor(last)
+		c, err := epochs.ParseCursor(last)
 		if err != nil {
 			return badRequest("Last-Event-ID: %s", err)
 		}
--- a/serve/api/stream.go
+++ b/serve/api/stream.go
@@ -10,7 +10,7 @@
 
 	"github.com/tmaxmax/go-sse"
 
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/decision/verdict"
 	"mallowwind.dev/serve/generation"
 )
@@ -27,7 +27,7 @@
 // stream sends an answer as server-sent events from pos on. An error is
 // returned only while nothing has been sent; later ones become an error event,
 // and the terminal event stays away, so that the answer is visibly incomplete.
-func stream(ctx context.Context, w http.ResponseWriter, h *generation.Handle, pos lineage.Position, form answerForm) error {
+func stream(ctx context.Context, w http.ResponseWriter, h *generation.Handle, pos epochs.Position, form answerForm) error {
 	s := &streamWriter{w: w, control: http.NewResponseController(w), form: form}
 	for {
 		wait, cancel := context.WithTimeout(ctx, keepAlive)
@@ -90,7 +90,7 @@
 
 // batch writes tokens as one event and, after the last, the terminal event.
 func (s *streamWriter) batch(id string, b generation.Batch) error {
-	m := &sse.Message{ID: sse.ID(lineage.Cursor{Generation: id, Position: b.Position}.String())}
+	m := &sse.Message{ID: sse.ID(epochs.Cursor{Generation: id, Position: b.Position}.String())}
 	m.AppendData(s.form.chunk(strings.Join(b.Tokens, ""), string(b.Finish)))
 	if err := s.send(m); err != nil || b.Finish == "" {
 		return err
--- a/serve/generation/batch_bench_test.go
+++ b/serve/generation/batch_bench_test.go
@@ -10,7 +10,7 @@
 
 	"mallowwind.dev/control/membership"
 	"mallowwind.dev/control/site"
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/peer/link"
 	"mallowwind.dev/peer/peerpb"
 	"mallowwind.dev/serve/journal"
@@ -34,7 +34,7 @@
 			batch := &peerpb.AppendBatch{}
 			for i := range size {
 				id := fmt.Sprintf("g%032x", i)
-				res := m.holder.Open(journal.Copy{Spec: &peerpb.GenerationSpec{Id: id}, Line: lineage.History{{Epoch: 1}}})
+				res := m.holder.Open(journal.Copy{Spec: &peerpb.GenerationSpec{Id: id}, Line: epochs.History{{Epoch: 1}}})
 				must.True(b, res.Accepted)
 				batch.Appends = append(batch.Appends, &peerpb.AppendRequest{Id: id, Epoch: 1, Tokens: []string{" token"}})
 			}
--- a/serve/generation/copier.go
+++ b/serve/generation/copier.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 
 	"mallowwind.dev/control/membership"
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/external/engine"
 	"mallowwind.dev/peer/peerpb"
 	"mallowwind.dev/serve/journal"
@@ -29,7 +29,7 @@
 type copier struct {
 	m        *Manager
 	spec     *Spec
-	line     lineage.History
+	line     epochs.History
 	holder   membership.Member
 	open     bool                    // holder has the copy
 	excluded map[holderKey]time.Time // until when
@@ -57,7 +57,7 @@
 type written struct {
 	upTo   int
 	finish engine.FinishReason
-	fenced lineage.Epoch // a newer owner's epoch, 0 if none
+	fenced epochs.Epoch // a newer owner's epoch, 0 if none
 	// degraded says that no holder could be reached. The tokens are released all
 	// the same: a copy that falls behind makes a later adoption fail visibly and
 	// never mixes two answers.
@@ -162,7 +162,7 @@
 	return journal.Result{
 		Accepted: r.GetAccepted(),
 		Unknown:  r.GetUnknown(),
-		Epoch:    lineage.Epoch(r.GetEpoch()),
+		Epoch:    epochs.Epoch(r.GetEpoch()),
 		Length:   int(r.GetLength()),
 	}, nil
 }
--- a/serve/generation/generation.go
+++ b/serve/generation/generation.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/decision/verdict"
 	"mallowwind.dev/external/engine"
 )
@@ -21,7 +21,7 @@
 // Batch is a run of released tokens that follows a caller's position.
 type Batch struct {
 	Tokens   []string
-	Position lineage.Position // after the last token
+	Position epochs.Position // after the last token
 	Finish   engine.FinishReason
 }
 
@@ -32,7 +32,7 @@
 	taken  chan struct{}      // signals the loop that furthest grew
 
 	mu       sync.Mutex
-	line     lineage.History
+	line     epochs.History
 	tokens   []string // released: callers may hold them
 	finish   engine.FinishReason
 	failure  *verdict.Error
@@ -43,7 +43,7 @@
 	furthest int       // largest offset any reader has taken
 }
 
-func newGeneration(spec *Spec, line lineage.History, tokens []string, finish engine.FinishReason) *Generation {
+func newGeneration(spec *Spec, line epochs.History, tokens []string, finish engine.FinishReason) *Generation {
 	return &Generation{
 		spec:     spec,
 		line:     line,
@@ -67,7 +67,7 @@
 
 // mismatch tells a reader that this copy of the answer does not continue what
 // it holds; another one may.
-type mismatch struct{ relation lineage.Relation }
+type mismatch struct{ relation epochs.Relation }
 
 func (e *mismatch) Error() string {
 	return "generation: the caller's position is " + e.relation.String() + " here"
@@ -75,7 +75,7 @@
 
 // final is the error for the caller when no other copy is left.
 func (e *mismatch) final() *verdict.Error {
-	if e.relation == lineage.Behind {
+	if e.relation == epochs.Behind {
 		return errLost("every copy left of the answer is shorter than what the caller holds")
 	}
 	return errLost("the caller holds tokens that no copy left of the answer continues")
@@ -84,7 +84,7 @@
 // read waits for tokens after pos. It returns errFenced when another entry VM
 // owns the answer now, *mismatch when pos is not on this answer's line, and a
 // *verdict.Error when the answer cannot continue.
-func (g *Generation) read(ctx context.Context, pos lineage.Position) (Batch, error) {
+func (g *Generation) read(ctx context.Context, pos epochs.Position) (Batch, error) {
 	for {
 		b, changed, err := g.poll(pos)
 		if err != nil || len(b.Tokens) > 0 || b.Finish != "" {
@@ -100,12 +100,12 @@
 
 // poll returns what is released after pos without waiting. While nothing is,
 // changed is closed at the next change.
-func (g *Generation) poll(pos lineage.Position) (Batch, <-chan struct{}, error) {
+func (g *Generation) poll(pos epochs.Position) (Batch, <-chan struct{}, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch rel := g.line.Compare(pos, len(g.tokens)); {
-	case rel == lineage.Prefix:
-	case rel == lineage.Superseded || g.fenced:
+	case rel == epochs.Prefix:
+	case rel == epochs.Superseded || g.fenced:
 		return Batch{}, nil, errFenced{}
 	default:
 		return Batch{}, nil, &mismatch{rel}
@@ -127,7 +127,7 @@
 	n := len(g.tokens)
 	b := Batch{
 		Tokens:   g.tokens[from:n:n],
-		Position: lineage.Position{Epoch: g.line.EpochAt(n), Offset: n},
+		Position: epochs.Position{Epoch: g.line.EpochAt(n), Offset: n},
 	}
 	if g.failure == nil && !g.fenced {
 		b.Finish = g.finish
@@ -213,7 +213,7 @@
 
 // state is a consistent summary of a generation.
 type state struct {
-	epoch   lineage.Epoch
+	epoch   epochs.Epoch
 	length  int
 	fenced  bool
 	failure *verdict.Error
--- a/serve/generation/handle.go
+++ b/serve/generation/handle.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/decision/verdict"
 	"mallowwind.dev/external/engine"
 	"mallowwind.dev/peer/peerpb"
@@ -50,7 +50,7 @@
 // source names one copy of an answer: where it is, and of which continuation.
 type source struct {
 	member string
-	epoch  lineage.Epoch
+	epoch  epochs.Epoch
 }
 
 func (m *Manager) sourceOf(g *Generation) source {
@@ -112,7 +112,7 @@
 // Read waits for tokens after pos. It follows the generation when its owner
 // changes, and takes it over when its owner is gone. Errors are *verdict.Error
 // or the context's.
-func (h *Handle) Read(ctx context.Context, pos lineage.Position) (Batch, error) {
+func (h *Handle) Read(ctx context.Context, pos epochs.Position) (Batch, error) {
 	for {
 		b, err := h.readOnce(ctx, pos)
 		if err == nil {
@@ -142,7 +142,7 @@
 }
 
 // checked asserts that b continues exactly what the caller holds.
-func (h *Handle) checked(pos lineage.Position, b Batch) (Batch, error) {
+func (h *Handle) checked(pos epochs.Position, b Batch) (Batch, error) {
 	if b.Position.Offset != pos.Offset+len(b.Tokens) {
 		return Batch{Position: pos}, h.m.violated(h.id, invariantPosition,
 			"%d tokens from %d end at %d", len(b.Tokens), pos.Offset, b.Position.Offset)
@@ -150,7 +150,7 @@
 	return b, nil
 }
 
-func (h *Handle) readOnce(ctx context.Context, pos lineage.Position) (Batch, error) {
+func (h *Handle) readOnce(ctx context.Context, pos epochs.Position) (Batch, error) {
 	switch {
 	case h.local != nil:
 		return h.local.read(ctx, pos)
@@ -180,7 +180,7 @@
 // The failure this answers: the same key comes to three entry VMs in the same moment. Two
 // begin a generation each, hear of each other's and give up their own, and the callers that
 // were led there are told that nobody knows what they have just asked for.
-func (h *Handle) relocate(ctx context.Context, pos lineage.Position) error {
+func (h *Handle) relocate(ctx context.Context, pos epochs.Position) error {
 	h.tries++
 	if h.tries > 1 {
 		select {
@@ -223,7 +223,7 @@
 // settle reads on at the owner, or takes over from the best copy that continues
 // what the caller holds. After an entry VM was cut off there may be two
 // continuations; a caller of the older one is served from a copy of that.
-func (h *Handle) settle(ctx context.Context, f found, pos lineage.Position) error {
+func (h *Handle) settle(ctx context.Context, f found, pos epochs.Position) error {
 	for _, p := range f.places {
 		if p.running {
 			h.remote, h.at = &p, p.source()
@@ -246,7 +246,7 @@
 // follow asks the owner for the next tokens. The deadline is the guard against
 // an owner that is paused or silent: the question comes back empty after
 // followWait when all is well, so a missing answer means a lost owner.
-func (h *Handle) follow(ctx context.Context, pos lineage.Position) (Batch, error) {
+func (h *Handle) follow(ctx context.Context, pos epochs.Position) (Batch, error) {
 	for {
 		c, cancel := context.WithTimeout(ctx, followWait+followSlack)
 		r, err := h.m.client(h.remote.member).Follow(c, &peerpb.FollowRequest{
@@ -265,12 +265,12 @@
 }
 
 // followed turns an owner's answer into a batch.
-func followed(r *peerpb.FollowReply, pos lineage.Position) (Batch, error) {
+func followed(r *peerpb.FollowReply, pos epochs.Position) (Batch, error) {
 	switch {
 	case r.GetUnknown():
 		return Batch{}, errFenced{}
 	case r.GetDiverged():
-		return Batch{}, &mismatch{lineage.Diverged}
+		return Batch{}, &mismatch{epochs.Diverged}
 	case r.GetErrorCode() != "":
 		v, _ := verdict.Parse(r.GetErrorVerdict())
 		return Batch{}, verdict.New(v, verdict.Code(r.GetErrorCode()), "%s", r.GetErrorMessage())
@@ -279,7 +279,7 @@
 	}
 	b := Batch{Tokens: r.GetTokens(), Position: pos, Finish: engine.FinishReason(r.GetFinish())}
 	if n := len(b.Tokens); n > 0 {
-		b.Position = lineage.Position{Epoch: lineage.Epoch(r.GetEpoch()), Offset: pos.Offset + n}
+		b.Position = epochs.Position{Epoch: epochs.Epoch(r.GetEpoch()), Offset: pos.Offset + n}
 	}
 	return b, nil
 }
--- a/serve/generation/locate.go
+++ b/serve/generation/locate.go
@@ -7,7 +7,7 @@
 
 	"mallowwind.dev/control/membership"
 	"mallowwind.dev/control/site"
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/decision/verdict"
 	"mallowwind.dev/external/engine"
 	"mallowwind.dev/peer/peerpb"
@@ -23,7 +23,7 @@
 type place struct {
 	member  membership.Member
 	running bool // it is the owner
-	epoch   lineage.Epoch
+	epoch   epochs.Epoch
 	length  int
 	owner   string
 	digest  []byte
@@ -36,7 +36,7 @@
 // found is what is known of a generation on all members asked.
 type found struct {
 	places []place // best first
-	epoch  lineage.Epoch
+	epoch  epochs.Epoch
 	digest []byte
 	unsure bool // a member that might know did not answer
 }
@@ -152,7 +152,7 @@
 	return place{
 		member:  member,
 		running: r.GetRunning(),
-		epoch:   lineage.Epoch(r.GetEpoch()),
+		epoch:   epochs.Epoch(r.GetEpoch()),
 		length:  int(r.GetLength()),
 		owner:   r.GetOwner(),
 		digest:  r.GetBodyDigest(),
@@ -175,7 +175,7 @@
 }
 
 // dropCopy asks a former holder to forget a copy.
-func (m *Manager) dropCopy(holder membership.Member, id string, epoch lineage.Epoch) {
+func (m *Manager) dropCopy(holder membership.Member, id string, epoch epochs.Epoch) {
 	ctx, cancel := context.WithTimeout(m.base, appendTimeout)
 	defer cancel()
 	// Best effort: a copy that stays behind is shorter than the new one, and
@@ -184,14 +184,14 @@
 }
 
 // adoptFrom makes this daemon the owner, from the copy at p.
-func (m *Manager) adoptFrom(ctx context.Context, id string, p place, seen lineage.Position) (*Generation, error) {
+func (m *Manager) adoptFrom(ctx context.Context, id string, p place, seen epochs.Position) (*Generation, error) {
 	self := m.members.Current().Self.ID
 	if p.member.ID == self {
 		c, rel, ok := m.holder.Adopt(id, self, seen)
 		if !ok {
 			return nil, errFenced{}
 		}
-		if rel != lineage.Prefix {
+		if rel != epochs.Prefix {
 			return nil, &mismatch{rel}
 		}
 		return m.adopt(c), nil
@@ -209,11 +209,11 @@
 	case r.GetAccepted() && ok:
 		return m.adopt(c), nil
 	case r.GetBehind():
-		return nil, &mismatch{lineage.Behind}
+		return nil, &mismatch{epochs.Behind}
 	case r.GetUnknown():
 		return nil, errFenced{}
 	}
-	return nil, &mismatch{lineage.Diverged}
+	return nil, &mismatch{epochs.Diverged}
 }
 
 func finishOf(s string) engine.FinishReason { return engine.FinishReason(s) }
--- a/serve/generation/loop.go
+++ b/serve/generation/loop.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/decision/resume"
 	"mallowwind.dev/decision/silence"
 	"mallowwind.dev/external/engine"
@@ -70,7 +70,7 @@
 	copiedAt engine.FinishReason
 }
 
-func newLoop(m *Manager, g *Generation, line lineage.History, tokens []string, finish engine.FinishReason) *loop {
+func newLoop(m *Manager, g *Generation, line epochs.History, tokens []string, finish engine.FinishReason) *loop {
 	l := &loop{
 		m:         m,
 		g:         g,
--- a/serve/generation/manager.go
+++ b/serve/generation/manager.go
@@ -10,7 +10,7 @@
 
 	"mallowwind.dev/control/membership"
 	"mallowwind.dev/control/site"
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/decision/resume"
 	"mallowwind.dev/decision/verdict"
 	"mallowwind.dev/peer/link"
@@ -223,12 +223,12 @@
 }
 
 // firstLine begins the history of a generation whose id had epochs up to after.
-func (m *Manager) firstLine(after lineage.Epoch) lineage.History {
-	return lineage.History{{Epoch: after.Next(randomEpoch()), Owner: m.members.Current().Self.ID}}
+func (m *Manager) firstLine(after epochs.Epoch) epochs.History {
+	return epochs.History{{Epoch: after.Next(randomEpoch()), Owner: m.members.Current().Self.ID}}
 }
 
 // start registers a new generation and runs its loop.
-func (m *Manager) start(spec *Spec, line lineage.History) *Generation {
+func (m *Manager) start(spec *Spec, line epochs.History) *Generation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if g := m.owned[spec.ID]; g != nil && g.serves() {
@@ -242,7 +242,7 @@
 }
 
 // runLocked starts the loop of g; m.mu is held.
-func (m *Manager) runLocked(g *Generation, line lineage.History, reattach *peerpb.Attempt) {
+func (m *Manager) runLocked(g *Generation, line epochs.History, reattach *peerpb.Attempt) {
 	ctx, cancel := context.WithCancel(m.base)
 	g.cancel = cancel
 	l := newLoop(m, g, line, g.tokens, g.finish)
--- a/serve/generation/server.go
+++ b/serve/generation/server.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/decision/verdict"
 	"mallowwind.dev/peer/peerpb"
 	"mallowwind.dev/serve/journal"
@@ -40,7 +40,7 @@
 // same time as c, if that one is to go on. Two entry VMs that each asked before
 // the other had begun would otherwise both generate the answer. The smaller
 // epoch wins, on both sides alike.
-func (m *Manager) rival(c journal.Copy) (lineage.Epoch, bool) {
+func (m *Manager) rival(c journal.Copy) (epochs.Epoch, bool) {
 	g := m.local(c.Spec.GetId())
 	if g == nil {
 		return 0, false
@@ -57,14 +57,14 @@
 	out := &peerpb.AppendBatchReply{Replies: make([]*peerpb.JournalReply, 0, len(batch.GetAppends()))}
 	for _, r := range batch.GetAppends() {
 		out.Replies = append(out.Replies, reply(s.m.holder.Append(
-			r.GetId(), lineage.Epoch(r.GetEpoch()), int(r.GetOffset()), r.GetTokens(), r.GetAttempt(), r.GetFinish())))
+			r.GetId(), epochs.Epoch(r.GetEpoch()), int(r.GetOffset()), r.GetTokens(), r.GetAttempt(), r.GetFinish())))
 	}
 	return out, nil
 }
 
 // Drop implements peerpb.Journal.
 func (s server) Drop(_ context.Context, r *peerpb.DropRequest) (*peerpb.JournalReply, error) {
-	s.m.holder.Drop(r.GetId(), lineage.Epoch(r.GetEpoch()))
+	s.m.holder.Drop(r.GetId(), epochs.Epoch(r.GetEpoch()))
 	return &peerpb.JournalReply{Accepted: true}, nil
 }
 
@@ -82,13 +82,13 @@
 	if r.GetPeek() {
 		return s.m.peekHere(r.GetId()), nil
 	}
-	seen := lineage.Position{Epoch: lineage.Epoch(r.GetSeenEpoch()), Offset: int(r.GetSeenOffset())}
+	seen := epochs.Position{Epoch: epochs.Epoch(r.GetSeenEpoch()), Offset: int(r.GetSeenOffset())}
 	c, rel, ok := s.m.holder.Adopt(r.GetId(), r.GetNewOwner(), seen)
 	if !ok {
 		return &peerpb.AdoptReply{Unknown: true}, nil
 	}
-	if rel != lineage.Prefix {
-		return &peerpb.AdoptReply{Behind: rel == lineage.Behind}, nil
+	if rel != epochs.Prefix {
+		return &peerpb.AdoptReply{Behind: rel == epochs.Behind}, nil
 	}
 	return &peerpb.AdoptReply{Accepted: true, Copy: journal.ToWire(c)}, nil
 }
@@ -130,12 +130,12 @@
 	wait := min(time.Duration(r.GetWaitMs())*time.Millisecond, maxFollowWait)
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	pos := lineage.Position{Epoch: lineage.Epoch(r.GetSeenEpoch()), Offset: int(r.GetFrom())}
+	pos := epochs.Position{Epoch: epochs.Epoch(r.GetSeenEpoch()), Offset: int(r.GetFrom())}
 	b, err := g.read(ctx, pos)
 	return followReply(pos, b, err), nil
 }
 
-func followReply(pos lineage.Position, b Batch, err error) *peerpb.FollowReply {
+func followReply(pos epochs.Position, b Batch, err error) *peerpb.FollowReply {
 	var (
 		final   *verdict.Error
 		differs *mismatch
--- a/serve/generation/version_test.go
+++ b/serve/generation/version_test.go
@@ -13,7 +13,7 @@
 	"mallowwind.dev/control/backends"
 	"mallowwind.dev/control/membership"
 	"mallowwind.dev/control/site"
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/decision/verdict"
 	"mallowwind.dev/external/engine"
 	"mallowwind.dev/external/standin/enginesim"
@@ -114,7 +114,7 @@
 		return err
 	}
 	defer h.Close()
-	var pos lineage.Position
+	var pos epochs.Position
 	for {
 		b, err := h.Read(ctx, pos)
 		if err != nil {
--- a/serve/journal/holder.go
+++ b/serve/journal/holder.go
@@ -5,14 +5,14 @@
 	"sync"
 	"time"
 
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/peer/peerpb"
 )
 
 // Copy is one generation as its owner last copied it here.
 type Copy struct {
 	Spec    *peerpb.GenerationSpec
-	Line    lineage.History
+	Line    epochs.History
 	Tokens  []string
 	Attempt *peerpb.Attempt
 	Finish  string
@@ -56,8 +56,8 @@
 // Result tells the writer of a copy what became of it.
 type Result struct {
 	Accepted bool
-	Unknown  bool          // no copy here: send it whole
-	Epoch    lineage.Epoch // newest known here
+	Unknown  bool         // no copy here: send it whole
+	Epoch    epochs.Epoch // newest known here
 	Length   int
 }
 
@@ -110,7 +110,7 @@
 
 // Append adds tokens at offset under epoch. Tokens already held are skipped, so
 // a repeated append does no harm.
-func (h *Holder) Append(id string, epoch lineage.Epoch, offset int, tokens []string, attempt *peerpb.Attempt, finish string) Result {
+func (h *Holder) Append(id string, epoch epochs.Epoch, offset int, tokens []string, attempt *peerpb.Attempt, finish string) Result {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	e := h.copies[id]
@@ -163,27 +163,27 @@
 
 // Adopt makes newOwner the owner from the copy's present length on and returns
 // the copy under its new epoch. seen must be a prefix of the copy.
-func (h *Holder) Adopt(id, newOwner string, seen lineage.Position) (Copy, lineage.Relation, bool) {
+func (h *Holder) Adopt(id, newOwner string, seen epochs.Position) (Copy, epochs.Relation, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	e := h.copies[id]
 	if e == nil {
-		return Copy{}, lineage.Prefix, false
+		return Copy{}, epochs.Prefix, false
 	}
-	if rel := e.Line.Compare(seen, len(e.Tokens)); rel != lineage.Prefix {
+	if rel := e.Line.Compare(seen, len(e.Tokens)); rel != epochs.Prefix {
 		return Copy{}, rel, true
 	}
-	e.Line = e.Line.Extend(lineage.Fork{
+	e.Line = e.Line.Extend(epochs.Fork{
 		Epoch:      e.Line.Epoch().Next(h.random()),
 		FromOffset: len(e.Tokens),
 		Owner:      newOwner,
 	})
 	h.touch(e)
-	return e.clone(), lineage.Prefix, true
+	return e.clone(), epochs.Prefix, true
 }
 
 // Drop removes a copy whose epoch is not newer than epoch: its owner keeps it elsewhere now.
-func (h *Holder) Drop(id string, epoch lineage.Epoch) {
+func (h *Holder) Drop(id string, epoch epochs.Epoch) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if e := h.copies[id]; e != nil && e.Line.Epoch() == epoch {
--- a/serve/journal/holder_test.go
+++ b/serve/journal/holder_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/peer/peerpb"
 )
 
@@ -20,10 +20,10 @@
 	return NewHolder(Limits{Bytes: bytes, TTL: func() time.Duration { return time.Minute }}, counter())
 }
 
-func copyOf(id string, epoch lineage.Epoch, tokens int, finish string) Copy {
+func copyOf(id string, epoch epochs.Epoch, tokens int, finish string) Copy {
 	c := Copy{
 		Spec: &peerpb.GenerationSpec{Id: id}, Finish: finish,
-		Line:    lineage.History{{Epoch: epoch, Owner: "vm0"}},
+		Line:    epochs.History{{Epoch: epoch, Owner: "vm0"}},
 		Attempt: &peerpb.Attempt{Number: 1},
 	}
 	for i := range tokens {
@@ -36,7 +36,7 @@
 // message was only late. It must neither shorten the copy nor bring back the
 // attempt it names, whose engine goes on with another text.
 func TestLateMessages(t *testing.T) {
-	h, epoch := newHolder(1<<20), lineage.FirstEpoch(9)
+	h, epoch := newHolder(1<<20), epochs.FirstEpoch(9)
 	must.True(t, h.Open(copyOf("g", epoch, 4, "")).Accepted)
 	must.True(t, h.Append("g", epoch, 4, []string{"a", "b"}, &peerpb.Attempt{Number: 2}, "").Accepted)
 	must.Eq(t, 6, h.Open(copyOf("g", epoch, 3, "")).Length)
@@ -50,18 +50,18 @@
 // A paused owner returns after its answer was taken over and writes on. The
 // holder refuses and names the newer epoch.
 func TestAdoptFencesTheOldOwner(t *testing.T) {
-	h, first := newHolder(1<<20), lineage.FirstEpoch(9)
+	h, first := newHolder(1<<20), epochs.FirstEpoch(9)
 	h.Open(copyOf("g", first, 4, ""))
-	c, rel, ok := h.Adopt("g", "vm1", lineage.Position{Epoch: first, Offset: 3})
+	c, rel, ok := h.Adopt("g", "vm1", epochs.Position{Epoch: first, Offset: 3})
 	must.True(t, ok)
-	must.Eq(t, lineage.Prefix, rel)
+	must.Eq(t, epochs.Prefix, rel)
 	must.Eq(t, "vm1", c.Line.Owner())
 	r := h.Append("g", first, 4, []string{"late"}, nil, "")
 	must.False(t, r.Accepted)
 	must.Eq(t, c.Line.Epoch(), r.Epoch)
 	must.False(t, h.Open(copyOf("g", first, 9, "")).Accepted)
-	_, rel, _ = h.Adopt("g", "vm2", lineage.Position{Epoch: first, Offset: 5})
-	must.Eq(t, lineage.Diverged, rel)
+	_, rel, _ = h.Adopt("g", "vm2", epochs.Position{Epoch: first, Offset: 5})
+	must.Eq(t, epochs.Diverged, rel)
 }
 
 // The holder is full. Finished copies make room, the longest untouched first;
@@ -71,14 +71,14 @@
 	one := size(copyOf("x", 1, 10, ""))
 	h := newHolder(3 * one)
 	for i, finish := range []string{"stop", "stop", ""} {
-		must.True(t, h.Open(copyOf(fmt.Sprint("g", i), lineage.FirstEpoch(uint64(i)), 10, finish)).Accepted)
+		must.True(t, h.Open(copyOf(fmt.Sprint("g", i), epochs.FirstEpoch(uint64(i)), 10, finish)).Accepted)
 	}
-	h.Adopt("g0", "vm1", lineage.Position{})
-	must.True(t, h.Open(copyOf("g3", lineage.FirstEpoch(3), 10, "")).Accepted)
+	h.Adopt("g0", "vm1", epochs.Position{})
+	must.True(t, h.Open(copyOf("g3", epochs.FirstEpoch(3), 10, "")).Accepted)
 	_, there := h.Peek("g1")
 	must.False(t, there)
-	must.True(t, h.Open(copyOf("g4", lineage.FirstEpoch(4), 10, "")).Accepted)
-	must.False(t, h.Open(copyOf("g5", lineage.FirstEpoch(5), 10, "")).Accepted)
+	must.True(t, h.Open(copyOf("g4", epochs.FirstEpoch(4), 10, "")).Accepted)
+	must.False(t, h.Open(copyOf("g5", epochs.FirstEpoch(5), 10, "")).Accepted)
 	n, bytes := h.Size()
 	must.Eq(t, 3, n)
 	must.Eq(t, 3*one, bytes)
--- a/serve/journal/wire.go
+++ b/serve/journal/wire.go
@@ -1,7 +1,7 @@
 package journal
 
 import (
-	"mallowwind.dev/decision/lineage"
+	"mallowwind.dev/decision/epochs"
 	"mallowwind.dev/peer/peerpb"
 )
 
@@ -22,15 +22,15 @@
 	if r.GetSpec() == nil || len(r.GetForks()) == 0 {
 		return Copy{}, false
 	}
-	line := make(lineage.History, 0, len(r.GetForks()))
+	line := make(epochs.History, 0, len(r.GetForks()))
 	for _, f := range r.GetForks() {
-		line = append(line, lineage.Fork{Epoch: lineage.Epoch(f.GetEpoch()), FromOffset: int(f.GetOffset()), Owner: f.GetOwner()})
+		line = append(line, epochs.Fork{Epoch: epochs.Epoch(f.GetEpoch()), FromOffset: int(f.GetOffset()), Owner: f.GetOwner()})
 	}
 	return Copy{Spec: r.GetSpec(), Line: line, Tokens: r.GetTokens(), Attempt: r.GetAttempt(), Finish: r.GetFinish()}, true
 }
 
 // ForksToWire returns the message form of a line.
-func ForksToWire(l lineage.History) []*peerpb.Fork {
+func ForksToWire(l epochs.History) []*peerpb.Fork {
 	out := make([]*peerpb.Fork, 0, len(l))
 	for _, f := range l {
 		out = append(out, &peerpb.Fork{Epoch: uint64(f.Epoch), Offset: uint32(f.FromOffset), Owner: f.Owner})
