--- a/serve/daemon/drain.go
+++ b/serve/daemon/drain.go
@@ -38,7 +38,7 @@
 	ctx, cancel := context.WithTimeout(hard, limit)
 	defer cancel()
 	ttl := r.entriesTTL()
-	r.d.log.Emit(event.DaemonDraining, r.d.generations.Running(), ttl)
+	r.d.log.Emit(event.DaemonDraining, r.d.generations.RunningCount(), ttl)
 	r.stage.Store(stageLeaving)
 	r.d.members.Leave()
 	r.wait(ctx, ttl)
@@ -48,7 +48,7 @@
 		r.wait(ctx, drainPollInterval)
 	}
 	r.d.generations.HandOver(ctx)
-	r.d.log.Emit(event.DaemonStopped, r.d.generations.Running(), r.d.calls.activeCount())
+	r.d.log.Emit(event.DaemonStopped, r.d.generations.RunningCount(), r.d.calls.activeCount())
 }
 
 func (r *drainer) wait(ctx context.Context, d time.Duration) {
@@ -59,7 +59,7 @@
 }
 
 func (r *drainer) isBusy() bool {
-	return r.d.generations.Running() > 0 || r.d.calls.activeCount() > 0 || r.d.api.Active() > 0
+	return r.d.generations.RunningCount() > 0 || r.d.calls.activeCount() > 0 || r.d.api.Active() > 0
 }
 
 // entriesTTL is the longest time for which a caller may cache an answer that contains this entry VM.
