--- a/serve/daemon/daemon.go
+++ b/serve/daemon/daemon.go
@@ -195,9 +195,9 @@
 		Site: d.inforce, Generations: d.generations, Calls: d.calls,
 		Entries: &entrySelector{site: d.inforce, members: d.members, log: d.log},
 		Log:     d.log, Metrics: d.registry,
-		Refusing: d.drain.isRefusing,
-		Starting: func() bool { return !d.serving.Load() },
-		Ready:    d.isReady,
+		IsShuttingDown: d.drain.isRefusing,
+		IsStarting:     func() bool { return !d.serving.Load() },
+		IsReady:        d.isReady,
 	})
 }
 
--- a/serve/daemon/entries.go
+++ b/serve/daemon/entries.go
@@ -20,9 +20,9 @@
 	rotation atomic.Uint64
 }
 
-// For implements api.Entries. It returns only members that are seen alive: a leaving member is no
+// EntriesFor implements api.Entries. It returns only members that are seen alive: a leaving member is no
 // longer returned, and still serves the callers that have its address in a cached answer.
-func (e *entrySelector) For(account *site.Account) []api.Entry {
+func (e *entrySelector) EntriesFor(account *site.Account) []api.Entry {
 	members := e.members.Current().Members
 	vms := make([]selection.VM, 0, len(members))
 	for _, m := range members {
