--- a/control/lease/candidates.go
+++ b/control/lease/candidates.go
@@ -7,9 +7,9 @@
 	"mallowwind.dev/control/membership"
 )
 
-// Rank returns this daemon's place, from 0, among the candidates of its zone,
-// or -1 when it is none. Views differ for moments and across partitions: then
-// more or other daemons try, and the store still lets only one hold.
+// Rank returns this daemon's rank, from 0, among the candidates of its zone, or -1 if it is not a
+// candidate. While the daemons' views differ, after a change or during a partition, more or other
+// daemons compete; the store still lets only one of them hold the lease.
 func Rank(view *membership.View, candidates int) int {
 	self := view.Self
 	if self.State == membership.Leaving {
@@ -31,19 +31,20 @@
 	return rank
 }
 
+// weight is the member's rendezvous hash; the members with the highest weights are candidates.
 func weight(m membership.Member) uint64 { return xxhash.Sum64String(m.Zone + "\x00" + m.ID) }
 
 type metrics struct {
-	calls, taken prometheus.Counter
-	held         prometheus.Gauge
+	storeCalls, acquired prometheus.Counter
+	held                 prometheus.Gauge
 }
 
 func newMetrics(r prometheus.Registerer) metrics {
 	m := metrics{
-		calls: prometheus.NewCounter(prometheus.CounterOpts{
+		storeCalls: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "mallowwind_lease_store_calls_total", Help: "Calls to the store for the zone's lease.",
 		}),
-		taken: prometheus.NewCounter(prometheus.CounterOpts{
+		acquired: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "mallowwind_lease_taken_total", Help: "Times this daemon became the zone's holder.",
 		}),
 		held: prometheus.NewGauge(prometheus.GaugeOpts{
@@ -51,7 +52,7 @@
 		}),
 	}
 	if r != nil {
-		r.MustRegister(m.calls, m.taken, m.held)
+		r.MustRegister(m.storeCalls, m.acquired, m.held)
 	}
 	return m
 }
--- a/control/lease/manager.go
+++ b/control/lease/manager.go
@@ -17,10 +17,10 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// Prefix is the part of the store that holds the zones' leases.
+// Prefix is the prefix of the store keys of the zones' leases.
 const Prefix = "lease/zone/"
 
-// Deps are what a Manager works with.
+// Deps are the dependencies of a Manager.
 type Deps struct {
 	Store      store.Store
 	Members    membership.Source
@@ -29,24 +29,23 @@
 	Config     Config
 }
 
-// Manager takes, renews and gives up the lease of this daemon's zone. It
-// implements Source.
+// Manager acquires, renews and releases the lease of this daemon's zone. It implements Source.
 type Manager struct {
-	deps  Deps
-	cfg   Config
-	met   metrics
-	key   string
-	value string
-	rng   *rand.Rand
-	hold  atomic.Pointer[Lease]
+	deps    Deps
+	cfg     Config
+	metrics metrics
+	key     string
+	value   string
+	rng     *rand.Rand
+	current atomic.Pointer[Lease]
 
 	// Used by Run only.
-	id     store.LeaseID // the lease behind hold, or one to try again
-	fence  uint64
-	absent time.Time // when the key was first seen missing
+	leaseID      store.LeaseID // kept after current has expired, to retry the renewal
+	fencingToken uint64
+	absentSince  time.Time // when the key was first found missing
 }
 
-// NewManager returns a Manager that holds nothing until Run takes the lease.
+// NewManager returns a Manager that does not hold the lease until Run acquires it.
 func NewManager(deps Deps) *Manager {
 	if deps.Log == nil {
 		deps.Log = event.Discard()
@@ -57,21 +56,21 @@
 	self := deps.Members.Current().Self
 	seed := xxhash.Sum64String(self.ID)
 	m := &Manager{
-		deps:  deps,
-		cfg:   deps.Config,
-		met:   newMetrics(deps.Registerer),
-		key:   Prefix + self.Zone,
-		value: self.ID + " " + strconv.FormatUint(self.Incarnation, 10),
-		rng:   rand.New(rand.NewPCG(seed, self.Incarnation)),
-	}
-	m.hold.Store(&Lease{})
+		deps:    deps,
+		cfg:     deps.Config,
+		metrics: newMetrics(deps.Registerer),
+		key:     Prefix + self.Zone,
+		value:   self.ID + " " + strconv.FormatUint(self.Incarnation, 10),
+		rng:     rand.New(rand.NewPCG(seed, self.Incarnation)),
+	}
+	m.current.Store(&Lease{})
 	return m
 }
 
 // Current implements Source.
-func (m *Manager) Current() Lease { return *m.hold.Load() }
+func (m *Manager) Current() Lease { return *m.current.Load() }
 
-// Run competes for the lease until ctx ends, then gives it up.
+// Run competes for the lease until ctx ends, then releases it.
 func (m *Manager) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause.For(ctx, m.step(ctx))
@@ -80,85 +79,86 @@
 	return ctx.Err()
 }
 
-// step does one thing and returns the time to the next.
+// step renews the lease, checks the key or competes for the lease, and returns the time until the
+// next step.
 func (m *Manager) step(ctx context.Context) time.Duration {
 	view := m.deps.Members.Current()
-	if view.Self.State == membership.Leaving && m.id != 0 {
+	if view.Self.State == membership.Leaving && m.leaseID != 0 {
 		m.release("the daemon leaves")
 	}
 	rank := Rank(view, m.cfg.Candidates)
 	switch {
-	case m.id != 0:
+	case m.leaseID != 0:
 		return m.renew(ctx)
 	case rank < 0:
-		m.absent = time.Time{}
-		return m.jittered(m.cfg.CheckInterval)
+		m.absentSince = time.Time{}
+		return m.withJitter(m.cfg.CheckInterval)
 	default:
 		return m.contend(ctx, rank)
 	}
 }
 
-// renew prolongs the lease. While the store does not answer, the hold ends by
-// its own deadline; the lease itself may outlive it, so renewal goes on until
-// the store says that the lease is gone. If it is not, nobody else can have
-// held it meanwhile, and the fencing number still stands.
+// renew extends the lease. While the store does not answer, current expires at its own time. The
+// lease in the store may last longer, so renewal is retried until the store reports that the lease
+// is gone. If it is not gone, no other daemon can have held it in the meantime, and the fencing
+// token is still valid.
 func (m *Manager) renew(ctx context.Context) time.Duration {
 	before := time.Now()
 	callCtx, cancel := context.WithTimeout(ctx, m.cfg.CallTimeout)
-	ttl, err := m.deps.Store.KeepAlive(callCtx, m.id)
+	ttl, err := m.deps.Store.KeepAlive(callCtx, m.leaseID)
 	cancel()
-	m.met.calls.Inc()
+	m.metrics.storeCalls.Inc()
 	switch {
 	case err == nil:
-		m.holdUntil(before.Add(min(ttl, m.cfg.TTL) - m.cfg.ExpiryMargin))
+		m.extend(before.Add(min(ttl, m.cfg.TTL) - m.cfg.ExpiryMargin))
 		return m.cfg.RenewInterval
 	case errors.Is(err, store.ErrLeaseGone):
-		m.drop("the store ended the lease")
-		return m.jittered(m.cfg.CheckInterval)
+		m.forget("the store ended the lease")
+		return m.withJitter(m.cfg.CheckInterval)
 	}
 	m.deps.Log.Emit(event.LeaseFailed, m.key, err.Error())
-	if h := m.Current(); h.FencingToken != 0 && !h.IsValid(time.Now()) {
-		m.clear("not renewed in time")
+	if l := m.Current(); l.FencingToken != 0 && !l.IsValid(time.Now()) {
+		m.markLost("not renewed in time")
 	}
-	return m.jittered(m.cfg.RenewInterval / 3)
+	return m.withJitter(m.cfg.RenewInterval / 3)
 }
 
-// contend looks at the key and takes the lease if nobody holds it. Candidates
-// of a lower rank wait longer before they do, so that they rarely collide.
+// contend reads the key and acquires the lease if no daemon holds it. Each candidate waits in
+// proportion to its rank before it does, so that candidates rarely collide.
 func (m *Manager) contend(ctx context.Context, rank int) time.Duration {
 	callCtx, cancel := context.WithTimeout(ctx, m.cfg.CallTimeout)
 	_, err := m.deps.Store.Get(callCtx, m.key)
 	cancel()
-	m.met.calls.Inc()
+	m.metrics.storeCalls.Inc()
 	now := time.Now()
 	switch {
 	case err == nil:
-		m.absent = time.Time{}
-		return m.jittered(m.cfg.CheckInterval)
+		m.absentSince = time.Time{}
+		return m.withJitter(m.cfg.CheckInterval)
 	case !errors.Is(err, store.ErrNotFound):
 		m.deps.Log.Emit(event.LeaseFailed, m.key, err.Error())
-		return m.jittered(m.cfg.CheckInterval)
+		return m.withJitter(m.cfg.CheckInterval)
 	}
-	if m.absent.IsZero() {
-		m.absent = now
+	if m.absentSince.IsZero() {
+		m.absentSince = now
 	}
-	if turn := m.absent.Add(time.Duration(rank) * m.cfg.RenewInterval / 2); now.Before(turn) {
+	if turn := m.absentSince.Add(time.Duration(rank) * m.cfg.RenewInterval / 2); now.Before(turn) {
 		return turn.Sub(now)
 	}
 	if m.acquire(ctx) {
 		return m.cfg.RenewInterval
 	}
-	return m.jittered(m.cfg.CheckInterval)
+	return m.withJitter(m.cfg.CheckInterval)
 }
 
-// acquire starts a lease and binds the key to it.
+// acquire creates a store lease and writes the key bound to it. It reports whether it succeeded.
 func (m *Manager) acquire(ctx context.Context) bool {
-	m.absent = time.Time{}
+	m.absentSince = time.Time{}
 	before := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, 2*m.cfg.CallTimeout)
 	defer cancel()
 	id, err := m.deps.Store.Grant(ctx, m.cfg.TTL)
-	m.met.calls.Inc()
+	m.metrics.storeCalls.Inc()
 	if err != nil {
 		m.deps.Log.Emit(event.LeaseFailed, m.key, err.Error())
 		return false
@@ -171,21 +171,21 @@
 		}
 		return false
 	}
-	m.id, m.fence = id, uint64(version)
-	m.holdUntil(before.Add(m.cfg.TTL - m.cfg.ExpiryMargin))
+	m.leaseID, m.fencingToken = id, uint64(version)
+	m.extend(before.Add(m.cfg.TTL - m.cfg.ExpiryMargin))
 	return true
 }
 
-// create writes the key. A write whose answer is lost is read back: the value
-// with this lease means that it took effect.
+// create writes the key and returns its version. If the answer to the write is lost, it reads the
+// key: this daemon's value bound to this lease means that the write took effect.
 func (m *Manager) create(ctx context.Context, id store.LeaseID) (int64, error) {
 	version, err := m.deps.Store.CompareAndSwap(ctx, m.key, 0, []byte(m.value), id)
-	m.met.calls.Inc()
+	m.metrics.storeCalls.Inc()
 	if !errors.Is(err, store.ErrUnknown) {
 		return version, err
 	}
 	kv, readErr := m.deps.Store.Get(ctx, m.key)
-	m.met.calls.Inc()
+	m.metrics.storeCalls.Inc()
 	if readErr != nil {
 		return 0, err
 	}
@@ -195,59 +195,59 @@
 	return kv.Version, nil
 }
 
-// holdUntil sets the deadline of the hold and logs it when it is new. An
-// answer that came too late to hold anything begins none.
-func (m *Manager) holdUntil(until time.Time) {
-	h := m.Current()
-	if h.FencingToken == 0 && !time.Now().Before(until) {
+// extend sets the expiry time of current, and logs the acquisition if the lease was not held. An
+// answer that arrives after the new expiry time does not acquire the lease.
+func (m *Manager) extend(expiresAt time.Time) {
+	l := m.Current()
+	if l.FencingToken == 0 && !time.Now().Before(expiresAt) {
 		return
 	}
-	if h.FencingToken == 0 {
-		h = newHold(m.fence, time.Now(), until)
-		m.deps.Log.Emit(event.LeaseTaken, m.key, m.fence)
-		m.met.held.Set(1)
-		m.met.taken.Inc()
+	if l.FencingToken == 0 {
+		l = newLease(m.fencingToken, time.Now(), expiresAt)
+		m.deps.Log.Emit(event.LeaseTaken, m.key, m.fencingToken)
+		m.metrics.held.Set(1)
+		m.metrics.acquired.Inc()
 	} else {
-		h = newHold(h.FencingToken, h.AcquiredAt, until)
+		l = newLease(l.FencingToken, l.AcquiredAt, expiresAt)
 	}
-	m.hold.Store(&h)
+	m.current.Store(&l)
 }
 
-// clear ends the hold but keeps the lease's id for another try.
-func (m *Manager) clear(reason string) {
-	if h := m.Current(); h.FencingToken != 0 {
-		m.deps.Log.Emit(event.LeaseLost, m.key, h.FencingToken, reason)
+// markLost marks the lease as not held but keeps its id, so that the renewal is retried.
+func (m *Manager) markLost(reason string) {
+	if l := m.Current(); l.FencingToken != 0 {
+		m.deps.Log.Emit(event.LeaseLost, m.key, l.FencingToken, reason)
 	}
-	m.hold.Store(&Lease{})
-	m.met.held.Set(0)
+	m.current.Store(&Lease{})
+	m.metrics.held.Set(0)
 }
 
-// drop ends the hold and forgets the lease.
-func (m *Manager) drop(reason string) {
-	m.clear(reason)
-	m.id, m.fence = 0, 0
+// forget marks the lease as not held and discards its id.
+func (m *Manager) forget(reason string) {
+	m.markLost(reason)
+	m.leaseID, m.fencingToken = 0, 0
 }
 
-// release gives the lease back, so that another daemon need not wait for its end.
+// release revokes the lease, so that another daemon need not wait for it to expire.
 func (m *Manager) release(reason string) {
-	if m.id == 0 {
+	if m.leaseID == 0 {
 		return
 	}
-	id := m.id
-	m.drop(reason)
+	id := m.leaseID
+	m.forget(reason)
 	m.revoke(id)
 }
 
-// revoke ends a lease. A failure is left to the lease's own end.
+// revoke revokes a store lease. If that fails, the lease expires by itself.
 func (m *Manager) revoke(id store.LeaseID) {
 	ctx, cancel := context.WithTimeout(context.Background(), m.cfg.CallTimeout)
 	defer cancel()
-	m.met.calls.Inc()
+	m.metrics.storeCalls.Inc()
 	if err := m.deps.Store.Revoke(ctx, id); err != nil {
 		m.deps.Log.Emit(event.LeaseFailed, m.key, err.Error())
 	}
 }
 
-func (m *Manager) jittered(d time.Duration) time.Duration {
+func (m *Manager) withJitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + m.cfg.JitterRatio*(2*m.rng.Float64()-1)))
 }
--- a/control/lease/manager_test.go
+++ b/control/lease/manager_test.go
@@ -14,9 +14,9 @@
 	"mallowwind.dev/external/store"
 )
 
-// world is one zone's daemons before one store. A pause keeps a daemon's
-// calls from returning; its clock goes on, as that of a paused process does.
-type world struct {
+// testZone is the daemons of one zone, which share one store. A pause of a daemon is simulated by
+// store calls that do not return; its clock goes on, as that of a paused process does.
+type testZone struct {
 	store    *store.Faulty
 	managers []*Manager
 	cancels  []context.CancelFunc
@@ -24,15 +24,15 @@
 	views    []*membership.Static
 }
 
-func newWorld(t *testing.T, n int) *world {
-	w := &world{store: store.NewFaulty(store.NewMemory())}
+func newTestZone(t *testing.T, n int) *testZone {
+	w := &testZone{store: store.NewFaulty(store.NewMemory())}
 	var members []membership.Member
 	for i := range n {
 		members = append(members, membership.Member{ID: fmt.Sprintf("vm%03d", i), Zone: "a", Incarnation: 1})
 	}
 	for i := range n {
 		view := &membership.Static{View: &membership.View{Self: members[i], Members: members}}
-		m := NewManager(Deps{Store: &gate{Store: w.store}, Members: view})
+		m := NewManager(Deps{Store: &stallingStore{Store: w.store}, Members: view})
 		w.managers, w.views = append(w.managers, m), append(w.views, view)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
@@ -41,7 +41,7 @@
 	}
 	t.Cleanup(func() {
 		for i := range w.cancels {
-			w.gate(i).open()
+			w.storeOf(i).resume()
 			w.cancels[i]()
 			<-w.done[i]
 		}
@@ -49,44 +49,44 @@
 	return w
 }
 
-// gate holds back one daemon's renewals after the store has taken them.
-type gate struct {
+// stallingStore delays the answers to one daemon's renewals after the store has applied them.
+type stallingStore struct {
 	store.Store
-	mu   sync.Mutex
-	held chan struct{}
+	mu      sync.Mutex
+	stalled chan struct{}
 }
 
-func (g *gate) KeepAlive(ctx context.Context, id store.LeaseID) (time.Duration, error) {
+func (g *stallingStore) KeepAlive(ctx context.Context, id store.LeaseID) (time.Duration, error) {
 	g.mu.Lock()
-	shut := g.held
+	stalled := g.stalled
 	g.mu.Unlock()
 	ttl, err := g.Store.KeepAlive(ctx, id)
-	if shut != nil {
-		<-shut
+	if stalled != nil {
+		<-stalled
 	}
 	return ttl, err
 }
 
-func (g *gate) shut() {
+func (g *stallingStore) stall() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.held = make(chan struct{})
+	g.stalled = make(chan struct{})
 }
 
-func (g *gate) open() {
+func (g *stallingStore) resume() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.held != nil {
-		close(g.held)
-		g.held = nil
+	if g.stalled != nil {
+		close(g.stalled)
+		g.stalled = nil
 	}
 }
 
-func (w *world) gate(i int) *gate { return w.managers[i].deps.Store.(*gate) }
+func (w *testZone) storeOf(i int) *stallingStore { return w.managers[i].deps.Store.(*stallingStore) }
 
-// holder returns the index of the only daemon with a valid hold, or -1; two
-// at once fail the test.
-func (w *world) holder(t *testing.T) int {
+// holder returns the index of the only daemon with a valid lease, or -1. The test fails if two
+// daemons have one.
+func (w *testZone) holder(t *testing.T) int {
 	t.Helper()
 	synctest.Wait()
 	holder := -1
@@ -99,11 +99,11 @@
 	return holder
 }
 
-// A zone's daemons start together. Exactly one may come to hold the lease, and
-// at 56 of them the store must not see 56 contenders.
+// The daemons of a zone start together. Exactly one must acquire the lease, and in a zone of 56
+// daemons the store must not get calls from 56 contenders.
 func TestOneHolderAndFewCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 56)
+		w := newTestZone(t, 56)
 		time.Sleep(10 * time.Second)
 		first := w.holder(t)
 		must.NotEq(t, -1, first)
@@ -112,17 +112,16 @@
 		must.Eq(t, first, w.holder(t))
 		after := w.store.Counts()
 		calls := float64(after.Reads()+after.Writes()-before.Reads()-before.Writes()) / 600
-		t.Logf("store calls a second of a zone of 56 daemons: %.2f", calls)
+		t.Logf("store calls per second in a zone of 56 daemons: %.2f", calls)
 		must.Less(t, 1.5, calls)
 	})
 }
 
-// A holder is stopped for an upgrade, then the next one dies. Orders of the
-// zone must go on: at once after a release, after the lease's end otherwise,
-// each time under a higher fencing number.
-func TestNextHolderHasHigherFence(t *testing.T) {
+// A holder is stopped for an upgrade, then the next one dies. Another daemon must acquire the
+// lease: soon after a release, after the expiry otherwise, each time with a higher fencing token.
+func TestNextHolderHasHigherFencingToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3)
+		w := newTestZone(t, 3)
 		time.Sleep(10 * time.Second)
 		first := w.holder(t)
 		fence := w.managers[first].Current().FencingToken
@@ -133,7 +132,7 @@
 		must.Greater(t, fence, w.managers[second].Current().FencingToken)
 
 		fence = w.managers[second].Current().FencingToken
-		w.gate(second).shut() // never answers again
+		w.storeOf(second).stall() // never answers again
 		time.Sleep(25 * time.Second)
 		third := w.holder(t)
 		must.NotEq(t, -1, third)
@@ -142,22 +141,22 @@
 	})
 }
 
-// The holder is paused for a minute right after the store renewed its lease.
-// It comes back with that good answer in hand, while another daemon has long
-// taken over. A deadline measured from the answer would let both give orders.
-func TestPausedHolderComesBack(t *testing.T) {
+// The holder is paused for a minute right after the store renewed its lease. When it resumes, it
+// receives that successful answer, although another daemon holds the lease by then. An expiry time
+// counted from the arrival of the answer would let both give orders.
+func TestPausedHolderResumes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3)
+		w := newTestZone(t, 3)
 		time.Sleep(10 * time.Second)
 		first := w.holder(t)
-		w.gate(first).shut()
+		w.storeOf(first).stall()
 		for range 60 {
 			time.Sleep(time.Second)
 			w.holder(t)
 		}
 		second := w.holder(t)
 		must.NotEq(t, first, second)
-		w.gate(first).open()
+		w.storeOf(first).resume()
 		for range 300 {
 			time.Sleep(100 * time.Millisecond)
 			must.Eq(t, second, w.holder(t))
@@ -165,11 +164,11 @@
 	})
 }
 
-// The store is away for ten minutes. No daemon may believe that it holds the
-// lease longer than the lease lasts, and one must hold it again soon after.
+// The store is unreachable for ten minutes. No daemon may consider the lease held for longer than
+// its TTL, and one must acquire it soon after the outage.
 func TestStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3)
+		w := newTestZone(t, 3)
 		time.Sleep(10 * time.Second)
 		fence := w.managers[w.holder(t)].Current().FencingToken
 		w.store.SetDown(true)
@@ -184,12 +183,12 @@
 	})
 }
 
-// The write that takes the lease takes effect and its answer is lost, or the
-// write itself is lost. The daemon must find out which before it acts.
-func TestLostAnswerOnTaking(t *testing.T) {
+// Either the answer to the write that acquires the lease is lost, or the write itself. The daemon
+// must find out which before it acts as the holder.
+func TestLostAnswerOnAcquire(t *testing.T) {
 	for _, lose := range []func(*store.Faulty){(*store.Faulty).LoseNextWrite, (*store.Faulty).DropNextWrite} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, 3)
+			w := newTestZone(t, 3)
 			lose(w.store)
 			time.Sleep(25 * time.Second)
 			holder := w.holder(t)
@@ -202,13 +201,13 @@
 	}
 }
 
-// A virtual machine is frozen and thawed: its monotonic clock stood still,
-// its wall clock was set. The hold must be over by the wall clock.
-func TestHoldEndsByWallClock(t *testing.T) {
+// A virtual machine is suspended and resumed: its monotonic clock stood still, its wall clock was
+// corrected. The lease must have expired by the wall clock.
+func TestLeaseExpiresByWallClock(t *testing.T) {
 	now := time.Now()
-	h := newHold(1, now, now.Add(9*time.Second))
+	h := newLease(1, now, now.Add(9*time.Second))
 	must.True(t, h.IsValid(now.Add(8*time.Second)))
-	h.wall = h.wall.Add(-10 * time.Second)
+	h.expiresAtWall = h.expiresAtWall.Add(-10 * time.Second)
 	must.False(t, h.IsValid(now.Add(8*time.Second)))
 	must.False(t, Lease{}.IsValid(now))
 }
--- a/control/membership/manager.go
+++ b/control/membership/manager.go
@@ -18,51 +18,52 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// Deps are what a Manager works with.
+// Deps are the dependencies of a Manager.
 type Deps struct {
 	// Self is this daemon; State is ignored.
 	Self Member
-	// VMs is the platform's list, usually by way of backends.Manager.
+	// VMs is the platform's VM list, usually read through backends.Manager.
 	VMs vmlist.Source
-	// Dialer reaches other daemons.
+	// Dialer connects to other daemons.
 	Dialer *link.Dialer
-	// PeerAddress returns where a listed entry VM takes calls from other
-	// daemons; nil means VM.Address. It is needed for first contact only.
+	// PeerAddress returns the address at which a listed entry VM accepts calls from other daemons;
+	// nil means VM.Address. It is used for the first contact only.
 	PeerAddress func(vmlist.VM) string
 	Log         *event.Log
 	Registerer  prometheus.Registerer // nil keeps the metrics unregistered
 	Config      Config
 }
 
-// Manager is the Source in use and the twirp service Membership.
+// Manager maintains this daemon's view of the entry VMs. It implements Source and the twirp service
+// Membership.
 type Manager struct {
-	deps    Deps
-	cfg     Config
-	met     metrics
-	current atomic.Pointer[View]
-	news    chan struct{}
-	probes  sync.WaitGroup
+	deps            Deps
+	cfg             Config
+	metrics         metrics
+	current         atomic.Pointer[View]
+	fanoutRequested chan struct{}
+	probes          sync.WaitGroup
 
-	onDigest []func(m Member, name string, version uint64)
-	onChange []func(*View)
-	onVM     []func(VMChange)
-	onReport []func(id string, digest uint64)
+	onDigest   []func(m Member, name string, version uint64)
+	onChange   []func(*View)
+	onVMChange []func(VMChange)
+	onReport   []func(id string, digest uint64)
 
-	mu         sync.Mutex
-	table      *gossip.Table
-	rng        *rand.Rand
-	digests    map[string]uint64
-	vms        board[row]
-	reports    board[uint64]
-	leaving    bool
-	superseded bool
-	published  uint64
+	mu               sync.Mutex
+	table            *gossip.Table
+	rng              *rand.Rand
+	digests          map[string]uint64
+	vmChanges        broadcastQueue[vmState]
+	reportChanges    broadcastQueue[uint64]
+	leaving          bool
+	supersededLogged bool
+	publishedVersion uint64
 }
 
 var _ peerpb.Membership = (*Manager)(nil)
 
-// NewManager returns a Manager that knows only this daemon until Run has made
-// contact with others. Its handler is peerpb.NewMembershipServer(m).
+// NewManager returns a Manager that knows only this daemon until Run has contacted others. Its HTTP
+// handler is peerpb.NewMembershipServer(m).
 func NewManager(deps Deps) *Manager {
 	if deps.Log == nil {
 		deps.Log = event.Discard()
@@ -76,14 +77,14 @@
 	seed := xxhash.Sum64String(deps.Self.ID)
 	rng := rand.New(rand.NewPCG(seed, deps.Self.Incarnation))
 	m := &Manager{
-		deps:    deps,
-		cfg:     deps.Config,
-		met:     newMetrics(deps.Registerer),
-		news:    make(chan struct{}, 1),
-		rng:     rng,
-		digests: make(map[string]uint64),
-		vms:     make(board[row]),
-		reports: make(board[uint64]),
+		deps:            deps,
+		cfg:             deps.Config,
+		metrics:         newMetrics(deps.Registerer),
+		fanoutRequested: make(chan struct{}, 1),
+		rng:             rng,
+		digests:         make(map[string]uint64),
+		vmChanges:       make(broadcastQueue[vmState]),
+		reportChanges:   make(broadcastQueue[uint64]),
 	}
 	deps.Self.State = Alive
 	m.table = gossip.New(toRecord(deps.Self), m.cfg.Gossip, rng)
@@ -94,40 +95,38 @@
 // Current returns the newest view.
 func (m *Manager) Current() *View { return m.current.Load() }
 
-// OnDigest registers f to be called with every versioned thing that another
-// daemon says it holds, at each exchange with that daemon. f must not block.
-// Call OnDigest before Run.
+// OnDigest registers f to be called with each version that another daemon announced by SetDigest, at
+// each exchange with that daemon. f must not block. Call OnDigest before Run.
 func (m *Manager) OnDigest(f func(from Member, name string, version uint64)) {
 	m.onDigest = append(m.onDigest, f)
 }
 
-// OnChange registers f to be called after each change of the view. f must not
-// block. Call OnChange before Run.
+// OnChange registers f to be called after each change of the view. f must not block. Call OnChange
+// before Run.
 func (m *Manager) OnChange(f func(*View)) { m.onChange = append(m.onChange, f) }
 
-// SetDigest says which version of something this daemon holds. A higher one
-// is told to a few others at once, and to each neighbour at its next exchange.
+// SetDigest announces which version of the named data this daemon holds. The version is part of
+// every later message; if it has changed, a fan-out sends it to a few members soon.
 func (m *Manager) SetDigest(name string, version uint64) {
 	m.mu.Lock()
 	changed := m.digests[name] != version
 	m.digests[name] = version
 	m.mu.Unlock()
 	if changed {
-		m.wake()
+		m.requestFanout()
 	}
 }
 
-// AnnounceCallerAddr tells the others where callers reach this daemon. Until then it takes
-// part without being named to callers.
+// AnnounceCallerAddr announces the address at which callers reach this daemon. Until then this
+// daemon is a member that callers are not sent to.
 func (m *Manager) AnnounceCallerAddr(caller string) {
 	m.mu.Lock()
 	c := m.table.SetCallerAddr(caller)
 	m.mu.Unlock()
-	m.changed([]gossip.Change{c}, "")
+	m.handleChanges([]gossip.Change{c}, "")
 }
 
-// Leave tells the others that this daemon leaves. It keeps taking part until
-// Run's context ends.
+// Leave announces that this daemon is leaving. It remains a member until Run's context ends.
 func (m *Manager) Leave() {
 	m.mu.Lock()
 	done := m.leaving
@@ -138,58 +137,59 @@
 	}
 	m.mu.Unlock()
 	if !done {
-		m.changed([]gossip.Change{c}, "")
+		m.handleChanges([]gossip.Change{c}, "")
 	}
 }
 
-func (m *Manager) wake() {
+func (m *Manager) requestFanout() {
 	select {
-	case m.news <- struct{}{}:
+	case m.fanoutRequested <- struct{}{}:
 	default:
 	}
 }
 
-// Run takes part in membership until ctx ends; a daemon that has called Leave
-// then says goodbye.
+// Run exchanges with other daemons until ctx ends. After Leave, it then announces that this daemon
+// is gone.
 func (m *Manager) Run(ctx context.Context) error {
 	list := time.NewTimer(0)
-	round := time.NewTimer(m.firstRound())
-	spread := time.NewTimer(time.Hour)
-	spread.Stop()
+	round := time.NewTimer(m.firstRoundDelay())
+	fanout := time.NewTimer(time.Hour)
+	fanout.Stop()
 	pending := false
 	budget := rate.NewLimiter(rate.Every(m.cfg.FanoutInterval), m.cfg.FanoutBurst)
 	for {
 		select {
 		case <-ctx.Done():
 			m.probes.Wait()
-			m.goodbye()
+			m.announceDeparture()
 			return ctx.Err()
 		case <-list.C:
 			m.readList(ctx)
 			list.Reset(m.cfg.ListInterval)
 		case <-round.C:
 			m.round(ctx)
-			round.Reset(m.interval())
-		case <-m.news:
+			round.Reset(m.roundInterval())
+		case <-m.fanoutRequested:
 			if !pending {
 				pending = true
-				spread.Reset(max(m.cfg.FanoutDelay, budget.Reserve().Delay()))
+				fanout.Reset(max(m.cfg.FanoutDelay, budget.Reserve().Delay()))
 			}
-		case <-spread.C:
+		case <-fanout.C:
 			pending = false
-			m.spread(ctx)
+			m.fanOut(ctx)
 		}
 	}
 }
 
-// firstRound puts daemons that start together at different places of the interval.
-func (m *Manager) firstRound() time.Duration {
+// firstRoundDelay returns a random delay within one interval, so that daemons that start together do
+// not run their rounds at the same time.
+func (m *Manager) firstRoundDelay() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return time.Duration(m.rng.Int64N(int64(m.cfg.Gossip.ProbeInterval)))
 }
 
-func (m *Manager) interval() time.Duration {
+func (m *Manager) roundInterval() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return time.Duration(float64(m.cfg.Gossip.ProbeInterval) * (1 + m.cfg.JitterRatio*(2*m.rng.Float64()-1)))
@@ -200,7 +200,7 @@
 	defer cancel()
 	rows, err := m.deps.VMs.List(readCtx)
 	if err != nil {
-		return // whoever reads the platform's list has logged it
+		return // logged by the reader of the platform's list
 	}
 	var listed []gossip.ListedVM
 	for _, vm := range rows {
@@ -217,21 +217,21 @@
 	m.publish()
 }
 
-// round advances the time and probes this round's targets.
+// round advances the table's time and probes the targets of this round.
 func (m *Manager) round(ctx context.Context) {
 	now := time.Now()
 	m.mu.Lock()
 	changes := m.table.Tick(now)
 	targets := m.table.ExchangeTargets()
 	m.mu.Unlock()
-	m.changed(changes, "")
+	m.handleChanges(changes, "")
 	for _, target := range targets {
 		m.probes.Go(func() { m.probe(ctx, target) })
 	}
 }
 
-// spread passes news on at once.
-func (m *Manager) spread(ctx context.Context) {
+// fanOut exchanges with a few members outside the regular rounds, to spread updates quickly.
+func (m *Manager) fanOut(ctx context.Context) {
 	m.mu.Lock()
 	targets := m.table.FanoutTargets()
 	m.mu.Unlock()
@@ -240,9 +240,9 @@
 	}
 }
 
-// goodbye tells a few others that a daemon that left is gone, so that nobody
-// spends probes on finding out.
-func (m *Manager) goodbye() {
+// announceDeparture tells a few members that this daemon is gone if it has called Leave, so that the
+// others do not have to find out by failed probes.
+func (m *Manager) announceDeparture() {
 	m.mu.Lock()
 	leaving := m.leaving
 	if leaving {
@@ -250,32 +250,32 @@
 	}
 	m.mu.Unlock()
 	if leaving {
-		m.spread(context.Background())
+		m.fanOut(context.Background())
 		m.probes.Wait()
 	}
 }
 
-// changed logs changes, publishes the view and passes the news on.
-func (m *Manager) changed(changes []gossip.Change, by string) {
+// handleChanges logs the changes, publishes the view and requests a fan-out.
+func (m *Manager) handleChanges(changes []gossip.Change, by string) {
 	if len(changes) == 0 {
 		return
 	}
 	for _, c := range changes {
-		m.report(c, by)
+		m.logChange(c, by)
 	}
 	m.publish()
-	m.wake()
+	m.requestFanout()
 }
 
-func (m *Manager) report(c gossip.Change, by string) {
-	m.met.changes.WithLabelValues(c.Record.State.String()).Inc()
+func (m *Manager) logChange(c gossip.Change, by string) {
+	m.metrics.changes.WithLabelValues(c.Record.State.String()).Inc()
 	switch c.Reason {
 	case gossip.ReasonRefuted:
 		m.deps.Log.Emit(event.MemberRefuted, c.From.String(), c.Record.Refutation, by)
 	case gossip.ReasonSuperseded:
 		m.mu.Lock()
-		first := !m.superseded
-		m.superseded = true
+		first := !m.supersededLogged
+		m.supersededLogged = true
 		m.mu.Unlock()
 		if first {
 			m.deps.Log.Emit(event.MemberSuperseded, c.Record.Incarnation, by)
@@ -285,14 +285,14 @@
 	}
 }
 
-// publish swaps in a new view if the table changed.
+// publish replaces the view and calls the OnChange functions if the table has changed.
 func (m *Manager) publish() {
 	m.mu.Lock()
-	if m.published == m.table.Version() {
+	if m.publishedVersion == m.table.Version() {
 		m.mu.Unlock()
 		return
 	}
-	m.published = m.table.Version()
+	m.publishedVersion = m.table.Version()
 	records := m.table.Members()
 	view := &View{Self: toMember(m.table.Self()), Members: make([]Member, len(records))}
 	for i, rec := range records {
@@ -300,7 +300,7 @@
 	}
 	m.current.Store(view)
 	m.mu.Unlock()
-	m.met.known.Set(float64(len(view.Members)))
+	m.metrics.knownMembers.Set(float64(len(view.Members)))
 	for _, f := range m.onChange {
 		f(view)
 	}
--- a/control/roster/roster.go
+++ b/control/roster/roster.go
@@ -1,11 +1,10 @@
-// Package roster keeps, in one value of the platform's store, which entry VMs
-// own and witness each slot of idempotency keys.
+// Package roster stores, in one value of the platform's store, which entry VMs are the owner and the
+// witness of each slot of idempotency keys.
 //
-// The value changes only when entry VMs come, leave or die, never with a call.
-// Every change is a compare-and-swap, so of two daemons that both believe they
-// should own a slot one wins. Daemons learn changes from each other and poll
-// the store slowly; a stale copy does no harm, because a member that no longer
-// serves a slot says so.
+// The value changes only when entry VMs join, leave or fail, never with a call. Every change is a
+// compare-and-swap, so if two daemons both conclude that they should own a slot, only one succeeds.
+// Daemons learn of changes from each other and poll the store at a low rate. A stale copy does no
+// harm, because a member that no longer serves a slot answers so.
 package roster
 
 import (
@@ -25,23 +24,25 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// Key is where the store holds the roster.
+// Key is the store key of the roster.
 const Key = "/mallowwind/roster"
 
-// PollIntervalPerMember spreads polling so that all daemons together read the value
-// once a second at any size of the fleet, which costs each of 390 daemons about
-// 160 bytes a second. Polling only finds what nobody passed on: members of a
-// pair hear of changes from each other, callers' daemons from those they ask.
+// PollIntervalPerMember times the number of members is the mean poll interval of a daemon, but not
+// less than minPollInterval. All daemons together thus read the value once per second at any fleet
+// size, which costs each of 390 daemons about 160 bytes per second. Polling only finds changes that
+// were not passed on otherwise: the members of a pair learn of changes from each other, and the
+// daemons that serve callers learn of them from the members that they call.
 const PollIntervalPerMember = time.Second
 
 const (
-	pollMin = 2 * time.Second
-	// refreshGap bounds reads on suspicion, which calls may set off.
-	refreshGap = 200 * time.Millisecond
-	// callTimeout bounds one call to the store.
-	callTimeout = 2 * time.Second
-	retryMin    = 5 * time.Millisecond
-	retryMax    = 200 * time.Millisecond
+	minPollInterval = 2 * time.Second
+	// minRefreshInterval limits the reads that Refresh makes when calls suggest that the copy is
+	// stale.
+	minRefreshInterval = 200 * time.Millisecond
+	// storeTimeout bounds one store call.
+	storeTimeout  = 2 * time.Second
+	minRetryDelay = 5 * time.Millisecond
+	maxRetryDelay = 200 * time.Millisecond
 )
 
 // Manager holds this daemon's copy of the roster. It is safe for concurrent use.
@@ -50,34 +51,34 @@
 	members membership.Source
 	log     *event.Log
 
-	mu    sync.RWMutex
-	table *[slot.Count]slot.Assignment
-	known bool // read from the store at least once
-	// snapshot is a copy of table, built when asked for after a change.
+	mu       sync.RWMutex
+	table    *[slot.Count]slot.Assignment
+	everRead bool // the store was read at least once
+	// snapshot is a copy of table, nil after a change until All is called.
 	snapshot []slot.Assignment
-	// violated is called when two assignments of one term differ.
-	violated func(subject, detail string)
+	// onViolation is called when two assignments of a slot have the same term but differ.
+	onViolation func(subject, detail string)
 
-	gather    gatherer
-	flight    singleflight.Group
-	refreshed time.Time // guarded by mu
-	version   int64     // of the value merged last; guarded by mu
+	batcher       batcher
+	reads         singleflight.Group
+	refreshedAt   time.Time // guarded by mu
+	mergedVersion int64     // of the value merged last; guarded by mu
 }
 
-// NewManager returns a Manager that knows nothing yet.
+// NewManager returns a Manager with an empty copy.
 func NewManager(s store.Store, members membership.Source, log *event.Log) *Manager {
-	return &Manager{store: s, members: members, log: log, table: empty()}
+	return &Manager{store: s, members: members, log: log, table: emptyTable()}
 }
 
-// OnViolation sets what is called when two assignments of one term differ,
-// which no sequence of failures may bring about. Call it before Run.
-func (m *Manager) OnViolation(f func(subject, detail string)) { m.violated = f }
+// OnViolation sets the function to call when two assignments of a slot have the same term but
+// different change ids, which no sequence of failures may cause. Call it before Run.
+func (m *Manager) OnViolation(f func(subject, detail string)) { m.onViolation = f }
 
 // Run polls the store until ctx ends.
 func (m *Manager) Run(ctx context.Context) error {
 	for {
 		_ = m.Refresh(ctx)
-		wait := max(pollMin, time.Duration(len(m.members.Current().Members))*PollIntervalPerMember)
+		wait := max(minPollInterval, time.Duration(len(m.members.Current().Members))*PollIntervalPerMember)
 		wait = wait*3/4 + rand.N(wait/2)
 		select {
 		case <-ctx.Done():
@@ -87,27 +88,27 @@
 	}
 }
 
-// Slot returns the newest known assignment of a slot. Term 0 means unassigned
-// or unknown.
+// Slot returns the newest known assignment of a slot. Term 0 means that the slot is unassigned or
+// its assignment is unknown.
 func (m *Manager) Slot(i int) slot.Assignment {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.table[i]
 }
 
-// All returns all assignments by slot, and whether the store was ever read. The
-// slice is shared and immutable; it is the same one until an assignment changes.
+// All returns all assignments, indexed by slot, and whether the store was ever read. The slice is
+// shared and must not be modified; it stays the same until an assignment changes.
 func (m *Manager) All() ([]slot.Assignment, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.snapshot == nil {
 		m.snapshot = append([]slot.Assignment(nil), m.table[:]...)
 	}
-	return m.snapshot, m.known
+	return m.snapshot, m.everRead
 }
 
-// MergeAssignment takes an assignment that the store accepted, from a peer. Older ones
-// are ignored.
+// MergeAssignment applies an assignment that the store accepted, as reported by a peer. It ignores
+// assignments older than the known one.
 func (m *Manager) MergeAssignment(a slot.Assignment) {
 	if a.Slot < 0 || a.Slot >= slot.Count {
 		return
@@ -117,11 +118,11 @@
 	m.merge(a)
 }
 
-// merge keeps the higher term. The caller holds mu.
+// merge keeps the assignment with the higher term. The caller holds mu.
 func (m *Manager) merge(a slot.Assignment) {
 	have := &m.table[a.Slot]
-	if a.Term == have.Term && a.ChangeID != have.ChangeID && m.violated != nil {
-		m.violated(fmt.Sprintf("slot %d term %d", a.Slot, a.Term), have.ChangeID+" and "+a.ChangeID)
+	if a.Term == have.Term && a.ChangeID != have.ChangeID && m.onViolation != nil {
+		m.onViolation(fmt.Sprintf("slot %d term %d", a.Slot, a.Term), have.ChangeID+" and "+a.ChangeID)
 	}
 	if a.Term > have.Term {
 		*have = a
@@ -129,13 +130,13 @@
 	}
 }
 
-// Refresh reads the store unless that was done a moment ago. Concurrent calls
-// share one read, so that a slow store does not make them queue.
+// Refresh reads the store unless it was read within minRefreshInterval. Concurrent calls share one
+// read, so that they do not queue up when the store is slow.
 func (m *Manager) Refresh(ctx context.Context) error {
-	if m.fresh() {
+	if m.isFresh() {
 		return nil
 	}
-	result := m.flight.DoChan(Key, func() (any, error) {
+	result := m.reads.DoChan(Key, func() (any, error) {
 		_, _, err := m.read(context.WithoutCancel(ctx))
 		return nil, err
 	})
@@ -147,26 +148,26 @@
 	}
 }
 
-func (m *Manager) fresh() bool {
+func (m *Manager) isFresh() bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return m.known && time.Since(m.refreshed) < refreshGap
+	return m.everRead && time.Since(m.refreshedAt) < minRefreshInterval
 }
 
-// read merges the stored table into the copy and returns the result with the
-// version it was read at.
+// read merges the stored table into the copy, and returns the merged table and the version of the
+// stored value.
 func (m *Manager) read(ctx context.Context) (*[slot.Count]slot.Assignment, int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	kv, err := m.store.Get(ctx, Key)
-	stored := empty()
+	stored := emptyTable()
 	switch {
-	case errors.Is(err, store.ErrNotFound) && m.assigned():
-		return nil, 0, errMissing
+	case errors.Is(err, store.ErrNotFound) && m.hasAssignments():
+		return nil, 0, errRosterMissing
 	case errors.Is(err, store.ErrNotFound):
 	case err != nil:
 		return nil, 0, errors.Wrap(err, "reading the roster")
-	case m.merged(kv.Version):
+	case m.isMerged(kv.Version):
 		stored = nil
 	default:
 		if stored, err = decode(kv.Value); err != nil {
@@ -180,51 +181,50 @@
 			m.merge(a)
 		}
 	}
-	m.known, m.refreshed, m.version = true, time.Now(), kv.Version
+	m.everRead, m.refreshedAt, m.mergedVersion = true, time.Now(), kv.Version
 	merged := *m.table
 	return &merged, kv.Version, nil
 }
 
-// errMissing guards against a store that lost the roster, by mistake or by a
-// restored backup. Writing back what this daemon knows could name pairs that
-// were replaced since, beside those that serve now, and keys could run at both.
-var errMissing = errors.New("the store has no roster although slots were assigned")
+// errRosterMissing is returned if the store has lost the roster, by an operator's mistake or a
+// restored backup. Writing this daemon's copy back could reinstate pairs that have been replaced
+// while their successors still serve, and the same key could run at both.
+var errRosterMissing = errors.New("the store has no roster although slots were assigned")
 
-// assigned reports whether any slot is known to have a pair.
-func (m *Manager) assigned() bool {
+// hasAssignments reports whether any slot is known to be assigned.
+func (m *Manager) hasAssignments() bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return slices.ContainsFunc(m.table[:], func(a slot.Assignment) bool { return a.Term > 0 })
 }
 
-// merged reports whether the stored value of this version is in the copy, so
-// that polling decodes only what changed.
-func (m *Manager) merged(version int64) bool {
+// isMerged reports whether the stored value of this version has been merged into the copy; such a
+// value is not decoded again.
+func (m *Manager) isMerged(version int64) bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return m.known && m.version == version
+	return m.everRead && m.mergedVersion == version
 }
 
-// Commit proposes assignments, each for the term after the newest one, and
-// returns those that the store accepted. On an error the outcome of each is
-// open: a later Refresh shows it.
+// Commit proposes assignments, each for the term after the newest one, and returns those that the
+// store accepted. On an error the outcome of each is unknown until a later Refresh.
 //
-// A confirmation can be lost although the write took effect, and the write can
-// also take effect after a read that did not show it yet. Therefore nothing is
-// concluded from an unknown outcome: the loop reads again and, unless its
-// change ids are there, repeats the compare-and-swap at the version it read. A
-// delayed first write then either shows or has lost to the second.
+// The answer to a write can be lost although the write took effect, and the write can also take
+// effect after a read that did not show it yet. Commit therefore concludes nothing from an unknown
+// outcome: it reads again and, unless its change ids are in the table, repeats the compare-and-swap
+// at the version that it read. A delayed first write then either appears in that read or fails
+// because of the second write.
 func (m *Manager) Commit(ctx context.Context, proposals []slot.Assignment) ([]slot.Assignment, error) {
-	for pause := retryMin; ; pause = min(2*pause, retryMax) {
+	for delay := minRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
 		table, version, err := m.read(ctx)
 		if err != nil {
 			return nil, err
 		}
-		won, open := sift(table, proposals)
+		accepted, open := splitProposals(table, proposals)
 		if len(open) == 0 {
-			return won, nil
+			return accepted, nil
 		}
-		err = m.swap(ctx, table, version, open)
+		err = m.writeProposals(ctx, table, version, open)
 		if err != nil && !errors.Is(err, store.ErrConflict) && !errors.Is(err, store.ErrUnknown) {
 			return nil, err
 		}
@@ -232,33 +232,34 @@
 			for _, a := range open {
 				m.MergeAssignment(a)
 			}
-			return append(won, open...), nil
+			return append(accepted, open...), nil
 		}
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(pause/2 + rand.N(pause)):
+		case <-time.After(delay/2 + rand.N(delay)):
 		}
 	}
 }
 
-// sift splits proposals into those the table already shows and those still
-// possible; the rest lost to another daemon.
-func sift(table *[slot.Count]slot.Assignment, proposals []slot.Assignment) (won, open []slot.Assignment) {
+// splitProposals returns the proposals that the table already contains and those that can still be
+// written; for the slots of all others, another daemon's proposal was accepted.
+func splitProposals(table *[slot.Count]slot.Assignment, proposals []slot.Assignment) (accepted, open []slot.Assignment) {
 	for _, p := range proposals {
 		have := table[p.Slot]
 		switch {
 		case have.Term == p.Term && have.ChangeID == p.ChangeID:
-			won = append(won, p)
+			accepted = append(accepted, p)
 		case have.Term+1 == p.Term:
 			open = append(open, p)
 		}
 	}
-	return won, open
+	return accepted, open
 }
 
-// swap writes table with the proposals applied.
-func (m *Manager) swap(ctx context.Context, table *[slot.Count]slot.Assignment, version int64, proposals []slot.Assignment) error {
+// writeProposals applies the proposals to the table and writes it if the stored value still has the
+// given version.
+func (m *Manager) writeProposals(ctx context.Context, table *[slot.Count]slot.Assignment, version int64, proposals []slot.Assignment) error {
 	for _, p := range proposals {
 		table[p.Slot] = p
 	}
@@ -266,7 +267,7 @@
 	if err != nil {
 		return errors.Wrap(err, "encoding the roster")
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	_, err = m.store.CompareAndSwap(ctx, Key, version, value, 0)
 	if err != nil {
--- a/control/tlsfiles/tlsfiles.go
+++ b/control/tlsfiles/tlsfiles.go
@@ -1,11 +1,11 @@
-// Package tlsfiles serves certificates from files that change while the daemon
-// runs: a renewed certificate is in use without a restart, a broken one leaves
-// the one before in use and is logged.
+// Package tlsfiles provides TLS configurations whose certificates are reloaded from their files
+// while the daemon runs. A renewed certificate is used without a restart; a file that cannot be
+// loaded is logged, and the previous certificate stays in use.
 //
-// Links between entry VMs authenticate both ends by the authorities in
-// peer_ca. The name in the certificate is not compared with the address: entry
-// VMs are equal and replaced at any time, so one certificate may serve all of
-// them, and whoever holds one may speak for any.
+// On links between entry VMs, both ends verify the other's certificate against the authorities in
+// peer_ca. The name in the certificate is not compared with the address: entry VMs have identical
+// roles and are replaced at any time, so they may all use the same certificate. Any process that has
+// the key of such a certificate can therefore act as any entry VM.
 package tlsfiles
 
 import (
@@ -22,19 +22,19 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// pollEvery is how often files are looked at. Renewals come days before the
-// old certificate ends.
-const pollEvery = 30 * time.Second
+// pollInterval is the time between two checks for changed files. Certificates are renewed days
+// before they expire.
+const pollInterval = 30 * time.Second
 
-// Files holds the certificates in use.
+// Files holds the certificates that are in use and reloads them from their files.
 type Files struct {
-	caller *pair // nil when callers use plain TCP
-	peer   *pair // nil when peers use plain TCP
-	ca     *pool
-	log    *event.Log
+	caller  *pair // nil if callers connect by plain TCP
+	peer    *pair // nil if peers connect by plain TCP
+	peerCAs *caPool
+	log     *event.Log
 }
 
-// New reads the files that t names.
+// New loads the files named in t.
 func New(t settings.TLS, log *event.Log) (*Files, error) {
 	f := &Files{log: log}
 	if t.Cert != "" {
@@ -42,7 +42,7 @@
 	}
 	if t.PeerCert != "" {
 		f.peer = &pair{cert: t.PeerCert, key: t.PeerKey}
-		f.ca = &pool{file: t.PeerCA}
+		f.peerCAs = &caPool{file: t.PeerCA}
 	}
 	for _, s := range f.sources() {
 		if err := s.load(); err != nil {
@@ -52,13 +52,13 @@
 	return f, nil
 }
 
-// source is a file or pair of files that is read again when it changes.
+// source is a file, or a certificate file with its key file, that is reloaded when it changes.
 type source interface {
 	name() string
-	stamp() stamp
-	seen() stamp
+	fileVersion() fileVersion
+	lastAttempted() fileVersion
 	load() error
-	expires() time.Time // zero when it does not matter
+	expiresAt() time.Time // zero if unknown
 }
 
 func (f *Files) sources() []source {
@@ -67,14 +67,14 @@
 		list = append(list, f.caller)
 	}
 	if f.peer != nil {
-		list = append(list, f.peer, f.ca)
+		list = append(list, f.peer, f.peerCAs)
 	}
 	return list
 }
 
-// Run looks for changed files until ctx ends.
+// Run reloads changed files until ctx ends.
 func (f *Files) Run(ctx context.Context) error {
-	ticker := time.NewTicker(pollEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -86,21 +86,21 @@
 	}
 }
 
-// Reload reads the files that changed since they were last read.
+// Reload loads the files that have changed since the last attempt to load them.
 func (f *Files) Reload() {
 	for _, s := range f.sources() {
-		if s.stamp() == s.seen() {
+		if s.fileVersion() == s.lastAttempted() {
 			continue
 		}
 		if err := s.load(); err != nil {
 			f.log.Emit(event.CertificateRefused, s.name(), err.Error())
 			continue
 		}
-		f.log.Emit(event.CertificateLoaded, s.name(), s.expires())
+		f.log.Emit(event.CertificateLoaded, s.name(), s.expiresAt())
 	}
 }
 
-// CallerServer returns the configuration of the callers' listener, nil for plain TCP.
+// CallerServer returns the TLS configuration of the listener for callers, nil for plain TCP.
 func (f *Files) CallerServer() *tls.Config {
 	if f.caller == nil {
 		return nil
@@ -108,8 +108,7 @@
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: f.caller.server}
 }
 
-// PeerServer returns the configuration of the listener for other entry VMs,
-// nil for plain TCP.
+// PeerServer returns the TLS configuration of the listener for other entry VMs, nil for plain TCP.
 func (f *Files) PeerServer() *tls.Config {
 	if f.peer == nil {
 		return nil
@@ -118,13 +117,12 @@
 		MinVersion:     tls.VersionTLS13,
 		GetCertificate: f.peer.server,
 		ClientAuth:     tls.RequireAnyClientCert,
-		// Verified here and not by ClientCAs, which could not be reloaded.
-		VerifyConnection: f.verify(x509.ExtKeyUsageClientAuth),
+		// VerifyConnection replaces ClientCAs, which cannot be reloaded.
+		VerifyConnection: f.chainVerifier(x509.ExtKeyUsageClientAuth),
 	}
 }
 
-// PeerClient returns the configuration of calls to other entry VMs, nil for
-// plain TCP.
+// PeerClient returns the TLS configuration of calls to other entry VMs, nil for plain TCP.
 func (f *Files) PeerClient() *tls.Config {
 	if f.peer == nil {
 		return nil
@@ -132,22 +130,22 @@
 	return &tls.Config{
 		MinVersion:           tls.VersionTLS13,
 		GetClientCertificate: f.peer.client,
-		// The chain is verified below against the authorities in use now;
-		// the package comment says why the name is not.
+		// VerifyConnection verifies the chain against the current authorities; the package comment
+		// explains why the name is not verified.
 		InsecureSkipVerify: true,
-		VerifyConnection:   f.verify(x509.ExtKeyUsageServerAuth),
+		VerifyConnection:   f.chainVerifier(x509.ExtKeyUsageServerAuth),
 	}
 }
 
-// verify checks the other end's chain. It also runs on resumed sessions, so a
-// removed authority ends them.
-func (f *Files) verify(usage x509.ExtKeyUsage) func(tls.ConnectionState) error {
+// chainVerifier returns a function that verifies the peer's certificate chain. TLS calls it for
+// resumed sessions too, so a session cannot be resumed once its authority has been removed.
+func (f *Files) chainVerifier(usage x509.ExtKeyUsage) func(tls.ConnectionState) error {
 	return func(state tls.ConnectionState) error {
 		if len(state.PeerCertificates) == 0 {
-			return errors.New("the peer has no certificate")
+			return errors.New("peer sent no certificate")
 		}
 		options := x509.VerifyOptions{
-			Roots:         f.ca.current.Load(),
+			Roots:         f.peerCAs.current.Load(),
 			Intermediates: x509.NewCertPool(),
 			KeyUsages:     []x509.ExtKeyUsage{usage},
 		}
@@ -155,18 +153,18 @@
 			options.Intermediates.AddCert(c)
 		}
 		_, err := state.PeerCertificates[0].Verify(options)
-		return errors.Wrap(err, "certificate of the peer")
+		return errors.Wrap(err, "verify peer certificate")
 	}
 }
 
-// stamp tells versions of a file apart.
-type stamp struct {
+// fileVersion identifies the content of a file, or of two, by modification time and size.
+type fileVersion struct {
 	modified time.Time
 	size     int64
 }
 
-func stampOf(files ...string) stamp {
-	var s stamp
+func versionOf(files ...string) fileVersion {
+	var s fileVersion
 	for _, file := range files {
 		info, err := os.Stat(file)
 		if err != nil {
@@ -180,19 +178,19 @@
 	return s
 }
 
-// pair is a certificate with its key.
+// pair is a certificate file with its key file.
 type pair struct {
 	cert, key string
-	last      stamp
+	attempted fileVersion // of the last attempt to load
 	current   atomic.Pointer[tls.Certificate]
 }
 
-func (p *pair) name() string { return p.cert }
-func (p *pair) stamp() stamp { return stampOf(p.cert, p.key) }
-func (p *pair) seen() stamp  { return p.last }
+func (p *pair) name() string               { return p.cert }
+func (p *pair) fileVersion() fileVersion   { return versionOf(p.cert, p.key) }
+func (p *pair) lastAttempted() fileVersion { return p.attempted }
 
 func (p *pair) load() error {
-	p.last = p.stamp()
+	p.attempted = p.fileVersion()
 	loaded, err := tls.LoadX509KeyPair(p.cert, p.key)
 	if err != nil {
 		return errors.Wrap(err, p.cert)
@@ -201,35 +199,37 @@
 	return nil
 }
 
-func (p *pair) expires() time.Time { return p.current.Load().Leaf.NotAfter }
+func (p *pair) expiresAt() time.Time { return p.current.Load().Leaf.NotAfter }
 
+// server implements tls.Config.GetCertificate.
 func (p *pair) server(*tls.ClientHelloInfo) (*tls.Certificate, error) { return p.current.Load(), nil }
 
+// client implements tls.Config.GetClientCertificate.
 func (p *pair) client(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 	return p.current.Load(), nil
 }
 
-// pool is a file of authorities.
-type pool struct {
-	file    string
-	last    stamp
-	current atomic.Pointer[x509.CertPool]
+// caPool is a file of certificate authorities.
+type caPool struct {
+	file      string
+	attempted fileVersion // of the last attempt to load
+	current   atomic.Pointer[x509.CertPool]
 }
 
-func (p *pool) name() string       { return p.file }
-func (p *pool) stamp() stamp       { return stampOf(p.file) }
-func (p *pool) seen() stamp        { return p.last }
-func (p *pool) expires() time.Time { return time.Time{} }
+func (p *caPool) name() string               { return p.file }
+func (p *caPool) fileVersion() fileVersion   { return versionOf(p.file) }
+func (p *caPool) lastAttempted() fileVersion { return p.attempted }
+func (p *caPool) expiresAt() time.Time       { return time.Time{} }
 
-func (p *pool) load() error {
-	p.last = p.stamp()
+func (p *caPool) load() error {
+	p.attempted = p.fileVersion()
 	text, err := os.ReadFile(p.file)
 	if err != nil {
 		return errors.Wrap(err, p.file)
 	}
 	loaded := x509.NewCertPool()
 	if !loaded.AppendCertsFromPEM(text) {
-		return errors.Errorf("%s holds no certificate", p.file)
+		return errors.Errorf("%s contains no PEM certificate", p.file)
 	}
 	p.current.Store(loaded)
 	return nil
--- a/serve/daemon/platform.go
+++ b/serve/daemon/platform.go
@@ -14,13 +14,13 @@
 	"mallowwind.dev/external/weights"
 )
 
-// platformTimeout bounds one question to the VM list or the weight store.
+// platformTimeout bounds one request to the VM list or the weight store.
 const platformTimeout = 2 * time.Second
 
-// maxAnswer bounds the answer of a plain service, in bytes.
-const maxAnswer = 16 << 20
+// maxAnswerBytes bounds the response of a plain service.
+const maxAnswerBytes = 16 << 20
 
-// Connect returns the platform that the settings name, over its wire forms.
+// Connect returns clients of the platform's services at the addresses in the settings.
 func Connect(s *settings.Settings) (Platform, error) {
 	kv, err := store.NewEtcdClient(s.Store, nil)
 	if err != nil {
@@ -31,7 +31,7 @@
 		Store:  kv,
 		VMs:    vmlist.NewClient(s.VMList, plainHTTP),
 		Engine: func(address string) engine.Engine { return engine.NewClient("http://"+address, nil) },
-		Plain:  plain.NewClient(nil, maxAnswer),
+		Plain:  plain.NewClient(nil, maxAnswerBytes),
 	}
 	if s.Weights != "" {
 		p.Weights = weights.NewClient(s.Weights, plainHTTP)
--- a/serve/daemon/status.go
+++ b/serve/daemon/status.go
@@ -7,8 +7,8 @@
 	"mallowwind.dev/decision/placement"
 )
 
-// page is what this daemon tells operators of itself.
-func (d *Daemon) page() statuspage.Page {
+// statusPage returns the content of this daemon's status page for operators.
+func (d *Daemon) statusPage() statuspage.Page {
 	s := d.opts.Settings
 	p := statuspage.Page{
 		VM: s.VM, Zone: s.Zone, Region: s.Region, Version: d.opts.Version,
@@ -21,7 +21,7 @@
 
 func (d *Daemon) state() string {
 	switch {
-	case d.drain.leaving():
+	case d.drain.isLeaving():
 		return "draining"
 	case d.inforce.Current() == nil:
 		return "starting"
@@ -29,7 +29,7 @@
 	return "serving"
 }
 
-// fillPlacement adds the change under way, which only the lease holder knows.
+// fillPlacement adds the placement change in progress, which only the lease holder knows.
 func (d *Daemon) fillPlacement(p *statuspage.Page) {
 	r := d.reconcile.Report()
 	if !r.Holds || r.Step.Kind == placement.None {
--- a/serve/versions/service.go
+++ b/serve/versions/service.go
@@ -10,84 +10,87 @@
 )
 
 const (
-	// maxLog bounds the samples of one roll-out that a daemon keeps; what a version shows after
-	// that was seen before.
-	maxLog = 2000
-	// seenLate is how long before this daemon saw an order it was given at most, while the daemon
-	// is in touch: a batch of changes and the way here.
-	seenLate = 150 * time.Millisecond
-	// outOfDate is above the age that the configuration reaches while all is well.
-	outOfDate = 2600 * time.Millisecond
+	// maxSamples bounds the samples of one rollout that a daemon keeps; later samples of a version
+	// repeat what the kept ones have shown.
+	maxSamples = 2000
+	// maxOrderDelay bounds the time from an order to its arrival at this daemon while the
+	// configuration is up to date: the batching of changes and the transmission.
+	maxOrderDelay = 150 * time.Millisecond
+	// staleConfigAge is more than the age that the configuration reaches in normal operation.
+	staleConfigAge = 2600 * time.Millisecond
 )
 
-// service is what is known of one service's roll-out. The manager's lock guards it.
+// service is the rollout state of one service. The manager's lock guards it.
 type service struct {
 	name  string
 	state rollout.State
-	// known says that the versions of its servers were looked at.
-	known bool
-	// began is when the order was given, at the earliest, on the feed's clock; period is its time.
-	began, period time.Duration
-	// leave are closed when answers under way at a version go on elsewhere.
-	leave map[string]chan struct{}
-
-	busy bool // decide or report is under way
-
-	mix      rollout.RouteCounter
-	counting time.Duration    // since when mix counts
-	log      []rollout.Sample // of this daemon, At on the feed's clock
-	waiting  map[*Trial]bool
-	sent     cursor        // to the daemon that decides
-	due      time.Duration // of the next report
-	drained  bool          // the last report said that nothing is under way any more
-
-	heard    map[string]*reporter // by daemon
-	evidence *rollout.Evidence
-	added    int           // of the own log to evidence
-	retry    time.Duration // when to try to write again
-	apart    time.Duration // when this daemon was out of touch last; 0 if it never was
-	look     time.Duration // when to look again at what was seen
-	written  int64         // the order whose end lies in the store
+	// initialized is set by the first setState, which logs and counts no change to Idle.
+	initialized bool
+	// startedAt is the earliest time at which the order may have been given, on the feed's clock;
+	// period is the period of the order.
+	startedAt, period time.Duration
+	// migrateSignals holds, by version, the channels that are closed when responses in progress on
+	// the version must continue on another server.
+	migrateSignals map[string]chan struct{}
+
+	busy bool // decide or report is running
+
+	routeCounts   rollout.RouteCounter
+	countingSince time.Duration    // when routeCounts began
+	samples       []rollout.Sample // of this daemon, with EndedAt on the feed's clock
+	unanswered    map[*Trial]bool
+	reported      reportCursor // into samples
+	nextReportAt  time.Duration
+	drainReported bool // the last report had no request in flight on the baseline
+
+	reporters      map[string]*reporter // by daemon
+	evidence       *rollout.Evidence
+	samplesAdded   int           // number of samples already added to evidence
+	retryAt        time.Duration // when to retry the write of the status
+	lastStaleAt    time.Duration // when the configuration was last stale; 0 if it never was
+	nextAnalysisAt time.Duration
+	storedOrder    int64 // revision of the order whose terminal stage is in the store
 }
 
-// cursor is how far a daemon was told what was seen here.
-type cursor struct {
+// reportCursor is the index of the next sample to report to a daemon.
+type reportCursor struct {
 	daemon string
 	next   int
 }
 
-// reporter is another daemon that told what it saw.
+// reporter holds the last report of another daemon.
 type reporter struct {
-	boot     uint64
-	stage    rollout.Stage // that it believed when it told last
-	next     int64
-	at       time.Duration
-	underWay int
-	waiting  []rollout.Sample
-	// begun are the requests that it counted in some time, drawn those of them for the target.
-	begun, drawn int
-	counted      time.Duration
+	bootID     uint64        // identifies the process; a restart resets nextSample
+	stage      rollout.Stage // at that daemon when it reported
+	nextSample int64         // number of the next sample expected from it
+	reportedAt time.Duration
+	inFlight   int // requests in flight on the baseline there
+	unanswered []rollout.Sample
+	// requests is the number of requests that the daemon has counted within countedFor, and
+	// targetRequests the number of those that went to the target.
+	requests, targetRequests int
+	countedFor               time.Duration
 }
 
 func newService(name string) *service {
-	return &service{name: name, leave: map[string]chan struct{}{}, waiting: map[*Trial]bool{}}
+	return &service{name: name, migrateSignals: map[string]chan struct{}{}, unanswered: map[*Trial]bool{}}
 }
 
-// active reports whether there is something to do for a roll-out.
-func (s *service) active() bool {
-	return s.state.Stage != rollout.Idle && (!s.state.Stage.IsTerminal() || s.unwritten())
+// isActive reports whether the rollout is in progress or its end has not been stored yet.
+func (s *service) isActive() bool {
+	return s.state.Stage != rollout.Idle && (!s.state.Stage.IsTerminal() || s.hasUnstoredEnd())
 }
 
-// unwritten reports whether the end of a roll-out does not lie in the store yet.
-func (s *service) unwritten() bool {
-	return s.state.Stage.IsTerminal() && s.written != s.state.OrderRevision
+// hasUnstoredEnd reports whether the rollout has ended and its end is not in the store yet.
+func (s *service) hasUnstoredEnd() bool {
+	return s.state.Stage.IsTerminal() && s.storedOrder != s.state.OrderRevision
 }
 
-// take takes in what the store says.
-func (s *service) take(m *Manager, view *feed.View, servers []routing.Server) {
+// applyStored applies the order and the status that the store holds, and the versions of the servers.
+func (s *service) applyStored(m *Manager, view *feed.View, servers []routing.Server) {
 	present := map[string]int{}
-	for _, one := range servers {
-		present[one.Version]++
+	for _, server := range servers {
+		present[server.Version]++
 	}
 	r := view.Rollouts[s.name]
 	var order *rollout.Order
@@ -98,7 +101,7 @@
 	if r.Status != nil {
 		stored = &r.Status.State
 		if stored.Stage.IsTerminal() {
-			s.written = stored.OrderRevision
+			s.storedOrder = stored.OrderRevision
 		}
 	}
 	next := rollout.Resolve(order, stored, s.state, present)
@@ -106,67 +109,69 @@
 		s.period = r.Order.Period
 	}
 	if next.OrderRevision != s.state.OrderRevision && next.Stage != rollout.Idle && !next.Stage.IsTerminal() {
-		s.start(m, view, next)
+		s.startOrder(m, view, next)
 	}
 	if next != s.state {
-		s.set(m, next, "store", "", rollout.Analysis{})
+		s.setState(m, next, "store", "", rollout.Analysis{})
 	}
 }
 
-// start begins to follow another order.
-func (s *service) start(m *Manager, view *feed.View, next rollout.State) {
+// startOrder resets the samples and times for a new order.
+func (s *service) startOrder(m *Manager, view *feed.View, next rollout.State) {
 	r := view.Rollouts[s.name]
 	if next.Target == s.state.Target && s.state.Stage.IsRunning() {
-		return // the same order again
+		return // the running rollout has the same target
 	}
 	now := m.opts.Clock()
-	s.began = now - seenLate
-	if before := view.PreviousConfirmedAt; before > 0 && now-before > outOfDate {
-		s.began = before // it may have been given at any time since
+	s.startedAt = now - maxOrderDelay
+	if before := view.PreviousConfirmedAt; before > 0 && now-before > staleConfigAge {
+		s.startedAt = before // the order may have been given at any time since then
 	}
 	if r.Status != nil && r.Status.OrderRevision == next.OrderRevision && r.Status.DeadlineMS > 0 {
-		// It runs already; the rest of its time is known by the time of day alone.
+		// The rollout is already running; its remaining time follows from the wall clock alone.
 		left := time.Until(time.UnixMilli(r.Status.DeadlineMS))
-		s.began = now + min(max(left, 0), s.period) - s.period
+		s.startedAt = now + min(max(left, 0), s.period) - s.period
 	}
-	s.counting = now
-	s.mix, s.log, s.waiting, s.sent = rollout.RouteCounter{}, nil, map[*Trial]bool{}, cursor{}
-	s.heard, s.evidence, s.added = map[string]*reporter{}, &rollout.Evidence{}, 0
+	s.countingSince = now
+	s.routeCounts, s.samples, s.unanswered, s.reported = rollout.RouteCounter{}, nil, map[*Trial]bool{}, reportCursor{}
+	s.reporters, s.evidence, s.samplesAdded = map[string]*reporter{}, &rollout.Evidence{}, 0
 	m.opts.Log.Emit(event.RolloutOrdered, s.name, next.Baseline, next.Target, next.OrderRevision, s.period)
 }
 
-// set changes the state.
-func (s *service) set(m *Manager, next rollout.State, by string, reason rollout.Reason, f rollout.Analysis) {
+// setState changes the state, logs a change of the stage and closes the migrate signals of the
+// versions whose responses must continue on another server.
+func (s *service) setState(m *Manager, next rollout.State, by string, reason rollout.Reason, f rollout.Analysis) {
 	before := s.state
 	s.state = next
 	if before.Stage != next.Stage || before.OrderRevision != next.OrderRevision {
-		if s.known || next.Stage != rollout.Idle {
-			m.metrics.stage(next.Stage)
+		if s.initialized || next.Stage != rollout.Idle {
+			m.metrics.recordStage(next.Stage)
 			m.opts.Log.Emit(event.RolloutStage, s.name, next.Baseline, next.Target, next.OrderRevision, next.Stage.String(), next.Share, by, string(reason),
-				m.opts.Clock()-s.began, f.Route, f.Kind.String(), f.Compared, f.BadSamples, f.ExpectedBad)
+				m.opts.Clock()-s.startedAt, f.Route, f.Kind.String(), f.Compared, f.BadSamples, f.ExpectedBad)
 		}
 	}
-	s.known = true
-	for version, leave := range s.leave {
+	s.initialized = true
+	for version, leave := range s.migrateSignals {
 		if next.ShouldMigrate(version) {
 			close(leave)
-			delete(s.leave, version)
+			delete(s.migrateSignals, version)
 		}
 	}
 }
 
-// leaving returns a channel that is closed when answers under way at a version go on elsewhere.
-func (s *service) leaving(version string) <-chan struct{} {
+// migrateSignal returns a channel that is closed when responses in progress on a version must
+// continue on another server.
+func (s *service) migrateSignal(version string) <-chan struct{} {
 	if s.state.ShouldMigrate(version) {
-		return closed
+		return closedChannel
 	}
-	if s.leave[version] == nil {
-		s.leave[version] = make(chan struct{})
+	if s.migrateSignals[version] == nil {
+		s.migrateSignals[version] = make(chan struct{})
 	}
-	return s.leave[version]
+	return s.migrateSignals[version]
 }
 
-var closed = func() chan struct{} {
+var closedChannel = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
--- a/serve/versions/trial.go
+++ b/serve/versions/trial.go
@@ -7,57 +7,58 @@
 	"mallowwind.dev/decision/rollout"
 )
 
-// Trial is one request at one server while a roll-out of its service is under way. Its methods do
-// nothing where it is nil.
+// Trial measures one request at one server while a rollout of the service is running. The methods of
+// a nil Trial do nothing.
 type Trial struct {
-	m      *Manager
-	s      *service
-	sample rollout.Sample
-	began  time.Duration
-	done   bool
+	m         *Manager
+	s         *service
+	sample    rollout.Sample
+	startedAt time.Duration
+	done      bool
 }
 
-// StartTrial begins to watch a request at a server; it returns nil where there is nothing to compare.
+// StartTrial begins to measure a request at a server. It returns nil unless the server runs the
+// baseline or the target version of a running rollout.
 func (m *Manager) StartTrial(server routing.Server, route string, kind rollout.Kind) *Trial {
-	now := m.current.Load()
-	if !now.active {
+	snapshot := m.current.Load()
+	if !snapshot.active {
 		return nil
 	}
-	state := now.State(server.Service)
+	state := snapshot.State(server.Service)
 	if !state.Stage.IsRunning() || server.Version != state.Target && server.Version != state.Baseline {
 		return nil
 	}
-	t := &Trial{m: m, began: m.opts.Clock(), sample: rollout.Sample{
+	t := &Trial{m: m, startedAt: m.opts.Clock(), sample: rollout.Sample{
 		Route: route, Server: server.ID, Zone: server.Zone, OnTarget: server.Version == state.Target, Kind: kind,
 	}}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	t.s = m.of(server.Service)
+	t.s = m.service(server.Service)
 	if t.sample.OnTarget {
-		t.s.waiting[t] = true
+		t.s.unanswered[t] = true
 	}
 	return t
 }
 
-// ForKind watches the same request for something else.
+// ForKind returns a trial of the same request that measures another quantity.
 func (t *Trial) ForKind(kind rollout.Kind) *Trial {
 	if t == nil {
 		return nil
 	}
-	next := &Trial{m: t.m, s: t.s, sample: t.sample, began: t.began}
+	next := &Trial{m: t.m, s: t.s, sample: t.sample, startedAt: t.startedAt}
 	next.sample.Kind = kind
 	return next
 }
 
-// Done records how the request ended at the server; only the first call counts.
+// Done records the outcome of the request; only the first call counts.
 func (t *Trial) Done(outcome rollout.Outcome) {
 	if t != nil {
-		t.DoneWithDuration(outcome, t.m.opts.Clock()-t.began)
+		t.DoneWithDuration(outcome, t.m.opts.Clock()-t.startedAt)
 	}
 }
 
-// DoneWithDuration is Done with another time than that since the trial began.
-func (t *Trial) DoneWithDuration(outcome rollout.Outcome, took time.Duration) {
+// DoneWithDuration is Done with a given duration instead of the time since the trial began.
+func (t *Trial) DoneWithDuration(outcome rollout.Outcome, duration time.Duration) {
 	if t == nil {
 		return
 	}
@@ -67,15 +68,15 @@
 		return
 	}
 	t.done = true
-	delete(t.s.waiting, t)
+	delete(t.s.unanswered, t)
 	sample := t.sample
-	sample.Outcome, sample.Duration, sample.EndedAt = outcome, took, t.m.opts.Clock()
-	if len(t.s.log) < maxLog {
-		t.s.log = append(t.s.log, sample)
+	sample.Outcome, sample.Duration, sample.EndedAt = outcome, duration, t.m.opts.Clock()
+	if len(t.s.samples) < maxSamples {
+		t.s.samples = append(t.s.samples, sample)
 	}
 }
 
-// Discard forgets the request: how it ended says nothing of the server.
+// Discard ends the trial without a sample, for a request whose outcome says nothing about the server.
 func (t *Trial) Discard() {
 	if t == nil {
 		return
@@ -83,14 +84,15 @@
 	t.m.mu.Lock()
 	defer t.m.mu.Unlock()
 	t.done = true
-	delete(t.s.waiting, t)
+	delete(t.s.unanswered, t)
 }
 
-// waitingNow are the requests at the target that have no answer yet. The caller holds the lock.
-func (s *service) waitingNow(now time.Duration) (list []rollout.Sample) {
-	for t := range s.waiting {
+// unansweredSamples returns samples of the requests on the target that have no response yet. The
+// caller holds the lock.
+func (s *service) unansweredSamples(now time.Duration) (list []rollout.Sample) {
+	for t := range s.unanswered {
 		sample := t.sample
-		sample.Outcome, sample.Duration, sample.EndedAt = rollout.Unanswered, now-t.began, now
+		sample.Outcome, sample.Duration, sample.EndedAt = rollout.Unanswered, now-t.startedAt, now
 		list = append(list, sample)
 	}
 	return list
