--- a/serve/flow/server.go
+++ b/serve/flow/server.go
@@ -70,8 +70,8 @@
 func (s *server) applyStatus(now time.Time, b *backends.Backend, sharingDaemons, readingDaemons int) (health.Transition, bool) {
 	s.backend = Backend{ID: b.VM.ID, Address: b.VM.Address, Zone: b.VM.Zone, Engine: b.Engine}
 	takenAt := time.Time{}
-	if !b.Seen.IsZero() {
-		takenAt = b.Seen.Add(-b.Status.Age)
+	if !b.StatusAt.IsZero() {
+		takenAt = b.StatusAt.Add(-b.Status.Age)
 	}
 	ownInFlight := s.inFlightHistory.countAt(takenAt)
 	s.limit.ApplyReport(limit.Report{
--- a/serve/generation/version_test.go
+++ b/serve/generation/version_test.go
@@ -70,7 +70,7 @@
 		ChooseVersion: func(s *site.Service, except ...string) *site.Service {
 			chosen := *s
 			wanted := engine.ModelRef{Model: s.Model, Version: s.Version}
-			chosen.Version = snapshot.Choose(s.Pool, wanted, 0, except...).Version
+			chosen.Version = snapshot.ChooseVersion(s.Pool, wanted, 0, except...).Version
 			return &chosen
 		},
 		NotReady: func(backend string) { d.notReady = append(d.notReady, backend) },
@@ -87,7 +87,7 @@
 		sim := enginesim.New(enginesim.Config{Name: id, Models: refs(actual[id])})
 		b := &backends.Backend{
 			VM:     vmlist.VM{ID: id, Address: id, Pool: testPool, Role: vmlist.RoleBackend, State: vmlist.Live},
-			Engine: sim, Reachable: true, Seen: time.Now(), Status: engine.Status{Slots: 8},
+			Engine: sim, Reachable: true, StatusAt: time.Now(), Status: engine.Status{Slots: 8},
 		}
 		for _, r := range refs(reported[id]) {
 			b.Status.Models = append(b.Status.Models, engine.Loaded{Ref: r, State: engine.Ready})
