--- a/control/backends/backends.go
+++ b/control/backends/backends.go
@@ -40,10 +40,10 @@
 	return false
 }
 
-// serving returns the set of weights with which the backend server can run a
+// readyRef returns the set of weights with which the backend server can run a
 // request for ref now: ref itself where it is ready, else another version of
 // the same model and adapter. Versions in except are passed over.
-func (b *Backend) serving(ref engine.ModelRef, except []string) (engine.ModelRef, bool) {
+func (b *Backend) readyRef(ref engine.ModelRef, except []string) (engine.ModelRef, bool) {
 	var other engine.ModelRef
 	found := false
 	if !b.Reachable || b.VM.State == vmlist.Leaving {
@@ -85,7 +85,7 @@
 func (s *Snapshot) ChooseVersion(pool string, ref engine.ModelRef, pick uint64, except ...string) engine.ModelRef {
 	var ready []engine.ModelRef
 	for _, b := range s.Pools[pool] {
-		if r, ok := b.serving(ref, except); ok {
+		if r, ok := b.readyRef(ref, except); ok {
 			ready = append(ready, r)
 		}
 	}
--- a/control/backends/config.go
+++ b/control/backends/config.go
@@ -65,21 +65,21 @@
 	}
 }
 
-// newsTime is how long news of a change takes to reach every daemon from a
+// changePropagationDelay is how long news of a change takes to reach every daemon from a
 // reader, by membership's exchanges, which take about a tenth of it.
-const newsTime = 2 * time.Second
+const changePropagationDelay = 2 * time.Second
 
 // DrainBound is the longest time between the platform's list showing a
 // backend server as leaving and this daemon giving it no new work, while the
 // list answers.
 func (c Config) DrainBound() time.Duration {
-	return c.longest(c.ListInterval) + c.ListTimeout + newsTime
+	return c.maxJittered(c.ListInterval) + c.ListTimeout + changePropagationDelay
 }
 
 // RemovalBound is the same for a backend server that the list no longer shows
 // at all; absence counts after two reads.
 func (c Config) RemovalBound() time.Duration { return 2 * c.DrainBound() }
 
-func (c Config) longest(d time.Duration) time.Duration {
+func (c Config) maxJittered(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + c.JitterRatio))
 }
--- a/control/backends/news.go
+++ b/control/backends/listchanges.go
@@ -38,30 +38,30 @@
 
 // OnVMChange registers f to be called with each change that this daemon finds in
 // the list it read itself. f must not block. Call OnNews before Run.
-func (m *Manager) OnVMChange(f func(membership.VMNews)) { m.onNews = append(m.onNews, f) }
+func (m *Manager) OnVMChange(f func(membership.VMNews)) { m.onVMChange = append(m.onVMChange, f) }
 
 // ApplyVMChange takes a change that another daemon found. It reports whether it was
 // new here, so that it is passed on.
 func (m *Manager) ApplyVMChange(n membership.VMNews) bool {
 	m.mu.Lock()
-	if m.list == nil || !n.Seen.After(m.news[n.VM.ID]) {
+	if m.list == nil || !n.Seen.After(m.changedAt[n.VM.ID]) {
 		m.mu.Unlock()
 		return false
 	}
-	m.news[n.VM.ID] = n.Seen
-	rows, changed := patched(m.list, n)
+	m.changedAt[n.VM.ID] = n.Seen
+	rows, changed := withChange(m.list, n)
 	if e, ok := m.entries[n.VM.ID]; ok && n.Gone && changed {
-		e.absent = absences - 1 // the reader has seen it missing often enough
+		e.missedReads = removalReads - 1 // the reader has seen it missing often enough
 	}
 	m.mu.Unlock()
 	if changed {
-		m.take(rows, time.Now())
+		m.applyList(rows, time.Now())
 	}
 	return true
 }
 
-// patched returns the rows with one change made, ordered by id.
-func patched(rows []vmlist.VM, n membership.VMNews) ([]vmlist.VM, bool) {
+// withChange returns the rows with one change made, ordered by id.
+func withChange(rows []vmlist.VM, n membership.VMNews) ([]vmlist.VM, bool) {
 	i, found := slices.BinarySearchFunc(rows, n.VM.ID, func(vm vmlist.VM, id string) int { return strings.Compare(vm.ID, id) })
 	switch {
 	case n.Gone && !found, found && !n.Gone && rows[i] == n.VM:
@@ -76,14 +76,14 @@
 	return slices.Insert(slices.Clone(rows), i, n.VM), true
 }
 
-// newsKept is how long it is remembered when a VM was last seen to change:
+// changeTimeRetention is how long it is remembered when a VM was last seen to change:
 // far longer than news is under way.
-const newsKept = time.Hour
+const changeTimeRetention = time.Hour
 
-// differences returns how rows differ from the list before. A VM counts as
+// diffList returns how rows differ from the list before. A VM counts as
 // gone when two reads in a row lack it.
-func (m *Manager) differences(rows []vmlist.VM, now time.Time) []membership.VMNews {
-	if len(m.missing) == 0 && slices.Equal(rows, m.list) {
+func (m *Manager) diffList(rows []vmlist.VM, now time.Time) []membership.VMNews {
+	if len(m.missingOnce) == 0 && slices.Equal(rows, m.list) {
 		return nil
 	}
 	var news []membership.VMNews
@@ -96,15 +96,15 @@
 			news = append(news, membership.VMNews{VM: vm, Seen: now})
 		}
 		delete(before, vm.ID)
-		delete(m.missing, vm.ID)
+		delete(m.missingOnce, vm.ID)
 	}
-	for _, vm := range m.missing {
+	for _, vm := range m.missingOnce {
 		news = append(news, membership.VMNews{VM: vm, Gone: true, Seen: now})
 	}
-	m.missing = before
-	maps.DeleteFunc(m.news, func(_ string, seen time.Time) bool { return now.Sub(seen) > newsKept })
+	m.missingOnce = before
+	maps.DeleteFunc(m.changedAt, func(_ string, seen time.Time) bool { return now.Sub(seen) > changeTimeRetention })
 	for _, n := range news {
-		m.news[n.VM.ID] = now
+		m.changedAt[n.VM.ID] = now
 	}
 	return news
 }
--- a/control/backends/manager.go
+++ b/control/backends/manager.go
@@ -41,25 +41,25 @@
 // Manager is the Source in use. It reads the VM list, picks this daemon's
 // subset of every pool and polls the engines in it.
 type Manager struct {
-	deps Deps
-	cfg  Config
-	met  metrics
-
-	current atomic.Pointer[Snapshot]
-	wake    chan struct{}
-	slots   chan struct{}
-
-	mu       sync.Mutex
-	rng      *rand.Rand
-	entries  map[string]*entry
-	list     []vmlist.VM
-	subset   map[string]vmlist.VM // of list
-	listedAt time.Time
-	news     map[string]time.Time // when each VM that changed was last seen to
-	version  uint64
-	missing  map[string]vmlist.VM // VMs that the last read lacked for the first time
-	onNews   []func(membership.VMNews)
-	onReport []func(id string, digest uint64)
+	deps    Deps
+	cfg     Config
+	metrics metrics
+
+	current   atomic.Pointer[Snapshot]
+	wake      chan struct{}
+	pollSlots chan struct{}
+
+	mu             sync.Mutex
+	rng            *rand.Rand
+	entries        map[string]*entry
+	list           []vmlist.VM
+	subset         map[string]vmlist.VM // of list
+	listReadAt     time.Time
+	changedAt      map[string]time.Time // when each VM that changed was last seen to
+	version        uint64
+	missingOnce    map[string]vmlist.VM // VMs that the last read lacked for the first time
+	onVMChange     []func(membership.VMNews)
+	onReportChange []func(id string, digest uint64)
 }
 
 // NewManager returns a Manager that knows nothing until Run has read the list.
@@ -72,14 +72,14 @@
 	}
 	seed := xxhash.Sum64String(deps.Self)
 	m := &Manager{
-		deps:    deps,
-		cfg:     deps.Config,
-		met:     newMetrics(deps.Registerer),
-		wake:    make(chan struct{}, 1),
-		slots:   make(chan struct{}, deps.Config.MaxConcurrentPolls),
-		rng:     rand.New(rand.NewPCG(seed, seed)),
-		entries: make(map[string]*entry),
-		news:    make(map[string]time.Time),
+		deps:      deps,
+		cfg:       deps.Config,
+		metrics:   newMetrics(deps.Registerer),
+		wake:      make(chan struct{}, 1),
+		pollSlots: make(chan struct{}, deps.Config.MaxConcurrentPolls),
+		rng:       rand.New(rand.NewPCG(seed, seed)),
+		entries:   make(map[string]*entry),
+		changedAt: make(map[string]time.Time),
 	}
 	m.current.Store(&Snapshot{Pools: map[string][]*Backend{}})
 	return m
@@ -104,10 +104,10 @@
 	var wg sync.WaitGroup
 	wg.Go(func() { m.pollLoop(ctx) })
 	for ctx.Err() == nil {
-		if m.mustRead() {
+		if m.shouldReadList() {
 			m.readList(ctx)
 		} else {
-			m.take(m.rows(), time.Now())
+			m.applyList(m.listRows(), time.Now())
 		}
 		pause.For(ctx, m.jittered(m.cfg.ListInterval))
 	}
@@ -115,13 +115,13 @@
 	return ctx.Err()
 }
 
-// mustRead reports whether it is this daemon's turn to read the list.
-func (m *Manager) mustRead() bool {
+// shouldReadList reports whether it is this daemon's turn to read the list.
+func (m *Manager) shouldReadList() bool {
 	age := m.listAge()
 	return age == 0 || age >= m.cfg.NonReaderListInterval || m.deps.IsReader == nil || m.deps.IsReader(m.cfg.ReadersPerZone)
 }
 
-func (m *Manager) rows() []vmlist.VM {
+func (m *Manager) listRows() []vmlist.VM {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.list
@@ -132,37 +132,37 @@
 	readCtx, cancel := context.WithTimeout(ctx, m.cfg.ListTimeout)
 	rows, err := m.deps.VMs.List(readCtx)
 	cancel()
-	m.met.lists.Inc()
+	m.metrics.listReads.Inc()
 	if err == nil {
-		err = m.credible(rows)
+		err = m.checkCredible(rows)
 	}
 	if err != nil {
-		m.met.listFailures.Inc()
+		m.metrics.listReadFailures.Inc()
 		m.deps.Log.Emit(event.VMListFailed, err.Error(), m.listAge())
 		return
 	}
 	rows = sorted(rows)
 	now := time.Now()
 	m.mu.Lock()
-	first := m.listedAt.IsZero()
-	m.listedAt = now
-	news := m.differences(rows, now)
+	first := m.listReadAt.IsZero()
+	m.listReadAt = now
+	news := m.diffList(rows, now)
 	m.mu.Unlock()
-	m.take(rows, now)
+	m.applyList(rows, now)
 	if first {
 		return // nothing is news to a daemon that has just started
 	}
 	for _, n := range news {
-		for _, f := range m.onNews {
+		for _, f := range m.onVMChange {
 			f(n)
 		}
 	}
 }
 
-// credible refuses a list without any backend server when there were some.
+// checkCredible refuses a list without any backend server when there were some.
 // The failure: the list's own store is empty after a restart, and a daemon
 // that believed it would drain everything at once.
-func (m *Manager) credible(rows []vmlist.VM) error {
+func (m *Manager) checkCredible(rows []vmlist.VM) error {
 	for _, vm := range rows {
 		if vm.Role == vmlist.RoleBackend {
 			return nil
@@ -179,17 +179,17 @@
 func (m *Manager) listAge() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.listedAt.IsZero() {
+	if m.listReadAt.IsZero() {
 		return 0
 	}
-	return time.Since(m.listedAt)
+	return time.Since(m.listReadAt)
 }
 
-// take merges the rows into the picture and publishes it.
-func (m *Manager) take(rows []vmlist.VM, now time.Time) {
+// applyList merges the rows into the picture and publishes it.
+func (m *Manager) applyList(rows []vmlist.VM, now time.Time) {
 	m.mu.Lock()
 	if m.subset == nil || !slices.Equal(rows, m.list) {
-		m.list, m.subset = rows, m.wanted(rows)
+		m.list, m.subset = rows, m.subsetRows(rows)
 	}
 	listed := make(map[string]bool, len(m.entries))
 	for _, vm := range rows {
@@ -202,13 +202,13 @@
 	known := len(m.entries)
 	m.mu.Unlock()
 
-	m.met.known.Set(float64(known))
-	m.report(changes)
-	m.poke()
+	m.metrics.known.Set(float64(known))
+	m.logChanges(changes)
+	m.wakePoller()
 }
 
-// wanted returns the rows of this daemon's subset by id.
-func (m *Manager) wanted(rows []vmlist.VM) map[string]vmlist.VM {
+// subsetRows returns the rows of this daemon's subset by id.
+func (m *Manager) subsetRows(rows []vmlist.VM) map[string]vmlist.VM {
 	daemons := 0
 	pools := make(map[string][]vmlist.VM)
 	here := make(map[string]int)
@@ -226,7 +226,7 @@
 	}
 	out := make(map[string]vmlist.VM)
 	for name, pool := range pools {
-		near := nearSize(m.cfg.LocalSubsetSize, m.cfg.DaemonsPerBackend, here[name], daemons)
+		near := localSubsetSize(m.cfg.LocalSubsetSize, m.cfg.DaemonsPerBackend, here[name], daemons)
 		for _, vm := range subset(m.deps.Self, m.deps.Zone, pool, near, m.cfg.RemoteSubsetSize) {
 			out[vm.ID] = vm
 		}
@@ -234,9 +234,9 @@
 	return out
 }
 
-func (m *Manager) report(changes []change) {
+func (m *Manager) logChanges(changes []change) {
 	for _, c := range changes {
-		if c.forgot {
+		if c.forgotten {
 			m.deps.Log.Emit(event.BackendForgotten, c.vm.ID, c.vm.Pool)
 		} else {
 			m.deps.Log.Emit(event.BackendLeaving, c.vm.ID, c.vm.Pool, c.reason)
--- a/control/backends/manager_test.go
+++ b/control/backends/manager_test.go
@@ -74,7 +74,7 @@
 	synctest.Wait()
 }
 
-func (b *Backend) digest() uint64 { return digestOf(b.Status, b.Reachable) }
+func (b *Backend) digest() uint64 { return statusDigest(b.Status, b.Reachable) }
 
 func find(m *Manager, id string) *Backend {
 	for _, b := range m.Current().Pools["p"] {
@@ -153,7 +153,7 @@
 		must.False(t, find(m, "b1").Reachable)
 		must.True(t, find(m, "b2").Reachable)
 		engines["b1:1"].down.Store(false)
-		time.Sleep(m.cfg.StatusTimeout + m.cfg.longest(m.cfg.MinPollInterval))
+		time.Sleep(m.cfg.StatusTimeout + m.cfg.maxJittered(m.cfg.MinPollInterval))
 		synctest.Wait()
 		must.True(t, find(m, "b1").Reachable)
 	})
@@ -176,7 +176,7 @@
 	largest := 0
 	for i := range daemons {
 		m := NewManager(Deps{Self: fmt.Sprint("d", i), Zone: fmt.Sprint("z", i%zones)})
-		w := m.wanted(rows)
+		w := m.subsetRows(rows)
 		largest = max(largest, len(w))
 		for id, vm := range w {
 			if vm.Zone == m.deps.Zone {
@@ -195,8 +195,8 @@
 
 // Two daemons of a zone with a large pool must between them know all of it.
 func TestSubsetCoversWithFewDaemons(t *testing.T) {
-	must.Eq(t, 36, min(36, nearSize(12, 8, 36, 3)))
-	must.Eq(t, 12, nearSize(12, 8, 18, 56))
+	must.Eq(t, 36, min(36, localSubsetSize(12, 8, 36, 3)))
+	must.Eq(t, 12, localSubsetSize(12, 8, 18, 56))
 }
 
 // A daemon that does not read the list hears that a backend server leaves, and
@@ -281,8 +281,8 @@
 		engines["b07:1"].down.Store(true)
 		must.True(t, find(m, "b07").Reachable)
 		before := engines["b07:1"].polls.Load()
-		m.HandleReportChange("b07", silent)
-		time.Sleep(reportSpread + m.cfg.StatusTimeout)
+		m.HandleReportChange("b07", noAnswerDigest)
+		time.Sleep(reportPollSpread + m.cfg.StatusTimeout)
 		synctest.Wait()
 		must.False(t, find(m, "b07").Reachable)
 		must.Eq(t, []string{"b07"}, told)
--- a/control/backends/poll.go
+++ b/control/backends/poll.go
@@ -9,9 +9,9 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// idlePoll is how long the poll loop waits when nothing is due; news of the
+// idleWait is how long the poll loop waits when nothing is due; news of the
 // list or a hint wakes it sooner.
-const idlePoll = time.Second
+const idleWait = time.Second
 
 // PollSoon asks for an early poll of a backend server, after work on it failed in
 // a way that its own report may explain.
@@ -21,10 +21,10 @@
 		e.due = time.Time{}
 	}
 	m.mu.Unlock()
-	m.poke()
+	m.wakePoller()
 }
 
-func (m *Manager) poke() {
+func (m *Manager) wakePoller() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
@@ -37,24 +37,24 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for ctx.Err() == nil {
-		e, wait := m.next(time.Now())
+		e, wait := m.nextDue(time.Now())
 		if e == nil {
-			m.await(ctx, wait)
+			m.waitForWake(ctx, wait)
 			continue
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case m.slots <- struct{}{}:
+		case m.pollSlots <- struct{}{}:
 		}
 		wg.Go(func() {
-			defer func() { <-m.slots }()
+			defer func() { <-m.pollSlots }()
 			m.poll(ctx, e)
 		})
 	}
 }
 
-func (m *Manager) await(ctx context.Context, d time.Duration) {
+func (m *Manager) waitForWake(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -64,8 +64,8 @@
 	}
 }
 
-// next takes the entry that has been due longest, or says how long to wait.
-func (m *Manager) next(now time.Time) (*entry, time.Duration) {
+// nextDue takes the entry that has been due longest, or says how long to wait.
+func (m *Manager) nextDue(now time.Time) (*entry, time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var first *entry
@@ -78,10 +78,10 @@
 		}
 	}
 	if first == nil {
-		return nil, idlePoll
+		return nil, idleWait
 	}
 	if first.due.After(now) {
-		return nil, min(first.due.Sub(now), idlePoll)
+		return nil, min(first.due.Sub(now), idleWait)
 	}
 	first.polling = true
 	return first, 0
@@ -92,25 +92,25 @@
 	pollCtx, cancel := context.WithTimeout(ctx, m.cfg.StatusTimeout)
 	status, err := e.eng.Status(pollCtx)
 	cancel()
-	m.met.polls.Inc()
+	m.metrics.polls.Inc()
 	if ctx.Err() != nil {
 		return
 	}
-	m.record(e, status, err)
+	m.recordPoll(e, status, err)
 }
 
-func (m *Manager) record(e *entry, status engine.Status, err error) {
-	interval := m.interval()
+func (m *Manager) recordPoll(e *entry, status engine.Status, err error) {
+	interval := m.steadyInterval()
 	m.mu.Lock()
 	was, first := e.reachable, !e.polled
 	e.polling, e.polled, e.reachable = false, true, err == nil
 	if err == nil {
-		e.status, e.seen = status, time.Now()
+		e.status, e.statusAt = status, time.Now()
 	}
-	digest := digestOf(status, err == nil)
+	digest := statusDigest(status, err == nil)
 	changed := !first && digest != e.digest
 	e.digest = digest
-	if e.hot() {
+	if e.isChanging() {
 		interval = m.cfg.MinPollInterval
 	}
 	m.publish()
@@ -122,24 +122,24 @@
 	e.due = due
 	m.mu.Unlock()
 	if changed {
-		for _, f := range m.onReport {
+		for _, f := range m.onReportChange {
 			f(vm.ID, digest)
 		}
 	}
 	switch {
 	case err != nil && (was || first):
-		m.met.pollFailures.Inc()
+		m.metrics.pollFailures.Inc()
 		m.deps.Log.Emit(event.BackendUnreachable, vm.ID, vm.Pool, err.Error())
 	case err != nil:
-		m.met.pollFailures.Inc()
+		m.metrics.pollFailures.Inc()
 	case !was:
 		m.deps.Log.Emit(event.BackendReachable, vm.ID, vm.Pool, status.Incarnation)
 	}
 }
 
-// interval is the time between two polls of a steady backend server: the
+// steadyInterval is the time between two polls of a steady backend server: the
 // whole subset shares PollsPerSecond.
-func (m *Manager) interval() time.Duration {
+func (m *Manager) steadyInterval() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	round := time.Duration(float64(len(m.entries)) / m.cfg.PollsPerSecond * float64(time.Second))
--- a/control/backends/reports.go
+++ b/control/backends/reportchanges.go
@@ -8,18 +8,18 @@
 	"mallowwind.dev/external/engine"
 )
 
-// silent stands for the digest of a backend server that does not answer.
-const silent = 1
+// noAnswerDigest stands for the digest of a backend server that does not answer.
+const noAnswerDigest = 1
 
-// reportSpread is the time over which daemons that hear of a changed report
+// reportPollSpread is the time over which daemons that hear of a changed report
 // ask for it themselves, so that they do not all ask at once.
-const reportSpread = time.Second
+const reportPollSpread = time.Second
 
-// digestOf returns a hash of what other daemons should know of a report soon:
+// statusDigest returns a hash of what other daemons should know of a report soon:
 // the process and the state of its weights, not its load.
-func digestOf(s engine.Status, answered bool) uint64 {
+func statusDigest(s engine.Status, answered bool) uint64 {
 	if !answered {
-		return silent
+		return noAnswerDigest
 	}
 	var d xxhash.Digest
 	d.Reset()
@@ -34,14 +34,14 @@
 // report: another process, other weights, or silence. f must not block. Call
 // OnReport before Run.
 func (m *Manager) OnReportChange(f func(id string, digest uint64)) {
-	m.onReport = append(m.onReport, f)
+	m.onReportChange = append(m.onReportChange, f)
 }
 
 // HandleReportChange takes the news that another daemon found a changed report, and
 // asks for the report itself soon. At 1,900 backend servers the steady round
 // takes minutes; some daemon or other polls each server every few seconds.
 func (m *Manager) HandleReportChange(id string, digest uint64) {
-	soon := time.Now().Add(m.jittered(reportSpread) / 2)
+	soon := time.Now().Add(m.jittered(reportPollSpread) / 2)
 	m.mu.Lock()
 	e, ok := m.entries[id]
 	ok = ok && e.digest != digest && soon.Before(e.due)
@@ -50,6 +50,6 @@
 	}
 	m.mu.Unlock()
 	if ok {
-		m.poke()
+		m.wakePoller()
 	}
 }
--- a/control/backends/subset.go
+++ b/control/backends/subset.go
@@ -23,20 +23,20 @@
 			there = append(there, vm)
 		}
 	}
-	return append(top(self, here, near), top(self, there, far)...)
+	return append(topByWeight(self, here, near), topByWeight(self, there, far)...)
 }
 
-// nearSize returns the size of the subset in the daemon's own zone: min, but
+// localSubsetSize returns the size of the subset in the daemon's own zone: min, but
 // more where daemons are too few to know each of n backend servers cover times.
-func nearSize(minimum, cover, n, daemons int) int {
+func localSubsetSize(minimum, cover, n, daemons int) int {
 	if daemons < 1 {
 		daemons = 1
 	}
 	return max(minimum, (cover*n+daemons-1)/daemons)
 }
 
-// top returns the n VMs with the highest rendezvous weight for self.
-func top(self string, vms []vmlist.VM, n int) []vmlist.VM {
+// topByWeight returns the n VMs with the highest rendezvous weight for self.
+func topByWeight(self string, vms []vmlist.VM, n int) []vmlist.VM {
 	if len(vms) <= n {
 		return vms
 	}
--- a/control/inifile/file.go
+++ b/control/inifile/parse.go
@@ -59,9 +59,9 @@
 // Parse reads text and returns its sections in order. Faults go to errs;
 // what could be read is returned all the same, so that one pass reports all.
 func Parse(text []byte, errs *Collector) []*Section {
-	l := locator{errs: errs, byHeader: map[string]*Section{}}
-	clean := l.locate(string(text))
-	file, err := ini.LoadSources(options, []byte(clean))
+	l := lineScanner{errs: errs, byHeader: map[string]*Section{}}
+	clean := l.scan(string(text))
+	file, err := ini.LoadSources(loadOptions, []byte(clean))
 	if err != nil {
 		errs.Add(0, fmt.Sprintf("not an INI text (%v)", err), "write [section] headers and key = value lines")
 		return nil
@@ -72,7 +72,7 @@
 	return l.sections
 }
 
-var options = ini.LoadOptions{
+var loadOptions = ini.LoadOptions{
 	IgnoreContinuation:       true,
 	SpaceBeforeInlineComment: true,
 	KeyValueDelimiters:       "=",
--- a/control/inifile/locator.go
+++ b/control/inifile/scanner.go
@@ -5,37 +5,37 @@
 	"strings"
 )
 
-// locator finds the line of every section and key, and rewrites the text into
+// lineScanner finds the line of every section and key, and rewrites the text into
 // the subset that ini.v1 reads without surprises: lines that it reports are
 // left blank, so that the rest is still checked.
-type locator struct {
+type lineScanner struct {
 	errs     *Collector
 	sections []*Section
 	byHeader map[string]*Section
 	current  *Section
 }
 
-func (l *locator) locate(text string) string {
+func (l *lineScanner) scan(text string) string {
 	text = strings.TrimPrefix(text, "\ufeff")
 	lines := strings.Split(text, "\n")
 	for i, raw := range lines {
-		lines[i] = l.line(i+1, strings.TrimSpace(raw))
+		lines[i] = l.scanLine(i+1, strings.TrimSpace(raw))
 	}
 	return strings.Join(lines, "\n")
 }
 
-func (l *locator) line(n int, s string) string {
+func (l *lineScanner) scanLine(n int, s string) string {
 	switch {
 	case s == "", s[0] == '#', s[0] == ';':
 		return ""
 	case s[0] == '[':
-		return l.header(n, s)
+		return l.scanHeader(n, s)
 	default:
-		return l.key(n, s)
+		return l.scanKey(n, s)
 	}
 }
 
-func (l *locator) header(n int, s string) string {
+func (l *lineScanner) scanHeader(n int, s string) string {
 	inside, rest, closed := strings.Cut(s[1:], "]")
 	rest = strings.TrimSpace(rest)
 	header := strings.Join(strings.Fields(inside), " ")
@@ -57,7 +57,7 @@
 	return "[" + header + "]"
 }
 
-func (l *locator) key(n int, s string) string {
+func (l *lineScanner) scanKey(n int, s string) string {
 	name, value, ok := strings.Cut(s, "=")
 	name, value = strings.TrimSpace(name), strings.TrimSpace(value)
 	switch {
--- a/control/inifile/schema.go
+++ b/control/inifile/schema.go
@@ -44,13 +44,13 @@
 // Decode stores the keys of s in to. Faults go to errs.
 func Decode[T any](s *Section, fields []Field[T], to *T, errs *Collector) {
 	for _, k := range s.Keys {
-		f, suffix, ok := find(fields, k.Name)
+		f, suffix, ok := findField(fields, k.Name)
 		if !ok {
-			errs.Add(k.Line, fmt.Sprintf("unknown key %q in [%s]", k.Name, s.Header()), "write one of "+names(fields))
+			errs.Add(k.Line, fmt.Sprintf("unknown key %q in [%s]", k.Name, s.Header()), "write one of "+keyNames(fields))
 			continue
 		}
 		if err := f.Set(to, suffix, k.Value); err != nil {
-			errs.Add(k.Line, badValue(f.Secret, k), err.Error())
+			errs.Add(k.Line, describeBadValue(f.Secret, k), err.Error())
 		}
 	}
 	for _, f := range fields {
@@ -60,14 +60,14 @@
 	}
 }
 
-func badValue(secret bool, k Key) string {
+func describeBadValue(secret bool, k Key) string {
 	if secret {
 		return "bad value of " + k.Name
 	}
 	return fmt.Sprintf("bad value %q of %s", k.Value, k.Name)
 }
 
-func find[T any](fields []Field[T], key string) (Field[T], string, bool) {
+func findField[T any](fields []Field[T], key string) (Field[T], string, bool) {
 	for _, f := range fields {
 		if f.Name == key {
 			return f, "", true
@@ -79,7 +79,7 @@
 	return Field[T]{}, "", false
 }
 
-func names[T any](fields []Field[T]) string {
+func keyNames[T any](fields []Field[T]) string {
 	list := make([]string, len(fields))
 	for i, f := range fields {
 		list[i] = f.Name
@@ -141,14 +141,14 @@
 }
 
 const (
-	longestName   = 63
-	tokenHashSize = 64 // hex digits of a SHA-256
+	maxNameBytes    = 63
+	tokenHashDigits = 64 // hex digits of a SHA-256
 )
 
 // IsName reports whether s may name a service, pool, account, site or VM: it
 // can stand in a URL path and in a store key without escaping.
 func IsName(s string) bool {
-	if s == "" || len(s) > longestName || strings.Contains("._-", s[:1]) {
+	if s == "" || len(s) > maxNameBytes || strings.Contains("._-", s[:1]) {
 		return false
 	}
 	for _, r := range s {
@@ -162,7 +162,7 @@
 
 // IsTokenHash reports whether s is a lower-case hex SHA-256.
 func IsTokenHash(s string) bool {
-	return len(s) == tokenHashSize && strings.Trim(s, "0123456789abcdef") == ""
+	return len(s) == tokenHashDigits && strings.Trim(s, "0123456789abcdef") == ""
 }
 
 // MarkdownTables returns rows as the Markdown tables of a reference page, one per section.
--- a/control/reconcile/fence.go
+++ b/control/reconcile/fence.go
@@ -12,8 +12,8 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// fencing reports whether the engines of a pool check fencing numbers.
-func fencing(text *site.Site, pool string) bool {
+// checksFence reports whether the engines of a pool check fencing numbers.
+func checksFence(text *site.Site, pool string) bool {
 	p := text.Pools[pool]
 	return p != nil && p.Fencing
 }
@@ -26,40 +26,40 @@
 // we gave none would still take effect, after we counted the engine as
 // serving. It shows as a service below its floor. Once the number is known and
 // the engine was asked again, nothing older can follow.
-func (m *Manager) raiseFence(ctx context.Context, text *site.Site, o *observed) {
-	if o.fenced || !o.silent.IsZero() || o.seen.IsZero() || !fencing(text, o.vm.Pool) {
+func (m *Manager) raiseFence(ctx context.Context, text *site.Site, e *engineState) {
+	if e.knowsFence || !e.silentSince.IsZero() || e.answeredAt.IsZero() || !checksFence(text, e.vm.Pool) {
 		return
 	}
 	hold := m.deps.Lease.Held()
 	if hold.Fence != m.fence || !hold.Valid(time.Now()) {
 		return
 	}
-	role := o.status.Role
+	role := e.status.Role
 	if role == "" {
 		role = engine.RoleMixed
 	}
 	order := engine.Order{ID: uuid.NewString(), Kind: engine.OrderRole, Role: role, Fence: hold.Fence}
 	orderCtx, cancel := context.WithTimeout(ctx, m.cfg.StatusTimeout)
-	err := o.eng.Order(orderCtx, order)
+	err := e.eng.Order(orderCtx, order)
 	cancel()
-	m.met.orders.WithLabelValues(string(order.Kind), outcome(err)).Inc()
+	m.metrics.orders.WithLabelValues(string(order.Kind), outcomeLabel(err)).Inc()
 	switch {
 	case errors.Is(err, engine.ErrStaleFence):
-		o.refused = true
+		e.refusedFence = true
 	case err == nil:
-		m.deps.Log.Emit(event.PlacementFenceRaised, order.ID, o.vm.ID, order.Fence)
-		m.poll(ctx, o)
-		o.fenced = o.silent.IsZero()
+		m.deps.Log.Emit(event.PlacementFenceRaised, order.ID, e.vm.ID, order.Fence)
+		m.poll(ctx, e)
+		e.knowsFence = e.silentSince.IsZero()
 	}
 }
 
 // checkFences notices that an engine knows a higher fencing number than ours:
 // a newer holder exists, whatever this daemon believes of its lease.
 func (m *Manager) checkFences() {
-	for id, o := range m.engines {
-		if (o.refused || o.status.Fence > m.fence) && !m.fenced {
-			m.fenced = true
-			m.deps.Log.Emit(event.PlacementFenced, id, m.fence, o.status.Fence)
+	for id, e := range m.engines {
+		if (e.refusedFence || e.status.Fence > m.fence) && !m.superseded {
+			m.superseded = true
+			m.deps.Log.Emit(event.PlacementFenced, id, m.fence, e.status.Fence)
 		}
 	}
 }
--- a/control/reconcile/manager_test.go
+++ b/control/reconcile/manager_test.go
@@ -20,24 +20,24 @@
 // service must never have fewer ready replicas than its floor.
 func TestVersionChangeCutsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3, true)
-		w.apply(1, v1, 3, 3)
-		w.until("all serve version 1", 2*time.Minute, func() bool { return w.ready(v1) == 3 })
-		results := make(chan error, len(w.sims))
-		for id, sim := range w.sims {
+		h := newHarness(t, 3, true)
+		h.applySite(1, v1, 3, 3)
+		h.waitUntil("all serve version 1", 2*time.Minute, func() bool { return h.countReady(v1) == 3 })
+		results := make(chan error, len(h.sims))
+		for id, sim := range h.sims {
 			stream, err := sim.Generate(t.Context(), engine.Request{
 				Generation: "g-" + id, Attempt: 1, Model: "m", Version: "1", Prompt: "contract", MaxTokens: 5000,
 			})
 			must.NoError(t, err)
 			go func() { results <- readAll(t, stream) }()
 		}
-		w.apply(2, v2, 3, 3)
-		w.until("all serve version 2", 2*time.Minute, func() bool { return w.ready(v2) == 3 })
-		w.until("version 1 is gone", 10*time.Minute, func() bool { return w.ready(v1) == 0 })
-		for range w.sims {
+		h.applySite(2, v2, 3, 3)
+		h.waitUntil("all serve version 2", 2*time.Minute, func() bool { return h.countReady(v2) == 3 })
+		h.waitUntil("version 1 is gone", 10*time.Minute, func() bool { return h.countReady(v1) == 0 })
+		for range h.sims {
 			must.NoError(t, <-results)
 		}
-		w.oneHolderAtATime()
+		h.assertFencesInOrder()
 	})
 }
 
@@ -61,30 +61,30 @@
 func TestPausedHolderComesBack(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, 3, fencing)
-			w.apply(1, v1, 1, 1)
-			w.until("the first replica", 2*time.Minute, func() bool { return w.ready(v1) == 1 })
-			first := w.holder()
-			first.pauseOnOrder()
-			w.apply(2, v1, 3, 1)
-			w.until("another holds", time.Minute, func() bool { d := w.holder(); return d != nil && d != first })
-			w.apply(3, v2, 2, 1)
-			w.until("two serve version 2", 4*time.Minute, func() bool { return w.ready(v2) == 2 && w.ready(v1) == 0 })
+			h := newHarness(t, 3, fencing)
+			h.applySite(1, v1, 1, 1)
+			h.waitUntil("the first replica", 2*time.Minute, func() bool { return h.countReady(v1) == 1 })
+			first := h.holder()
+			first.pauseAtNextOrder()
+			h.applySite(2, v1, 3, 1)
+			h.waitUntil("another holds", time.Minute, func() bool { d := h.holder(); return d != nil && d != first })
+			h.applySite(3, v2, 2, 1)
+			h.waitUntil("two serve version 2", 4*time.Minute, func() bool { return h.countReady(v2) == 2 && h.countReady(v1) == 0 })
 			time.Sleep(2 * time.Minute)
-			given := len(w.given())
+			given := len(h.acceptedOrders())
 			first.unpause()
 			time.Sleep(time.Minute)
-			must.Eq(t, 2, w.ready(v2))
-			must.Eq(t, 0, w.ready(v1))
+			must.Eq(t, 2, h.countReady(v2))
+			must.Eq(t, 0, h.countReady(v1))
 			late := 0
-			for _, o := range w.given()[given:] {
+			for _, o := range h.acceptedOrders()[given:] {
 				if o == first.id+" load 1" {
 					late++
 				}
 			}
 			if fencing {
 				must.Eq(t, 0, late)
-				w.oneHolderAtATime()
+				h.assertFencesInOrder()
 			}
 			if !fencing {
 				must.Eq(t, 1, late) // else the test shows nothing
@@ -98,22 +98,22 @@
 // change must be finished when the store is back.
 func TestStoreOutageInMidChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 4, true)
-		w.apply(1, v1, 4, 3)
-		w.until("all serve version 1", 2*time.Minute, func() bool { return w.ready(v1) == 4 })
-		w.apply(2, v2, 4, 3)
-		w.until("the change has begun", time.Minute, func() bool { return w.ready(v2) > 0 })
-		w.store.SetDown(true)
+		h := newHarness(t, 4, true)
+		h.applySite(1, v1, 4, 3)
+		h.waitUntil("all serve version 1", 2*time.Minute, func() bool { return h.countReady(v1) == 4 })
+		h.applySite(2, v2, 4, 3)
+		h.waitUntil("the change has begun", time.Minute, func() bool { return h.countReady(v2) > 0 })
+		h.store.SetDown(true)
 		time.Sleep(15 * time.Second)
-		given := len(w.given())
+		given := len(h.acceptedOrders())
 		for range 60 {
 			time.Sleep(10 * time.Second)
-			must.GreaterEq(t, 3, w.serving())
+			must.GreaterEq(t, 3, h.countServing())
 		}
-		must.Eq(t, given, len(w.given()))
-		w.store.SetDown(false)
-		w.until("all serve version 2 alone", 3*time.Minute, func() bool { return w.ready(v2) == 4 && w.ready(v1) == 0 })
-		w.oneHolderAtATime()
+		must.Eq(t, given, len(h.acceptedOrders()))
+		h.store.SetDown(false)
+		h.waitUntil("all serve version 2 alone", 3*time.Minute, func() bool { return h.countReady(v2) == 4 && h.countReady(v1) == 0 })
+		h.assertFencesInOrder()
 	})
 }
 
@@ -121,16 +121,16 @@
 // no order of the old one can be under way before it gives its first.
 func TestWaitsOutEnginesWithoutFencing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3, false)
-		w.apply(1, v1, 3, 1)
-		w.until("all serve version 1", 2*time.Minute, func() bool { return w.ready(v1) == 3 })
-		first := w.holder()
+		h := newHarness(t, 3, false)
+		h.applySite(1, v1, 3, 1)
+		h.waitUntil("all serve version 1", 2*time.Minute, func() bool { return h.countReady(v1) == 3 })
+		first := h.holder()
 		first.stop()
-		w.until("another holds", time.Minute, func() bool { return w.holder() != nil })
-		taken := w.holder().lease.Held().Taken
-		given := len(w.given())
-		w.apply(2, v2, 3, 1)
-		w.until("the first order", time.Minute, func() bool { return len(w.given()) > given })
+		h.waitUntil("another holds", time.Minute, func() bool { return h.holder() != nil })
+		taken := h.holder().lease.Held().Taken
+		given := len(h.acceptedOrders())
+		h.applySite(2, v2, 3, 1)
+		h.waitUntil("the first order", time.Minute, func() bool { return len(h.acceptedOrders()) > given })
 		must.GreaterEq(t, DefaultConfig().UnfencedOrderDelay, time.Since(taken))
 	})
 }
@@ -139,19 +139,19 @@
 // place. Its replica must come up there, and the change go on.
 func TestEngineDiesInMidChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3, true)
-		w.apply(1, v1, 3, 2)
-		w.until("all serve version 1", 2*time.Minute, func() bool { return w.ready(v1) == 3 })
-		w.apply(2, v2, 3, 2)
-		w.until("the change has begun", time.Minute, func() bool { return w.ready(v2) > 0 })
-		w.sims["b0"].Die()
-		w.addEngine("b9")
-		w.until("three serve version 2", 5*time.Minute, func() bool { return w.ready(v2) == 3 })
-		w.sims["b0"].Revive()
-		w.vms.Put(vmlist.VM{ID: "b0", Address: "b0", Zone: "a", Role: vmlist.RoleBackend, Pool: "p", State: vmlist.Leaving})
+		h := newHarness(t, 3, true)
+		h.applySite(1, v1, 3, 2)
+		h.waitUntil("all serve version 1", 2*time.Minute, func() bool { return h.countReady(v1) == 3 })
+		h.applySite(2, v2, 3, 2)
+		h.waitUntil("the change has begun", time.Minute, func() bool { return h.countReady(v2) > 0 })
+		h.sims["b0"].Die()
+		h.addEngine("b9")
+		h.waitUntil("three serve version 2", 5*time.Minute, func() bool { return h.countReady(v2) == 3 })
+		h.sims["b0"].Revive()
+		h.vms.Put(vmlist.VM{ID: "b0", Address: "b0", Zone: "a", Role: vmlist.RoleBackend, Pool: "p", State: vmlist.Leaving})
 		time.Sleep(time.Minute)
-		must.Eq(t, 3, w.ready(v2))
-		w.oneHolderAtATime()
+		must.Eq(t, 3, h.countReady(v2))
+		h.assertFencesInOrder()
 	})
 }
 
@@ -161,16 +161,16 @@
 // two. The change goes on when the engine is back.
 func TestBreakRestsOnFreshObservation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldWith(t, 3, true, 1)
-		w.apply(1, v1, 3, 2)
-		w.until("all serve version 1", 2*time.Minute, func() bool { return w.ready(v1) == 3 })
+		h := newHarnessWithMaxModels(t, 3, true, 1)
+		h.applySite(1, v1, 3, 2)
+		h.waitUntil("all serve version 1", 2*time.Minute, func() bool { return h.countReady(v1) == 3 })
 		time.Sleep(24 * time.Second) // not a multiple of Sweep, so that the last one is old
-		w.sims["b0"].Die()
-		w.apply(2, v2, 3, 2)
+		h.sims["b0"].Die()
+		h.applySite(2, v2, 3, 2)
 		time.Sleep(time.Minute)
-		must.Eq(t, 2, w.ready(v1))
-		w.sims["b0"].Revive()
-		w.until("all serve version 2", 5*time.Minute, func() bool { return w.ready(v2) == 3 })
+		must.Eq(t, 2, h.countReady(v1))
+		h.sims["b0"].Revive()
+		h.waitUntil("all serve version 2", 5*time.Minute, func() bool { return h.countReady(v2) == 3 })
 	})
 }
 
@@ -179,16 +179,16 @@
 // the broken one over and over; once it is mended the change goes through.
 func TestBrokenVersionStopsItself(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldWith(t, 3, true, 1)
-		w.broken.Store(true)
-		w.apply(1, v1, 3, 1)
-		w.until("all serve version 1", 2*time.Minute, func() bool { return w.ready(v1) == 3 })
-		w.apply(2, v2, 3, 1)
+		h := newHarnessWithMaxModels(t, 3, true, 1)
+		h.version2Broken.Store(true)
+		h.applySite(1, v1, 3, 1)
+		h.waitUntil("all serve version 1", 2*time.Minute, func() bool { return h.countReady(v1) == 3 })
+		h.applySite(2, v2, 3, 1)
 		time.Sleep(time.Hour)
-		must.Eq(t, 2, w.ready(v1))
-		must.LessEq(t, 20, w.weights.Fetches(v2))
-		w.broken.Store(false)
-		w.until("all serve version 2", 10*time.Minute, func() bool { return w.ready(v2) == 3 })
+		must.Eq(t, 2, h.countReady(v1))
+		must.LessEq(t, 20, h.weights.Fetches(v2))
+		h.version2Broken.Store(false)
+		h.waitUntil("all serve version 2", 10*time.Minute, func() bool { return h.countReady(v2) == 3 })
 	})
 }
 
@@ -197,14 +197,14 @@
 // soon, not when the holder's round comes to it.
 func TestHintBringsLostReplicaBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 30, true)
-		w.apply(1, v1, 30, 1)
-		w.until("all serve version 1", 10*time.Minute, func() bool { return w.ready(v1) == 30 })
+		h := newHarness(t, 30, true)
+		h.applySite(1, v1, 30, 1)
+		h.waitUntil("all serve version 1", 10*time.Minute, func() bool { return h.countReady(v1) == 30 })
 		time.Sleep(5 * time.Minute)
-		w.sims["b7"].Die()
-		w.sims["b7"].Revive()
-		w.holder().rec.PollSoon("b7")
-		w.until("all serve again", 15*time.Second, func() bool { return w.ready(v1) == 30 })
+		h.sims["b7"].Die()
+		h.sims["b7"].Revive()
+		h.holder().reconciler.PollSoon("b7")
+		h.waitUntil("all serve again", 15*time.Second, func() bool { return h.countReady(v1) == 30 })
 	})
 }
 
@@ -212,17 +212,17 @@
 // the old version again; it waits until it knows the newer text.
 func TestLaterHolderDoesNotGoBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 2, true)
-		w.apply(7, v2, 2, 1)
-		w.until("all serve version 2", 2*time.Minute, func() bool { return w.ready(v2) == 2 })
-		w.holder().stop()
-		w.apply(6, v1, 2, 1) // what the next holder knows
-		given := len(w.given())
+		h := newHarness(t, 2, true)
+		h.applySite(7, v2, 2, 1)
+		h.waitUntil("all serve version 2", 2*time.Minute, func() bool { return h.countReady(v2) == 2 })
+		h.holder().stop()
+		h.applySite(6, v1, 2, 1) // what the next holder knows
+		given := len(h.acceptedOrders())
 		time.Sleep(2 * time.Minute)
-		must.NotNil(t, w.holder())
-		must.Eq(t, given, len(w.given()))
-		w.apply(8, v1, 2, 1)
-		w.until("all serve version 1", 2*time.Minute, func() bool { return w.ready(v1) == 2 })
+		must.NotNil(t, h.holder())
+		must.Eq(t, given, len(h.acceptedOrders()))
+		h.applySite(8, v1, 2, 1)
+		h.waitUntil("all serve version 1", 2*time.Minute, func() bool { return h.countReady(v1) == 2 })
 	})
 }
 
@@ -231,22 +231,22 @@
 // numbers, and give no orders to engines that are not its own.
 func TestZonesAreIndependent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 2, true)
-		w.addEngineIn("c0", "b")
-		w.startZone("b")
-		w.apply(1, v1, 2, 0)
-		w.until("both zones serve version 1", 2*time.Minute, func() bool { return w.ready(v1) == 3 })
-		for _, d := range w.daemons[:3] {
+		h := newHarness(t, 2, true)
+		h.addEngineIn("c0", "b")
+		h.startZone("b")
+		h.applySite(1, v1, 2, 0)
+		h.waitUntil("both zones serve version 1", 2*time.Minute, func() bool { return h.countReady(v1) == 3 })
+		for _, d := range h.daemons[:3] {
 			d.pause()
 		}
-		w.apply(2, v2, 2, 0)
-		w.until("zone b serves version 2", 2*time.Minute, func() bool { return holds(w.sims["c0"], v2) })
+		h.applySite(2, v2, 2, 0)
+		h.waitUntil("zone b serves version 2", 2*time.Minute, func() bool { return hasReady(h.sims["c0"], v2) })
 		time.Sleep(time.Minute)
-		must.Eq(t, 2, w.ready(v1)) // zone a, whose daemons are paused
-		for _, d := range w.daemons[:3] {
+		must.Eq(t, 2, h.countReady(v1)) // zone a, whose daemons are paused
+		for _, d := range h.daemons[:3] {
 			d.unpause()
 		}
-		w.until("zone a follows", 3*time.Minute, func() bool { return w.ready(v2) == 3 && w.ready(v1) == 0 })
+		h.waitUntil("zone a follows", 3*time.Minute, func() bool { return h.countReady(v2) == 3 && h.countReady(v1) == 0 })
 	})
 }
 
@@ -257,27 +257,27 @@
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, 5, true)
+			h := newHarness(t, 5, true)
 			rng := rand.New(rand.NewPCG(seed, 3))
-			w.apply(1, v1, 3, 2)
+			h.applySite(1, v1, 3, 2)
 			for i := range 60 {
 				// Between ticks: a fault in the instant between a look and
 				// an order can be seen by nobody.
 				time.Sleep(time.Duration(rng.IntN(20))*time.Second + 501*time.Millisecond)
-				w.disturb(rng, int64(i+2))
+				h.injectFault(rng, int64(i+2))
 			}
-			w.heal()
-			w.apply(100, v2, 3, 2)
-			w.until(fmt.Sprint("converged, seed ", seed), 15*time.Minute, func() bool { return w.ready(v2) == 3 && w.ready(v1) == 0 })
-			w.oneHolderAtATime()
+			h.endFaults()
+			h.applySite(100, v2, 3, 2)
+			h.waitUntil(fmt.Sprint("converged, seed ", seed), 15*time.Minute, func() bool { return h.countReady(v2) == 3 && h.countReady(v1) == 0 })
+			h.assertFencesInOrder()
 		})
 	}
 }
 
-// disturb begins or ends one fault or puts a new text in force.
-func (w *world) disturb(rng *rand.Rand, revision int64) {
-	d := w.daemons[rng.IntN(len(w.daemons))]
-	sim := w.sims[fmt.Sprintf("b%d", rng.IntN(len(w.sims)))]
+// injectFault begins or ends one fault or puts a new text in force.
+func (h *zoneHarness) injectFault(rng *rand.Rand, revision int64) {
+	d := h.daemons[rng.IntN(len(h.daemons))]
+	sim := h.sims[fmt.Sprintf("b%d", rng.IntN(len(h.sims)))]
 	switch rng.IntN(9) {
 	case 0:
 		d.unpause()
@@ -285,7 +285,7 @@
 	case 1, 2:
 		d.unpause()
 	case 3:
-		w.store.SetDown(rng.IntN(2) == 0)
+		h.store.SetDown(rng.IntN(2) == 0)
 	case 4:
 		sim.Die()
 	case 5:
@@ -295,16 +295,16 @@
 	case 7:
 		sim.Unpause()
 	case 8:
-		w.apply(revision, []engine.ModelRef{v1, v2}[rng.IntN(2)], 3, rng.IntN(3))
+		h.applySite(revision, []engine.ModelRef{v1, v2}[rng.IntN(2)], 3, rng.IntN(3))
 	}
 }
 
-func (w *world) heal() {
-	w.store.SetDown(false)
-	for _, d := range w.daemons {
+func (h *zoneHarness) endFaults() {
+	h.store.SetDown(false)
+	for _, d := range h.daemons {
 		d.unpause()
 	}
-	for _, sim := range w.sims {
+	for _, sim := range h.sims {
 		sim.Revive()
 		sim.Unpause()
 	}
--- a/control/reconcile/observe.go
+++ b/control/reconcile/observe.go
@@ -16,35 +16,35 @@
 	"mallowwind.dev/external/vmlist"
 )
 
-// observed is one engine of the zone as this holder knows it.
-type observed struct {
-	vm     vmlist.VM
-	eng    engine.Engine
-	status engine.Status
-	asked  time.Time // last poll
-	seen   time.Time // last answer, zero if none
-	silent time.Time // first failed poll since the last answer, zero if none
-	// pending is set between an accepted order and the next answer.
-	pending bool
+// engineState is one engine of the zone as this holder knows it.
+type engineState struct {
+	vm          vmlist.VM
+	eng         engine.Engine
+	status      engine.Status
+	polledAt    time.Time // last poll
+	answeredAt  time.Time // last answer, zero if none
+	silentSince time.Time // first failed poll since the last answer, zero if none
+	// orderPending is set between an accepted order and the next answer.
+	orderPending bool
 	// full says that the engine refused a load while it held status.Models.
-	full      bool
-	holdUntil time.Time
-	failures  int
-	readyAt   time.Time // when a set of weights was first seen ready
+	full     bool
+	retryAt  time.Time
+	failures int
+	readyAt  time.Time // when a set of weights was first seen ready
 	// loadFailed says that the last report showed a load that failed.
 	loadFailed bool
-	// fenced says that the engine's present process knows our fencing number.
-	fenced bool
-	// refused says that the engine refused our fencing number as old.
-	refused bool
+	// knowsFence says that the engine's present process knows our fencing number.
+	knowsFence bool
+	// refusedFence says that the engine refused our fencing number as old.
+	refusedFence bool
 }
 
-// changing reports whether the engine's state is expected to change soon.
-func (o *observed) changing() bool {
-	if o.seen.IsZero() || !o.silent.IsZero() || o.pending {
+// isChanging reports whether the engine's state is expected to change soon.
+func (e *engineState) isChanging() bool {
+	if e.answeredAt.IsZero() || !e.silentSince.IsZero() || e.orderPending {
 		return true
 	}
-	for _, l := range o.status.Models {
+	for _, l := range e.status.Models {
 		if l.State == engine.Loading || l.State == engine.Unloading {
 			return true
 		}
@@ -52,8 +52,8 @@
 	return false
 }
 
-// steadyAge is the age at which an engine in a steady state is polled again.
-func (m *Manager) steadyAge() time.Duration {
+// steadyPollAge is the age at which an engine in a steady state is polled again.
+func (m *Manager) steadyPollAge() time.Duration {
 	round := time.Duration(float64(len(m.engines)) / m.cfg.PollsPerSecond * float64(time.Second))
 	return max(m.cfg.SteadyPollInterval, round)
 }
@@ -65,23 +65,23 @@
 	if err != nil {
 		return errors.Wrap(err, "reconcile")
 	}
-	m.match(rows, text)
+	m.matchEngines(rows, text)
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, m.cfg.MaxConcurrentPolls)
 	now := time.Now()
-	for _, o := range m.engines {
+	for _, e := range m.engines {
 		due := age
-		if o.changing() {
+		if e.isChanging() {
 			due = min(age, m.cfg.TickInterval)
 		}
-		if now.Sub(o.asked) < due {
+		if now.Sub(e.polledAt) < due {
 			continue
 		}
 		wg.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			m.poll(ctx, o)
-			m.raiseFence(ctx, text, o)
+			m.poll(ctx, e)
+			m.raiseFence(ctx, text, e)
 		})
 	}
 	wg.Wait()
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// match keeps one record for each engine of the zone in a pool of the text.
-func (m *Manager) match(rows []vmlist.VM, text *site.Site) {
+// matchEngines keeps one record for each engine of the zone in a pool of the text.
+func (m *Manager) matchEngines(rows []vmlist.VM, text *site.Site) {
 	pools := enginePools(text)
 	listed := make(map[string]bool)
 	for _, vm := range rows {
@@ -98,12 +98,12 @@
 			continue
 		}
 		listed[vm.ID] = true
-		o, ok := m.engines[vm.ID]
-		if !ok || o.vm.Address != vm.Address {
-			o = &observed{eng: m.deps.Engine(vm.Address)}
-			m.engines[vm.ID] = o
+		e, ok := m.engines[vm.ID]
+		if !ok || e.vm.Address != vm.Address {
+			e = &engineState{eng: m.deps.Engine(vm.Address)}
+			m.engines[vm.ID] = e
 		}
-		o.vm = vm
+		e.vm = vm
 	}
 	for id := range m.engines {
 		if !listed[id] {
@@ -128,29 +128,29 @@
 
 // poll asks one engine for its report. Each engine's record is touched by one
 // goroutine at a time.
-func (m *Manager) poll(ctx context.Context, o *observed) {
+func (m *Manager) poll(ctx context.Context, e *engineState) {
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.StatusTimeout)
 	defer cancel()
-	o.asked = time.Now()
-	status, err := o.eng.Status(ctx)
-	m.met.polls.Inc()
+	e.polledAt = time.Now()
+	status, err := e.eng.Status(ctx)
+	m.metrics.polls.Inc()
 	if err != nil {
-		if o.silent.IsZero() {
-			o.silent = o.asked
+		if e.silentSince.IsZero() {
+			e.silentSince = e.polledAt
 		}
 		return
 	}
-	if !slices.Equal(refs(status), refs(o.status)) || status.Incarnation != o.status.Incarnation {
-		o.full = false
+	if !slices.Equal(refs(status), refs(e.status)) || status.Incarnation != e.status.Incarnation {
+		e.full = false
 	}
-	if status.Incarnation != o.status.Incarnation {
-		o.fenced = false
+	if status.Incarnation != e.status.Incarnation {
+		e.knowsFence = false
 	}
-	if becameReady(o.status, status) {
-		o.readyAt = o.asked
+	if becameReady(e.status, status) {
+		e.readyAt = e.polledAt
 	}
-	o.status, o.seen, o.silent, o.pending = status, time.Now(), time.Time{}, false
-	m.judgeLoads(o)
+	e.status, e.answeredAt, e.silentSince, e.orderPending = status, time.Now(), time.Time{}, false
+	m.updateLoadFailures(e)
 }
 
 // becameReady reports whether now has a set of weights ready that was not
@@ -174,39 +174,39 @@
 	return out
 }
 
-// judgeLoads holds an engine back each time a load has failed, longer each
+// updateLoadFailures holds an engine back each time a load has failed, longer each
 // time, so that a set of weights that does not load is not fetched over and
 // over. Only loads that succeed begin the count anew.
-func (m *Manager) judgeLoads(o *observed) {
+func (m *Manager) updateLoadFailures(e *engineState) {
 	failed, settled := false, true
-	for _, l := range o.status.Models {
+	for _, l := range e.status.Models {
 		failed = failed || l.State == engine.Failed
 		settled = settled && l.State == engine.Ready
 	}
 	switch {
-	case failed && !o.loadFailed:
-		m.holdBack(o)
+	case failed && !e.loadFailed:
+		m.backOff(e)
 	case settled:
-		o.failures = 0
+		e.failures = 0
 	}
-	o.loadFailed = failed
+	e.loadFailed = failed
 }
 
-func (m *Manager) holdBack(o *observed) {
-	wait := min(m.cfg.MinRetryDelay<<min(o.failures, 10), m.cfg.MaxRetryDelay)
-	o.failures++
-	o.holdUntil = time.Now().Add(wait)
+func (m *Manager) backOff(e *engineState) {
+	wait := min(m.cfg.MinRetryDelay<<min(e.failures, 10), m.cfg.MaxRetryDelay)
+	e.failures++
+	e.retryAt = time.Now().Add(wait)
 }
 
 // plan asks the decision package for the next step.
 func (m *Manager) plan(ctx context.Context, hold lease.Hold, text *site.Site) placement.Step {
-	in := placement.Input{Services: desired(text, m.deps.Zone), LoadBudget: m.freeFetches(ctx, text), Now: time.Now()}
-	for id, o := range m.engines {
+	in := placement.Input{Services: desiredServices(text, m.deps.Zone), LoadBudget: m.loadBudget(ctx, text), Now: time.Now()}
+	for id, e := range m.engines {
 		b := placement.Backend{
-			ID: id, Pool: o.vm.Pool, Health: m.healthFor(o, text), Leaving: o.vm.State == vmlist.Leaving,
-			Running: o.status.Running, Full: o.full, NotBefore: m.earliest(o, hold, text),
+			ID: id, Pool: e.vm.Pool, Health: m.fencedHealth(e, text), Leaving: e.vm.State == vmlist.Leaving,
+			Running: e.status.Running, Full: e.full, NotBefore: m.earliestOrderTime(e, hold, text),
 		}
-		for _, l := range o.status.Models {
+		for _, l := range e.status.Models {
 			b.Models = append(b.Models, placement.ModelStatus{Ref: fromEngine(l.Ref), State: loadStates[l.State]})
 		}
 		in.Backends = append(in.Backends, b)
@@ -220,18 +220,18 @@
 	engine.Unloading: placement.Unloading, engine.Failed: placement.Failed,
 }
 
-// earliest is when an engine may be given its next order.
-func (m *Manager) earliest(o *observed, hold lease.Hold, text *site.Site) time.Time {
-	earliest := o.readyAt.Add(m.cfg.ReadySettleTime)
-	if o.holdUntil.After(earliest) {
-		earliest = o.holdUntil
+// earliestOrderTime is when an engine may be given its next order.
+func (m *Manager) earliestOrderTime(e *engineState, hold lease.Hold, text *site.Site) time.Time {
+	earliest := e.readyAt.Add(m.cfg.ReadySettleTime)
+	if e.retryAt.After(earliest) {
+		earliest = e.retryAt
 	}
-	if !fencing(text, o.vm.Pool) {
+	if !checksFence(text, e.vm.Pool) {
 		if t := hold.Taken.Add(m.cfg.UnfencedOrderDelay); t.After(earliest) {
 			earliest = t
 		}
 	}
-	if o.pending {
+	if e.orderPending {
 		if t := time.Now().Add(m.cfg.TickInterval); t.After(earliest) {
 			earliest = t
 		}
@@ -239,32 +239,32 @@
 	return earliest
 }
 
-// healthFor is health, but doubtful while an order of an earlier holder could
+// fencedHealth is health, but doubtful while an order of an earlier holder could
 // still take effect on an engine that checks fencing numbers.
-func (m *Manager) healthFor(o *observed, text *site.Site) placement.Health {
-	if h := m.health(o); h != placement.Up || o.fenced || !fencing(text, o.vm.Pool) {
+func (m *Manager) fencedHealth(e *engineState, text *site.Site) placement.Health {
+	if h := m.health(e); h != placement.Up || e.knowsFence || !checksFence(text, e.vm.Pool) {
 		return h
 	}
 	return placement.Suspect
 }
 
-func (m *Manager) health(o *observed) placement.Health {
+func (m *Manager) health(e *engineState) placement.Health {
 	switch {
-	case o.silent.IsZero() && !o.seen.IsZero():
+	case e.silentSince.IsZero() && !e.answeredAt.IsZero():
 		return placement.Up
-	case o.silent.IsZero() || time.Since(o.silent) < m.cfg.SilenceTimeout:
+	case e.silentSince.IsZero() || time.Since(e.silentSince) < m.cfg.SilenceTimeout:
 		return placement.Suspect
 	}
 	return placement.Lost
 }
 
-// freeFetches is this zone's part of the weight store's free fetches, at
+// loadBudget is this zone's part of the weight store's free fetches, at
 // least one while any is free. An unknown state of the store allows one load
 // at a time: waiting for it would leave a zone without replicas.
-func (m *Manager) freeFetches(ctx context.Context, text *site.Site) int {
+func (m *Manager) loadBudget(ctx context.Context, text *site.Site) int {
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.StatusTimeout)
 	defer cancel()
-	loading := m.loading()
+	loading := m.loadsInProgress()
 	if m.deps.Weights == nil {
 		return 1 - loading
 	}
@@ -277,15 +277,15 @@
 	return min(status.Capacity-status.Active, share-loading)
 }
 
-// loading counts the loads under way. The last report of an engine that is
+// loadsInProgress counts the loads under way. The last report of an engine that is
 // lost may show one; counting it would keep the zone's share for good.
-func (m *Manager) loading() int {
+func (m *Manager) loadsInProgress() int {
 	n := 0
-	for _, o := range m.engines {
-		if m.health(o) == placement.Lost {
+	for _, e := range m.engines {
+		if m.health(e) == placement.Lost {
 			continue
 		}
-		for _, l := range o.status.Models {
+		for _, l := range e.status.Models {
 			if l.State == engine.Loading {
 				n++
 			}
@@ -294,8 +294,8 @@
 	return n
 }
 
-// desired returns the generation services of the text as wanted in a zone.
-func desired(text *site.Site, zone string) []placement.Service {
+// desiredServices returns the generation services of the text as wanted in a zone.
+func desiredServices(text *site.Site, zone string) []placement.Service {
 	var out []placement.Service
 	for _, s := range text.Services {
 		if s.Kind != site.KindGeneration {
--- a/control/reconcile/outcome.go
+++ b/control/reconcile/outcome.go
@@ -9,25 +9,25 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// failed records an order that was not accepted, or whose fate is unknown. In
+// handleOrderError records an order that was not accepted, or whose fate is unknown. In
 // both cases nothing is concluded: the engine's next report tells.
-func (m *Manager) failed(o *observed, order engine.Order, step placement.Step, err error) {
+func (m *Manager) handleOrderError(e *engineState, order engine.Order, step placement.Step, err error) {
 	m.deps.Log.Emit(event.PlacementFailed, order.ID, string(order.Kind), step.Backend, step.Service,
 		step.Ref.String(), string(step.Reason), err.Error())
 	switch {
 	case errors.Is(err, engine.ErrStaleFence):
-		m.fenced = true
-		m.deps.Log.Emit(event.PlacementFenced, step.Backend, order.Fence, o.status.Fence)
-	case errors.Is(err, engine.ErrRefused) && order.Kind == engine.OrderLoad && len(o.status.Models) > 0:
-		o.full = true
+		m.superseded = true
+		m.deps.Log.Emit(event.PlacementFenced, step.Backend, order.Fence, e.status.Fence)
+	case errors.Is(err, engine.ErrRefused) && order.Kind == engine.OrderLoad && len(e.status.Models) > 0:
+		e.full = true
 	default:
-		o.pending = true
-		m.holdBack(o)
+		e.orderPending = true
+		m.backOff(e)
 	}
 }
 
-// outcome is the metric label of an order's result.
-func outcome(err error) string {
+// outcomeLabel is the metric label of an order's result.
+func outcomeLabel(err error) string {
 	switch {
 	case err == nil:
 		return "accepted"
--- a/control/reconcile/reconcile.go
+++ b/control/reconcile/reconcile.go
@@ -107,20 +107,20 @@
 
 // Manager reconciles one zone while this daemon holds its lease.
 type Manager struct {
-	deps Deps
-	cfg  Config
-	met  metrics
+	deps    Deps
+	cfg     Config
+	metrics metrics
 
-	mu     sync.Mutex
-	report Report
-	hints  map[string]bool // engines to be polled at the next tick
+	mu           sync.Mutex
+	report       Report
+	pollRequests map[string]bool // engines to be polled at the next tick
 
 	// Used by Run only.
-	fence   uint64 // of the hold that the state below belongs to
-	engines map[string]*observed
-	acted   revisionMark
-	fenced  bool // an engine knows a higher number than fence
-	said    placement.Step
+	fence      uint64 // of the hold that the state below belongs to
+	engines    map[string]*engineState
+	actedOn    revisionMark
+	superseded bool // an engine knows a higher number than fence
+	lastLogged placement.Step
 }
 
 // NewManager returns a Manager that acts once Run is started and the lease is held.
@@ -132,8 +132,8 @@
 		deps.Config = DefaultConfig()
 	}
 	return &Manager{
-		deps: deps, cfg: deps.Config, met: newMetrics(deps.Registerer),
-		engines: make(map[string]*observed), hints: make(map[string]bool),
+		deps: deps, cfg: deps.Config, metrics: newMetrics(deps.Registerer),
+		engines: make(map[string]*engineState), pollRequests: make(map[string]bool),
 	}
 }
 
@@ -150,20 +150,20 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.report.HoldsLease {
-		m.hints[id] = true
+		m.pollRequests[id] = true
 	}
 }
 
-// takeHints makes the engines of all hints due.
-func (m *Manager) takeHints() {
+// applyPollRequests makes the engines of all hints due.
+func (m *Manager) applyPollRequests() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for id := range m.hints {
-		if o, ok := m.engines[id]; ok {
-			o.asked = time.Time{}
+	for id := range m.pollRequests {
+		if e, ok := m.engines[id]; ok {
+			e.polledAt = time.Time{}
 		}
 	}
-	clear(m.hints)
+	clear(m.pollRequests)
 }
 
 // Run reconciles until ctx ends.
@@ -180,77 +180,77 @@
 	}
 }
 
-// maxSteps bounds the orders of one tick, so that each tick begins with a new
+// maxStepsPerTick bounds the orders of one tick, so that each tick begins with a new
 // look at the lease and the site text.
-const maxSteps = 8
+const maxStepsPerTick = 8
 
 func (m *Manager) tick(ctx context.Context) {
 	hold := m.deps.Lease.Held()
 	if !hold.Valid(time.Now()) {
-		m.forget()
+		m.reset()
 		return
 	}
 	if hold.Fence != m.fence {
-		m.begin(hold)
+		m.startHold(hold)
 	}
 	text := m.deps.Site.Current()
-	if text == nil || m.fenced || !m.mayActOn(ctx, text) {
+	if text == nil || m.superseded || !m.canActOn(ctx, text) {
 		return
 	}
-	m.takeHints()
-	if m.observe(ctx, text, m.steadyAge()) != nil {
+	m.applyPollRequests()
+	if m.observe(ctx, text, m.steadyPollAge()) != nil {
 		return
 	}
-	for range maxSteps {
-		if !m.step(ctx, hold, text) {
+	for range maxStepsPerTick {
+		if !m.runStep(ctx, hold, text) {
 			return
 		}
 	}
 }
 
-// begin drops what was seen under an earlier hold.
-func (m *Manager) begin(hold lease.Hold) {
-	m.forget()
+// startHold drops what was seen under an earlier hold.
+func (m *Manager) startHold(hold lease.Hold) {
+	m.reset()
 	m.fence = hold.Fence
 }
 
-func (m *Manager) forget() {
+func (m *Manager) reset() {
 	if m.fence == 0 {
 		return
 	}
-	m.fence, m.fenced, m.said = 0, false, placement.Step{}
-	m.acted = revisionMark{}
+	m.fence, m.superseded, m.lastLogged = 0, false, placement.Step{}
+	m.actedOn = revisionMark{}
 	clear(m.engines)
-	m.set(Report{})
+	m.setReport(Report{})
 }
 
-func (m *Manager) set(r Report) {
+func (m *Manager) setReport(r Report) {
 	m.mu.Lock()
 	m.report = r
 	m.mu.Unlock()
 }
 
-// step decides and carries out one order. It reports whether another may follow.
-func (m *Manager) step(ctx context.Context, hold lease.Hold, text *site.Site) bool {
+// runStep decides and carries out one order. It reports whether another may follow.
+func (m *Manager) runStep(ctx context.Context, hold lease.Hold, text *site.Site) bool {
 	step := m.plan(ctx, hold, text)
 	if step.ReducesCapacity && m.observe(ctx, text, m.cfg.MaxObservationAge) == nil {
 		step = m.plan(ctx, hold, text)
 	}
-	m.set(Report{HoldsLease: true, Fence: hold.Fence, Revision: text.Revision, LastStep: step, DecidedAt: time.Now()})
-	m.say(step, text)
+	m.setReport(Report{HoldsLease: true, Fence: hold.Fence, Revision: text.Revision, LastStep: step, DecidedAt: time.Now()})
+	m.logStep(step, text)
 	if step.Kind != placement.Load && step.Kind != placement.Unload {
 		return false
 	}
-	return m.give(ctx, text, step)
+	return m.sendOrder(ctx, text, step)
 }
 
-// say logs a decision to wait or do nothing when it differs from the last.
-func (m *Manager) say(step placement.Step, text *site.Site) {
-	m.met.steps.WithLabelValues(step.Kind.String(), string(step.Reason)).Inc()
-	if step == m.said {
+// logStep logs a decision to wait or do nothing when it differs from the last.
+func (m *Manager) logStep(step placement.Step, text *site.Site) {
+	m.metrics.steps.WithLabelValues(step.Kind.String(), string(step.Reason)).Inc()
+	if step == m.lastLogged {
 		return
 	}
-	m.said = step
+	m.lastLogged = step
 	switch step.Kind {
 	case placement.Wait:
 		m.deps.Log.Emit(event.PlacementWaits, step.Service, string(step.Reason), text.Revision)
@@ -259,10 +259,10 @@
 	}
 }
 
-// give sends one order under the hold, if that still lasts, and looks at what
+// sendOrder sends one order under the hold, if that still lasts, and looks at what
 // became of it.
-func (m *Manager) give(ctx context.Context, text *site.Site, step placement.Step) bool {
-	o, ok := m.engines[step.Backend]
+func (m *Manager) sendOrder(ctx context.Context, text *site.Site, step placement.Step) bool {
+	e, ok := m.engines[step.Backend]
 	hold := m.deps.Lease.Held()
 	if !ok || hold.Fence != m.fence || !hold.Valid(time.Now()) {
 		return false
@@ -273,17 +273,17 @@
 		until = hold.Until
 	}
 	orderCtx, cancel := context.WithDeadline(ctx, until)
-	err := o.eng.Order(orderCtx, order)
+	err := e.eng.Order(orderCtx, order)
 	cancel()
-	m.met.orders.WithLabelValues(string(order.Kind), outcome(err)).Inc()
+	m.metrics.orders.WithLabelValues(string(order.Kind), outcomeLabel(err)).Inc()
 	if err != nil {
-		m.failed(o, order, step, err)
-		return !m.fenced
+		m.handleOrderError(e, order, step, err)
+		return !m.superseded
 	}
-	o.pending = true
+	e.orderPending = true
 	m.deps.Log.Emit(event.PlacementOrdered, order.ID, string(order.Kind), step.Backend, step.Service,
 		step.Ref.String(), string(step.Reason), order.Fence, text.Revision)
-	m.poll(ctx, o)
+	m.poll(ctx, e)
 	return true
 }
 
--- a/control/reconcile/revision.go
+++ b/control/reconcile/revision.go
@@ -17,13 +17,13 @@
 
 // revisionMark is the zone's mark in the store as last read or written.
 type revisionMark struct {
-	known    bool
-	revision int64
-	version  int64 // of the key, 0 if absent
-	said     int64 // revision for which being behind was logged
+	loaded       bool
+	revision     int64
+	version      int64 // of the key, 0 if absent
+	loggedBehind int64 // revision for which being behind was logged
 }
 
-// mayActOn reports whether orders may be given for text, and writes the mark
+// canActOn reports whether orders may be given for text, and writes the mark
 // first when the text is newer than any acted on.
 //
 // The failure: a holder that is behind on the text takes over from one that
@@ -31,24 +31,24 @@
 // shows as engines that load the old version again for a while. The mark is
 // written before the first order of a revision, so whoever holds the lease
 // later reads it and waits until it knows that revision.
-func (m *Manager) mayActOn(ctx context.Context, text *site.Site) bool {
-	if m.acted.known && m.acted.revision == text.Revision {
+func (m *Manager) canActOn(ctx context.Context, text *site.Site) bool {
+	if m.actedOn.loaded && m.actedOn.revision == text.Revision {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.OrderTimeout)
 	defer cancel()
-	if !m.acted.known && !m.readMark(ctx) {
+	if !m.actedOn.loaded && !m.readMark(ctx) {
 		return false
 	}
 	switch {
-	case text.Revision == m.acted.revision:
+	case text.Revision == m.actedOn.revision:
 		return true
-	case text.Revision > m.acted.revision:
+	case text.Revision > m.actedOn.revision:
 		return m.writeMark(ctx, text.Revision)
 	}
-	if m.acted.said != text.Revision {
-		m.acted.said = text.Revision
-		m.deps.Log.Emit(event.PlacementBehind, text.Revision, m.acted.revision)
+	if m.actedOn.loggedBehind != text.Revision {
+		m.actedOn.loggedBehind = text.Revision
+		m.deps.Log.Emit(event.PlacementBehind, text.Revision, m.actedOn.revision)
 	}
 	return false
 }
@@ -56,7 +56,7 @@
 func (m *Manager) readMark(ctx context.Context) bool {
 	kv, err := m.deps.Store.Get(ctx, m.markKey())
 	if errors.Is(err, store.ErrNotFound) {
-		m.acted = revisionMark{known: true}
+		m.actedOn = revisionMark{loaded: true}
 		return true
 	}
 	if err != nil {
@@ -66,7 +66,7 @@
 	if err != nil {
 		revision = 0 // not written by a daemon; the next write replaces it
 	}
-	m.acted = revisionMark{known: true, revision: revision, version: kv.Version}
+	m.actedOn = revisionMark{loaded: true, revision: revision, version: kv.Version}
 	return true
 }
 
@@ -74,12 +74,12 @@
 // mark is read again before anything is concluded.
 func (m *Manager) writeMark(ctx context.Context, revision int64) bool {
 	value := strconv.FormatInt(revision, 10)
-	version, err := m.deps.Store.CompareAndSwap(ctx, m.markKey(), m.acted.version, []byte(value), 0)
+	version, err := m.deps.Store.CompareAndSwap(ctx, m.markKey(), m.actedOn.version, []byte(value), 0)
 	if err != nil {
-		m.acted = revisionMark{}
+		m.actedOn = revisionMark{}
 		return false
 	}
-	m.acted = revisionMark{known: true, revision: revision, version: version}
+	m.actedOn = revisionMark{loaded: true, revision: revision, version: version}
 	return true
 }
 
--- a/control/settings/parse.go
+++ b/control/settings/parse.go
@@ -20,11 +20,11 @@
 const DefaultDrainLimit = 10 * time.Minute
 
 const (
-	shortestDrain = time.Second
-	longestDrain  = 24 * time.Hour
+	minDrainLimit = time.Second
+	maxDrainLimit = 24 * time.Hour
 )
 
-var fields = map[string][]inifile.Field[Settings]{
+var sectionFields = map[string][]inifile.Field[Settings]{
 	"daemon":   daemonFields,
 	"platform": platformFields,
 	"tls":      tlsFields,
@@ -35,28 +35,28 @@
 var sectionOrder = []string{"daemon", "platform", "tls", "log"}
 
 var daemonFields = []inifile.Field[Settings]{
-	{Name: "site", Required: true, Help: "name of the site whose text this daemon follows", Set: word(func(s *Settings) *string { return &s.Site })},
-	{Name: "vm", Required: true, Help: "id of this VM in the platform's list", Set: word(func(s *Settings) *string { return &s.VM })},
-	{Name: "zone", Required: true, Help: "availability zone of this VM", Set: text(func(s *Settings) *string { return &s.Zone })},
-	{Name: "region", Help: "region of the zone", Set: text(func(s *Settings) *string { return &s.Region })},
-	{Name: "listen", Required: true, Help: "address for callers", Set: address(func(s *Settings) *string { return &s.Listen })},
-	{Name: "peer_listen", Required: true, Help: "address for other entry VMs", Set: address(func(s *Settings) *string { return &s.PeerListen })},
-	{Name: "admin_listen", Required: true, Help: "address for operators: status and metrics", Set: address(func(s *Settings) *string { return &s.AdminListen })},
+	{Name: "site", Required: true, Help: "name of the site whose text this daemon follows", Set: nameSetter(func(s *Settings) *string { return &s.Site })},
+	{Name: "vm", Required: true, Help: "id of this VM in the platform's list", Set: nameSetter(func(s *Settings) *string { return &s.VM })},
+	{Name: "zone", Required: true, Help: "availability zone of this VM", Set: textSetter(func(s *Settings) *string { return &s.Zone })},
+	{Name: "region", Help: "region of the zone", Set: textSetter(func(s *Settings) *string { return &s.Region })},
+	{Name: "listen", Required: true, Help: "address for callers", Set: addressSetter(func(s *Settings) *string { return &s.Listen })},
+	{Name: "peer_listen", Required: true, Help: "address for other entry VMs", Set: addressSetter(func(s *Settings) *string { return &s.PeerListen })},
+	{Name: "admin_listen", Required: true, Help: "address for operators: status and metrics", Set: addressSetter(func(s *Settings) *string { return &s.AdminListen })},
 	{Name: "drain_limit", Default: DefaultDrainLimit.String(), Help: "longest graceful shutdown", Set: setDrainLimit},
 }
 
 var platformFields = []inifile.Field[Settings]{
 	{Name: "store", Required: true, Help: "endpoints of the key-value service, comma-separated URLs", Set: setStore},
-	{Name: "vm_list", Required: true, Help: "URL of the VM list", Set: link(func(s *Settings) *string { return &s.VMList })},
-	{Name: "weights", Help: "URL of the weight store", Set: link(func(s *Settings) *string { return &s.Weights })},
+	{Name: "vm_list", Required: true, Help: "URL of the VM list", Set: urlSetter(func(s *Settings) *string { return &s.VMList })},
+	{Name: "weights", Help: "URL of the weight store", Set: urlSetter(func(s *Settings) *string { return &s.Weights })},
 }
 
 var tlsFields = []inifile.Field[Settings]{
-	{Name: "cert", Help: "certificate file towards callers", Set: text(func(s *Settings) *string { return &s.TLS.Cert })},
-	{Name: "key", Help: "its private key file", Set: text(func(s *Settings) *string { return &s.TLS.Key })},
-	{Name: "peer_cert", Help: "certificate file of both ends of links between entry VMs", Set: text(func(s *Settings) *string { return &s.TLS.PeerCert })},
-	{Name: "peer_key", Help: "its private key file", Set: text(func(s *Settings) *string { return &s.TLS.PeerKey })},
-	{Name: "peer_ca", Help: "file of the authorities that sign entry VMs' certificates", Set: text(func(s *Settings) *string { return &s.TLS.PeerCA })},
+	{Name: "cert", Help: "certificate file towards callers", Set: textSetter(func(s *Settings) *string { return &s.TLS.Cert })},
+	{Name: "key", Help: "its private key file", Set: textSetter(func(s *Settings) *string { return &s.TLS.Key })},
+	{Name: "peer_cert", Help: "certificate file of both ends of links between entry VMs", Set: textSetter(func(s *Settings) *string { return &s.TLS.PeerCert })},
+	{Name: "peer_key", Help: "its private key file", Set: textSetter(func(s *Settings) *string { return &s.TLS.PeerKey })},
+	{Name: "peer_ca", Help: "file of the authorities that sign entry VMs' certificates", Set: textSetter(func(s *Settings) *string { return &s.TLS.PeerCA })},
 	{Name: "operator_token_hash", Secret: true, Help: "lower-case hex SHA-256 of the operators' bearer token", Set: setTokenHash},
 }
 
@@ -71,14 +71,14 @@
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, inifile.Errors{{
-			File: path, Problem: "cannot be read (" + cause(err).Error() + ")",
+			File: path, Problem: "cannot be read (" + pathErrorCause(err).Error() + ")",
 			Remedy: "give the path of a readable settings file",
 		}}
 	}
 	return ParseText(path, text)
 }
 
-func cause(err error) error {
+func pathErrorCause(err error) error {
 	var pathErr *os.PathError
 	if errors.As(err, &pathErr) {
 		return pathErr.Err
@@ -86,14 +86,14 @@
 	return err
 }
 
-// locate remembers where the keys of a section stand.
-func (s *Settings) locate(file string, sec *inifile.Section) {
+// recordKeyLines remembers where the keys of a section stand.
+func (s *Settings) recordKeyLines(file string, sec *inifile.Section) {
 	if sec == nil {
 		return
 	}
-	s.file, s.lines = file, make(map[string]int, len(sec.Keys))
+	s.file, s.keyLines = file, make(map[string]int, len(sec.Keys))
 	for _, k := range sec.Keys {
-		s.lines[k.Name] = k.Line
+		s.keyLines[k.Name] = k.Line
 	}
 }
 
@@ -103,7 +103,7 @@
 	s := &Settings{LogLevel: "info", LogFormat: "text", DrainLimit: DefaultDrainLimit}
 	sections := map[string]*inifile.Section{}
 	for _, sec := range inifile.Parse(text, errs) {
-		known, ok := fields[sec.Header()]
+		known, ok := sectionFields[sec.Header()]
 		if !ok {
 			errs.Add(sec.Line, fmt.Sprintf("unknown section [%s]", sec.Header()),
 				"write one of ["+strings.Join(sectionOrder, "], [")+"]")
@@ -117,7 +117,7 @@
 			errs.Add(0, "no section ["+name+"]", "add it")
 		}
 	}
-	s.locate(name, sections["daemon"])
+	s.recordKeyLines(name, sections["daemon"])
 	checkAddresses(s, sections["daemon"], errs)
 	checkTLS(s, sections["tls"], errs)
 	if err := errs.Err(); err != nil {
@@ -130,7 +130,7 @@
 func Reference() []inifile.Row {
 	var rows []inifile.Row
 	for _, name := range sectionOrder {
-		rows = append(rows, inifile.Rows(name, fields[name])...)
+		rows = append(rows, inifile.Rows(name, sectionFields[name])...)
 	}
 	return rows
 }
@@ -179,10 +179,10 @@
 	}
 }
 
-type setter = func(to *Settings, suffix, value string) error
+type setFunc = func(to *Settings, suffix, value string) error
 
-// text accepts any value but an empty one.
-func text(field func(*Settings) *string) setter {
+// textSetter accepts any value but an empty one.
+func textSetter(field func(*Settings) *string) setFunc {
 	return func(to *Settings, _, value string) error {
 		if value == "" {
 			return errors.New("write a value or leave the key out")
@@ -192,8 +192,8 @@
 	}
 }
 
-// word accepts what may stand in a store key or a URL path.
-func word(field func(*Settings) *string) setter {
+// nameSetter accepts what may stand in a store key or a URL path.
+func nameSetter(field func(*Settings) *string) setFunc {
 	return func(to *Settings, _, value string) error {
 		if !inifile.IsName(value) {
 			return errors.New("write letters, digits, '.', '_' and '-', beginning with a letter or digit")
@@ -203,7 +203,7 @@
 	}
 }
 
-func address(field func(*Settings) *string) setter {
+func addressSetter(field func(*Settings) *string) setFunc {
 	return func(to *Settings, _, value string) error {
 		host, port, err := net.SplitHostPort(value)
 		if err == nil {
@@ -220,7 +220,7 @@
 	}
 }
 
-func link(field func(*Settings) *string) setter {
+func urlSetter(field func(*Settings) *string) setFunc {
 	return func(to *Settings, _, value string) error {
 		if err := checkURL(value); err != nil {
 			return err
@@ -256,7 +256,7 @@
 }
 
 func setDrainLimit(to *Settings, _, value string) (err error) {
-	to.DrainLimit, err = inifile.Duration(value, shortestDrain, longestDrain)
+	to.DrainLimit, err = inifile.Duration(value, minDrainLimit, maxDrainLimit)
 	return err
 }
 
--- a/control/settings/settings.go
+++ b/control/settings/settings.go
@@ -32,15 +32,15 @@
 	DrainLimit time.Duration
 
 	// file and lines say where the keys of [daemon] were read.
-	file  string
-	lines map[string]int
+	file     string
+	keyLines map[string]int
 }
 
 // Position returns file:line of a key of [daemon], for errors that show only when
 // the value is used, such as a busy port. It is the key alone where the
 // settings were not read from a file.
 func (s *Settings) Position(key string) string {
-	line, ok := s.lines[key]
+	line, ok := s.keyLines[key]
 	if !ok {
 		return key
 	}
