--- a/control/backends/backends.go
+++ b/control/backends/backends.go
@@ -1,5 +1,7 @@
-// Package backends keeps a daemon's picture of the backend servers: the
-// platform's lagging VM list joined with what each engine reports of itself.
+// Package backends tracks the backend servers: it joins the platform's VM list, which lags, with the
+// status that each engine reports. Every daemon polls only a subset of the servers, since polling and
+// connecting to all of them from every daemon does not scale, and the daemons tell each other about
+// changes of the VM list and of reports.
 package backends
 
 import (
@@ -10,27 +12,28 @@
 	"mallowwind.dev/external/vmlist"
 )
 
-// Kind says what the VMs of a pool are.
+// Kind is the kind of the backend servers of a pool.
 type Kind uint8
 
 // The kinds of pools.
 const (
-	KindEngine  Kind = iota // model engines, which are asked for their status
-	KindPlain               // plain services, which report nothing
-	KindUnknown             // no site text yet: nothing is asked and nothing sent
+	KindEngine  Kind = iota // model engines, which are polled for their status
+	KindPlain               // plain services, which have no status to poll
+	KindUnknown             // not known yet, for lack of a site text: not polled and not reachable
 )
 
-// Backend is one backend server as last seen. It is immutable.
+// Backend is the last known state of one backend server. It is immutable.
 type Backend struct {
 	VM       vmlist.VM
-	Engine   engine.Engine // nil in pools of plain services
-	Status   engine.Status // last report; zero for plain services
-	StatusAt time.Time     // when Status was taken, zero if never
-	// Reachable is false after the last poll failed.
+	Engine   engine.Engine // nil unless the pool holds engines
+	Status   engine.Status // last status report; zero if there was none
+	StatusAt time.Time     // when Status was received; zero if never
+	// Reachable is false before the first poll of an engine and after one that failed. Plain services
+	// always count as reachable.
 	Reachable bool
 }
 
-// Serves reports whether the backend server has ref loaded and ready.
+// Serves reports whether the backend server has loaded ref and ref is ready.
 func (b *Backend) Serves(ref engine.ModelRef) bool {
 	for _, l := range b.Status.Models {
 		if l.Ref == ref && l.State == engine.Ready {
@@ -40,14 +43,14 @@
 	return false
 }
 
-// readyRef returns the set of weights with which the backend server can run a
-// request for ref now: ref itself where it is ready, else another version of
-// the same model and adapter. Versions in except are passed over.
+// readyRef returns the set of weights with which the backend server can run a request for ref now:
+// ref itself if it is ready, else another version of the same model and adapter. Versions in except
+// are skipped. Servers that are unreachable or leaving have none.
 func (b *Backend) readyRef(ref engine.ModelRef, except []string) (engine.ModelRef, bool) {
-	var other engine.ModelRef
+	var otherVersion engine.ModelRef
 	found := false
 	if !b.Reachable || b.VM.State == vmlist.Leaving {
-		return other, false
+		return otherVersion, false
 	}
 	for _, l := range b.Status.Models {
 		if l.State != engine.Ready || l.Ref.Model != ref.Model || l.Ref.Adapter != ref.Adapter {
@@ -59,29 +62,29 @@
 		if l.Ref == ref {
 			return ref, true
 		}
-		other, found = l.Ref, true
+		otherVersion, found = l.Ref, true
 	}
-	return other, found
+	return otherVersion, found
 }
 
-// Snapshot is an immutable picture of all known backend servers by pool,
-// ordered by VM id. Version grows with every change.
+// Snapshot is an immutable snapshot of all known backend servers by pool, ordered by VM ID. Version
+// increases with every snapshot.
 type Snapshot struct {
 	Version uint64
 	Pools   map[string][]*Backend
 }
 
-// ChooseVersion returns the version with which a new request for ref runs. pick is any
-// evenly distributed number.
+// ChooseVersion returns the set of weights with which a new request for ref runs. pick is a uniformly
+// distributed number.
 //
-// The failure it guards against: a text with a new version is in force before
-// any engine has it ready, and engines become ready one by one. Requests for
-// the new version alone would be refused at first and then all meet at the
-// first engine that has it. Each version therefore gets the share of requests
-// that its engines are of all; ref itself is returned where none is ready.
+// A site text with a new version comes into force before any engine has loaded that version, and
+// engines become ready one by one. If all requests asked for the new version, they would be refused at
+// first and then overload the first engine that is ready. Each version therefore receives requests in
+// proportion to the number of engines that would serve it; ref itself is returned if no engine is
+// ready.
 //
-// except names versions that are out of the question: an engine that unloads
-// one refuses requests for it before its report says so.
+// Versions in except are never chosen from the ready engines: an engine that unloads a version refuses
+// requests for it before its status report shows that.
 func (s *Snapshot) ChooseVersion(pool string, ref engine.ModelRef, pick uint64, except ...string) engine.ModelRef {
 	var ready []engine.ModelRef
 	for _, b := range s.Pools[pool] {
@@ -95,12 +98,12 @@
 	return ready[pick%uint64(len(ready))]
 }
 
-// Source gives the current snapshot; the pointer is swapped whole and never nil.
+// Source provides the current snapshot, which is never nil.
 type Source interface {
 	Current() *Snapshot
 }
 
-// Static is a Source that never changes, for tests.
+// Static is a Source with a fixed snapshot, for tests.
 type Static struct{ Snapshot *Snapshot }
 
 // Current returns the fixed snapshot.
--- a/control/backends/entries.go
+++ b/control/backends/entries.go
@@ -9,11 +9,11 @@
 	"mallowwind.dev/external/vmlist"
 )
 
-// removalReads is how many reads in a row must lack a VM before it counts as
-// vanished: one read may be cut short or come from a lagging copy.
+// removalReads is the number of consecutive reads that must lack a VM before it counts as removed. A
+// single read may be truncated or come from a lagging replica of the list.
 const removalReads = 2
 
-// entry is the mutable record behind a Backend. Manager.mu guards it.
+// entry is the mutable state from which a Backend is published. It is guarded by Manager.mu.
 type entry struct {
 	vm          vmlist.VM
 	kind        Kind
@@ -26,7 +26,7 @@
 	polling     bool
 	due         time.Time
 	missedReads int
-	removedAt   time.Time // when it counted as vanished, zero while listed
+	removedAt   time.Time // when it was found to be removed from the list; zero before
 }
 
 // isChanging reports whether the entry's state is expected to change soon.
@@ -42,15 +42,15 @@
 	return false
 }
 
-// change is one transition that a merge of the list made, for the log.
+// change is a state transition made by merge, to be logged.
 type change struct {
 	vm        vmlist.VM
 	reason    string
 	forgotten bool
 }
 
-// merge applies one read of the list to the entries and returns what changed.
-// wanted holds the rows of this daemon's subset by id, listed all rows by id.
+// merge applies the list to the entries and returns the transitions to log. wanted holds the rows of
+// this daemon's subset by VM ID; listed holds the IDs of all entries that the list contains.
 func (m *Manager) merge(wanted map[string]vmlist.VM, listed map[string]bool, now time.Time) []change {
 	var changes []change
 	for id, vm := range wanted {
@@ -60,7 +60,7 @@
 			m.entries[id] = e
 		}
 		if vm.State == vmlist.Leaving && (!ok || e.vm.State != vmlist.Leaving) {
-			changes = append(changes, change{vm: vm, reason: "the VM list says so"})
+			changes = append(changes, change{vm: vm, reason: "marked as leaving in the VM list"})
 		}
 		e.vm, e.missedReads, e.removedAt = vm, 0, time.Time{}
 	}
@@ -76,13 +76,14 @@
 	return changes
 }
 
-// mergeUnwanted handles an entry outside the wanted rows: no longer in the subset, or
-// no longer listed. A VM that left the list gets no new work, whether or not
-// it still answers: the list says that the platform is done with it, and work
-// given to it would be cut. Its running work goes on until Retain has passed.
+// mergeUnwanted handles an entry that is not in the wanted rows, because its VM is no longer in the
+// subset or no longer in the list. A VM that was removed from the list receives no new work, even if
+// it still answers: the platform is going to stop it, and new work would be aborted. The entry is kept
+// for requests that are still running, for RemovedRetention, or only for RemovalBound if the server is
+// not an engine or does not answer.
 func (m *Manager) mergeUnwanted(e *entry, listed map[string]bool, now time.Time) (change, bool) {
 	if listed[e.vm.ID] {
-		delete(m.entries, e.vm.ID) // moved out of the subset
+		delete(m.entries, e.vm.ID) // no longer in the subset
 		return change{}, false
 	}
 	e.missedReads++
@@ -92,28 +93,28 @@
 	if e.removedAt.IsZero() {
 		e.removedAt = now
 		e.vm.State = vmlist.Leaving
-		return change{vm: e.vm, reason: "the VM list no longer shows it"}, true
+		return change{vm: e.vm, reason: "removed from the VM list"}, true
 	}
-	silent := e.eng == nil || !e.reachable
-	if now.Sub(e.removedAt) >= m.cfg.RemovedRetention || (silent && now.Sub(e.removedAt) >= m.cfg.RemovalBound()) {
+	unresponsive := e.eng == nil || !e.reachable
+	if now.Sub(e.removedAt) >= m.cfg.RemovedRetention || (unresponsive && now.Sub(e.removedAt) >= m.cfg.RemovalBound()) {
 		delete(m.entries, e.vm.ID)
 		return change{vm: e.vm, forgotten: true}, true
 	}
 	return change{}, false
 }
 
-// newEntry makes the entry of a VM as what the text in force says it is. The
-// list is often known before the first text, above all while the store is out:
-// an entry made for good then took a plain service for an engine, which sent
-// it questions for its status, each a call that it may act on, and left it
-// unreachable from this daemon. So an entry made under another kind is made anew.
+// newEntry creates the entry of a VM for the kind of its pool in the site text in force. The list is
+// often known before the first site text, especially during an outage of the store. An entry whose
+// kind was guessed then and never corrected would treat a plain service as an engine: the daemon would
+// send it status polls, which the service may execute as calls, and consider it unreachable. merge
+// therefore replaces an entry whose pool has changed its kind.
 func (m *Manager) newEntry(vm vmlist.VM) *entry {
 	e := &entry{vm: vm, kind: m.poolKind(vm.Pool)}
 	switch e.kind {
 	case KindEngine:
 		e.eng = m.deps.Engine(vm.Address)
 	case KindPlain:
-		e.reachable = true // plain services report nothing; calls tell
+		e.reachable = true // plain services have no status to poll; only failed calls show that one is down
 	}
 	return e
 }
@@ -125,8 +126,7 @@
 	return m.deps.PoolKind(pool)
 }
 
-// publish swaps in a new snapshot if anything but the load figures changed or
-// a fresh status came. Manager.mu is held.
+// publish replaces the snapshot by one of the current entries. The caller holds Manager.mu.
 func (m *Manager) publish() {
 	pools := make(map[string][]*Backend)
 	for _, e := range m.entries {
--- a/control/backends/listchanges.go
+++ b/control/backends/listchanges.go
@@ -13,35 +13,36 @@
 	"mallowwind.dev/external/vmlist"
 )
 
-// readerTerm is how long a daemon stays a reader. Readers pay for the whole
-// list at each change of it; taking turns spreads that over a zone's daemons.
+// readerTerm is how long a daemon remains a reader. A reader transfers the whole list whenever it
+// changes; rotating the readers spreads that load over the daemons of a zone.
 const readerTerm = time.Hour
 
-// ReaderElection returns the Reads of a daemon that goes by the members of its zone:
-// which of them read is drawn anew each hour, by hash. Views and clocks that
-// differ for a moment give a reader more or fewer, which costs a few reads or
-// a few seconds.
+// ReaderElection returns a function for Deps.IsReader. Each hour it elects the readers anew among the
+// live members of the daemon's zone, by a hash of the hour and the member's ID. While the daemons'
+// views or clocks differ, a zone has a reader too many or too few, which costs a few reads or a few
+// seconds.
 func ReaderElection(members membership.Source) func(int) bool {
 	return func(readers int) bool {
 		view := members.Current()
 		term := strconv.FormatInt(time.Now().Unix()/int64(readerTerm.Seconds()), 10)
 		weight := func(m membership.Member) uint64 { return xxhash.Sum64String(term + "\x00" + m.ID) }
-		own, before := weight(view.Self), 0
+		own, higherRanked := weight(view.Self), 0
 		for _, m := range view.Members {
 			if m.ID != view.Self.ID && m.Zone == view.Self.Zone && m.State == membership.Alive && weight(m) < own {
-				before++
+				higherRanked++
 			}
 		}
-		return before < readers
+		return higherRanked < readers
 	}
 }
 
-// OnVMChange registers f to be called with each change that this daemon finds in
-// the list it read itself. f must not block. Call OnNews before Run.
+// OnVMChange registers f to be called with each change that this daemon finds when it reads the list
+// itself. f must not block. Call OnVMChange before Run.
 func (m *Manager) OnVMChange(f func(membership.VMNews)) { m.onVMChange = append(m.onVMChange, f) }
 
-// ApplyVMChange takes a change that another daemon found. It reports whether it was
-// new here, so that it is passed on.
+// ApplyVMChange applies a change of the list that another daemon found. It reports whether the change
+// is newer than the last one that this daemon knew of the VM; it ignores changes and returns false
+// until the list has been read.
 func (m *Manager) ApplyVMChange(n membership.VMNews) bool {
 	m.mu.Lock()
 	if m.list == nil || !n.Seen.After(m.changedAt[n.VM.ID]) {
@@ -51,7 +52,7 @@
 	m.changedAt[n.VM.ID] = n.Seen
 	rows, changed := withChange(m.list, n)
 	if e, ok := m.entries[n.VM.ID]; ok && n.Gone && changed {
-		e.missedReads = removalReads - 1 // the reader has seen it missing often enough
+		e.missedReads = removalReads - 1 // the reader has already missed the VM in removalReads reads
 	}
 	m.mu.Unlock()
 	if changed {
@@ -60,7 +61,8 @@
 	return true
 }
 
-// withChange returns the rows with one change made, ordered by id.
+// withChange returns rows, which are ordered by VM ID, with one change applied, and whether that
+// changed anything.
 func withChange(rows []vmlist.VM, n membership.VMNews) ([]vmlist.VM, bool) {
 	i, found := slices.BinarySearchFunc(rows, n.VM.ID, func(vm vmlist.VM, id string) int { return strings.Compare(vm.ID, id) })
 	switch {
@@ -76,42 +78,42 @@
 	return slices.Insert(slices.Clone(rows), i, n.VM), true
 }
 
-// changeTimeRetention is how long it is remembered when a VM was last seen to change:
-// far longer than news is under way.
+// changeTimeRetention is how long the time of a VM's last change is kept. It is far longer than the
+// propagation of a change takes, so that a change that arrives late is recognised as old.
 const changeTimeRetention = time.Hour
 
-// diffList returns how rows differ from the list before. A VM counts as
-// gone when two reads in a row lack it.
+// diffList returns the changes from the previous list to rows. A VM counts as removed when two
+// consecutive reads lack it. The caller holds Manager.mu.
 func (m *Manager) diffList(rows []vmlist.VM, now time.Time) []membership.VMNews {
 	if len(m.missingOnce) == 0 && slices.Equal(rows, m.list) {
 		return nil
 	}
-	var news []membership.VMNews
-	before := make(map[string]vmlist.VM, len(m.list))
+	var changes []membership.VMNews
+	previous := make(map[string]vmlist.VM, len(m.list))
 	for _, vm := range m.list {
-		before[vm.ID] = vm
+		previous[vm.ID] = vm
 	}
 	for _, vm := range rows {
-		if old, ok := before[vm.ID]; !ok || old != vm {
-			news = append(news, membership.VMNews{VM: vm, Seen: now})
+		if old, ok := previous[vm.ID]; !ok || old != vm {
+			changes = append(changes, membership.VMNews{VM: vm, Seen: now})
 		}
-		delete(before, vm.ID)
+		delete(previous, vm.ID)
 		delete(m.missingOnce, vm.ID)
 	}
 	for _, vm := range m.missingOnce {
-		news = append(news, membership.VMNews{VM: vm, Gone: true, Seen: now})
+		changes = append(changes, membership.VMNews{VM: vm, Gone: true, Seen: now})
 	}
-	m.missingOnce = before
+	m.missingOnce = previous
 	maps.DeleteFunc(m.changedAt, func(_ string, seen time.Time) bool { return now.Sub(seen) > changeTimeRetention })
-	for _, n := range news {
+	for _, n := range changes {
 		m.changedAt[n.VM.ID] = now
 	}
-	return news
+	return changes
 }
 
 func byID(a, b vmlist.VM) int { return strings.Compare(a.ID, b.ID) }
 
-// sorted returns rows ordered by id, and rows themselves where they are.
+// sorted returns rows ordered by VM ID. It returns rows itself if they are ordered already.
 func sorted(rows []vmlist.VM) []vmlist.VM {
 	if slices.IsSortedFunc(rows, byID) {
 		return rows
--- a/control/backends/manager.go
+++ b/control/backends/manager.go
@@ -19,27 +19,27 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// Deps are what a Manager works with.
+// Deps holds the dependencies of a Manager.
 type Deps struct {
-	Self string // VM id of this daemon; picks its subset
+	Self string // VM ID of this daemon; determines its subset
 	Zone string
 	VMs  vmlist.Source
 	// Engine returns the client of the engine at an address.
 	Engine func(address string) engine.Engine
-	// PoolKind says what the site text in force says of a pool; nil means that all
+	// PoolKind returns the kind of a pool according to the site text in force. If it is nil, all pools
 	// hold engines.
 	PoolKind func(pool string) Kind
-	// IsReader reports whether this daemon is one of its zone's readers of the
-	// list, given their number; nil means that it is. See Readers.
+	// IsReader reports whether this daemon is one of the given number of daemons that read the list for
+	// its zone. If it is nil, the daemon is a reader. See ReaderElection.
 	IsReader func(readers int) bool
 	Log      *event.Log
-	// Registerer takes the metrics; nil keeps them unregistered.
+	// Registerer registers the metrics; if it is nil, they are not registered.
 	Registerer prometheus.Registerer
 	Config     Config
 }
 
-// Manager is the Source in use. It reads the VM list, picks this daemon's
-// subset of every pool and polls the engines in it.
+// Manager is the Source used in production. It reads the VM list, selects this daemon's subset of every
+// pool and polls the engines in the subset.
 type Manager struct {
 	deps    Deps
 	cfg     Config
@@ -53,16 +53,16 @@
 	rng            *rand.Rand
 	entries        map[string]*entry
 	list           []vmlist.VM
-	subset         map[string]vmlist.VM // of list
+	subset         map[string]vmlist.VM // this daemon's subset of list, by VM ID
 	listReadAt     time.Time
-	changedAt      map[string]time.Time // when each VM that changed was last seen to
+	changedAt      map[string]time.Time // when a change of each VM was last seen
 	version        uint64
-	missingOnce    map[string]vmlist.VM // VMs that the last read lacked for the first time
+	missingOnce    map[string]vmlist.VM // VMs that the last read lacked and the read before it contained
 	onVMChange     []func(membership.VMNews)
 	onReportChange []func(id string, digest uint64)
 }
 
-// NewManager returns a Manager that knows nothing until Run has read the list.
+// NewManager returns a Manager whose snapshot is empty until Run has read the list.
 func NewManager(deps Deps) *Manager {
 	if deps.Log == nil {
 		deps.Log = event.Discard()
@@ -85,11 +85,11 @@
 	return m
 }
 
-// Current returns the newest snapshot.
+// Current returns the latest snapshot.
 func (m *Manager) Current() *Snapshot { return m.current.Load() }
 
-// List returns the rows of the last list that was read, so that others who
-// need the list share one read of it. It implements vmlist.Source.
+// List returns the list as last read, with the changes that other daemons found, so that the other
+// users of the list in this daemon need no reads of their own. It implements vmlist.Source.
 func (m *Manager) List(context.Context) ([]vmlist.VM, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -99,7 +99,7 @@
 	return m.list, nil
 }
 
-// Run reads and polls until ctx ends.
+// Run reads the VM list and polls the engines until ctx ends.
 func (m *Manager) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	wg.Go(func() { m.pollLoop(ctx) })
@@ -115,7 +115,7 @@
 	return ctx.Err()
 }
 
-// shouldReadList reports whether it is this daemon's turn to read the list.
+// shouldReadList reports whether this daemon should read the list now instead of relying on readers.
 func (m *Manager) shouldReadList() bool {
 	age := m.listAge()
 	return age == 0 || age >= m.cfg.NonReaderListInterval || m.deps.IsReader == nil || m.deps.IsReader(m.cfg.ReadersPerZone)
@@ -127,7 +127,7 @@
 	return m.list
 }
 
-// readList reads the list once and takes it over if it is credible.
+// readList reads the list once, applies it if it is credible and announces the changes.
 func (m *Manager) readList(ctx context.Context) {
 	readCtx, cancel := context.WithTimeout(ctx, m.cfg.ListTimeout)
 	rows, err := m.deps.VMs.List(readCtx)
@@ -146,22 +146,22 @@
 	m.mu.Lock()
 	first := m.listReadAt.IsZero()
 	m.listReadAt = now
-	news := m.diffList(rows, now)
+	changes := m.diffList(rows, now)
 	m.mu.Unlock()
 	m.applyList(rows, now)
 	if first {
-		return // nothing is news to a daemon that has just started
+		return // the first read has no earlier list to differ from
 	}
-	for _, n := range news {
+	for _, n := range changes {
 		for _, f := range m.onVMChange {
 			f(n)
 		}
 	}
 }
 
-// checkCredible refuses a list without any backend server when there were some.
-// The failure: the list's own store is empty after a restart, and a daemon
-// that believed it would drain everything at once.
+// checkCredible rejects a list without any backend server if the daemon knows some. The store behind
+// the list may be empty after a restart, and a daemon that trusted such a list would drain all backend
+// servers at once.
 func (m *Manager) checkCredible(rows []vmlist.VM) error {
 	for _, vm := range rows {
 		if vm.Role == vmlist.RoleBackend {
@@ -171,7 +171,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.entries) > 0 {
-		return errors.New("the VM list shows no backend server at all")
+		return errors.New("the VM list contains no backend server")
 	}
 	return nil
 }
@@ -185,7 +185,7 @@
 	return time.Since(m.listReadAt)
 }
 
-// applyList merges the rows into the picture and publishes it.
+// applyList merges rows into the entries and publishes a snapshot.
 func (m *Manager) applyList(rows []vmlist.VM, now time.Time) {
 	m.mu.Lock()
 	if m.subset == nil || !slices.Equal(rows, m.list) {
@@ -207,11 +207,11 @@
 	m.wakePoller()
 }
 
-// subsetRows returns the rows of this daemon's subset by id.
+// subsetRows returns the rows of this daemon's subset by VM ID.
 func (m *Manager) subsetRows(rows []vmlist.VM) map[string]vmlist.VM {
 	daemons := 0
 	pools := make(map[string][]vmlist.VM)
-	here := make(map[string]int)
+	localSizes := make(map[string]int)
 	for _, vm := range rows {
 		if vm.Role == vmlist.RoleEntry && vm.Zone == m.deps.Zone {
 			daemons++
@@ -221,13 +221,13 @@
 		}
 		pools[vm.Pool] = append(pools[vm.Pool], vm)
 		if vm.Zone == m.deps.Zone {
-			here[vm.Pool]++
+			localSizes[vm.Pool]++
 		}
 	}
 	out := make(map[string]vmlist.VM)
 	for name, pool := range pools {
-		near := localSubsetSize(m.cfg.LocalSubsetSize, m.cfg.DaemonsPerBackend, here[name], daemons)
-		for _, vm := range subset(m.deps.Self, m.deps.Zone, pool, near, m.cfg.RemoteSubsetSize) {
+		localSize := localSubsetSize(m.cfg.LocalSubsetSize, m.cfg.DaemonsPerBackend, localSizes[name], daemons)
+		for _, vm := range subset(m.deps.Self, m.deps.Zone, pool, localSize, m.cfg.RemoteSubsetSize) {
 			out[vm.ID] = vm
 		}
 	}
@@ -244,7 +244,8 @@
 	}
 }
 
-// jittered varies d, so that daemons started together do not call together.
+// jittered adds jitter to d, so that daemons that started together do not send their calls at the
+// same time.
 func (m *Manager) jittered(d time.Duration) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/control/backends/manager_test.go
+++ b/control/backends/manager_test.go
@@ -17,7 +17,7 @@
 	"mallowwind.dev/external/vmlist"
 )
 
-// listFake is a VM list that tests rewrite.
+// listFake is a VM list whose rows the tests set.
 type listFake struct {
 	mu    sync.Mutex
 	rows  []vmlist.VM
@@ -37,7 +37,7 @@
 	l.rows = rows
 }
 
-// engineFake answers only Status; down makes it silent.
+// engineFake implements only Status. While down is set, Status blocks until its context ends.
 type engineFake struct {
 	engine.Engine
 	down  atomic.Bool
@@ -57,6 +57,7 @@
 	return vmlist.VM{ID: id, Address: id + ":1", Zone: "a", Role: vmlist.RoleBackend, Pool: "p", State: state}
 }
 
+// start runs a Manager over list until the test ends.
 func start(t *testing.T, list vmlist.Source, engines map[string]*engineFake) *Manager {
 	m := NewManager(Deps{
 		Self: "d1", Zone: "a", VMs: list,
@@ -66,6 +67,7 @@
 	return m
 }
 
+// run runs m until the test ends and waits until its first reads and polls are done.
 func run(t *testing.T, m *Manager) {
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -85,10 +87,9 @@
 	return nil
 }
 
-// An operator drains a backend server: the platform's list shows it as
-// leaving. Callers would see cut answers if new work still went to it when it
-// stops, so every daemon must know within the stated bound.
-func TestLeavingIsKnownWithinBound(t *testing.T) {
+// An operator drains a backend server, and the platform's list shows it as leaving. Requests sent to it
+// until it stops would be aborted, so the daemon must show it as leaving within DrainBound.
+func TestLeavingIsKnownWithinDrainBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := &listFake{}
 		list.set(backend("b1", vmlist.Live), backend("b2", vmlist.Live))
@@ -108,11 +109,10 @@
 	})
 }
 
-// The platform forgets a VM whose process still answers (a stuck shutdown).
-// New work given to it would be cut when the VM is taken away, but the answers
-// it still generates must stay reachable: it counts as leaving, not as gone.
-// One short read must not have that effect, nor an empty list.
-func TestVanishedButAnswering(t *testing.T) {
+// The list no longer contains a VM whose process still answers (a stuck shutdown). New work would be
+// aborted when the VM is deleted, but its running generations must stay reachable: it must count as
+// leaving for RemovedRetention. An empty list must not have that effect.
+func TestRemovedButAnswering(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := &listFake{}
 		b1, b2 := backend("b1", vmlist.Live), backend("b2", vmlist.Live)
@@ -136,10 +136,9 @@
 	})
 }
 
-// A backend server dies; the list lags and goes on showing it as live. It must
-// stop counting as reachable while its neighbour is polled undisturbed, and
-// count again soon after it is back.
-func TestListedButSilent(t *testing.T) {
+// A backend server crashes while the lagging list still shows it as live. It must become unreachable
+// without affecting another server, and reachable again soon after it answers.
+func TestListedButNotAnswering(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := &listFake{}
 		list.set(backend("b1", vmlist.Live), backend("b2", vmlist.Live))
@@ -159,8 +158,8 @@
 	})
 }
 
-// At the size to come one daemon may not poll 1,900 backend servers, but each
-// of them must be known to enough daemons of its zone to get its share of work.
+// At 390 daemons and 1,900 backend servers, no daemon may know all servers, but each server must be
+// known to enough daemons of its zone to receive its share of the work.
 func TestSubsetAtScale(t *testing.T) {
 	const zones, daemons, replicas, pools = 7, 390, 1900, 15
 	var rows []vmlist.VM
@@ -184,25 +183,26 @@
 			}
 		}
 	}
-	least := daemons
+	leastKnown := daemons
 	for _, vm := range rows[daemons:] {
-		least = min(least, known[vm.ID])
+		leastKnown = min(leastKnown, known[vm.ID])
 	}
-	t.Logf("largest subset %d of %d, least known backend server: by %d daemons of its zone", largest, replicas, least)
+	t.Logf("largest subset: %d of %d backend servers; each server is known to at least %d daemons of its zone", largest, replicas, leastKnown)
 	must.LessEq(t, pools*20, largest)
-	must.Greater(t, 8, least)
+	must.Greater(t, 8, leastKnown)
 }
 
-// Two daemons of a zone with a large pool must between them know all of it.
+// The subset must grow to the whole pool in a zone with few daemons, and stay at its minimum in a zone
+// with many.
 func TestSubsetCoversWithFewDaemons(t *testing.T) {
 	must.Eq(t, 36, min(36, localSubsetSize(12, 8, 36, 3)))
 	must.Eq(t, 12, localSubsetSize(12, 8, 18, 56))
 }
 
-// A daemon that does not read the list hears that a backend server leaves, and
-// later that it is gone. It must stop giving it work at once each time, and an
-// old report that arrives late must not bring it back.
-func TestNewsInPlaceOfReading(t *testing.T) {
+// A daemon that does not read the list learns from another daemon that one backend server is leaving
+// and that another one was removed. Both must count as leaving at once, and an older change that
+// arrives late must not be applied.
+func TestChangesReplaceReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := &listFake{}
 		b1, b2 := backend("b1", vmlist.Live), backend("b2", vmlist.Live)
@@ -233,39 +233,39 @@
 	})
 }
 
-// A reader passes on what it finds, but not what one short read lacks.
-func TestReaderFindsNews(t *testing.T) {
+// A reader must announce changes, but must not announce VMs as removed that only one read lacks.
+func TestReaderAnnouncesChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := &listFake{}
 		b1, b2 := backend("b1", vmlist.Live), backend("b2", vmlist.Live)
 		list.set(b2, b1)
 		m := NewManager(Deps{Self: "d1", Zone: "a", VMs: list, Engine: func(string) engine.Engine { return &engineFake{} }})
-		var news []membership.VMNews
-		m.OnVMChange(func(n membership.VMNews) { news = append(news, n) })
+		var changes []membership.VMNews
+		m.OnVMChange(func(n membership.VMNews) { changes = append(changes, n) })
 		read := func(rows ...vmlist.VM) {
 			list.set(rows...)
 			m.readList(t.Context())
 		}
 		read(b2, b1)
-		read(b1) // short
+		read(b1) // truncated
 		read(b1, b2)
-		must.SliceLen(t, 1, news)
-		must.False(t, news[0].Gone)
+		must.SliceLen(t, 1, changes)
+		must.False(t, changes[0].Gone)
 		b1.State = vmlist.Leaving
 		read(b1, b2)
 		read(b2)
-		must.SliceLen(t, 2, news)
+		must.SliceLen(t, 2, changes)
 		read(b2)
-		must.SliceLen(t, 3, news)
-		must.True(t, news[2].Gone)
-		must.Eq(t, "b1", news[2].VM.ID)
+		must.SliceLen(t, 3, changes)
+		must.True(t, changes[2].Gone)
+		must.Eq(t, "b1", changes[2].VM.ID)
 	})
 }
 
-// In a large pool the steady round takes minutes. One daemon finds that an
-// engine died and tells; another, whose turn is far off, must not go on taking
-// the engine for good, nor ask again when it knows already.
-func TestReportOfOthersBringsThePollForward(t *testing.T) {
+// In a large pool, polling all engines once takes minutes. When another daemon announces that an
+// engine no longer answers, this daemon must poll the engine early instead of considering it reachable
+// until its next steady poll. It must not poll early if it already knows the announced report.
+func TestReportChangeTriggersEarlyPoll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list, engines := &listFake{}, map[string]*engineFake{}
 		var rows []vmlist.VM
@@ -275,8 +275,8 @@
 		}
 		list.set(rows...)
 		m := start(t, list, engines)
-		var told []string
-		m.OnReportChange(func(id string, _ uint64) { told = append(told, id) })
+		var announced []string
+		m.OnReportChange(func(id string, _ uint64) { announced = append(announced, id) })
 		time.Sleep(30 * time.Second)
 		engines["b07:1"].down.Store(true)
 		must.True(t, find(m, "b07").Reachable)
@@ -285,17 +285,17 @@
 		time.Sleep(reportPollSpread + m.cfg.StatusTimeout)
 		synctest.Wait()
 		must.False(t, find(m, "b07").Reachable)
-		must.Eq(t, []string{"b07"}, told)
+		must.Eq(t, []string{"b07"}, announced)
 		must.Eq(t, before+1, engines["b07:1"].polls.Load())
 
-		b9 := engines["b09:1"].polls.Load()
+		pollsOfB09 := engines["b09:1"].polls.Load()
 		m.HandleReportChange("b09", find(m, "b09").digest())
 		time.Sleep(2 * time.Second)
-		must.Eq(t, b9, engines["b09:1"].polls.Load())
+		must.Eq(t, pollsOfB09, engines["b09:1"].polls.Load())
 	})
 }
 
-// Steady polls are bounded by the rate, whatever the number of backend servers.
+// The rate of steady polls must stay at PollsPerSecond whatever the number of backend servers.
 func TestPollRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list, engines := &listFake{}, map[string]*engineFake{}
@@ -313,16 +313,16 @@
 			total += e.polls.Load()
 		}
 		rate := float64(total) / 300
-		t.Logf("polls a second: %.2f", rate)
+		t.Logf("polls per second: %.2f", rate)
 		must.Less(t, m.cfg.PollsPerSecond*1.3, rate)
 		must.Greater(t, m.cfg.PollsPerSecond*0.7, rate)
 	})
 }
 
-// An entry VM boots while the store is out: it knows the VM list seconds before
-// the first text. The order desk must not be asked for an engine's status, which
-// it would run as a call, and it must be usable as soon as the text says what it is.
-func TestListKnownBeforeText(t *testing.T) {
+// An entry VM boots during an outage of the store and knows the VM list before the first site text.
+// The plain service "desk" must not receive status polls, which it would execute as calls, and must
+// become reachable as soon as the site text names the kind of its pool.
+func TestListKnownBeforeSiteText(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := &listFake{}
 		list.set(backend("desk", vmlist.Live))
@@ -345,9 +345,9 @@
 	})
 }
 
-// A new version is ready on one engine of four. Requests must neither wait for
-// it nor all go to that engine, and a leaving engine counts for nothing.
-func TestVersionsShareRequestsByEngines(t *testing.T) {
+// A new version is ready on one of four engines. The requests for it must be divided between the
+// versions in proportion to the engines, and a leaving engine must not count.
+func TestVersionsShareRequestsInProportionToEngines(t *testing.T) {
 	ref := func(v string) engine.ModelRef { return engine.ModelRef{Model: "m", Version: v} }
 	holding := func(state vmlist.State, models ...engine.Loaded) *Backend {
 		return &Backend{VM: vmlist.VM{State: state}, Reachable: true, Status: engine.Status{Models: models}}
--- a/control/backends/poll.go
+++ b/control/backends/poll.go
@@ -9,12 +9,12 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// idleWait is how long the poll loop waits when nothing is due; news of the
-// list or a hint wakes it sooner.
+// idleWait is how long the poll loop waits at most before it looks for due polls again. A change of
+// the list or a requested poll wakes it earlier.
 const idleWait = time.Second
 
-// PollSoon asks for an early poll of a backend server, after work on it failed in
-// a way that its own report may explain.
+// PollSoon makes the poll of a backend server due now. Callers use it after a request to the server
+// failed in a way that its status report may explain.
 func (m *Manager) PollSoon(id string) {
 	m.mu.Lock()
 	if e, ok := m.entries[id]; ok {
@@ -31,8 +31,8 @@
 	}
 }
 
-// pollLoop starts the polls that are due. Polls run beside each other, up to
-// Parallel, so that a silent backend server holds up none of the others.
+// pollLoop starts the polls that are due. Up to Config.MaxConcurrentPolls run concurrently, so that a
+// backend server that does not answer does not delay the polls of others.
 func (m *Manager) pollLoop(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -64,7 +64,8 @@
 	}
 }
 
-// nextDue takes the entry that has been due longest, or says how long to wait.
+// nextDue returns the entry that has been due longest and marks it as being polled. If none is due, it
+// returns nil and how long to wait.
 func (m *Manager) nextDue(now time.Time) (*entry, time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -87,7 +88,7 @@
 	return first, 0
 }
 
-// poll asks one engine for its status and records the answer.
+// poll requests the status of one engine and records the result.
 func (m *Manager) poll(ctx context.Context, e *entry) {
 	pollCtx, cancel := context.WithTimeout(ctx, m.cfg.StatusTimeout)
 	status, err := e.eng.Status(pollCtx)
@@ -99,10 +100,11 @@
 	m.recordPoll(e, status, err)
 }
 
+// recordPoll stores the result of a poll, schedules the next one and announces a changed report.
 func (m *Manager) recordPoll(e *entry, status engine.Status, err error) {
 	interval := m.steadyInterval()
 	m.mu.Lock()
-	was, first := e.reachable, !e.polled
+	wasReachable, first := e.reachable, !e.polled
 	e.polling, e.polled, e.reachable = false, true, err == nil
 	if err == nil {
 		e.status, e.statusAt = status, time.Now()
@@ -127,18 +129,18 @@
 		}
 	}
 	switch {
-	case err != nil && (was || first):
+	case err != nil && (wasReachable || first):
 		m.metrics.pollFailures.Inc()
 		m.deps.Log.Emit(event.BackendUnreachable, vm.ID, vm.Pool, err.Error())
 	case err != nil:
 		m.metrics.pollFailures.Inc()
-	case !was:
+	case !wasReachable:
 		m.deps.Log.Emit(event.BackendReachable, vm.ID, vm.Pool, status.Incarnation)
 	}
 }
 
-// steadyInterval is the time between two polls of a steady backend server: the
-// whole subset shares PollsPerSecond.
+// steadyInterval returns the time between two polls of a backend server in a steady state. All entries
+// share PollsPerSecond.
 func (m *Manager) steadyInterval() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/control/backends/reportchanges.go
+++ b/control/backends/reportchanges.go
@@ -8,15 +8,15 @@
 	"mallowwind.dev/external/engine"
 )
 
-// noAnswerDigest stands for the digest of a backend server that does not answer.
+// noAnswerDigest is the digest of a backend server that does not answer.
 const noAnswerDigest = 1
 
-// reportPollSpread is the time over which daemons that hear of a changed report
-// ask for it themselves, so that they do not all ask at once.
+// reportPollSpread spreads the polls of the daemons that learn of a changed report, so that they do
+// not all poll the backend server at once. Each polls after half of it, with jitter.
 const reportPollSpread = time.Second
 
-// statusDigest returns a hash of what other daemons should know of a report soon:
-// the process and the state of its weights, not its load.
+// statusDigest returns a hash of the parts of a status report that other daemons should learn soon:
+// the incarnation, the role and the state of the sets of weights, but not the load.
 func statusDigest(s engine.Status, answered bool) uint64 {
 	if !answered {
 		return noAnswerDigest
@@ -30,16 +30,17 @@
 	return d.Sum64()
 }
 
-// OnReportChange registers f to be called when a poll of this daemon found a changed
-// report: another process, other weights, or silence. f must not block. Call
-// OnReport before Run.
+// OnReportChange registers f to be called when a poll by this daemon finds a changed report: another
+// incarnation or role, other weights, no answer, or an answer again. f must not block. Call
+// OnReportChange before Run.
 func (m *Manager) OnReportChange(f func(id string, digest uint64)) {
 	m.onReportChange = append(m.onReportChange, f)
 }
 
-// HandleReportChange takes the news that another daemon found a changed report, and
-// asks for the report itself soon. At 1,900 backend servers the steady round
-// takes minutes; some daemon or other polls each server every few seconds.
+// HandleReportChange handles the message that another daemon found a changed report: it schedules an
+// early poll of the backend server if the digest differs from that of the last report. At 1,900
+// backend servers a daemon takes minutes to poll its whole subset once, but each server is polled by
+// some daemon every few seconds.
 func (m *Manager) HandleReportChange(id string, digest uint64) {
 	soon := time.Now().Add(m.jittered(reportPollSpread) / 2)
 	m.mu.Lock()
--- a/control/backends/subset.go
+++ b/control/backends/subset.go
@@ -9,33 +9,33 @@
 	"mallowwind.dev/external/vmlist"
 )
 
-// subset picks the backend servers of one pool that this daemon knows: size of
-// its own zone and far of the other zones, by rendezvous hashing, so that the
-// choice needs no agreement, moves little when VMs come and go, and differs
-// between daemons. Every daemon knowing every backend server would be 741,000
-// connections at 390 daemons and 1,900 backend servers.
-func subset(self, zone string, pool []vmlist.VM, near, far int) []vmlist.VM {
-	var here, there []vmlist.VM
+// subset selects the backend servers of one pool that this daemon knows: localSize of its own zone and
+// remoteSize of the other zones. It uses rendezvous hashing, so that the selection needs no
+// coordination, changes little when VMs are added or removed, and differs between daemons. If every
+// daemon knew every backend server, 390 daemons and 1,900 backend servers would need 741,000
+// connections.
+func subset(self, zone string, pool []vmlist.VM, localSize, remoteSize int) []vmlist.VM {
+	var local, remote []vmlist.VM
 	for _, vm := range pool {
 		if vm.Zone == zone {
-			here = append(here, vm)
+			local = append(local, vm)
 		} else {
-			there = append(there, vm)
+			remote = append(remote, vm)
 		}
 	}
-	return append(topByWeight(self, here, near), topByWeight(self, there, far)...)
+	return append(topByWeight(self, local, localSize), topByWeight(self, remote, remoteSize)...)
 }
 
-// localSubsetSize returns the size of the subset in the daemon's own zone: min, but
-// more where daemons are too few to know each of n backend servers cover times.
-func localSubsetSize(minimum, cover, n, daemons int) int {
+// localSubsetSize returns the size of the subset in the daemon's own zone: minimum, or more if the zone
+// has too few daemons for each of its n backend servers to be known to daemonsPerBackend of them.
+func localSubsetSize(minimum, daemonsPerBackend, n, daemons int) int {
 	if daemons < 1 {
 		daemons = 1
 	}
-	return max(minimum, (cover*n+daemons-1)/daemons)
+	return max(minimum, (daemonsPerBackend*n+daemons-1)/daemons)
 }
 
-// topByWeight returns the n VMs with the highest rendezvous weight for self.
+// topByWeight returns the n VMs with the highest rendezvous weight for self. It may reorder vms.
 func topByWeight(self string, vms []vmlist.VM, n int) []vmlist.VM {
 	if len(vms) <= n {
 		return vms
--- a/control/inifile/errors.go
+++ b/control/inifile/errors.go
@@ -6,27 +6,27 @@
 	"strings"
 )
 
-// Error is one fault of a file, and what to write instead.
+// Error is one problem in a file and how to fix it.
 type Error struct {
 	File    string
-	Line    int // 0 when the fault belongs to the whole file
+	Line    int // 0 if the problem concerns the whole file
 	Problem string
 	Remedy  string
 }
 
-// Error returns "file:line: what: what to write instead".
+// Error returns "file:line: problem: remedy".
 func (e Error) Error() string {
-	where := e.File
+	position := e.File
 	if e.Line > 0 {
-		where = fmt.Sprintf("%s:%d", e.File, e.Line)
+		position = fmt.Sprintf("%s:%d", e.File, e.Line)
 	}
-	return fmt.Sprintf("%s: %s: %s", where, e.Problem, e.Remedy)
+	return fmt.Sprintf("%s: %s: %s", position, e.Problem, e.Remedy)
 }
 
-// Errors lists every fault of one file, ordered by line.
+// Errors lists all problems in one file, ordered by line.
 type Errors []Error
 
-// Error returns one line per fault.
+// Error returns one line per problem.
 func (es Errors) Error() string {
 	lines := make([]string, len(es))
 	for i, e := range es {
@@ -35,18 +35,18 @@
 	return strings.Join(lines, "\n")
 }
 
-// Collector gathers the faults of one file.
+// Collector collects the problems found in one file.
 type Collector struct {
 	File string
 	list Errors
 }
 
-// Add records a fault at line.
-func (c *Collector) Add(line int, what, instead string) {
-	c.list = append(c.list, Error{File: c.File, Line: line, Problem: what, Remedy: instead})
+// Add records a problem at line; line is 0 if the problem concerns the whole file.
+func (c *Collector) Add(line int, problem, remedy string) {
+	c.list = append(c.list, Error{File: c.File, Line: line, Problem: problem, Remedy: remedy})
 }
 
-// Err returns the faults as Errors ordered by line, or nil.
+// Err returns the collected problems as Errors ordered by line, or nil if there are none.
 func (c *Collector) Err() error {
 	if len(c.list) == 0 {
 		return nil
--- a/control/inifile/parse.go
+++ b/control/inifile/parse.go
@@ -1,11 +1,11 @@
-// Package inifile reads INI texts through ini.v1 and adds what operators need
-// and ini.v1 does not give: line numbers, every fault at once, and a table of
-// known keys per section from which the reference pages are checked.
+// Package inifile parses INI files with ini.v1 and adds what ini.v1 lacks: line numbers in errors,
+// all errors in one pass, and a schema of the known keys of each section, against which the
+// reference pages are checked.
 //
-// The accepted form is a subset of what ini.v1 reads: one key a line, "=" as
-// the only delimiter, comments after "#" or ";" (after a space when on the line
-// of a key), no continuation lines, no multi-line quotes, no interpolation.
-// Whatever lies outside is reported instead of being guessed at.
+// The accepted syntax is a subset of what ini.v1 reads: one key per line, "=" as the only delimiter,
+// comments after "#" or ";" (after a space when on the line of a key), no continuation lines, no
+// multi-line quotes, no interpolation. Anything else is reported as an error instead of being
+// interpreted.
 package inifile
 
 import (
@@ -15,17 +15,17 @@
 	"gopkg.in/ini.v1"
 )
 
-// Key is one key of a section.
+// Key is one key of a section with its value and line number.
 type Key struct {
 	Name  string
 	Value string
 	Line  int
 }
 
-// Section is one section: "[kind name]" or "[kind]".
+// Section is one section with its keys; its header is "[kind name]" or "[kind]".
 type Section struct {
 	Kind string
-	Name string // rest of the header after the kind, may be empty
+	Name string // rest of the header after the kind; may be empty
 	Line int
 	Keys []Key
 }
@@ -38,7 +38,7 @@
 	return s.Kind + " " + s.Name
 }
 
-// Key returns the key called name.
+// Key returns the key with the given name and whether the section has it.
 func (s *Section) Key(name string) (Key, bool) {
 	for _, k := range s.Keys {
 		if k.Name == name {
@@ -48,7 +48,8 @@
 	return Key{}, false
 }
 
-// LineOf returns the line of the key called name, or of the section's header.
+// LineOf returns the line of the key with the given name, or of the section header if the section
+// has no such key.
 func (s *Section) LineOf(name string) int {
 	if k, ok := s.Key(name); ok {
 		return k.Line
@@ -56,12 +57,12 @@
 	return s.Line
 }
 
-// Parse reads text and returns its sections in order. Faults go to errs;
-// what could be read is returned all the same, so that one pass reports all.
+// Parse parses text and returns its sections in order. Problems are added to errs; the sections that
+// could be read are returned as well, so that the caller can check them in the same pass.
 func Parse(text []byte, errs *Collector) []*Section {
 	l := lineScanner{errs: errs, byHeader: map[string]*Section{}}
-	clean := l.scan(string(text))
-	file, err := ini.LoadSources(loadOptions, []byte(clean))
+	normalized := l.scan(string(text))
+	file, err := ini.LoadSources(loadOptions, []byte(normalized))
 	if err != nil {
 		errs.Add(0, fmt.Sprintf("not an INI text (%v)", err), "write [section] headers and key = value lines")
 		return nil
@@ -79,19 +80,19 @@
 }
 
 func fillValues(s *Section, file *ini.File) {
-	from, err := file.GetSection(s.Header())
+	parsed, err := file.GetSection(s.Header())
 	if err != nil {
 		return
 	}
 	for i := range s.Keys {
 		k := &s.Keys[i]
-		if from.HasKey(k.Name) {
-			k.Value = from.Key(k.Name).Value()
+		if parsed.HasKey(k.Name) {
+			k.Value = parsed.Key(k.Name).Value()
 		}
 	}
 }
 
-// List splits a comma-separated value and trims its items.
+// List splits a comma-separated value, trims the items and drops empty ones.
 func List(value string) []string {
 	var items []string
 	for item := range strings.SplitSeq(value, ",") {
--- a/control/inifile/scanner.go
+++ b/control/inifile/scanner.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// lineScanner finds the line of every section and key, and rewrites the text into
-// the subset that ini.v1 reads without surprises: lines that it reports are
-// left blank, so that the rest is still checked.
+// lineScanner records the line of every section and key and rewrites the text into the subset that
+// this package accepts. Lines that it reports as errors are left blank, so that the rest of the file
+// is still checked.
 type lineScanner struct {
 	errs     *Collector
 	sections []*Section
--- a/control/inifile/schema.go
+++ b/control/inifile/schema.go
@@ -9,27 +9,27 @@
 	"github.com/pkg/errors"
 )
 
-// Field is one key that a section of type T may hold.
+// Field describes one key of a section that is decoded into a T.
 type Field[T any] struct {
-	// Name is the key. One that ends in "." takes a suffix, such as a zone.
+	// Name is the key. A name that ends in "." is a prefix that takes a suffix, such as a zone.
 	Name     string
 	Required bool
-	Default  string // as shown in the reference; the zero T already holds it
+	Default  string // shown on the reference page; Decode does not apply it
 	Help     string
-	// Secret keeps the value out of errors: operators paste a token where its
-	// hash belongs, and errors end up in logs.
+	// Secret keeps the value out of errors: operators sometimes paste a token where its hash
+	// belongs, and errors end up in logs.
 	Secret bool
-	// Set stores the value; suffix is what follows a Name that ends in ".".
-	// Its error says what to write instead.
-	Set func(to *T, suffix, value string) error
+	// Set stores the value in dst; suffix is the part of the key after a Name that ends in ".". The
+	// error says what to write instead.
+	Set func(dst *T, suffix, value string) error
 }
 
-// Row is one line of a reference page.
+// Row is one key in the tables of a reference page.
 type Row struct {
 	Section, Key, Default, Help string
 }
 
-// Rows returns the reference of a section kind.
+// Rows returns the reference rows for the fields of a section kind.
 func Rows[T any](section string, fields []Field[T]) []Row {
 	rows := make([]Row, len(fields))
 	for i, f := range fields {
@@ -41,15 +41,16 @@
 	return rows
 }
 
-// Decode stores the keys of s in to. Faults go to errs.
-func Decode[T any](s *Section, fields []Field[T], to *T, errs *Collector) {
+// Decode stores the values of the keys of s in dst and adds unknown keys, bad values and missing
+// required keys to errs.
+func Decode[T any](s *Section, fields []Field[T], dst *T, errs *Collector) {
 	for _, k := range s.Keys {
 		f, suffix, ok := findField(fields, k.Name)
 		if !ok {
 			errs.Add(k.Line, fmt.Sprintf("unknown key %q in [%s]", k.Name, s.Header()), "write one of "+keyNames(fields))
 			continue
 		}
-		if err := f.Set(to, suffix, k.Value); err != nil {
+		if err := f.Set(dst, suffix, k.Value); err != nil {
 			errs.Add(k.Line, describeBadValue(f.Secret, k), err.Error())
 		}
 	}
@@ -90,7 +91,7 @@
 	return strings.Join(list, ", ")
 }
 
-// Int reads a whole number from lowest to highest.
+// Int parses an integer from lowest to highest.
 func Int(value string, lowest, highest int64) (int64, error) {
 	n, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || n < lowest || n > highest {
@@ -99,7 +100,7 @@
 	return n, nil
 }
 
-// Float reads a number from lowest to highest.
+// Float parses a number from lowest to highest.
 func Float(value string, lowest, highest float64) (float64, error) {
 	f, err := strconv.ParseFloat(value, 64)
 	if err != nil || !(f >= lowest && f <= highest) {
@@ -108,7 +109,7 @@
 	return f, nil
 }
 
-// Duration reads a duration such as 30s or 10m from lowest to highest.
+// Duration parses a duration, such as 30s or 10m, from lowest to highest.
 func Duration(value string, lowest, highest time.Duration) (time.Duration, error) {
 	d, err := time.ParseDuration(value)
 	if err != nil || d < lowest || d > highest {
@@ -117,7 +118,7 @@
 	return d, nil
 }
 
-// Bool reads yes or no.
+// Bool parses yes or no.
 func Bool(value string) (bool, error) {
 	switch value {
 	case "yes":
@@ -128,7 +129,7 @@
 	return false, errors.New("write yes or no")
 }
 
-// OneOf accepts one of the listed words.
+// OneOf returns value as an S if it is one of words.
 func OneOf[S ~string](value string, words ...S) (S, error) {
 	list := make([]string, len(words))
 	for i, w := range words {
@@ -145,8 +146,8 @@
 	tokenHashDigits = 64 // hex digits of a SHA-256
 )
 
-// IsName reports whether s may name a service, pool, account, site or VM: it
-// can stand in a URL path and in a store key without escaping.
+// IsName reports whether s is a valid name of a service, pool, account, site or VM. Valid names need
+// no escaping in URL paths and store keys.
 func IsName(s string) bool {
 	if s == "" || len(s) > maxNameBytes || strings.Contains("._-", s[:1]) {
 		return false
@@ -160,12 +161,12 @@
 	return true
 }
 
-// IsTokenHash reports whether s is a lower-case hex SHA-256.
+// IsTokenHash reports whether s has the form of a SHA-256 in lower-case hex.
 func IsTokenHash(s string) bool {
 	return len(s) == tokenHashDigits && strings.Trim(s, "0123456789abcdef") == ""
 }
 
-// MarkdownTables returns rows as the Markdown tables of a reference page, one per section.
+// MarkdownTables renders rows as the Markdown tables of a reference page, one table per section.
 func MarkdownTables(rows []Row) string {
 	var b strings.Builder
 	section := ""
--- a/control/settings/docs_test.go
+++ b/control/settings/docs_test.go
@@ -9,6 +9,7 @@
 	"mallowwind.dev/control/inifile"
 )
 
+// The reference page must contain the tables generated from the schema.
 func TestReferencePage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/settings.md")
 	must.NoError(t, err)
--- a/control/settings/parse.go
+++ b/control/settings/parse.go
@@ -15,8 +15,8 @@
 	"mallowwind.dev/control/inifile"
 )
 
-// DefaultDrainLimit is long enough for nearly all generations, which run for
-// minutes, to end where they are.
+// DefaultDrainLimit is long enough for nearly all generations, which run for minutes, to finish on
+// the draining daemon.
 const DefaultDrainLimit = 10 * time.Minute
 
 const (
@@ -31,7 +31,7 @@
 	"log":      logFields,
 }
 
-// sectionOrder is the order of the reference page.
+// sectionOrder is the order of the sections on the reference page.
 var sectionOrder = []string{"daemon", "platform", "tls", "log"}
 
 var daemonFields = []inifile.Field[Settings]{
@@ -65,8 +65,8 @@
 	{Name: "format", Default: "text", Help: "text or json", Set: setLogFormat},
 }
 
-// Parse reads the settings at path. Its error is an inifile.Errors that lists
-// every fault as "file:line: what: what to write instead".
+// Parse reads the settings file at path. The error is an inifile.Errors that lists every problem as
+// "file:line: problem: remedy".
 func Parse(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -78,6 +78,7 @@
 	return ParseText(path, text)
 }
 
+// pathErrorCause returns the error inside an os.PathError, whose path Parse already reports.
 func pathErrorCause(err error) error {
 	var pathErr *os.PathError
 	if errors.As(err, &pathErr) {
@@ -86,7 +87,7 @@
 	return err
 }
 
-// recordKeyLines remembers where the keys of a section stand.
+// recordKeyLines stores the file and the line number of each key of sec for Position.
 func (s *Settings) recordKeyLines(file string, sec *inifile.Section) {
 	if sec == nil {
 		return
@@ -97,7 +98,7 @@
 	}
 }
 
-// ParseText is Parse on a text already read; name stands in the errors.
+// ParseText parses the text of a settings file; name is the file name used in errors.
 func ParseText(name string, text []byte) (*Settings, error) {
 	errs := &inifile.Collector{File: name}
 	s := &Settings{LogLevel: "info", LogFormat: "text", DrainLimit: DefaultDrainLimit}
@@ -126,7 +127,7 @@
 	return s, nil
 }
 
-// Reference returns every section and key, for the reference page.
+// Reference returns the rows of the reference page: every key of every section.
 func Reference() []inifile.Row {
 	var rows []inifile.Row
 	for _, name := range sectionOrder {
@@ -135,8 +136,8 @@
 	return rows
 }
 
-// checkAddresses refuses two listeners on one address: the daemon would stop
-// at its second listen with an error that names no line.
+// checkAddresses rejects two listeners on the same address. The daemon would only fail when it opens
+// the second listener.
 func checkAddresses(s *Settings, sec *inifile.Section, errs *inifile.Collector) {
 	if sec == nil {
 		return
@@ -157,9 +158,9 @@
 	}
 }
 
-// checkTLS refuses half a pair. A daemon with a certificate and no key, or with
-// a peer certificate and no authority, could only start without TLS or without
-// authentication, which nobody asked for.
+// checkTLS rejects incomplete TLS settings. A daemon that has a certificate without a key, or a peer
+// certificate without a CA, could only start without TLS or without authentication, which the
+// operator did not ask for.
 func checkTLS(s *Settings, sec *inifile.Section, errs *inifile.Collector) {
 	if sec == nil {
 		return
@@ -179,32 +180,34 @@
 	}
 }
 
-type setFunc = func(to *Settings, suffix, value string) error
+// setFunc stores the value of one key.
+type setFunc = func(dst *Settings, suffix, value string) error
 
-// textSetter accepts any value but an empty one.
+// textSetter accepts any non-empty value.
 func textSetter(field func(*Settings) *string) setFunc {
-	return func(to *Settings, _, value string) error {
+	return func(dst *Settings, _, value string) error {
 		if value == "" {
 			return errors.New("write a value or leave the key out")
 		}
-		*field(to) = value
+		*field(dst) = value
 		return nil
 	}
 }
 
-// nameSetter accepts what may stand in a store key or a URL path.
+// nameSetter accepts names that need no escaping in a store key or a URL path.
 func nameSetter(field func(*Settings) *string) setFunc {
-	return func(to *Settings, _, value string) error {
+	return func(dst *Settings, _, value string) error {
 		if !inifile.IsName(value) {
 			return errors.New("write letters, digits, '.', '_' and '-', beginning with a letter or digit")
 		}
-		*field(to) = value
+		*field(dst) = value
 		return nil
 	}
 }
 
+// addressSetter accepts ip:port.
 func addressSetter(field func(*Settings) *string) setFunc {
-	return func(to *Settings, _, value string) error {
+	return func(dst *Settings, _, value string) error {
 		host, port, err := net.SplitHostPort(value)
 		if err == nil {
 			_, err = netip.ParseAddr(host)
@@ -215,21 +218,23 @@
 		if err != nil {
 			return errors.New("write ip:port with an IP number, such as 10.0.1.4:8080")
 		}
-		*field(to) = value
+		*field(dst) = value
 		return nil
 	}
 }
 
+// urlSetter accepts the URLs that checkURL accepts.
 func urlSetter(field func(*Settings) *string) setFunc {
-	return func(to *Settings, _, value string) error {
+	return func(dst *Settings, _, value string) error {
 		if err := checkURL(value); err != nil {
 			return err
 		}
-		*field(to) = value
+		*field(dst) = value
 		return nil
 	}
 }
 
+// checkURL accepts http and https URLs whose host is an IP address.
 func checkURL(value string) error {
 	u, err := url.Parse(value)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
@@ -241,7 +246,7 @@
 	return nil
 }
 
-func setStore(to *Settings, _, value string) error {
+func setStore(dst *Settings, _, value string) error {
 	endpoints := inifile.List(value)
 	if len(endpoints) == 0 {
 		return errors.New("write at least one URL such as http://10.0.0.9:2379")
@@ -251,29 +256,29 @@
 			return err
 		}
 	}
-	to.Store = endpoints
+	dst.Store = endpoints
 	return nil
 }
 
-func setDrainLimit(to *Settings, _, value string) (err error) {
-	to.DrainLimit, err = inifile.Duration(value, minDrainLimit, maxDrainLimit)
+func setDrainLimit(dst *Settings, _, value string) (err error) {
+	dst.DrainLimit, err = inifile.Duration(value, minDrainLimit, maxDrainLimit)
 	return err
 }
 
-func setTokenHash(to *Settings, _, value string) error {
+func setTokenHash(dst *Settings, _, value string) error {
 	if !inifile.IsTokenHash(value) {
 		return errors.New("write 64 lower-case hex digits: the SHA-256 of the token, not the token")
 	}
-	to.TLS.OperatorTokenHash = value
+	dst.TLS.OperatorTokenHash = value
 	return nil
 }
 
-func setLogLevel(to *Settings, _, value string) (err error) {
-	to.LogLevel, err = inifile.OneOf(value, "debug", "info", "warning", "error")
+func setLogLevel(dst *Settings, _, value string) (err error) {
+	dst.LogLevel, err = inifile.OneOf(value, "debug", "info", "warning", "error")
 	return err
 }
 
-func setLogFormat(to *Settings, _, value string) (err error) {
-	to.LogFormat, err = inifile.OneOf(value, "text", "json")
+func setLogFormat(dst *Settings, _, value string) (err error) {
+	dst.LogFormat, err = inifile.OneOf(value, "text", "json")
 	return err
 }
--- a/control/settings/parse_test.go
+++ b/control/settings/parse_test.go
@@ -35,7 +35,8 @@
 	must.Eq(t, "info", s.LogLevel)
 }
 
-func TestParseReportsEveryFault(t *testing.T) {
+// One pass must report every error with its line, and a secret must not appear in any of them.
+func TestParseReportsAllErrors(t *testing.T) {
 	text := `[daemon]
 site = a/b
 vm = v
@@ -78,6 +79,7 @@
 	must.Eq(t, path+": cannot be read (no such file or directory): give the path of a readable settings file", err.Error())
 }
 
+// For any input, ParseText must return either settings or an error.
 func FuzzParse(f *testing.F) {
 	f.Add(sample)
 	f.Fuzz(func(t *testing.T, text string) {
--- a/control/settings/settings.go
+++ b/control/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings holds the settings of one daemon: its addresses, its zone
-// and where the platform's services are. They come from one INI file.
+// Package settings reads the settings of one daemon from an INI file: its listen addresses, its zone,
+// the URLs of the platform's services, TLS files and logging.
 package settings
 
 import (
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Settings of one daemon. All addresses are host:port with an IP number.
+// Settings holds the settings of one daemon. All listen addresses are ip:port.
 type Settings struct {
-	Site   string // name of the site whose text the daemon follows
-	VM     string // id of this VM in the platform's list
+	Site   string // name of the site whose site text the daemon applies
+	VM     string // id of this VM in the platform's VM list
 	Zone   string
 	Region string
 
-	Listen      string // callers
-	PeerListen  string // other entry VMs
-	AdminListen string // operators: status page, metrics
+	Listen      string // for callers
+	PeerListen  string // for other entry VMs
+	AdminListen string // for operators: status page and metrics
 
 	Store   []string // endpoints of the key-value service, http://ip:port
 	VMList  string   // URL of the VM list
@@ -27,18 +27,17 @@
 	LogLevel  string
 	LogFormat string // text or json
 
-	// DrainLimit bounds a graceful shutdown; work still running then is handed
-	// over or, where no other entry VM can take it, cut and logged.
+	// DrainLimit is the maximum duration of a graceful shutdown. Work that is still running then is
+	// handed over to another entry VM, or aborted and logged if none can take it.
 	DrainLimit time.Duration
 
-	// file and lines say where the keys of [daemon] were read.
+	// file and keyLines hold the file and the line numbers that the keys of [daemon] were read from.
 	file     string
 	keyLines map[string]int
 }
 
-// Position returns file:line of a key of [daemon], for errors that show only when
-// the value is used, such as a busy port. It is the key alone where the
-// settings were not read from a file.
+// Position returns file:line of a key of [daemon], for errors that occur only when the value is used,
+// such as a port that is in use. It returns the key alone if the key's line is unknown.
 func (s *Settings) Position(key string) string {
 	line, ok := s.keyLines[key]
 	if !ok {
@@ -47,10 +46,10 @@
 	return s.file + ":" + strconv.Itoa(line)
 }
 
-// TLS names certificate files; empty fields mean plain TCP.
+// TLS holds the paths of certificate and key files; empty paths mean plain TCP.
 type TLS struct {
-	Cert, Key         string // callers
-	PeerCert, PeerKey string // both ends of links between entry VMs
-	PeerCA            string
-	OperatorTokenHash string // lower-case hex SHA-256 of the admin bearer token
+	Cert, Key         string // for the listener for callers
+	PeerCert, PeerKey string // for both ends of connections between entry VMs
+	PeerCA            string // authorities that sign the entry VMs' certificates
+	OperatorTokenHash string // lower-case hex SHA-256 of the operators' bearer token
 }
