--- a/control/reconcile/fence.go
+++ b/control/reconcile/fence.go
@@ -12,20 +12,19 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// checksFence reports whether the engines of a pool check fencing numbers.
+// checksFence reports whether the engines of a pool check fencing tokens according to the site text.
 func checksFence(text *site.Site, pool string) bool {
 	p := text.Pools[pool]
 	return p != nil && p.Fencing
 }
 
-// raiseFence makes an engine know our fencing number before anything is
-// concluded from its report, by an order that changes nothing: the role it has.
+// raiseFence makes an engine learn this holder's fencing token before the holder relies on the engine's
+// report. It sends an order that changes nothing, because it sets the role that the engine has.
 //
-// The failure: an engine refuses an old number only once it has seen a newer
-// one. The order of a holder that was paused on its way to an engine to which
-// we gave none would still take effect, after we counted the engine as
-// serving. It shows as a service below its floor. Once the number is known and
-// the engine was asked again, nothing older can follow.
+// An engine refuses a stale token only after it has seen a newer one. If this holder had sent an engine
+// no order yet, a delayed order of an earlier, paused holder would still take effect there after this
+// holder had counted the engine as serving, and take a service below its floor. Once the engine knows
+// the token and was polled again, no order of an earlier holder can take effect.
 func (m *Manager) raiseFence(ctx context.Context, text *site.Site, e *engineState) {
 	if e.knowsFence || !e.silentSince.IsZero() || e.answeredAt.IsZero() || !checksFence(text, e.vm.Pool) {
 		return
@@ -53,8 +52,8 @@
 	}
 }
 
-// checkFences notices that an engine knows a higher fencing number than ours:
-// a newer holder exists, whatever this daemon believes of its lease.
+// checkFences detects that an engine knows a higher fencing token than this holder's. Then a newer
+// holder exists, whatever this daemon knows of its lease, and this one sends no more orders.
 func (m *Manager) checkFences() {
 	for id, e := range m.engines {
 		if (e.refusedFence || e.status.Fence > m.fence) && !m.superseded {
--- a/control/reconcile/harness_test.go
+++ b/control/reconcile/harness_test.go
@@ -28,8 +28,8 @@
 	v2 = engine.ModelRef{Model: "m", Version: "2"}
 )
 
-// zoneHarness is one zone: three daemons that may hold its lease, engines behind
-// recorders, the platform's services, and the text in force.
+// zoneHarness runs a zone: three daemons that compete for its lease, simulated engines behind
+// orderRecorders, the platform's services, and the site text in force. Tests may add a second zone.
 type zoneHarness struct {
 	t              *testing.T
 	store          *store.Faulty
@@ -38,34 +38,35 @@
 	text           atomic.Pointer[site.Site]
 	daemons        []*daemon
 	sims           map[string]*enginesim.Sim
-	version2Broken atomic.Bool // whether version 2 fails to load
+	version2Broken atomic.Bool // while set, version 2 fails to load
 	fencing        bool
-	maxModels      int // sets of weights an engine holds
+	maxModels      int // maximum number of sets of weights on an engine
 
 	mu     sync.Mutex
-	fences []uint64 // of accepted orders, in the order of acceptance
-	orders []string
-	floor  int
+	fences []uint64 // fencing tokens of the accepted orders, in the order of acceptance
+	orders []string // the accepted orders: daemon, kind and version
+	floor  int      // of the service in the site text in force
 }
 
-// daemon is one candidate. While paused none of its calls returns.
+// daemon is one candidate for the lease. While it is paused, its calls block.
 type daemon struct {
 	id           string
 	lease        *lease.Manager
 	reconciler   *Manager
 	stop         func()
-	paused       chan struct{}
-	pauseAtOrder bool // pause when the next order is sent
+	paused       chan struct{} // closed when the pause ends; nil if never paused or resumed
+	pauseAtOrder bool          // pause when the next order is sent
 	pauseMu      sync.Mutex
 }
 
-// pauseAtNextOrder pauses the daemon when its next order has left the process.
+// pauseAtNextOrder pauses the daemon while it sends its next order.
 func (d *daemon) pauseAtNextOrder() {
 	d.pauseMu.Lock()
 	defer d.pauseMu.Unlock()
 	d.pauseAtOrder = true
 }
 
+// beforeOrder starts the pause that pauseAtNextOrder requested.
 func (d *daemon) beforeOrder() {
 	d.pauseMu.Lock()
 	defer d.pauseMu.Unlock()
@@ -89,7 +90,7 @@
 	}
 }
 
-// waitWhilePaused blocks a call of a paused daemon and reports whether it did.
+// waitWhilePaused blocks while the daemon is paused and reports whether it was.
 func (d *daemon) waitWhilePaused() bool {
 	d.pauseMu.Lock()
 	p := d.paused
@@ -100,17 +101,19 @@
 	return p != nil
 }
 
-// Current gives each daemon the text in force.
+// Current returns the site text in force. It implements site.Source for all daemons.
 func (h *zoneHarness) Current() *site.Site { return h.text.Load() }
 
+// newHarness starts zone a with engines that hold up to two sets of weights each.
 func newHarness(t *testing.T, engines int, fencing bool) *zoneHarness {
 	return newHarnessWithMaxModels(t, engines, fencing, 2)
 }
 
-func newHarnessWithMaxModels(t *testing.T, engines int, fencing bool, room int) *zoneHarness {
+// newHarnessWithMaxModels starts zone a with engines that hold up to maxModels sets of weights each.
+func newHarnessWithMaxModels(t *testing.T, engines int, fencing bool, maxModels int) *zoneHarness {
 	inner := store.NewMemory()
 	h := &zoneHarness{
-		t: t, store: store.NewFaulty(inner), vms: vmlist.NewMemory(0), fencing: fencing, maxModels: room,
+		t: t, store: store.NewFaulty(inner), vms: vmlist.NewMemory(0), fencing: fencing, maxModels: maxModels,
 		weights: weightsim.New(2, 4*time.Second), sims: make(map[string]*enginesim.Sim),
 	}
 	for i := range engines {
@@ -122,12 +125,12 @@
 			d.unpause()
 			d.stop()
 		}
-		time.Sleep(time.Hour) // lets loads and generations end
+		time.Sleep(time.Hour) // lets loads and generations finish
 	})
 	return h
 }
 
-// startZone starts three daemons that may hold the lease of a zone.
+// startZone starts the three daemons that compete for the lease of a zone.
 func (h *zoneHarness) startZone(zone string) {
 	var members []membership.Member
 	for i := range 3 {
@@ -147,13 +150,13 @@
 	h.vms.Put(vmlist.VM{ID: id, Address: id, Zone: zone, Role: vmlist.RoleBackend, Pool: "p", State: vmlist.Live})
 }
 
-// Fetch gives weights to engines; version 2 may be broken.
+// Fetch fetches weights for an engine. It fails for version 2 while version2Broken is set.
 func (h *zoneHarness) Fetch(ctx context.Context, ref engine.ModelRef) error {
 	if err := h.weights.Fetch(ctx, ref); err != nil {
 		return err
 	}
 	if ref == v2 && h.version2Broken.Load() {
-		return errors.New("checksum")
+		return errors.New("checksum mismatch")
 	}
 	return nil
 }
@@ -164,7 +167,7 @@
 	d.lease = lease.NewManager(lease.Deps{Store: st, Members: membership.Static{View: view}})
 	d.reconciler = NewManager(Deps{
 		Zone: view.Self.Zone, Site: h, VMs: h.vms, Weights: h.weights, Lease: d.lease, Store: st,
-		Engine: func(address string) engine.Engine { return &recorder{Engine: h.sims[address], h: h, d: d} },
+		Engine: func(address string) engine.Engine { return &orderRecorder{Engine: h.sims[address], h: h, d: d} },
 	})
 	ctx, cancel := context.WithCancel(h.t.Context())
 	var wg sync.WaitGroup
@@ -174,7 +177,7 @@
 	h.daemons = append(h.daemons, d)
 }
 
-// pausingStore delays a paused daemon's calls after they took effect.
+// pausingStore blocks the lease renewals of a paused daemon after they took effect in the store.
 type pausingStore struct {
 	store.Store
 	d *daemon
@@ -186,15 +189,15 @@
 	return ttl, err
 }
 
-// recorder notes accepted orders. A paused daemon's order leaves it when it
-// comes back, as bytes do that lay in its socket.
-type recorder struct {
+// orderRecorder records the accepted orders of a daemon and checks the floor at each. An order of a
+// paused daemon reaches the engine when the pause ends, like bytes left in a socket buffer.
+type orderRecorder struct {
 	engine.Engine
 	h *zoneHarness
 	d *daemon
 }
 
-func (r *recorder) Order(ctx context.Context, o engine.Order) error {
+func (r *orderRecorder) Order(ctx context.Context, o engine.Order) error {
 	r.d.beforeOrder()
 	if r.d.waitWhilePaused() {
 		var cancel context.CancelFunc
@@ -209,24 +212,24 @@
 	r.h.mu.Lock()
 	defer r.h.mu.Unlock()
 	if o.Kind == engine.OrderRole {
-		return nil // changes nothing
+		return nil // sets the role that the engine already has
 	}
 	r.h.fences = append(r.h.fences, o.Fence)
 	r.h.orders = append(r.h.orders, fmt.Sprint(r.d.id, " ", o.Kind, " ", o.Ref.Version))
 	if after < before && after < r.h.floor {
-		r.h.t.Errorf("%s %s left %d ready, the floor is %d; orders %v", o.Kind, o.Ref.Version, after, r.h.floor, r.h.orders)
+		r.h.t.Errorf("%s %s left %d ready replicas, below the floor of %d; orders %v", o.Kind, o.Ref.Version, after, r.h.floor, r.h.orders)
 	}
 	return nil
 }
 
-// Status reaches an engine through the daemon, which may be paused.
-func (r *recorder) Status(ctx context.Context) (engine.Status, error) {
+// Status returns the engine's status to the daemon, once the daemon is not paused.
+func (r *orderRecorder) Status(ctx context.Context) (engine.Status, error) {
 	status, err := r.Engine.Status(ctx)
 	r.d.waitWhilePaused()
 	return status, err
 }
 
-// countServing counts the engines that serve the model in any version.
+// countServing returns the number of engines on which version 1 or 2 is ready.
 func (h *zoneHarness) countServing() int {
 	n := 0
 	for _, ref := range []engine.ModelRef{v1, v2} {
@@ -240,6 +243,7 @@
 	return n
 }
 
+// hasReady reports whether ref is ready on sim.
 func hasReady(sim *enginesim.Sim, ref engine.ModelRef) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
@@ -255,6 +259,7 @@
 	return false
 }
 
+// countReady returns the number of engines on which ref is ready.
 func (h *zoneHarness) countReady(ref engine.ModelRef) int {
 	n := 0
 	for _, sim := range h.sims {
@@ -265,7 +270,7 @@
 	return n
 }
 
-// applySite puts a text in force that wants n replicas of ref.
+// applySite puts a site text in force with n replicas of ref in zone a and one in zone b.
 func (h *zoneHarness) applySite(revision int64, ref engine.ModelRef, n, floor int) {
 	h.mu.Lock()
 	h.floor = floor
@@ -280,20 +285,20 @@
 	})
 }
 
-// acceptedOrders returns the orders accepted so far.
+// acceptedOrders returns the orders that engines have accepted so far.
 func (h *zoneHarness) acceptedOrders() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.orders)
 }
 
-// waitUntil lets virtual time pass until ok.
+// waitUntil lets virtual time pass until ok returns true. The test fails if that takes longer than limit.
 func (h *zoneHarness) waitUntil(what string, limit time.Duration, ok func() bool) {
 	h.t.Helper()
 	start := time.Now()
 	for !ok() {
 		if time.Since(start) > limit {
-			h.t.Fatalf("not within %s: %s; orders %v", limit, what, h.acceptedOrders())
+			h.t.Fatalf("condition not met within %s: %s; orders %v", limit, what, h.acceptedOrders())
 		}
 		time.Sleep(200 * time.Millisecond)
 		synctest.Wait()
@@ -301,6 +306,7 @@
 	h.t.Logf("%s after %s", what, time.Since(start))
 }
 
+// holder returns the first daemon with a valid hold on its lease, or nil.
 func (h *zoneHarness) holder() *daemon {
 	for _, d := range h.daemons {
 		if d.lease.Held().Valid(time.Now()) {
@@ -310,8 +316,8 @@
 	return nil
 }
 
-// assertFencesInOrder asserts that no order of an earlier holder took effect
-// after one of a later holder.
+// assertFencesInOrder asserts that no order of an earlier lease holder was accepted after one of a later
+// holder.
 func (h *zoneHarness) assertFencesInOrder() {
 	h.t.Helper()
 	h.mu.Lock()
--- a/control/reconcile/observe.go
+++ b/control/reconcile/observe.go
@@ -16,26 +16,27 @@
 	"mallowwind.dev/external/vmlist"
 )
 
-// engineState is one engine of the zone as this holder knows it.
+// engineState is the state of one engine of the zone as this lease holder knows it.
 type engineState struct {
 	vm          vmlist.VM
 	eng         engine.Engine
 	status      engine.Status
-	polledAt    time.Time // last poll
-	answeredAt  time.Time // last answer, zero if none
-	silentSince time.Time // first failed poll since the last answer, zero if none
-	// orderPending is set between an accepted order and the next answer.
+	polledAt    time.Time // start of the last poll; zero makes the next poll due
+	answeredAt  time.Time // last answer to a poll; zero if none
+	silentSince time.Time // first failed poll since the last answer; zero if none
+	// orderPending is set when an order was accepted or its outcome is unknown, until the next answer
+	// to a poll.
 	orderPending bool
-	// full says that the engine refused a load while it held status.Models.
+	// full is set if the engine refused a load while it held the sets of weights in status.Models.
 	full     bool
-	retryAt  time.Time
-	failures int
-	readyAt  time.Time // when a set of weights was first seen ready
-	// loadFailed says that the last report showed a load that failed.
+	retryAt  time.Time // no order before this time, after a failure
+	failures int       // consecutive failures, for the backoff
+	readyAt  time.Time // when a set of weights last became ready
+	// loadFailed is set if the last report contained a failed load.
 	loadFailed bool
-	// knowsFence says that the engine's present process knows our fencing number.
+	// knowsFence is set if the current incarnation of the engine knows this holder's fencing token.
 	knowsFence bool
-	// refusedFence says that the engine refused our fencing number as old.
+	// refusedFence is set if the engine refused this holder's fencing token as stale.
 	refusedFence bool
 }
 
@@ -52,18 +53,18 @@
 	return false
 }
 
-// steadyPollAge is the age at which an engine in a steady state is polled again.
+// steadyPollAge returns the age of a report at which an engine in a steady state is polled again.
 func (m *Manager) steadyPollAge() time.Duration {
 	round := time.Duration(float64(len(m.engines)) / m.cfg.PollsPerSecond * float64(time.Second))
 	return max(m.cfg.SteadyPollInterval, round)
 }
 
-// observe brings the zone's engines up to date: their rows in the list, and
-// their reports where these are older than age or about to change.
+// observe updates the zone's engines from the VM list and polls those whose last poll is older than age,
+// or than TickInterval if their state is changing.
 func (m *Manager) observe(ctx context.Context, text *site.Site, age time.Duration) error {
 	rows, err := m.deps.VMs.List(ctx)
 	if err != nil {
-		return errors.Wrap(err, "reconcile")
+		return errors.Wrap(err, "read the VM list")
 	}
 	m.matchEngines(rows, text)
 	var wg sync.WaitGroup
@@ -89,7 +90,8 @@
 	return nil
 }
 
-// matchEngines keeps one record for each engine of the zone in a pool of the text.
+// matchEngines makes m.engines hold one engineState for each listed engine of the zone whose pool is in
+// the site text.
 func (m *Manager) matchEngines(rows []vmlist.VM, text *site.Site) {
 	pools := enginePools(text)
 	listed := make(map[string]bool)
@@ -112,7 +114,7 @@
 	}
 }
 
-// enginePools returns the pools that no plain service uses.
+// enginePools returns the names of the pools that no plain service uses.
 func enginePools(text *site.Site) map[string]bool {
 	pools := make(map[string]bool, len(text.Pools))
 	for name := range text.Pools {
@@ -126,7 +128,7 @@
 	return pools
 }
 
-// poll asks one engine for its report. Each engine's record is touched by one
+// poll requests the status of one engine and stores it in e. Each engineState is accessed by one
 // goroutine at a time.
 func (m *Manager) poll(ctx context.Context, e *engineState) {
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.StatusTimeout)
@@ -153,8 +155,7 @@
 	m.updateLoadFailures(e)
 }
 
-// becameReady reports whether now has a set of weights ready that was not
-// ready before.
+// becameReady reports whether a set of weights is ready in now that was not ready in before.
 func becameReady(before, now engine.Status) bool {
 	for _, l := range now.Models {
 		if l.State == engine.Ready && !slices.ContainsFunc(before.Models, func(b engine.Loaded) bool {
@@ -166,6 +167,7 @@
 	return false
 }
 
+// refs returns the sets of weights that a status lists, in any state.
 func refs(s engine.Status) []engine.ModelRef {
 	out := make([]engine.ModelRef, len(s.Models))
 	for i, l := range s.Models {
@@ -174,31 +176,32 @@
 	return out
 }
 
-// updateLoadFailures holds an engine back each time a load has failed, longer each
-// time, so that a set of weights that does not load is not fetched over and
-// over. Only loads that succeed begin the count anew.
+// updateLoadFailures starts a backoff each time a load has failed on an engine, so that a set of weights
+// that cannot be loaded is not fetched again and again. The failure count is reset only when all sets
+// of weights on the engine are ready.
 func (m *Manager) updateLoadFailures(e *engineState) {
-	failed, settled := false, true
+	failed, allReady := false, true
 	for _, l := range e.status.Models {
 		failed = failed || l.State == engine.Failed
-		settled = settled && l.State == engine.Ready
+		allReady = allReady && l.State == engine.Ready
 	}
 	switch {
 	case failed && !e.loadFailed:
 		m.backOff(e)
-	case settled:
+	case allReady:
 		e.failures = 0
 	}
 	e.loadFailed = failed
 }
 
+// backOff delays the next order to an engine, exponentially longer with each failure.
 func (m *Manager) backOff(e *engineState) {
 	wait := min(m.cfg.MinRetryDelay<<min(e.failures, 10), m.cfg.MaxRetryDelay)
 	e.failures++
 	e.retryAt = time.Now().Add(wait)
 }
 
-// plan asks the decision package for the next step.
+// plan returns the next step that decision/placement chooses for the observed state.
 func (m *Manager) plan(ctx context.Context, hold lease.Hold, text *site.Site) placement.Step {
 	in := placement.Input{Services: desiredServices(text, m.deps.Zone), LoadBudget: m.loadBudget(ctx, text), Now: time.Now()}
 	for id, e := range m.engines {
@@ -220,7 +223,7 @@
 	engine.Unloading: placement.Unloading, engine.Failed: placement.Failed,
 }
 
-// earliestOrderTime is when an engine may be given its next order.
+// earliestOrderTime returns the earliest time of the next order to an engine.
 func (m *Manager) earliestOrderTime(e *engineState, hold lease.Hold, text *site.Site) time.Time {
 	earliest := e.readyAt.Add(m.cfg.ReadySettleTime)
 	if e.retryAt.After(earliest) {
@@ -239,8 +242,9 @@
 	return earliest
 }
 
-// fencedHealth is health, but doubtful while an order of an earlier holder could
-// still take effect on an engine that checks fencing numbers.
+// fencedHealth returns the health of an engine, but Suspect instead of Up while an engine that checks
+// fencing tokens does not know this holder's token, so that an order of an earlier holder could still
+// take effect.
 func (m *Manager) fencedHealth(e *engineState, text *site.Site) placement.Health {
 	if h := m.health(e); h != placement.Up || e.knowsFence || !checksFence(text, e.vm.Pool) {
 		return h
@@ -248,6 +252,7 @@
 	return placement.Suspect
 }
 
+// health returns the health of an engine according to its answers to polls.
 func (m *Manager) health(e *engineState) placement.Health {
 	switch {
 	case e.silentSince.IsZero() && !e.answeredAt.IsZero():
@@ -258,9 +263,10 @@
 	return placement.Lost
 }
 
-// loadBudget is this zone's part of the weight store's free fetches, at
-// least one while any is free. An unknown state of the store allows one load
-// at a time: waiting for it would leave a zone without replicas.
+// loadBudget returns how many loads the zone may start now: its share of the weight store's concurrent
+// fetches, which is at least one, less its loads in progress, but no more than the store has free. If
+// the state of the store is unknown, the zone runs one load at a time, since waiting for the store's
+// status could leave the zone without replicas.
 func (m *Manager) loadBudget(ctx context.Context, text *site.Site) int {
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.StatusTimeout)
 	defer cancel()
@@ -277,8 +283,8 @@
 	return min(status.Capacity-status.Active, share-loading)
 }
 
-// loadsInProgress counts the loads under way. The last report of an engine that is
-// lost may show one; counting it would keep the zone's share for good.
+// loadsInProgress returns the number of loads in progress. It skips lost engines: the last report of
+// one may show a load, which would occupy the zone's share for as long as the engine is lost.
 func (m *Manager) loadsInProgress() int {
 	n := 0
 	for _, e := range m.engines {
@@ -294,7 +300,7 @@
 	return n
 }
 
-// desiredServices returns the generation services of the text as wanted in a zone.
+// desiredServices returns the generation services of the site text with their desired state in a zone.
 func desiredServices(text *site.Site, zone string) []placement.Service {
 	var out []placement.Service
 	for _, s := range text.Services {
--- a/control/reconcile/outcome.go
+++ b/control/reconcile/outcome.go
@@ -9,8 +9,8 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// handleOrderError records an order that was not accepted, or whose fate is unknown. In
-// both cases nothing is concluded: the engine's next report tells.
+// handleOrderError handles an order that was not accepted or whose outcome is unknown. Neither case says
+// what the engine holds; only its next report does.
 func (m *Manager) handleOrderError(e *engineState, order engine.Order, step placement.Step, err error) {
 	m.deps.Log.Emit(event.PlacementFailed, order.ID, string(order.Kind), step.Backend, step.Service,
 		step.Ref.String(), string(step.Reason), err.Error())
@@ -26,7 +26,7 @@
 	}
 }
 
-// outcomeLabel is the metric label of an order's result.
+// outcomeLabel returns the value of the metric label "outcome" for the result of an order.
 func outcomeLabel(err error) string {
 	switch {
 	case err == nil:
--- a/control/reconcile/reconcile.go
+++ b/control/reconcile/reconcile.go
@@ -1,19 +1,18 @@
-// Package reconcile makes a zone's engines hold what the site text says. The
-// daemon that holds the zone's lease observes the engines, asks
-// decision/placement for the next step, gives the order under its fencing
-// number and observes again. All other daemons do nothing here.
+// Package reconcile loads and unloads sets of weights on a zone's engines until they match the site
+// text. The daemon that holds the zone's lease observes the engines, asks decision/placement for the
+// next step, sends the order with its fencing token and observes the engines again. All other daemons
+// of the zone do nothing here. Without the lease, several daemons could send orders that rest on
+// different observations and together take a service below its floor.
 //
-// Why a late or repeated order does no harm: orders name a state, not a
-// difference, so that a repeated one has no further effect; each order rests
-// on an observation made after the lease was taken, and orders that take
-// capacity away on one made immediately before; and what an order did is seen
-// in the engine's report, never assumed. An order of an earlier holder that
-// arrives after all is refused by engines that check fencing numbers. For
-// those that do not, a new holder first waits Config.WaitOut, longer than an
-// order of the old one can be under way, and puts right what it finds.
+// Late and repeated orders do no harm. Orders are idempotent: they name a state, not a difference.
+// Each order rests on an observation made after the lease was acquired, and an order that reduces
+// capacity on one made shortly before. The effect of an order is read from the engine's report, never
+// assumed. Engines that check fencing tokens refuse late orders of an earlier lease holder. For engines
+// that do not, a new holder first waits for Config.UnfencedOrderDelay, longer than an order of the
+// previous holder can be in flight, and then corrects what it finds.
 //
-// A holder never acts on an older revision of the site text than an earlier
-// holder of the zone did: the newest revision acted on is kept in the store.
+// A holder never acts on an older revision of the site text than an earlier holder of the zone did:
+// the latest revision acted on is recorded in the store.
 package reconcile
 
 import (
@@ -34,43 +33,43 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// Config holds the intervals of a Manager.
+// Config holds the intervals, timeouts and limits of a Manager.
 type Config struct {
-	// TickInterval is the time between two looks at the zone.
+	// TickInterval is the time between two checks of the zone.
 	TickInterval time.Duration
-	// MaxObservationAge is how old an observation may be that an order rests on.
+	// MaxObservationAge is the maximum age of the observation on which an order that reduces capacity
+	// rests.
 	MaxObservationAge time.Duration
 	// SteadyPollInterval is the time between polls of an engine in a steady state.
 	SteadyPollInterval time.Duration
-	// PollsPerSecond bounds polls of engines in a steady state; in a large
-	// zone Sweep grows accordingly, to minutes. Changes are known sooner by
-	// Hint, since some daemon or other polls each engine every few seconds.
+	// PollsPerSecond bounds the rate of polls of engines in a steady state. In a large zone it lengthens
+	// the interval between polls of an engine from SteadyPollInterval to minutes. Changes become known
+	// earlier through PollSoon, since some daemon polls each engine every few seconds.
 	PollsPerSecond float64
-	// StatusTimeout bounds one poll.
+	// StatusTimeout is the timeout of one poll.
 	StatusTimeout time.Duration
-	// OrderTimeout bounds one order.
+	// OrderTimeout is the timeout of one order.
 	OrderTimeout time.Duration
-	// UnfencedOrderDelay is how long a new holder gives no orders to engines that ignore
-	// fencing numbers: the lease's TTL and OrderTimeout, the longest time that
-	// an order of the holder before it may still be under way.
+	// UnfencedOrderDelay is how long a new lease holder sends no orders to engines that do not check
+	// fencing tokens: the lease's TTL plus OrderTimeout, the longest time for which an order of the
+	// previous holder may still be in flight.
 	UnfencedOrderDelay time.Duration
-	// ReadySettleTime is how long an engine is left alone after a set of weights became
-	// ready on it. The failure: the old version was unloaded as soon as the
-	// holder saw the new one, while daemons that had not polled the engine yet
-	// still sent it requests for the old. They poll an engine that loads every
-	// 2 s, a little more with jitter and a slow answer.
+	// ReadySettleTime is how long an engine receives no orders after a set of weights became ready on
+	// it. If the old version were unloaded as soon as the holder sees the new one, daemons that have
+	// not polled the engine since would still send it requests for the old version. They poll an
+	// engine that is loading every 2 s, plus jitter and the time of a slow answer.
 	ReadySettleTime time.Duration
-	// SilenceTimeout is how long an engine may stay silent before its replicas are
-	// replaced. It is longer than a restart of a router's connection or a
-	// collection of garbage, and short against the time of a load.
+	// SilenceTimeout is how long an engine may fail to answer before its replicas are replaced. It is
+	// longer than the restart of a router's connection or a garbage collection, and short compared to
+	// the time of a load.
 	SilenceTimeout time.Duration
-	// MinRetryDelay and RetryMax bound the wait after an order or a load failed.
+	// MinRetryDelay and MaxRetryDelay bound the backoff after an order or a load failed.
 	MinRetryDelay, MaxRetryDelay time.Duration
-	// MaxConcurrentPolls bounds polls in flight.
+	// MaxConcurrentPolls bounds the polls in flight.
 	MaxConcurrentPolls int
 }
 
-// DefaultConfig returns the values in use.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	c := Config{
 		TickInterval: time.Second, MaxObservationAge: 3 * time.Second, SteadyPollInterval: 10 * time.Second, PollsPerSecond: 0.7,
@@ -81,27 +80,30 @@
 	return c
 }
 
-// Deps are what a Manager works with.
+// Deps holds the dependencies of a Manager.
 type Deps struct {
 	Zone string
 	Site site.Source
-	// VMs is the platform's list, usually by way of backends.Manager.
-	VMs        vmlist.Source
-	Engine     func(address string) engine.Engine
+	// VMs is the source of the platform's VM list, usually a backends.Manager.
+	VMs vmlist.Source
+	// Engine returns the client of the engine at an address.
+	Engine func(address string) engine.Engine
+	// Weights reports the load of the weight store. If it is nil, the zone runs one load at a time.
 	Weights    weights.Store
 	Lease      lease.Source
 	Store      store.Store
 	Log        *event.Log
-	Registerer prometheus.Registerer // nil keeps the metrics unregistered
+	Registerer prometheus.Registerer // if nil, the metrics are not registered
 	Config     Config
 }
 
-// Report is what a holder can say of its zone, for operators.
+// Report is the state of the zone as the lease holder sees it, for operators. It is zero on other
+// daemons.
 type Report struct {
 	HoldsLease bool
 	Fence      uint64
 	Revision   int64
-	LastStep   placement.Step // the last decision
+	LastStep   placement.Step // the latest decision
 	DecidedAt  time.Time      // when it was made
 }
 
@@ -113,17 +115,17 @@
 
 	mu           sync.Mutex
 	report       Report
-	pollRequests map[string]bool // engines to be polled at the next tick
+	pollRequests map[string]bool // IDs of engines to poll at the next tick
 
-	// Used by Run only.
-	fence      uint64 // of the hold that the state below belongs to
-	engines    map[string]*engineState
+	// The fields below are used by Run only.
+	fence      uint64                  // fencing token of the hold that the fields below belong to; 0 without a hold
+	engines    map[string]*engineState // by VM ID
 	actedOn    revisionMark
-	superseded bool // an engine knows a higher number than fence
-	lastLogged placement.Step
+	superseded bool           // an engine knows a higher fencing token than fence
+	lastLogged placement.Step // the last step that logStep handled
 }
 
-// NewManager returns a Manager that acts once Run is started and the lease is held.
+// NewManager returns a Manager that acts while Run runs and the daemon holds the lease.
 func NewManager(deps Deps) *Manager {
 	if deps.Log == nil {
 		deps.Log = event.Discard()
@@ -137,15 +139,15 @@
 	}
 }
 
-// Report returns the state of the zone as this daemon last saw it.
+// Report returns the state of the zone as of the latest decision.
 func (m *Manager) Report() Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.report
 }
 
-// PollSoon asks for an early poll of an engine whose report is known to have
-// changed.
+// PollSoon requests an early poll of an engine whose report is known to have changed. It has no effect
+// on daemons that do not hold the lease.
 func (m *Manager) PollSoon(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -154,7 +156,7 @@
 	}
 }
 
-// applyPollRequests makes the engines of all hints due.
+// applyPollRequests makes the requested polls due.
 func (m *Manager) applyPollRequests() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -166,7 +168,7 @@
 	clear(m.pollRequests)
 }
 
-// Run reconciles until ctx ends.
+// Run reconciles the zone until ctx ends.
 func (m *Manager) Run(ctx context.Context) error {
 	t := time.NewTicker(m.cfg.TickInterval)
 	defer t.Stop()
@@ -180,10 +182,11 @@
 	}
 }
 
-// maxStepsPerTick bounds the orders of one tick, so that each tick begins with a new
-// look at the lease and the site text.
+// maxStepsPerTick bounds the orders of one tick. Each tick starts by reading the lease and the site text
+// again.
 const maxStepsPerTick = 8
 
+// tick observes the zone once and sends the orders that are due, if this daemon holds the lease.
 func (m *Manager) tick(ctx context.Context) {
 	hold := m.deps.Lease.Held()
 	if !hold.Valid(time.Now()) {
@@ -208,12 +211,13 @@
 	}
 }
 
-// startHold drops what was seen under an earlier hold.
+// startHold discards the state of an earlier hold and starts a new one.
 func (m *Manager) startHold(hold lease.Hold) {
 	m.reset()
 	m.fence = hold.Fence
 }
 
+// reset discards the state of the current hold, if any.
 func (m *Manager) reset() {
 	if m.fence == 0 {
 		return
@@ -230,7 +234,8 @@
 	m.mu.Unlock()
 }
 
-// runStep decides and carries out one order. It reports whether another may follow.
+// runStep decides on the next step and sends its order, if any. It reports whether another step may
+// follow in this tick.
 func (m *Manager) runStep(ctx context.Context, hold lease.Hold, text *site.Site) bool {
 	step := m.plan(ctx, hold, text)
 	if step.ReducesCapacity && m.observe(ctx, text, m.cfg.MaxObservationAge) == nil {
@@ -244,7 +249,8 @@
 	return m.sendOrder(ctx, text, step)
 }
 
-// logStep logs a decision to wait or do nothing when it differs from the last.
+// logStep counts a step, and logs it if it differs from the last one and is to wait or to do nothing.
+// Steps that send an order are logged with the order.
 func (m *Manager) logStep(step placement.Step, text *site.Site) {
 	m.metrics.steps.WithLabelValues(step.Kind.String(), string(step.Reason)).Inc()
 	if step == m.lastLogged {
@@ -259,8 +265,8 @@
 	}
 }
 
-// sendOrder sends one order under the hold, if that still lasts, and looks at what
-// became of it.
+// sendOrder sends the order of a step, if the hold is still valid, and polls the engine for the effect.
+// It reports whether another step may follow.
 func (m *Manager) sendOrder(ctx context.Context, text *site.Site, step placement.Step) bool {
 	e, ok := m.engines[step.Backend]
 	hold := m.deps.Lease.Held()
@@ -268,11 +274,11 @@
 		return false
 	}
 	order := engine.Order{ID: uuid.NewString(), Kind: orderKind(step.Kind), Ref: toEngine(step.Ref), Fence: hold.Fence}
-	until := time.Now().Add(m.cfg.OrderTimeout)
-	if hold.Until.Before(until) {
-		until = hold.Until
+	deadline := time.Now().Add(m.cfg.OrderTimeout)
+	if hold.Until.Before(deadline) {
+		deadline = hold.Until
 	}
-	orderCtx, cancel := context.WithDeadline(ctx, until)
+	orderCtx, cancel := context.WithDeadline(ctx, deadline)
 	err := e.eng.Order(orderCtx, order)
 	cancel()
 	m.metrics.orders.WithLabelValues(string(order.Kind), outcomeLabel(err)).Inc()
--- a/control/reconcile/revision.go
+++ b/control/reconcile/revision.go
@@ -11,26 +11,26 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// RevisionPrefix is the part of the store that holds, per zone, the newest
-// revision of the site text that a holder acted on.
+// RevisionPrefix is the prefix of the store keys that hold, per zone, the latest revision of the site
+// text that a lease holder acted on.
 const RevisionPrefix = "reconcile/revision/"
 
-// revisionMark is the zone's mark in the store as last read or written.
+// revisionMark is the zone's high-water mark of site text revisions, as last read from or written to the
+// store.
 type revisionMark struct {
 	loaded       bool
 	revision     int64
-	version      int64 // of the key, 0 if absent
-	loggedBehind int64 // revision for which being behind was logged
+	version      int64 // of the store key; 0 if it is absent
+	loggedBehind int64 // older revision for which PlacementBehind was logged
 }
 
-// canActOn reports whether orders may be given for text, and writes the mark
-// first when the text is newer than any acted on.
+// canActOn reports whether orders may be sent for text. It first raises the mark if text is newer than
+// any revision acted on.
 //
-// The failure: a holder that is behind on the text takes over from one that
-// was not, and undoes in the zone what the newer revision had changed. It
-// shows as engines that load the old version again for a while. The mark is
-// written before the first order of a revision, so whoever holds the lease
-// later reads it and waits until it knows that revision.
+// A holder that has an older site text than the previous holder would undo what the newer revision had
+// changed in the zone, and engines would load the old version again for a while. The mark is written
+// before the first order of a revision, so that any later lease holder reads it and waits until it knows
+// that revision.
 func (m *Manager) canActOn(ctx context.Context, text *site.Site) bool {
 	if m.actedOn.loaded && m.actedOn.revision == text.Revision {
 		return true
@@ -53,6 +53,7 @@
 	return false
 }
 
+// readMark reads the mark from the store and reports whether it succeeded. An absent mark is a success.
 func (m *Manager) readMark(ctx context.Context) bool {
 	kv, err := m.deps.Store.Get(ctx, m.markKey())
 	if errors.Is(err, store.ErrNotFound) {
@@ -64,14 +65,14 @@
 	}
 	revision, err := strconv.ParseInt(string(kv.Value), 10, 64)
 	if err != nil {
-		revision = 0 // not written by a daemon; the next write replaces it
+		revision = 0 // not written by a daemon; the next writeMark replaces it
 	}
 	m.actedOn = revisionMark{loaded: true, revision: revision, version: kv.Version}
 	return true
 }
 
-// writeMark records revision. After any failure, a lost answer included, the
-// mark is read again before anything is concluded.
+// writeMark writes revision to the store and reports whether it succeeded. After any failure, including
+// a lost response, canActOn reads the mark again.
 func (m *Manager) writeMark(ctx context.Context, revision int64) bool {
 	value := strconv.FormatInt(revision, 10)
 	version, err := m.deps.Store.CompareAndSwap(ctx, m.markKey(), m.actedOn.version, []byte(value), 0)
