--- a/control/backends/backends.go
+++ b/control/backends/backends.go
@@ -1,7 +1,7 @@
-// Package backends tracks the backend servers: it joins the platform's VM list, which lags, with the
-// status that each engine reports. Every daemon polls only a subset of the servers, since polling and
-// connecting to all of them from every daemon does not scale, and the daemons tell each other about
-// changes of the VM list and of reports.
+// Package backends tracks the backend servers: it joins the platform's VM list, which lags, with
+// the status that each engine reports. Every daemon polls only a subset of the servers, since
+// polling and connecting to all of them from every daemon does not scale, and the daemons tell each
+// other about changes of the VM list and of reports.
 package backends
 
 import (
@@ -74,17 +74,17 @@
 	Pools   map[string][]*Backend
 }
 
-// ChooseVersion returns the set of weights with which a new request for ref runs. pick is a uniformly
-// distributed number.
+// ChooseVersion returns the set of weights with which a new request for ref runs. pick is a
+// uniformly distributed number.
 //
 // A site text with a new version comes into force before any engine has loaded that version, and
-// engines become ready one by one. If all requests asked for the new version, they would be refused at
-// first and then overload the first engine that is ready. Each version therefore receives requests in
-// proportion to the number of engines that would serve it; ref itself is returned if no engine is
-// ready.
+// engines become ready one by one. If all requests asked for the new version, they would be refused
+// at first and then overload the first engine that is ready. Each version therefore receives
+// requests in proportion to the number of engines that would serve it; ref itself is returned if no
+// engine is ready.
 //
-// Versions in except are never chosen from the ready engines: an engine that unloads a version refuses
-// requests for it before its status report shows that.
+// Versions in except are never chosen from the ready engines: an engine that unloads a version
+// refuses requests for it before its status report shows that.
 func (s *Snapshot) ChooseVersion(pool string, ref engine.ModelRef, pick uint64, except ...string) engine.ModelRef {
 	var ready []engine.ModelRef
 	for _, b := range s.Pools[pool] {
--- a/control/backends/config.go
+++ b/control/backends/config.go
@@ -40,11 +40,11 @@
 // DefaultConfig returns the default configuration.
 //
 // ListInterval, JitterRatio and ListTimeout determine DrainBound, after which a backend server that
-// the list shows as leaving receives no new work. Reading the list transfers about 310 KB at 2,290 VMs.
-// Therefore only three daemons of a zone read it each second, mostly to learn that it has not changed,
-// and pass changes on; the others read it every 15 minutes in case a change was lost on the way. In a
-// zone of three daemons all of them read. A steady poll costs about 0.4 KB, and all control traffic is
-// to stay below 2 KB per second, which leaves one steady poll per second.
+// the list shows as leaving receives no new work. Reading the list transfers about 310 KB at 2,290
+// VMs. Therefore only three daemons of a zone read it each second, mostly to learn that it has not
+// changed, and pass changes on; the others read it every 15 minutes in case a change was lost on
+// the way. In a zone of three daemons all of them read. A steady poll costs about 0.4 KB, and all
+// control traffic is to stay below 2 KB per second, which leaves one steady poll per second.
 func DefaultConfig() Config {
 	return Config{
 		ListInterval:          time.Second,
@@ -63,8 +63,8 @@
 	}
 }
 
-// changePropagationDelay bounds the time until a change that a reader found has reached every daemon
-// through the exchanges of package membership. One exchange takes about a tenth of it.
+// changePropagationDelay bounds the time until a change that a reader found has reached every
+// daemon through the exchanges of package membership. One exchange takes about a tenth of it.
 const changePropagationDelay = 2 * time.Second
 
 // DrainBound is the maximum time from when the platform's list shows a backend server as leaving
@@ -73,8 +73,8 @@
 	return c.maxJittered(c.ListInterval) + c.ListTimeout + changePropagationDelay
 }
 
-// RemovalBound is the same bound for a backend server that the list no longer contains. It is twice as
-// long because a server counts as removed only after two reads without it.
+// RemovalBound is the same bound for a backend server that the list no longer contains. It is twice
+// as long because a server counts as removed only after two reads without it.
 func (c Config) RemovalBound() time.Duration { return 2 * c.DrainBound() }
 
 // maxJittered returns the longest time that jitter can make of d.
--- a/control/backends/entries.go
+++ b/control/backends/entries.go
@@ -9,8 +9,8 @@
 	"mallowwind.dev/external/vmlist"
 )
 
-// removalReads is the number of consecutive reads that must lack a VM before it counts as removed. A
-// single read may be truncated or come from a lagging replica of the list.
+// removalReads is the number of consecutive reads that must lack a VM before it counts as removed.
+// A single read may be truncated or come from a lagging replica of the list.
 const removalReads = 2
 
 // entry is the mutable state from which a Backend is published. It is guarded by Manager.mu.
@@ -49,8 +49,8 @@
 	forgotten bool
 }
 
-// merge applies the list to the entries and returns the transitions to log. wanted holds the rows of
-// this daemon's subset by VM ID; listed holds the IDs of all entries that the list contains.
+// merge applies the list to the entries and returns the transitions to log. wanted holds the rows
+// of this daemon's subset by VM ID; listed holds the IDs of all entries that the list contains.
 func (m *Manager) merge(wanted map[string]vmlist.VM, listed map[string]bool, now time.Time) []change {
 	var changes []change
 	for id, vm := range wanted {
@@ -77,10 +77,10 @@
 }
 
 // mergeUnwanted handles an entry that is not in the wanted rows, because its VM is no longer in the
-// subset or no longer in the list. A VM that was removed from the list receives no new work, even if
-// it still answers: the platform is going to stop it, and new work would be aborted. The entry is kept
-// for requests that are still running, for RemovedRetention, or only for RemovalBound if the server is
-// not an engine or does not answer.
+// subset or no longer in the list. A VM that was removed from the list receives no new work, even
+// if it still answers: the platform is going to stop it, and new work would be aborted. The entry
+// is kept for requests that are still running, for RemovedRetention, or only for RemovalBound if
+// the server is not an engine or does not answer.
 func (m *Manager) mergeUnwanted(e *entry, listed map[string]bool, now time.Time) (change, bool) {
 	if listed[e.vm.ID] {
 		delete(m.entries, e.vm.ID) // no longer in the subset
@@ -103,11 +103,11 @@
 	return change{}, false
 }
 
-// newEntry creates the entry of a VM for the kind of its pool in the site text in force. The list is
-// often known before the first site text, especially during an outage of the store. An entry whose
-// kind was guessed then and never corrected would treat a plain service as an engine: the daemon would
-// send it status polls, which the service may execute as calls, and consider it unreachable. merge
-// therefore replaces an entry whose pool has changed its kind.
+// newEntry creates the entry of a VM for the kind of its pool in the site text in force. The list
+// is often known before the first site text, especially during an outage of the store. An entry
+// whose kind was guessed then and never corrected would treat a plain service as an engine: the
+// daemon would send it status polls, which the service may execute as calls, and consider it
+// unreachable. merge therefore replaces an entry whose pool has changed its kind.
 func (m *Manager) newEntry(vm vmlist.VM) *entry {
 	e := &entry{vm: vm, kind: m.poolKind(vm.Pool)}
 	switch e.kind {
--- a/control/backends/listchanges.go
+++ b/control/backends/listchanges.go
@@ -17,10 +17,10 @@
 // changes; rotating the readers spreads that load over the daemons of a zone.
 const readerTerm = time.Hour
 
-// ReaderElection returns a function for Deps.IsReader. Each hour it elects the readers anew among the
-// live members of the daemon's zone, by a hash of the hour and the member's ID. While the daemons'
-// views or clocks differ, a zone has a reader too many or too few, which costs a few reads or a few
-// seconds.
+// ReaderElection returns a function for Deps.IsReader. Each hour it elects the readers anew among
+// the live members of the daemon's zone, by a hash of the hour and the member's ID. While the
+// daemons' views or clocks differ, a zone has a reader too many or too few, which costs a few reads
+// or a few seconds.
 func ReaderElection(members membership.Source) func(int) bool {
 	return func(readers int) bool {
 		view := members.Current()
@@ -36,13 +36,13 @@
 	}
 }
 
-// OnVMChange registers f to be called with each change that this daemon finds when it reads the list
-// itself. f must not block. Call OnVMChange before Run.
+// OnVMChange registers f to be called with each change that this daemon finds when it reads the
+// list itself. f must not block. Call OnVMChange before Run.
 func (m *Manager) OnVMChange(f func(membership.VMNews)) { m.onVMChange = append(m.onVMChange, f) }
 
-// ApplyVMChange applies a change of the list that another daemon found. It reports whether the change
-// is newer than the last one that this daemon knew of the VM; it ignores changes and returns false
-// until the list has been read.
+// ApplyVMChange applies a change of the list that another daemon found. It reports whether the
+// change is newer than the last one that this daemon knew of the VM; it ignores changes and returns
+// false until the list has been read.
 func (m *Manager) ApplyVMChange(n membership.VMNews) bool {
 	m.mu.Lock()
 	if m.list == nil || !n.Seen.After(m.changedAt[n.VM.ID]) {
--- a/control/backends/manager.go
+++ b/control/backends/manager.go
@@ -29,8 +29,8 @@
 	// PoolKind returns the kind of a pool according to the site text in force. If it is nil, all pools
 	// hold engines.
 	PoolKind func(pool string) Kind
-	// IsReader reports whether this daemon is one of the given number of daemons that read the list for
-	// its zone. If it is nil, the daemon is a reader. See ReaderElection.
+	// IsReader reports whether this daemon is one of the given number of daemons that read the list
+	// for its zone. If it is nil, the daemon is a reader. See ReaderElection.
 	IsReader func(readers int) bool
 	Log      *event.Log
 	// Registerer registers the metrics; if it is nil, they are not registered.
@@ -38,8 +38,8 @@
 	Config     Config
 }
 
-// Manager is the Source used in production. It reads the VM list, selects this daemon's subset of every
-// pool and polls the engines in the subset.
+// Manager is the Source used in production. It reads the VM list, selects this daemon's subset of
+// every pool and polls the engines in the subset.
 type Manager struct {
 	deps    Deps
 	cfg     Config
@@ -115,7 +115,8 @@
 	return ctx.Err()
 }
 
-// shouldReadList reports whether this daemon should read the list now instead of relying on readers.
+// shouldReadList reports whether this daemon should read the list now instead of relying on
+// readers.
 func (m *Manager) shouldReadList() bool {
 	age := m.listAge()
 	return age == 0 || age >= m.cfg.NonReaderListInterval || m.deps.IsReader == nil || m.deps.IsReader(m.cfg.ReadersPerZone)
@@ -159,9 +160,9 @@
 	}
 }
 
-// checkCredible rejects a list without any backend server if the daemon knows some. The store behind
-// the list may be empty after a restart, and a daemon that trusted such a list would drain all backend
-// servers at once.
+// checkCredible rejects a list without any backend server if the daemon knows some. The store
+// behind the list may be empty after a restart, and a daemon that trusted such a list would drain
+// all backend servers at once.
 func (m *Manager) checkCredible(rows []vmlist.VM) error {
 	for _, vm := range rows {
 		if vm.Role == vmlist.RoleBackend {
--- a/control/backends/manager_test.go
+++ b/control/backends/manager_test.go
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// An operator drains a backend server, and the platform's list shows it as leaving. Requests sent to it
-// until it stops would be aborted, so the daemon must show it as leaving within DrainBound.
+// An operator drains a backend server, and the platform's list shows it as leaving. Requests sent
+// to it until it stops would be aborted, so the daemon must show it as leaving within DrainBound.
 func TestLeavingIsKnownWithinDrainBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := &listFake{}
@@ -109,9 +109,9 @@
 	})
 }
 
-// The list no longer contains a VM whose process still answers (a stuck shutdown). New work would be
-// aborted when the VM is deleted, but its running generations must stay reachable: it must count as
-// leaving for RemovedRetention. An empty list must not have that effect.
+// The list no longer contains a VM whose process still answers (a stuck shutdown). New work would
+// be aborted when the VM is deleted, but its running generations must stay reachable: it must count
+// as leaving for RemovedRetention. An empty list must not have that effect.
 func TestRemovedButAnswering(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := &listFake{}
@@ -136,8 +136,8 @@
 	})
 }
 
-// A backend server crashes while the lagging list still shows it as live. It must become unreachable
-// without affecting another server, and reachable again soon after it answers.
+// A backend server crashes while the lagging list still shows it as live. It must become
+// unreachable without affecting another server, and reachable again soon after it answers.
 func TestListedButNotAnswering(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := &listFake{}
@@ -192,16 +192,16 @@
 	must.Greater(t, 8, leastKnown)
 }
 
-// The subset must grow to the whole pool in a zone with few daemons, and stay at its minimum in a zone
-// with many.
+// The subset must grow to the whole pool in a zone with few daemons, and stay at its minimum in a
+// zone with many.
 func TestSubsetCoversWithFewDaemons(t *testing.T) {
 	must.Eq(t, 36, min(36, localSubsetSize(12, 8, 36, 3)))
 	must.Eq(t, 12, localSubsetSize(12, 8, 18, 56))
 }
 
-// A daemon that does not read the list learns from another daemon that one backend server is leaving
-// and that another one was removed. Both must count as leaving at once, and an older change that
-// arrives late must not be applied.
+// A daemon that does not read the list learns from another daemon that one backend server is
+// leaving and that another one was removed. Both must count as leaving at once, and an older change
+// that arrives late must not be applied.
 func TestChangesReplaceReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := &listFake{}
@@ -263,8 +263,9 @@
 }
 
 // In a large pool, polling all engines once takes minutes. When another daemon announces that an
-// engine no longer answers, this daemon must poll the engine early instead of considering it reachable
-// until its next steady poll. It must not poll early if it already knows the announced report.
+// engine no longer answers, this daemon must poll the engine early instead of considering it
+// reachable until its next steady poll. It must not poll early if it already knows the announced
+// report.
 func TestReportChangeTriggersEarlyPoll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list, engines := &listFake{}, map[string]*engineFake{}
--- a/control/backends/poll.go
+++ b/control/backends/poll.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// pollLoop starts the polls that are due. Up to Config.MaxConcurrentPolls run concurrently, so that a
-// backend server that does not answer does not delay the polls of others.
+// pollLoop starts the polls that are due. Up to Config.MaxConcurrentPolls run concurrently, so that
+// a backend server that does not answer does not delay the polls of others.
 func (m *Manager) pollLoop(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -64,8 +64,8 @@
 	}
 }
 
-// nextDue returns the entry that has been due longest and marks it as being polled. If none is due, it
-// returns nil and how long to wait.
+// nextDue returns the entry that has been due longest and marks it as being polled. If none is due,
+// it returns nil and how long to wait.
 func (m *Manager) nextDue(now time.Time) (*entry, time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -139,8 +139,8 @@
 	}
 }
 
-// steadyInterval returns the time between two polls of a backend server in a steady state. All entries
-// share PollsPerSecond.
+// steadyInterval returns the time between two polls of a backend server in a steady state. All
+// entries share PollsPerSecond.
 func (m *Manager) steadyInterval() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/control/backends/reportchanges.go
+++ b/control/backends/reportchanges.go
@@ -30,17 +30,17 @@
 	return d.Sum64()
 }
 
-// OnReportChange registers f to be called when a poll by this daemon finds a changed report: another
-// incarnation or role, other weights, no answer, or an answer again. f must not block. Call
+// OnReportChange registers f to be called when a poll by this daemon finds a changed report:
+// another incarnation or role, other weights, no answer, or an answer again. f must not block. Call
 // OnReportChange before Run.
 func (m *Manager) OnReportChange(f func(id string, digest uint64)) {
 	m.onReportChange = append(m.onReportChange, f)
 }
 
-// HandleReportChange handles the message that another daemon found a changed report: it schedules an
-// early poll of the backend server if the digest differs from that of the last report. At 1,900
-// backend servers a daemon takes minutes to poll its whole subset once, but each server is polled by
-// some daemon every few seconds.
+// HandleReportChange handles the message that another daemon found a changed report: it schedules
+// an early poll of the backend server if the digest differs from that of the last report. At 1,900
+// backend servers a daemon takes minutes to poll its whole subset once, but each server is polled
+// by some daemon every few seconds.
 func (m *Manager) HandleReportChange(id string, digest uint64) {
 	soon := time.Now().Add(m.jittered(reportPollSpread) / 2)
 	m.mu.Lock()
--- a/control/backends/subset.go
+++ b/control/backends/subset.go
@@ -9,8 +9,8 @@
 	"mallowwind.dev/external/vmlist"
 )
 
-// subset selects the backend servers of one pool that this daemon knows: localSize of its own zone and
-// remoteSize of the other zones. It uses rendezvous hashing, so that the selection needs no
+// subset selects the backend servers of one pool that this daemon knows: localSize of its own zone
+// and remoteSize of the other zones. It uses rendezvous hashing, so that the selection needs no
 // coordination, changes little when VMs are added or removed, and differs between daemons. If every
 // daemon knew every backend server, 390 daemons and 1,900 backend servers would need 741,000
 // connections.
@@ -26,8 +26,9 @@
 	return append(topByWeight(self, local, localSize), topByWeight(self, remote, remoteSize)...)
 }
 
-// localSubsetSize returns the size of the subset in the daemon's own zone: minimum, or more if the zone
-// has too few daemons for each of its n backend servers to be known to daemonsPerBackend of them.
+// localSubsetSize returns the size of the subset in the daemon's own zone: minimum, or more if the
+// zone has too few daemons for each of its n backend servers to be known to daemonsPerBackend of
+// them.
 func localSubsetSize(minimum, daemonsPerBackend, n, daemons int) int {
 	if daemons < 1 {
 		daemons = 1
--- a/control/inifile/parse.go
+++ b/control/inifile/parse.go
@@ -2,10 +2,10 @@
 // all errors in one pass, and a schema of the known keys of each section, against which the
 // reference pages are checked.
 //
-// The accepted syntax is a subset of what ini.v1 reads: one key per line, "=" as the only delimiter,
-// comments after "#" or ";" (after a space when on the line of a key), no continuation lines, no
-// multi-line quotes, no interpolation. Anything else is reported as an error instead of being
-// interpreted.
+// The accepted syntax is a subset of what ini.v1 reads: one key per line, "=" as the only
+// delimiter, comments after "#" or ";" (after a space when on the line of a key), no continuation
+// lines, no multi-line quotes, no interpolation. Anything else is reported as an error instead of
+// being interpreted.
 package inifile
 
 import (
@@ -57,8 +57,8 @@
 	return s.Line
 }
 
-// Parse parses text and returns its sections in order. Problems are added to errs; the sections that
-// could be read are returned as well, so that the caller can check them in the same pass.
+// Parse parses text and returns its sections in order. Problems are added to errs; the sections
+// that could be read are returned as well, so that the caller can check them in the same pass.
 func Parse(text []byte, errs *Collector) []*Section {
 	l := lineScanner{errs: errs, byHeader: map[string]*Section{}}
 	normalized := l.scan(string(text))
--- a/control/inifile/scanner.go
+++ b/control/inifile/scanner.go
@@ -6,8 +6,8 @@
 )
 
 // lineScanner records the line of every section and key and rewrites the text into the subset that
-// this package accepts. Lines that it reports as errors are left blank, so that the rest of the file
-// is still checked.
+// this package accepts. Lines that it reports as errors are left blank, so that the rest of the
+// file is still checked.
 type lineScanner struct {
 	errs     *Collector
 	sections []*Section
--- a/control/inifile/schema.go
+++ b/control/inifile/schema.go
@@ -146,8 +146,8 @@
 	tokenHashDigits = 64 // hex digits of a SHA-256
 )
 
-// IsName reports whether s is a valid name of a service, pool, account, site or VM. Valid names need
-// no escaping in URL paths and store keys.
+// IsName reports whether s is a valid name of a service, pool, account, site or VM. Valid names
+// need no escaping in URL paths and store keys.
 func IsName(s string) bool {
 	if s == "" || len(s) > maxNameBytes || strings.Contains("._-", s[:1]) {
 		return false
--- a/control/reconcile/fence.go
+++ b/control/reconcile/fence.go
@@ -12,19 +12,21 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// checksFence reports whether the engines of a pool check fencing tokens according to the site text.
+// checksFence reports whether the engines of a pool check fencing tokens according to the site
+// text.
 func checksFence(text *site.Site, pool string) bool {
 	p := text.Pools[pool]
 	return p != nil && p.Fencing
 }
 
-// raiseFence makes an engine learn this holder's fencing token before the holder relies on the engine's
-// report. It sends an order that changes nothing, because it sets the role that the engine has.
+// raiseFence makes an engine learn this holder's fencing token before the holder relies on the
+// engine's report. It sends an order that changes nothing, because it sets the role that the engine
+// has.
 //
-// An engine refuses a stale token only after it has seen a newer one. If this holder had sent an engine
-// no order yet, a delayed order of an earlier, paused holder would still take effect there after this
-// holder had counted the engine as serving, and take a service below its floor. Once the engine knows
-// the token and was polled again, no order of an earlier holder can take effect.
+// An engine refuses a stale token only after it has seen a newer one. If this holder had sent an
+// engine no order yet, a delayed order of an earlier, paused holder would still take effect there
+// after this holder had counted the engine as serving, and take a service below its floor. Once the
+// engine knows the token and was polled again, no order of an earlier holder can take effect.
 func (m *Manager) raiseFence(ctx context.Context, text *site.Site, e *engineState) {
 	if e.knowsFence || !e.silentSince.IsZero() || e.answeredAt.IsZero() || !checksFence(text, e.vm.Pool) {
 		return
--- a/control/reconcile/harness_test.go
+++ b/control/reconcile/harness_test.go
@@ -109,7 +109,8 @@
 	return newHarnessWithMaxModels(t, engines, fencing, 2)
 }
 
-// newHarnessWithMaxModels starts zone a with engines that hold up to maxModels sets of weights each.
+// newHarnessWithMaxModels starts zone a with engines that hold up to maxModels sets of weights
+// each.
 func newHarnessWithMaxModels(t *testing.T, engines int, fencing bool, maxModels int) *zoneHarness {
 	inner := store.NewMemory()
 	h := &zoneHarness{
@@ -292,7 +293,8 @@
 	return slices.Clone(h.orders)
 }
 
-// waitUntil lets virtual time pass until ok returns true. The test fails if that takes longer than limit.
+// waitUntil lets virtual time pass until ok returns true. The test fails if that takes longer than
+// limit.
 func (h *zoneHarness) waitUntil(what string, limit time.Duration, ok func() bool) {
 	h.t.Helper()
 	start := time.Now()
@@ -316,8 +318,8 @@
 	return nil
 }
 
-// assertFencesInOrder asserts that no order of an earlier lease holder was accepted after one of a later
-// holder.
+// assertFencesInOrder asserts that no order of an earlier lease holder was accepted after one of a
+// later holder.
 func (h *zoneHarness) assertFencesInOrder() {
 	h.t.Helper()
 	h.mu.Lock()
--- a/control/reconcile/manager_test.go
+++ b/control/reconcile/manager_test.go
@@ -53,10 +53,10 @@
 	}
 }
 
-// The lease holder is paused for minutes with an order in flight. Another daemon takes over the lease,
-// and the site text changes. When the first holder resumes, its order arrives at the engine. Engines
-// that check fencing tokens must refuse it. On others it takes effect late and must be corrected, and
-// the first holder must send no further load of the old version.
+// The lease holder is paused for minutes with an order in flight. Another daemon takes over the
+// lease, and the site text changes. When the first holder resumes, its order arrives at the engine.
+// Engines that check fencing tokens must refuse it. On others it takes effect late and must be
+// corrected, and the first holder must send no further load of the old version.
 func TestPausedHolderResumes(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -92,9 +92,9 @@
 	}
 }
 
-// The store is unavailable for ten minutes during a version change. The lease expires and no daemon may
-// send orders. The service must not fall below its floor, and the change must complete once the store is
-// back.
+// The store is unavailable for ten minutes during a version change. The lease expires and no daemon
+// may send orders. The service must not fall below its floor, and the change must complete once the
+// store is back.
 func TestStoreOutageDuringVersionChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 4, true)
@@ -116,8 +116,8 @@
 	})
 }
 
-// The engines do not check fencing tokens. A new lease holder must not send its first order while an
-// order of the previous holder can still be in flight.
+// The engines do not check fencing tokens. A new lease holder must not send its first order while
+// an order of the previous holder can still be in flight.
 func TestNewHolderWaitsForUnfencedOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 3, false)
@@ -134,9 +134,9 @@
 	})
 }
 
-// An engine crashes during a version change and a new VM is added. The lost replica must be loaded on
-// the new VM, and the change must complete. When the crashed engine comes back on a VM that is leaving,
-// the number of replicas must stay as desired.
+// An engine crashes during a version change and a new VM is added. The lost replica must be loaded
+// on the new VM, and the change must complete. When the crashed engine comes back on a VM that is
+// leaving, the number of replicas must stay as desired.
 func TestEngineCrashDuringVersionChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 3, true)
@@ -155,10 +155,10 @@
 	})
 }
 
-// Engines that hold only one set of weights are to change version, and one of them crashes just before
-// the new site text is applied. The last steady poll saw it serving. An unload based on that
-// observation would leave one ready replica although the floor is two. The change must complete once
-// the engine is back.
+// Engines that hold only one set of weights are to change version, and one of them crashes just
+// before the new site text is applied. The last steady poll saw it serving. An unload based on that
+// observation would leave one ready replica although the floor is two. The change must complete
+// once the engine is back.
 func TestUnloadRestsOnFreshObservation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarnessWithMaxModels(t, 3, true, 1)
@@ -175,8 +175,8 @@
 }
 
 // An operator applies a version whose weights cannot be loaded. At most one engine may give up the
-// working version for it, and the broken weights must not be fetched from the weight store again and
-// again. Once the weights are repaired, the change must complete.
+// working version for it, and the broken weights must not be fetched from the weight store again
+// and again. Once the weights are repaired, the change must complete.
 func TestBrokenVersionStopsVersionChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarnessWithMaxModels(t, 3, true, 1)
@@ -192,9 +192,9 @@
 	})
 }
 
-// An engine restarts without its weights in a zone in which polling all engines once takes long. When
-// another daemon announces the changed report, the replica must be loaded again soon, before the
-// holder's next steady poll of the engine.
+// An engine restarts without its weights in a zone in which polling all engines once takes long.
+// When another daemon announces the changed report, the replica must be loaded again soon, before
+// the holder's next steady poll of the engine.
 func TestPollSoonRestoresLostReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 30, true)
@@ -249,9 +249,10 @@
 	})
 }
 
-// Random sequences of faults from fixed seeds: daemons are paused, the store fails, engines crash, pause
-// and come back, and the site text changes. Orders of two lease holders must never interleave, no order
-// may take the service below its floor, and after the faults the zone must converge to the site text.
+// Random sequences of faults from fixed seeds: daemons are paused, the store fails, engines crash,
+// pause and come back, and the site text changes. Orders of two lease holders must never
+// interleave, no order may take the service below its floor, and after the faults the zone must
+// converge to the site text.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
--- a/control/reconcile/observe.go
+++ b/control/reconcile/observe.go
@@ -24,13 +24,13 @@
 	polledAt    time.Time // start of the last poll; zero makes the next poll due
 	answeredAt  time.Time // last answer to a poll; zero if none
 	silentSince time.Time // first failed poll since the last answer; zero if none
-	// orderPending is set when an order was accepted or its outcome is unknown, until the next answer
-	// to a poll.
+	// orderPending is set until the next answer to a poll after an order that was accepted, or that
+	// failed for another reason than a stale fencing token or a full engine.
 	orderPending bool
 	// full is set if the engine refused a load while it held the sets of weights in status.Models.
 	full     bool
 	retryAt  time.Time // no order before this time, after a failure
-	failures int       // consecutive failures, for the backoff
+	failures int       // failed loads and orders since all sets of weights were last ready
 	readyAt  time.Time // when a set of weights last became ready
 	// loadFailed is set if the last report contained a failed load.
 	loadFailed bool
@@ -59,12 +59,12 @@
 	return max(m.cfg.SteadyPollInterval, round)
 }
 
-// observe updates the zone's engines from the VM list and polls those whose last poll is older than age,
-// or than TickInterval if their state is changing.
+// observe updates the zone's engines from the VM list and polls those whose last poll is older than
+// age, or than TickInterval if their state is changing.
 func (m *Manager) observe(ctx context.Context, text *site.Site, age time.Duration) error {
 	rows, err := m.deps.VMs.List(ctx)
 	if err != nil {
-		return errors.Wrap(err, "read the VM list")
+		return errors.Wrap(err, "reconcile")
 	}
 	m.matchEngines(rows, text)
 	var wg sync.WaitGroup
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// matchEngines makes m.engines hold one engineState for each listed engine of the zone whose pool is in
-// the site text.
+// matchEngines makes m.engines hold one engineState for each listed engine of the zone whose pool
+// is in the site text.
 func (m *Manager) matchEngines(rows []vmlist.VM, text *site.Site) {
 	pools := enginePools(text)
 	listed := make(map[string]bool)
@@ -176,9 +176,9 @@
 	return out
 }
 
-// updateLoadFailures starts a backoff each time a load has failed on an engine, so that a set of weights
-// that cannot be loaded is not fetched again and again. The failure count is reset only when all sets
-// of weights on the engine are ready.
+// updateLoadFailures starts a backoff each time a load has failed on an engine, so that a set of
+// weights that cannot be loaded is not fetched again and again. The failure count is reset only
+// when all sets of weights on the engine are ready, or it has none.
 func (m *Manager) updateLoadFailures(e *engineState) {
 	failed, allReady := false, true
 	for _, l := range e.status.Models {
@@ -242,9 +242,9 @@
 	return earliest
 }
 
-// fencedHealth returns the health of an engine, but Suspect instead of Up while an engine that checks
-// fencing tokens does not know this holder's token, so that an order of an earlier holder could still
-// take effect.
+// fencedHealth returns the health of an engine, but Suspect instead of Up while an engine that
+// checks fencing tokens does not know this holder's token, so that an order of an earlier holder
+// could still take effect.
 func (m *Manager) fencedHealth(e *engineState, text *site.Site) placement.Health {
 	if h := m.health(e); h != placement.Up || e.knowsFence || !checksFence(text, e.vm.Pool) {
 		return h
@@ -263,10 +263,10 @@
 	return placement.Lost
 }
 
-// loadBudget returns how many loads the zone may start now: its share of the weight store's concurrent
-// fetches, which is at least one, less its loads in progress, but no more than the store has free. If
-// the state of the store is unknown, the zone runs one load at a time, since waiting for the store's
-// status could leave the zone without replicas.
+// loadBudget returns how many loads the zone may start now: its share of the weight store's
+// concurrent fetches, which is at least one, less its loads in progress, but no more than the store
+// has free. If the state of the store is unknown, the zone runs one load at a time, since waiting
+// for the store's status could leave the zone without replicas.
 func (m *Manager) loadBudget(ctx context.Context, text *site.Site) int {
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.StatusTimeout)
 	defer cancel()
@@ -283,8 +283,8 @@
 	return min(status.Capacity-status.Active, share-loading)
 }
 
-// loadsInProgress returns the number of loads in progress. It skips lost engines: the last report of
-// one may show a load, which would occupy the zone's share for as long as the engine is lost.
+// loadsInProgress returns the number of loads in progress. It skips lost engines: the last report
+// of one may show a load, which would occupy the zone's share for as long as the engine is lost.
 func (m *Manager) loadsInProgress() int {
 	n := 0
 	for _, e := range m.engines {
@@ -300,7 +300,8 @@
 	return n
 }
 
-// desiredServices returns the generation services of the site text with their desired state in a zone.
+// desiredServices returns the generation services of the site text with their desired state in a
+// zone.
 func desiredServices(text *site.Site, zone string) []placement.Service {
 	var out []placement.Service
 	for _, s := range text.Services {
--- a/control/reconcile/outcome.go
+++ b/control/reconcile/outcome.go
@@ -9,8 +9,8 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// handleOrderError handles an order that was not accepted or whose outcome is unknown. Neither case says
-// what the engine holds; only its next report does.
+// handleOrderError handles an order that was not accepted or whose outcome is unknown. Neither case
+// says what the engine holds; only its next report does.
 func (m *Manager) handleOrderError(e *engineState, order engine.Order, step placement.Step, err error) {
 	m.deps.Log.Emit(event.PlacementFailed, order.ID, string(order.Kind), step.Backend, step.Service,
 		step.Ref.String(), string(step.Reason), err.Error())
--- a/control/reconcile/reconcile.go
+++ b/control/reconcile/reconcile.go
@@ -1,15 +1,15 @@
 // Package reconcile loads and unloads sets of weights on a zone's engines until they match the site
-// text. The daemon that holds the zone's lease observes the engines, asks decision/placement for the
-// next step, sends the order with its fencing token and observes the engines again. All other daemons
-// of the zone do nothing here. Without the lease, several daemons could send orders that rest on
-// different observations and together take a service below its floor.
+// text. The daemon that holds the zone's lease observes the engines, asks decision/placement for
+// the next step, sends the order with its fencing token and observes the engines again. All other
+// daemons of the zone do nothing here. Without the lease, several daemons could send orders that
+// rest on different observations and together take a service below its floor.
 //
 // Late and repeated orders do no harm. Orders are idempotent: they name a state, not a difference.
-// Each order rests on an observation made after the lease was acquired, and an order that reduces
-// capacity on one made shortly before. The effect of an order is read from the engine's report, never
-// assumed. Engines that check fencing tokens refuse late orders of an earlier lease holder. For engines
-// that do not, a new holder first waits for Config.UnfencedOrderDelay, longer than an order of the
-// previous holder can be in flight, and then corrects what it finds.
+// Each order rests on an observation made after the lease was acquired, and before an order that
+// reduces capacity the observation is refreshed. The effect of an order is read from the engine's
+// report, never assumed. Engines that check fencing tokens refuse late orders of an earlier lease
+// holder. For engines that do not, a new holder first waits for Config.UnfencedOrderDelay, longer
+// than an order of the previous holder can be in flight, and then corrects what it finds.
 //
 // A holder never acts on an older revision of the site text than an earlier holder of the zone did:
 // the latest revision acted on is recorded in the store.
@@ -37,14 +37,14 @@
 type Config struct {
 	// TickInterval is the time between two checks of the zone.
 	TickInterval time.Duration
-	// MaxObservationAge is the maximum age of the observation on which an order that reduces capacity
-	// rests.
+	// MaxObservationAge is the age of an observation above which an engine is polled again before an
+	// order that reduces capacity.
 	MaxObservationAge time.Duration
 	// SteadyPollInterval is the time between polls of an engine in a steady state.
 	SteadyPollInterval time.Duration
-	// PollsPerSecond bounds the rate of polls of engines in a steady state. In a large zone it lengthens
-	// the interval between polls of an engine from SteadyPollInterval to minutes. Changes become known
-	// earlier through PollSoon, since some daemon polls each engine every few seconds.
+	// PollsPerSecond bounds the rate of polls of engines in a steady state. In a large zone it
+	// lengthens the interval between polls of an engine from SteadyPollInterval to minutes. Changes
+	// become known earlier through PollSoon, since some daemon polls each engine every few seconds.
 	PollsPerSecond float64
 	// StatusTimeout is the timeout of one poll.
 	StatusTimeout time.Duration
@@ -146,8 +146,8 @@
 	return m.report
 }
 
-// PollSoon requests an early poll of an engine whose report is known to have changed. It has no effect
-// on daemons that do not hold the lease.
+// PollSoon requests an early poll of an engine whose report is known to have changed. It has no
+// effect on daemons that do not hold the lease.
 func (m *Manager) PollSoon(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -182,8 +182,8 @@
 	}
 }
 
-// maxStepsPerTick bounds the orders of one tick. Each tick starts by reading the lease and the site text
-// again.
+// maxStepsPerTick bounds the orders of one tick. Each tick starts by reading the lease and the site
+// text again.
 const maxStepsPerTick = 8
 
 // tick observes the zone once and sends the orders that are due, if this daemon holds the lease.
@@ -249,8 +249,8 @@
 	return m.sendOrder(ctx, text, step)
 }
 
-// logStep counts a step, and logs it if it differs from the last one and is to wait or to do nothing.
-// Steps that send an order are logged with the order.
+// logStep counts a step, and logs it if it differs from the last one and is to wait or to do
+// nothing. Steps that send an order are logged with the order.
 func (m *Manager) logStep(step placement.Step, text *site.Site) {
 	m.metrics.steps.WithLabelValues(step.Kind.String(), string(step.Reason)).Inc()
 	if step == m.lastLogged {
@@ -265,8 +265,8 @@
 	}
 }
 
-// sendOrder sends the order of a step, if the hold is still valid, and polls the engine for the effect.
-// It reports whether another step may follow.
+// sendOrder sends the order of a step, if the hold is still valid, and polls the engine for the
+// effect. It reports whether another step may follow.
 func (m *Manager) sendOrder(ctx context.Context, text *site.Site, step placement.Step) bool {
 	e, ok := m.engines[step.Backend]
 	hold := m.deps.Lease.Held()
--- a/control/settings/parse.go
+++ b/control/settings/parse.go
@@ -136,8 +136,8 @@
 	return rows
 }
 
-// checkAddresses rejects two listeners on the same address. The daemon would only fail when it opens
-// the second listener.
+// checkAddresses rejects two listeners on the same address. The daemon would only fail when it
+// opens the second listener.
 func checkAddresses(s *Settings, sec *inifile.Section, errs *inifile.Collector) {
 	if sec == nil {
 		return
@@ -158,8 +158,8 @@
 	}
 }
 
-// checkTLS rejects incomplete TLS settings. A daemon that has a certificate without a key, or a peer
-// certificate without a CA, could only start without TLS or without authentication, which the
+// checkTLS rejects incomplete TLS settings. A daemon that has a certificate without a key, or a
+// peer certificate without a CA, could only start without TLS or without authentication, which the
 // operator did not ask for.
 func checkTLS(s *Settings, sec *inifile.Section, errs *inifile.Collector) {
 	if sec == nil {
--- a/control/settings/settings.go
+++ b/control/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings of one daemon from an INI file: its listen addresses, its zone,
-// the URLs of the platform's services, TLS files and logging.
+// Package settings reads the settings of one daemon from an INI file: its listen addresses, its
+// zone, the URLs of the platform's services, TLS files and logging.
 package settings
 
 import (
@@ -36,8 +36,8 @@
 	keyLines map[string]int
 }
 
-// Position returns file:line of a key of [daemon], for errors that occur only when the value is used,
-// such as a port that is in use. It returns the key alone if the key's line is unknown.
+// Position returns file:line of a key of [daemon], for errors that occur only when the value is
+// used, such as a port that is in use. It returns the key alone if the key's line is unknown.
 func (s *Settings) Position(key string) string {
 	line, ok := s.keyLines[key]
 	if !ok {
