--- a/control/backends/config.go
+++ b/control/backends/config.go
@@ -15,7 +15,7 @@
 	// ListTimeout is the timeout of one read of the list.
 	ListTimeout time.Duration
 	// MinPollInterval is the time between two polls of a backend server whose state is changing: one
-	// that is unreachable, loading or unloading. Other servers are polled less often.
+	// that is unreachable, loading or unloading. Other servers are polled no more often.
 	MinPollInterval time.Duration
 	// StatusTimeout is the timeout of one poll.
 	StatusTimeout time.Duration
