--- a/control/backends/listchanges.go
+++ b/control/backends/listchanges.go
@@ -38,20 +38,20 @@
 
 // OnVMChange registers f to be called with each change that this daemon finds when it reads the
 // list itself. f must not block. Call OnVMChange before Run.
-func (m *Manager) OnVMChange(f func(membership.VMNews)) { m.onVMChange = append(m.onVMChange, f) }
+func (m *Manager) OnVMChange(f func(membership.VMChange)) { m.onVMChange = append(m.onVMChange, f) }
 
 // ApplyVMChange applies a change of the list that another daemon found. It reports whether the
 // change is newer than the last one that this daemon knew of the VM; it ignores changes and returns
 // false until the list has been read.
-func (m *Manager) ApplyVMChange(n membership.VMNews) bool {
+func (m *Manager) ApplyVMChange(n membership.VMChange) bool {
 	m.mu.Lock()
-	if m.list == nil || !n.Seen.After(m.changedAt[n.VM.ID]) {
+	if m.list == nil || !n.SeenAt.After(m.changedAt[n.VM.ID]) {
 		m.mu.Unlock()
 		return false
 	}
-	m.changedAt[n.VM.ID] = n.Seen
+	m.changedAt[n.VM.ID] = n.SeenAt
 	rows, changed := withChange(m.list, n)
-	if e, ok := m.entries[n.VM.ID]; ok && n.Gone && changed {
+	if e, ok := m.entries[n.VM.ID]; ok && n.Removed && changed {
 		e.missedReads = removalReads - 1 // the reader has already missed the VM in removalReads reads
 	}
 	m.mu.Unlock()
@@ -63,12 +63,12 @@
 
 // withChange returns rows, which are ordered by VM ID, with one change applied, and whether that
 // changed anything.
-func withChange(rows []vmlist.VM, n membership.VMNews) ([]vmlist.VM, bool) {
+func withChange(rows []vmlist.VM, n membership.VMChange) ([]vmlist.VM, bool) {
 	i, found := slices.BinarySearchFunc(rows, n.VM.ID, func(vm vmlist.VM, id string) int { return strings.Compare(vm.ID, id) })
 	switch {
-	case n.Gone && !found, found && !n.Gone && rows[i] == n.VM:
+	case n.Removed && !found, found && !n.Removed && rows[i] == n.VM:
 		return rows, false
-	case n.Gone:
+	case n.Removed:
 		return slices.Delete(slices.Clone(rows), i, i+1), true
 	case found:
 		rows = slices.Clone(rows)
@@ -84,24 +84,24 @@
 
 // diffList returns the changes from the previous list to rows. A VM counts as removed when two
 // consecutive reads lack it. The caller holds Manager.mu.
-func (m *Manager) diffList(rows []vmlist.VM, now time.Time) []membership.VMNews {
+func (m *Manager) diffList(rows []vmlist.VM, now time.Time) []membership.VMChange {
 	if len(m.missingOnce) == 0 && slices.Equal(rows, m.list) {
 		return nil
 	}
-	var changes []membership.VMNews
+	var changes []membership.VMChange
 	previous := make(map[string]vmlist.VM, len(m.list))
 	for _, vm := range m.list {
 		previous[vm.ID] = vm
 	}
 	for _, vm := range rows {
 		if old, ok := previous[vm.ID]; !ok || old != vm {
-			changes = append(changes, membership.VMNews{VM: vm, Seen: now})
+			changes = append(changes, membership.VMChange{VM: vm, SeenAt: now})
 		}
 		delete(previous, vm.ID)
 		delete(m.missingOnce, vm.ID)
 	}
 	for _, vm := range m.missingOnce {
-		changes = append(changes, membership.VMNews{VM: vm, Gone: true, Seen: now})
+		changes = append(changes, membership.VMChange{VM: vm, Removed: true, SeenAt: now})
 	}
 	m.missingOnce = previous
 	maps.DeleteFunc(m.changedAt, func(_ string, seen time.Time) bool { return now.Sub(seen) > changeTimeRetention })
--- a/control/backends/manager.go
+++ b/control/backends/manager.go
@@ -58,7 +58,7 @@
 	changedAt      map[string]time.Time // when a change of each VM was last seen
 	version        uint64
 	missingOnce    map[string]vmlist.VM // VMs that the last read lacked and the read before it contained
-	onVMChange     []func(membership.VMNews)
+	onVMChange     []func(membership.VMChange)
 	onReportChange []func(id string, digest uint64)
 }
 
--- a/control/reconcile/fence.go
+++ b/control/reconcile/fence.go
@@ -31,15 +31,15 @@
 	if e.knowsFence || !e.silentSince.IsZero() || e.answeredAt.IsZero() || !checksFence(text, e.vm.Pool) {
 		return
 	}
-	hold := m.deps.Lease.Held()
-	if hold.Fence != m.fence || !hold.Valid(time.Now()) {
+	hold := m.deps.Lease.Current()
+	if hold.FencingToken != m.fence || !hold.IsValid(time.Now()) {
 		return
 	}
 	role := e.status.Role
 	if role == "" {
 		role = engine.RoleMixed
 	}
-	order := engine.Order{ID: uuid.NewString(), Kind: engine.OrderRole, Role: role, Fence: hold.Fence}
+	order := engine.Order{ID: uuid.NewString(), Kind: engine.OrderRole, Role: role, Fence: hold.FencingToken}
 	orderCtx, cancel := context.WithTimeout(ctx, m.cfg.StatusTimeout)
 	err := e.eng.Order(orderCtx, order)
 	cancel()
--- a/control/reconcile/harness_test.go
+++ b/control/reconcile/harness_test.go
@@ -311,7 +311,7 @@
 // holder returns the first daemon with a valid hold on its lease, or nil.
 func (h *zoneHarness) holder() *daemon {
 	for _, d := range h.daemons {
-		if d.lease.Held().Valid(time.Now()) {
+		if d.lease.Current().IsValid(time.Now()) {
 			return d
 		}
 	}
--- a/control/reconcile/manager_test.go
+++ b/control/reconcile/manager_test.go
@@ -126,7 +126,7 @@
 		first := h.holder()
 		first.stop()
 		h.waitUntil("another daemon holds the lease", time.Minute, func() bool { return h.holder() != nil })
-		taken := h.holder().lease.Held().Taken
+		taken := h.holder().lease.Current().AcquiredAt
 		ordersBefore := len(h.acceptedOrders())
 		h.applySite(2, v2, 3, 1)
 		h.waitUntil("the new holder sent its first order", time.Minute, func() bool { return len(h.acceptedOrders()) > ordersBefore })
--- a/control/reconcile/observe.go
+++ b/control/reconcile/observe.go
@@ -202,7 +202,7 @@
 }
 
 // plan returns the next step that decision/placement chooses for the observed state.
-func (m *Manager) plan(ctx context.Context, hold lease.Hold, text *site.Site) placement.Step {
+func (m *Manager) plan(ctx context.Context, hold lease.Lease, text *site.Site) placement.Step {
 	in := placement.Input{Services: desiredServices(text, m.deps.Zone), LoadBudget: m.loadBudget(ctx, text), Now: time.Now()}
 	for id, e := range m.engines {
 		b := placement.Backend{
@@ -224,13 +224,13 @@
 }
 
 // earliestOrderTime returns the earliest time of the next order to an engine.
-func (m *Manager) earliestOrderTime(e *engineState, hold lease.Hold, text *site.Site) time.Time {
+func (m *Manager) earliestOrderTime(e *engineState, hold lease.Lease, text *site.Site) time.Time {
 	earliest := e.readyAt.Add(m.cfg.ReadySettleTime)
 	if e.retryAt.After(earliest) {
 		earliest = e.retryAt
 	}
 	if !checksFence(text, e.vm.Pool) {
-		if t := hold.Taken.Add(m.cfg.UnfencedOrderDelay); t.After(earliest) {
+		if t := hold.AcquiredAt.Add(m.cfg.UnfencedOrderDelay); t.After(earliest) {
 			earliest = t
 		}
 	}
--- a/control/reconcile/reconcile.go
+++ b/control/reconcile/reconcile.go
@@ -188,12 +188,12 @@
 
 // tick observes the zone once and sends the orders that are due, if this daemon holds the lease.
 func (m *Manager) tick(ctx context.Context) {
-	hold := m.deps.Lease.Held()
-	if !hold.Valid(time.Now()) {
+	hold := m.deps.Lease.Current()
+	if !hold.IsValid(time.Now()) {
 		m.reset()
 		return
 	}
-	if hold.Fence != m.fence {
+	if hold.FencingToken != m.fence {
 		m.startHold(hold)
 	}
 	text := m.deps.Site.Current()
@@ -212,9 +212,9 @@
 }
 
 // startHold discards the state of an earlier hold and starts a new one.
-func (m *Manager) startHold(hold lease.Hold) {
+func (m *Manager) startHold(hold lease.Lease) {
 	m.reset()
-	m.fence = hold.Fence
+	m.fence = hold.FencingToken
 }
 
 // reset discards the state of the current hold, if any.
@@ -236,12 +236,12 @@
 
 // runStep decides on the next step and sends its order, if any. It reports whether another step may
 // follow in this tick.
-func (m *Manager) runStep(ctx context.Context, hold lease.Hold, text *site.Site) bool {
+func (m *Manager) runStep(ctx context.Context, hold lease.Lease, text *site.Site) bool {
 	step := m.plan(ctx, hold, text)
 	if step.ReducesCapacity && m.observe(ctx, text, m.cfg.MaxObservationAge) == nil {
 		step = m.plan(ctx, hold, text)
 	}
-	m.setReport(Report{HoldsLease: true, Fence: hold.Fence, Revision: text.Revision, LastStep: step, DecidedAt: time.Now()})
+	m.setReport(Report{HoldsLease: true, Fence: hold.FencingToken, Revision: text.Revision, LastStep: step, DecidedAt: time.Now()})
 	m.logStep(step, text)
 	if step.Kind != placement.Load && step.Kind != placement.Unload {
 		return false
@@ -269,14 +269,14 @@
 // effect. It reports whether another step may follow.
 func (m *Manager) sendOrder(ctx context.Context, text *site.Site, step placement.Step) bool {
 	e, ok := m.engines[step.Backend]
-	hold := m.deps.Lease.Held()
-	if !ok || hold.Fence != m.fence || !hold.Valid(time.Now()) {
+	hold := m.deps.Lease.Current()
+	if !ok || hold.FencingToken != m.fence || !hold.IsValid(time.Now()) {
 		return false
 	}
-	order := engine.Order{ID: uuid.NewString(), Kind: orderKind(step.Kind), Ref: toEngine(step.Ref), Fence: hold.Fence}
+	order := engine.Order{ID: uuid.NewString(), Kind: orderKind(step.Kind), Ref: toEngine(step.Ref), Fence: hold.FencingToken}
 	deadline := time.Now().Add(m.cfg.OrderTimeout)
-	if hold.Until.Before(deadline) {
-		deadline = hold.Until
+	if hold.ExpiresAt.Before(deadline) {
+		deadline = hold.ExpiresAt
 	}
 	orderCtx, cancel := context.WithDeadline(ctx, deadline)
 	err := e.eng.Order(orderCtx, order)
