--- a/control/backends/manager.go
+++ b/control/backends/manager.go
@@ -19,50 +19,50 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// Deps are what a Manager works with.
+// Deps holds the dependencies of a Manager.
 type Deps struct {
-	Self string // VM id of this daemon; picks its subset
+	Self string // VM ID of this daemon; determines its subset
 	Zone string
 	VMs  vmlist.Source
 	// Engine returns the client of the engine at an address.
 	Engine func(address string) engine.Engine
-	// PoolKind says what the site text in force says of a pool; nil means that all
+	// PoolKind returns the kind of a pool according to the site text in force. If it is nil, all pools
 	// hold engines.
 	PoolKind func(pool string) Kind
-	// IsReader reports whether this daemon is one of its zone's readers of the
-	// list, given their number; nil means that it is. See Readers.
+	// IsReader reports whether this daemon is one of the given number of daemons that read the list
+	// for its zone. If it is nil, the daemon is a reader. See ReaderElection.
 	IsReader func(readers int) bool
 	Log      *event.Log
-	// Registerer takes the metrics; nil keeps them unregistered.
+	// Registerer registers the metrics; if it is nil, they are not registered.
 	Registerer prometheus.Registerer
 	Config     Config
 }
 
-// Manager is the Source in use. It reads the VM list, picks this daemon's
-// subset of every pool and polls the engines in it.
+// Manager is the Source used in production. It reads the VM list, selects this daemon's subset of
+// every pool and polls the engines in the subset.
 type Manager struct {
-	deps Deps
-	cfg  Config
-	met  metrics
-
-	current atomic.Pointer[Snapshot]
-	wake    chan struct{}
-	slots   chan struct{}
-
-	mu       sync.Mutex
-	rng      *rand.Rand
-	entries  map[string]*entry
-	list     []vmlist.VM
-	subset   map[string]vmlist.VM // of list
-	listedAt time.Time
-	news     map[string]time.Time // when each VM that changed was last seen to
-	version  uint64
-	missing  map[string]vmlist.VM // VMs that the last read lacked for the first time
-	onNews   []func(membership.VMChange)
-	onReport []func(id string, digest uint64)
+	deps    Deps
+	cfg     Config
+	metrics metrics
+
+	current   atomic.Pointer[Snapshot]
+	wake      chan struct{}
+	pollSlots chan struct{}
+
+	mu             sync.Mutex
+	rng            *rand.Rand
+	entries        map[string]*entry
+	list           []vmlist.VM
+	subset         map[string]vmlist.VM // this daemon's subset of list, by VM ID
+	listReadAt     time.Time
+	changedAt      map[string]time.Time // when a change of each VM was last seen
+	version        uint64
+	missingOnce    map[string]vmlist.VM // VMs that the last read lacked and the read before it contained
+	onVMChange     []func(membership.VMChange)
+	onReportChange []func(id string, digest uint64)
 }
 
-// NewManager returns a Manager that knows nothing until Run has read the list.
+// NewManager returns a Manager whose snapshot is empty until Run has read the list.
 func NewManager(deps Deps) *Manager {
 	if deps.Log == nil {
 		deps.Log = event.Discard()
@@ -72,24 +72,24 @@
 	}
 	seed := xxhash.Sum64String(deps.Self)
 	m := &Manager{
-		deps:    deps,
-		cfg:     deps.Config,
-		met:     newMetrics(deps.Registerer),
-		wake:    make(chan struct{}, 1),
-		slots:   make(chan struct{}, deps.Config.MaxConcurrentPolls),
-		rng:     rand.New(rand.NewPCG(seed, seed)),
-		entries: make(map[string]*entry),
-		news:    make(map[string]time.Time),
+		deps:      deps,
+		cfg:       deps.Config,
+		metrics:   newMetrics(deps.Registerer),
+		wake:      make(chan struct{}, 1),
+		pollSlots: make(chan struct{}, deps.Config.MaxConcurrentPolls),
+		rng:       rand.New(rand.NewPCG(seed, seed)),
+		entries:   make(map[string]*entry),
+		changedAt: make(map[string]time.Time),
 	}
 	m.current.Store(&Snapshot{Pools: map[string][]*Backend{}})
 	return m
 }
 
-// Current returns the newest snapshot.
+// Current returns the latest snapshot.
 func (m *Manager) Current() *Snapshot { return m.current.Load() }
 
-// List returns the rows of the last list that was read, so that others who
-// need the list share one read of it. It implements vmlist.Source.
+// List returns the list as last read, with the changes that other daemons found, so that the other
+// users of the list in this daemon need no reads of their own. It implements vmlist.Source.
 func (m *Manager) List(context.Context) ([]vmlist.VM, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -99,15 +99,15 @@
 	return m.list, nil
 }
 
-// Run reads and polls until ctx ends.
+// Run reads the VM list and polls the engines until ctx ends.
 func (m *Manager) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	wg.Go(func() { m.pollLoop(ctx) })
 	for ctx.Err() == nil {
-		if m.mustRead() {
+		if m.shouldReadList() {
 			m.readList(ctx)
 		} else {
-			m.take(m.rows(), time.Now())
+			m.applyList(m.listRows(), time.Now())
 		}
 		pause.For(ctx, m.jittered(m.cfg.ListInterval))
 	}
@@ -115,54 +115,55 @@
 	return ctx.Err()
 }
 
-// mustRead reports whether it is this daemon's turn to read the list.
-func (m *Manager) mustRead() bool {
+// shouldReadList reports whether this daemon should read the list now instead of relying on
+// readers.
+func (m *Manager) shouldReadList() bool {
 	age := m.listAge()
 	return age == 0 || age >= m.cfg.NonReaderListInterval || m.deps.IsReader == nil || m.deps.IsReader(m.cfg.ReadersPerZone)
 }
 
-func (m *Manager) rows() []vmlist.VM {
+func (m *Manager) listRows() []vmlist.VM {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.list
 }
 
-// readList reads the list once and takes it over if it is credible.
+// readList reads the list once, applies it if it is credible and announces the changes.
 func (m *Manager) readList(ctx context.Context) {
 	readCtx, cancel := context.WithTimeout(ctx, m.cfg.ListTimeout)
 	rows, err := m.deps.VMs.List(readCtx)
 	cancel()
-	m.met.lists.Inc()
+	m.metrics.listReads.Inc()
 	if err == nil {
-		err = m.credible(rows)
+		err = m.checkCredible(rows)
 	}
 	if err != nil {
-		m.met.listFailures.Inc()
+		m.metrics.listReadFailures.Inc()
 		m.deps.Log.Emit(event.VMListFailed, err.Error(), m.listAge())
 		return
 	}
 	rows = sorted(rows)
 	now := time.Now()
 	m.mu.Lock()
-	first := m.listedAt.IsZero()
-	m.listedAt = now
-	news := m.differences(rows, now)
+	first := m.listReadAt.IsZero()
+	m.listReadAt = now
+	changes := m.diffList(rows, now)
 	m.mu.Unlock()
-	m.take(rows, now)
+	m.applyList(rows, now)
 	if first {
-		return // nothing is news to a daemon that has just started
+		return // the first read has no earlier list to differ from
 	}
-	for _, n := range news {
-		for _, f := range m.onNews {
+	for _, n := range changes {
+		for _, f := range m.onVMChange {
 			f(n)
 		}
 	}
 }
 
-// credible refuses a list without any backend server when there were some.
-// The failure: the list's own store is empty after a restart, and a daemon
-// that believed it would drain everything at once.
-func (m *Manager) credible(rows []vmlist.VM) error {
+// checkCredible rejects a list without any backend server if the daemon knows some. The store
+// behind the list may be empty after a restart, and a daemon that trusted such a list would drain
+// all backend servers at once.
+func (m *Manager) checkCredible(rows []vmlist.VM) error {
 	for _, vm := range rows {
 		if vm.Role == vmlist.RoleBackend {
 			return nil
@@ -171,7 +172,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.entries) > 0 {
-		return errors.New("the VM list shows no backend server at all")
+		return errors.New("the VM list contains no backend server")
 	}
 	return nil
 }
@@ -179,17 +180,17 @@
 func (m *Manager) listAge() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.listedAt.IsZero() {
+	if m.listReadAt.IsZero() {
 		return 0
 	}
-	return time.Since(m.listedAt)
+	return time.Since(m.listReadAt)
 }
 
-// take merges the rows into the picture and publishes it.
-func (m *Manager) take(rows []vmlist.VM, now time.Time) {
+// applyList merges rows into the entries and publishes a snapshot.
+func (m *Manager) applyList(rows []vmlist.VM, now time.Time) {
 	m.mu.Lock()
 	if m.subset == nil || !slices.Equal(rows, m.list) {
-		m.list, m.subset = rows, m.wanted(rows)
+		m.list, m.subset = rows, m.subsetRows(rows)
 	}
 	listed := make(map[string]bool, len(m.entries))
 	for _, vm := range rows {
@@ -202,16 +203,16 @@
 	known := len(m.entries)
 	m.mu.Unlock()
 
-	m.met.known.Set(float64(known))
-	m.report(changes)
-	m.poke()
+	m.metrics.known.Set(float64(known))
+	m.logChanges(changes)
+	m.wakePoller()
 }
 
-// wanted returns the rows of this daemon's subset by id.
-func (m *Manager) wanted(rows []vmlist.VM) map[string]vmlist.VM {
+// subsetRows returns the rows of this daemon's subset by VM ID.
+func (m *Manager) subsetRows(rows []vmlist.VM) map[string]vmlist.VM {
 	daemons := 0
 	pools := make(map[string][]vmlist.VM)
-	here := make(map[string]int)
+	localSizes := make(map[string]int)
 	for _, vm := range rows {
 		if vm.Role == vmlist.RoleEntry && vm.Zone == m.deps.Zone {
 			daemons++
@@ -221,22 +222,22 @@
 		}
 		pools[vm.Pool] = append(pools[vm.Pool], vm)
 		if vm.Zone == m.deps.Zone {
-			here[vm.Pool]++
+			localSizes[vm.Pool]++
 		}
 	}
 	out := make(map[string]vmlist.VM)
 	for name, pool := range pools {
-		near := nearSize(m.cfg.LocalSubsetSize, m.cfg.DaemonsPerBackend, here[name], daemons)
-		for _, vm := range subset(m.deps.Self, m.deps.Zone, pool, near, m.cfg.RemoteSubsetSize) {
+		localSize := localSubsetSize(m.cfg.LocalSubsetSize, m.cfg.DaemonsPerBackend, localSizes[name], daemons)
+		for _, vm := range subset(m.deps.Self, m.deps.Zone, pool, localSize, m.cfg.RemoteSubsetSize) {
 			out[vm.ID] = vm
 		}
 	}
 	return out
 }
 
-func (m *Manager) report(changes []change) {
+func (m *Manager) logChanges(changes []change) {
 	for _, c := range changes {
-		if c.forgot {
+		if c.forgotten {
 			m.deps.Log.Emit(event.BackendForgotten, c.vm.ID, c.vm.Pool)
 		} else {
 			m.deps.Log.Emit(event.BackendLeaving, c.vm.ID, c.vm.Pool, c.reason)
@@ -244,7 +245,8 @@
 	}
 }
 
-// jittered varies d, so that daemons started together do not call together.
+// jittered adds jitter to d, so that daemons that started together do not send their calls at the
+// same time.
 func (m *Manager) jittered(d time.Duration) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/control/settings/parse.go
+++ b/control/settings/parse.go
@@ -15,48 +15,48 @@
 	"mallowwind.dev/control/inifile"
 )
 
-// DefaultDrainLimit is long enough for nearly all generations, which run for
-// minutes, to end where they are.
+// DefaultDrainLimit is long enough for nearly all generations, which run for minutes, to finish on
+// the draining daemon.
 const DefaultDrainLimit = 10 * time.Minute
 
 const (
-	shortestDrain = time.Second
-	longestDrain  = 24 * time.Hour
+	minDrainLimit = time.Second
+	maxDrainLimit = 24 * time.Hour
 )
 
-var fields = map[string][]inifile.Field[Settings]{
+var sectionFields = map[string][]inifile.Field[Settings]{
 	"daemon":   daemonFields,
 	"platform": platformFields,
 	"tls":      tlsFields,
 	"log":      logFields,
 }
 
-// sectionOrder is the order of the reference page.
+// sectionOrder is the order of the sections on the reference page.
 var sectionOrder = []string{"daemon", "platform", "tls", "log"}
 
 var daemonFields = []inifile.Field[Settings]{
-	{Name: "site", Required: true, Help: "name of the site whose text this daemon follows", Set: word(func(s *Settings) *string { return &s.Site })},
-	{Name: "vm", Required: true, Help: "id of this VM in the platform's list", Set: word(func(s *Settings) *string { return &s.VM })},
-	{Name: "zone", Required: true, Help: "availability zone of this VM", Set: text(func(s *Settings) *string { return &s.Zone })},
-	{Name: "region", Help: "region of the zone", Set: text(func(s *Settings) *string { return &s.Region })},
-	{Name: "listen", Required: true, Help: "address for callers", Set: address(func(s *Settings) *string { return &s.Listen })},
-	{Name: "peer_listen", Required: true, Help: "address for other entry VMs", Set: address(func(s *Settings) *string { return &s.PeerListen })},
-	{Name: "admin_listen", Required: true, Help: "address for operators: status and metrics", Set: address(func(s *Settings) *string { return &s.AdminListen })},
+	{Name: "site", Required: true, Help: "name of the site whose text this daemon follows", Set: nameSetter(func(s *Settings) *string { return &s.Site })},
+	{Name: "vm", Required: true, Help: "id of this VM in the platform's list", Set: nameSetter(func(s *Settings) *string { return &s.VM })},
+	{Name: "zone", Required: true, Help: "availability zone of this VM", Set: textSetter(func(s *Settings) *string { return &s.Zone })},
+	{Name: "region", Help: "region of the zone", Set: textSetter(func(s *Settings) *string { return &s.Region })},
+	{Name: "listen", Required: true, Help: "address for callers", Set: addressSetter(func(s *Settings) *string { return &s.Listen })},
+	{Name: "peer_listen", Required: true, Help: "address for other entry VMs", Set: addressSetter(func(s *Settings) *string { return &s.PeerListen })},
+	{Name: "admin_listen", Required: true, Help: "address for operators: status and metrics", Set: addressSetter(func(s *Settings) *string { return &s.AdminListen })},
 	{Name: "drain_limit", Default: DefaultDrainLimit.String(), Help: "longest graceful shutdown", Set: setDrainLimit},
 }
 
 var platformFields = []inifile.Field[Settings]{
 	{Name: "store", Required: true, Help: "endpoints of the key-value service, comma-separated URLs", Set: setStore},
-	{Name: "vm_list", Required: true, Help: "URL of the VM list", Set: link(func(s *Settings) *string { return &s.VMList })},
-	{Name: "weights", Help: "URL of the weight store", Set: link(func(s *Settings) *string { return &s.Weights })},
+	{Name: "vm_list", Required: true, Help: "URL of the VM list", Set: urlSetter(func(s *Settings) *string { return &s.VMList })},
+	{Name: "weights", Help: "URL of the weight store", Set: urlSetter(func(s *Settings) *string { return &s.Weights })},
 }
 
 var tlsFields = []inifile.Field[Settings]{
-	{Name: "cert", Help: "certificate file towards callers", Set: text(func(s *Settings) *string { return &s.TLS.Cert })},
-	{Name: "key", Help: "its private key file", Set: text(func(s *Settings) *string { return &s.TLS.Key })},
-	{Name: "peer_cert", Help: "certificate file of both ends of links between entry VMs", Set: text(func(s *Settings) *string { return &s.TLS.PeerCert })},
-	{Name: "peer_key", Help: "its private key file", Set: text(func(s *Settings) *string { return &s.TLS.PeerKey })},
-	{Name: "peer_ca", Help: "file of the authorities that sign entry VMs' certificates", Set: text(func(s *Settings) *string { return &s.TLS.PeerCA })},
+	{Name: "cert", Help: "certificate file towards callers", Set: textSetter(func(s *Settings) *string { return &s.TLS.Cert })},
+	{Name: "key", Help: "its private key file", Set: textSetter(func(s *Settings) *string { return &s.TLS.Key })},
+	{Name: "peer_cert", Help: "certificate file of both ends of links between entry VMs", Set: textSetter(func(s *Settings) *string { return &s.TLS.PeerCert })},
+	{Name: "peer_key", Help: "its private key file", Set: textSetter(func(s *Settings) *string { return &s.TLS.PeerKey })},
+	{Name: "peer_ca", Help: "file of the authorities that sign entry VMs' certificates", Set: textSetter(func(s *Settings) *string { return &s.TLS.PeerCA })},
 	{Name: "operator_token_hash", Secret: true, Help: "lower-case hex SHA-256 of the operators' bearer token", Set: setTokenHash},
 }
 
@@ -65,20 +65,21 @@
 	{Name: "format", Default: "text", Help: "text or json", Set: setLogFormat},
 }
 
-// Parse reads the settings at path. Its error is an inifile.Errors that lists
-// every fault as "file:line: what: what to write instead".
+// Parse reads the settings file at path. The error is an inifile.Errors that lists every problem as
+// "file:line: problem: remedy".
 func Parse(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, inifile.Errors{{
-			File: path, Problem: "cannot be read (" + cause(err).Error() + ")",
+			File: path, Problem: "cannot be read (" + pathErrorCause(err).Error() + ")",
 			Remedy: "give the path of a readable settings file",
 		}}
 	}
 	return ParseText(path, text)
 }
 
-func cause(err error) error {
+// pathErrorCause returns the error inside an os.PathError, whose path Parse already reports.
+func pathErrorCause(err error) error {
 	var pathErr *os.PathError
 	if errors.As(err, &pathErr) {
 		return pathErr.Err
@@ -86,24 +87,24 @@
 	return err
 }
 
-// locate remembers where the keys of a section stand.
-func (s *Settings) locate(file string, sec *inifile.Section) {
+// recordKeyLines stores the file and the line number of each key of sec for Position.
+func (s *Settings) recordKeyLines(file string, sec *inifile.Section) {
 	if sec == nil {
 		return
 	}
-	s.file, s.lines = file, make(map[string]int, len(sec.Keys))
+	s.file, s.keyLines = file, make(map[string]int, len(sec.Keys))
 	for _, k := range sec.Keys {
-		s.lines[k.Name] = k.Line
+		s.keyLines[k.Name] = k.Line
 	}
 }
 
-// ParseText is Parse on a text already read; name stands in the errors.
+// ParseText parses the text of a settings file; name is the file name used in errors.
 func ParseText(name string, text []byte) (*Settings, error) {
 	errs := &inifile.Collector{File: name}
 	s := &Settings{LogLevel: "info", LogFormat: "text", DrainLimit: DefaultDrainLimit}
 	sections := map[string]*inifile.Section{}
 	for _, sec := range inifile.Parse(text, errs) {
-		known, ok := fields[sec.Header()]
+		known, ok := sectionFields[sec.Header()]
 		if !ok {
 			errs.Add(sec.Line, fmt.Sprintf("unknown section [%s]", sec.Header()),
 				"write one of ["+strings.Join(sectionOrder, "], [")+"]")
@@ -117,7 +118,7 @@
 			errs.Add(0, "no section ["+name+"]", "add it")
 		}
 	}
-	s.locate(name, sections["daemon"])
+	s.recordKeyLines(name, sections["daemon"])
 	checkAddresses(s, sections["daemon"], errs)
 	checkTLS(s, sections["tls"], errs)
 	if err := errs.Err(); err != nil {
@@ -126,17 +127,17 @@
 	return s, nil
 }
 
-// Reference returns every section and key, for the reference page.
+// Reference returns the rows of the reference page: every key of every section.
 func Reference() []inifile.Row {
 	var rows []inifile.Row
 	for _, name := range sectionOrder {
-		rows = append(rows, inifile.Rows(name, fields[name])...)
+		rows = append(rows, inifile.Rows(name, sectionFields[name])...)
 	}
 	return rows
 }
 
-// checkAddresses refuses two listeners on one address: the daemon would stop
-// at its second listen with an error that names no line.
+// checkAddresses rejects two listeners on the same address. The daemon would only fail when it
+// opens the second listener.
 func checkAddresses(s *Settings, sec *inifile.Section, errs *inifile.Collector) {
 	if sec == nil {
 		return
@@ -157,9 +158,9 @@
 	}
 }
 
-// checkTLS refuses half a pair. A daemon with a certificate and no key, or with
-// a peer certificate and no authority, could only start without TLS or without
-// authentication, which nobody asked for.
+// checkTLS rejects incomplete TLS settings. A daemon that has a certificate without a key, or a
+// peer certificate without a CA, could only start without TLS or without authentication, which the
+// operator did not ask for.
 func checkTLS(s *Settings, sec *inifile.Section, errs *inifile.Collector) {
 	if sec == nil {
 		return
@@ -179,32 +180,34 @@
 	}
 }
 
-type setter = func(to *Settings, suffix, value string) error
+// setFunc stores the value of one key.
+type setFunc = func(dst *Settings, suffix, value string) error
 
-// text accepts any value but an empty one.
-func text(field func(*Settings) *string) setter {
-	return func(to *Settings, _, value string) error {
+// textSetter accepts any non-empty value.
+func textSetter(field func(*Settings) *string) setFunc {
+	return func(dst *Settings, _, value string) error {
 		if value == "" {
 			return errors.New("write a value or leave the key out")
 		}
-		*field(to) = value
+		*field(dst) = value
 		return nil
 	}
 }
 
-// word accepts what may stand in a store key or a URL path.
-func word(field func(*Settings) *string) setter {
-	return func(to *Settings, _, value string) error {
+// nameSetter accepts names that need no escaping in a store key or a URL path.
+func nameSetter(field func(*Settings) *string) setFunc {
+	return func(dst *Settings, _, value string) error {
 		if !inifile.IsName(value) {
 			return errors.New("write letters, digits, '.', '_' and '-', beginning with a letter or digit")
 		}
-		*field(to) = value
+		*field(dst) = value
 		return nil
 	}
 }
 
-func address(field func(*Settings) *string) setter {
-	return func(to *Settings, _, value string) error {
+// addressSetter accepts ip:port.
+func addressSetter(field func(*Settings) *string) setFunc {
+	return func(dst *Settings, _, value string) error {
 		host, port, err := net.SplitHostPort(value)
 		if err == nil {
 			_, err = netip.ParseAddr(host)
@@ -215,21 +218,23 @@
 		if err != nil {
 			return errors.New("write ip:port with an IP number, such as 10.0.1.4:8080")
 		}
-		*field(to) = value
+		*field(dst) = value
 		return nil
 	}
 }
 
-func link(field func(*Settings) *string) setter {
-	return func(to *Settings, _, value string) error {
+// urlSetter accepts the URLs that checkURL accepts.
+func urlSetter(field func(*Settings) *string) setFunc {
+	return func(dst *Settings, _, value string) error {
 		if err := checkURL(value); err != nil {
 			return err
 		}
-		*field(to) = value
+		*field(dst) = value
 		return nil
 	}
 }
 
+// checkURL accepts http and https URLs whose host is an IP address.
 func checkURL(value string) error {
 	u, err := url.Parse(value)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
@@ -241,7 +246,7 @@
 	return nil
 }
 
-func setStore(to *Settings, _, value string) error {
+func setStore(dst *Settings, _, value string) error {
 	endpoints := inifile.List(value)
 	if len(endpoints) == 0 {
 		return errors.New("write at least one URL such as http://10.0.0.9:2379")
@@ -251,29 +256,29 @@
 			return err
 		}
 	}
-	to.Store = endpoints
+	dst.Store = endpoints
 	return nil
 }
 
-func setDrainLimit(to *Settings, _, value string) (err error) {
-	to.DrainLimit, err = inifile.Duration(value, shortestDrain, longestDrain)
+func setDrainLimit(dst *Settings, _, value string) (err error) {
+	dst.DrainLimit, err = inifile.Duration(value, minDrainLimit, maxDrainLimit)
 	return err
 }
 
-func setTokenHash(to *Settings, _, value string) error {
+func setTokenHash(dst *Settings, _, value string) error {
 	if !inifile.IsTokenHash(value) {
 		return errors.New("write 64 lower-case hex digits: the SHA-256 of the token, not the token")
 	}
-	to.TLS.OperatorTokenHash = value
+	dst.TLS.OperatorTokenHash = value
 	return nil
 }
 
-func setLogLevel(to *Settings, _, value string) (err error) {
-	to.LogLevel, err = inifile.OneOf(value, "debug", "info", "warning", "error")
+func setLogLevel(dst *Settings, _, value string) (err error) {
+	dst.LogLevel, err = inifile.OneOf(value, "debug", "info", "warning", "error")
 	return err
 }
 
-func setLogFormat(to *Settings, _, value string) (err error) {
-	to.LogFormat, err = inifile.OneOf(value, "text", "json")
+func setLogFormat(dst *Settings, _, value string) (err error) {
+	dst.LogFormat, err = inifile.OneOf(value, "text", "json")
 	return err
 }
