--- a/external/standin/enginesim/faults.go
+++ b/external/standin/enginesim/faults.go
@@ -6,18 +6,18 @@
 	"mallowwind.dev/external/engine"
 )
 
-// Die resets every connection and forgets every generation, the cache and the
+// Crash resets every connection and forgets every generation, the cache and the
 // weights. Calls find nothing listening until Revive.
-func (s *Sim) Die() {
+func (s *Sim) Crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.dead {
+	if s.crashed {
 		return
 	}
-	s.dead = true
+	s.crashed = true
 	s.unpause()
 	for _, g := range s.generations {
-		if !g.done() {
+		if !g.isDone() {
 			s.stats.Lost++
 			g.phase = cancelled
 		}
@@ -29,24 +29,24 @@
 	clear(s.generations)
 	clear(s.tombstones)
 	s.queue, s.batch = nil, nil
-	s.cache.clear()
+	s.cache.reset()
 }
 
-// Revive starts a new incarnation, which loads the models it was made with.
+// Restart starts a new incarnation, which loads the models it was made with.
 // Its fencing number begins anew, as nothing was kept.
-func (s *Sim) Revive() {
+func (s *Sim) Restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.dead {
+	if !s.crashed {
 		return
 	}
-	s.dead = false
+	s.crashed = false
 	s.incarnation++
-	s.load = loadReport{}
+	s.loadHistory = loadSampler{}
 	s.weights = weightSet{role: engine.RoleMixed, orders: s.weights.orders}
 	for _, ref := range s.config.Models {
 		s.weights.set(ref, engine.Loading)
-		go s.fetch(ref, s.incarnation)
+		go s.loadModel(ref, s.incarnation)
 	}
 }
 
@@ -54,7 +54,7 @@
 func (s *Sim) Pause() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.paused && !s.dead {
+	if !s.paused && !s.crashed {
 		s.paused, s.resumed = true, make(chan struct{})
 	}
 }
@@ -64,10 +64,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unpause()
-	s.kick()
+	s.startStepping()
 	for _, g := range s.generations {
 		if len(g.readers) == 0 {
-			g.unread = time.Now()
+			g.unreadSince = time.Now()
 		}
 		g.notify()
 	}
@@ -80,11 +80,11 @@
 	}
 }
 
-// Slow multiplies the time of every step; 1 is the usual speed.
-func (s *Sim) Slow(factor float64) {
+// SetSlowdown multiplies the time of every step; 1 is the usual speed.
+func (s *Sim) SetSlowdown(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = factor
+	s.slowdown = factor
 }
 
 // Silence makes every stream open now silent for good, while new ones work.
@@ -99,8 +99,8 @@
 	}
 }
 
-// RefuseNew makes the engine refuse new generations, or take them again.
-func (s *Sim) RefuseNew(refuse bool) {
+// SetRefusing makes the engine refuse new generations, or take them again.
+func (s *Sim) SetRefusing(refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refusing = refuse
--- a/external/standin/enginesim/generation.go
+++ b/external/standin/enginesim/generation.go
@@ -10,7 +10,7 @@
 	"mallowwind.dev/external/standin/tokencheck"
 )
 
-type key struct {
+type attemptKey struct {
 	id      string
 	attempt uint64
 }
@@ -26,39 +26,39 @@
 
 // generation is one attempt. The engine's mutex guards it.
 type generation struct {
-	key     key
-	req     engine.Request
-	ref     engine.ModelRef
-	arrival uint64
-	phase   phase
-	prefill int // prompt and prefix tokens still to work off
-	tokens  []string
-	chain   *tokencheck.Chain
-	random  *rand.Rand
-	limit   int // tokens of the whole answer
-	finish  engine.FinishReason
-	readers map[*reader]struct{}
-	unread  time.Time // when the last reader left
-	ended   time.Time
+	key         attemptKey
+	req         engine.Request
+	ref         engine.ModelRef
+	arrival     uint64
+	phase       phase
+	prefillLeft int // prompt and prefix tokens still to work off
+	tokens      []string
+	chain       *tokencheck.Chain
+	random      *rand.Rand
+	maxTokens   int // tokens of the whole answer
+	finish      engine.FinishReason
+	readers     map[*reader]struct{}
+	unreadSince time.Time // when the last reader left
+	endedAt     time.Time
 }
 
 func newGeneration(req engine.Request, random *rand.Rand) *generation {
 	g := &generation{
-		key:     key{req.Generation, req.Attempt},
-		req:     req,
-		ref:     refOf(req),
-		tokens:  append([]string(nil), req.Prefix...),
-		chain:   tokencheck.NewChain(req.Model, req.Prompt),
-		random:  random,
-		limit:   req.MaxTokens,
-		finish:  engine.FinishLength,
-		readers: make(map[*reader]struct{}),
+		key:       attemptKey{req.Generation, req.Attempt},
+		req:       req,
+		ref:       refOf(req),
+		tokens:    append([]string(nil), req.Prefix...),
+		chain:     tokencheck.NewChain(req.Model, req.Prompt),
+		random:    random,
+		maxTokens: req.MaxTokens,
+		finish:    engine.FinishLength,
+		readers:   make(map[*reader]struct{}),
 	}
 	for _, t := range req.Prefix {
 		g.chain.Append(t)
 	}
-	if n, ok := stopAt(req.Prompt); ok && n < g.limit {
-		g.limit, g.finish = n, engine.FinishStop
+	if n, ok := parseStop(req.Prompt); ok && n < g.maxTokens {
+		g.maxTokens, g.finish = n, engine.FinishStop
 	}
 	return g
 }
@@ -67,8 +67,8 @@
 	return engine.ModelRef{Model: req.Model, Adapter: req.Adapter, Version: req.Version}
 }
 
-// stopAt finds "stop=K" in a prompt: the answer then ends by itself after K tokens.
-func stopAt(prompt string) (int, bool) {
+// parseStop finds "stop=K" in a prompt: the answer then ends by itself after K tokens.
+func parseStop(prompt string) (int, bool) {
 	_, rest, ok := strings.Cut(prompt, "stop=")
 	if !ok {
 		return 0, false
@@ -81,21 +81,21 @@
 	return n, err == nil
 }
 
-// step makes one token. It reports whether the answer is now whole.
-func (g *generation) step() bool {
-	if len(g.tokens) < g.limit {
-		g.tokens = append(g.tokens, g.chain.Next(salt(g.random)))
+// generateToken makes one token. It reports whether the answer is now whole.
+func (g *generation) generateToken() bool {
+	if len(g.tokens) < g.maxTokens {
+		g.tokens = append(g.tokens, g.chain.Next(randomSalt(g.random)))
 	}
-	return len(g.tokens) >= g.limit
+	return len(g.tokens) >= g.maxTokens
 }
 
-// salt makes two attempts over the same prefix differ, as sampling does.
-func salt(r *rand.Rand) string {
+// randomSalt makes two attempts over the same prefix differ, as sampling does.
+func randomSalt(r *rand.Rand) string {
 	b := []byte{'a' + byte(r.IntN(26)), 'a' + byte(r.IntN(26))}
 	return string(b[:1+r.IntN(2)])
 }
 
-func (g *generation) done() bool { return g.phase == finished || g.phase == cancelled }
+func (g *generation) isDone() bool { return g.phase == finished || g.phase == cancelled }
 
 func (g *generation) notify() {
 	for r := range g.readers {
@@ -103,8 +103,8 @@
 	}
 }
 
-// text is what the engine's cache sees: the prompt and the forced prefix.
-func (g *generation) text() string {
+// promptText is what the engine's cache sees: the prompt and the forced prefix.
+func (g *generation) promptText() string {
 	if len(g.req.Prefix) == 0 {
 		return g.req.Prompt
 	}
--- a/external/standin/enginesim/handler.go
+++ b/external/standin/enginesim/handler.go
@@ -13,8 +13,8 @@
 	"mallowwind.dev/external/engine"
 )
 
-// maxRequest bounds a request body, in bytes.
-const maxRequest = 16 << 20
+// maxRequestBytes bounds a request body, in bytes.
+const maxRequestBytes = 16 << 20
 
 // Handler serves the wire form of an engine, documented in docs/engine-protocol.md.
 func Handler(s *Sim) http.Handler {
@@ -33,16 +33,16 @@
 
 func (h *handler) complete(w http.ResponseWriter, r *http.Request) {
 	var c engine.CompletionRequest
-	if !decode(w, r, &c) {
+	if !decodeBody(w, r, &c) {
 		return
 	}
 	if !c.Stream {
-		fail(w, refuse(engine.CodeInvalid, "only stream=true is served"))
+		writeError(w, newRefusal(engine.CodeInvalid, "only stream=true is served"))
 		return
 	}
 	s, err := h.sim.Generate(r.Context(), c.Request())
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
 	copyStream(w, r, s, c.Generation, c.Attempt)
@@ -53,12 +53,12 @@
 	attempt, err := strconv.ParseUint(r.FormValue("attempt"), 10, 64)
 	from, err2 := strconv.Atoi(r.FormValue("from"))
 	if err != nil || err2 != nil {
-		fail(w, refuse(engine.CodeInvalid, "attempt and from must be numbers"))
+		writeError(w, newRefusal(engine.CodeInvalid, "attempt and from must be numbers"))
 		return
 	}
 	s, err := h.sim.Attach(r.Context(), id, attempt, from)
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
 	copyStream(w, r, s, id, attempt)
@@ -67,53 +67,53 @@
 func (h *handler) cancel(w http.ResponseWriter, r *http.Request) {
 	attempt, err := strconv.ParseUint(r.FormValue("attempt"), 10, 64)
 	if err != nil {
-		fail(w, refuse(engine.CodeInvalid, "attempt must be a number"))
+		writeError(w, newRefusal(engine.CodeInvalid, "attempt must be a number"))
 		return
 	}
-	answer(w, struct{}{}, h.sim.Cancel(r.Context(), mux.Vars(r)["id"], attempt))
+	writeReply(w, struct{}{}, h.sim.Cancel(r.Context(), mux.Vars(r)["id"], attempt))
 }
 
 func (h *handler) status(w http.ResponseWriter, r *http.Request) {
 	status, err := h.sim.Status(r.Context())
-	answer(w, status, err)
+	writeReply(w, status, err)
 }
 
 func (h *handler) order(w http.ResponseWriter, r *http.Request) {
 	var o engine.Order
-	if decode(w, r, &o) {
-		answer(w, struct{}{}, h.sim.Order(r.Context(), o))
+	if decodeBody(w, r, &o) {
+		writeReply(w, struct{}{}, h.sim.Order(r.Context(), o))
 	}
 }
 
 func (h *handler) cacheEvents(w http.ResponseWriter, r *http.Request) {
 	seq, err := strconv.ParseUint(r.FormValue("seq"), 10, 64)
 	if err != nil {
-		fail(w, refuse(engine.CodeInvalid, "seq must be a number"))
+		writeError(w, newRefusal(engine.CodeInvalid, "seq must be a number"))
 		return
 	}
 	events, err := h.sim.CacheEvents(r.Context(), seq)
-	answer(w, events, err)
+	writeReply(w, events, err)
 }
 
-func decode(w http.ResponseWriter, r *http.Request, v any) bool {
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequest)).Decode(v)
+func decodeBody(w http.ResponseWriter, r *http.Request, v any) bool {
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(v)
 	if err != nil {
-		fail(w, refuse(engine.CodeInvalid, "body: %v", err))
+		writeError(w, newRefusal(engine.CodeInvalid, "body: %v", err))
 	}
 	return err == nil
 }
 
-func answer(w http.ResponseWriter, v any, err error) {
+func writeReply(w http.ResponseWriter, v any, err error) {
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// fail writes a refusal. What is none cuts the connection, as a dead engine does.
-func fail(w http.ResponseWriter, err error) {
+// writeError writes a refusal. What is none cuts the connection, as a dead engine does.
+func writeError(w http.ResponseWriter, err error) {
 	var refusal *Refusal
 	body := engine.ErrorBody{Error: engine.ErrorDetail{Message: err.Error()}}
 	status := http.StatusBadRequest
--- a/external/standin/enginesim/reader.go
+++ b/external/standin/enginesim/reader.go
@@ -14,15 +14,15 @@
 // reader is one stream. Its fields but wake and closed are guarded by the
 // engine's mutex.
 type reader struct {
-	sim    *Sim
-	gen    *generation
-	next   int
-	silent bool // the connection lost its track: nothing moves on it again
-	broken bool
-	ended  bool
-	wake   chan struct{}
-	closed chan struct{}
-	once   sync.Once
+	sim       *Sim
+	gen       *generation
+	next      int
+	silent    bool // the connection lost its track: nothing moves on it again
+	broken    bool
+	ended     bool
+	wake      chan struct{}
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
 var _ engine.Stream = (*reader)(nil)
@@ -97,7 +97,7 @@
 
 // Close implements engine.Stream.
 func (r *reader) Close() error {
-	r.once.Do(func() {
+	r.closeOnce.Do(func() {
 		close(r.closed)
 		r.sim.detach(r)
 	})
@@ -109,6 +109,6 @@
 	defer s.mu.Unlock()
 	delete(r.gen.readers, r)
 	if len(r.gen.readers) == 0 {
-		r.gen.unread = time.Now()
+		r.gen.unreadSince = time.Now()
 	}
 }
--- a/external/standin/enginesim/sim.go
+++ b/external/standin/enginesim/sim.go
@@ -22,30 +22,30 @@
 	mu          sync.Mutex
 	random      *rand.Rand
 	incarnation int
-	generations map[key]*generation
+	generations map[attemptKey]*generation
 	tombstones  map[string]tombstone // highest cancelled attempt by generation
 	queue       []*generation        // waiting, next first
 	batch       []*generation        // running
 	arrivals    uint64
 	stepping    bool // the step loop runs
-	cache       *cache
+	cache       *promptCache
 	weights     weightSet
-	load        loadReport
+	loadHistory loadSampler
 	stats       Stats
-	swept       time.Time
+	lastSweep   time.Time
 
-	dead     bool
+	crashed  bool
 	paused   bool
 	refusing bool
-	slow     float64
+	slowdown float64
 	resumed  chan struct{} // closed by Unpause and Die
 }
 
 var _ engine.Engine = (*Sim)(nil)
 
 type tombstone struct {
-	attempt uint64
-	at      time.Time
+	attempt    uint64
+	recordedAt time.Time
 }
 
 // New returns a running engine. It holds goroutines only while it has work or
@@ -60,11 +60,11 @@
 		close:       end,
 		random:      random,
 		incarnation: 1,
-		generations: make(map[key]*generation),
+		generations: make(map[attemptKey]*generation),
 		tombstones:  make(map[string]tombstone),
 		cache:       newCache(config, random),
-		slow:        1,
-		swept:       time.Now(),
+		slowdown:    1,
+		lastSweep:   time.Now(),
 	}
 	s.weights.role = engine.RoleMixed
 	for _, ref := range config.Models {
@@ -75,11 +75,11 @@
 
 // Generate implements engine.Engine.
 func (s *Sim) Generate(ctx context.Context, req engine.Request) (engine.Stream, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return nil, err
 	}
 	defer s.mu.Unlock()
-	if err := s.admissible(req); err != nil {
+	if err := s.checkAdmission(req); err != nil {
 		s.stats.Refused++
 		return nil, err
 	}
@@ -89,34 +89,34 @@
 	g.arrival = s.arrivals
 	s.generations[g.key] = g
 	r := s.newReader(g, len(req.Prefix))
-	if len(g.tokens) >= g.limit {
-		s.end(g, finished)
+	if len(g.tokens) >= g.maxTokens {
+		s.endGeneration(g, finished)
 		return r, nil
 	}
 	s.enqueue(g)
-	s.kick()
+	s.startStepping()
 	return r, nil
 }
 
 // Attach implements engine.Engine.
 func (s *Sim) Attach(ctx context.Context, id string, attempt uint64, from int) (engine.Stream, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return nil, err
 	}
 	defer s.mu.Unlock()
-	g, ok := s.generations[key{id, attempt}]
+	g, ok := s.generations[attemptKey{id, attempt}]
 	if !ok || g.phase == cancelled {
 		return nil, errors.Wrapf(engine.ErrUnknownGeneration, "%s attempt %d", id, attempt)
 	}
-	if from < 0 || from > g.limit {
-		return nil, refuse(engine.CodeInvalid, "offset %d is past the answer", from)
+	if from < 0 || from > g.maxTokens {
+		return nil, newRefusal(engine.CodeInvalid, "offset %d is past the answer", from)
 	}
 	return s.newReader(g, from), nil
 }
 
 // Cancel implements engine.Engine.
 func (s *Sim) Cancel(ctx context.Context, id string, attempt uint64) error {
-	if err := s.enter(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return err
 	}
 	defer s.mu.Unlock()
@@ -126,9 +126,9 @@
 			continue
 		}
 		known = true
-		if !g.done() {
+		if !g.isDone() {
 			s.stats.Cancelled++
-			s.end(g, cancelled)
+			s.endGeneration(g, cancelled)
 		}
 	}
 	if t := s.tombstones[id]; attempt >= t.attempt {
@@ -142,16 +142,16 @@
 
 // CacheEvents implements engine.Engine.
 func (s *Sim) CacheEvents(ctx context.Context, seq uint64) ([]engine.CacheEvent, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return nil, err
 	}
 	defer s.mu.Unlock()
-	return s.cache.after(seq, time.Now()), nil
+	return s.cache.eventsAfter(seq, time.Now()), nil
 }
 
 // Close ends the engine for good, as Die does.
 func (s *Sim) Close() {
-	s.Die()
+	s.Crash()
 	s.close()
 }
 
@@ -162,14 +162,14 @@
 	return s.stats
 }
 
-// enter locks the engine for one call, waiting out a pause. A dead engine is
+// beginCall locks the engine for one call, waiting out a pause. A dead engine is
 // as one that nothing listens on: the call was not sent. A call given up on
 // during a pause was sent, and its outcome is not known.
-func (s *Sim) enter(ctx context.Context) error {
+func (s *Sim) beginCall(ctx context.Context) error {
 	waited := false
 	for {
 		s.mu.Lock()
-		if s.dead {
+		if s.crashed {
 			s.mu.Unlock()
 			if waited {
 				return errors.Wrap(engine.ErrBroken, "connection reset")
@@ -191,64 +191,64 @@
 	}
 }
 
-// admissible says why req cannot run here, or nil.
-func (s *Sim) admissible(req engine.Request) error {
-	k := key{req.Generation, req.Attempt}
+// checkAdmission says why req cannot run here, or nil.
+func (s *Sim) checkAdmission(req engine.Request) error {
+	k := attemptKey{req.Generation, req.Attempt}
 	switch t, cancelledBefore := s.tombstones[req.Generation]; {
 	case s.refusing:
-		return refuse(engine.CodeRefusing, "takes no new work")
+		return newRefusal(engine.CodeRefusing, "takes no new work")
 	case req.Generation == "" || req.MaxTokens < len(req.Prefix) || req.MaxTokens <= 0:
-		return refuse(engine.CodeInvalid, "no generation id, or max_tokens below the prefix")
+		return newRefusal(engine.CodeInvalid, "no generation id, or max_tokens below the prefix")
 	case s.weights.state(refOf(req)) != engine.Ready:
-		return refuse(engine.CodeModelNotReady, "%v is not ready", refOf(req))
+		return newRefusal(engine.CodeModelNotReady, "%v is not ready", refOf(req))
 	case cancelledBefore && req.Attempt <= t.attempt:
-		return refuse(engine.CodeStaleAttempt, "attempts up to %d are cancelled", t.attempt)
+		return newRefusal(engine.CodeStaleAttempt, "attempts up to %d are cancelled", t.attempt)
 	case s.generations[k] != nil:
-		return refuse(engine.CodeStaleAttempt, "attempt %d is known already", req.Attempt)
-	case len(s.queue) >= s.config.Queue:
-		return refuse(engine.CodeOverloaded, "%d requests wait", len(s.queue))
+		return newRefusal(engine.CodeStaleAttempt, "attempt %d is known already", req.Attempt)
+	case len(s.queue) >= s.config.QueueLimit:
+		return newRefusal(engine.CodeOverloaded, "%d requests wait", len(s.queue))
 	}
 	return nil
 }
 
-// end moves g to a final phase.
-func (s *Sim) end(g *generation, p phase) {
-	s.queue = without(s.queue, g)
-	s.batch = without(s.batch, g)
+// endGeneration moves g to a final phase.
+func (s *Sim) endGeneration(g *generation, p phase) {
+	s.queue = remove(s.queue, g)
+	s.batch = remove(s.batch, g)
 	g.phase = p
-	g.ended = time.Now()
+	g.endedAt = time.Now()
 	g.notify()
-	s.weights.settle(s.uses)
+	s.weights.dropUnused(s.isInUse)
 }
 
-func without(list []*generation, g *generation) []*generation {
+func remove(list []*generation, g *generation) []*generation {
 	if i := slices.Index(list, g); i >= 0 {
 		return slices.Delete(list, i, i+1)
 	}
 	return list
 }
 
-// sweepEvery spaces the removals of what is no longer kept.
-const sweepEvery = time.Second
+// sweepInterval spaces the removals of what is no longer kept.
+const sweepInterval = time.Second
 
 // sweep ends generations that nobody reads and forgets old ones.
 func (s *Sim) sweep() {
 	now := time.Now()
-	if now.Sub(s.swept) < sweepEvery {
+	if now.Sub(s.lastSweep) < sweepInterval {
 		return
 	}
-	s.swept = now
+	s.lastSweep = now
 	for k, g := range s.generations {
 		switch {
-		case g.done() && now.Sub(g.ended) > s.config.Keep:
+		case g.isDone() && now.Sub(g.endedAt) > s.config.Retention:
 			delete(s.generations, k)
-		case !g.done() && len(g.readers) == 0 && now.Sub(g.unread) > s.config.Linger:
+		case !g.isDone() && len(g.readers) == 0 && now.Sub(g.unreadSince) > s.config.UnreadTimeout:
 			s.stats.Abandoned++
-			s.end(g, cancelled)
+			s.endGeneration(g, cancelled)
 		}
 	}
 	for id, t := range s.tombstones {
-		if now.Sub(t.at) > s.config.Keep {
+		if now.Sub(t.recordedAt) > s.config.Retention {
 			delete(s.tombstones, id)
 		}
 	}
@@ -269,13 +269,13 @@
 	return target == engine.ErrRefused || target == engine.ErrNotReady && r.Code == engine.CodeModelNotReady
 }
 
-func refuse(code engine.ErrorCode, format string, args ...any) error {
+func newRefusal(code engine.ErrorCode, format string, args ...any) error {
 	return &Refusal{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
-// Runs reports whether the engine holds an attempt of this generation that has
+// HasUnfinished reports whether the engine holds an attempt of this generation that has
 // not ended, so that a story can pick the engine to fail.
-func (s *Sim) Runs(id string) bool {
+func (s *Sim) HasUnfinished(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for k, g := range s.generations {
@@ -286,8 +286,8 @@
 	return false
 }
 
-// Busy reports whether any attempt waits or runs.
-func (s *Sim) Busy() bool {
+// IsBusy reports whether any attempt waits or runs.
+func (s *Sim) IsBusy() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.queue)+len(s.batch) > 0
--- a/external/standin/enginesim/status.go
+++ b/external/standin/enginesim/status.go
@@ -9,55 +9,55 @@
 	"mallowwind.dev/external/engine"
 )
 
-// figures are the load at one time.
-type figures struct {
-	at       time.Time
-	running  int
-	waiting  int
-	tokens   int64
-	perS     float64
-	measured bool
+// loadSample are the load at one time.
+type loadSample struct {
+	sampledAt       time.Time
+	running         int
+	waiting         int
+	tokens          int64
+	tokensPerSecond float64
+	valid           bool
 }
 
-// loadReport keeps two samples of the load, so that the one reported is at
+// loadSampler keeps two samples of the load, so that the one reported is at
 // least as old as the lag whenever work goes on.
-type loadReport struct {
-	old, recent figures
+type loadSampler struct {
+	previous, latest loadSample
 }
 
 // sample takes figures when the recent ones are as old as the lag.
-func (l *loadReport) sample(s *Sim) {
+func (l *loadSampler) sample(s *Sim) {
 	now := time.Now()
-	if l.recent.measured && now.Sub(l.recent.at) < s.config.StatusLag {
+	if l.latest.valid && now.Sub(l.latest.sampledAt) < s.config.StatusLag {
 		return
 	}
-	f := figures{at: now, running: len(s.batch), waiting: len(s.queue), tokens: s.stats.Tokens, measured: true}
-	if d := now.Sub(l.recent.at); l.recent.measured && d > 0 {
-		f.perS = float64(f.tokens-l.recent.tokens) / d.Seconds()
+	f := loadSample{sampledAt: now, running: len(s.batch), waiting: len(s.queue), tokens: s.stats.Tokens, valid: true}
+	if d := now.Sub(l.latest.sampledAt); l.latest.valid && d > 0 {
+		f.tokensPerSecond = float64(f.tokens-l.latest.tokens) / d.Seconds()
 	}
-	if d := now.Sub(l.recent.at); d == 0 {
-		f.perS = l.recent.perS
+	if d := now.Sub(l.latest.sampledAt); d == 0 {
+		f.tokensPerSecond = l.latest.tokensPerSecond
 	}
-	l.old, l.recent = l.recent, f
+	l.previous, l.latest = l.latest, f
 }
 
-func (l *loadReport) reported(lag time.Duration) figures {
-	if lag > 0 && l.old.measured {
-		return l.old
+func (l *loadSampler) reported(lag time.Duration) loadSample {
+	if lag > 0 && l.previous.valid {
+		return l.previous
 	}
-	return l.recent
+	return l.latest
 }
 
 // Status implements engine.Engine. Models, role and fence are exact; the load
 // figures are old by Age.
 func (s *Sim) Status(ctx context.Context) (engine.Status, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return engine.Status{}, err
 	}
 	defer s.mu.Unlock()
-	s.weights.settle(s.uses)
-	s.load.sample(s)
-	f := s.load.reported(s.config.StatusLag)
+	s.weights.dropUnused(s.isInUse)
+	s.loadHistory.sample(s)
+	f := s.loadHistory.reported(s.config.StatusLag)
 	status := engine.Status{
 		Incarnation: fmt.Sprintf("%s-%d", s.config.Name, s.incarnation),
 		Role:        s.weights.role,
@@ -65,10 +65,10 @@
 		Running:     f.running,
 		Waiting:     f.waiting,
 		Slots:       s.config.Slots,
-		TokensPerS:  f.perS,
-		Age:         time.Since(f.at),
+		TokensPerS:  f.tokensPerSecond,
+		Age:         time.Since(f.sampledAt),
 	}
-	if s.config.RespectFence {
+	if s.config.EnforceFencing {
 		status.Fence = s.weights.fence
 	}
 	return status, nil
--- a/external/standin/enginesim/step.go
+++ b/external/standin/enginesim/step.go
@@ -16,19 +16,19 @@
 	s.queue = slices.Insert(s.queue, i, g)
 }
 
-// kick starts the step loop if there is work and it does not run.
-func (s *Sim) kick() {
-	if s.stepping || s.dead || s.paused || len(s.queue)+len(s.batch) == 0 {
+// startStepping starts the step loop if there is work and it does not run.
+func (s *Sim) startStepping() {
+	if s.stepping || s.crashed || s.paused || len(s.queue)+len(s.batch) == 0 {
 		return
 	}
 	s.stepping = true
-	go s.run()
+	go s.stepLoop()
 }
 
-// run steps until there is no work, or until a pause or death.
-func (s *Sim) run() {
+// stepLoop steps until there is no work, or until a pause or death.
+func (s *Sim) stepLoop() {
 	for {
-		work, d, ok := s.begin()
+		work, d, ok := s.beginStep()
 		if !ok {
 			return
 		}
@@ -51,101 +51,101 @@
 	}
 }
 
-// part is the share of one generation in a step.
-type part struct {
+// stepShare is the share of one generation in a step.
+type stepShare struct {
 	gen     *generation
 	prefill int // prompt tokens worked off; 0 means one new token
 }
 
-// begin fills free slots and lays out one step.
-func (s *Sim) begin() ([]part, time.Duration, bool) {
+// beginStep fills free slots and lays out one step.
+func (s *Sim) beginStep() ([]stepShare, time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sweep()
-	s.load.sample(s)
-	if s.dead || s.paused {
+	s.loadHistory.sample(s)
+	if s.crashed || s.paused {
 		s.stepping = false
 		return nil, 0, false
 	}
-	s.fill()
+	s.fillBatch()
 	if len(s.batch) == 0 {
 		s.stepping = false
 		return nil, 0, false
 	}
-	work, prefill := s.layOut()
-	return work, s.stepTime(len(s.batch), prefill), true
+	work, prefill := s.planStep()
+	return work, s.stepDuration(len(s.batch), prefill), true
 }
 
-func (s *Sim) fill() {
-	for len(s.batch) < s.config.Slots && len(s.queue) > 0 && s.room(s.queue[0]) {
+func (s *Sim) fillBatch() {
+	for len(s.batch) < s.config.Slots && len(s.queue) > 0 && s.hasMemoryFor(s.queue[0]) {
 		g := s.queue[0]
 		s.queue = slices.Delete(s.queue, 0, 1)
 		g.phase = running
-		s.lookUp(g)
+		s.lookUpPrefill(g)
 		s.batch = append(s.batch, g)
 	}
 }
 
-// lookUp sets how much of the prompt and prefix must be worked off.
-func (s *Sim) lookUp(g *generation) {
-	text := g.text()
+// lookUpPrefill sets how much of the prompt and prefix must be worked off.
+func (s *Sim) lookUpPrefill(g *generation) {
+	text := g.promptText()
 	hashes := engine.BlockHashes(g.ref, text)
-	held := s.cache.held(hashes) * engine.BlockBytes / engine.BytesPerToken
+	held := s.cache.matchPrefix(hashes) * engine.BlockBytes / engine.BytesPerToken
 	s.cache.add(hashes, time.Now())
 	total := (len(text) + engine.BytesPerToken - 1) / engine.BytesPerToken
 	total += len(g.tokens) - len(g.req.Prefix) // made here before it was taken out
-	g.prefill = max(total-held, 1)             // the last token is always computed
-	s.stats.Cached += int64(total - g.prefill)
+	g.prefillLeft = max(total-held, 1)         // the last token is always computed
+	s.stats.Cached += int64(total - g.prefillLeft)
 }
 
-// layOut shares the step's prefill chunk among those that need it, in batch order.
-func (s *Sim) layOut() (work []part, prefill int) {
-	work = make([]part, 0, len(s.batch))
-	left := s.config.PrefillChunk
+// planStep shares the step's prefill chunk among those that need it, in batch order.
+func (s *Sim) planStep() (work []stepShare, prefill int) {
+	work = make([]stepShare, 0, len(s.batch))
+	left := s.config.PrefillChunkTokens
 	for _, g := range s.batch {
-		n := min(g.prefill, left)
-		if g.prefill > 0 && n == 0 {
+		n := min(g.prefillLeft, left)
+		if g.prefillLeft > 0 && n == 0 {
 			continue
 		}
 		left -= n
 		prefill += n
-		work = append(work, part{g, n})
+		work = append(work, stepShare{g, n})
 	}
 	return work, prefill
 }
 
-func (s *Sim) stepTime(batch, prefill int) time.Duration {
-	decode, fill := s.weights.speeds()
+func (s *Sim) stepDuration(batch, prefill int) time.Duration {
+	decode, fill := s.weights.roleFactors()
 	d := time.Duration(float64(s.config.StepBase+time.Duration(batch)*s.config.StepPerRequest) * decode)
 	d += time.Duration(float64(time.Duration(prefill)*s.config.PrefillPerToken) * fill)
-	return time.Duration(float64(d) * s.slow)
+	return time.Duration(float64(d) * s.slowdown)
 }
 
 // finishStep applies a step that was laid out before. An engine that died or
 // paused meanwhile applies nothing.
-func (s *Sim) finishStep(work []part) {
+func (s *Sim) finishStep(work []stepShare) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.dead || s.paused {
+	if s.crashed || s.paused {
 		return
 	}
 	for _, p := range work {
 		s.apply(p)
 	}
-	s.trim()
+	s.preemptOverflow()
 }
 
-func (s *Sim) apply(p part) {
+func (s *Sim) apply(p stepShare) {
 	g := p.gen
 	switch {
 	case g.phase != running: // cancelled or lost during the step
 	case p.prefill > 0:
-		g.prefill -= p.prefill
+		g.prefillLeft -= p.prefill
 		s.stats.Prefilled += int64(p.prefill)
 	default:
 		s.stats.Tokens++
-		if g.step() {
-			s.end(g, finished)
+		if g.generateToken() {
+			s.endGeneration(g, finished)
 			return
 		}
 		g.notify()
--- a/external/standin/enginesim/weights.go
+++ b/external/standin/enginesim/weights.go
@@ -11,8 +11,8 @@
 
 // How a role changes the time of decode and of prefill.
 const (
-	favoured   = 0.6
-	unfavoured = 2.0
+	favouredFactor   = 0.6
+	unfavouredFactor = 2.0
 )
 
 // weightSet is what an engine holds and in which role it works.
@@ -46,32 +46,32 @@
 	w.models = append(w.models, engine.Loaded{Ref: ref, State: state})
 }
 
-// settle drops models being unloaded that no generation uses any more.
-func (w *weightSet) settle(uses func(engine.ModelRef) bool) {
+// dropUnused drops models being unloaded that no generation uses any more.
+func (w *weightSet) dropUnused(uses func(engine.ModelRef) bool) {
 	w.models = slices.DeleteFunc(w.models, func(l engine.Loaded) bool {
 		return l.State == engine.Unloading && !uses(l.Ref)
 	})
 }
 
-// speeds returns the factors on the time of decode and of prefill.
-func (w *weightSet) speeds() (decode, prefill float64) {
+// roleFactors returns the factors on the time of decode and of prefill.
+func (w *weightSet) roleFactors() (decode, prefill float64) {
 	switch w.role {
 	case engine.RoleDecode:
-		return favoured, unfavoured
+		return favouredFactor, unfavouredFactor
 	case engine.RolePrefill:
-		return unfavoured, favoured
+		return unfavouredFactor, favouredFactor
 	}
 	return 1, 1
 }
 
 // Order implements engine.Engine. An engine without RespectFence takes any number.
 func (s *Sim) Order(ctx context.Context, o engine.Order) error {
-	if err := s.enter(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return err
 	}
 	defer s.mu.Unlock()
 	w := &s.weights
-	if s.config.RespectFence {
+	if s.config.EnforceFencing {
 		if o.Fence < w.fence {
 			return errors.Wrapf(engine.ErrStaleFence, "%d is below %d", o.Fence, w.fence)
 		}
@@ -88,7 +88,7 @@
 		w.role = o.Role
 		return nil
 	}
-	return refuse(engine.CodeInvalid, "order kind %q", o.Kind)
+	return newRefusal(engine.CodeInvalid, "order kind %q", o.Kind)
 }
 
 // Orders returns the orders taken, in their order of arrival.
@@ -108,11 +108,11 @@
 		return nil
 	}
 	if len(w.models) >= s.config.MaxModels && w.find(ref) == nil {
-		return refuse(engine.CodeOverloaded, "holds %d sets of weights", len(w.models))
+		return newRefusal(engine.CodeOverloaded, "holds %d sets of weights", len(w.models))
 	}
 	w.set(ref, engine.Loading)
 	w.find(ref).Remaining = s.config.LoadTime
-	go s.fetch(ref, s.incarnation)
+	go s.loadModel(ref, s.incarnation)
 	return nil
 }
 
@@ -120,16 +120,16 @@
 	if l := s.weights.find(ref); l != nil {
 		l.State = engine.Unloading
 	}
-	s.weights.settle(s.uses)
+	s.weights.dropUnused(s.isInUse)
 }
 
-func (s *Sim) uses(ref engine.ModelRef) bool {
+func (s *Sim) isInUse(ref engine.ModelRef) bool {
 	with := func(g *generation) bool { return g.ref == ref }
 	return slices.ContainsFunc(s.batch, with) || slices.ContainsFunc(s.queue, with)
 }
 
-// fetch loads ref for the incarnation that was ordered to.
-func (s *Sim) fetch(ref engine.ModelRef, incarnation int) {
+// loadModel loads ref for the incarnation that was ordered to.
+func (s *Sim) loadModel(ref engine.ModelRef, incarnation int) {
 	state := engine.Ready
 	if s.config.Weights != nil {
 		if err := s.config.Weights.Fetch(s.closed, ref); err != nil {
--- a/external/standin/host/admin.go
+++ b/external/standin/host/admin.go
@@ -58,7 +58,7 @@
 
 func (h *Host) serveFault(w http.ResponseWriter, r *http.Request) {
 	v := mux.Vars(r)
-	reply(w, h.Fault(v["node"], v["fault"], r.FormValue("value")))
+	writeResult(w, h.InjectFault(v["node"], v["fault"], r.FormValue("value")))
 }
 
 // stateGone takes a VM off the list; the other states are those of the list.
@@ -66,12 +66,12 @@
 
 func (h *Host) serveVM(w http.ResponseWriter, r *http.Request) {
 	v := mux.Vars(r)
-	reply(w, h.SetVM(v["id"], v["state"]))
+	writeResult(w, h.SetVMState(v["id"], v["state"]))
 }
 
-// SetVM makes the list show a VM as "live", "leaving" or, with "gone", no
+// SetVMState makes the list show a VM as "live", "leaving" or, with "gone", no
 // longer; each after the list's lag.
-func (h *Host) SetVM(id, state string) error {
+func (h *Host) SetVMState(id, state string) error {
 	if state == stateGone {
 		h.VMs.Remove(id)
 		return nil
@@ -88,7 +88,7 @@
 	return nil
 }
 
-func reply(w http.ResponseWriter, err error) {
+func writeResult(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, ErrUnknownFault):
 		http.Error(w, err.Error(), http.StatusNotFound)
--- a/external/standin/host/config.go
+++ b/external/standin/host/config.go
@@ -21,31 +21,31 @@
 type Config struct {
 	Seed    uint64
 	Admin   string // fault injection; empty means none
-	Store   Store
-	VMList  VMList
-	Weights Weights
+	Store   StoreConfig
+	VMList  VMListConfig
+	Weights WeightsConfig
 	Entries []vmlist.VM // entry VMs, which are only listed here
-	Pools   []Pool
+	Pools   []PoolConfig
 }
 
-// Store is the key-value service. Its endpoints serve the same keys.
-type Store struct {
-	Listen     []string
-	ReadsPerS  int // 0 means no limit
-	WritesPerS int // 0 means no limit
+// StoreConfig is the key-value service. Its endpoints serve the same keys.
+type StoreConfig struct {
+	Listen          []string
+	ReadsPerSecond  int // 0 means no limit
+	WritesPerSecond int // 0 means no limit
 }
 
-// VMList is the list of VMs.
-type VMList struct {
+// VMListConfig is the list of VMs.
+type VMListConfig struct {
 	Listen string
 	Lag    time.Duration
 }
 
-// Weights is the weight store.
-type Weights struct {
-	Listen   string
-	Capacity int
-	Fetch    time.Duration
+// WeightsConfig is the weight store.
+type WeightsConfig struct {
+	Listen               string
+	MaxConcurrentFetches int
+	FetchTime            time.Duration
 }
 
 // Kind is what a pool's backend servers are.
@@ -57,31 +57,31 @@
 	KindPlain  Kind = "plain"
 )
 
-// Pool is a set of equal backend servers.
-type Pool struct {
-	Name     string
-	Kind     Kind
-	Region   string
-	Zones    []string
-	Replicas int    // in each zone
-	Listen   string // of the first; each further one takes the next port
-	Engine   enginesim.Config
-	Work     time.Duration // of a plain service
+// PoolConfig is a set of equal backend servers.
+type PoolConfig struct {
+	Name           string
+	Kind           Kind
+	Region         string
+	Zones          []string
+	ServersPerZone int    // in each zone
+	Listen         string // of the first; each further one takes the next port
+	Engine         enginesim.Config
+	CallTime       time.Duration // of a plain service
 }
 
-// Address is one address that a Config listens on.
-type Address struct {
+// ListenAddress is one address that a Config listens on.
+type ListenAddress struct {
 	Name    string
 	Address string
 }
 
 // Addresses returns everything that c listens on.
-func (c *Config) Addresses() ([]Address, error) {
-	var list []Address
+func (c *Config) Addresses() ([]ListenAddress, error) {
+	var list []ListenAddress
 	for _, a := range c.Store.Listen {
-		list = append(list, Address{NameStore, a})
+		list = append(list, ListenAddress{NameStore, a})
 	}
-	for _, a := range []Address{{NameVMList, c.VMList.Listen}, {NameWeights, c.Weights.Listen}, {NameAdmin, c.Admin}} {
+	for _, a := range []ListenAddress{{NameVMList, c.VMList.Listen}, {NameWeights, c.Weights.Listen}, {NameAdmin, c.Admin}} {
 		if a.Address != "" {
 			list = append(list, a)
 		}
@@ -92,15 +92,15 @@
 			return nil, err
 		}
 		for _, s := range servers {
-			list = append(list, Address{s.id, s.listen})
+			list = append(list, ListenAddress{s.id, s.listen})
 		}
 	}
 	return list, nil
 }
 
-// server is one backend server of a pool, before it listens.
-type server struct {
-	pool   *Pool
+// serverSpec is one backend server of a pool, before it listens.
+type serverSpec struct {
+	pool   *PoolConfig
 	id     string
 	zone   string
 	listen string
@@ -108,15 +108,15 @@
 }
 
 // servers lays out a pool: all of the first zone, then of the next.
-func (p *Pool) servers(seed uint64) ([]server, error) {
+func (p *PoolConfig) servers(seed uint64) ([]serverSpec, error) {
 	host, port, err := splitPort(p.Listen)
 	if err != nil {
 		return nil, errors.Wrapf(err, "pool %s", p.Name)
 	}
-	var list []server
+	var list []serverSpec
 	for _, zone := range p.Zones {
-		for i := range p.Replicas {
-			s := server{pool: p, id: serverID(p.Name, zone, i+1), zone: zone, seed: seed + uint64(len(list))}
+		for i := range p.ServersPerZone {
+			s := serverSpec{pool: p, id: serverID(p.Name, zone, i+1), zone: zone, seed: seed + uint64(len(list))}
 			s.listen = net.JoinHostPort(host, strconv.Itoa(port))
 			if port != 0 {
 				port++
--- a/external/standin/host/crash.go
+++ b/external/standin/host/crash.go
@@ -7,61 +7,61 @@
 	"sync"
 )
 
-// maxChecked bounds what is read of a request to see whether it ends its server, in bytes.
-const maxChecked = 16 << 20
+// maxInspectedBytes bounds what is read of a request to see whether it ends its server, in bytes.
+const maxInspectedBytes = 16 << 20
 
-// crasher ends a backend server under requests that hold a text, when it begins to answer.
-type crasher struct {
+// crashInjector ends a backend server under requests that hold a text, when it begins to answer.
+type crashInjector struct {
 	handler http.Handler
-	end     func()
+	crash   func()
 
-	mu   sync.Mutex
-	text string // "" ends none
+	mu      sync.Mutex
+	trigger string // "" ends none
 }
 
-// on sets the text; "" ends no server any more.
-func (c *crasher) on(text string) error {
+// setTrigger sets the text; "" ends no server any more.
+func (c *crashInjector) setTrigger(text string) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.text = text
+	c.trigger = text
 	return nil
 }
 
 // ServeHTTP implements http.Handler.
-func (c *crasher) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *crashInjector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
-	text := c.text
+	text := c.trigger
 	c.mu.Unlock()
 	if text == "" {
 		c.handler.ServeHTTP(w, r)
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxChecked))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxInspectedBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	if bytes.Contains(body, []byte(text)) {
-		w = &fatal{ResponseWriter: w, end: c.end}
+		w = &crashingWriter{ResponseWriter: w, crash: c.crash}
 	}
 	c.handler.ServeHTTP(w, r)
 }
 
-// fatal ends the server with the first byte of an answer.
-type fatal struct {
+// crashingWriter ends the server with the first byte of an answer.
+type crashingWriter struct {
 	http.ResponseWriter
-	end func()
+	crash func()
 }
 
 // Write implements http.ResponseWriter.
-func (f *fatal) Write([]byte) (int, error) {
-	f.end()
+func (f *crashingWriter) Write([]byte) (int, error) {
+	f.crash()
 	panic(http.ErrAbortHandler)
 }
 
 // Unwrap lets http.ResponseController reach the writer.
-func (f *fatal) Unwrap() http.ResponseWriter { return f.ResponseWriter }
+func (f *crashingWriter) Unwrap() http.ResponseWriter { return f.ResponseWriter }
 
 // Flush implements http.Flusher. Nothing is written, so there is nothing to flush.
-func (f *fatal) Flush() {}
+func (f *crashingWriter) Flush() {}
--- a/external/standin/host/faults.go
+++ b/external/standin/host/faults.go
@@ -21,23 +21,23 @@
 // faults maps the name of a fault to what does it; value is its argument.
 type faults map[string]func(value string) error
 
-// Fault injects a fault by name, or ends one. docs/platform-protocols.md lists
+// InjectFault injects a fault by name, or ends one. docs/platform-protocols.md lists
 // them. Where several nodes share a name, as the store's endpoints do, a
 // number picks one: "store/2"; faults of the service itself concern all.
-func (h *Host) Fault(name, fault, value string) error {
-	node, err := h.pick(name)
+func (h *Host) InjectFault(name, fault, value string) error {
+	node, err := h.findNode(name)
 	if err != nil {
 		return err
 	}
-	if err := node.do(fault, value); err != nil {
+	if err := node.inject(fault, value); err != nil {
 		return errors.Wrapf(err, "%s of %s", fault, name)
 	}
 	h.log.Emit(event.FaultInjected, name, fault, value)
 	return nil
 }
 
-// do injects a fault of the node, or one that any has.
-func (n *Node) do(fault, value string) error {
+// inject injects a fault of the node, or one that any has.
+func (n *Node) inject(fault, value string) error {
 	do, ok := n.connectionFaults()[fault]
 	if f, own := n.faults[fault]; own {
 		do, ok = f, true
@@ -48,7 +48,7 @@
 	return do(value)
 }
 
-func (h *Host) pick(name string) (*Node, error) {
+func (h *Host) findNode(name string) (*Node, error) {
 	base, number, numbered := strings.Cut(name, "/")
 	at := 1
 	if numbered {
@@ -74,11 +74,11 @@
 // connectionFaults are those that any node can have.
 func (n *Node) connectionFaults() faults {
 	return faults{
-		"die":     plainly(n.net.Cut),
-		"revive":  func(string) error { return n.net.Restore() },
-		"pause":   plainly(n.net.Stall),
-		"unpause": plainly(n.net.Unstall),
-		"silence": plainly(n.net.Silence),
+		"die":     ignoreValue(n.listener.Cut),
+		"revive":  func(string) error { return n.listener.Restore() },
+		"pause":   ignoreValue(n.listener.Stall),
+		"unpause": ignoreValue(n.listener.Unstall),
+		"silence": ignoreValue(n.listener.Silence),
 	}
 }
 
@@ -86,54 +86,56 @@
 func engineFaults(n *Node) faults {
 	e := n.Engine
 	return faults{
-		"die":     func(string) error { n.net.Cut(); e.Die(); return nil },
-		"revive":  func(string) error { e.Revive(); return n.net.Restore() },
-		"pause":   func(string) error { n.net.Stall(); e.Pause(); return nil },
-		"unpause": func(string) error { e.Unpause(); n.net.Unstall(); return nil },
-		"slow":    number(e.Slow),
-		"refuse":  boolean(e.RefuseNew),
+		"die":     func(string) error { n.listener.Cut(); e.Crash(); return nil },
+		"revive":  func(string) error { e.Restart(); return n.listener.Restore() },
+		"pause":   func(string) error { n.listener.Stall(); e.Pause(); return nil },
+		"unpause": func(string) error { e.Unpause(); n.listener.Unstall(); return nil },
+		"slow":    floatFault(e.SetSlowdown),
+		"refuse":  boolFault(e.SetRefusing),
 	}
 }
 
 func plainFaults(n *Node) faults {
 	return faults{
-		"work":         duration(n.Plain.SetWork),
-		"hold":         boolean(n.Plain.Silence),
-		"lose-answers": integer(n.Plain.LoseAnswers),
+		"work":         durationFault(n.Plain.SetWork),
+		"hold":         boolFault(n.Plain.Silence),
+		"lose-answers": intFault(n.Plain.LoseAnswers),
 	}
 }
 
 func storeFaults(f *store.Faulty) faults {
 	return faults{
-		"down":            boolean(f.SetDown),
-		"delay":           duration(f.SetDelay),
-		"lose-next-write": plainly(f.LoseNextWrite),
-		"drop-next-write": plainly(f.DropNextWrite),
+		"down":            boolFault(f.SetDown),
+		"delay":           durationFault(f.SetDelay),
+		"lose-next-write": ignoreValue(f.LoseNextWrite),
+		"drop-next-write": ignoreValue(f.DropNextWrite),
 	}
 }
 
 func vmListFaults(m *vmlist.Memory) faults {
-	return faults{"down": boolean(m.SetDown), "lag": duration(m.SetLag)}
+	return faults{"down": boolFault(m.SetDown), "lag": durationFault(m.SetLag)}
 }
 
-func weightFaults(w *weightsim.Sim) faults { return faults{"slow": number(w.Slow)} }
+func weightFaults(w *weightsim.Sim) faults { return faults{"slow": floatFault(w.Slow)} }
 
-func plainly(f func()) func(string) error {
+func ignoreValue(f func()) func(string) error {
 	return func(string) error { f(); return nil }
 }
 
-func boolean(f func(bool)) func(string) error { return parsed(strconv.ParseBool, f) }
+func boolFault(f func(bool)) func(string) error { return parsedFault(strconv.ParseBool, f) }
 
-func integer(f func(int)) func(string) error { return parsed(strconv.Atoi, f) }
+func intFault(f func(int)) func(string) error { return parsedFault(strconv.Atoi, f) }
 
-func duration(f func(time.Duration)) func(string) error { return parsed(time.ParseDuration, f) }
+func durationFault(f func(time.Duration)) func(string) error {
+	return parsedFault(time.ParseDuration, f)
+}
 
-func number(f func(float64)) func(string) error {
+func floatFault(f func(float64)) func(string) error {
 	parse := func(s string) (float64, error) { return strconv.ParseFloat(s, 64) }
-	return parsed(parse, f)
+	return parsedFault(parse, f)
 }
 
-func parsed[T any](parse func(string) (T, error), f func(T)) func(string) error {
+func parsedFault[T any](parse func(string) (T, error), f func(T)) func(string) error {
 	return func(value string) error {
 		v, err := parse(value)
 		if err == nil {
--- a/external/standin/host/host.go
+++ b/external/standin/host/host.go
@@ -35,9 +35,9 @@
 	Engine  *enginesim.Sim
 	Plain   *plainsim.Sim
 
-	net    *faultnet.Listener
-	faults faults
-	server *http.Server
+	listener *faultnet.Listener
+	faults   faults
+	server   *http.Server
 }
 
 // Host runs the stand-ins. Its fields may be used directly by a program that
@@ -59,10 +59,10 @@
 		Memory:  memory,
 		Store:   store.NewFaulty(memory),
 		VMs:     vmlist.NewMemory(c.VMList.Lag, c.Entries...),
-		Weights: weightsim.New(max(c.Weights.Capacity, 1), c.Weights.Fetch),
+		Weights: weightsim.New(max(c.Weights.MaxConcurrentFetches, 1), c.Weights.FetchTime),
 		log:     log,
 	}
-	h.Store.SetLimits(c.Store.ReadsPerS, c.Store.WritesPerS)
+	h.Store.SetLimits(c.Store.ReadsPerSecond, c.Store.WritesPerSecond)
 	if err := h.start(c); err != nil {
 		h.Close()
 		return nil, err
@@ -93,13 +93,13 @@
 	return h.serve(&Node{Name: NameAdmin}, c.Admin, h.Admin())
 }
 
-func (h *Host) startPool(p *Pool, seed uint64) error {
+func (h *Host) startPool(p *PoolConfig, seed uint64) error {
 	servers, err := p.servers(seed)
 	if err != nil {
 		return err
 	}
 	for _, s := range servers {
-		node, handler := h.backend(s)
+		node, handler := h.newBackend(s)
 		if err := h.serve(node, s.listen, handler); err != nil {
 			return err
 		}
@@ -111,31 +111,31 @@
 	return nil
 }
 
-func (h *Host) backend(s server) (*Node, http.Handler) {
+func (h *Host) newBackend(s serverSpec) (*Node, http.Handler) {
 	node := &Node{Name: s.id, Zone: s.zone}
 	if s.pool.Kind == KindPlain {
-		node.Plain = plainsim.New(s.id, s.pool.Work)
+		node.Plain = plainsim.New(s.id, s.pool.CallTime)
 		node.faults = plainFaults(node)
-		return node, node.limited(node.crashing(node.Plain))
+		return node, node.withLimitHeader(node.withCrashInjection(node.Plain))
 	}
 	config := s.pool.Engine
 	config.Name, config.Seed, config.Weights = s.id, s.seed, h.Weights
 	node.Engine = enginesim.New(config)
 	node.faults = engineFaults(node)
-	return node, node.limited(node.crashing(enginesim.Handler(node.Engine)))
+	return node, node.withLimitHeader(node.withCrashInjection(enginesim.Handler(node.Engine)))
 }
 
-// limited adds the fault of a server that names a limit.
-func (n *Node) limited(handler http.Handler) http.Handler {
-	l := &limiter{handler: handler}
+// withLimitHeader adds the fault of a server that names a limit.
+func (n *Node) withLimitHeader(handler http.Handler) http.Handler {
+	l := &limitAdvertiser{handler: handler}
 	n.faults["name-limit"] = l.set
 	return l
 }
 
-// crashing adds the fault of requests that end their server.
-func (n *Node) crashing(handler http.Handler) http.Handler {
-	c := &crasher{handler: handler, end: func() { _ = n.do("die", "") }} // it has no other end
-	n.faults["crash-on"] = c.on
+// withCrashInjection adds the fault of requests that end their server.
+func (n *Node) withCrashInjection(handler http.Handler) http.Handler {
+	c := &crashInjector{handler: handler, crash: func() { _ = n.inject("die", "") }} // it has no other end
+	n.faults["crash-on"] = c.setTrigger
 	return c
 }
 
@@ -148,7 +148,7 @@
 	if err != nil {
 		return errors.Wrap(err, node.Name)
 	}
-	node.net, node.Address = l, l.Addr().String()
+	node.listener, node.Address = l, l.Addr().String()
 	node.server = &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
 	h.nodes = append(h.nodes, node)
 	go func() { _ = node.server.Serve(l) }()
@@ -189,7 +189,7 @@
 func (h *Host) Close() {
 	for _, n := range h.nodes {
 		_ = n.server.Close()
-		_ = n.net.Close()
+		_ = n.listener.Close()
 		if n.Engine != nil {
 			n.Engine.Close()
 		}
--- a/external/standin/host/host_test.go
+++ b/external/standin/host/host_test.go
@@ -28,15 +28,15 @@
 func start(t *testing.T) *host.Host {
 	h, err := host.Start(host.Config{
 		Admin:   free,
-		Store:   host.Store{Listen: []string{free, free}},
-		VMList:  host.VMList{Listen: free},
-		Weights: host.Weights{Listen: free, Capacity: 2, Fetch: time.Second},
-		Pools: []host.Pool{
+		Store:   host.StoreConfig{Listen: []string{free, free}},
+		VMList:  host.VMListConfig{Listen: free},
+		Weights: host.WeightsConfig{Listen: free, MaxConcurrentFetches: 2, FetchTime: time.Second},
+		Pools: []host.PoolConfig{
 			{
-				Name: "review", Kind: host.KindEngine, Zones: []string{"Athi River", "Ruiru"}, Replicas: 2, Listen: free,
+				Name: "review", Kind: host.KindEngine, Zones: []string{"Athi River", "Ruiru"}, ServersPerZone: 2, Listen: free,
 				Engine: enginesim.Config{Models: []engine.ModelRef{ref}, StepBase: time.Millisecond},
 			},
-			{Name: "desk", Kind: host.KindPlain, Zones: []string{"Ruiru"}, Replicas: 1, Listen: free},
+			{Name: "desk", Kind: host.KindPlain, Zones: []string{"Ruiru"}, ServersPerZone: 1, Listen: free},
 		},
 	}, event.Discard())
 	must.NoError(t, err)
@@ -135,7 +135,7 @@
 	h := start(t)
 	desk := plainNode(h)
 	for _, limit := range []string{"", "5.8", ""} {
-		must.NoError(t, h.Fault(desk.Name, "name-limit", limit))
+		must.NoError(t, h.InjectFault(desk.Name, "name-limit", limit))
 		resp, err := http.Get("http://" + desk.Address + "/")
 		must.NoError(t, err)
 		resp.Body.Close()
@@ -147,7 +147,7 @@
 	h, ctx := start(t), t.Context()
 	desk := plainNode(h)
 	client := plain.NewClient(nil, 0)
-	must.NoError(t, h.Fault(desk.Name, "crash-on", "bad"))
+	must.NoError(t, h.InjectFault(desk.Name, "crash-on", "bad"))
 	good := plain.Call{Method: http.MethodPost, Path: "/", Body: []byte("good")}
 	_, err := client.Do(ctx, desk.Address, good)
 	must.NoError(t, err)
@@ -155,7 +155,7 @@
 	must.Error(t, err)
 	_, err = client.Do(ctx, desk.Address, good)
 	must.Error(t, err)
-	must.NoError(t, h.Fault(desk.Name, "revive", ""))
+	must.NoError(t, h.InjectFault(desk.Name, "revive", ""))
 	_, err = client.Do(ctx, desk.Address, good)
 	must.NoError(t, err)
 }
--- a/external/standin/host/limit.go
+++ b/external/standin/host/limit.go
@@ -5,30 +5,30 @@
 	"sync"
 )
 
-// limitHeader is how a backend server names the requests a second that it takes of all daemons.
-const limitHeader = "X-Request-Limit"
+// requestLimitHeader is how a backend server names the requests a second that it takes of all daemons.
+const requestLimitHeader = "X-Request-Limit"
 
-// limiter has a backend server name a limit in its answers.
-type limiter struct {
+// limitAdvertiser has a backend server name a limit in its answers.
+type limitAdvertiser struct {
 	handler http.Handler
 
-	mu   sync.Mutex
-	text string // "" names none
+	mu    sync.Mutex
+	limit string // "" names none
 }
 
 // set sets what is named; "" names no limit any more.
-func (l *limiter) set(text string) error {
+func (l *limitAdvertiser) set(text string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.text = text
+	l.limit = text
 	return nil
 }
 
 // ServeHTTP implements http.Handler.
-func (l *limiter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (l *limitAdvertiser) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	l.mu.Lock()
-	if l.text != "" {
-		w.Header().Set(limitHeader, l.text)
+	if l.limit != "" {
+		w.Header().Set(requestLimitHeader, l.limit)
 	}
 	l.mu.Unlock()
 	l.handler.ServeHTTP(w, r)
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -26,7 +26,7 @@
 // Result is what callers saw.
 type Result struct {
 	Answers      int      `json:"answers"`
-	Whole        int      `json:"whole"`
+	Complete     int      `json:"whole"`
 	ResumeMS     int64    `json:"resume_ms"` // longest wait of the long answer's caller after the death
 	KeyedCalls   int      `json:"keyed_calls"`
 	KeyedRuns    int      `json:"keyed_runs"` // runs of the call that may not be repeated
@@ -36,18 +36,18 @@
 }
 
 const (
-	longTokens   = 300
-	killAt       = 100 // events of the long answer before its engine dies
-	lookups      = 20
-	lookupTokens = 8
-	lookupEvery  = 100 * time.Millisecond
-	runLimit     = 18 * time.Second
+	longTokens       = 300
+	crashAfterEvents = 100 // events of the long answer before its engine dies
+	lookupCount      = 20
+	lookupTokens     = 8
+	lookupInterval   = 100 * time.Millisecond
+	runTimeout       = 18 * time.Second
 )
 
 // Run plays the story and writes progress to progress and the summary to out.
 // It fails when an answer was not whole or a call ran twice.
 func Run(ctx context.Context, o Options, out, progress io.Writer) error {
-	ctx, cancel := context.WithTimeout(ctx, runLimit)
+	ctx, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
 	say := func(format string, args ...any) { fmt.Fprintf(progress, format+"\n", args...) }
 	say("starting: 6 engines, an order desk, the store and 3 entry VMs in three zones")
@@ -56,69 +56,69 @@
 		return err
 	}
 	defer s.Close()
-	r := &run{stand: s, say: say}
-	r.play(ctx)
+	r := &run{stand: s, logf: say}
+	r.runAll(ctx)
 	return r.report(o, out)
 }
 
 // run collects what the callers of one demo see.
 type run struct {
 	stand *stand.Deployment
-	say   func(format string, args ...any)
+	logf  func(format string, args ...any)
 
 	mu     sync.Mutex
 	result Result
 }
 
-func (r *run) play(ctx context.Context) {
+func (r *run) runAll(ctx context.Context) {
 	var wg sync.WaitGroup
-	wg.Go(func() { r.longAnswer(ctx) })
-	wg.Go(func() { r.lookups(ctx) })
-	wg.Go(func() { r.confirmation(ctx) })
+	wg.Go(func() { r.readLongAnswer(ctx) })
+	wg.Go(func() { r.sendLookups(ctx) })
+	wg.Go(func() { r.sendConfirmation(ctx) })
 	wg.Wait()
 }
 
-// longAnswer reads a review whose engine is killed in the middle.
-func (r *run) longAnswer(ctx context.Context) {
+// readLongAnswer reads a review whose engine is killed in the middle.
+func (r *run) readLongAnswer(ctx context.Context) {
 	entries, err := r.stand.Entries[0].Client().Entries(ctx)
 	if err != nil || len(entries) == 0 {
-		r.done(errors.Errorf("no entry VM was named: %v", err))
+		r.recordAnswer(errors.Errorf("no entry VM was named: %v", err))
 		return
 	}
-	r.say("a caller asks which entry VM to use: %s in %s", entries[0].ID, entries[0].Zone)
+	r.logf("a caller asks which entry VM to use: %s in %s", entries[0].ID, entries[0].Zone)
 	a := &stand.Answer{
 		Client: r.stand.Client(entries[0].Address), Service: "reviews",
 		Prompt: "Summarise the supplier contract of the Thiès mill.", Tokens: longTokens,
 	}
 	a.OnEvent = func(n int) {
-		if n == killAt {
-			r.kill(a.ID)
+		if n == crashAfterEvents {
+			r.crashEngine(a.ID)
 		}
 	}
 	err = a.Run(ctx)
 	if err == nil {
-		r.say("the long answer is whole: %d tokens, longest wait %s", longTokens, a.Gap.Round(time.Millisecond))
+		r.logf("the long answer is whole: %d tokens, longest wait %s", longTokens, a.Gap.Round(time.Millisecond))
 	}
 	r.mu.Lock()
 	r.result.ResumeMS = a.Gap.Milliseconds()
 	r.mu.Unlock()
-	r.done(err)
+	r.recordAnswer(err)
 }
 
-// kill ends the engine that runs a generation.
-func (r *run) kill(id string) {
+// crashEngine ends the engine that runs a generation.
+func (r *run) crashEngine(id string) {
 	for name, e := range r.stand.Engines {
-		if e.Runs(id) {
-			r.say("token %d: %s dies", killAt, name)
-			e.Die()
+		if e.HasUnfinished(id) {
+			r.logf("token %d: %s dies", crashAfterEvents, name)
+			e.Crash()
 		}
 	}
 }
 
-// lookups are urgent and must be answered at once beside the long work.
-func (r *run) lookups(ctx context.Context) {
+// sendLookups are urgent and must be answered at once beside the long work.
+func (r *run) sendLookups(ctx context.Context) {
 	var wg sync.WaitGroup
-	for i := range lookups {
+	for i := range lookupCount {
 		wg.Go(func() {
 			entry := r.stand.Entries[i%len(r.stand.Entries)]
 			a := &stand.Answer{
@@ -129,52 +129,52 @@
 			r.mu.Lock()
 			r.result.LookupMaxMS = max(r.result.LookupMaxMS, a.First.Milliseconds())
 			r.mu.Unlock()
-			r.done(err)
+			r.recordAnswer(err)
 		})
-		time.Sleep(lookupEvery)
+		time.Sleep(lookupInterval)
 	}
 	wg.Wait()
-	r.say("%d urgent lookups answered", lookups)
+	r.logf("%d urgent lookups answered", lookupCount)
 }
 
-// confirmation is a call that may not be repeated. Its answer is lost; the
+// sendConfirmation is a call that may not be repeated. Its answer is lost; the
 // caller tries again with the same key on another entry VM.
-func (r *run) confirmation(ctx context.Context) {
+func (r *run) sendConfirmation(ctx context.Context) {
 	const key = "confirm-thies-0042"
 	r.stand.Desk.LoseAnswers(1)
 	var verdicts []string
 	for _, entry := range r.stand.Entries[:2] {
 		_, verdict, err := entry.Client().Call(ctx, "confirmations", "/confirm", key)
 		if err != nil {
-			r.problem(errors.Wrap(err, "confirmation"))
+			r.recordProblem(errors.Wrap(err, "confirmation"))
 			return
 		}
 		verdicts = append(verdicts, verdict)
 	}
 	runs := r.stand.Desk.Runs(key)
-	r.say("the confirmation's answer was lost; the caller heard %v, it ran %d time(s)", verdicts, runs)
+	r.logf("the confirmation's answer was lost; the caller heard %v, it ran %d time(s)", verdicts, runs)
 	r.mu.Lock()
 	r.result.KeyedCalls, r.result.KeyedRuns, r.result.KeyedVerdict = len(verdicts), runs, verdicts[len(verdicts)-1]
 	r.mu.Unlock()
 	if runs != 1 {
-		r.problem(errors.Errorf("the confirmation ran %d times", runs))
+		r.recordProblem(errors.Errorf("the confirmation ran %d times", runs))
 	}
 }
 
-func (r *run) done(err error) {
+func (r *run) recordAnswer(err error) {
 	r.mu.Lock()
 	r.result.Answers++
 	if err == nil {
-		r.result.Whole++
+		r.result.Complete++
 	}
 	r.mu.Unlock()
 	if err != nil {
-		r.problem(err)
+		r.recordProblem(err)
 	}
 }
 
-func (r *run) problem(err error) {
-	r.say("PROBLEM: %v", err)
+func (r *run) recordProblem(err error) {
+	r.logf("PROBLEM: %v", err)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.result.Problems = append(r.result.Problems, err.Error())
@@ -189,7 +189,7 @@
 	} else {
 		fmt.Fprintf(out, "call that may not be repeated: sent %d times, ran %d time(s), last verdict %s\n", res.KeyedCalls, res.KeyedRuns, res.KeyedVerdict)
 		fmt.Fprintf(out, "urgent lookups: slowest first token %d ms\n", res.LookupMaxMS)
-		fmt.Fprintf(out, "%d of %d answers whole and once; the answer went on %d ms after its engine died\n", res.Whole, res.Answers, res.ResumeMS)
+		fmt.Fprintf(out, "%d of %d answers whole and once; the answer went on %d ms after its engine died\n", res.Complete, res.Answers, res.ResumeMS)
 	}
 	if len(res.Problems) > 0 {
 		return errors.Errorf("%d problem(s), the first: %s", len(res.Problems), res.Problems[0])
--- a/lab/standins/config.go
+++ b/lab/standins/config.go
@@ -23,7 +23,7 @@
 	kindPlain    = "plain"
 )
 
-var kinds = []string{kindPlatform, kindStore, kindVMList, kindWeights, kindEntry, kindEngines, kindPlain}
+var sectionKinds = []string{kindPlatform, kindStore, kindVMList, kindWeights, kindEntry, kindEngines, kindPlain}
 
 // Load reads the file at path. Its error is an inifile.Errors with every fault.
 func Load(path string) (host.Config, error) {
@@ -69,15 +69,15 @@
 		inifile.Decode(s, entryFields, &vm, errs)
 		c.Entries = append(c.Entries, vm)
 	case kindEngines:
-		p := host.Pool{Name: s.Name, Kind: host.KindEngine}
+		p := host.PoolConfig{Name: s.Name, Kind: host.KindEngine}
 		inifile.Decode(s, engineFields, &p, errs)
 		c.Pools = append(c.Pools, p)
 	case kindPlain:
-		p := host.Pool{Name: s.Name, Kind: host.KindPlain}
+		p := host.PoolConfig{Name: s.Name, Kind: host.KindPlain}
 		inifile.Decode(s, plainFields, &p, errs)
 		c.Pools = append(c.Pools, p)
 	default:
-		errs.Add(s.Line, fmt.Sprintf("unknown section [%s]", s.Header()), "write one of ["+strings.Join(kinds, "], [")+"]")
+		errs.Add(s.Line, fmt.Sprintf("unknown section [%s]", s.Header()), "write one of ["+strings.Join(sectionKinds, "], [")+"]")
 	}
 }
 
--- a/lab/standins/config_test.go
+++ b/lab/standins/config_test.go
@@ -26,7 +26,7 @@
 		count := make(map[host.Kind]int)
 		for _, p := range c.Pools {
 			must.Len(t, 3, p.Zones)
-			count[p.Kind] += p.Replicas * len(p.Zones)
+			count[p.Kind] += p.ServersPerZone * len(p.Zones)
 		}
 		must.Eq(t, want.engines, count[host.KindEngine])
 		must.Eq(t, want.plain, count[host.KindPlain])
