--- a/external/standin/enginesim/bench_test.go
+++ b/external/standin/enginesim/bench_test.go
@@ -14,14 +14,14 @@
 	"mallowwind.dev/external/standin/faultnet"
 )
 
-// fast is an engine whose steps take no time, so that a benchmark measures the
-// stand-in itself.
-var fast = enginesim.Config{
+// fastConfig configures steps of almost no duration, so that a benchmark measures the overhead of the
+// simulation.
+var fastConfig = enginesim.Config{
 	Models: []engine.ModelRef{ref}, Slots: 64, QueueLimit: 1 << 20,
 	StepBase: 1, StepPerRequest: 1, PrefillPerToken: 1, Retention: time.Millisecond,
 }
 
-func drain(b *testing.B, e engine.Engine, id string, tokens int) {
+func readToEnd(b *testing.B, e engine.Engine, id string, tokens int) {
 	req := request("hello", tokens)
 	req.Generation = id
 	s, err := e.Generate(b.Context(), req)
@@ -40,14 +40,14 @@
 	}
 }
 
-// benchStreams runs n streams at once, over and over, and reports tokens a second.
+// benchStreams runs rounds of n concurrent streams and reports tokens per second.
 func benchStreams(b *testing.B, n int, e engine.Engine) {
 	const tokens = 200
 	rounds := 0
 	for b.Loop() {
 		var wg sync.WaitGroup
 		for i := range n {
-			wg.Go(func() { drain(b, e, fmt.Sprintf("%d-%d", rounds, i), tokens) })
+			wg.Go(func() { readToEnd(b, e, fmt.Sprintf("%d-%d", rounds, i), tokens) })
 		}
 		wg.Wait()
 		rounds++
@@ -58,7 +58,7 @@
 func BenchmarkInProcess(b *testing.B) {
 	for _, n := range []int{1, 64, 1024} {
 		b.Run(fmt.Sprintf("streams=%d", n), func(b *testing.B) {
-			s := enginesim.New(fast)
+			s := enginesim.New(fastConfig)
 			defer s.Close()
 			benchStreams(b, n, s)
 		})
@@ -68,7 +68,7 @@
 func BenchmarkOverTCP(b *testing.B) {
 	for _, n := range []int{1, 64, 1024} {
 		b.Run(fmt.Sprintf("streams=%d", n), func(b *testing.B) {
-			s := enginesim.New(fast)
+			s := enginesim.New(fastConfig)
 			defer s.Close()
 			l, err := faultnet.Listen("127.0.0.1:0")
 			if err != nil {
--- a/external/standin/enginesim/cache.go
+++ b/external/standin/enginesim/cache.go
@@ -8,7 +8,8 @@
 	"mallowwind.dev/external/engine"
 )
 
-// maxRetainedEvents is how many cache events an engine remembers.
+// maxRetainedEvents is how many cache events remain when older ones are discarded, which
+// happens when there are more than twice as many.
 const maxRetainedEvents = 4096
 
 type timedEvent struct {
@@ -16,11 +17,11 @@
 	visibleAt time.Time
 }
 
-// promptCache keeps prompt blocks, least recently used first out, and the events
-// that its changes gave. The engine's mutex guards it.
+// promptCache is an LRU cache of prompt blocks, identified by their hashes, together with the
+// cache events that its changes caused. It is guarded by the engine's mutex.
 type promptCache struct {
 	maxBlocks int
-	lru       *list.List // of uint64, most recent first
+	lru       *list.List // of uint64, most recently used first
 	blocks    map[uint64]*list.Element
 	events    []timedEvent
 	seq       uint64
@@ -36,7 +37,7 @@
 	}
 }
 
-// matchPrefix counts how many of the leading blocks are kept, and touches them.
+// matchPrefix returns how many leading blocks are cached and marks them as recently used.
 func (c *promptCache) matchPrefix(hashes []uint64) int {
 	for i, h := range hashes {
 		e, ok := c.blocks[h]
@@ -76,7 +77,7 @@
 	}
 }
 
-// eventsAfter returns the events past seq that are due.
+// eventsAfter returns the events with a sequence number above seq whose delay has passed.
 func (c *promptCache) eventsAfter(seq uint64, now time.Time) []engine.CacheEvent {
 	var due []engine.CacheEvent
 	for _, e := range c.events {
@@ -87,7 +88,7 @@
 	return due
 }
 
-// reset forgets everything, as a restart does. Sequence numbers begin anew.
+// reset drops all blocks and events, as a crash does. Sequence numbers start over.
 func (c *promptCache) reset() {
 	c.lru.Init()
 	clear(c.blocks)
--- a/external/standin/enginesim/config.go
+++ b/external/standin/enginesim/config.go
@@ -1,12 +1,13 @@
-// Package enginesim is the stand-in for a model engine. Sim implements
-// engine.Engine in process, on timers only, so that it runs in virtual time
-// under testing/synctest; Handler serves the wire form over it.
+// Package enginesim simulates a model engine. Sim implements engine.Engine in
+// process and waits only on timers, so that it runs in virtual time under
+// testing/synctest. Handler serves the wire protocol on top of it.
 //
-// It batches continuously: each step gives every running generation one token
-// and works off some prefill, and takes longer the more it holds. With a bound of
-// memory, prompts wait for room, and the newest of the least urgent generations is
-// taken out of the batch, to be read again, where answers outgrow it. Its tokens
-// check themselves (package tokencheck). Faults are injected by methods.
+// The simulated engine uses continuous batching: each step prefills prompt tokens up to
+// a limit and generates one token for each generation that is past its prefill. A step
+// takes longer the larger the batch and the more it prefills. If memory is bounded,
+// prompts wait until they fit; when answers outgrow the memory, the newest generation of
+// the lowest priority is preempted and prefilled again later. The generated tokens are
+// self-checking (package tokencheck). Faults are injected by methods of Sim.
 package enginesim
 
 import (
@@ -16,44 +17,44 @@
 	"mallowwind.dev/external/engine"
 )
 
-// Fetcher gives weights at the rate of the weight store. Fetch blocks until
-// they are here.
+// Fetcher fetches model weights from the weight store. Fetch blocks until the
+// weights have arrived.
 type Fetcher interface {
 	Fetch(ctx context.Context, ref engine.ModelRef) error
 }
 
-// Config sizes an engine. A zero field takes its default, but for the fields
-// that say otherwise.
+// Config holds the parameters of a simulated engine. A zero field takes its default unless
+// the comment of the field says otherwise.
 type Config struct {
 	Name   string
 	Seed   uint64
 	Models []engine.ModelRef // ready from the start
 
-	Slots      int // largest batch
-	QueueLimit int // longest waiting queue; a further request is refused
-	MaxModels  int // sets of weights held at once
+	Slots      int // maximum batch size
+	QueueLimit int // maximum length of the queue; further requests are refused
+	MaxModels  int // maximum number of models loaded at once
 
-	StepBase           time.Duration // time of a step, apart from its load
-	StepPerRequest     time.Duration // added for each running generation
-	PrefillPerToken    time.Duration // added for each prompt token worked off
-	PrefillChunkTokens int           // most prompt tokens worked off in one step
-	CacheBlocks        int           // prompt blocks kept, least recently used first out
-	MemoryTokens       int           // tokens that the batch may hold; 0 means no bound
+	StepBase           time.Duration // fixed part of the step time
+	StepPerRequest     time.Duration // step time added per generation in the batch
+	PrefillPerToken    time.Duration // step time added per prefilled token
+	PrefillChunkTokens int           // maximum number of tokens prefilled in one step
+	CacheBlocks        int           // capacity of the prompt cache (LRU), in blocks
+	MemoryTokens       int           // maximum number of tokens in the batch; 0 means no limit
 
-	UnreadTimeout time.Duration // how long a generation runs on with no reader
-	Retention     time.Duration // how long a finished or cancelled one is remembered
+	UnreadTimeout time.Duration // time after which a generation without a reader is cancelled
+	Retention     time.Duration // how long finished and cancelled generations are kept
 
-	StatusLag      time.Duration // age of load figures; 0 means none
-	EventDelay     time.Duration // lateness of cache events; 0 means none
-	EventLossRatio float64       // share of cache events lost; 0 means none
+	StatusLag      time.Duration // minimum age of reported load figures; 0 means no delay
+	EventDelay     time.Duration // delay of cache events; 0 means no delay
+	EventLossRatio float64       // fraction of cache events that are lost; 0 means none
 
-	EnforceFencing bool // refuse orders with an old fencing number
+	EnforceFencing bool // refuse orders with a stale fencing number
 	LoadTime       time.Duration
-	Weights        Fetcher // nil means that loading takes LoadTime alone
+	Weights        Fetcher // nil means that loading takes only LoadTime
 }
 
-// WithDefaults returns c with zero fields set. At the defaults an engine alone
-// gives a token each 12 ms and at a full batch of 32 one each 28 ms.
+// WithDefaults returns c with its zero fields set to their defaults. With the defaults a
+// step takes about 12 ms for a single generation and 28 ms for a full batch of 32.
 func (c Config) WithDefaults() Config {
 	setDefault(&c.Name, "engine")
 	setDefault(&c.Slots, 32)
@@ -77,15 +78,15 @@
 	}
 }
 
-// Stats counts the work of an engine since it was made, across restarts.
+// Stats counts the work of an engine since New, across restarts.
 type Stats struct {
-	Started   int64 `json:"started"`    // attempts taken in
+	Started   int64 `json:"started"`    // attempts accepted
 	Refused   int64 `json:"refused"`    // attempts refused
 	Tokens    int64 `json:"tokens"`     // tokens generated
-	Prefilled int64 `json:"prefilled"`  // prompt and prefix tokens worked off
+	Prefilled int64 `json:"prefilled"`  // prompt and prefix tokens prefilled
 	Cached    int64 `json:"cached"`     // prompt and prefix tokens found in the cache
 	Cancelled int64 `json:"cancelled"`  // attempts ended by Cancel
-	Abandoned int64 `json:"abandoned"`  // attempts ended because nobody read them
-	Lost      int64 `json:"lost"`       // attempts lost by Die
-	Preempted int64 `json:"thrown_out"` // attempts taken out of the batch for want of memory
+	Abandoned int64 `json:"abandoned"`  // attempts cancelled because they had no reader
+	Lost      int64 `json:"lost"`       // unfinished attempts lost in a crash
+	Preempted int64 `json:"thrown_out"` // removals from the batch for lack of memory
 }
--- a/external/standin/enginesim/faults.go
+++ b/external/standin/enginesim/faults.go
@@ -6,8 +6,8 @@
 	"mallowwind.dev/external/engine"
 )
 
-// Crash resets every connection and forgets every generation, the cache and the
-// weights. Calls find nothing listening until Revive.
+// Crash breaks every stream and drops every generation and the prompt cache. Until Restart
+// calls fail as if nothing listened at the engine's address.
 func (s *Sim) Crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -32,8 +32,8 @@
 	s.cache.reset()
 }
 
-// Restart starts a new incarnation, which loads the models it was made with.
-// Its fencing number begins anew, as nothing was kept.
+// Restart starts a new incarnation after a crash, which loads the configured models again.
+// Its fencing number starts at 0, because the engine persists no state.
 func (s *Sim) Restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,7 +50,8 @@
 	}
 }
 
-// Pause stops everything: no token, no answer, while connections stay open.
+// Pause freezes the engine: it generates no tokens and answers no calls, while its
+// connections stay open.
 func (s *Sim) Pause() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,7 +60,7 @@
 	}
 }
 
-// Unpause continues where Pause stopped.
+// Unpause resumes the engine after Pause.
 func (s *Sim) Unpause() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,15 +81,15 @@
 	}
 }
 
-// SetSlowdown multiplies the time of every step; 1 is the usual speed.
+// SetSlowdown multiplies the duration of every step by factor; 1 is the normal speed.
 func (s *Sim) SetSlowdown(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slowdown = factor
 }
 
-// Silence makes every stream open now silent for good, while new ones work.
-// The engine does not notice: it counts them as read.
+// Silence stalls every open stream for good; new streams work. The engine does not notice
+// and still counts the stalled streams as readers.
 func (s *Sim) Silence() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,7 +100,7 @@
 	}
 }
 
-// SetRefusing makes the engine refuse new generations, or take them again.
+// SetRefusing makes the engine refuse new generations or accept them again.
 func (s *Sim) SetRefusing(refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/external/standin/enginesim/faults_test.go
+++ b/external/standin/enginesim/faults_test.go
@@ -14,12 +14,12 @@
 	"mallowwind.dev/external/standin/tokencheck"
 )
 
-// forBoth runs f with the engine in process and over its wire form.
-func forBoth(t *testing.T, config enginesim.Config, f func(t *testing.T, w *wired, e engine.Engine)) {
+// withBothTransports runs f with the engine in process and over its wire protocol.
+func withBothTransports(t *testing.T, config enginesim.Config, f func(t *testing.T, w *wiredEngine, e engine.Engine)) {
 	for _, name := range []string{"in process", "over the wire"} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := wire(config)
+				w := newWiredEngine(config)
 				defer w.close()
 				e := engine.Engine(w.sim)
 				if name == "over the wire" {
@@ -31,7 +31,7 @@
 	}
 }
 
-// readSome reads until the text holds n tokens or more.
+// readSome reads from s until it has at least n tokens and returns their text.
 func readSome(t *testing.T, s engine.Stream, n int) string {
 	var text strings.Builder
 	for strings.Count(text.String(), " ") < n {
@@ -42,10 +42,11 @@
 	return text.String()
 }
 
-// An engine is dead before a request comes. Nothing can be sent, and the error
-// says so; after it has come back and loaded its model it serves again.
-func TestDeadEngineIsNotSent(t *testing.T) {
-	forBoth(t, enginesim.Config{}, func(t *testing.T, w *wired, e engine.Engine) {
+// A request to a crashed engine must fail with ErrNotSent, not with an unknown outcome. After
+// a restart the engine refuses requests until its model is loaded, then serves them again under a
+// new incarnation.
+func TestGenerateOnCrashedEngineIsNotSent(t *testing.T) {
+	withBothTransports(t, enginesim.Config{}, func(t *testing.T, w *wiredEngine, e engine.Engine) {
 		before, err := e.Status(t.Context())
 		must.NoError(t, err)
 		w.net.Cut()
@@ -66,10 +67,10 @@
 	})
 }
 
-// An engine says no in its own words: a full queue, a model that it does not
-// hold, an order to take nothing new. Each is a refusal, not a broken stream.
+// A full queue, a model that is not loaded and an engine that accepts no new work must all be
+// reported as refusals, not as broken streams.
 func TestRefusals(t *testing.T) {
-	forBoth(t, enginesim.Config{Slots: 1, QueueLimit: 1}, func(t *testing.T, w *wired, e engine.Engine) {
+	withBothTransports(t, enginesim.Config{Slots: 1, QueueLimit: 1}, func(t *testing.T, w *wiredEngine, e engine.Engine) {
 		req := request("p", 50)
 		req.Model = "unknown"
 		_, err := e.Generate(t.Context(), req)
@@ -93,11 +94,11 @@
 	})
 }
 
-// An engine pauses in the middle of an answer. The reader's wait runs out, and
-// a request sent meanwhile has no known outcome. When the engine comes back,
-// the same stream goes on with the next token.
-func TestPauseAndReturn(t *testing.T) {
-	forBoth(t, enginesim.Config{}, func(t *testing.T, w *wired, e engine.Engine) {
+// An engine is paused in the middle of an answer. Its reader times out, and a request sent during
+// the pause ends with an unknown outcome (ErrBroken). After the pause the same stream continues
+// with the next token.
+func TestPauseAndUnpause(t *testing.T) {
+	withBothTransports(t, enginesim.Config{}, func(t *testing.T, w *wiredEngine, e engine.Engine) {
 		s, err := e.Generate(t.Context(), request("p", 60))
 		must.NoError(t, err)
 		defer s.Close()
@@ -121,11 +122,11 @@
 	})
 }
 
-// Something between the two ends loses track of the open connection. Nothing
-// comes on it again, while the engine generates on. Attaching over a new
-// connection from the next offset gives the rest of the same attempt.
+// The link of an open stream stalls for good, as when a middlebox loses the state of the
+// connection, while the engine continues to generate. Attaching from the next offset returns the
+// rest of the same attempt.
 func TestSilentConnectionThenAttach(t *testing.T) {
-	forBoth(t, enginesim.Config{}, func(t *testing.T, w *wired, e engine.Engine) {
+	withBothTransports(t, enginesim.Config{}, func(t *testing.T, w *wiredEngine, e engine.Engine) {
 		s, err := e.Generate(t.Context(), request("p", 80))
 		must.NoError(t, err)
 		defer s.Close()
@@ -144,11 +145,11 @@
 	})
 }
 
-// A reader goes away. For a stated time the engine runs on and another may
-// attach; after that it spends no more work on an answer that nobody reads.
+// A generation whose reader has detached continues, and another reader can attach, until
+// UnreadTimeout. After that the engine must cancel it instead of generating for no reader.
 func TestUnreadGenerationEnds(t *testing.T) {
 	config := enginesim.Config{UnreadTimeout: 10 * time.Second}
-	forBoth(t, config, func(t *testing.T, w *wired, e engine.Engine) {
+	withBothTransports(t, config, func(t *testing.T, w *wiredEngine, e engine.Engine) {
 		s, err := e.Generate(t.Context(), request("p", 1e6))
 		must.NoError(t, err)
 		must.NoError(t, s.Close())
@@ -166,10 +167,10 @@
 	})
 }
 
-// A router that was paused wakes and asks for its old attempt although a newer
-// one was cancelled past it: the engine takes only what is newer still.
-func TestCancelOrdersAttempts(t *testing.T) {
-	forBoth(t, enginesim.Config{}, func(t *testing.T, w *wired, e engine.Engine) {
+// A router that resumes after a pause may ask for an old attempt although later attempts were
+// already cancelled. After Cancel up to an attempt, the engine accepts only later attempts.
+func TestCancelFencesOlderAttempts(t *testing.T) {
+	withBothTransports(t, enginesim.Config{}, func(t *testing.T, w *wiredEngine, e engine.Engine) {
 		s, err := e.Generate(t.Context(), request("p", 500))
 		must.NoError(t, err)
 		readSome(t, s, 3)
@@ -189,12 +190,12 @@
 	})
 }
 
-// A zone's former lease holder wakes and gives an order with its old fencing
-// number. An engine that checks refuses it; one that does not obeys.
+// The former holder of a zone's lease resumes and sends an order with its stale fencing number.
+// An engine that enforces fencing must refuse the order; one that does not executes it.
 func TestFencing(t *testing.T) {
 	other := engine.ModelRef{Model: "other"}
 	for respects, want := range map[bool]error{true: engine.ErrStaleFence, false: nil} {
-		forBoth(t, enginesim.Config{EnforceFencing: respects}, func(t *testing.T, w *wired, e engine.Engine) {
+		withBothTransports(t, enginesim.Config{EnforceFencing: respects}, func(t *testing.T, w *wiredEngine, e engine.Engine) {
 			must.NoError(t, e.Order(t.Context(), engine.Order{ID: "new", Kind: engine.OrderLoad, Ref: other, Fence: 5}))
 			time.Sleep(time.Minute)
 			err := e.Order(t.Context(), engine.Order{ID: "old", Kind: engine.OrderUnload, Ref: other, Fence: 4})
@@ -207,10 +208,10 @@
 	}
 }
 
-// A model is ordered away while a generation runs on it: the answer ends whole,
-// new requests are refused, and the weights go only then.
-func TestUnloadWaitsForItsWork(t *testing.T) {
-	forBoth(t, enginesim.Config{}, func(t *testing.T, w *wired, e engine.Engine) {
+// A model is unloaded while a generation uses it. New requests are refused, the running answer
+// still completes, and only then are the weights dropped.
+func TestUnloadWaitsForRunningGenerations(t *testing.T) {
+	withBothTransports(t, enginesim.Config{}, func(t *testing.T, w *wiredEngine, e engine.Engine) {
 		s, err := e.Generate(t.Context(), request("p", 50))
 		must.NoError(t, err)
 		text := readSome(t, s, 5)
--- a/external/standin/enginesim/generation.go
+++ b/external/standin/enginesim/generation.go
@@ -21,24 +21,24 @@
 	waiting phase = iota
 	running
 	finished
-	cancelled // by Cancel, for want of a reader, or by an unload
+	cancelled // by Cancel, by a crash, or because it had no reader
 )
 
-// generation is one attempt. The engine's mutex guards it.
+// generation is one attempt at a request. It is guarded by the engine's mutex.
 type generation struct {
 	key         attemptKey
 	req         engine.Request
 	ref         engine.ModelRef
 	arrival     uint64
 	phase       phase
-	prefillLeft int // prompt and prefix tokens still to work off
+	prefillLeft int // tokens still to be prefilled
 	tokens      []string
 	chain       *tokencheck.Chain
 	random      *rand.Rand
-	maxTokens   int // tokens of the whole answer
+	maxTokens   int // length of the complete answer, including the prefix
 	finish      engine.FinishReason
 	readers     map[*reader]struct{}
-	unreadSince time.Time // when the last reader left
+	unreadSince time.Time // when the last reader detached
 	endedAt     time.Time
 }
 
@@ -67,7 +67,7 @@
 	return engine.ModelRef{Model: req.Model, Adapter: req.Adapter, Version: req.Version}
 }
 
-// parseStop finds "stop=K" in a prompt: the answer then ends by itself after K tokens.
+// parseStop finds "stop=K" in a prompt, which makes the answer end after K tokens.
 func parseStop(prompt string) (int, bool) {
 	_, rest, ok := strings.Cut(prompt, "stop=")
 	if !ok {
@@ -81,7 +81,7 @@
 	return n, err == nil
 }
 
-// generateToken makes one token. It reports whether the answer is now whole.
+// generateToken appends one token and reports whether the answer is now complete.
 func (g *generation) generateToken() bool {
 	if len(g.tokens) < g.maxTokens {
 		g.tokens = append(g.tokens, g.chain.Next(randomSalt(g.random)))
@@ -89,7 +89,8 @@
 	return len(g.tokens) >= g.maxTokens
 }
 
-// randomSalt makes two attempts over the same prefix differ, as sampling does.
+// randomSalt returns a random salt, which makes two attempts with the same prefix differ as
+// sampling does.
 func randomSalt(r *rand.Rand) string {
 	b := []byte{'a' + byte(r.IntN(26)), 'a' + byte(r.IntN(26))}
 	return string(b[:1+r.IntN(2)])
@@ -103,7 +104,7 @@
 	}
 }
 
-// promptText is what the engine's cache sees: the prompt and the forced prefix.
+// promptText returns the text that the prompt cache covers: the prompt and the forced prefix.
 func (g *generation) promptText() string {
 	if len(g.req.Prefix) == 0 {
 		return g.req.Prompt
--- a/external/standin/enginesim/handler.go
+++ b/external/standin/enginesim/handler.go
@@ -13,10 +13,10 @@
 	"mallowwind.dev/external/engine"
 )
 
-// maxRequestBytes bounds a request body, in bytes.
+// maxRequestBytes limits the size of a request body.
 const maxRequestBytes = 16 << 20
 
-// Handler serves the wire form of an engine, documented in docs/engine-protocol.md.
+// Handler serves the wire protocol of an engine, documented in docs/engine-protocol.md.
 func Handler(s *Sim) http.Handler {
 	h := &handler{s}
 	r := mux.NewRouter()
@@ -112,7 +112,8 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// writeError writes a refusal. What is none cuts the connection, as a dead engine does.
+// writeError writes err as an error body if it is a refusal, an unknown generation or a stale
+// fencing number. Any other error aborts the connection, as a crashed engine would.
 func writeError(w http.ResponseWriter, err error) {
 	var refusal *Refusal
 	body := engine.ErrorBody{Error: engine.ErrorDetail{Message: err.Error()}}
@@ -143,8 +144,8 @@
 	return http.StatusBadRequest
 }
 
-// copyStream writes s as server-sent events until it ends. A broken stream
-// cuts the connection without the last event.
+// copyStream writes s as server-sent events until it ends. If s breaks, it aborts the
+// connection without the final event.
 func copyStream(w http.ResponseWriter, r *http.Request, s engine.Stream, id string, attempt uint64) {
 	defer s.Close()
 	w.Header().Set("Content-Type", "text/event-stream")
--- a/external/standin/enginesim/load_test.go
+++ b/external/standin/enginesim/load_test.go
@@ -15,8 +15,8 @@
 	"mallowwind.dev/external/standin/weightsim"
 )
 
-// run generates n answers at once and returns how long all took.
-func run(t *testing.T, s *enginesim.Sim, n int, prompt string) time.Duration {
+// generateAll generates n answers concurrently and returns the time until all are complete.
+func generateAll(t *testing.T, s *enginesim.Sim, n int, prompt string) time.Duration {
 	begin := time.Now()
 	streams := make([]engine.Stream, n)
 	for i := range streams {
@@ -33,7 +33,7 @@
 	return time.Since(begin)
 }
 
-func simulate(t *testing.T, config enginesim.Config, f func(t *testing.T, s *enginesim.Sim)) {
+func withSim(t *testing.T, config enginesim.Config, f func(t *testing.T, s *enginesim.Sim)) {
 	synctest.Test(t, func(t *testing.T) {
 		config.Models = []engine.ModelRef{ref}
 		s := enginesim.New(config)
@@ -42,32 +42,32 @@
 	})
 }
 
-func TestBatchSharesTheEngine(t *testing.T) {
-	simulate(t, enginesim.Config{}, func(t *testing.T, s *enginesim.Sim) {
-		one, many := run(t, s, 1, ""), run(t, s, 32, "")
+func TestStepTimeGrowsWithBatchAndSlowdown(t *testing.T) {
+	withSim(t, enginesim.Config{}, func(t *testing.T, s *enginesim.Sim) {
+		one, many := generateAll(t, s, 1, ""), generateAll(t, s, 32, "")
 		must.Greater(t, 2*one, many)
 		must.Less(t, 4*one, many)
 		s.SetSlowdown(3)
-		must.Eq(t, 3*one, run(t, s, 1, ""))
+		must.Eq(t, 3*one, generateAll(t, s, 1, ""))
 	})
 }
 
 func TestCachedPrefixSavesPrefill(t *testing.T) {
 	prompt := strings.Repeat("a contract of many pages. ", 400)
-	simulate(t, enginesim.Config{CacheBlocks: 50}, func(t *testing.T, s *enginesim.Sim) {
-		cold, warm := run(t, s, 1, prompt), run(t, s, 1, prompt)
+	withSim(t, enginesim.Config{CacheBlocks: 50}, func(t *testing.T, s *enginesim.Sim) {
+		cold, warm := generateAll(t, s, 1, prompt), generateAll(t, s, 1, prompt)
 		must.Less(t, cold, warm+200*time.Millisecond)
 		must.Greater(t, 2000, int(s.Stats().Cached))
-		run(t, s, 1, "b"+prompt) // pushes the first out
-		must.Eq(t, cold, run(t, s, 1, prompt))
+		generateAll(t, s, 1, "b"+prompt) // evicts the first prompt
+		must.Eq(t, cold, generateAll(t, s, 1, prompt))
 	})
 }
 
 func TestCacheEventsAreLateAndLossy(t *testing.T) {
 	prompt := strings.Repeat("a contract of many pages. ", 400)
 	config := enginesim.Config{EventDelay: 10 * time.Second, EventLossRatio: 0.3}
-	simulate(t, config, func(t *testing.T, s *enginesim.Sim) {
-		run(t, s, 1, prompt)
+	withSim(t, config, func(t *testing.T, s *enginesim.Sim) {
+		generateAll(t, s, 1, prompt)
 		events, err := s.CacheEvents(t.Context(), 0)
 		must.NoError(t, err)
 		must.SliceEmpty(t, events)
@@ -82,10 +82,10 @@
 	})
 }
 
-// One slot is taken, a long request waits, and an urgent lookup comes last: it
-// runs before the one that waits.
-func TestUrgentOvertakesInTheQueue(t *testing.T) {
-	simulate(t, enginesim.Config{Slots: 1}, func(t *testing.T, s *enginesim.Sim) {
+// The only slot is taken and a long request waits. An urgent request that arrives last must run
+// before the one that waits.
+func TestHigherPriorityIsDequeuedFirst(t *testing.T) {
+	withSim(t, enginesim.Config{Slots: 1}, func(t *testing.T, s *enginesim.Sim) {
 		ended := make(chan string, 3)
 		for _, c := range []struct {
 			id       string
@@ -106,7 +106,7 @@
 }
 
 func TestLoadReportLags(t *testing.T) {
-	simulate(t, enginesim.Config{StatusLag: 2 * time.Second}, func(t *testing.T, s *enginesim.Sim) {
+	withSim(t, enginesim.Config{StatusLag: 2 * time.Second}, func(t *testing.T, s *enginesim.Sim) {
 		stream, err := s.Generate(t.Context(), request("", 1000))
 		must.NoError(t, err)
 		defer stream.Close()
@@ -122,8 +122,8 @@
 	})
 }
 
-// Three engines are told to load at once from a weight store that serves one
-// fetch at a time: they become ready one after the other.
+// Three engines are ordered to load at the same time from a weight store that serves one fetch at
+// a time. They must become ready one after the other.
 func TestLoadingWaitsForTheWeightStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		weights := weightsim.New(1, 10*time.Second)
@@ -151,11 +151,11 @@
 	})
 }
 
-// Two attempts at one request differ, as sampling does, and yet a run is the
-// same for the same seed.
+// Two attempts at the same request must differ, as they do under sampling, and a run with the same
+// seed must give the same tokens.
 func TestSamplingDiffersAndSeedsRepeat(t *testing.T) {
 	text := func(seed, attempts uint64) (last string) {
-		simulate(t, enginesim.Config{Seed: seed}, func(t *testing.T, s *enginesim.Sim) {
+		withSim(t, enginesim.Config{Seed: seed}, func(t *testing.T, s *enginesim.Sim) {
 			for attempt := uint64(1); attempt <= attempts; attempt++ {
 				req := request("p", 20)
 				req.Attempt = attempt
@@ -171,18 +171,18 @@
 	must.NotEq(t, text(1, 1), text(2, 1))
 }
 
-// Long prompts for more than an engine's memory come at once. Those that do not fit
-// wait, although the batch has places, and all answers come whole.
+// More long prompts arrive at once than fit into the memory. Those that do not fit must wait
+// although the batch has free slots, without any preemption.
 func TestPromptsWaitForMemory(t *testing.T) {
 	prompt := strings.Repeat("a contract of many pages. ", 400) // 2,600 tokens
-	simulate(t, enginesim.Config{MemoryTokens: 8000}, func(t *testing.T, s *enginesim.Sim) {
+	withSim(t, enginesim.Config{MemoryTokens: 8000}, func(t *testing.T, s *enginesim.Sim) {
 		midway := make(chan engine.Status, 1)
 		go func() {
 			time.Sleep(500 * time.Millisecond)
-			status, _ := s.Status(t.Context()) // without it the figures below are 0
+			status, _ := s.Status(t.Context()) // on an error the checks below see zeros
 			midway <- status
 		}()
-		must.Greater(t, 500*time.Millisecond, run(t, s, 6, prompt))
+		must.Greater(t, 500*time.Millisecond, generateAll(t, s, 6, prompt))
 		status := <-midway
 		must.Eq(t, 3, status.Running)
 		must.Eq(t, 3, status.Waiting)
@@ -190,11 +190,10 @@
 	})
 }
 
-// Answers outgrow an engine's memory. The newest is taken out in the middle of its
-// stream and goes on later; its caller sees a pause, and neither a gap nor a token
-// twice.
-func TestAnswersOutgrowTheMemory(t *testing.T) {
-	simulate(t, enginesim.Config{MemoryTokens: 300}, func(t *testing.T, s *enginesim.Sim) {
+// Answers outgrow the memory of the engine. A generation is preempted in the middle of its stream
+// and continues later. Its reader sees a pause, but no missing and no repeated token.
+func TestMemoryOverflowPreempts(t *testing.T) {
+	withSim(t, enginesim.Config{MemoryTokens: 300}, func(t *testing.T, s *enginesim.Sim) {
 		answers := make(chan error, 3)
 		for i := range 3 {
 			req := request(fmt.Sprint("contract ", i), 150)
--- a/external/standin/enginesim/memory.go
+++ b/external/standin/enginesim/memory.go
@@ -6,12 +6,13 @@
 	"mallowwind.dev/external/engine"
 )
 
-// memoryTokens is how many tokens a generation takes of the memory once its prompt is read.
+// memoryTokens returns the memory, in tokens, that g occupies once its prompt is prefilled.
 func (g *generation) memoryTokens() int {
 	return (len(g.req.Prompt)+engine.BytesPerToken-1)/engine.BytesPerToken + len(g.tokens)
 }
 
-// usedTokens is how many tokens the batch takes, with the prompts that it still reads.
+// usedTokens returns the memory, in tokens, that the batch occupies, including prompts whose
+// prefill is still in progress.
 func (s *Sim) usedTokens() int {
 	n := 0
 	for _, g := range s.batch {
@@ -20,14 +21,15 @@
 	return n
 }
 
-// hasMemoryFor reports whether the memory holds one more generation. An empty engine takes
-// any, so that none waits for ever.
+// hasMemoryFor reports whether g fits into the memory besides the batch. An empty batch takes
+// any generation, so that one larger than the memory does not wait forever.
 func (s *Sim) hasMemoryFor(g *generation) bool {
 	return s.config.MemoryTokens == 0 || len(s.batch) == 0 || s.usedTokens()+g.memoryTokens() <= s.config.MemoryTokens
 }
 
-// preemptOverflow takes generations out of the batch until the others fit. Their streams pause
-// while the prompt and what was generated are read again.
+// preemptOverflow moves generations from the batch back to the queue until the others fit into
+// the memory. Their streams pause until the prompt and the tokens generated so far have been
+// prefilled again.
 func (s *Sim) preemptOverflow() {
 	for s.config.MemoryTokens > 0 && len(s.batch) > 1 && s.usedTokens() > s.config.MemoryTokens {
 		g := s.preemptionVictim()
@@ -38,7 +40,7 @@
 	}
 }
 
-// preemptionVictim is the newest of the least urgent generations in the batch.
+// preemptionVictim returns the newest generation of the lowest priority in the batch.
 func (s *Sim) preemptionVictim() *generation {
 	return slices.MinFunc(s.batch, func(a, b *generation) int {
 		if a.req.Priority != b.req.Priority {
--- a/external/standin/enginesim/random_test.go
+++ b/external/standin/enginesim/random_test.go
@@ -16,11 +16,12 @@
 	"mallowwind.dev/external/standin/tokencheck"
 )
 
-// randomRuns is how many seeds the randomised test plays.
+// randomRuns is the number of seeds of the randomised test.
 const randomRuns = 150
 
-// chaos injects faults into random engines until ctx ends, and heals each.
-func chaos(ctx context.Context, r *rand.Rand, engines []*wired) {
+// injectFaults injects faults into random engines until ctx is done. Crashes, pauses and refusals are
+// ended before the next fault.
+func injectFaults(ctx context.Context, r *rand.Rand, engines []*wiredEngine) {
 	for ctx.Err() == nil {
 		w := engines[r.IntN(len(engines))]
 		span := time.Duration(r.IntN(3000)) * time.Millisecond
@@ -50,38 +51,39 @@
 	}
 }
 
-// holder reads one answer over all engines as a careful router does.
-type holder struct {
+// answerReader reads one answer from all engines, as a router that resumes and retries does.
+type answerReader struct {
 	t       *testing.T
 	random  *rand.Rand
-	engines []*wired
-	at      int // engine of the current attempt
+	engines []*wiredEngine
+	current int // index of the engine of the current attempt
 	attempt uint64
 	tokens  []string
 }
 
-const patience = 1500 * time.Millisecond
+const readTimeout = 1500 * time.Millisecond
 
-// open attaches to the current attempt or starts the next from what is held.
-func (h *holder) open(want int) (engine.Stream, error) {
-	ctx, cancel := context.WithTimeout(h.t.Context(), patience)
+// open attaches to the current attempt or starts the next one with the tokens received so far as
+// its prefix.
+func (h *answerReader) open(want int) (engine.Stream, error) {
+	ctx, cancel := context.WithTimeout(h.t.Context(), readTimeout)
 	defer cancel()
 	if h.attempt > 0 && h.random.IntN(2) == 0 {
-		return h.engines[h.at].client.Attach(ctx, "g1", h.attempt, len(h.tokens))
+		return h.engines[h.current].client.Attach(ctx, "g1", h.attempt, len(h.tokens))
 	}
-	h.at = h.random.IntN(len(h.engines))
+	h.current = h.random.IntN(len(h.engines))
 	h.attempt++
 	req := request("p", want)
 	req.Attempt, req.Prefix = h.attempt, h.tokens
-	return h.engines[h.at].client.Generate(ctx, req)
+	return h.engines[h.current].client.Generate(ctx, req)
 }
 
-// read takes chunks until the stream ends, breaks or is silent for too long,
-// and reports whether the answer is whole.
-func (h *holder) read(s engine.Stream) bool {
+// read reads chunks until the stream ends, breaks or sends nothing for too long, and reports
+// whether the answer is complete.
+func (h *answerReader) read(s engine.Stream) bool {
 	defer s.Close()
 	for {
-		ctx, cancel := context.WithTimeout(h.t.Context(), patience)
+		ctx, cancel := context.WithTimeout(h.t.Context(), readTimeout)
 		c, err := s.Next(ctx)
 		cancel()
 		if err != nil {
@@ -95,19 +97,19 @@
 	}
 }
 
-// An answer is read over engines that die, pause, come back, slow down, refuse
-// and lose track of connections, alone and together. The reader attaches again
-// or continues from exactly what it holds. Whatever happens in which order, it
-// ends with one whole answer in which no token is missing, repeated or mixed.
-func TestRandomFaultsNeverMixAnAnswer(t *testing.T) {
+// Engines crash, restart, pause, slow down, refuse requests and have their links stalled, alone and
+// together, while an answer is read. The reader attaches again or starts the next attempt from
+// exactly the tokens it has. Whatever the order of the faults, it must get one complete answer
+// without missing or repeated tokens or tokens of another generation.
+func TestRandomFaultsKeepAnswerConsistent(t *testing.T) {
 	const want = 400
 	attempts := uint64(0)
 	for seed := range uint64(randomRuns) {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				h := &holder{t: t, random: rand.New(rand.NewPCG(seed, 1))}
+				h := &answerReader{t: t, random: rand.New(rand.NewPCG(seed, 1))}
 				for i := range 3 {
-					w := wire(enginesim.Config{Seed: seed<<8 + uint64(i), LoadTime: time.Second})
+					w := newWiredEngine(enginesim.Config{Seed: seed<<8 + uint64(i), LoadTime: time.Second})
 					defer w.close()
 					h.engines = append(h.engines, w)
 				}
@@ -115,7 +117,7 @@
 				done := make(chan struct{})
 				go func() {
 					defer close(done)
-					chaos(ctx, rand.New(rand.NewPCG(seed, 2)), h.engines)
+					injectFaults(ctx, rand.New(rand.NewPCG(seed, 2)), h.engines)
 				}()
 				for whole := false; !whole; {
 					s, err := h.open(want)
@@ -132,5 +134,5 @@
 			})
 		})
 	}
-	must.Greater(t, 2*randomRuns, attempts) // the faults did interrupt answers
+	must.Greater(t, 2*randomRuns, attempts) // the faults must have interrupted answers
 }
--- a/external/standin/enginesim/reader.go
+++ b/external/standin/enginesim/reader.go
@@ -11,13 +11,12 @@
 	"mallowwind.dev/external/engine"
 )
 
-// reader is one stream. Its fields but wake and closed are guarded by the
-// engine's mutex.
+// reader is one stream of a generation. The engine's mutex guards its mutable fields.
 type reader struct {
 	sim       *Sim
 	gen       *generation
 	next      int
-	silent    bool // the connection lost its track: nothing moves on it again
+	silent    bool // stalled link: nothing is delivered any more
 	broken    bool
 	ended     bool
 	wake      chan struct{}
@@ -27,7 +26,7 @@
 
 var _ engine.Stream = (*reader)(nil)
 
-// newReader attaches to g from token offset from. The caller holds the mutex.
+// newReader attaches a reader to g, starting at token offset from. The caller holds s.mu.
 func (s *Sim) newReader(g *generation, from int) *reader {
 	r := &reader{
 		sim: s, gen: g, next: from,
@@ -62,7 +61,7 @@
 	}
 }
 
-// poll returns what can be read now.
+// poll returns the chunk that can be read now; ready is false if there is none.
 func (r *reader) poll() (c engine.Chunk, ready bool, err error) {
 	s := r.sim
 	s.mu.Lock()
--- a/external/standin/enginesim/sim.go
+++ b/external/standin/enginesim/sim.go
@@ -13,7 +13,7 @@
 	"mallowwind.dev/external/engine"
 )
 
-// Sim is one engine. It is safe for concurrent use.
+// Sim is one simulated engine. It is safe for concurrent use.
 type Sim struct {
 	config Config
 	closed context.Context // done after Close
@@ -24,10 +24,10 @@
 	incarnation int
 	generations map[attemptKey]*generation
 	tombstones  map[string]tombstone // highest cancelled attempt by generation
-	queue       []*generation        // waiting, next first
+	queue       []*generation        // waiting; the next to run comes first
 	batch       []*generation        // running
 	arrivals    uint64
-	stepping    bool // the step loop runs
+	stepping    bool // whether the step loop is running
 	cache       *promptCache
 	weights     weightSet
 	loadHistory loadSampler
@@ -38,7 +38,7 @@
 	paused   bool
 	refusing bool
 	slowdown float64
-	resumed  chan struct{} // closed by Unpause and Die
+	resumed  chan struct{} // closed by Unpause and Crash
 }
 
 var _ engine.Engine = (*Sim)(nil)
@@ -48,16 +48,16 @@
 	recordedAt time.Time
 }
 
-// New returns a running engine. It holds goroutines only while it has work or
-// loads weights; Close ends them.
+// New returns a running engine. It runs goroutines only while it has work or loads weights;
+// Close ends them.
 func New(config Config) *Sim {
 	config = config.WithDefaults()
 	random := rand.New(rand.NewPCG(config.Seed, config.Seed^0x9e3779b97f4a7c15))
-	closed, end := context.WithCancel(context.Background())
+	closed, cancel := context.WithCancel(context.Background())
 	s := &Sim{
 		config:      config,
 		closed:      closed,
-		close:       end,
+		close:       cancel,
 		random:      random,
 		incarnation: 1,
 		generations: make(map[attemptKey]*generation),
@@ -149,22 +149,23 @@
 	return s.cache.eventsAfter(seq, time.Now()), nil
 }
 
-// Close ends the engine for good, as Die does.
+// Close crashes the engine for good and ends its goroutines.
 func (s *Sim) Close() {
 	s.Crash()
 	s.close()
 }
 
-// Stats returns the counts of work so far.
+// Stats returns the counters of the engine.
 func (s *Sim) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stats
 }
 
-// beginCall locks the engine for one call, waiting out a pause. A dead engine is
-// as one that nothing listens on: the call was not sent. A call given up on
-// during a pause was sent, and its outcome is not known.
+// beginCall locks s.mu for one call, after waiting for the end of a pause. If it returns nil,
+// the caller must unlock s.mu. A call to a crashed engine fails with ErrNotSent, as if the
+// connection were refused. A call that ends during a pause, because of its context or a crash,
+// fails with ErrBroken: it was sent and its outcome is unknown.
 func (s *Sim) beginCall(ctx context.Context) error {
 	waited := false
 	for {
@@ -191,7 +192,7 @@
 	}
 }
 
-// checkAdmission says why req cannot run here, or nil.
+// checkAdmission returns the reason why the engine refuses req, or nil.
 func (s *Sim) checkAdmission(req engine.Request) error {
 	k := attemptKey{req.Generation, req.Attempt}
 	switch t, cancelledBefore := s.tombstones[req.Generation]; {
@@ -211,7 +212,7 @@
 	return nil
 }
 
-// endGeneration moves g to a final phase.
+// endGeneration removes g from queue and batch and puts it into its final phase p.
 func (s *Sim) endGeneration(g *generation, p phase) {
 	s.queue = remove(s.queue, g)
 	s.batch = remove(s.batch, g)
@@ -228,10 +229,11 @@
 	return list
 }
 
-// sweepInterval spaces the removals of what is no longer kept.
+// sweepInterval is the minimum time between two sweeps.
 const sweepInterval = time.Second
 
-// sweep ends generations that nobody reads and forgets old ones.
+// sweep cancels generations that have had no reader for UnreadTimeout and removes generations
+// and tombstones that are older than Retention.
 func (s *Sim) sweep() {
 	now := time.Now()
 	if now.Sub(s.lastSweep) < sweepInterval {
@@ -254,7 +256,7 @@
 	}
 }
 
-// Refusal is engine.ErrRefused with its code, for the wire form.
+// Refusal is an engine.ErrRefused with the error code sent on the wire.
 type Refusal struct {
 	Code    engine.ErrorCode
 	Message string
@@ -263,8 +265,8 @@
 // Error implements error.
 func (r *Refusal) Error() string { return fmt.Sprintf("engine: refused: %s: %s", r.Code, r.Message) }
 
-// Is makes a Refusal match engine.ErrRefused, and engine.ErrNotReady where it
-// is one.
+// Is reports whether target is engine.ErrRefused, or engine.ErrNotReady if the code is
+// CodeModelNotReady.
 func (r *Refusal) Is(target error) bool {
 	return target == engine.ErrRefused || target == engine.ErrNotReady && r.Code == engine.CodeModelNotReady
 }
@@ -273,8 +275,8 @@
 	return &Refusal{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
-// HasUnfinished reports whether the engine holds an attempt of this generation that has
-// not ended, so that a story can pick the engine to fail.
+// HasUnfinished reports whether the engine has an unfinished attempt of the generation id, so
+// that a test scenario can choose the engine to crash.
 func (s *Sim) HasUnfinished(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -286,7 +288,7 @@
 	return false
 }
 
-// IsBusy reports whether any attempt waits or runs.
+// IsBusy reports whether any attempt is waiting or running.
 func (s *Sim) IsBusy() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/external/standin/enginesim/status.go
+++ b/external/standin/enginesim/status.go
@@ -9,7 +9,7 @@
 	"mallowwind.dev/external/engine"
 )
 
-// loadSample are the load at one time.
+// loadSample is the load of the engine at one point in time.
 type loadSample struct {
 	sampledAt       time.Time
 	running         int
@@ -19,13 +19,14 @@
 	valid           bool
 }
 
-// loadSampler keeps two samples of the load, so that the one reported is at
-// least as old as the lag whenever work goes on.
+// loadSampler keeps the last two samples of the load. They are taken at least StatusLag apart,
+// so that the previous one is at least that old. With a lag above 0 the previous one is reported
+// as soon as it exists.
 type loadSampler struct {
 	previous, latest loadSample
 }
 
-// sample takes figures when the recent ones are as old as the lag.
+// sample takes a new sample once the latest one is at least StatusLag old.
 func (l *loadSampler) sample(s *Sim) {
 	now := time.Now()
 	if l.latest.valid && now.Sub(l.latest.sampledAt) < s.config.StatusLag {
@@ -48,8 +49,8 @@
 	return l.latest
 }
 
-// Status implements engine.Engine. Models, role and fence are exact; the load
-// figures are old by Age.
+// Status implements engine.Engine. Models, role and fence are current; the load figures are as
+// old as Age says.
 func (s *Sim) Status(ctx context.Context) (engine.Status, error) {
 	if err := s.beginCall(ctx); err != nil {
 		return engine.Status{}, err
--- a/external/standin/enginesim/step.go
+++ b/external/standin/enginesim/step.go
@@ -7,7 +7,7 @@
 	"mallowwind.dev/external/engine"
 )
 
-// enqueue puts g behind the waiting generations of its priority and above.
+// enqueue inserts g into the queue behind the generations of the same or a higher priority.
 func (s *Sim) enqueue(g *generation) {
 	i := slices.IndexFunc(s.queue, func(o *generation) bool { return o.req.Priority < g.req.Priority })
 	if i < 0 {
@@ -16,7 +16,7 @@
 	s.queue = slices.Insert(s.queue, i, g)
 }
 
-// startStepping starts the step loop if there is work and it does not run.
+// startStepping starts the step loop if there is work and the loop is not running.
 func (s *Sim) startStepping() {
 	if s.stepping || s.crashed || s.paused || len(s.queue)+len(s.batch) == 0 {
 		return
@@ -25,7 +25,7 @@
 	go s.stepLoop()
 }
 
-// stepLoop steps until there is no work, or until a pause or death.
+// stepLoop runs steps until there is no work or until the engine is paused, crashed or closed.
 func (s *Sim) stepLoop() {
 	for {
 		work, d, ok := s.beginStep()
@@ -39,7 +39,7 @@
 	}
 }
 
-// sleep waits for d; false means that the engine was closed.
+// sleep waits for d. It returns false if the engine was closed meanwhile.
 func (s *Sim) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -51,13 +51,14 @@
 	}
 }
 
-// stepShare is the share of one generation in a step.
+// stepShare is the work of one step for one generation.
 type stepShare struct {
 	gen     *generation
-	prefill int // prompt tokens worked off; 0 means one new token
+	prefill int // tokens prefilled; 0 means that one token is generated
 }
 
-// beginStep fills free slots and lays out one step.
+// beginStep fills the batch and plans one step. It returns false, and the step loop ends, if
+// there is no work or the engine is paused or crashed.
 func (s *Sim) beginStep() ([]stepShare, time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,19 +87,20 @@
 	}
 }
 
-// lookUpPrefill sets how much of the prompt and prefix must be worked off.
+// lookUpPrefill sets how many tokens of g must be prefilled, given what the cache holds.
 func (s *Sim) lookUpPrefill(g *generation) {
 	text := g.promptText()
 	hashes := engine.BlockHashes(g.ref, text)
-	held := s.cache.matchPrefix(hashes) * engine.BlockBytes / engine.BytesPerToken
+	cached := s.cache.matchPrefix(hashes) * engine.BlockBytes / engine.BytesPerToken
 	s.cache.add(hashes, time.Now())
 	total := (len(text) + engine.BytesPerToken - 1) / engine.BytesPerToken
-	total += len(g.tokens) - len(g.req.Prefix) // made here before it was taken out
-	g.prefillLeft = max(total-held, 1)         // the last token is always computed
+	total += len(g.tokens) - len(g.req.Prefix) // generated before a preemption
+	g.prefillLeft = max(total-cached, 1)       // at least one token is always computed
 	s.stats.Cached += int64(total - g.prefillLeft)
 }
 
-// planStep shares the step's prefill chunk among those that need it, in batch order.
+// planStep plans the work of one step: the prefill budget of PrefillChunkTokens goes to the
+// generations that need prefill, in batch order, and all others generate one token.
 func (s *Sim) planStep() (work []stepShare, prefill int) {
 	work = make([]stepShare, 0, len(s.batch))
 	left := s.config.PrefillChunkTokens
@@ -121,8 +123,7 @@
 	return time.Duration(float64(d) * s.slowdown)
 }
 
-// finishStep applies a step that was laid out before. An engine that died or
-// paused meanwhile applies nothing.
+// finishStep applies a planned step, unless the engine is crashed or paused by then.
 func (s *Sim) finishStep(work []stepShare) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/external/standin/enginesim/weights.go
+++ b/external/standin/enginesim/weights.go
@@ -9,13 +9,13 @@
 	"mallowwind.dev/external/engine"
 )
 
-// How a role changes the time of decode and of prefill.
+// Factors by which a role changes the duration of the decode and prefill parts of a step.
 const (
 	favouredFactor   = 0.6
 	unfavouredFactor = 2.0
 )
 
-// weightSet is what an engine holds and in which role it works.
+// weightSet holds the models and the role of an engine and the orders that led to them.
 type weightSet struct {
 	models []engine.Loaded
 	role   engine.Role
@@ -46,14 +46,14 @@
 	w.models = append(w.models, engine.Loaded{Ref: ref, State: state})
 }
 
-// dropUnused drops models being unloaded that no generation uses any more.
-func (w *weightSet) dropUnused(uses func(engine.ModelRef) bool) {
+// dropUnused removes models that are being unloaded and that no generation uses any more.
+func (w *weightSet) dropUnused(isInUse func(engine.ModelRef) bool) {
 	w.models = slices.DeleteFunc(w.models, func(l engine.Loaded) bool {
-		return l.State == engine.Unloading && !uses(l.Ref)
+		return l.State == engine.Unloading && !isInUse(l.Ref)
 	})
 }
 
-// roleFactors returns the factors on the time of decode and of prefill.
+// roleFactors returns the duration factors of decode and prefill for the current role.
 func (w *weightSet) roleFactors() (decode, prefill float64) {
 	switch w.role {
 	case engine.RoleDecode:
@@ -64,7 +64,7 @@
 	return 1, 1
 }
 
-// Order implements engine.Engine. An engine without RespectFence takes any number.
+// Order implements engine.Engine. Without EnforceFencing the engine accepts any fencing number.
 func (s *Sim) Order(ctx context.Context, o engine.Order) error {
 	if err := s.beginCall(ctx); err != nil {
 		return err
@@ -91,7 +91,8 @@
 	return newRefusal(engine.CodeInvalid, "order kind %q", o.Kind)
 }
 
-// Orders returns the orders taken, in their order of arrival.
+// Orders returns all orders that passed the fencing check, in order of arrival and across
+// restarts.
 func (s *Sim) Orders() []engine.Order {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,11 +125,12 @@
 }
 
 func (s *Sim) isInUse(ref engine.ModelRef) bool {
-	with := func(g *generation) bool { return g.ref == ref }
-	return slices.ContainsFunc(s.batch, with) || slices.ContainsFunc(s.queue, with)
+	usesRef := func(g *generation) bool { return g.ref == ref }
+	return slices.ContainsFunc(s.batch, usesRef) || slices.ContainsFunc(s.queue, usesRef)
 }
 
-// loadModel loads ref for the incarnation that was ordered to.
+// loadModel fetches and loads ref. The result is dropped if the engine has restarted since, or if
+// ref is no longer loading.
 func (s *Sim) loadModel(ref engine.ModelRef, incarnation int) {
 	state := engine.Ready
 	if s.config.Weights != nil {
--- a/external/standin/enginesim/wire_test.go
+++ b/external/standin/enginesim/wire_test.go
@@ -20,17 +20,17 @@
 
 var ref = engine.ModelRef{Model: "review"}
 
-// wired is an engine behind its wire form, without a network.
-type wired struct {
+// wiredEngine is an engine served over its wire protocol on an in-process listener.
+type wiredEngine struct {
 	sim    *enginesim.Sim
 	net    *faultnet.Listener
 	client *engine.Client
 	server *http.Server
 }
 
-func wire(config enginesim.Config) *wired {
+func newWiredEngine(config enginesim.Config) *wiredEngine {
 	config.Models = []engine.ModelRef{ref}
-	w := &wired{sim: enginesim.New(config), net: faultnet.Pipe()}
+	w := &wiredEngine{sim: enginesim.New(config), net: faultnet.Pipe()}
 	w.server = &http.Server{Handler: enginesim.Handler(w.sim)}
 	go w.server.Serve(w.net)
 	w.client = engine.NewClient("http://engine", &http.Client{
@@ -39,7 +39,7 @@
 	return w
 }
 
-func (w *wired) close() {
+func (w *wiredEngine) close() {
 	w.client.CloseIdle()
 	_ = w.server.Close()
 	w.sim.Close()
@@ -49,7 +49,7 @@
 	return engine.Request{Generation: "g1", Attempt: 1, Model: ref.Model, Prompt: prompt, MaxTokens: n}
 }
 
-// readAll reads to the end and returns the text, the finish reason and the error.
+// readAll reads s to its end and returns the text, the finish reason and the error.
 func readAll(ctx context.Context, s engine.Stream) (string, engine.FinishReason, error) {
 	var text strings.Builder
 	var finish engine.FinishReason
@@ -68,10 +68,10 @@
 	}
 }
 
-// A caller asks for 40 tokens and reads exactly 40, each once, with an end.
+// A caller that asks for 40 tokens must receive exactly these, each once, and the finish reason.
 func TestWholeAnswerOverTheWire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := wire(enginesim.Config{})
+		w := newWiredEngine(enginesim.Config{})
 		defer w.close()
 		s, err := w.client.Generate(t.Context(), request("hello", 40))
 		must.NoError(t, err)
@@ -82,12 +82,12 @@
 	})
 }
 
-// An engine dies in the middle of an answer. The reader holds a good prefix
-// and an error that is not an end; another engine continues from the exact
-// prefix, and the two parts are one answer.
-func TestContinueFromPrefixAfterDeath(t *testing.T) {
+// An engine crashes in the middle of an answer. The reader must get a valid prefix and an error
+// instead of a normal end. A second engine continues from exactly that prefix, and both parts
+// together must form one complete answer.
+func TestContinueFromPrefixAfterCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, b := wire(enginesim.Config{Seed: 1}), wire(enginesim.Config{Seed: 2})
+		a, b := newWiredEngine(enginesim.Config{Seed: 1}), newWiredEngine(enginesim.Config{Seed: 2})
 		defer a.close()
 		defer b.close()
 		s, err := a.client.Generate(t.Context(), request("hello", 100))
--- a/external/standin/host/admin.go
+++ b/external/standin/host/admin.go
@@ -12,17 +12,18 @@
 	"mallowwind.dev/external/vmlist"
 )
 
-// NodeReport is a node as GET /nodes shows it.
+// NodeReport is the JSON form of a node in the reply to GET /nodes.
 type NodeReport struct {
 	Name    string           `json:"name"`
 	Address string           `json:"address"`
 	Zone    string           `json:"zone,omitempty"`
 	Engine  *enginesim.Stats `json:"engine,omitempty"`
-	Runs    map[string]int   `json:"runs,omitempty"` // of a plain service, by Idempotency-Key
+	Runs    map[string]int   `json:"runs,omitempty"` // of a plain service: executions by Idempotency-Key
 	Calls   *store.Counts    `json:"calls,omitempty"`
 }
 
-// Admin serves reports and fault injection, documented in docs/platform-protocols.md.
+// Admin returns the handler of the admin listener, which serves node reports and fault
+// injection. docs/platform-protocols.md documents it.
 func (h *Host) Admin() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/nodes", h.serveNodes).Methods(http.MethodGet)
@@ -31,7 +32,7 @@
 	return r
 }
 
-// Report returns a node with its counts.
+// Report returns the report of n with its counters.
 func (h *Host) Report(n *Node) NodeReport {
 	report := NodeReport{Name: n.Name, Address: n.Address, Zone: n.Zone}
 	switch {
@@ -61,7 +62,7 @@
 	writeResult(w, h.InjectFault(v["node"], v["fault"], r.FormValue("value")))
 }
 
-// stateGone takes a VM off the list; the other states are those of the list.
+// stateGone removes a VM from the VM list. The other states are those of package vmlist.
 const stateGone = "gone"
 
 func (h *Host) serveVM(w http.ResponseWriter, r *http.Request) {
@@ -69,8 +70,8 @@
 	writeResult(w, h.SetVMState(v["id"], v["state"]))
 }
 
-// SetVMState makes the list show a VM as "live", "leaving" or, with "gone", no
-// longer; each after the list's lag.
+// SetVMState sets the state of a VM in the VM list to "live" or "leaving", or removes the VM if
+// state is "gone". Readers of the list see the change after its lag.
 func (h *Host) SetVMState(id, state string) error {
 	if state == stateGone {
 		h.VMs.Remove(id)
--- a/external/standin/host/config.go
+++ b/external/standin/host/config.go
@@ -1,7 +1,6 @@
-// Package host runs the stand-ins of a whole platform in one process, each on
-// its own address: the key-value service, the VM list, the weight store, model
-// engines and plain services. Faults are injected by name, from the program or
-// over the admin listener.
+// Package host runs the simulated services of a whole platform in one process, each on its own
+// address: the key-value service, the VM list, the weight store, model engines and plain
+// services. Faults are injected by name, by a method call or over the admin listener.
 package host
 
 import (
@@ -17,38 +16,38 @@
 	"mallowwind.dev/external/vmlist"
 )
 
-// Config lists what to run. An address is host:port; port 0 takes a free one.
+// Config lists the services to run. An address is host:port; port 0 selects a free port.
 type Config struct {
 	Seed    uint64
-	Admin   string // fault injection; empty means none
+	Admin   string // address of the admin listener; empty means none
 	Store   StoreConfig
 	VMList  VMListConfig
 	Weights WeightsConfig
-	Entries []vmlist.VM // entry VMs, which are only listed here
+	Entries []vmlist.VM // entry VMs, which appear in the VM list but are not run
 	Pools   []PoolConfig
 }
 
-// StoreConfig is the key-value service. Its endpoints serve the same keys.
+// StoreConfig configures the key-value service. All its endpoints serve the same keys.
 type StoreConfig struct {
 	Listen          []string
 	ReadsPerSecond  int // 0 means no limit
 	WritesPerSecond int // 0 means no limit
 }
 
-// VMListConfig is the list of VMs.
+// VMListConfig configures the VM list.
 type VMListConfig struct {
 	Listen string
 	Lag    time.Duration
 }
 
-// WeightsConfig is the weight store.
+// WeightsConfig configures the weight store.
 type WeightsConfig struct {
 	Listen               string
 	MaxConcurrentFetches int
 	FetchTime            time.Duration
 }
 
-// Kind is what a pool's backend servers are.
+// Kind is the kind of the backend servers in a pool.
 type Kind string
 
 // The kinds of pools.
@@ -57,25 +56,25 @@
 	KindPlain  Kind = "plain"
 )
 
-// PoolConfig is a set of equal backend servers.
+// PoolConfig configures a pool of identical backend servers.
 type PoolConfig struct {
 	Name           string
 	Kind           Kind
 	Region         string
 	Zones          []string
-	ServersPerZone int    // in each zone
-	Listen         string // of the first; each further one takes the next port
+	ServersPerZone int
+	Listen         string // address of the first server; each further one takes the next port
 	Engine         enginesim.Config
-	CallTime       time.Duration // of a plain service
+	CallTime       time.Duration // duration of a call to a plain service
 }
 
-// ListenAddress is one address that a Config listens on.
+// ListenAddress is the address of one service of a Config.
 type ListenAddress struct {
 	Name    string
 	Address string
 }
 
-// Addresses returns everything that c listens on.
+// Addresses returns the addresses of all services of c, including the admin listener.
 func (c *Config) Addresses() ([]ListenAddress, error) {
 	var list []ListenAddress
 	for _, a := range c.Store.Listen {
@@ -98,7 +97,7 @@
 	return list, nil
 }
 
-// serverSpec is one backend server of a pool, before it listens.
+// serverSpec describes one backend server of a pool.
 type serverSpec struct {
 	pool   *PoolConfig
 	id     string
@@ -107,7 +106,7 @@
 	seed   uint64
 }
 
-// servers lays out a pool: all of the first zone, then of the next.
+// servers returns the backend servers of a pool, zone by zone.
 func (p *PoolConfig) servers(seed uint64) ([]serverSpec, error) {
 	host, port, err := splitPort(p.Listen)
 	if err != nil {
--- a/external/standin/host/crash.go
+++ b/external/standin/host/crash.go
@@ -7,19 +7,20 @@
 	"sync"
 )
 
-// maxInspectedBytes bounds what is read of a request to see whether it ends its server, in bytes.
+// maxInspectedBytes limits the request bodies that are searched for the crash trigger.
 const maxInspectedBytes = 16 << 20
 
-// crashInjector ends a backend server under requests that hold a text, when it begins to answer.
+// crashInjector crashes a backend server when it starts to answer a request whose body contains
+// the trigger text.
 type crashInjector struct {
 	handler http.Handler
 	crash   func()
 
 	mu      sync.Mutex
-	trigger string // "" ends none
+	trigger string // "" means none
 }
 
-// setTrigger sets the text; "" ends no server any more.
+// setTrigger sets the trigger text; "" disables the fault.
 func (c *crashInjector) setTrigger(text string) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,7 +49,7 @@
 	c.handler.ServeHTTP(w, r)
 }
 
-// crashingWriter ends the server with the first byte of an answer.
+// crashingWriter crashes the server on the first write of a response body.
 type crashingWriter struct {
 	http.ResponseWriter
 	crash func()
@@ -60,8 +61,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// Unwrap lets http.ResponseController reach the writer.
+// Unwrap gives http.ResponseController access to the underlying writer.
 func (f *crashingWriter) Unwrap() http.ResponseWriter { return f.ResponseWriter }
 
-// Flush implements http.Flusher. Nothing is written, so there is nothing to flush.
+// Flush implements http.Flusher. It does nothing, because nothing is ever written.
 func (f *crashingWriter) Flush() {}
--- a/external/standin/host/faults.go
+++ b/external/standin/host/faults.go
@@ -15,15 +15,15 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// ErrUnknownFault means that there is no such node, or that it has no such fault.
+// ErrUnknownFault means that the node does not exist or does not support the fault.
 var ErrUnknownFault = errors.New("host: unknown fault")
 
-// faults maps the name of a fault to what does it; value is its argument.
+// faults maps the name of a fault to the function that injects it; value is its argument.
 type faults map[string]func(value string) error
 
-// InjectFault injects a fault by name, or ends one. docs/platform-protocols.md lists
-// them. Where several nodes share a name, as the store's endpoints do, a
-// number picks one: "store/2"; faults of the service itself concern all.
+// InjectFault injects or ends the named fault of the named node. docs/platform-protocols.md
+// lists the faults. Where several nodes share a name, as the endpoints of the store do, a number
+// selects one of them ("store/2"). Faults of the store itself affect all its endpoints.
 func (h *Host) InjectFault(name, fault, value string) error {
 	node, err := h.findNode(name)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// inject injects a fault of the node, or one that any has.
+// inject injects a fault of this node or, if it has none of that name, a connection fault.
 func (n *Node) inject(fault, value string) error {
 	do, ok := n.connectionFaults()[fault]
 	if f, own := n.faults[fault]; own {
@@ -50,15 +50,15 @@
 
 func (h *Host) findNode(name string) (*Node, error) {
 	base, number, numbered := strings.Cut(name, "/")
-	at := 1
+	ordinal := 1
 	if numbered {
-		at, _ = strconv.Atoi(number)
+		ordinal, _ = strconv.Atoi(number)
 	}
 	for _, n := range h.nodes {
 		if n.Name != base {
 			continue
 		}
-		if at--; at == 0 {
+		if ordinal--; ordinal == 0 {
 			return n, nil
 		}
 	}
@@ -71,7 +71,7 @@
 	return strings.Join(slices.Sorted(maps.Keys(all)), ", ")
 }
 
-// connectionFaults are those that any node can have.
+// connectionFaults returns the faults that every node supports.
 func (n *Node) connectionFaults() faults {
 	return faults{
 		"die":     ignoreValue(n.listener.Cut),
@@ -82,7 +82,8 @@
 	}
 }
 
-// engineFaults stop the engine together with its connections.
+// engineFaults returns the faults of an engine. Those that replace connection faults affect the
+// engine and its connections together.
 func engineFaults(n *Node) faults {
 	e := n.Engine
 	return faults{
--- a/external/standin/host/host.go
+++ b/external/standin/host/host.go
@@ -27,7 +27,7 @@
 	NameAdmin   = "admin"
 )
 
-// Node is one stand-in that listens.
+// Node is one simulated service with its listener.
 type Node struct {
 	Name    string
 	Address string
@@ -40,8 +40,8 @@
 	server   *http.Server
 }
 
-// Host runs the stand-ins. Its fields may be used directly by a program that
-// holds it; its methods are safe for concurrent use.
+// Host runs the simulated services. A program that starts a Host may use its fields directly.
+// The methods are safe for concurrent use.
 type Host struct {
 	Memory  *store.Memory
 	Store   *store.Faulty
@@ -52,7 +52,7 @@
 	nodes []*Node
 }
 
-// Start listens on every address and serves. On an error nothing stays open.
+// Start listens on every address of c and serves. If it fails, it closes all listeners again.
 func Start(c Config, log *event.Log) (*Host, error) {
 	memory := store.NewMemory()
 	h := &Host{
@@ -125,21 +125,22 @@
 	return node, node.withLimitHeader(node.withCrashInjection(enginesim.Handler(node.Engine)))
 }
 
-// withLimitHeader adds the fault of a server that names a limit.
+// withLimitHeader adds the fault "name-limit", with which the server advertises a request limit.
 func (n *Node) withLimitHeader(handler http.Handler) http.Handler {
 	l := &limitAdvertiser{handler: handler}
 	n.faults["name-limit"] = l.set
 	return l
 }
 
-// withCrashInjection adds the fault of requests that end their server.
+// withCrashInjection adds the fault "crash-on", with which certain requests crash the server.
 func (n *Node) withCrashInjection(handler http.Handler) http.Handler {
-	c := &crashInjector{handler: handler, crash: func() { _ = n.inject("die", "") }} // it has no other end
+	c := &crashInjector{handler: handler, crash: func() { _ = n.inject("die", "") }} // "die" cannot fail
 	n.faults["crash-on"] = c.setTrigger
 	return c
 }
 
-// serve listens and adds the node. An empty address means that it is not served.
+// serve starts to listen and serve at address and adds the node. If address is empty, it does
+// nothing.
 func (h *Host) serve(node *Node, address string, handler http.Handler) error {
 	if address == "" {
 		return nil
@@ -155,10 +156,10 @@
 	return nil
 }
 
-// Nodes returns what runs, in the order of the configuration.
+// Nodes returns all nodes, in the order of the configuration.
 func (h *Host) Nodes() []*Node { return slices.Clone(h.nodes) }
 
-// Node returns the first node of this name.
+// Node returns the first node with this name.
 func (h *Host) Node(name string) (*Node, bool) {
 	i := slices.IndexFunc(h.nodes, func(n *Node) bool { return n.Name == name })
 	if i < 0 {
@@ -167,7 +168,7 @@
 	return h.nodes[i], true
 }
 
-// URLs returns the base URLs of the nodes of this name.
+// URLs returns the base URLs of all nodes with this name.
 func (h *Host) URLs(name string) []string {
 	var urls []string
 	for _, n := range h.nodes {
@@ -178,14 +179,14 @@
 	return urls
 }
 
-// Run waits until ctx ends and closes everything.
+// Run waits until ctx is done and then calls Close.
 func (h *Host) Run(ctx context.Context) error {
 	<-ctx.Done()
 	h.Close()
 	return nil
 }
 
-// Close stops everything at once.
+// Close closes all listeners, connections and engines without draining.
 func (h *Host) Close() {
 	for _, n := range h.nodes {
 		_ = n.server.Close()
@@ -196,7 +197,7 @@
 	}
 }
 
-// String returns one line for people: name, address and zone.
+// String returns the name, the address and the zone for display.
 func (n *Node) String() string {
 	return strings.TrimSpace(n.Name + " " + n.Address + " " + n.Zone)
 }
--- a/external/standin/host/host_test.go
+++ b/external/standin/host/host_test.go
@@ -21,22 +21,22 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-const free = "127.0.0.1:0"
+const freePort = "127.0.0.1:0"
 
 var ref = engine.ModelRef{Model: "m"}
 
 func start(t *testing.T) *host.Host {
 	h, err := host.Start(host.Config{
-		Admin:   free,
-		Store:   host.StoreConfig{Listen: []string{free, free}},
-		VMList:  host.VMListConfig{Listen: free},
-		Weights: host.WeightsConfig{Listen: free, MaxConcurrentFetches: 2, FetchTime: time.Second},
+		Admin:   freePort,
+		Store:   host.StoreConfig{Listen: []string{freePort, freePort}},
+		VMList:  host.VMListConfig{Listen: freePort},
+		Weights: host.WeightsConfig{Listen: freePort, MaxConcurrentFetches: 2, FetchTime: time.Second},
 		Pools: []host.PoolConfig{
 			{
-				Name: "review", Kind: host.KindEngine, Zones: []string{"Athi River", "Ruiru"}, ServersPerZone: 2, Listen: free,
+				Name: "review", Kind: host.KindEngine, Zones: []string{"Athi River", "Ruiru"}, ServersPerZone: 2, Listen: freePort,
 				Engine: enginesim.Config{Models: []engine.ModelRef{ref}, StepBase: time.Millisecond},
 			},
-			{Name: "desk", Kind: host.KindPlain, Zones: []string{"Ruiru"}, ServersPerZone: 1, Listen: free},
+			{Name: "desk", Kind: host.KindPlain, Zones: []string{"Ruiru"}, ServersPerZone: 1, Listen: freePort},
 		},
 	}, event.Discard())
 	must.NoError(t, err)
@@ -70,9 +70,9 @@
 	must.Eq(t, http.StatusOK, answer.Status)
 }
 
-// An engine is killed over the admin listener while it streams. The reader's
-// connection is reset and new ones are refused, until the engine is revived.
-func TestKillAndReviveOverTheAdminListener(t *testing.T) {
+// An engine is crashed over the admin listener while it streams. The open connection must break and
+// new ones must be refused until the engine is restarted with a new incarnation.
+func TestCrashAndRestartOverAdminListener(t *testing.T) {
 	h, ctx := start(t), t.Context()
 	node, ok := h.Node("review-ruiru-1")
 	must.True(t, ok)
@@ -100,7 +100,7 @@
 	must.Eq(t, "review-ruiru-1-2", status.Incarnation)
 }
 
-func TestAdminNamesWhatItDoesNotKnow(t *testing.T) {
+func TestAdminRejectsUnknownNamesAndValues(t *testing.T) {
 	h := start(t)
 	must.Eq(t, http.StatusNotFound, post(t, h, "/faults/nobody/die"))
 	must.Eq(t, http.StatusNotFound, post(t, h, "/faults/store/explode"))
@@ -131,7 +131,7 @@
 	return nil
 }
 
-func TestServerNamesALimit(t *testing.T) {
+func TestServerAdvertisesLimit(t *testing.T) {
 	h := start(t)
 	desk := plainNode(h)
 	for _, limit := range []string{"", "5.8", ""} {
@@ -143,7 +143,7 @@
 	}
 }
 
-func TestRequestEndsItsServer(t *testing.T) {
+func TestRequestCrashesServer(t *testing.T) {
 	h, ctx := start(t), t.Context()
 	desk := plainNode(h)
 	client := plain.NewClient(nil, 0)
--- a/external/standin/host/limit.go
+++ b/external/standin/host/limit.go
@@ -5,18 +5,19 @@
 	"sync"
 )
 
-// requestLimitHeader is how a backend server names the requests a second that it takes of all daemons.
+// requestLimitHeader is the response header in which a backend server advertises the total rate,
+// in requests per second, that it accepts from all daemons together.
 const requestLimitHeader = "X-Request-Limit"
 
-// limitAdvertiser has a backend server name a limit in its answers.
+// limitAdvertiser makes a backend server advertise a request limit in its responses.
 type limitAdvertiser struct {
 	handler http.Handler
 
 	mu    sync.Mutex
-	limit string // "" names none
+	limit string // "" means none
 }
 
-// set sets what is named; "" names no limit any more.
+// set sets the advertised limit; "" stops the advertising.
 func (l *limitAdvertiser) set(text string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo plays one story on a whole deployment: an answer survives its
-// engine's death, a call that may not be repeated loses its answer, and urgent
-// lookups are answered beside long work.
+// Package demo runs one scenario on a complete deployment: a streamed answer survives the crash
+// of its engine, the response to a non-idempotent call is lost and the call is retried without
+// running twice, and urgent lookups are answered while a long generation is running.
 package demo
 
 import (
@@ -16,20 +16,20 @@
 	"mallowwind.dev/lab/stand"
 )
 
-// Options of a run.
+// Options configures a run of the demo.
 type Options struct {
 	Seed uint64
 	JSON bool
-	Logs io.Writer // of the daemons
+	Logs io.Writer // receives the logs of the daemons
 }
 
-// Result is what callers saw.
+// Result summarizes what the callers observed.
 type Result struct {
 	Answers      int      `json:"answers"`
 	Complete     int      `json:"whole"`
-	ResumeMS     int64    `json:"resume_ms"` // longest wait of the long answer's caller after the death
+	ResumeMS     int64    `json:"resume_ms"` // longest gap between events of the long answer
 	KeyedCalls   int      `json:"keyed_calls"`
-	KeyedRuns    int      `json:"keyed_runs"` // runs of the call that may not be repeated
+	KeyedRuns    int      `json:"keyed_runs"` // executions of the non-idempotent call
 	KeyedVerdict string   `json:"keyed_verdict"`
 	LookupMaxMS  int64    `json:"lookup_max_first_token_ms"`
 	Problems     []string `json:"problems,omitempty"`
@@ -37,31 +37,31 @@
 
 const (
 	longTokens       = 300
-	crashAfterEvents = 100 // events of the long answer before its engine dies
+	crashAfterEvents = 100 // events of the long answer before its engine is crashed
 	lookupCount      = 20
 	lookupTokens     = 8
 	lookupInterval   = 100 * time.Millisecond
 	runTimeout       = 18 * time.Second
 )
 
-// Run plays the story and writes progress to progress and the summary to out.
-// It fails when an answer was not whole or a call ran twice.
+// Run runs the scenario and writes progress messages to progress and the summary to out. It fails
+// if an answer was incomplete, a call failed, or the non-idempotent call did not run exactly once.
 func Run(ctx context.Context, o Options, out, progress io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
-	say := func(format string, args ...any) { fmt.Fprintf(progress, format+"\n", args...) }
-	say("starting: 6 engines, an order desk, the store and 3 entry VMs in three zones")
+	logf := func(format string, args ...any) { fmt.Fprintf(progress, format+"\n", args...) }
+	logf("starting: 6 engines, an order desk, the store and 3 entry VMs in three zones")
 	s, err := stand.Start(ctx, stand.Options{Seed: o.Seed, Logs: o.Logs})
 	if err != nil {
 		return err
 	}
 	defer s.Close()
-	r := &run{stand: s, logf: say}
+	r := &run{stand: s, logf: logf}
 	r.runAll(ctx)
 	return r.report(o, out)
 }
 
-// run collects what the callers of one demo see.
+// run holds the state of one demo run.
 type run struct {
 	stand *stand.Deployment
 	logf  func(format string, args ...any)
@@ -78,14 +78,14 @@
 	wg.Wait()
 }
 
-// readLongAnswer reads a review whose engine is killed in the middle.
+// readLongAnswer streams a long answer whose engine is crashed midway.
 func (r *run) readLongAnswer(ctx context.Context) {
 	entries, err := r.stand.Entries[0].Client().Entries(ctx)
 	if err != nil || len(entries) == 0 {
-		r.recordAnswer(errors.Errorf("no entry VM was named: %v", err))
+		r.recordAnswer(errors.Errorf("cannot get an entry VM: %v", err))
 		return
 	}
-	r.logf("a caller asks which entry VM to use: %s in %s", entries[0].ID, entries[0].Zone)
+	r.logf("entry VM for the caller: %s in %s", entries[0].ID, entries[0].Zone)
 	a := &stand.Answer{
 		Client: r.stand.Client(entries[0].Address), Service: "reviews",
 		Prompt: "Summarise the supplier contract of the Thiès mill.", Tokens: longTokens,
@@ -97,7 +97,7 @@
 	}
 	err = a.Run(ctx)
 	if err == nil {
-		r.logf("the long answer is whole: %d tokens, longest wait %s", longTokens, a.Gap.Round(time.Millisecond))
+		r.logf("the long answer is complete: %d tokens, longest gap %s", longTokens, a.Gap.Round(time.Millisecond))
 	}
 	r.mu.Lock()
 	r.result.ResumeMS = a.Gap.Milliseconds()
@@ -105,17 +105,17 @@
 	r.recordAnswer(err)
 }
 
-// crashEngine ends the engine that runs a generation.
+// crashEngine crashes the engine that runs the generation id.
 func (r *run) crashEngine(id string) {
 	for name, e := range r.stand.Engines {
 		if e.HasUnfinished(id) {
-			r.logf("token %d: %s dies", crashAfterEvents, name)
+			r.logf("event %d of the long answer: crashing engine %s", crashAfterEvents, name)
 			e.Crash()
 		}
 	}
 }
 
-// sendLookups are urgent and must be answered at once beside the long work.
+// sendLookups sends urgent lookups, one every lookupInterval, while the long answer is running.
 func (r *run) sendLookups(ctx context.Context) {
 	var wg sync.WaitGroup
 	for i := range lookupCount {
@@ -137,8 +137,8 @@
 	r.logf("%d urgent lookups answered", lookupCount)
 }
 
-// sendConfirmation is a call that may not be repeated. Its answer is lost; the
-// caller tries again with the same key on another entry VM.
+// sendConfirmation sends a non-idempotent call whose response is lost. The caller retries it with
+// the same idempotency key on another entry VM.
 func (r *run) sendConfirmation(ctx context.Context) {
 	const key = "confirm-thies-0042"
 	r.stand.Desk.LoseAnswers(1)
@@ -152,7 +152,7 @@
 		verdicts = append(verdicts, verdict)
 	}
 	runs := r.stand.Desk.Runs(key)
-	r.logf("the confirmation's answer was lost; the caller heard %v, it ran %d time(s)", verdicts, runs)
+	r.logf("the response to the confirmation was lost; the caller received %v, the call ran %d time(s)", verdicts, runs)
 	r.mu.Lock()
 	r.result.KeyedCalls, r.result.KeyedRuns, r.result.KeyedVerdict = len(verdicts), runs, verdicts[len(verdicts)-1]
 	r.mu.Unlock()
@@ -174,7 +174,7 @@
 }
 
 func (r *run) recordProblem(err error) {
-	r.logf("PROBLEM: %v", err)
+	r.logf("problem: %v", err)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.result.Problems = append(r.result.Problems, err.Error())
@@ -187,9 +187,9 @@
 			return err
 		}
 	} else {
-		fmt.Fprintf(out, "call that may not be repeated: sent %d times, ran %d time(s), last verdict %s\n", res.KeyedCalls, res.KeyedRuns, res.KeyedVerdict)
+		fmt.Fprintf(out, "non-idempotent call: sent %d times, ran %d time(s), last verdict %s\n", res.KeyedCalls, res.KeyedRuns, res.KeyedVerdict)
 		fmt.Fprintf(out, "urgent lookups: slowest first token %d ms\n", res.LookupMaxMS)
-		fmt.Fprintf(out, "%d of %d answers whole and once; the answer went on %d ms after its engine died\n", res.Complete, res.Answers, res.ResumeMS)
+		fmt.Fprintf(out, "%d of %d answers complete, without repeated tokens; longest gap of the long answer, whose engine crashed: %d ms\n", res.Complete, res.Answers, res.ResumeMS)
 	}
 	if len(res.Problems) > 0 {
 		return errors.Errorf("%d problem(s), the first: %s", len(res.Problems), res.Problems[0])
--- a/lab/standins/config.go
+++ b/lab/standins/config.go
@@ -1,5 +1,5 @@
-// Package standins reads the INI text of `mallowctl stand-in` into the
-// configuration of the stand-ins.
+// Package standins parses the INI file of `mallowctl stand-in` into a host.Config, the
+// configuration of the simulated services.
 package standins
 
 import (
@@ -12,7 +12,7 @@
 	"mallowwind.dev/external/vmlist"
 )
 
-// Section kinds.
+// Kinds of sections.
 const (
 	kindPlatform = "platform"
 	kindStore    = "store"
@@ -25,7 +25,8 @@
 
 var sectionKinds = []string{kindPlatform, kindStore, kindVMList, kindWeights, kindEntry, kindEngines, kindPlain}
 
-// Load reads the file at path. Its error is an inifile.Errors with every fault.
+// Load reads and parses the file at path. Its error is an inifile.Errors that lists every
+// mistake in the file.
 func Load(path string) (host.Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -36,7 +37,7 @@
 	return Parse(path, text)
 }
 
-// Parse is Load on a text already read; name stands in the errors.
+// Parse is Load for a text that was already read; errors give name as the file.
 func Parse(name string, text []byte) (host.Config, error) {
 	errs := &inifile.Collector{File: name}
 	var c host.Config
@@ -81,8 +82,8 @@
 	}
 }
 
-// checkPorts refuses two stand-ins on one address: the second could not listen,
-// and the error would name neither.
+// checkPorts reports services that share an address. Otherwise the second one would fail to
+// listen, with an error that does not name the first.
 func checkPorts(c *host.Config, errs *inifile.Collector) {
 	addresses, err := c.Addresses()
 	if err != nil {
--- a/lab/standins/config_test.go
+++ b/lab/standins/config_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// An operator mistypes several things; one run names them all with their lines.
-func TestEveryFaultIsNamed(t *testing.T) {
+// A file with several mistakes must be reported with all of them and their line numbers at once.
+func TestAllMistakesAreReported(t *testing.T) {
 	_, err := standins.Parse("s.ini", []byte(`[store]
 listen = 0.0.0.0:7001
 [engine review]
@@ -61,8 +61,8 @@
 	must.Eq(t, []int{2, 3, 7, 8, 9, 10, 11}, lines)
 }
 
-// Two pools overlap in their ports: the text is refused instead of one of them
-// failing to listen.
+// Two pools whose port ranges overlap must be rejected by the parser. Otherwise one of them would
+// fail to listen.
 func TestOverlappingPorts(t *testing.T) {
 	_, err := standins.Parse("s.ini", []byte(`[plain a]
 listen = 127.0.0.1:7100
--- a/lab/standins/docs_test.go
+++ b/lab/standins/docs_test.go
@@ -10,8 +10,9 @@
 	"mallowwind.dev/control/inifile"
 )
 
-// TestPageNamesEveryKey compares docs/platform-protocols.md with the tables.
-func TestPageNamesEveryKey(t *testing.T) {
+// TestDocsListEveryKey checks that docs/platform-protocols.md mentions every key of the field
+// tables.
+func TestDocsListEveryKey(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "platform-protocols.md"))
 	must.NoError(t, err)
 	var rows []inifile.Row
--- a/lab/standins/fields.go
+++ b/lab/standins/fields.go
@@ -21,19 +21,19 @@
 
 var storeFields = []inifile.Field[host.StoreConfig]{
 	{Name: "listen", Required: true, Help: "addresses of its endpoints, comma-separated", Set: setEndpoints},
-	{Name: "reads_per_s", Default: "no limit", Help: "reads a second above which calls are refused", Set: positiveIntSetter(func(s *host.StoreConfig) *int { return &s.ReadsPerSecond })},
-	{Name: "writes_per_s", Default: "no limit", Help: "writes a second above which calls are refused", Set: positiveIntSetter(func(s *host.StoreConfig) *int { return &s.WritesPerSecond })},
+	{Name: "reads_per_s", Default: "no limit", Help: "reads per second above which calls are refused", Set: positiveIntSetter(func(s *host.StoreConfig) *int { return &s.ReadsPerSecond })},
+	{Name: "writes_per_s", Default: "no limit", Help: "writes per second above which calls are refused", Set: positiveIntSetter(func(s *host.StoreConfig) *int { return &s.WritesPerSecond })},
 }
 
 var vmListFields = []inifile.Field[host.VMListConfig]{
 	{Name: "listen", Required: true, Help: "address of the VM list", Set: addressSetter(func(v *host.VMListConfig) *string { return &v.Listen })},
-	{Name: "lag", Default: "0s", Help: "how late changes show", Set: durationSetter(func(v *host.VMListConfig) *time.Duration { return &v.Lag })},
+	{Name: "lag", Default: "0s", Help: "delay until changes become visible", Set: durationSetter(func(v *host.VMListConfig) *time.Duration { return &v.Lag })},
 }
 
 var weightsFields = []inifile.Field[host.WeightsConfig]{
 	{Name: "listen", Required: true, Help: "address of the weight store's report", Set: addressSetter(func(w *host.WeightsConfig) *string { return &w.Listen })},
-	{Name: "capacity", Default: "1", Help: "fetches at once", Set: positiveIntSetter(func(w *host.WeightsConfig) *int { return &w.MaxConcurrentFetches })},
-	{Name: "fetch", Default: "0s", Help: "time of one fetch alone", Set: durationSetter(func(w *host.WeightsConfig) *time.Duration { return &w.FetchTime })},
+	{Name: "capacity", Default: "1", Help: "maximum number of concurrent fetches", Set: positiveIntSetter(func(w *host.WeightsConfig) *int { return &w.MaxConcurrentFetches })},
+	{Name: "fetch", Default: "0s", Help: "duration of one fetch without contention", Set: durationSetter(func(w *host.WeightsConfig) *time.Duration { return &w.FetchTime })},
 }
 
 var entryFields = []inifile.Field[vmlist.VM]{
@@ -42,37 +42,37 @@
 	{Name: "region", Help: "region of the zone", Set: stringSetter(func(v *vmlist.VM) *string { return &v.Region })},
 }
 
-// poolFields are those of engines and plain services alike.
+// poolFields are the fields that engine pools and plain services have in common.
 var poolFields = []inifile.Field[host.PoolConfig]{
-	{Name: "listen", Required: true, Help: "address of the first; each further one takes the next port", Set: addressSetter(func(p *host.PoolConfig) *string { return &p.Listen })},
+	{Name: "listen", Required: true, Help: "address of the first server; each further one takes the next port", Set: addressSetter(func(p *host.PoolConfig) *string { return &p.Listen })},
 	{Name: "zones", Required: true, Help: "availability zones, comma-separated", Set: setZones},
 	{Name: "replicas", Required: true, Help: "backend servers in each zone", Set: positiveIntSetter(func(p *host.PoolConfig) *int { return &p.ServersPerZone })},
 	{Name: "region", Help: "region of the zones", Set: stringSetter(func(p *host.PoolConfig) *string { return &p.Region })},
 }
 
 var plainFields = append([]inifile.Field[host.PoolConfig]{
-	{Name: "work", Default: "0s", Help: "time of one call", Set: durationSetter(func(p *host.PoolConfig) *time.Duration { return &p.CallTime })},
+	{Name: "work", Default: "0s", Help: "duration of one call", Set: durationSetter(func(p *host.PoolConfig) *time.Duration { return &p.CallTime })},
 }, poolFields...)
 
 var engineFields = append([]inifile.Field[host.PoolConfig]{
 	{Name: "models", Help: "models ready from the start, comma-separated, each model[:adapter[:version]]", Set: setModels},
-	{Name: "slots", Default: "32", Help: "largest batch", Set: positiveIntSetter(func(p *host.PoolConfig) *int { return &p.Engine.Slots })},
-	{Name: "queue", Default: "64", Help: "longest waiting queue", Set: positiveIntSetter(func(p *host.PoolConfig) *int { return &p.Engine.QueueLimit })},
-	{Name: "max_models", Default: "4", Help: "sets of weights held at once", Set: positiveIntSetter(func(p *host.PoolConfig) *int { return &p.Engine.MaxModels })},
-	{Name: "step_base", Default: "12ms", Help: "time of a step apart from its load", Set: durationSetter(func(p *host.PoolConfig) *time.Duration { return &p.Engine.StepBase })},
-	{Name: "step_per_request", Default: "500us", Help: "added for each running generation", Set: durationSetter(func(p *host.PoolConfig) *time.Duration { return &p.Engine.StepPerRequest })},
-	{Name: "prefill_per_token", Default: "100us", Help: "added for each prompt token worked off", Set: durationSetter(func(p *host.PoolConfig) *time.Duration { return &p.Engine.PrefillPerToken })},
-	{Name: "cache_blocks", Default: "4096", Help: "prompt blocks of 256 bytes kept", Set: positiveIntSetter(func(p *host.PoolConfig) *int { return &p.Engine.CacheBlocks })},
-	{Name: "memory", Help: "tokens of prompts and answers that the batch may hold; no bound if left out", Set: positiveIntSetter(func(p *host.PoolConfig) *int { return &p.Engine.MemoryTokens })},
-	{Name: "linger", Default: "30s", Help: "how long a generation runs on with no reader", Set: durationSetter(func(p *host.PoolConfig) *time.Duration { return &p.Engine.UnreadTimeout })},
-	{Name: "status_lag", Default: "0s", Help: "age of load figures", Set: durationSetter(func(p *host.PoolConfig) *time.Duration { return &p.Engine.StatusLag })},
-	{Name: "event_delay", Default: "0s", Help: "lateness of cache events", Set: durationSetter(func(p *host.PoolConfig) *time.Duration { return &p.Engine.EventDelay })},
-	{Name: "event_loss", Default: "0", Help: "share of cache events lost, 0 to 1", Set: setter(parseRatio, func(p *host.PoolConfig) *float64 { return &p.Engine.EventLossRatio })},
-	{Name: "fencing", Default: "no", Help: "whether orders with an old fencing number are refused", Set: setter(parseYesNo, func(p *host.PoolConfig) *bool { return &p.Engine.EnforceFencing })},
+	{Name: "slots", Default: "32", Help: "maximum batch size", Set: positiveIntSetter(func(p *host.PoolConfig) *int { return &p.Engine.Slots })},
+	{Name: "queue", Default: "64", Help: "maximum length of the queue", Set: positiveIntSetter(func(p *host.PoolConfig) *int { return &p.Engine.QueueLimit })},
+	{Name: "max_models", Default: "4", Help: "maximum number of models loaded at once", Set: positiveIntSetter(func(p *host.PoolConfig) *int { return &p.Engine.MaxModels })},
+	{Name: "step_base", Default: "12ms", Help: "fixed part of the step time", Set: durationSetter(func(p *host.PoolConfig) *time.Duration { return &p.Engine.StepBase })},
+	{Name: "step_per_request", Default: "500us", Help: "step time added per generation in the batch", Set: durationSetter(func(p *host.PoolConfig) *time.Duration { return &p.Engine.StepPerRequest })},
+	{Name: "prefill_per_token", Default: "100us", Help: "step time added per prefilled token", Set: durationSetter(func(p *host.PoolConfig) *time.Duration { return &p.Engine.PrefillPerToken })},
+	{Name: "cache_blocks", Default: "4096", Help: "capacity of the prompt cache, in blocks of 256 bytes", Set: positiveIntSetter(func(p *host.PoolConfig) *int { return &p.Engine.CacheBlocks })},
+	{Name: "memory", Help: "maximum number of prompt and answer tokens in the batch; no limit if left out", Set: positiveIntSetter(func(p *host.PoolConfig) *int { return &p.Engine.MemoryTokens })},
+	{Name: "linger", Default: "30s", Help: "time after which a generation without a reader is cancelled", Set: durationSetter(func(p *host.PoolConfig) *time.Duration { return &p.Engine.UnreadTimeout })},
+	{Name: "status_lag", Default: "0s", Help: "minimum age of reported load figures", Set: durationSetter(func(p *host.PoolConfig) *time.Duration { return &p.Engine.StatusLag })},
+	{Name: "event_delay", Default: "0s", Help: "delay of cache events", Set: durationSetter(func(p *host.PoolConfig) *time.Duration { return &p.Engine.EventDelay })},
+	{Name: "event_loss", Default: "0", Help: "fraction of cache events that are lost, 0 to 1", Set: setter(parseRatio, func(p *host.PoolConfig) *float64 { return &p.Engine.EventLossRatio })},
+	{Name: "fencing", Default: "no", Help: "whether orders with a stale fencing number are refused", Set: setter(parseYesNo, func(p *host.PoolConfig) *bool { return &p.Engine.EnforceFencing })},
 	{Name: "load_time", Default: "5s", Help: "time to load weights once fetched", Set: durationSetter(func(p *host.PoolConfig) *time.Duration { return &p.Engine.LoadTime })},
 }, poolFields...)
 
-// setter returns a setter that parses into the field.
+// setter returns a field setter that parses the value and stores the result.
 func setter[T, V any](parse func(string) (V, error), field func(*T) *V) func(*T, string, string) error {
 	return func(to *T, _, value string) error {
 		v, err := parse(value)
