--- a/external/standin/enginesim/bench_test.go
+++ b/external/standin/enginesim/bench_test.go
@@ -14,8 +14,8 @@
 	"mallowwind.dev/external/standin/faultnet"
 )
 
-// fastConfig configures steps of almost no duration, so that a benchmark measures the overhead of the
-// simulation.
+// fastConfig configures steps of almost no duration, so that a benchmark measures the overhead of
+// the simulation.
 var fastConfig = enginesim.Config{
 	Models: []engine.ModelRef{ref}, Slots: 64, QueueLimit: 1 << 20,
 	StepBase: 1, StepPerRequest: 1, PrefillPerToken: 1, Retention: time.Millisecond,
--- a/external/standin/enginesim/config.go
+++ b/external/standin/enginesim/config.go
@@ -42,7 +42,7 @@
 	MemoryTokens       int           // maximum number of tokens in the batch; 0 means no limit
 
 	UnreadTimeout time.Duration // time after which a generation without a reader is cancelled
-	Retention     time.Duration // how long finished and cancelled generations are kept
+	Retention     time.Duration // how long ended generations and cancellations are remembered
 
 	StatusLag      time.Duration // minimum age of reported load figures; 0 means no delay
 	EventDelay     time.Duration // delay of cache events; 0 means no delay
--- a/external/standin/enginesim/random_test.go
+++ b/external/standin/enginesim/random_test.go
@@ -19,8 +19,8 @@
 // randomRuns is the number of seeds of the randomised test.
 const randomRuns = 150
 
-// injectFaults injects faults into random engines until ctx is done. Crashes, pauses and refusals are
-// ended before the next fault.
+// injectFaults injects faults into random engines until ctx is done. Crashes, pauses and refusals
+// are ended before the next fault.
 func injectFaults(ctx context.Context, r *rand.Rand, engines []*wiredEngine) {
 	for ctx.Err() == nil {
 		w := engines[r.IntN(len(engines))]
--- a/external/standin/host/host.go
+++ b/external/standin/host/host.go
@@ -134,7 +134,7 @@
 
 // withCrashInjection adds the fault "crash-on", with which certain requests crash the server.
 func (n *Node) withCrashInjection(handler http.Handler) http.Handler {
-	c := &crashInjector{handler: handler, crash: func() { _ = n.inject("die", "") }} // "die" cannot fail
+	c := &crashInjector{handler: handler, crash: func() { _ = n.inject("die", "") }} // "die" is always known and returns no error
 	n.faults["crash-on"] = c.setTrigger
 	return c
 }
