--- a/external/standin/enginesim/faults.go
+++ b/external/standin/enginesim/faults.go
@@ -6,18 +6,18 @@
 	"mallowwind.dev/external/engine"
 )
 
-// Crash resets every connection and forgets every generation, the cache and the
-// weights. Calls find nothing listening until Revive.
+// Crash breaks every stream and drops every generation and the prompt cache. Until Restart
+// calls fail as if nothing listened at the engine's address.
 func (s *Sim) Crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.dead {
+	if s.crashed {
 		return
 	}
-	s.dead = true
+	s.crashed = true
 	s.unpause()
 	for _, g := range s.generations {
-		if !g.done() {
+		if !g.isDone() {
 			s.stats.Lost++
 			g.phase = cancelled
 		}
@@ -29,45 +29,46 @@
 	clear(s.generations)
 	clear(s.tombstones)
 	s.queue, s.batch = nil, nil
-	s.cache.clear()
+	s.cache.reset()
 }
 
-// Restart starts a new incarnation, which loads the models it was made with.
-// Its fencing number begins anew, as nothing was kept.
+// Restart starts a new incarnation after a crash, which loads the configured models again.
+// Its fencing number starts at 0, because the engine persists no state.
 func (s *Sim) Restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.dead {
+	if !s.crashed {
 		return
 	}
-	s.dead = false
+	s.crashed = false
 	s.incarnation++
-	s.load = loadReport{}
+	s.loadHistory = loadSampler{}
 	s.weights = weightSet{role: engine.RoleMixed, orders: s.weights.orders}
 	for _, ref := range s.config.Models {
 		s.weights.set(ref, engine.Loading)
-		go s.fetch(ref, s.incarnation)
+		go s.loadModel(ref, s.incarnation)
 	}
 }
 
-// Pause stops everything: no token, no answer, while connections stay open.
+// Pause freezes the engine: it generates no tokens and answers no calls, while its
+// connections stay open.
 func (s *Sim) Pause() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.paused && !s.dead {
+	if !s.paused && !s.crashed {
 		s.paused, s.resumed = true, make(chan struct{})
 	}
 }
 
-// Unpause continues where Pause stopped.
+// Unpause resumes the engine after Pause.
 func (s *Sim) Unpause() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unpause()
-	s.kick()
+	s.startStepping()
 	for _, g := range s.generations {
 		if len(g.readers) == 0 {
-			g.unread = time.Now()
+			g.unreadSince = time.Now()
 		}
 		g.notify()
 	}
@@ -80,15 +81,15 @@
 	}
 }
 
-// SetSlowdown multiplies the time of every step; 1 is the usual speed.
+// SetSlowdown multiplies the duration of every step by factor; 1 is the normal speed.
 func (s *Sim) SetSlowdown(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = factor
+	s.slowdown = factor
 }
 
-// Silence makes every stream open now silent for good, while new ones work.
-// The engine does not notice: it counts them as read.
+// Silence stalls every open stream for good; new streams work. The engine does not notice
+// and still counts the stalled streams as readers.
 func (s *Sim) Silence() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,7 +100,7 @@
 	}
 }
 
-// SetRefusing makes the engine refuse new generations, or take them again.
+// SetRefusing makes the engine refuse new generations or accept them again.
 func (s *Sim) SetRefusing(refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/external/standin/enginesim/memory.go
+++ b/external/standin/enginesim/memory.go
@@ -6,40 +6,42 @@
 	"mallowwind.dev/external/engine"
 )
 
-// size is how many tokens a generation takes of the memory once its prompt is read.
-func (g *generation) size() int {
+// memoryTokens returns the memory, in tokens, that g occupies once its prompt is prefilled.
+func (g *generation) memoryTokens() int {
 	return (len(g.req.Prompt)+engine.BytesPerToken-1)/engine.BytesPerToken + len(g.tokens)
 }
 
-// used is how many tokens the batch takes, with the prompts that it still reads.
-func (s *Sim) used() int {
+// usedTokens returns the memory, in tokens, that the batch occupies, including prompts whose
+// prefill is still in progress.
+func (s *Sim) usedTokens() int {
 	n := 0
 	for _, g := range s.batch {
-		n += g.size()
+		n += g.memoryTokens()
 	}
 	return n
 }
 
-// room reports whether the memory holds one more generation. An empty engine takes
-// any, so that none waits for ever.
-func (s *Sim) room(g *generation) bool {
-	return s.config.MemoryTokens == 0 || len(s.batch) == 0 || s.used()+g.size() <= s.config.MemoryTokens
+// hasMemoryFor reports whether g fits into the memory besides the batch. An empty batch takes
+// any generation, so that one larger than the memory does not wait forever.
+func (s *Sim) hasMemoryFor(g *generation) bool {
+	return s.config.MemoryTokens == 0 || len(s.batch) == 0 || s.usedTokens()+g.memoryTokens() <= s.config.MemoryTokens
 }
 
-// trim takes generations out of the batch until the others fit. Their streams pause
-// while the prompt and what was generated are read again.
-func (s *Sim) trim() {
-	for s.config.MemoryTokens > 0 && len(s.batch) > 1 && s.used() > s.config.MemoryTokens {
-		g := s.least()
-		s.batch = without(s.batch, g)
+// preemptOverflow moves generations from the batch back to the queue until the others fit into
+// the memory. Their streams pause until the prompt and the tokens generated so far have been
+// prefilled again.
+func (s *Sim) preemptOverflow() {
+	for s.config.MemoryTokens > 0 && len(s.batch) > 1 && s.usedTokens() > s.config.MemoryTokens {
+		g := s.preemptionVictim()
+		s.batch = remove(s.batch, g)
 		g.phase = waiting
 		s.stats.Preempted++
 		s.enqueue(g)
 	}
 }
 
-// least is the newest of the least urgent generations in the batch.
-func (s *Sim) least() *generation {
+// preemptionVictim returns the newest generation of the lowest priority in the batch.
+func (s *Sim) preemptionVictim() *generation {
 	return slices.MinFunc(s.batch, func(a, b *generation) int {
 		if a.req.Priority != b.req.Priority {
 			return a.req.Priority - b.req.Priority
--- a/external/standin/enginesim/reader.go
+++ b/external/standin/enginesim/reader.go
@@ -11,23 +11,22 @@
 	"mallowwind.dev/external/engine"
 )
 
-// reader is one stream. Its fields but wake and closed are guarded by the
-// engine's mutex.
+// reader is one stream of a generation. The engine's mutex guards its mutable fields.
 type reader struct {
-	sim    *Sim
-	gen    *generation
-	next   int
-	silent bool // the connection lost its track: nothing moves on it again
-	broken bool
-	ended  bool
-	wake   chan struct{}
-	closed chan struct{}
-	once   sync.Once
+	sim       *Sim
+	gen       *generation
+	next      int
+	silent    bool // stalled link: nothing is delivered any more
+	broken    bool
+	ended     bool
+	wake      chan struct{}
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
 var _ engine.Stream = (*reader)(nil)
 
-// newReader attaches to g from token offset from. The caller holds the mutex.
+// newReader attaches a reader to g, starting at token offset from. The caller holds s.mu.
 func (s *Sim) newReader(g *generation, from int) *reader {
 	r := &reader{
 		sim: s, gen: g, next: from,
@@ -62,7 +61,7 @@
 	}
 }
 
-// poll returns what can be read now.
+// poll returns the chunk that can be read now; ready is false if there is none.
 func (r *reader) poll() (c engine.Chunk, ready bool, err error) {
 	s := r.sim
 	s.mu.Lock()
@@ -97,7 +96,7 @@
 
 // Close implements engine.Stream.
 func (r *reader) Close() error {
-	r.once.Do(func() {
+	r.closeOnce.Do(func() {
 		close(r.closed)
 		r.sim.detach(r)
 	})
@@ -109,6 +108,6 @@
 	defer s.mu.Unlock()
 	delete(r.gen.readers, r)
 	if len(r.gen.readers) == 0 {
-		r.gen.unread = time.Now()
+		r.gen.unreadSince = time.Now()
 	}
 }
--- a/external/standin/enginesim/step.go
+++ b/external/standin/enginesim/step.go
@@ -7,7 +7,7 @@
 	"mallowwind.dev/external/engine"
 )
 
-// enqueue puts g behind the waiting generations of its priority and above.
+// enqueue inserts g into the queue behind the generations of the same or a higher priority.
 func (s *Sim) enqueue(g *generation) {
 	i := slices.IndexFunc(s.queue, func(o *generation) bool { return o.req.Priority < g.req.Priority })
 	if i < 0 {
@@ -16,19 +16,19 @@
 	s.queue = slices.Insert(s.queue, i, g)
 }
 
-// kick starts the step loop if there is work and it does not run.
-func (s *Sim) kick() {
-	if s.stepping || s.dead || s.paused || len(s.queue)+len(s.batch) == 0 {
+// startStepping starts the step loop if there is work and the loop is not running.
+func (s *Sim) startStepping() {
+	if s.stepping || s.crashed || s.paused || len(s.queue)+len(s.batch) == 0 {
 		return
 	}
 	s.stepping = true
-	go s.run()
+	go s.stepLoop()
 }
 
-// run steps until there is no work, or until a pause or death.
-func (s *Sim) run() {
+// stepLoop runs steps until there is no work or until the engine is paused, crashed or closed.
+func (s *Sim) stepLoop() {
 	for {
-		work, d, ok := s.begin()
+		work, d, ok := s.beginStep()
 		if !ok {
 			return
 		}
@@ -39,7 +39,7 @@
 	}
 }
 
-// sleep waits for d; false means that the engine was closed.
+// sleep waits for d. It returns false if the engine was closed meanwhile.
 func (s *Sim) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -51,101 +51,102 @@
 	}
 }
 
-// part is the share of one generation in a step.
-type part struct {
+// stepShare is the work of one step for one generation.
+type stepShare struct {
 	gen     *generation
-	prefill int // prompt tokens worked off; 0 means one new token
+	prefill int // tokens prefilled; 0 means that one token is generated
 }
 
-// begin fills free slots and lays out one step.
-func (s *Sim) begin() ([]part, time.Duration, bool) {
+// beginStep fills the batch and plans one step. It returns false, and the step loop ends, if
+// there is no work or the engine is paused or crashed.
+func (s *Sim) beginStep() ([]stepShare, time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sweep()
-	s.load.sample(s)
-	if s.dead || s.paused {
+	s.loadHistory.sample(s)
+	if s.crashed || s.paused {
 		s.stepping = false
 		return nil, 0, false
 	}
-	s.fill()
+	s.fillBatch()
 	if len(s.batch) == 0 {
 		s.stepping = false
 		return nil, 0, false
 	}
-	work, prefill := s.layOut()
-	return work, s.stepTime(len(s.batch), prefill), true
+	work, prefill := s.planStep()
+	return work, s.stepDuration(len(s.batch), prefill), true
 }
 
-func (s *Sim) fill() {
-	for len(s.batch) < s.config.Slots && len(s.queue) > 0 && s.room(s.queue[0]) {
+func (s *Sim) fillBatch() {
+	for len(s.batch) < s.config.Slots && len(s.queue) > 0 && s.hasMemoryFor(s.queue[0]) {
 		g := s.queue[0]
 		s.queue = slices.Delete(s.queue, 0, 1)
 		g.phase = running
-		s.lookUp(g)
+		s.lookUpPrefill(g)
 		s.batch = append(s.batch, g)
 	}
 }
 
-// lookUp sets how much of the prompt and prefix must be worked off.
-func (s *Sim) lookUp(g *generation) {
-	text := g.text()
+// lookUpPrefill sets how many tokens of g must be prefilled, given what the cache holds.
+func (s *Sim) lookUpPrefill(g *generation) {
+	text := g.promptText()
 	hashes := engine.BlockHashes(g.ref, text)
-	held := s.cache.held(hashes) * engine.BlockBytes / engine.BytesPerToken
+	cached := s.cache.matchPrefix(hashes) * engine.BlockBytes / engine.BytesPerToken
 	s.cache.add(hashes, time.Now())
 	total := (len(text) + engine.BytesPerToken - 1) / engine.BytesPerToken
-	total += len(g.tokens) - len(g.req.Prefix) // made here before it was taken out
-	g.prefill = max(total-held, 1)             // the last token is always computed
-	s.stats.Cached += int64(total - g.prefill)
+	total += len(g.tokens) - len(g.req.Prefix) // generated before a preemption
+	g.prefillLeft = max(total-cached, 1)       // at least one token is always computed
+	s.stats.Cached += int64(total - g.prefillLeft)
 }
 
-// layOut shares the step's prefill chunk among those that need it, in batch order.
-func (s *Sim) layOut() (work []part, prefill int) {
-	work = make([]part, 0, len(s.batch))
+// planStep plans the work of one step: the prefill budget of PrefillChunkTokens goes to the
+// generations that need prefill, in batch order, and all others generate one token.
+func (s *Sim) planStep() (work []stepShare, prefill int) {
+	work = make([]stepShare, 0, len(s.batch))
 	left := s.config.PrefillChunkTokens
 	for _, g := range s.batch {
-		n := min(g.prefill, left)
-		if g.prefill > 0 && n == 0 {
+		n := min(g.prefillLeft, left)
+		if g.prefillLeft > 0 && n == 0 {
 			continue
 		}
 		left -= n
 		prefill += n
-		work = append(work, part{g, n})
+		work = append(work, stepShare{g, n})
 	}
 	return work, prefill
 }
 
-func (s *Sim) stepTime(batch, prefill int) time.Duration {
-	decode, fill := s.weights.speeds()
+func (s *Sim) stepDuration(batch, prefill int) time.Duration {
+	decode, fill := s.weights.roleFactors()
 	d := time.Duration(float64(s.config.StepBase+time.Duration(batch)*s.config.StepPerRequest) * decode)
 	d += time.Duration(float64(time.Duration(prefill)*s.config.PrefillPerToken) * fill)
-	return time.Duration(float64(d) * s.slow)
+	return time.Duration(float64(d) * s.slowdown)
 }
 
-// finishStep applies a step that was laid out before. An engine that died or
-// paused meanwhile applies nothing.
-func (s *Sim) finishStep(work []part) {
+// finishStep applies a planned step, unless the engine is crashed or paused by then.
+func (s *Sim) finishStep(work []stepShare) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.dead || s.paused {
+	if s.crashed || s.paused {
 		return
 	}
 	for _, p := range work {
 		s.apply(p)
 	}
-	s.trim()
+	s.preemptOverflow()
 }
 
-func (s *Sim) apply(p part) {
+func (s *Sim) apply(p stepShare) {
 	g := p.gen
 	switch {
 	case g.phase != running: // cancelled or lost during the step
 	case p.prefill > 0:
-		g.prefill -= p.prefill
+		g.prefillLeft -= p.prefill
 		s.stats.Prefilled += int64(p.prefill)
 	default:
 		s.stats.Tokens++
-		if g.step() {
-			s.end(g, finished)
+		if g.generateToken() {
+			s.endGeneration(g, finished)
 			return
 		}
 		g.notify()
--- a/external/standin/host/config.go
+++ b/external/standin/host/config.go
@@ -1,7 +1,6 @@
-// Package host runs the stand-ins of a whole platform in one process, each on
-// its own address: the key-value service, the VM list, the weight store, model
-// engines and plain services. Faults are injected by name, from the program or
-// over the admin listener.
+// Package host runs the simulated services of a whole platform in one process, each on its own
+// address: the key-value service, the VM list, the weight store, model engines and plain
+// services. Faults are injected by name, by a method call or over the admin listener.
 package host
 
 import (
@@ -17,38 +16,38 @@
 	"mallowwind.dev/external/vmlist"
 )
 
-// Config lists what to run. An address is host:port; port 0 takes a free one.
+// Config lists the services to run. An address is host:port; port 0 selects a free port.
 type Config struct {
 	Seed    uint64
-	Admin   string // fault injection; empty means none
-	Store   Store
-	VMList  VMList
-	Weights Weights
-	Entries []vmlist.VM // entry VMs, which are only listed here
-	Pools   []Pool
+	Admin   string // address of the admin listener; empty means none
+	Store   StoreConfig
+	VMList  VMListConfig
+	Weights WeightsConfig
+	Entries []vmlist.VM // entry VMs, which appear in the VM list but are not run
+	Pools   []PoolConfig
 }
 
-// Store is the key-value service. Its endpoints serve the same keys.
-type Store struct {
-	Listen     []string
-	ReadsPerS  int // 0 means no limit
-	WritesPerS int // 0 means no limit
+// StoreConfig configures the key-value service. All its endpoints serve the same keys.
+type StoreConfig struct {
+	Listen          []string
+	ReadsPerSecond  int // 0 means no limit
+	WritesPerSecond int // 0 means no limit
 }
 
-// VMList is the list of VMs.
-type VMList struct {
+// VMListConfig configures the VM list.
+type VMListConfig struct {
 	Listen string
 	Lag    time.Duration
 }
 
-// Weights is the weight store.
-type Weights struct {
-	Listen   string
-	Capacity int
-	Fetch    time.Duration
+// WeightsConfig configures the weight store.
+type WeightsConfig struct {
+	Listen               string
+	MaxConcurrentFetches int
+	FetchTime            time.Duration
 }
 
-// Kind is what a pool's backend servers are.
+// Kind is the kind of the backend servers in a pool.
 type Kind string
 
 // The kinds of pools.
@@ -57,31 +56,31 @@
 	KindPlain  Kind = "plain"
 )
 
-// Pool is a set of equal backend servers.
-type Pool struct {
-	Name     string
-	Kind     Kind
-	Region   string
-	Zones    []string
-	Replicas int    // in each zone
-	Listen   string // of the first; each further one takes the next port
-	Engine   enginesim.Config
-	Work     time.Duration // of a plain service
+// PoolConfig configures a pool of identical backend servers.
+type PoolConfig struct {
+	Name           string
+	Kind           Kind
+	Region         string
+	Zones          []string
+	ServersPerZone int
+	Listen         string // address of the first server; each further one takes the next port
+	Engine         enginesim.Config
+	CallTime       time.Duration // duration of a call to a plain service
 }
 
-// Address is one address that a Config listens on.
-type Address struct {
+// ListenAddress is the address of one service of a Config.
+type ListenAddress struct {
 	Name    string
 	Address string
 }
 
-// Addresses returns everything that c listens on.
-func (c *Config) Addresses() ([]Address, error) {
-	var list []Address
+// Addresses returns the addresses of all services of c, including the admin listener.
+func (c *Config) Addresses() ([]ListenAddress, error) {
+	var list []ListenAddress
 	for _, a := range c.Store.Listen {
-		list = append(list, Address{NameStore, a})
+		list = append(list, ListenAddress{NameStore, a})
 	}
-	for _, a := range []Address{{NameVMList, c.VMList.Listen}, {NameWeights, c.Weights.Listen}, {NameAdmin, c.Admin}} {
+	for _, a := range []ListenAddress{{NameVMList, c.VMList.Listen}, {NameWeights, c.Weights.Listen}, {NameAdmin, c.Admin}} {
 		if a.Address != "" {
 			list = append(list, a)
 		}
@@ -92,31 +91,31 @@
 			return nil, err
 		}
 		for _, s := range servers {
-			list = append(list, Address{s.id, s.listen})
+			list = append(list, ListenAddress{s.id, s.listen})
 		}
 	}
 	return list, nil
 }
 
-// server is one backend server of a pool, before it listens.
-type server struct {
-	pool   *Pool
+// serverSpec describes one backend server of a pool.
+type serverSpec struct {
+	pool   *PoolConfig
 	id     string
 	zone   string
 	listen string
 	seed   uint64
 }
 
-// servers lays out a pool: all of the first zone, then of the next.
-func (p *Pool) servers(seed uint64) ([]server, error) {
+// servers returns the backend servers of a pool, zone by zone.
+func (p *PoolConfig) servers(seed uint64) ([]serverSpec, error) {
 	host, port, err := splitPort(p.Listen)
 	if err != nil {
 		return nil, errors.Wrapf(err, "pool %s", p.Name)
 	}
-	var list []server
+	var list []serverSpec
 	for _, zone := range p.Zones {
-		for i := range p.Replicas {
-			s := server{pool: p, id: serverID(p.Name, zone, i+1), zone: zone, seed: seed + uint64(len(list))}
+		for i := range p.ServersPerZone {
+			s := serverSpec{pool: p, id: serverID(p.Name, zone, i+1), zone: zone, seed: seed + uint64(len(list))}
 			s.listen = net.JoinHostPort(host, strconv.Itoa(port))
 			if port != 0 {
 				port++
--- a/external/standin/host/host.go
+++ b/external/standin/host/host.go
@@ -27,7 +27,7 @@
 	NameAdmin   = "admin"
 )
 
-// Node is one stand-in that listens.
+// Node is one simulated service with its listener.
 type Node struct {
 	Name    string
 	Address string
@@ -35,13 +35,13 @@
 	Engine  *enginesim.Sim
 	Plain   *plainsim.Sim
 
-	net    *faultnet.Listener
-	faults faults
-	server *http.Server
+	listener *faultnet.Listener
+	faults   faults
+	server   *http.Server
 }
 
-// Host runs the stand-ins. Its fields may be used directly by a program that
-// holds it; its methods are safe for concurrent use.
+// Host runs the simulated services. A program that starts a Host may use its fields directly.
+// The methods are safe for concurrent use.
 type Host struct {
 	Memory  *store.Memory
 	Store   *store.Faulty
@@ -52,17 +52,17 @@
 	nodes []*Node
 }
 
-// Start listens on every address and serves. On an error nothing stays open.
+// Start listens on every address of c and serves. If it fails, it closes all listeners again.
 func Start(c Config, log *event.Log) (*Host, error) {
 	memory := store.NewMemory()
 	h := &Host{
 		Memory:  memory,
 		Store:   store.NewFaulty(memory),
 		VMs:     vmlist.NewMemory(c.VMList.Lag, c.Entries...),
-		Weights: weightsim.New(max(c.Weights.Capacity, 1), c.Weights.Fetch),
+		Weights: weightsim.New(max(c.Weights.MaxConcurrentFetches, 1), c.Weights.FetchTime),
 		log:     log,
 	}
-	h.Store.SetLimits(c.Store.ReadsPerS, c.Store.WritesPerS)
+	h.Store.SetLimits(c.Store.ReadsPerSecond, c.Store.WritesPerSecond)
 	if err := h.start(c); err != nil {
 		h.Close()
 		return nil, err
@@ -93,13 +93,13 @@
 	return h.serve(&Node{Name: NameAdmin}, c.Admin, h.Admin())
 }
 
-func (h *Host) startPool(p *Pool, seed uint64) error {
+func (h *Host) startPool(p *PoolConfig, seed uint64) error {
 	servers, err := p.servers(seed)
 	if err != nil {
 		return err
 	}
 	for _, s := range servers {
-		node, handler := h.backend(s)
+		node, handler := h.newBackend(s)
 		if err := h.serve(node, s.listen, handler); err != nil {
 			return err
 		}
@@ -111,35 +111,36 @@
 	return nil
 }
 
-func (h *Host) backend(s server) (*Node, http.Handler) {
+func (h *Host) newBackend(s serverSpec) (*Node, http.Handler) {
 	node := &Node{Name: s.id, Zone: s.zone}
 	if s.pool.Kind == KindPlain {
-		node.Plain = plainsim.New(s.id, s.pool.Work)
+		node.Plain = plainsim.New(s.id, s.pool.CallTime)
 		node.faults = plainFaults(node)
-		return node, node.limited(node.crashing(node.Plain))
+		return node, node.withLimitHeader(node.withCrashInjection(node.Plain))
 	}
 	config := s.pool.Engine
 	config.Name, config.Seed, config.Weights = s.id, s.seed, h.Weights
 	node.Engine = enginesim.New(config)
 	node.faults = engineFaults(node)
-	return node, node.limited(node.crashing(enginesim.Handler(node.Engine)))
+	return node, node.withLimitHeader(node.withCrashInjection(enginesim.Handler(node.Engine)))
 }
 
-// limited adds the fault of a server that names a limit.
-func (n *Node) limited(handler http.Handler) http.Handler {
-	l := &limiter{handler: handler}
+// withLimitHeader adds the fault "name-limit", with which the server advertises a request limit.
+func (n *Node) withLimitHeader(handler http.Handler) http.Handler {
+	l := &limitAdvertiser{handler: handler}
 	n.faults["name-limit"] = l.set
 	return l
 }
 
-// crashing adds the fault of requests that end their server.
-func (n *Node) crashing(handler http.Handler) http.Handler {
-	c := &crasher{handler: handler, end: func() { _ = n.do("die", "") }} // it has no other end
-	n.faults["crash-on"] = c.on
+// withCrashInjection adds the fault "crash-on", with which certain requests crash the server.
+func (n *Node) withCrashInjection(handler http.Handler) http.Handler {
+	c := &crashInjector{handler: handler, crash: func() { _ = n.inject("die", "") }} // "die" is always known and returns no error
+	n.faults["crash-on"] = c.setTrigger
 	return c
 }
 
-// serve listens and adds the node. An empty address means that it is not served.
+// serve starts to listen and serve at address and adds the node. If address is empty, it does
+// nothing.
 func (h *Host) serve(node *Node, address string, handler http.Handler) error {
 	if address == "" {
 		return nil
@@ -148,17 +149,17 @@
 	if err != nil {
 		return errors.Wrap(err, node.Name)
 	}
-	node.net, node.Address = l, l.Addr().String()
+	node.listener, node.Address = l, l.Addr().String()
 	node.server = &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
 	h.nodes = append(h.nodes, node)
 	go func() { _ = node.server.Serve(l) }()
 	return nil
 }
 
-// Nodes returns what runs, in the order of the configuration.
+// Nodes returns all nodes, in the order of the configuration.
 func (h *Host) Nodes() []*Node { return slices.Clone(h.nodes) }
 
-// Node returns the first node of this name.
+// Node returns the first node with this name.
 func (h *Host) Node(name string) (*Node, bool) {
 	i := slices.IndexFunc(h.nodes, func(n *Node) bool { return n.Name == name })
 	if i < 0 {
@@ -167,7 +168,7 @@
 	return h.nodes[i], true
 }
 
-// URLs returns the base URLs of the nodes of this name.
+// URLs returns the base URLs of all nodes with this name.
 func (h *Host) URLs(name string) []string {
 	var urls []string
 	for _, n := range h.nodes {
@@ -178,25 +179,25 @@
 	return urls
 }
 
-// Run waits until ctx ends and closes everything.
+// Run waits until ctx is done and then calls Close.
 func (h *Host) Run(ctx context.Context) error {
 	<-ctx.Done()
 	h.Close()
 	return nil
 }
 
-// Close stops everything at once.
+// Close closes all listeners, connections and engines without draining.
 func (h *Host) Close() {
 	for _, n := range h.nodes {
 		_ = n.server.Close()
-		_ = n.net.Close()
+		_ = n.listener.Close()
 		if n.Engine != nil {
 			n.Engine.Close()
 		}
 	}
 }
 
-// String returns one line for people: name, address and zone.
+// String returns the name, the address and the zone for display.
 func (n *Node) String() string {
 	return strings.TrimSpace(n.Name + " " + n.Address + " " + n.Zone)
 }
