--- a/cmd/mallowctl/apply.go
+++ b/cmd/mallowctl/apply.go
@@ -24,8 +24,8 @@
 	Wait    time.Duration `placeholder:"DURATION" help:"Wait until the asked entry VMs and all they know have it in force."`
 }
 
-// pollInForce is the time between two looks while waiting.
-const pollInForce = 500 * time.Millisecond
+// statusPollInterval is the time between two looks while waiting.
+const statusPollInterval = 500 * time.Millisecond
 
 // Run implements the command.
 func (c *applyCmd) Run() error {
@@ -37,7 +37,7 @@
 		return err
 	}
 	defer s.stop()
-	text, err := c.text(s)
+	text, err := c.readText(s)
 	if err != nil {
 		return err
 	}
@@ -55,7 +55,7 @@
 	return c.apply(s, text, p)
 }
 
-func (c *applyCmd) text(s *session) (string, error) {
+func (c *applyCmd) readText(s *session) (string, error) {
 	if c.Restore == 0 {
 		return readSite(c.File)
 	}
@@ -66,7 +66,7 @@
 	return old.Text, nil
 }
 
-func (c *applyCmd) apply(s *session, text string, p plan) error {
+func (c *applyCmd) apply(s *session, text string, p planOutput) error {
 	if !c.Yes {
 		writeChanges(s.out, p.Changes)
 		ok, err := confirm(fmt.Sprintf("apply against revision %d?", c.Against))
@@ -85,13 +85,13 @@
 	if err != nil {
 		return err
 	}
-	if err := c.report(s, accepted); err != nil {
+	if err := c.writeAccepted(s, accepted); err != nil {
 		return err
 	}
-	return c.wait(s, accepted.Revision)
+	return c.waitInForce(s, accepted.Revision)
 }
 
-func (c *applyCmd) report(s *session, accepted *record.Record) error {
+func (c *applyCmd) writeAccepted(s *session, accepted *record.Record) error {
 	if c.JSON {
 		bare := *accepted
 		bare.Patch = nil
@@ -101,15 +101,15 @@
 	return nil
 }
 
-// wait returns once every known entry VM has revision in force.
-func (c *applyCmd) wait(s *session, revision int64) error {
+// waitInForce returns once every known entry VM has revision in force.
+func (c *applyCmd) waitInForce(s *session, revision int64) error {
 	if c.Wait == 0 {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, c.Wait)
 	defer cancel()
 	for {
-		answers, err := c.read(ctx)
+		answers, err := c.readPages(ctx)
 		if err != nil {
 			return errors.Wrapf(err, "revision %d is accepted; waiting for it", revision)
 		}
@@ -120,7 +120,7 @@
 		select {
 		case <-ctx.Done():
 			return errors.Errorf("revision %d is accepted, but after %s not in force everywhere; see status", revision, c.Wait)
-		case <-time.After(pollInForce):
+		case <-time.After(statusPollInterval):
 		}
 	}
 }
--- a/cmd/mallowctl/bench.go
+++ b/cmd/mallowctl/bench.go
@@ -13,14 +13,14 @@
 type benchCmd struct {
 	Control benchControlCmd `cmd:"" help:"Measure the spread of the site text and what it costs."`
 	Load    benchLoadCmd    `cmd:"" help:"Play patterns of load against the decisions, beside baselines."`
-	Members membersCmd      `cmd:"" help:"Measure membership and the zones' leases."`
+	Members benchMembersCmd `cmd:"" help:"Measure membership and the zones' leases."`
 	Prompts benchPromptsCmd `cmd:"" help:"Compare ways of placing long prompts while zones of engines are lost."`
 	Resume  benchResumeCmd  `cmd:"" help:"Compare ways of resuming answers: latency against extra resources."`
-	Slopes  slopesCmd       `cmd:"" help:"Measure how costs grow with sizes, for docs/CAPACITY.md."`
+	Slopes  benchSlopesCmd  `cmd:"" help:"Measure how costs grow with sizes, for docs/CAPACITY.md."`
 }
 
-// slopesCmd measures and records slopes.
-type slopesCmd struct {
+// benchSlopesCmd measures and records slopes.
+type benchSlopesCmd struct {
 	Out     string `default:"docs/measurements" placeholder:"DIR" help:"Directory to record in."`
 	Only    string `placeholder:"NAME" help:"Measure this slope alone."`
 	Seed    uint64 `default:"1" help:"Seed of all random choices."`
@@ -28,7 +28,7 @@
 }
 
 // Run implements the command.
-func (c *slopesCmd) Run() error {
+func (c *benchSlopesCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	return slopes.Run(ctx, slopes.Options{
--- a/cmd/mallowctl/benchmembers.go
+++ b/cmd/mallowctl/benchmembers.go
@@ -9,8 +9,8 @@
 	"mallowwind.dev/lab/bench/members"
 )
 
-// membersCmd measures membership and the zones' leases.
-type membersCmd struct {
+// benchMembersCmd measures membership and the zones' leases.
+type benchMembersCmd struct {
 	Out    string        `default:"docs/measurements" placeholder:"DIR" help:"Directory to write in."`
 	Seed   uint64        `default:"1" help:"Seed of all random choices."`
 	Sizes  []int         `default:"7,30,90,200,390" help:"Numbers of daemons."`
@@ -19,7 +19,7 @@
 }
 
 // Run implements the command.
-func (c *membersCmd) Run() error {
+func (c *benchMembersCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	return members.Run(ctx, members.Options{
--- a/cmd/mallowctl/capacity.go
+++ b/cmd/mallowctl/capacity.go
@@ -26,13 +26,13 @@
 	case c.Write != "":
 		return os.WriteFile(c.Write, page, 0o644)
 	case c.Check != "":
-		return compare(c.Check, page)
+		return checkPage(c.Check, page)
 	}
 	_, err = os.Stdout.Write(page)
 	return err
 }
 
-func compare(file string, page []byte) error {
+func checkPage(file string, page []byte) error {
 	have, err := os.ReadFile(file)
 	if err != nil {
 		return err
--- a/cmd/mallowctl/check.go
+++ b/cmd/mallowctl/check.go
@@ -36,11 +36,11 @@
 			return err
 		}
 	}
-	return refuse(faults)
+	return reportFaults(faults)
 }
 
-// refuse writes one line per fault and returns how many there are as an error.
-func refuse(faults inifile.Errors) error {
+// reportFaults writes one line per fault and returns how many there are as an error.
+func reportFaults(faults inifile.Errors) error {
 	if len(faults) == 0 {
 		return nil
 	}
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	switch kindOf(text) {
+	switch detectKind(text) {
 	case daemonSettings:
 		_, err = settings.ParseText(file, text)
 	case standInConfig:
@@ -78,8 +78,8 @@
 	standInConfig
 )
 
-// kindOf goes by the first section that stands in one kind of file alone.
-func kindOf(text []byte) fileKind {
+// detectKind goes by the first section that stands in one kind of file alone.
+func detectKind(text []byte) fileKind {
 	for _, s := range inifile.Parse(text, &inifile.Collector{}) {
 		switch s.Kind {
 		case "daemon", "tls":
@@ -100,7 +100,7 @@
 	_, err = site.Parse(file, text)
 	var faults inifile.Errors
 	if errors.As(err, &faults) {
-		return "", refuse(faults)
+		return "", reportFaults(faults)
 	}
 	return string(text), err
 }
--- a/cmd/mallowctl/diff.go
+++ b/cmd/mallowctl/diff.go
@@ -18,7 +18,7 @@
 		return err
 	}
 	defer s.stop()
-	to, err := s.at(c.To)
+	to, err := s.readRevision(c.To)
 	if err != nil {
 		return err
 	}
@@ -27,7 +27,7 @@
 	}
 	oldText := ""
 	if c.From > 0 {
-		from, err := s.at(c.From)
+		from, err := s.readRevision(c.From)
 		if err != nil {
 			return err
 		}
--- a/cmd/mallowctl/get.go
+++ b/cmd/mallowctl/get.go
@@ -13,8 +13,8 @@
 	Revision int64 `placeholder:"REVISION" help:"An older revision; the newest by default."`
 }
 
-// accepted is the JSON answer of getCmd.
-type accepted struct {
+// getOutput is the JSON answer of getCmd.
+type getOutput struct {
 	Record record.Record `json:"record"`
 	Text   string        `json:"text"`
 }
@@ -26,21 +26,21 @@
 		return err
 	}
 	defer s.stop()
-	current, err := s.at(c.Revision)
+	current, err := s.readRevision(c.Revision)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
 		r := *current.Record
 		r.Patch = nil
-		return writeJSON(s.out, accepted{r, current.Text})
+		return writeJSON(s.out, getOutput{r, current.Text})
 	}
 	_, err = io.WriteString(s.out, current.Text)
 	return err
 }
 
-// at returns the text of revision, 0 for the newest.
-func (s *session) at(revision int64) (*operate.Current, error) {
+// readRevision returns the text of revision, 0 for the newest.
+func (s *session) readRevision(revision int64) (*operate.Current, error) {
 	if revision == 0 {
 		return s.Get(s.ctx)
 	}
--- a/cmd/mallowctl/history.go
+++ b/cmd/mallowctl/history.go
@@ -35,12 +35,12 @@
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	defer w.Flush()
 	for _, r := range list {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", r.Revision, r.AppliedAt.Format(time.RFC3339), r.Author, r.Comment, restored(r))
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", r.Revision, r.AppliedAt.Format(time.RFC3339), r.Author, r.Comment, formatRestored(r))
 	}
 	return nil
 }
 
-func restored(r record.Record) string {
+func formatRestored(r record.Record) string {
 	if r.RestoredRevision == 0 {
 		return ""
 	}
--- a/cmd/mallowctl/main.go
+++ b/cmd/mallowctl/main.go
@@ -49,8 +49,8 @@
 	StandIn  standInCmd  `cmd:"" help:"Serve stand-ins of the platform: store, VM list, weight store, engines, plain services."`
 }
 
-// coder is an error that chooses the exit code.
-type coder interface{ ExitCode() int }
+// exitCoder is an error that chooses the exit code.
+type exitCoder interface{ ExitCode() int }
 
 func main() {
 	os.Exit(run(os.Args[1:]))
@@ -79,7 +79,7 @@
 		return exitOK
 	}
 	fmt.Fprintln(os.Stderr, "mallowctl:", err)
-	var c coder
+	var c exitCoder
 	if errors.As(err, &c) {
 		return c.ExitCode()
 	}
--- a/cmd/mallowctl/operator.go
+++ b/cmd/mallowctl/operator.go
@@ -79,8 +79,8 @@
 	return list, nil
 }
 
-// read asks the daemons for their pages.
-func (f *adminFlags) read(ctx context.Context) ([]operate.PageResult, error) {
+// readPages asks the daemons for their pages.
+func (f *adminFlags) readPages(ctx context.Context) ([]operate.PageResult, error) {
 	addresses, err := f.addresses(ctx)
 	if err != nil {
 		return nil, err
--- a/cmd/mallowctl/plan.go
+++ b/cmd/mallowctl/plan.go
@@ -12,8 +12,8 @@
 	File string `arg:"" type:"existingfile" help:"Site text."`
 }
 
-// plan is the answer of planCmd.
-type plan struct {
+// planOutput is the answer of planCmd.
+type planOutput struct {
 	Against int64            `json:"against"` // give it to apply --against
 	Changes []operate.Change `json:"changes"`
 }
@@ -43,15 +43,15 @@
 
 // plan compares text with the newest accepted one, which it also returns;
 // that is nil before the first.
-func (s *session) plan(text string) (plan, *operate.Current, error) {
+func (s *session) plan(text string) (planOutput, *operate.Current, error) {
 	current, err := s.Get(s.ctx)
 	if err == operate.ErrNoText {
 		changes, err := operate.Plan("", text)
-		return plan{Changes: changes}, nil, err
+		return planOutput{Changes: changes}, nil, err
 	}
 	if err != nil {
-		return plan{}, nil, err
+		return planOutput{}, nil, err
 	}
 	changes, err := operate.Plan(current.Text, text)
-	return plan{Against: current.Revision, Changes: changes}, current, err
+	return planOutput{Against: current.Revision, Changes: changes}, current, err
 }
--- a/cmd/mallowctl/rollout.go
+++ b/cmd/mallowctl/rollout.go
@@ -28,7 +28,7 @@
 
 // Run implements the command.
 func (c *rolloutListCmd) Run() error {
-	list, err := c.rollouts()
+	list, err := c.listRollouts()
 	if err != nil {
 		return err
 	}
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// rollouts reads what lies in the store.
-func (f *forwardStoreFlags) rollouts() (map[string]feed.Rollout, error) {
+// listRollouts reads what lies in the store.
+func (f *forwardStoreFlags) listRollouts() (map[string]feed.Rollout, error) {
 	s, err := f.open()
 	if err != nil {
 		return nil, err
@@ -78,11 +78,11 @@
 
 // Run implements the command.
 func (c *rolloutOrderCmd) Run() error {
-	return c.order(routing.RolloutOrder{Service: c.Service, Target: c.Target, Period: c.Period})
+	return c.writeRolloutOrder(routing.RolloutOrder{Service: c.Service, Target: c.Target, Period: c.Period})
 }
 
-// order writes an order to a store of ours.
-func (f *forwardStoreFlags) order(o routing.RolloutOrder) error {
+// writeRolloutOrder writes an order to a store of ours.
+func (f *forwardStoreFlags) writeRolloutOrder(o routing.RolloutOrder) error {
 	if f.Platform != "" {
 		return usageError{errors.New("orders on the platform are its operators' to write")}
 	}
@@ -106,7 +106,7 @@
 
 // Run implements the command.
 func (c *rolloutBackCmd) Run() error {
-	list, err := c.rollouts()
+	list, err := c.listRollouts()
 	if err != nil {
 		return err
 	}
@@ -117,5 +117,5 @@
 	case status.Stage == rollout.Migrating:
 		return usageError{errors.Errorf("the roll-out of %q is at its end; order one to version %q", c.Service, status.Baseline)}
 	}
-	return c.order(routing.RolloutOrder{Service: c.Service, Target: status.Baseline, Period: c.Period})
+	return c.writeRolloutOrder(routing.RolloutOrder{Service: c.Service, Target: status.Baseline, Period: c.Period})
 }
--- a/cmd/mallowctl/status.go
+++ b/cmd/mallowctl/status.go
@@ -16,7 +16,7 @@
 		return err
 	}
 	defer s.stop()
-	answers, err := c.read(s.ctx)
+	answers, err := c.readPages(s.ctx)
 	if err != nil {
 		return err
 	}
--- a/cmd/mallowwind/forward.go
+++ b/cmd/mallowwind/forward.go
@@ -25,13 +25,13 @@
 	"mallowwind.dev/telemetry/metric"
 )
 
-// memoryShare is the share of the limit on the process from which memory is given back
+// memoryLimitRatio is the share of the limit on the process from which memory is given back
 // sooner: the platform kills a process beyond the limit, and buffers of the kernel count.
-const memoryShare = 0.8
+const memoryLimitRatio = 0.8
 
-// collectAt is how much the heap grows between two collections, in percent: entry VMs have
+// gcPercent is how much the heap grows between two collections, in percent: entry VMs have
 // processor time to spare and little memory.
-const collectAt = 50
+const gcPercent = 50
 
 // forwardCmd forwards requests by the configuration in the platform's store.
 type forwardCmd struct {
@@ -47,7 +47,7 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP) // before anything else: by default it ends the process
 	if c.Config != "" {
-		return runOwn(c.Config, c.Check)
+		return runOwnGateway(c.Config, c.Check)
 	}
 	if c.Settings == "" {
 		return usageError{errors.New("neither --config nor --settings is given")}
@@ -59,10 +59,10 @@
 	if c.Check {
 		return nil
 	}
-	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryLimitBytes)))
-	debug.SetGCPercent(collectAt)
+	debug.SetMemoryLimit(int64(memoryLimitRatio * float64(s.MemoryLimitBytes)))
+	debug.SetGCPercent(gcPercent)
 	return runGateway(c.LogLevel, s.VM, s.Zone, func(events *event.Log) (gateway.Options, error) {
-		o, err := gatewayOptions(s, events)
+		o, err := platformGatewayOptions(s, events)
 		if err != nil || c.Metrics == 0 {
 			return o, err
 		}
@@ -71,13 +71,13 @@
 	}, func(g *gateway.Gateway, o gateway.Options) {
 		c.reload(hup, s, o.Log, func(now *nodefile.Settings) {
 			o.Store.(*kv.Client).SetAddress(now.StoreAddress)
-			g.Apply(bounds(now))
+			g.Apply(gatewayBounds(now))
 		})
 	})
 }
 
-// bounds are the settings that may change while the daemon runs.
-func bounds(s *nodefile.Settings) gateway.Bounds {
+// gatewayBounds are the settings that may change while the daemon runs.
+func gatewayBounds(s *nodefile.Settings) gateway.Bounds {
 	return gateway.Bounds{
 		KeyAge: s.KeyRevocationDelay, Grace: s.DrainGrace, Seeds: s.Seeds,
 		Repeats:  retrybudget.Policy{Ratio: s.RetryRatio, Slack: s.RetrySlack, Window: s.RetryWindow},
@@ -85,8 +85,8 @@
 	}
 }
 
-func gatewayOptions(s *nodefile.Settings, events *event.Log) (gateway.Options, error) {
-	keep := min(keepAnswers, s.MaxDirectoryTTL)
+func platformGatewayOptions(s *nodefile.Settings, events *event.Log) (gateway.Options, error) {
+	keep := min(maxDirectoryTTL, s.MaxDirectoryTTL)
 	o := gateway.Options{
 		Self:         routing.VM{ID: s.VM, Zone: s.Zone, Address: s.CallerAddress, PeerAddress: s.PeerAddress},
 		Store:        kv.New(s.StoreAddress),
@@ -94,7 +94,7 @@
 		Codec:        wire.Codec{},
 		Clock:        bootClock,
 		Log:          events,
-		Bounds:       bounds(s),
+		Bounds:       gatewayBounds(s),
 		Dialer:       link.NewDialer(nil),
 		LeaseMin:     s.MinLeaseTTL,
 		Registry:     metric.NewCatalogue(),
@@ -110,15 +110,15 @@
 	return o, err
 }
 
-// reloadEvery is how often the settings file is looked at: it may change without
+// reloadInterval is how often the settings file is looked at: it may change without
 // a signal.
-const reloadEvery = 2 * time.Second
+const reloadInterval = 2 * time.Second
 
 // reload applies the settings at SIGHUP and when the file has changed. The
 // addresses at which this daemon listens hold for the life of the process. A file
 // that cannot be used changes nothing.
 func (c *forwardCmd) reload(hup <-chan os.Signal, now *nodefile.Settings, events *event.Log, apply func(*nodefile.Settings)) {
-	tick := time.NewTicker(reloadEvery)
+	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
 	for {
 		asked := false
--- a/cmd/mallowwind/forwardown.go
+++ b/cmd/mallowwind/forward_own.go
@@ -23,22 +23,22 @@
 )
 
 const (
-	// ownHold is how often the configuration is confirmed, at one read.
-	ownHold = time.Second
-	// ownKeyAge is how long after its removal an account key may still be used.
-	ownKeyAge = 5 * time.Second
+	// ownConfirmInterval is how often the configuration is confirmed, at one read.
+	ownConfirmInterval = time.Second
+	// ownKeyRevocationDelay is how long after its removal an account key may still be used.
+	ownKeyRevocationDelay = 5 * time.Second
 )
 
-// ownRepeats is the fleet's budget of sends beyond the first: four in five
+// ownRetryBudget is the fleet's budget of sends beyond the first: four in five
 // requests and a hundred and fifty in ten seconds carry the loss of a zone.
-var ownRepeats = retrybudget.Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
+var ownRetryBudget = retrybudget.Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 
-// ownRollouts lets a version that is not known to be good have a tenth of a service's requests
+// ownRolloutLimits lets a version that is not known to be good have a tenth of a service's requests
 // and fifty.
-var ownRollouts = rollout.Limits{Share: 0.1, Slack: 50}
+var ownRolloutLimits = rollout.Limits{Share: 0.1, Slack: 50}
 
-// runOwn forwards by settings of our own and a key-value service of ours.
-func runOwn(path string, check bool) error {
+// runOwnGateway forwards by settings of our own and a key-value service of ours.
+func runOwnGateway(path string, check bool) error {
 	s, err := settings.Parse(path)
 	if err != nil {
 		return usageError{err}
@@ -47,40 +47,40 @@
 		return nil
 	}
 	return runGateway(s.LogLevel, s.VM, s.Zone, func(events *event.Log) (gateway.Options, error) {
-		return ownOptions(s, events)
+		return ownGatewayOptions(s, events)
 	}, func(*gateway.Gateway, gateway.Options) {})
 }
 
-func ownOptions(s *settings.Settings, events *event.Log) (gateway.Options, error) {
+func ownGatewayOptions(s *settings.Settings, events *event.Log) (gateway.Options, error) {
 	client, err := store.NewEtcdClient(s.Store, nil)
 	if err != nil {
 		return gateway.Options{}, errors.Wrap(err, "store")
 	}
 	o := gateway.Options{
 		Self:   routing.VM{ID: s.VM, Zone: s.Zone, Address: s.Listen, PeerAddress: s.PeerListen},
-		Store:  store.Confirmed{Store: client, Key: feed.OwnConfigKey, Hold: ownHold},
+		Store:  store.Confirmed{Store: client, Key: feed.OwnConfigKey, Hold: ownConfirmInterval},
 		Prefix: feed.OwnPrefix, Schema: feed.OwnSchema{}, Codec: forward.DefaultCodec{},
 		Clock: bootClock, Log: events, Registry: metric.NewCatalogue(),
-		Bounds:      gateway.Bounds{KeyAge: ownKeyAge, Repeats: ownRepeats, Rollouts: ownRollouts, Grace: s.DrainLimit},
-		KeepAnswers: keepAnswers,
+		Bounds:      gateway.Bounds{KeyAge: ownKeyRevocationDelay, Repeats: ownRetryBudget, Rollouts: ownRolloutLimits, Grace: s.DrainLimit},
+		KeepAnswers: maxDirectoryTTL,
 		Dialer:      link.NewDialer(nil),
 	}
 	admin := mux.NewRouter()
 	admin.Handle("/metrics", promhttp.HandlerFor(o.Registry, promhttp.HandlerOpts{})).Methods(http.MethodGet)
 	o.ReadyHandler = func(ready func() bool) http.Handler {
-		admin.Handle("/readyz", readiness(ready)).Methods(http.MethodGet)
+		admin.Handle("/readyz", readinessHandler(ready)).Methods(http.MethodGet)
 		return admin
 	}
 	o.DirectoryHandler = func(addresses func(string) []string) http.Handler {
-		admin.Handle("/v1/entries", entryAnswers(addresses)).Methods(http.MethodGet)
+		admin.Handle("/v1/entries", entriesHandler(addresses)).Methods(http.MethodGet)
 		return admin
 	}
 	err = listen([]socket{{&o.Callers, s.Listen}, {&o.Peers, s.PeerListen}, {&o.Readiness, s.AdminListen}})
 	return o, err
 }
 
-// readiness answers 200 while callers should be sent here.
-func readiness(ready func() bool) http.Handler {
+// readinessHandler answers 200 while callers should be sent here.
+func readinessHandler(ready func() bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if !ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -88,13 +88,13 @@
 	})
 }
 
-// entryAnswer names the addresses that a caller may use, and for how long.
-type entryAnswer struct {
+// entriesResponse names the addresses that a caller may use, and for how long.
+type entriesResponse struct {
 	Addresses  []string `json:"addresses"`
 	TTLSeconds float64  `json:"ttl_seconds"`
 }
 
-func entryAnswers(addresses func(string) []string) http.Handler {
+func entriesHandler(addresses func(string) []string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		list := addresses("")
 		if len(list) == 0 {
@@ -103,6 +103,6 @@
 		}
 		w.Header().Set("Content-Type", "application/json")
 		// A caller that left meanwhile is the only reason for a failure here.
-		_ = json.NewEncoder(w).Encode(entryAnswer{Addresses: list, TTLSeconds: keepAnswers.Seconds()})
+		_ = json.NewEncoder(w).Encode(entriesResponse{Addresses: list, TTLSeconds: maxDirectoryTTL.Seconds()})
 	})
 }
--- a/cmd/mallowwind/forwardown_test.go
+++ b/cmd/mallowwind/forward_own_test.go
@@ -36,8 +36,8 @@
 	return l.Addr().String()
 }
 
-// get asks until an answer has the status wanted, or the test's time is over.
-func get(t *testing.T, url, key string, want int) string {
+// getUntilStatus asks until an answer has the status wanted, or the test's time is over.
+func getUntilStatus(t *testing.T, url, key string, want int) string {
 	t.Helper()
 	for {
 		req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
@@ -80,22 +80,22 @@
 		VM: "entry-1", Zone: "a", Listen: freeAddress(t), PeerListen: freeAddress(t), AdminListen: freeAddress(t),
 		Store: []string{etcd.URL}, DrainLimit: 5 * time.Second,
 	}
-	o, err := ownOptions(s, event.Discard())
+	o, err := ownGatewayOptions(s, event.Discard())
 	must.NoError(t, err)
 	soft, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- gateway.New(o).Run(soft, t.Context()) }()
 
-	get(t, "http://"+s.AdminListen+"/readyz", "", http.StatusOK)
+	getUntilStatus(t, "http://"+s.AdminListen+"/readyz", "", http.StatusOK)
 	var reply plainsim.Reply
-	must.NoError(t, json.Unmarshal([]byte(get(t, "http://"+s.Listen+"/confirm?x=1", "k1", http.StatusOK)), &reply))
+	must.NoError(t, json.Unmarshal([]byte(getUntilStatus(t, "http://"+s.Listen+"/confirm?x=1", "k1", http.StatusOK)), &reply))
 	must.Eq(t, "/confirm", strings.SplitN(reply.Path, "?", 2)[0])
-	must.StrContains(t, get(t, "http://"+s.AdminListen+"/v1/entries", "", http.StatusOK), s.Listen)
-	must.StrContains(t, get(t, "http://"+s.AdminListen+"/metrics", "", http.StatusOK), "mallowwind_feed_config_version 1")
-	get(t, "http://"+s.Listen+"/confirm", "k2", http.StatusUnauthorized)
+	must.StrContains(t, getUntilStatus(t, "http://"+s.AdminListen+"/v1/entries", "", http.StatusOK), s.Listen)
+	must.StrContains(t, getUntilStatus(t, "http://"+s.AdminListen+"/metrics", "", http.StatusOK), "mallowwind_feed_config_version 1")
+	getUntilStatus(t, "http://"+s.Listen+"/confirm", "k2", http.StatusUnauthorized)
 	put(feed.OwnConfigKey, strings.Replace(strings.Replace(ownConfig, `"version":1`, `"version":2`, 1), "k1", "k2", 1))
-	get(t, "http://"+s.Listen+"/confirm", "k2", http.StatusOK)
-	get(t, "http://"+s.Listen+"/confirm", "k1", http.StatusUnauthorized)
+	getUntilStatus(t, "http://"+s.Listen+"/confirm", "k2", http.StatusOK)
+	getUntilStatus(t, "http://"+s.Listen+"/confirm", "k1", http.StatusUnauthorized)
 	stop()
 	must.NoError(t, <-done)
 }
--- a/cmd/mallowwind/gateway.go
+++ b/cmd/mallowwind/gateway.go
@@ -13,10 +13,10 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// keepAnswers is how long callers are told to keep an address answer: a daemon
+// maxDirectoryTTL is how long callers are told to keep an address answer: a daemon
 // that died is asked for no longer, and one that stops has to serve on for
 // three times as long.
-const keepAnswers = time.Second
+const maxDirectoryTTL = time.Second
 
 // runGateway runs a gateway with the given options until a signal ends it, and beside it what
 // follows the settings. An error of the options is the operator's.
@@ -34,7 +34,7 @@
 	}
 	g := gateway.New(o)
 	go beside(g, o)
-	soft, hard := signals()
+	soft, hard := notifyContexts()
 	return g.Run(soft, hard)
 }
 
@@ -59,10 +59,10 @@
 }
 
 const (
-	// logPerSecond and logBurst bound the events that are no warnings. A daemon
+	// logEventsPerSecond and logBurst bound the events that are no warnings. A daemon
 	// at the peak of the largest site forwards about 20 requests a second.
-	logPerSecond = 300
-	logBurst     = 1500
+	logEventsPerSecond = 300
+	logBurstEvents     = 1500
 )
 
 // openLog writes events to standard output without waiting for its reader. The
@@ -75,7 +75,7 @@
 	logger := logrus.New()
 	logger.SetFormatter(&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano})
 	logger.SetLevel(level)
-	events := event.New(logger, vm, zone).Limit(logPerSecond, logBurst)
+	events := event.New(logger, vm, zone).Limit(logEventsPerSecond, logBurstEvents)
 	out := event.NewWriter(os.Stdout, func(n uint64) { events.Emit(event.LogDropped, n) })
 	logger.SetOutput(out)
 	return events, out.Close, nil
--- a/cmd/mallowwind/main.go
+++ b/cmd/mallowwind/main.go
@@ -67,9 +67,9 @@
 	return code
 }
 
-// signals returns a context that ends at the first SIGTERM or interrupt, which
+// notifyContexts returns a context that ends at the first SIGTERM or interrupt, which
 // drains, and one that ends at the second, which cuts what still runs.
-func signals() (soft, hard context.Context) {
+func notifyContexts() (soft, hard context.Context) {
 	soft, drain := context.WithCancel(context.Background())
 	hard, cut := context.WithCancel(context.Background())
 	c := make(chan os.Signal, 2)
--- a/cmd/mallowwind/main_test.go
+++ b/cmd/mallowwind/main_test.go
@@ -13,7 +13,7 @@
 	"mallowwind.dev/serve/daemon"
 )
 
-const template = `[daemon]
+const settingsTemplate = `[daemon]
 site = yard
 vm = entry-1
 zone = Ruiru
@@ -26,7 +26,7 @@
 vm_list = http://127.0.0.1:4
 `
 
-func write(t *testing.T, text string) string {
+func writeSettings(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "entry.ini")
 	must.NoError(t, os.WriteFile(path, []byte(text), 0o600))
@@ -34,9 +34,9 @@
 }
 
 func TestExitCodes(t *testing.T) {
-	good := write(t, fmt.Sprintf(template, "127.0.0.1:5"))
+	good := writeSettings(t, fmt.Sprintf(settingsTemplate, "127.0.0.1:5"))
 	must.Eq(t, exitOK, run([]string{"--config", good, "--check"}))
-	must.Eq(t, exitUsage, run([]string{"--config", write(t, "[daemon]\nzonee = Ruiru\n")}))
+	must.Eq(t, exitUsage, run([]string{"--config", writeSettings(t, "[daemon]\nzonee = Ruiru\n")}))
 	must.Eq(t, exitUsage, run([]string{"--config", filepath.Join(t.TempDir(), "none.ini")}))
 	must.Eq(t, exitUsage, run([]string{"--frobnicate"}))
 }
@@ -47,7 +47,7 @@
 	busy, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer busy.Close()
-	path := write(t, fmt.Sprintf(template, busy.Addr()))
+	path := writeSettings(t, fmt.Sprintf(settingsTemplate, busy.Addr()))
 	must.Eq(t, exitUsage, run([]string{"--config", path}))
 	s, err := settings.Parse(path)
 	must.NoError(t, err)
--- a/cmd/mallowwind/serve.go
+++ b/cmd/mallowwind/serve.go
@@ -47,7 +47,7 @@
 		Settings: s, Platform: platform, Listeners: listeners.Secure(files), TLS: files,
 		Dialer: link.NewDialer(files.PeerClient()), Logger: logger, Version: version,
 	})
-	soft, hard := signals()
+	soft, hard := notifyContexts()
 	if err := d.Run(soft, hard); err != nil {
 		return err
 	}
--- a/control/operate/apply.go
+++ b/control/operate/apply.go
@@ -26,15 +26,15 @@
 }
 
 const (
-	firstRetry = 100 * time.Millisecond
-	lastRetry  = 3 * time.Second
+	initialRetryDelay = 100 * time.Millisecond
+	maxRetryDelay     = 3 * time.Second
 )
 
 // Apply makes the text of request the newest accepted one and returns its
 // record. The caller has checked the text. Errors are *ConflictError and
 // *StoreError; ctx bounds how long an unavailable store is waited for.
 func (c *Client) Apply(ctx context.Context, request Request) (*record.Record, error) {
-	if _, err := c.check(request.Text); err != nil {
+	if _, err := c.parseOwnSite(request.Text); err != nil {
 		return nil, err
 	}
 	head, err := c.head(ctx)
@@ -44,7 +44,7 @@
 	if revisionOf(head) != request.BaseRevision {
 		return nil, c.conflict(ctx, request.BaseRevision, head)
 	}
-	next := c.next(ctx, head, request)
+	next := c.newRecord(ctx, head, request)
 	if err := c.create(ctx, c.keys().Body(next.ID), []byte(request.Text)); err != nil {
 		return nil, &StoreError{Err: err}
 	}
@@ -63,7 +63,7 @@
 		}
 		return nil, c.conflict(ctx, request.BaseRevision, now)
 	}
-	if next.Revision%pruneEvery == 0 {
+	if next.Revision%pruneEveryRevisions == 0 {
 		c.prune(ctx)
 	}
 	return next, nil
@@ -76,8 +76,8 @@
 	return a.Revision
 }
 
-// next is the record of a change to head.
-func (c *Client) next(ctx context.Context, head record.Accepted, request Request) *record.Record {
+// newRecord is the record of a change to head.
+func (c *Client) newRecord(ctx context.Context, head record.Accepted, request Request) *record.Record {
 	r := &record.Record{
 		ID: uuid.NewString(), Revision: max(revisionOf(head), request.AboveRevision) + 1, BaseRevision: revisionOf(head),
 		SHA256: record.Hash(request.Text), Author: c.Author, AppliedAt: time.Now().UTC(),
@@ -87,7 +87,7 @@
 		return r
 	}
 	// Without a difference watchers read the body: dearer, not wrong.
-	if old, err := c.withText(ctx, head); err == nil {
+	if old, err := c.readText(ctx, head); err == nil {
 		if p := patch.Make(old.Text, request.Text); p.Size() <= record.MaxPatchBytes {
 			r.Patch = p
 		}
@@ -104,13 +104,13 @@
 // is sent again; whichever of the two takes effect, it does so once.
 func (c *Client) accept(ctx context.Context, head record.Accepted, next *record.Record) (bool, error) {
 	unknown, accepted := false, false
-	err := retry(ctx, func(ctx context.Context) error {
+	err := retryTransient(ctx, func(ctx context.Context) error {
 		_, err := c.Store.CompareAndSwap(ctx, c.keys().Head(), head.Version, next.Encode(), 0)
 		if err == nil {
 			accepted = true
 			return nil
 		}
-		if errors.Is(err, store.ErrUnknown) || isDeadline(err) {
+		if errors.Is(err, store.ErrUnknown) || isDeadlineExceeded(err) {
 			unknown = true
 		}
 		if errors.Is(err, store.ErrConflict) {
@@ -134,7 +134,7 @@
 	if now.ID == next.ID {
 		return true, nil
 	}
-	old, err := c.replaced(ctx, next.Revision)
+	old, err := c.readHistoryEntry(ctx, next.Revision)
 	if errors.Is(err, store.ErrNotFound) {
 		return false, nil
 	}
@@ -155,7 +155,7 @@
 		}
 		oldText = old.Text
 	}
-	now, err := c.withText(ctx, head)
+	now, err := c.readText(ctx, head)
 	if err != nil {
 		return e
 	}
@@ -163,15 +163,15 @@
 	return e
 }
 
-// retry repeats call while the store is unavailable or the outcome unknown,
+// retryTransient repeats call while the store is unavailable or the outcome unknown,
 // until ctx ends. Each call has its own deadline.
-func retry(ctx context.Context, call func(context.Context) error) error {
-	wait := firstRetry
+func retryTransient(ctx context.Context, call func(context.Context) error) error {
+	wait := initialRetryDelay
 	for {
-		once, cancel := context.WithTimeout(ctx, callTimeout)
+		once, cancel := context.WithTimeout(ctx, storeCallTimeout)
 		err := call(once)
 		cancel()
-		if err == nil || !transient(err) {
+		if err == nil || !isTransient(err) {
 			return err
 		}
 		select {
@@ -179,12 +179,12 @@
 			return err
 		case <-time.After(wait):
 		}
-		wait = min(2*wait, lastRetry)
+		wait = min(2*wait, maxRetryDelay)
 	}
 }
 
-func transient(err error) bool {
-	return errors.Is(err, store.ErrUnavailable) || errors.Is(err, store.ErrUnknown) || isDeadline(err)
+func isTransient(err error) bool {
+	return errors.Is(err, store.ErrUnavailable) || errors.Is(err, store.ErrUnknown) || isDeadlineExceeded(err)
 }
 
-func isDeadline(err error) bool { return errors.Is(err, context.DeadlineExceeded) }
+func isDeadlineExceeded(err error) bool { return errors.Is(err, context.DeadlineExceeded) }
--- a/control/operate/apply_test.go
+++ b/control/operate/apply_test.go
@@ -65,17 +65,17 @@
 	must.Eq(t, text("1", 6), newest(t, day).Text)
 }
 
-// gate lets the first compare-and-swap of a key run another operator first:
+// racingStore lets the first compare-and-swap of a key run another operator first:
 // both then hold the same version, the closest race there is.
-type gate struct {
+type racingStore struct {
 	store.Store
-	key   string
-	first func()
+	key         string
+	beforeFirst func()
 }
 
-func (g *gate) CompareAndSwap(ctx context.Context, key string, version int64, value []byte, lease store.LeaseID) (int64, error) {
-	if first := g.first; key == g.key && first != nil {
-		g.first = nil
+func (g *racingStore) CompareAndSwap(ctx context.Context, key string, version int64, value []byte, lease store.LeaseID) (int64, error) {
+	if first := g.beforeFirst; key == g.key && first != nil {
+		g.beforeFirst = nil
 		first()
 	}
 	return g.Store.CompareAndSwap(ctx, key, version, value, lease)
@@ -86,7 +86,7 @@
 func TestRaceAtTheSameMoment(t *testing.T) {
 	day, s := newClient("day")
 	apply(t, day, 0, text("1", 4))
-	g := &gate{Store: s, key: record.KeysOf("yard").Head(), first: func() { apply(t, day, 1, text("1", 5)) }}
+	g := &racingStore{Store: s, key: record.KeysOf("yard").Head(), beforeFirst: func() { apply(t, day, 1, text("1", 5)) }}
 	night := &Client{Store: g, Site: "yard", Author: "night"}
 	_, err := night.Apply(t.Context(), Request{Text: text("2", 4), BaseRevision: 1})
 	must.ErrorContains(t, err, "revision 2 is accepted: day")
@@ -108,7 +108,7 @@
 				if lose {
 					prepare = s.LoseNextWrite
 				}
-				l := &onWrite{Store: s, key: "/mallowwind/yard/" + write, do: prepare}
+				l := &writeHookStore{Store: s, prefix: "/mallowwind/yard/" + write, beforeFirst: prepare}
 				r, err := (&Client{Store: l, Site: "yard"}).Apply(t.Context(), Request{Text: text("1", 5), BaseRevision: 1})
 				must.NoError(t, err)
 				must.Eq(t, 2, r.Revision)
@@ -121,16 +121,16 @@
 	}
 }
 
-// onWrite runs do before the first write to a key with this prefix.
-type onWrite struct {
+// writeHookStore runs do before the first write to a key with this prefix.
+type writeHookStore struct {
 	store.Store
-	key string
-	do  func()
+	prefix      string
+	beforeFirst func()
 }
 
-func (o *onWrite) CompareAndSwap(ctx context.Context, key string, version int64, value []byte, lease store.LeaseID) (int64, error) {
-	if do := o.do; do != nil && strings.HasPrefix(key, o.key) {
-		o.do = nil
+func (o *writeHookStore) CompareAndSwap(ctx context.Context, key string, version int64, value []byte, lease store.LeaseID) (int64, error) {
+	if do := o.beforeFirst; do != nil && strings.HasPrefix(key, o.prefix) {
+		o.beforeFirst = nil
 		do()
 	}
 	return o.Store.CompareAndSwap(ctx, key, version, value, lease)
@@ -143,9 +143,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		day, s := newClient("day")
 		apply(t, day, 0, text("1", 4))
-		lost := &onWrite{Store: s, key: record.KeysOf("yard").Head(), do: s.LoseNextWrite}
+		lost := &writeHookStore{Store: s, prefix: record.KeysOf("yard").Head(), beforeFirst: s.LoseNextWrite}
 		go func() {
-			time.Sleep(firstRetry / 2)
+			time.Sleep(initialRetryDelay / 2)
 			apply(t, day, 2, text("1", 9))
 		}()
 		r, err := (&Client{Store: lost, Site: "yard"}).Apply(t.Context(), Request{Text: text("1", 5), BaseRevision: 1})
@@ -170,10 +170,10 @@
 		must.False(t, down.OutcomeUnknown)
 		s.SetDown(false)
 
-		cut := &onWrite{Store: s, key: record.KeysOf("yard").Head()}
-		cut.do = func() {
+		cut := &writeHookStore{Store: s, prefix: record.KeysOf("yard").Head()}
+		cut.beforeFirst = func() {
 			s.LoseNextWrite()
-			time.AfterFunc(firstRetry/2, func() { s.SetDown(true) })
+			time.AfterFunc(initialRetryDelay/2, func() { s.SetDown(true) })
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
@@ -215,14 +215,14 @@
 
 func TestHistoryIsBounded(t *testing.T) {
 	c, s := newClient("day")
-	for i := range int64(keptHistory + 3*pruneEvery) {
+	for i := range int64(maxHistoryEntries + 3*pruneEveryRevisions) {
 		apply(t, c, i, text("1", int(i)+1))
 	}
 	history, err := c.History(t.Context())
 	must.NoError(t, err)
-	must.LessEq(t, keptHistory+pruneEvery+1, len(history))
+	must.LessEq(t, maxHistoryEntries+pruneEveryRevisions+1, len(history))
 	kvs, _, err := s.List(t.Context(), "/mallowwind/yard/body/")
 	must.NoError(t, err)
 	must.Eq(t, len(history), len(kvs))
-	must.Eq(t, int64(keptHistory+3*pruneEvery), history[0].Revision)
+	must.Eq(t, int64(maxHistoryEntries+3*pruneEveryRevisions), history[0].Revision)
 }
--- a/control/operate/handover.go
+++ b/control/operate/handover.go
@@ -21,9 +21,9 @@
 	Recent []record.Record `json:"recent,omitempty"`
 }
 
-// recentChanges is how many changes a handover lists: about an hour's at
+// maxRecentChanges is how many changes a handover lists: about an hour's at
 // 5,200 a day would be 200, more than anyone reads.
-const recentChanges = 20
+const maxRecentChanges = 20
 
 // Handover gathers text, revision, lagging VMs, running changes and open
 // warnings. A store that does not answer is part of the report, not a failure.
@@ -42,7 +42,7 @@
 	h.Record, h.Text = &bare, current.Text
 	history, err := c.History(ctx)
 	if err == nil {
-		h.Recent = history[:min(recentChanges, len(history))]
+		h.Recent = history[:min(maxRecentChanges, len(history))]
 	}
 	return h, nil
 }
@@ -50,7 +50,7 @@
 // Write prints the report as comments and then the text itself, so that the
 // whole is again a site text that check accepts and version control can hold.
 func (h *Handover) Write(out io.Writer) {
-	c := &commenter{out: out}
+	c := &commentWriter{out: out}
 	fmt.Fprintf(c, "handover at %s\n", h.Time.Format(time.RFC3339))
 	if h.Record != nil {
 		fmt.Fprintf(c, "revision %d, accepted %s from %s: %s\n",
@@ -66,20 +66,20 @@
 	io.WriteString(out, "\n"+h.Text)
 }
 
-// commenter puts "# " before each line.
-type commenter struct {
-	out    io.Writer
-	middle bool // of a line
+// commentWriter puts "# " before each line.
+type commentWriter struct {
+	out       io.Writer
+	isMidLine bool // of a line
 }
 
-func (c *commenter) Write(p []byte) (int, error) {
+func (c *commentWriter) Write(p []byte) (int, error) {
 	for _, b := range p {
-		if !c.middle {
+		if !c.isMidLine {
 			if _, err := io.WriteString(c.out, "# "); err != nil {
 				return 0, err
 			}
 		}
-		c.middle = b != '\n'
+		c.isMidLine = b != '\n'
 		if _, err := c.out.Write([]byte{b}); err != nil {
 			return 0, err
 		}
--- a/control/operate/history.go
+++ b/control/operate/history.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// keptHistory is how many replaced texts the store keeps. Version control
+	// maxHistoryEntries is how many replaced texts the store keeps. Version control
 	// is the long memory; this one is for a rollback within a shift: at 100 KB
 	// a text it takes 20 MB of the store.
-	keptHistory = 200
-	// pruneEvery is how many changes pass between two clean-ups, each of which
+	maxHistoryEntries = 200
+	// pruneEveryRevisions is how many changes pass between two clean-ups, each of which
 	// lists the history.
-	pruneEvery = 20
+	pruneEveryRevisions = 20
 )
 
 // History returns the accepted records, newest first.
@@ -27,7 +27,7 @@
 	if err != nil || head.Record == nil {
 		return nil, err
 	}
-	replaced, err := c.listReplaced(ctx)
+	replaced, err := c.listHistory(ctx)
 	if err != nil {
 		return nil, &StoreError{Err: err}
 	}
@@ -41,9 +41,9 @@
 	return list, nil
 }
 
-// listReplaced returns the history, oldest first.
-func (c *Client) listReplaced(ctx context.Context) ([]record.Accepted, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+// listHistory returns the history, oldest first.
+func (c *Client) listHistory(ctx context.Context) ([]record.Accepted, error) {
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	kvs, _, err := c.Store.List(ctx, c.keys().History())
 	if err != nil {
@@ -61,11 +61,11 @@
 // prune removes what the history holds beyond its bound. What it fails to
 // remove the next one does.
 func (c *Client) prune(ctx context.Context) {
-	list, err := c.listReplaced(ctx)
-	if err != nil || len(list) <= keptHistory {
+	list, err := c.listHistory(ctx)
+	if err != nil || len(list) <= maxHistoryEntries {
 		return
 	}
-	for _, old := range list[:len(list)-keptHistory] {
+	for _, old := range list[:len(list)-maxHistoryEntries] {
 		c.remove(ctx, c.keys().Body(old.ID))
 		c.remove(ctx, c.keys().HistoryEntry(old.Revision))
 	}
@@ -73,7 +73,7 @@
 
 // remove deletes a key that nobody writes any more; failing leaves it behind.
 func (c *Client) remove(ctx context.Context, key string) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	kv, err := c.Store.Get(ctx, key)
 	if err != nil {
@@ -97,7 +97,7 @@
 // create writes a key that only ever gets this one value. A conflict means
 // that it is there already, also by a write whose answer was lost.
 func (c *Client) create(ctx context.Context, key string, value []byte) error {
-	return retry(ctx, func(ctx context.Context) error {
+	return retryTransient(ctx, func(ctx context.Context) error {
 		_, err := c.Store.CompareAndSwap(ctx, key, 0, value, 0)
 		if errors.Is(err, store.ErrConflict) {
 			return nil
--- a/control/operate/operate.go
+++ b/control/operate/operate.go
@@ -28,9 +28,9 @@
 	Text string
 }
 
-// callTimeout bounds one call to the store; operators can wait longer than
+// storeCallTimeout bounds one call to the store; operators can wait longer than
 // daemons do.
-const callTimeout = 5 * time.Second
+const storeCallTimeout = 5 * time.Second
 
 // ErrNoText means that no text has been accepted yet.
 var ErrNoText = errors.New("no site text has been accepted yet")
@@ -89,7 +89,7 @@
 	if head.Record == nil {
 		return nil, ErrNoText
 	}
-	return c.withText(ctx, head)
+	return c.readText(ctx, head)
 }
 
 // GetRevision returns the text of an older revision that the history still holds.
@@ -99,21 +99,21 @@
 		return nil, err
 	}
 	if head.Record != nil && head.Revision == revision {
-		return c.withText(ctx, head)
+		return c.readText(ctx, head)
 	}
-	old, err := c.replaced(ctx, revision)
+	old, err := c.readHistoryEntry(ctx, revision)
 	if errors.Is(err, store.ErrNotFound) {
 		return nil, errors.Errorf("the history does not hold revision %d", revision)
 	}
 	if err != nil {
 		return nil, &StoreError{Err: err}
 	}
-	return c.withText(ctx, old)
+	return c.readText(ctx, old)
 }
 
 // head returns the newest record; its Record is nil before the first.
 func (c *Client) head(ctx context.Context) (record.Accepted, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	head, err := record.ReadHead(ctx, c.Store, c.keys())
 	if errors.Is(err, store.ErrNotFound) {
@@ -125,9 +125,9 @@
 	return head, nil
 }
 
-// replaced returns a record of the history.
-func (c *Client) replaced(ctx context.Context, revision int64) (record.Accepted, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+// readHistoryEntry returns a record of the history.
+func (c *Client) readHistoryEntry(ctx context.Context, revision int64) (record.Accepted, error) {
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	kv, err := c.Store.Get(ctx, c.keys().HistoryEntry(revision))
 	if err != nil {
@@ -136,8 +136,8 @@
 	return record.FromKV(kv)
 }
 
-func (c *Client) withText(ctx context.Context, a record.Accepted) (*Current, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+func (c *Client) readText(ctx context.Context, a record.Accepted) (*Current, error) {
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	text, err := record.ReadText(ctx, c.Store, c.keys(), a.Record)
 	if errors.Is(err, record.ErrCorrupt) || errors.Is(err, store.ErrNotFound) {
@@ -149,8 +149,8 @@
 	return &Current{Accepted: a, Text: text}, nil
 }
 
-// parsed returns the site that text says, or an empty one for no text.
-func parsed(name, text string) (*site.Site, error) {
+// parseOrEmpty returns the site that text says, or an empty one for no text.
+func parseOrEmpty(name, text string) (*site.Site, error) {
 	if text == "" {
 		return &site.Site{Limits: site.DefaultLimits()}, nil
 	}
--- a/control/operate/plan.go
+++ b/control/operate/plan.go
@@ -62,9 +62,9 @@
 	return value
 }
 
-// check parses text and refuses one of another site, which would pull the
+// parseOwnSite parses text and refuses one of another site, which would pull the
 // whole site's services away by a slip of a file name.
-func (c *Client) check(text string) (*site.Site, error) {
+func (c *Client) parseOwnSite(text string) (*site.Site, error) {
 	s, err := site.Parse("site text", []byte(text))
 	if err != nil {
 		return nil, err
@@ -77,32 +77,32 @@
 
 // Plan returns what changes between two texts; an empty old text is no text.
 func Plan(oldText, newText string) ([]Change, error) {
-	old, err := parsed("accepted text", oldText)
+	old, err := parseOrEmpty("accepted text", oldText)
 	if err != nil {
 		return nil, err
 	}
-	new, err := parsed("new text", newText)
+	new, err := parseOrEmpty("new text", newText)
 	if err != nil {
 		return nil, err
 	}
-	before, after := sections(old), sections(new)
+	before, after := valuesBySection(old), valuesBySection(new)
 	var changes []Change
-	for _, name := range slices.Sorted(maps.Keys(union(before, after))) {
-		if c, differs := compare(name, before[name], after[name]); differs {
-			c.Effects = effects(c, old, new)
+	for _, name := range slices.Sorted(maps.Keys(unionSections(before, after))) {
+		if c, differs := diffSection(name, before[name], after[name]); differs {
+			c.Effects = changeEffects(c, old, new)
 			changes = append(changes, c)
 		}
 	}
 	return changes, nil
 }
 
-func union(a, b map[string]values) map[string]values {
+func unionSections(a, b map[string]sectionValues) map[string]sectionValues {
 	all := maps.Clone(a)
 	maps.Copy(all, b)
 	return all
 }
 
-func compare(section string, old, new values) (Change, bool) {
+func diffSection(section string, old, new sectionValues) (Change, bool) {
 	c := Change{Section: section, Action: Changed}
 	switch {
 	case old == nil:
@@ -112,7 +112,7 @@
 	}
 	keys := maps.Clone(old)
 	if keys == nil {
-		keys = values{}
+		keys = sectionValues{}
 	}
 	maps.Copy(keys, new)
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
@@ -123,8 +123,8 @@
 	return c, c.Action != Changed || len(c.Keys) > 0
 }
 
-// effects says what the system will do, in the order in which it does it.
-func effects(c Change, old, new *site.Site) []string {
+// changeEffects says what the system will do, in the order in which it does it.
+func changeEffects(c Change, old, new *site.Site) []string {
 	name, ok := strings.CutPrefix(c.Section, "service ")
 	if !ok {
 		return accountEffects(c)
@@ -132,11 +132,11 @@
 	before, after := old.Services[name], new.Services[name]
 	switch {
 	case before == nil:
-		return added(after)
+		return addedServiceEffects(after)
 	case after == nil:
 		return []string{"no new work", "running work ends", "replicas are unloaded"}
 	}
-	return changed(before, after)
+	return changedServiceEffects(before, after)
 }
 
 func accountEffects(c Change) []string {
@@ -146,7 +146,7 @@
 	return nil
 }
 
-func added(s *site.Service) []string {
+func addedServiceEffects(s *site.Service) []string {
 	var list []string
 	for _, zone := range slices.Sorted(maps.Keys(s.Replicas)) {
 		list = append(list, fmt.Sprintf("load %d in %s", s.Replicas[zone], zone))
@@ -157,7 +157,7 @@
 	return list
 }
 
-func changed(before, after *site.Service) []string {
+func changedServiceEffects(before, after *site.Service) []string {
 	if before.Kind == site.KindPlain && after.Kind == site.KindPlain {
 		return nil // nothing to load on a plain service
 	}
--- a/control/operate/status.go
+++ b/control/operate/status.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	pageTimeout = 2 * time.Second
-	largestPage = 4 << 20 // 390 members take some 60 KB
-	// pagesAtOnce bounds open requests for pages.
-	pagesAtOnce = 32
+	statusPageTimeout = 2 * time.Second
+	maxPageBytes      = 4 << 20 // 390 members take some 60 KB
+	// maxConcurrentReads bounds open requests for pages.
+	maxConcurrentReads = 32
 )
 
 // PageReader reads status pages of daemons.
@@ -42,14 +42,14 @@
 // Read asks all addresses and returns the answers in their order.
 func (p *PageReader) Read(ctx context.Context, addresses []string) []PageResult {
 	answers := make([]PageResult, len(addresses))
-	slots := make(chan struct{}, pagesAtOnce)
+	slots := make(chan struct{}, maxConcurrentReads)
 	var wg sync.WaitGroup
 	for i, address := range addresses {
 		wg.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
 			answers[i].Address = address
-			if err := p.read(ctx, address, &answers[i].Page); err != nil {
+			if err := p.fetch(ctx, address, &answers[i].Page); err != nil {
 				answers[i].Error = err.Error()
 			}
 		})
@@ -58,8 +58,8 @@
 	return answers
 }
 
-func (p *PageReader) read(ctx context.Context, address string, page *statuspage.Page) error {
-	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
+func (p *PageReader) fetch(ctx context.Context, address string, page *statuspage.Page) error {
+	ctx, cancel := context.WithTimeout(ctx, statusPageTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.Scheme+"://"+address+"/status", nil)
 	if err != nil {
@@ -76,7 +76,7 @@
 	if response.StatusCode != http.StatusOK {
 		return errors.Errorf("answered %s", response.Status)
 	}
-	return json.NewDecoder(io.LimitReader(response.Body, largestPage)).Decode(page)
+	return json.NewDecoder(io.LimitReader(response.Body, maxPageBytes)).Decode(page)
 }
 
 // Status is the state of the configuration in the whole site.
@@ -121,41 +121,41 @@
 		s.StoreState = err.Error()
 	}
 	s.AcceptedRevision = revisionOf(head)
-	vms := map[string]located{}
+	vms := map[string]vmReport{}
 	for _, a := range answers {
 		if a.Error != "" {
 			s.Unreachable = append(s.Unreachable, a)
 			continue
 		}
-		s.take(a.Page, vms)
+		s.addPage(a.Page, vms)
 	}
-	s.zones(vms)
+	s.groupByZone(vms)
 	return s
 }
 
-type located struct {
+type vmReport struct {
 	VM
-	zone  string
-	first bool // said by the daemon itself
+	zone     string
+	isDirect bool // said by the daemon itself
 }
 
-func (s *Status) take(p statuspage.Page, vms map[string]located) {
+func (s *Status) addPage(p statuspage.Page, vms map[string]vmReport) {
 	s.AcceptedRevision = max(s.AcceptedRevision, p.Config.Revision)
 	s.Changes = append(s.Changes, p.Changes...)
 	for _, w := range p.Warnings {
 		s.Warnings = append(s.Warnings, Warning{p.VM, w})
 	}
-	vms[p.VM] = located{VM{ID: p.VM, State: p.State, Revision: p.Config.Revision, ObservedAt: p.Time}, p.Zone, true}
+	vms[p.VM] = vmReport{VM{ID: p.VM, State: p.State, Revision: p.Config.Revision, ObservedAt: p.Time}, p.Zone, true}
 	for _, m := range p.Members {
 		known, ok := vms[m.ID]
-		if ok && (known.first || !m.ObservedAt.After(known.ObservedAt)) {
+		if ok && (known.isDirect || !m.ObservedAt.After(known.ObservedAt)) {
 			continue
 		}
-		vms[m.ID] = located{VM{ID: m.ID, State: m.State, Revision: m.Revision, ObservedAt: m.ObservedAt}, m.Zone, false}
+		vms[m.ID] = vmReport{VM{ID: m.ID, State: m.State, Revision: m.Revision, ObservedAt: m.ObservedAt}, m.Zone, false}
 	}
 }
 
-func (s *Status) zones(vms map[string]located) {
+func (s *Status) groupByZone(vms map[string]vmReport) {
 	byZone := map[string]*Zone{}
 	for _, vm := range vms {
 		z := byZone[vm.zone]
@@ -200,7 +200,7 @@
 	defer w.Flush()
 	fmt.Fprintf(w, "newest accepted revision: %d, store: %s\n", s.AcceptedRevision, s.StoreState)
 	for _, z := range s.Zones {
-		fmt.Fprintf(w, "zone\t%s\trevision %d in force\t%d VMs%s\n", z.Name, z.MinRevision, len(z.VMs), lagging(z))
+		fmt.Fprintf(w, "zone\t%s\trevision %d in force\t%d VMs%s\n", z.Name, z.MinRevision, len(z.VMs), formatLagging(z))
 	}
 	for _, a := range s.Unreachable {
 		fmt.Fprintf(w, "no answer\t%s\t%s\n", a.Address, a.Error)
@@ -213,7 +213,7 @@
 	}
 }
 
-func lagging(z Zone) string {
+func formatLagging(z Zone) string {
 	var ids []string
 	for _, vm := range z.VMs {
 		if vm.IsLagging {
--- a/control/site/check.go
+++ b/control/site/check.go
@@ -9,7 +9,7 @@
 
 // check finds the faults that concern more than one key.
 func (p *parser) check() {
-	if p.at["site"] == nil {
+	if p.sections["site"] == nil {
 		p.errs.Add(0, "no section [site]", "add it with name and zones")
 	}
 	for _, name := range slices.Sorted(maps.Keys(p.site.Services)) {
@@ -20,25 +20,25 @@
 		p.checkDependencies(s)
 	}
 	p.checkCycles()
-	p.checkTokens()
+	p.checkTokenHashes()
 }
 
-func (p *parser) fault(s *Service, key, what, instead string) {
-	p.errs.Add(p.at["service "+s.Name].LineOf(key), "service "+s.Name+" "+what, instead)
+func (p *parser) addFault(s *Service, key, what, instead string) {
+	p.errs.Add(p.sections["service "+s.Name].LineOf(key), "service "+s.Name+" "+what, instead)
 }
 
 func (p *parser) checkModel(s *Service) {
 	switch {
 	case s.Kind == KindGeneration && s.Model == "":
-		p.fault(s, "model", "has no model", "add model = NAME")
+		p.addFault(s, "model", "has no model", "add model = NAME")
 	case s.Kind == KindPlain && s.Model+s.Adapter != "":
-		p.fault(s, "model", "is plain and names a model or adapter", "remove it or write kind = generation")
+		p.addFault(s, "model", "is plain and names a model or adapter", "remove it or write kind = generation")
 	}
 }
 
 func (p *parser) checkPool(s *Service) {
 	if s.Pool != "" && p.site.Pools[s.Pool] == nil {
-		p.fault(s, "pool", fmt.Sprintf("runs in pool %q, which is not defined", s.Pool), "add [pool "+s.Pool+"] or name another pool")
+		p.addFault(s, "pool", fmt.Sprintf("runs in pool %q, which is not defined", s.Pool), "add [pool "+s.Pool+"] or name another pool")
 	}
 }
 
@@ -51,15 +51,15 @@
 		total += n
 		key := "replicas." + zone
 		if !slices.Contains(p.site.Zones, zone) {
-			p.fault(s, key, fmt.Sprintf("wants replicas in zone %q, which [site] does not list", zone),
+			p.addFault(s, key, fmt.Sprintf("wants replicas in zone %q, which [site] does not list", zone),
 				"write one of "+strings.Join(p.site.Zones, ", "))
 		}
 		if n > 0 && s.Floor > n {
-			p.fault(s, key, fmt.Sprintf("wants %d replicas in %s, below its floor of %d", n, zone, s.Floor), "lower the floor or raise the replicas")
+			p.addFault(s, key, fmt.Sprintf("wants %d replicas in %s, below its floor of %d", n, zone, s.Floor), "lower the floor or raise the replicas")
 		}
 	}
 	if total == 0 {
-		p.fault(s, "replicas.", "has no replicas in any zone", "add replicas.ZONE = 1 or more, or remove the service")
+		p.addFault(s, "replicas.", "has no replicas in any zone", "add replicas.ZONE = 1 or more, or remove the service")
 	}
 }
 
@@ -67,11 +67,11 @@
 	for i, d := range s.DependsOn {
 		switch {
 		case d == s.Name:
-			p.fault(s, "depends_on", "depends on itself", "remove it from depends_on")
+			p.addFault(s, "depends_on", "depends on itself", "remove it from depends_on")
 		case p.site.Services[d] == nil:
-			p.fault(s, "depends_on", fmt.Sprintf("depends on %q, which is not defined", d), "add [service "+d+"] or remove it from depends_on")
+			p.addFault(s, "depends_on", fmt.Sprintf("depends on %q, which is not defined", d), "add [service "+d+"] or remove it from depends_on")
 		case slices.Contains(s.DependsOn[:i], d):
-			p.fault(s, "depends_on", fmt.Sprintf("names %q twice", d), "name it once")
+			p.addFault(s, "depends_on", fmt.Sprintf("names %q twice", d), "name it once")
 		}
 	}
 }
@@ -80,18 +80,18 @@
 func (p *parser) checkCycles() {
 	done := map[string]bool{}
 	for _, start := range slices.Sorted(maps.Keys(p.site.Services)) {
-		cycle := p.cycle(start, nil, done)
+		cycle := p.findCycle(start, nil, done)
 		if len(cycle) < 2 {
 			continue
 		}
-		p.fault(p.site.Services[cycle[0]], "depends_on",
+		p.addFault(p.site.Services[cycle[0]], "depends_on",
 			"is in a cycle: "+strings.Join(append(cycle, cycle[0]), " -> "), "remove one of these dependencies")
 	}
 }
 
-// cycle walks dependencies depth first and returns the first cycle it meets.
+// findCycle walks dependencies depth first and returns the first cycle it meets.
 // A service whose walk ended is done, so each is walked once.
-func (p *parser) cycle(name string, path []string, done map[string]bool) []string {
+func (p *parser) findCycle(name string, path []string, done map[string]bool) []string {
 	if i := slices.Index(path, name); i >= 0 {
 		return slices.Clone(path[i:])
 	}
@@ -105,21 +105,21 @@
 		if d == name {
 			continue // reported by checkDependencies
 		}
-		if c := p.cycle(d, path, done); c != nil {
+		if c := p.findCycle(d, path, done); c != nil {
 			return c
 		}
 	}
 	return nil
 }
 
-// checkTokens refuses a token hash in two places: which account a caller has
+// checkTokenHashes refuses a token hash in two places: which account a caller has
 // would depend on the order of the text.
-func (p *parser) checkTokens() {
+func (p *parser) checkTokenHashes() {
 	owner := map[string]string{}
 	for _, name := range slices.Sorted(maps.Keys(p.site.Accounts)) {
 		for _, h := range p.site.Accounts[name].TokenHashes {
 			if first, dup := owner[h]; dup {
-				p.errs.Add(p.at["account "+name].LineOf("token_hashes"),
+				p.errs.Add(p.sections["account "+name].LineOf("token_hashes"),
 					fmt.Sprintf("account %s has a token hash that account %s lists already", name, first), "give each account its own tokens")
 			}
 			owner[h] = name
--- a/control/site/fields.go
+++ b/control/site/fields.go
@@ -12,15 +12,15 @@
 // Bounds of values. They catch slips such as a missing unit; they are far
 // beyond what the system is sized for.
 const (
-	mostReplicas   = 100_000
-	mostSlots      = 10_000
-	mostTokens     = 10_000_000
-	mostBodyBytes  = 256 << 20
-	mostShare      = 1_000_000
-	mostTokensPerS = 1e9
-	longestWait    = 24 * time.Hour
-	shortestWait   = 10 * time.Millisecond
-	shortestTTL    = time.Second
+	maxReplicas        = 100_000
+	maxSlots           = 10_000
+	maxMaxTokens       = 10_000_000
+	maxBodyBytes       = 256 << 20
+	maxShare           = 1_000_000
+	maxTokensPerSecond = 1e9
+	maxDuration        = 24 * time.Hour
+	minDeadline        = 10 * time.Millisecond
+	minTTL             = time.Second
 )
 
 // Defaults of keys that a section leaves out.
@@ -61,7 +61,7 @@
 var accountFields = []inifile.Field[Account]{
 	{Name: "token_hashes", Required: true, Secret: true, Help: "lower-case hex SHA-256 of each bearer token, comma-separated", Set: setTokenHashes},
 	{Name: "share", Default: "1", Help: "weight in fair sharing", Set: setShare},
-	{Name: "tokens_per_second", Default: "0", Help: "limit over all entry VMs, 0 for none", Set: setTokensPerS},
+	{Name: "tokens_per_second", Default: "0", Help: "limit over all entry VMs, 0 for none", Set: setTokensPerSecond},
 }
 
 var serviceFields = []inifile.Field[Service]{
@@ -106,13 +106,13 @@
 }
 
 func setBodyBytes(to *Limits, _, value string) (err error) {
-	to.BodyBytes, err = inifile.Int(value, 1, mostBodyBytes)
+	to.BodyBytes, err = inifile.Int(value, 1, maxBodyBytes)
 	return err
 }
 
 func setTTL(field func(*Limits) *time.Duration) func(*Limits, string, string) error {
 	return func(to *Limits, _, value string) (err error) {
-		*field(to), err = inifile.Duration(value, shortestTTL, longestWait)
+		*field(to), err = inifile.Duration(value, minTTL, maxDuration)
 		return err
 	}
 }
@@ -123,7 +123,7 @@
 }
 
 func setSlots(to *Pool, _, value string) error {
-	n, err := inifile.Int(value, 1, mostSlots)
+	n, err := inifile.Int(value, 1, maxSlots)
 	to.Slots = int(n)
 	return err
 }
@@ -137,12 +137,12 @@
 }
 
 func setShare(to *Account, _, value string) (err error) {
-	to.Share, err = inifile.Float(value, 0.001, mostShare)
+	to.Share, err = inifile.Float(value, 0.001, maxShare)
 	return err
 }
 
-func setTokensPerS(to *Account, _, value string) (err error) {
-	to.TokensPerSecond, err = inifile.Float(value, 0, mostTokensPerS)
+func setTokensPerSecond(to *Account, _, value string) (err error) {
+	to.TokensPerSecond, err = inifile.Float(value, 0, maxTokensPerSecond)
 	return err
 }
 
@@ -165,13 +165,13 @@
 func setVersion(to *Service, _, value string) error { return setName(&to.Version, value) }
 
 func setReplicas(to *Service, zone, value string) error {
-	n, err := inifile.Int(value, 0, mostReplicas)
+	n, err := inifile.Int(value, 0, maxReplicas)
 	to.Replicas[zone] = int(n)
 	return err
 }
 
 func setFloor(to *Service, _, value string) error {
-	n, err := inifile.Int(value, 0, mostReplicas)
+	n, err := inifile.Int(value, 0, maxReplicas)
 	to.Floor = int(n)
 	return err
 }
@@ -182,7 +182,7 @@
 }
 
 func setDeadline(to *Service, _, value string) (err error) {
-	to.Deadline, err = inifile.Duration(value, shortestWait, longestWait)
+	to.Deadline, err = inifile.Duration(value, minDeadline, maxDuration)
 	return err
 }
 
@@ -202,7 +202,7 @@
 }
 
 func setMaxTokens(to *Service, _, value string) error {
-	n, err := inifile.Int(value, 1, mostTokens)
+	n, err := inifile.Int(value, 1, maxMaxTokens)
 	to.MaxTokens = int(n)
 	return err
 }
--- a/control/site/parse.go
+++ b/control/site/parse.go
@@ -24,9 +24,9 @@
 		Pools:    map[string]*Pool{},
 		Accounts: map[string]*Account{},
 		Limits:   DefaultLimits(),
-	}, at: map[string]*inifile.Section{}}
+	}, sections: map[string]*inifile.Section{}}
 	for _, s := range inifile.Parse(text, errs) {
-		p.section(s)
+		p.decodeSection(s)
 	}
 	p.check()
 	if err := errs.Err(); err != nil {
@@ -36,30 +36,30 @@
 }
 
 type parser struct {
-	errs *inifile.Collector
-	site *Site
-	at   map[string]*inifile.Section // by header, for the lines of cross-checks
+	errs     *inifile.Collector
+	site     *Site
+	sections map[string]*inifile.Section // by header, for the lines of cross-checks
 }
 
-func (p *parser) section(s *inifile.Section) {
-	p.at[s.Header()] = s
+func (p *parser) decodeSection(s *inifile.Section) {
+	p.sections[s.Header()] = s
 	switch s.Kind {
 	case "site", "limits":
-		p.single(s)
+		p.decodeUnnamed(s)
 	case "service":
-		if p.named(s) {
+		if p.hasValidName(s) {
 			svc := newService(s.Name)
 			inifile.Decode(s, serviceFields, svc, p.errs)
 			p.site.Services[s.Name] = svc
 		}
 	case "pool":
-		if p.named(s) {
+		if p.hasValidName(s) {
 			pool := newPool(s.Name)
 			inifile.Decode(s, poolFields, pool, p.errs)
 			p.site.Pools[s.Name] = pool
 		}
 	case "account":
-		if p.named(s) {
+		if p.hasValidName(s) {
 			account := newAccount(s.Name)
 			inifile.Decode(s, accountFields, account, p.errs)
 			p.site.Accounts[s.Name] = account
@@ -70,7 +70,7 @@
 	}
 }
 
-func (p *parser) single(s *inifile.Section) {
+func (p *parser) decodeUnnamed(s *inifile.Section) {
 	if s.Name != "" {
 		p.errs.Add(s.Line, fmt.Sprintf("section [%s] has a name", s.Header()), "write ["+s.Kind+"]")
 	}
@@ -81,7 +81,7 @@
 	inifile.Decode(s, limitFields, &p.site.Limits, p.errs)
 }
 
-func (p *parser) named(s *inifile.Section) bool {
+func (p *parser) hasValidName(s *inifile.Section) bool {
 	if inifile.IsName(s.Name) {
 		return true
 	}
--- a/peer/link/link.go
+++ b/peer/link/link.go
@@ -15,11 +15,11 @@
 	// hundreds a daemon calls each of the others now and then; connections to all of them
 	// would take more memory than everything else.
 	idleTimeout = 2 * time.Second
-	// idlePerPeer bounds kept connections to one peer. Each running generation
+	// maxIdlePerPeer bounds kept connections to one peer. Each running generation
 	// has one write of its copy under way to its holder, and with few daemons
 	// many share a holder; below that number connections are opened and closed
 	// for nearly every token.
-	idlePerPeer = 64
+	maxIdlePerPeer = 64
 )
 
 // Dialer holds what calls between daemons share. It is safe for concurrent use.
@@ -34,7 +34,7 @@
 	t := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		TLSClientConfig:     config,
-		MaxIdleConnsPerHost: idlePerPeer,
+		MaxIdleConnsPerHost: maxIdlePerPeer,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
