--- a/control/operate/apply.go
+++ b/control/operate/apply.go
@@ -12,16 +12,16 @@
 	"mallowwind.dev/external/store"
 )
 
-// Request is a change that an operator wants.
+// Request is a change of the site text to apply.
 type Request struct {
 	Text         string
-	BaseRevision int64 // revision it was planned against, 0 for the first text
+	BaseRevision int64 // revision it was planned against; 0 for the first text
 	Comment      string
-	// RestoredRevision is the revision whose text this is, when rolling back.
+	// RestoredRevision is the revision whose text is applied again by a rollback, otherwise 0.
 	RestoredRevision int64
-	// AboveRevision makes the new revision higher than this as well. It is needed once
-	// after the store was restored from an older copy: daemons then have in
-	// force, and rightly keep, a higher revision than the store knows.
+	// AboveRevision is a lower bound: the new revision is higher than it. It is needed once after the
+	// store was restored from an older backup: daemons then have a higher revision in force than the
+	// store holds, and by design never go back to a lower one.
 	AboveRevision int64
 }
 
@@ -30,9 +30,10 @@
 	maxRetryDelay     = 3 * time.Second
 )
 
-// Apply makes the text of request the newest accepted one and returns its
-// record. The caller has checked the text. Errors are *ConflictError and
-// *StoreError; ctx bounds how long an unavailable store is waited for.
+// Apply makes the text of request the newest accepted one and returns its record. It returns a
+// *ConflictError if another change was accepted since BaseRevision, a *StoreError if the store is
+// unavailable, and another error if the text is invalid or belongs to another site. ctx bounds the
+// retries while the store is unavailable.
 func (c *Client) Apply(ctx context.Context, request Request) (*record.Record, error) {
 	if _, err := c.parseOwnSite(request.Text); err != nil {
 		return nil, err
@@ -76,7 +77,7 @@
 	return a.Revision
 }
 
-// newRecord is the record of a change to head.
+// newRecord returns the record of the change that replaces head.
 func (c *Client) newRecord(ctx context.Context, head record.Accepted, request Request) *record.Record {
 	r := &record.Record{
 		ID: uuid.NewString(), Revision: max(revisionOf(head), request.AboveRevision) + 1, BaseRevision: revisionOf(head),
@@ -86,7 +87,7 @@
 	if head.Record == nil {
 		return r
 	}
-	// Without a difference watchers read the body: dearer, not wrong.
+	// Without a patch the watching daemons read the whole text, which costs more but is correct.
 	if old, err := c.readText(ctx, head); err == nil {
 		if p := patch.Make(old.Text, request.Text); p.Size() <= record.MaxPatchBytes {
 			r.Patch = p
@@ -95,13 +96,13 @@
 	return r
 }
 
-// accept replaces head by next and reports whether that happened.
+// accept replaces head by next and reports whether next was accepted.
 //
-// A write can take effect while its answer is lost. Concluding from the error
-// would tell the operator that nothing changed while the fleet follows the
-// new text. So after an unknown outcome the store is read: next carries an id
-// of its own. While the old record is still there the same compare-and-swap
-// is sent again; whichever of the two takes effect, it does so once.
+// A write can take effect although its answer is lost. Reporting the error as a failure would tell the
+// operator that nothing changed while the daemons already follow the new text. After an unknown outcome
+// the same compare-and-swap is therefore sent again, which is safe because at most one of the two can
+// take effect. If it conflicts, the store is read and the unique ID of next tells whether the first
+// write took effect.
 func (c *Client) accept(ctx context.Context, head record.Accepted, next *record.Record) (bool, error) {
 	unknown, accepted := false, false
 	err := retryTransient(ctx, func(ctx context.Context) error {
@@ -124,8 +125,8 @@
 	return accepted, nil
 }
 
-// isAccepted looks for next as the newest record or, if another change was
-// accepted right after it, in the history, where that one put it first.
+// isAccepted reports whether next is the newest record or, if another change has already replaced it, in
+// the history. A change is archived before it is replaced, so it is found in one of the two.
 func (c *Client) isAccepted(ctx context.Context, next *record.Record) (bool, error) {
 	now, err := record.ReadHead(ctx, c.Store, c.keys())
 	if err != nil {
@@ -141,7 +142,7 @@
 	return err == nil && old.ID == next.ID, err
 }
 
-// conflict describes what was accepted since planned.
+// conflict returns the error that describes what was accepted after the planned revision.
 func (c *Client) conflict(ctx context.Context, planned int64, head record.Accepted) error {
 	if head.Record == nil {
 		return errors.Errorf("planned against revision %d, but no text has been accepted yet; use --against 0", planned)
@@ -163,8 +164,8 @@
 	return e
 }
 
-// retryTransient repeats call while the store is unavailable or the outcome unknown,
-// until ctx ends. Each call has its own deadline.
+// retryTransient retries call with exponential backoff while the store is unavailable or the outcome is
+// unknown, until ctx ends. Each attempt has its own timeout.
 func retryTransient(ctx context.Context, call func(context.Context) error) error {
 	wait := initialRetryDelay
 	for {
--- a/control/operate/handover.go
+++ b/control/operate/handover.go
@@ -11,22 +11,23 @@
 	"mallowwind.dev/control/inforce/record"
 )
 
-// Handover is what one shift gives to the next.
+// Handover is the report that an operator passes to the next shift: the accepted text and the state
+// of the deployment.
 type Handover struct {
 	Time   time.Time      `json:"time"`
-	Record *record.Record `json:"record,omitempty"` // nil when the store does not answer
+	Record *record.Record `json:"record,omitempty"` // nil when the store is unavailable or no text is accepted yet
 	Text   string         `json:"text,omitempty"`
 	Status *Status        `json:"status"`
-	// Recent are the last accepted changes, newest first.
+	// Recent lists the most recently accepted changes, newest first.
 	Recent []record.Record `json:"recent,omitempty"`
 }
 
-// maxRecentChanges is how many changes a handover lists: about an hour's at
-// 5,200 a day would be 200, more than anyone reads.
+// maxRecentChanges bounds the changes that a handover lists. At 5,200 changes a day the changes of
+// one hour alone would be about 200, which is too long to read.
 const maxRecentChanges = 20
 
-// Handover gathers text, revision, lagging VMs, running changes and open
-// warnings. A store that does not answer is part of the report, not a failure.
+// Handover collects the accepted text, its revision, lagging VMs, changes in progress and current
+// warnings. An unavailable store is part of the report, not an error.
 func (c *Client) Handover(ctx context.Context, answers []PageResult) (*Handover, error) {
 	h := &Handover{Time: time.Now().UTC(), Status: c.Status(ctx, answers)}
 	current, err := c.Get(ctx)
@@ -47,8 +48,8 @@
 	return h, nil
 }
 
-// Write prints the report as comments and then the text itself, so that the
-// whole is again a site text that check accepts and version control can hold.
+// Write prints the report as comments followed by the site text, so that the output is itself a valid
+// site text that can be checked, committed to version control and applied.
 func (h *Handover) Write(out io.Writer) {
 	c := &commentWriter{out: out}
 	fmt.Fprintf(c, "handover at %s\n", h.Time.Format(time.RFC3339))
@@ -66,10 +67,10 @@
 	io.WriteString(out, "\n"+h.Text)
 }
 
-// commentWriter puts "# " before each line.
+// commentWriter prefixes each line with "# ".
 type commentWriter struct {
 	out       io.Writer
-	isMidLine bool // of a line
+	isMidLine bool // the last byte written did not end a line
 }
 
 func (c *commentWriter) Write(p []byte) (int, error) {
--- a/control/operate/history.go
+++ b/control/operate/history.go
@@ -12,16 +12,15 @@
 )
 
 const (
-	// maxHistoryEntries is how many replaced texts the store keeps. Version control
-	// is the long memory; this one is for a rollback within a shift: at 100 KB
-	// a text it takes 20 MB of the store.
+	// maxHistoryEntries is how many replaced texts the store keeps. The history serves rollbacks within
+	// a shift; older texts are kept in version control. At 100 KB per text it takes 20 MB of the store.
 	maxHistoryEntries = 200
-	// pruneEveryRevisions is how many changes pass between two clean-ups, each of which
-	// lists the history.
+	// pruneEveryRevisions is the number of revisions between two prunings, each of which lists the whole
+	// history.
 	pruneEveryRevisions = 20
 )
 
-// History returns the accepted records, newest first.
+// History returns the newest accepted record and those in the history, newest first.
 func (c *Client) History(ctx context.Context) ([]record.Record, error) {
 	head, err := c.head(ctx)
 	if err != nil || head.Record == nil {
@@ -41,7 +40,8 @@
 	return list, nil
 }
 
-// listHistory returns the history, oldest first.
+// listHistory returns the records of replaced revisions, oldest first. It skips records that cannot be
+// decoded.
 func (c *Client) listHistory(ctx context.Context) ([]record.Accepted, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
@@ -58,8 +58,8 @@
 	return list, nil
 }
 
-// prune removes what the history holds beyond its bound. What it fails to
-// remove the next one does.
+// prune removes the oldest history entries beyond maxHistoryEntries, on a best-effort basis: the next
+// pruning tries again for entries that it failed to remove.
 func (c *Client) prune(ctx context.Context) {
 	list, err := c.listHistory(ctx)
 	if err != nil || len(list) <= maxHistoryEntries {
@@ -71,7 +71,7 @@
 	}
 }
 
-// remove deletes a key that nobody writes any more; failing leaves it behind.
+// remove deletes a key that is not written any more. On failure the key stays in the store.
 func (c *Client) remove(ctx context.Context, key string) {
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
@@ -82,9 +82,9 @@
 	_ = c.Store.Delete(ctx, key, kv.Version)
 }
 
-// archive keeps the record that is about to be replaced, so that it can be
-// read and rolled back to. It comes before the replacement: a record is
-// found either as the newest or in the history at any time.
+// archive adds the record that is about to be replaced to the history, so that it can be read and rolled
+// back to. It runs before the replacement, so that an accepted record is at any time either the newest
+// or in the history.
 func (c *Client) archive(ctx context.Context, head record.Accepted) error {
 	if head.Record == nil {
 		return nil
@@ -94,8 +94,8 @@
 	return c.create(ctx, c.keys().HistoryEntry(head.Revision), kept.Encode())
 }
 
-// create writes a key that only ever gets this one value. A conflict means
-// that it is there already, also by a write whose answer was lost.
+// create writes a key that is only ever given this one value. It treats a conflict as success: the value
+// is already there, possibly from an earlier attempt whose answer was lost.
 func (c *Client) create(ctx context.Context, key string, value []byte) error {
 	return retryTransient(ctx, func(ctx context.Context) error {
 		_, err := c.Store.CompareAndSwap(ctx, key, 0, value, 0)
--- a/control/operate/operate.go
+++ b/control/operate/operate.go
@@ -1,5 +1,8 @@
-// Package operate is what operators do with the site text: check, plan, apply,
-// read it back, and see where it is in force. mallowctl is a thin shell on it.
+// Package operate implements the operators' actions on the site text: check, plan, apply, read and
+// roll back, and report on which VMs each revision is in force. The mallowctl command calls it.
+//
+// Concurrent changes are detected by compare-and-swap on the newest record: without it the change of
+// one operator would silently undo the change of another.
 package operate
 
 import (
@@ -18,32 +21,32 @@
 type Client struct {
 	Store store.Store
 	Site  string
-	// Author stands in the history beside each change.
+	// Author is recorded in the history with each change.
 	Author string
 }
 
-// Current is an accepted text with its record.
+// Current is an accepted site text with its record.
 type Current struct {
 	record.Accepted
 	Text string
 }
 
-// storeCallTimeout bounds one call to the store; operators can wait longer than
-// daemons do.
+// storeCallTimeout bounds one call to the store. It may be longer than the timeouts of daemons because
+// only an operator waits for it.
 const storeCallTimeout = 5 * time.Second
 
-// ErrNoText means that no text has been accepted yet.
+// ErrNoText is returned when no site text has been accepted yet.
 var ErrNoText = errors.New("no site text has been accepted yet")
 
-// StoreError means that the store did not answer. Unknown tells whether the
-// change may have been accepted all the same.
+// StoreError means that a call to the store failed. OutcomeUnknown is true when the change may have been
+// accepted nevertheless, because the answer to a write was lost.
 type StoreError struct {
 	OutcomeUnknown bool
-	ChangeID       string // of the change, when Unknown
+	ChangeID       string // of the change, set with OutcomeUnknown
 	Err            error
 }
 
-// Error says what the operator knows and can do.
+// Error says whether the change may have been accepted and how to find out.
 func (e *StoreError) Error() string {
 	if !e.OutcomeUnknown {
 		return fmt.Sprintf("the store does not answer, nothing was changed: %v", e.Err)
@@ -55,32 +58,33 @@
 // Unwrap returns the store's error.
 func (e *StoreError) Unwrap() error { return e.Err }
 
-// ExitCode is 4: store unavailable or outcome unknown.
+// ExitCode returns 4, the exit code for an unavailable store or an unknown outcome.
 func (e *StoreError) ExitCode() int { return 4 }
 
-// ConflictError means that another change was accepted since this one was planned.
+// ConflictError means that another change was accepted after this one was planned.
 type ConflictError struct {
 	PlannedRevision int64
-	Head            record.Accepted // what is accepted instead
-	Changes         []Change        // from the planned revision to Head; nil when its text is gone
+	Head            record.Accepted // the newest accepted record
+	Changes         []Change        // from the planned revision to Head; nil when either text cannot be read
 }
 
-// Error names who changed what.
+// Error names the author, the time and the comment of the newest change, and lists what differs from the
+// planned revision.
 func (e *ConflictError) Error() string {
 	text := fmt.Sprintf("planned against revision %d, but revision %d is accepted: %s at %s: %q",
 		e.PlannedRevision, e.Head.Revision, e.Head.Author, e.Head.AppliedAt.UTC().Format(time.RFC3339), e.Head.Comment)
 	for _, c := range e.Changes {
 		text += "\n  " + c.String()
 	}
-	return text + "\nlook at these changes, merge them into the text and plan again"
+	return text + "\nmerge these changes into the text and plan again"
 }
 
-// ExitCode is 3: conflict.
+// ExitCode returns 3, the exit code for a conflict.
 func (e *ConflictError) ExitCode() int { return 3 }
 
 func (c *Client) keys() record.Keys { return record.KeysOf(c.Site) }
 
-// Get returns the newest accepted text, or ErrNothing.
+// Get returns the newest accepted text, or ErrNoText.
 func (c *Client) Get(ctx context.Context) (*Current, error) {
 	head, err := c.head(ctx)
 	if err != nil {
@@ -92,7 +96,7 @@
 	return c.readText(ctx, head)
 }
 
-// GetRevision returns the text of an older revision that the history still holds.
+// GetRevision returns the text of revision, which must be the newest or still be in the history.
 func (c *Client) GetRevision(ctx context.Context, revision int64) (*Current, error) {
 	head, err := c.head(ctx)
 	if err != nil {
@@ -103,7 +107,7 @@
 	}
 	old, err := c.readHistoryEntry(ctx, revision)
 	if errors.Is(err, store.ErrNotFound) {
-		return nil, errors.Errorf("the history does not hold revision %d", revision)
+		return nil, errors.Errorf("revision %d is neither the newest nor in the history", revision)
 	}
 	if err != nil {
 		return nil, &StoreError{Err: err}
@@ -111,7 +115,7 @@
 	return c.readText(ctx, old)
 }
 
-// head returns the newest record; its Record is nil before the first.
+// head returns the newest accepted record. Its Record is nil before the first text is accepted.
 func (c *Client) head(ctx context.Context) (record.Accepted, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
@@ -125,7 +129,7 @@
 	return head, nil
 }
 
-// readHistoryEntry returns a record of the history.
+// readHistoryEntry returns the record of a replaced revision from the history.
 func (c *Client) readHistoryEntry(ctx context.Context, revision int64) (record.Accepted, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
@@ -149,7 +153,7 @@
 	return &Current{Accepted: a, Text: text}, nil
 }
 
-// parseOrEmpty returns the site that text says, or an empty one for no text.
+// parseOrEmpty parses text. An empty text yields a site without sections and with default limits.
 func parseOrEmpty(name, text string) (*site.Site, error) {
 	if text == "" {
 		return &site.Site{Limits: site.DefaultLimits()}, nil
--- a/control/operate/plan.go
+++ b/control/operate/plan.go
@@ -11,7 +11,7 @@
 	"mallowwind.dev/control/site"
 )
 
-// Action is what a change does to a section.
+// Action is the kind of a change to a section.
 type Action string
 
 // The actions.
@@ -21,23 +21,23 @@
 	Changed Action = "changed"
 )
 
-// Change is the difference in one section, by meaning: comments, order and
-// written-out defaults make none.
+// Change is the semantic difference in one section. Comments, order and explicitly written defaults do
+// not count as changes.
 type Change struct {
-	Section string      `json:"section"` // header without brackets
+	Section string      `json:"section"` // section header without brackets
 	Action  Action      `json:"action"`
 	Keys    []KeyChange `json:"keys,omitempty"`
-	Effects []string    `json:"effects,omitempty"` // what will be done, in order
+	Effects []string    `json:"effects,omitempty"` // what the system will do, in order
 }
 
-// KeyChange is a key whose value differs. Secret values are left out.
+// KeyChange is a key whose value differs. Token hashes are replaced by their count and a digest.
 type KeyChange struct {
 	Key string `json:"key"`
 	Old string `json:"old"`
 	New string `json:"new"`
 }
 
-// String returns one line.
+// String returns the change as one line of text.
 func (c Change) String() string {
 	var keys []string
 	if c.Action == Changed {
@@ -62,8 +62,8 @@
 	return value
 }
 
-// parseOwnSite parses text and refuses one of another site, which would pull the
-// whole site's services away by a slip of a file name.
+// parseOwnSite parses text and rejects the text of another site: applying the wrong file by mistake would
+// remove all services of this site.
 func (c *Client) parseOwnSite(text string) (*site.Site, error) {
 	s, err := site.Parse("site text", []byte(text))
 	if err != nil {
@@ -75,7 +75,7 @@
 	return s, nil
 }
 
-// Plan returns what changes between two texts; an empty old text is no text.
+// Plan returns the changes between two texts, sorted by section. An empty text stands for no text.
 func Plan(oldText, newText string) ([]Change, error) {
 	old, err := parseOrEmpty("accepted text", oldText)
 	if err != nil {
@@ -123,7 +123,7 @@
 	return c, c.Action != Changed || len(c.Keys) > 0
 }
 
-// changeEffects says what the system will do, in the order in which it does it.
+// changeEffects describes what the system will do because of c, in the order in which it does it.
 func changeEffects(c Change, old, new *site.Site) []string {
 	name, ok := strings.CutPrefix(c.Section, "service ")
 	if !ok {
@@ -159,7 +159,7 @@
 
 func changedServiceEffects(before, after *site.Service) []string {
 	if before.Kind == site.KindPlain && after.Kind == site.KindPlain {
-		return nil // nothing to load on a plain service
+		return nil // plain services load no models
 	}
 	var list []string
 	if before.Model != after.Model || before.Adapter != after.Adapter || before.Version != after.Version {
--- a/control/operate/status.go
+++ b/control/operate/status.go
@@ -20,26 +20,27 @@
 
 const (
 	statusPageTimeout = 2 * time.Second
-	maxPageBytes      = 4 << 20 // 390 members take some 60 KB
-	// maxConcurrentReads bounds open requests for pages.
+	maxPageBytes      = 4 << 20 // a page with 390 members takes about 60 KB
+	// maxConcurrentReads bounds the requests for status pages that are in flight at once.
 	maxConcurrentReads = 32
 )
 
-// PageReader reads status pages of daemons.
+// PageReader reads the status pages of daemons over HTTP.
 type PageReader struct {
 	Client *http.Client
 	Scheme string // http or https
-	Token  string // operators' bearer token, may be empty
+	Token  string // operators' bearer token; empty sends none
 }
 
-// PageResult is one daemon's page, or why there is none.
+// PageResult holds the status page of one daemon, or the error that prevented reading it.
 type PageResult struct {
 	Address string          `json:"address"`
 	Page    statuspage.Page `json:"page"`
 	Error   string          `json:"error,omitempty"`
 }
 
-// Read asks all addresses and returns the answers in their order.
+// Read fetches the status pages of all addresses concurrently and returns one result per address, in
+// the order of addresses.
 func (p *PageReader) Read(ctx context.Context, addresses []string) []PageResult {
 	answers := make([]PageResult, len(addresses))
 	slots := make(chan struct{}, maxConcurrentReads)
@@ -74,30 +75,30 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return errors.Errorf("answered %s", response.Status)
+		return errors.Errorf("GET /status returned %s, want 200 OK", response.Status)
 	}
 	return json.NewDecoder(io.LimitReader(response.Body, maxPageBytes)).Decode(page)
 }
 
-// Status is the state of the configuration in the whole site.
+// Status describes which revision of the site text is in force in each zone of the site.
 type Status struct {
-	AcceptedRevision int64               `json:"accepted"` // newest revision known, 0 for none
-	StoreState       string              `json:"store"`    // "answers", or the error
+	AcceptedRevision int64               `json:"accepted"` // newest revision known from the store or a daemon, 0 for none
+	StoreState       string              `json:"store"`    // "answers", or the error of the last read
 	Zones            []Zone              `json:"zones"`
 	Unreachable      []PageResult        `json:"no_answer"`
 	Changes          []statuspage.Change `json:"changes"`
 	Warnings         []Warning           `json:"warnings"`
 }
 
-// Zone is the configuration in one zone.
+// Zone describes which revisions are in force in one availability zone.
 type Zone struct {
 	Name        string `json:"name"`
-	MinRevision int64  `json:"revision"` // the lowest in force: what the whole zone has reached
+	MinRevision int64  `json:"revision"` // the lowest in force: every known VM of the zone has reached it
 	MaxRevision int64  `json:"newest"`   // the highest in force
 	VMs         []VM   `json:"vms"`
 }
 
-// VM is one entry VM. Revision is 0 where nobody has heard of one.
+// VM describes one entry VM. Revision is 0 when no daemon has reported a revision for it.
 type VM struct {
 	ID         string    `json:"id"`
 	State      string    `json:"state"`
@@ -106,14 +107,14 @@
 	IsLagging  bool      `json:"lags"`
 }
 
-// Warning is a warning with the daemon that gave it.
+// Warning is a warning of a status page together with the VM that reported it.
 type Warning struct {
 	VM string `json:"vm"`
 	statuspage.Warning
 }
 
-// Status joins the pages with what the store has accepted. What a daemon says
-// of itself counts more than what others heard of it; of hearsay the latest.
+// Status combines the status pages with the newest record of the store. A daemon's own page takes
+// precedence over what other daemons observed of it; among such observations the latest wins.
 func (c *Client) Status(ctx context.Context, answers []PageResult) *Status {
 	s := &Status{StoreState: "answers"}
 	head, err := c.head(ctx)
@@ -136,7 +137,7 @@
 type vmReport struct {
 	VM
 	zone     string
-	isDirect bool // said by the daemon itself
+	isDirect bool // from the page of the daemon itself
 }
 
 func (s *Status) addPage(p statuspage.Page, vms map[string]vmReport) {
@@ -175,7 +176,7 @@
 	slices.SortFunc(s.Zones, func(a, b Zone) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Lagging returns the VMs that do not have the newest revision in force.
+// Lagging returns the VMs on which a revision older than the newest accepted one is in force.
 func (s *Status) Lagging() []VM {
 	var list []VM
 	for _, z := range s.Zones {
@@ -188,13 +189,13 @@
 	return list
 }
 
-// HasConverged reports whether every known VM has the newest revision in force
-// and every asked one answered.
+// HasConverged reports whether the newest accepted revision is in force on every known VM and every
+// status page could be read. It is false before the first text is accepted.
 func (s *Status) HasConverged() bool {
 	return s.AcceptedRevision > 0 && len(s.Unreachable) == 0 && len(s.Lagging()) == 0
 }
 
-// Write prints the status for a person.
+// Write prints the status as text for operators.
 func (s *Status) Write(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer w.Flush()
--- a/control/operate/statuspage/page.go
+++ b/control/operate/statuspage/page.go
@@ -1,5 +1,5 @@
-// Package statuspage is what a daemon tells operators of itself: GET /status
-// on the operators' listener answers a Page as JSON.
+// Package statuspage defines the status page of a daemon: GET /status on the operators' listener returns
+// a Page as JSON or as text.
 package statuspage
 
 import (
@@ -30,7 +30,7 @@
 	Warnings []Warning `json:"warnings"`
 }
 
-// Config is the site text in force at the daemon.
+// Config describes the site text in force at the daemon.
 type Config struct {
 	Revision     int64     `json:"revision"` // 0 for none
 	Source       string    `json:"source,omitempty"`
@@ -38,19 +38,19 @@
 	Author       string    `json:"who,omitempty"`
 	AcceptedAt   time.Time `json:"accepted,omitzero"`
 	Comment      string    `json:"comment,omitempty"`
-	Watching     bool      `json:"watching"` // this daemon watches the store for its zone
+	Watching     bool      `json:"watching"` // this daemon watches the store on behalf of its zone
 }
 
-// Member is another daemon as this one sees it.
+// Member is a daemon in the membership view of the reporting daemon.
 type Member struct {
 	ID         string    `json:"id"`
 	Zone       string    `json:"zone"`
 	State      string    `json:"state"`
-	Revision   int64     `json:"revision"` // last heard, 0 for never
+	Revision   int64     `json:"revision"` // last reported by the member, 0 for never
 	ObservedAt time.Time `json:"heard,omitzero"`
 }
 
-// Change is a placement order under way.
+// Change is a placement order in progress.
 type Change struct {
 	Zone    string    `json:"zone"`
 	Service string    `json:"service"`
@@ -60,15 +60,15 @@
 	Since   time.Time `json:"since"`
 }
 
-// Warning is something an operator should know of while it lasts.
+// Warning is a condition that operators should know about while it lasts.
 type Warning struct {
 	Subject string    `json:"subject"`
 	Text    string    `json:"text"`
 	Since   time.Time `json:"since,omitzero"`
 }
 
-// Fill sets the parts of p that configuration and membership know. The
-// daemon adds its own changes and warnings.
+// Fill sets the configuration and the members of p, and adds the warnings about the store and the site
+// text. The daemon adds its placement changes and other warnings itself.
 func (p *Page) Fill(r inforce.Report, view *membership.View) {
 	p.Config = Config{Revision: r.Revision, Source: r.Source, InForceSince: r.ActiveSince, Watching: r.Watching}
 	if r.Record != nil {
@@ -93,8 +93,8 @@
 	}
 }
 
-// Handler answers the page that get returns: as JSON, or as text for a person
-// who asks for text/plain.
+// Handler serves the page that get returns: as text if the Accept header contains text/plain, otherwise
+// as JSON.
 func Handler(get func() Page) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		page := get()
@@ -104,11 +104,11 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(page) // an error means that the reader went away
+		_ = json.NewEncoder(w).Encode(page) // an error means that the client closed the connection
 	})
 }
 
-// Write prints the page for a person.
+// Write prints the page as text for operators.
 func (p *Page) Write(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer w.Flush()
--- a/control/operate/values.go
+++ b/control/operate/values.go
@@ -12,10 +12,10 @@
 	"mallowwind.dev/control/site"
 )
 
-// sectionValues are the keys of one section as text, defaults written out.
+// sectionValues maps the keys of one section to their values as text, defaults included.
 type sectionValues map[string]string
 
-// valuesBySection returns all sections of s by header.
+// valuesBySection returns the values of all sections of s by section header.
 func valuesBySection(s *site.Site) map[string]sectionValues {
 	all := map[string]sectionValues{"limits": limitValues(s.Limits)}
 	if s.Name != "" {
@@ -56,8 +56,8 @@
 	return v
 }
 
-// accountValues names token hashes only by a digest of them: plans are pasted
-// into tickets, and a hash of a weak token can be guessed from.
+// accountValues returns the number of token hashes and a short digest in place of the hashes: plans are
+// pasted into tickets, and a weak token can be guessed from its hash.
 func accountValues(a *site.Account) sectionValues {
 	return sectionValues{
 		"share": formatFloat(a.Share), "tokens_per_second": formatFloat(a.TokensPerSecond),
