--- a/control/operate/apply_test.go
+++ b/control/operate/apply_test.go
@@ -49,10 +49,10 @@
 	return current
 }
 
-// The night shift plans a change, and before it is confirmed the day shift
-// applies its own. Were both taken, the second would silently undo the first.
-// The night operator is told who changed what, and nothing of his is in force.
-func TestRaceAcrossHandover(t *testing.T) {
+// Guards against a lost update: operator "day" applies a change between the plan and the apply of operator
+// "night". Accepting both would silently undo the first change. The second apply must return a conflict
+// that names the author and the changes, and must not change the text.
+func TestApplyConflictsWithChangeAfterPlan(t *testing.T) {
 	day, s := newClient("day")
 	night := &Client{Store: s, Site: "yard", Author: "night"}
 	apply(t, day, 0, text("1", 4))
@@ -65,8 +65,8 @@
 	must.Eq(t, text("1", 6), newest(t, day).Text)
 }
 
-// racingStore lets the first compare-and-swap of a key run another operator first:
-// both then hold the same version, the closest race there is.
+// racingStore calls beforeFirst before the first compare-and-swap of key, so that two operators send a
+// compare-and-swap with the same expected version.
 type racingStore struct {
 	store.Store
 	key         string
@@ -81,9 +81,10 @@
 	return g.Store.CompareAndSwap(ctx, key, version, value, lease)
 }
 
-// Two operators confirm at the same moment. Exactly one change is accepted and
-// the other operator learns of it; the loser's text leaves nothing behind.
-func TestRaceAtTheSameMoment(t *testing.T) {
+// Two operators apply concurrently, and both read the same head before either writes. Exactly one change
+// must be accepted, the other operator gets a conflict, and the text of the rejected change is removed
+// from the store.
+func TestConcurrentAppliesAcceptOne(t *testing.T) {
 	day, s := newClient("day")
 	apply(t, day, 0, text("1", 4))
 	g := &racingStore{Store: s, key: record.KeysOf("yard").Head(), beforeFirst: func() { apply(t, day, 1, text("1", 5)) }}
@@ -96,9 +97,9 @@
 	must.SliceLen(t, 2, kvs)
 }
 
-// The store accepts a change and the answer is lost on the way back. The
-// operator must not be told that nothing changed, nor apply it twice.
-func TestLostConfirmation(t *testing.T) {
+// A write to the store or its answer is lost. Apply must retry and report success, and the change must be
+// accepted exactly once.
+func TestLostWriteOrAnswer(t *testing.T) {
 	for _, write := range []string{"body", "history", "text"} {
 		for _, lose := range []bool{true, false} { // the answer, or the request itself
 			synctest.Test(t, func(t *testing.T) {
@@ -121,7 +122,7 @@
 	}
 }
 
-// writeHookStore runs do before the first write to a key with this prefix.
+// writeHookStore calls beforeFirst before the first write to a key with the prefix.
 type writeHookStore struct {
 	store.Store
 	prefix      string
@@ -136,10 +137,9 @@
 	return o.Store.CompareAndSwap(ctx, key, version, value, lease)
 }
 
-// The confirmation is lost, and before it can be read back another operator's
-// change replaces this one. The record in force is not ours, but ours was
-// accepted: the history says so.
-func TestLostConfirmationAndReplaced(t *testing.T) {
+// The answer to an accepted write is lost, and another operator's change replaces the record before the
+// retry. Apply must find its record in the history and report success.
+func TestLostAnswerAndReplacedRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		day, s := newClient("day")
 		apply(t, day, 0, text("1", 4))
@@ -155,10 +155,10 @@
 	})
 }
 
-// The store goes down in the middle of an apply and stays down past the
-// operator's patience. Whatever was not sent is said not to have changed
-// anything; a write without an answer is said to be unknown, and the same
-// apply again settles it once the store is back.
+// The store becomes unavailable before or during an apply and stays so beyond the deadline. If the change
+// was not sent, the error must say that nothing was changed. If a write got no answer, the error must
+// say that the outcome is unknown, and applying the same text again after the store has recovered must
+// return a conflict with the accepted revision.
 func TestStoreDownDuringApply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, s := newClient("day")
@@ -188,7 +188,7 @@
 	})
 }
 
-func TestRollBackIsANewRevision(t *testing.T) {
+func TestRollbackIsNewRevision(t *testing.T) {
 	c, _ := newClient("day")
 	apply(t, c, 0, text("1", 4))
 	apply(t, c, 1, text("2", 4))
@@ -203,7 +203,7 @@
 	must.Eq(t, 41, r.Revision)
 }
 
-func TestApplyRefusesBadText(t *testing.T) {
+func TestApplyRejectsInvalidText(t *testing.T) {
 	c, _ := newClient("day")
 	_, err := c.Apply(t.Context(), Request{Text: "[site]\nname = other\nzones = A\n"})
 	must.ErrorContains(t, err, `of site "other", not "yard"`)
--- a/control/operate/status_test.go
+++ b/control/operate/status_test.go
@@ -24,7 +24,7 @@
 	}}
 }
 
-func TestStatusJoinsPages(t *testing.T) {
+func TestStatusCombinesPages(t *testing.T) {
 	c, s := newClient("day")
 	apply(t, c, 0, text("1", 4))
 	heard := func(id, zone string, revision, at int64) statuspage.Member {
@@ -49,9 +49,10 @@
 	must.False(t, status.HasConverged())
 }
 
-// The next shift stores the handover in version control and applies it. Its
-// remarks are comments, so what is applied means the same as what ran.
-func TestHandoverIsASiteText(t *testing.T) {
+// A handover report is stored in version control and applied as a site text. The report must be written
+// as comments, also a warning with line breaks, so that the text differs in nothing from the accepted
+// one.
+func TestHandoverIsValidSiteText(t *testing.T) {
 	c, _ := newClient("day")
 	apply(t, c, 0, text("1", 4))
 	answer := page("a", "Embakasi", 0)
@@ -69,7 +70,7 @@
 	must.SliceEmpty(t, changes)
 }
 
-func TestPlanNamesMeaningAndNoSecrets(t *testing.T) {
+func TestPlanIsSemanticAndOmitsSecrets(t *testing.T) {
 	hash := record.Hash("token")
 	old := text("1", 4)
 	new := strings.Replace(text("2", 6), "[pool engines]", "# moved\n[account coop]\ntoken_hashes = "+hash+"\n[pool engines]\nfencing = yes", 1)
@@ -85,9 +86,9 @@
 	}
 }
 
-// Someone without the operators' token asks a daemon for its status. It is
-// refused and logged, and the log holds neither the token tried nor the real one.
-func TestGuard(t *testing.T) {
+// A request without the operators' token is rejected and logged. The log must contain neither the
+// attempted token nor the hash of the valid one.
+func TestRequireToken(t *testing.T) {
 	var log bytes.Buffer
 	l := logrus.New()
 	l.SetOutput(&log)
--- a/control/site/check.go
+++ b/control/site/check.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// check finds the faults that concern more than one key.
+// check reports the faults that involve more than one key or section.
 func (p *parser) check() {
 	if p.sections["site"] == nil {
 		p.errs.Add(0, "no section [site]", "add it with name and zones")
@@ -42,8 +42,8 @@
 	}
 }
 
-// checkReplicas refuses counts that no reconciler could make true: in a zone
-// that does not exist, none at all, or fewer than the floor.
+// checkReplicas rejects replica counts that the reconciler cannot satisfy: replicas in a zone that does
+// not exist, no replicas at all, or fewer than the floor.
 func (p *parser) checkReplicas(s *Service) {
 	total := 0
 	for _, zone := range slices.Sorted(maps.Keys(s.Replicas)) {
@@ -76,7 +76,8 @@
 	}
 }
 
-// checkCycles reports each cycle of dependencies once, at its first service by name.
+// checkCycles reports cycles of dependencies. It walks the services in the order of their names and
+// visits each once, so that a cycle is reported once.
 func (p *parser) checkCycles() {
 	done := map[string]bool{}
 	for _, start := range slices.Sorted(maps.Keys(p.site.Services)) {
@@ -89,8 +90,8 @@
 	}
 }
 
-// findCycle walks dependencies depth first and returns the first cycle it meets.
-// A service whose walk ended is done, so each is walked once.
+// findCycle walks the dependencies of a service depth first and returns the first cycle found, or nil.
+// done holds the services that need no further walk.
 func (p *parser) findCycle(name string, path []string, done map[string]bool) []string {
 	if i := slices.Index(path, name); i >= 0 {
 		return slices.Clone(path[i:])
@@ -112,8 +113,8 @@
 	return nil
 }
 
-// checkTokenHashes refuses a token hash in two places: which account a caller has
-// would depend on the order of the text.
+// checkTokenHashes rejects a token hash that is listed more than once: which account a caller gets would
+// be ambiguous.
 func (p *parser) checkTokenHashes() {
 	owner := map[string]string{}
 	for _, name := range slices.Sorted(maps.Keys(p.site.Accounts)) {
--- a/control/site/fields.go
+++ b/control/site/fields.go
@@ -9,8 +9,8 @@
 	"mallowwind.dev/control/inifile"
 )
 
-// Bounds of values. They catch slips such as a missing unit; they are far
-// beyond what the system is sized for.
+// Bounds of values. They catch mistakes such as a missing unit and are far beyond what the system is
+// sized for.
 const (
 	maxReplicas        = 100_000
 	maxSlots           = 10_000
@@ -23,7 +23,7 @@
 	minTTL             = time.Second
 )
 
-// Defaults of keys that a section leaves out.
+// Defaults of keys that a section omits.
 const (
 	defaultSlots     = 32
 	defaultMaxTokens = 4096
@@ -80,7 +80,7 @@
 	{Name: "max_tokens", Default: "4096", Help: "largest answer in tokens", Set: setMaxTokens},
 }
 
-// Reference returns every section and key, for the reference page.
+// Reference returns every section and key for the reference documentation.
 func Reference() []inifile.Row {
 	return slices.Concat(
 		inifile.Rows("site", siteFields),
--- a/control/site/index.go
+++ b/control/site/index.go
@@ -8,13 +8,13 @@
 	"slices"
 )
 
-// Index finds accounts by bearer token. It is immutable.
+// Index looks up accounts by bearer token. It is immutable.
 type Index struct {
 	hashes [][sha256.Size]byte
 	owners []*Account
 }
 
-// NewIndex returns the index of s; a nil site has no accounts.
+// NewIndex returns the index of the accounts of s. The index of a nil site is empty.
 func NewIndex(s *Site) *Index {
 	x := &Index{}
 	if s == nil {
@@ -37,9 +37,9 @@
 	}
 }
 
-// Account returns the account that token belongs to, or nil. It compares with
-// every hash and in constant time, so that the time of an answer tells nothing
-// of which hash came close. With 810 accounts that is some microseconds.
+// Account returns the account that token belongs to, or nil. It compares the token's hash with every hash
+// in constant time, so that response times do not reveal a partial match. With 810 accounts this takes
+// some microseconds.
 func (x *Index) Account(token string) *Account {
 	sum := sha256.Sum256([]byte(token))
 	found := -1
--- a/control/site/parse.go
+++ b/control/site/parse.go
@@ -6,11 +6,11 @@
 	"mallowwind.dev/control/inifile"
 )
 
-// MaxTextBytes bounds the site text in bytes: the store holds a megabyte per value,
-// and the value carries who wrote it beside the text.
+// MaxTextBytes bounds the site text: the store accepts values of up to 1 MiB, and the value holds
+// metadata such as the author beside the text.
 const MaxTextBytes = 1<<20 - 16<<10
 
-// Parse reads a site text; name stands in the errors. Its error is an
+// Parse parses and validates a site text. name is the file name used in errors. The error is an
 // inifile.Errors that lists every fault as "file:line: what: what to write instead".
 func Parse(name string, text []byte) (*Site, error) {
 	errs := &inifile.Collector{File: name}
@@ -38,7 +38,7 @@
 type parser struct {
 	errs     *inifile.Collector
 	site     *Site
-	sections map[string]*inifile.Section // by header, for the lines of cross-checks
+	sections map[string]*inifile.Section // by header, to find the lines of faults that check reports
 }
 
 func (p *parser) decodeSection(s *inifile.Section) {
--- a/control/site/parse_test.go
+++ b/control/site/parse_test.go
@@ -75,9 +75,9 @@
 	must.Nil(t, index.Account(""))
 }
 
-// An operator saves a text with many slips at once. A checker that stops at
-// the first one costs a round for each; here every slip is named in one go,
-// with its line and what to write instead.
+// Guards against a parser that stops at the first fault, which would cost the operator one attempt per
+// fault. A text with many faults is parsed, and every fault must be reported with its line and what to
+// write instead.
 func TestParseReportsEveryFault(t *testing.T) {
 	text := `stray = 1
 [site]
@@ -142,11 +142,11 @@
 	} {
 		must.StrContains(t, err.Error(), want)
 	}
-	must.SliceLen(t, 20, errs) // those above, and service c without replicas
+	must.SliceLen(t, 20, errs) // those above, and that service c has no replicas
 	must.StrContains(t, err.Error(), "service c has no replicas in any zone")
 }
 
-func TestParseRefusesTooLarge(t *testing.T) {
+func TestParseRejectsTooLargeText(t *testing.T) {
 	_, err := Parse("site.ini", []byte(strings.Repeat("# x\n", MaxTextBytes/4+1)))
 	must.ErrorContains(t, err, "keep it under")
 }
--- a/control/site/site.go
+++ b/control/site/site.go
@@ -1,11 +1,11 @@
-// Package site holds the site text: the one INI text in which operators list
-// services, what each depends on, backend server pools, client accounts and
-// limits. Parse turns it into an immutable Site.
+// Package site parses and validates the site text: the INI text in which operators define services and
+// their dependencies, pools of backend servers, client accounts and limits. Parse returns an immutable
+// Site.
 package site
 
 import "time"
 
-// Kind is what a service's backend servers speak.
+// Kind is the kind of backend servers that run a service.
 type Kind string
 
 // The kinds of services.
@@ -14,7 +14,7 @@
 	KindPlain      Kind = "plain"      // HTTP services beside the engines
 )
 
-// Class orders services under load.
+// Class is the priority class of a service under load.
 type Class string
 
 // The priority classes, most urgent first.
@@ -24,7 +24,7 @@
 	ClassLong   Class = "long"
 )
 
-// Service is one service of the site text. It is immutable.
+// Service is the definition of one service. It is immutable.
 type Service struct {
 	Name      string
 	Kind      Kind
@@ -33,23 +33,23 @@
 	Adapter   string
 	Version   string
 	Replicas  map[string]int // wanted ready replicas by availability zone
-	Floor     int            // ready replicas per zone never given up by a planned change
+	Floor     int            // minimum of ready replicas per zone during a planned change
 	Class     Class
 	Deadline  time.Duration // longest wait for the first token or the answer
 	DependsOn []string
-	// Idempotent says that running a call twice does no harm.
+	// Idempotent is true if running a call more than once is harmless.
 	Idempotent bool
 	// LatencyWeight weighs resume latency (1) against extra resources (0).
 	LatencyWeight float64
 	MaxTokens     int // largest answer, in tokens
 }
 
-// Pool is a set of backend servers, matched with vmlist.VM.Pool.
+// Pool is a set of backend servers. A server belongs to it by the name in vmlist.VM.Pool.
 type Pool struct {
 	Name string
-	// Fencing says that the pool's engines refuse orders with an old fencing number.
+	// Fencing is true if the pool's engines reject orders with an outdated fencing number.
 	Fencing bool
-	// Slots is the largest number of requests one backend server is given at once.
+	// Slots is the maximum number of concurrent requests per backend server.
 	Slots int
 }
 
@@ -57,25 +57,25 @@
 type Account struct {
 	Name            string
 	TokenHashes     []string // lower-case hex SHA-256 of bearer tokens
-	Share           float64  // weight in fair sharing, 1 is usual
-	TokensPerSecond float64  // limit over all entry VMs, 0 means none
+	Share           float64  // weight in fair sharing, 1 by default
+	TokensPerSecond float64  // rate limit over all entry VMs together, 0 for none
 }
 
-// Limits bound what one daemon takes in.
+// Limits holds the request size limit and the retention times of a daemon.
 type Limits struct {
 	BodyBytes int64
-	// AnswerTTL is how long a finished answer stays owed to its caller.
+	// AnswerTTL is how long a finished answer is kept for its caller to fetch.
 	AnswerTTL time.Duration
-	// EntriesTTL is how long a caller may keep an answer of /v1/entries.
+	// EntriesTTL is how long a caller may cache the response of /v1/entries.
 	EntriesTTL time.Duration
 	// KeyTTL is how long an idempotency key is remembered.
 	KeyTTL time.Duration
 }
 
-// Site is one accepted text, parsed. It is immutable and shared freely.
+// Site is a parsed site text. It is immutable and may be shared between goroutines.
 type Site struct {
 	Name     string
-	Revision int64 // counts accepted texts; 0 before it is accepted
+	Revision int64 // revision of the accepted text; 0 before it is accepted
 	Text     string
 	Zones    []string
 	Services map[string]*Service
@@ -84,7 +84,7 @@
 	Limits   Limits
 }
 
-// DefaultLimits are in force where the text says nothing.
+// DefaultLimits returns the limits that apply where the text sets none.
 func DefaultLimits() Limits {
 	return Limits{
 		BodyBytes:  4 << 20,
@@ -94,8 +94,8 @@
 	}
 }
 
-// Source gives the site in force. Current returns nil before any text is
-// known; the pointer is swapped whole and its revision never falls.
+// Source provides the site in force. Current returns nil before any text is known. A new site replaces
+// the pointer as a whole, and its revision never decreases.
 type Source interface {
 	Current() *Site
 }
