--- a/cmd/mallowctl/apply.go
+++ b/cmd/mallowctl/apply.go
@@ -11,26 +11,26 @@
 	"mallowwind.dev/control/operate"
 )
 
-// applyCmd makes a text the accepted one.
+// applyCmd makes a site text the newest accepted one, or rolls back to the text of an older revision.
 type applyCmd struct {
 	siteFlags
 	adminFlags
 	File    string        `arg:"" optional:"" type:"existingfile" help:"Site text."`
-	Restore int64         `placeholder:"REVISION" help:"Roll back: accept the text of this revision anew, as a higher revision."`
+	Restore int64         `placeholder:"REVISION" help:"Roll back: accept the text of this revision again, as a new, higher revision."`
 	Against int64         `default:"-1" placeholder:"REVISION" help:"Revision that the change was planned against; the newest by default."`
-	Comment string        `short:"m" help:"Why; stands in the history."`
-	Yes     bool          `help:"Do not ask."`
+	Comment string        `short:"m" help:"Reason for the change, recorded in the history."`
+	Yes     bool          `help:"Apply without asking for confirmation."`
 	Above   int64         `placeholder:"REVISION" help:"Choose a revision above this one, after the store was restored from an older copy."`
-	Wait    time.Duration `placeholder:"DURATION" help:"Wait until the asked entry VMs and all they know have it in force."`
+	Wait    time.Duration `placeholder:"DURATION" help:"Wait until the new revision is in force on the queried entry VMs and all members that they know."`
 }
 
-// statusPollInterval is the time between two looks while waiting.
+// statusPollInterval is the time between two reads of the status pages while waiting.
 const statusPollInterval = 500 * time.Millisecond
 
 // Run implements the command.
 func (c *applyCmd) Run() error {
 	if (c.File == "") == (c.Restore == 0) {
-		return usageError{errors.New("give a FILE or --restore REVISION")}
+		return usageError{errors.New("give either FILE or --restore REVISION")}
 	}
 	s, err := c.open()
 	if err != nil {
@@ -74,7 +74,7 @@
 			return err
 		}
 		if !ok {
-			return errors.New("not applied")
+			return errors.New("not applied: the confirmation was declined")
 		}
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, c.Timeout)
@@ -101,7 +101,8 @@
 	return nil
 }
 
-// waitInForce returns once every known entry VM has revision in force.
+// waitInForce waits until revision or a newer one is in force on every known entry VM. It does nothing
+// without --wait.
 func (c *applyCmd) waitInForce(s *session, revision int64) error {
 	if c.Wait == 0 {
 		return nil
@@ -111,7 +112,7 @@
 	for {
 		answers, err := c.readPages(ctx)
 		if err != nil {
-			return errors.Wrapf(err, "revision %d is accepted; waiting for it", revision)
+			return errors.Wrapf(err, "revision %d is accepted; waiting until it is in force", revision)
 		}
 		status := s.Status(ctx, answers)
 		if status.AcceptedRevision >= revision && status.HasConverged() {
--- a/cmd/mallowctl/bench.go
+++ b/cmd/mallowctl/bench.go
@@ -9,22 +9,22 @@
 	"mallowwind.dev/lab/bench/slopes"
 )
 
-// benchCmd holds the experiments.
+// benchCmd groups the experiments.
 type benchCmd struct {
-	Control benchControlCmd `cmd:"" help:"Measure the spread of the site text and what it costs."`
-	Load    benchLoadCmd    `cmd:"" help:"Play patterns of load against the decisions, beside baselines."`
-	Members benchMembersCmd `cmd:"" help:"Measure membership and the zones' leases."`
-	Prompts benchPromptsCmd `cmd:"" help:"Compare ways of placing long prompts while zones of engines are lost."`
-	Resume  benchResumeCmd  `cmd:"" help:"Compare ways of resuming answers: latency against extra resources."`
-	Slopes  benchSlopesCmd  `cmd:"" help:"Measure how costs grow with sizes, for docs/CAPACITY.md."`
+	Control benchControlCmd `cmd:"" help:"Measure how fast the site text propagates and what that costs."`
+	Load    benchLoadCmd    `cmd:"" help:"Compare the decisions with baselines under simulated patterns of load."`
+	Members benchMembersCmd `cmd:"" help:"Measure the membership protocol and the zones' leases."`
+	Prompts benchPromptsCmd `cmd:"" help:"Compare policies for placing long prompts while zones of engines fail."`
+	Resume  benchResumeCmd  `cmd:"" help:"Compare policies for resuming answers: latency against extra resources."`
+	Slopes  benchSlopesCmd  `cmd:"" help:"Measure how costs grow with the size of a deployment, for docs/CAPACITY.md."`
 }
 
-// benchSlopesCmd measures and records slopes.
+// benchSlopesCmd measures and records how costs grow with the size of a deployment.
 type benchSlopesCmd struct {
-	Out     string `default:"docs/measurements" placeholder:"DIR" help:"Directory to record in."`
-	Only    string `placeholder:"NAME" help:"Measure this slope alone."`
+	Out     string `default:"docs/measurements" placeholder:"DIR" help:"Directory to write the measurements to."`
+	Only    string `placeholder:"NAME" help:"Measure only this slope."`
 	Seed    uint64 `default:"1" help:"Seed of all random choices."`
-	Repeats int    `default:"3" help:"Runs of each size."`
+	Repeats int    `default:"3" help:"Number of runs at each size."`
 }
 
 // Run implements the command.
--- a/cmd/mallowctl/benchcontrol.go
+++ b/cmd/mallowctl/benchcontrol.go
@@ -9,12 +9,12 @@
 	"mallowwind.dev/lab/bench/control"
 )
 
-// benchControlCmd measures the spread of the site text.
+// benchControlCmd measures how fast the site text propagates to all daemons.
 type benchControlCmd struct {
 	Out     string `default:"docs/measurements/control" placeholder:"DIR" help:"Directory to write the report to."`
-	Sizes   []int  `placeholder:"N" help:"Numbers of daemons for the time to in force."`
-	Only    string `enum:",spread,daemons,accounts,changes" default:"" help:"Measure this part alone: spread, daemons, accounts, changes."`
-	Daemons []int  `placeholder:"N" help:"Numbers of daemons for the slopes, four at least."`
+	Sizes   []int  `placeholder:"N" help:"Numbers of daemons for measuring the time until a text is in force everywhere."`
+	Only    string `enum:",spread,daemons,accounts,changes" default:"" help:"Measure only this part: spread, daemons, accounts, changes."`
+	Daemons []int  `placeholder:"N" help:"Numbers of daemons for measuring the slopes, at least four."`
 }
 
 // Run implements the command.
--- a/cmd/mallowctl/benchload.go
+++ b/cmd/mallowctl/benchload.go
@@ -9,12 +9,12 @@
 	"mallowwind.dev/lab/bench/load"
 )
 
-// benchLoadCmd plays patterns of load against the decisions and baselines.
+// benchLoadCmd compares the decisions with baselines under simulated patterns of load.
 type benchLoadCmd struct {
-	Out        string `required:"" placeholder:"DIR" help:"Directory for report.json, report.md and plots."`
-	Deployment string `default:"association" enum:"association,tharaka" help:"Whose places and services: ${enum}."`
-	Engines    string `default:"beside" enum:"beside,chunked" help:"Engines that read prompts beside the steps of their batch, or in chunks within them and with bounded memory."`
-	Scenario   string `placeholder:"NAME" help:"Play this scenario or study alone."`
+	Out        string `required:"" placeholder:"DIR" help:"Directory to write report.json, report.md and the plots to."`
+	Deployment string `default:"association" enum:"association,tharaka" help:"Deployment whose zones and services are simulated: ${enum}."`
+	Engines    string `default:"beside" enum:"beside,chunked" help:"Model of the engines: prefill beside the steps of the batch, or in chunks within the steps and with bounded memory."`
+	Scenario   string `placeholder:"NAME" help:"Run only this scenario or study."`
 	Seed       uint64 `default:"1" help:"Seed of all random choices."`
 }
 
--- a/cmd/mallowctl/benchmembers.go
+++ b/cmd/mallowctl/benchmembers.go
@@ -9,13 +9,13 @@
 	"mallowwind.dev/lab/bench/members"
 )
 
-// benchMembersCmd measures membership and the zones' leases.
+// benchMembersCmd measures the membership protocol and the zones' leases.
 type benchMembersCmd struct {
-	Out    string        `default:"docs/measurements" placeholder:"DIR" help:"Directory to write in."`
+	Out    string        `default:"docs/measurements" placeholder:"DIR" help:"Directory to write the report to."`
 	Seed   uint64        `default:"1" help:"Seed of all random choices."`
 	Sizes  []int         `default:"7,30,90,200,390" help:"Numbers of daemons."`
-	Window time.Duration `default:"20s" help:"Length of each phase that is measured."`
-	Kills  int           `default:"3" help:"Daemons killed at each size."`
+	Window time.Duration `default:"20s" help:"Duration of each measured phase."`
+	Kills  int           `default:"3" help:"Number of daemons killed at each size."`
 }
 
 // Run implements the command.
--- a/cmd/mallowctl/benchprompts.go
+++ b/cmd/mallowctl/benchprompts.go
@@ -8,11 +8,11 @@
 	"mallowwind.dev/lab/bench/prompts"
 )
 
-// benchPromptsCmd compares ways of placing long prompts and copies of their runs.
+// benchPromptsCmd compares policies for placing long prompts and the replicas of their runs.
 type benchPromptsCmd struct {
 	Out      string        `default:"docs/measurements/prompts" placeholder:"DIR" help:"Directory to write the report to."`
 	Seed     uint64        `default:"1" help:"Seed of all random choices."`
-	Duration time.Duration `default:"2m" help:"Load of each trial, in virtual time."`
+	Duration time.Duration `default:"2m" help:"Duration of the load in each trial, in virtual time."`
 }
 
 // Run implements the command.
--- a/cmd/mallowctl/benchresume.go
+++ b/cmd/mallowctl/benchresume.go
@@ -10,14 +10,14 @@
 	"mallowwind.dev/lab/bench/losses"
 )
 
-// benchResumeCmd compares policies of resuming answers.
+// benchResumeCmd compares policies for resuming interrupted answers.
 type benchResumeCmd struct {
 	Out      string        `default:"docs/measurements/resume" placeholder:"DIR" help:"Directory to write the report to."`
 	Seed     uint64        `default:"1" help:"Seed of all random choices."`
-	Duration time.Duration `default:"9s" help:"Load of each trial."`
+	Duration time.Duration `default:"9s" help:"Duration of the load in each trial."`
 	Fixed    time.Duration `default:"5s" help:"Timeout of the baselines; pauses last 6s."`
-	Only     string        `placeholder:"LOSS" help:"Play this kind of loss alone, such as 'engine pause'."`
-	Parallel int           `default:"8" help:"Trials at once."`
+	Only     string        `placeholder:"LOSS" help:"Run only this kind of loss, such as 'engine pause'."`
+	Parallel int           `default:"8" help:"Number of concurrent trials."`
 }
 
 // Run implements the command.
--- a/cmd/mallowctl/capacity.go
+++ b/cmd/mallowctl/capacity.go
@@ -9,11 +9,11 @@
 	"mallowwind.dev/lab/capacity"
 )
 
-// capacityCmd works out what each role needs at the size to come.
+// capacityCmd computes the capacity that each role needs at the planned size.
 type capacityCmd struct {
-	Slopes string `default:"docs/measurements" type:"existingdir" placeholder:"DIR" help:"Directory of the recorded slopes."`
+	Slopes string `default:"docs/measurements" type:"existingdir" placeholder:"DIR" help:"Directory of the measured slopes."`
 	Write  string `placeholder:"FILE" xor:"what" help:"Write the page to FILE instead of printing it."`
-	Check  string `placeholder:"FILE" xor:"what" help:"Fail unless FILE is what the arithmetic gives."`
+	Check  string `placeholder:"FILE" xor:"what" help:"Fail unless FILE equals the computed page."`
 }
 
 // Run implements the command.
@@ -38,7 +38,7 @@
 		return err
 	}
 	if !bytes.Equal(have, page) {
-		return errors.Errorf("%s differs from the arithmetic; write it anew with mallowctl capacity --write %s", file, file)
+		return errors.Errorf("%s differs from the computed page; update it with mallowctl capacity --write %s", file, file)
 	}
 	return nil
 }
--- a/cmd/mallowctl/check.go
+++ b/cmd/mallowctl/check.go
@@ -12,9 +12,9 @@
 	"mallowwind.dev/lab/standins"
 )
 
-// checkCmd validates files without running anything.
+// checkCmd validates configuration files without running anything.
 type checkCmd struct {
-	Files []string `arg:"" name:"file" help:"Site texts, settings of daemons, configurations of stand-ins."`
+	Files []string `arg:"" name:"file" help:"Site texts, daemon settings and stand-in configurations."`
 	JSON  bool     `name:"json" help:"Write the faults as JSON."`
 }
 
@@ -39,7 +39,8 @@
 	return reportFaults(faults)
 }
 
-// reportFaults writes one line per fault and returns how many there are as an error.
+// reportFaults writes one line per fault to standard error and returns an error with their number, or nil
+// if there are none.
 func reportFaults(faults inifile.Errors) error {
 	if len(faults) == 0 {
 		return nil
@@ -48,7 +49,7 @@
 	return usageError{errors.Errorf("%d faults found", len(faults))}
 }
 
-// checkFile returns the faults of one file.
+// checkFile returns the faults of one file. The error is set if the file cannot be checked.
 func checkFile(file string) (inifile.Errors, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -69,7 +70,7 @@
 	return faults, nil
 }
 
-// fileKind tells what an INI file is for.
+// fileKind is the kind of an INI file.
 type fileKind uint8
 
 const (
@@ -78,7 +79,8 @@
 	standInConfig
 )
 
-// detectKind goes by the first section that stands in one kind of file alone.
+// detectKind returns the kind of a file by its first section that is specific to one kind. A file
+// without such a section is treated as a site text.
 func detectKind(text []byte) fileKind {
 	for _, s := range inifile.Parse(text, &inifile.Collector{}) {
 		switch s.Kind {
@@ -91,7 +93,7 @@
 	return siteText
 }
 
-// readSite reads a site text and refuses a faulty one.
+// readSite reads and validates a site text. It writes the faults to standard error.
 func readSite(file string) (string, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/cmd/mallowctl/demo.go
+++ b/cmd/mallowctl/demo.go
@@ -8,7 +8,7 @@
 	"mallowwind.dev/lab/demo"
 )
 
-// demoCmd plays a deployment in one process.
+// demoCmd runs a demo deployment in one process.
 type demoCmd struct {
 	Seed uint64 `default:"1" help:"Seed of the stand-ins."`
 	JSON bool   `help:"Write the summary as JSON."`
--- a/cmd/mallowctl/diff.go
+++ b/cmd/mallowctl/diff.go
@@ -4,10 +4,10 @@
 	"mallowwind.dev/control/operate"
 )
 
-// diffCmd compares two accepted texts by meaning.
+// diffCmd shows the semantic changes between two accepted texts.
 type diffCmd struct {
 	siteFlags
-	From int64 `arg:"" optional:"" help:"Older revision; the one before the newer by default."`
+	From int64 `arg:"" optional:"" help:"Older revision; by default the one that the newer revision replaced."`
 	To   int64 `arg:"" optional:"" help:"Newer revision; the newest by default."`
 }
 
--- a/cmd/mallowctl/events.go
+++ b/cmd/mallowctl/events.go
@@ -6,7 +6,7 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// eventsCmd prints the catalogue of log events.
+// eventsCmd prints the reference page of the log events.
 type eventsCmd struct {
 	Write string `placeholder:"FILE" help:"Write the page to FILE instead of printing it."`
 }
--- a/cmd/mallowctl/get.go
+++ b/cmd/mallowctl/get.go
@@ -7,13 +7,13 @@
 	"mallowwind.dev/control/operate"
 )
 
-// getCmd prints an accepted text, byte for byte as it was applied.
+// getCmd prints an accepted site text byte for byte as it was applied.
 type getCmd struct {
 	siteFlags
-	Revision int64 `placeholder:"REVISION" help:"An older revision; the newest by default."`
+	Revision int64 `placeholder:"REVISION" help:"Revision to print; the newest by default."`
 }
 
-// getOutput is the JSON answer of getCmd.
+// getOutput is the JSON output of getCmd.
 type getOutput struct {
 	Record record.Record `json:"record"`
 	Text   string        `json:"text"`
@@ -39,7 +39,7 @@
 	return err
 }
 
-// readRevision returns the text of revision, 0 for the newest.
+// readRevision returns the accepted text of a revision; 0 stands for the newest.
 func (s *session) readRevision(revision int64) (*operate.Current, error) {
 	if revision == 0 {
 		return s.Get(s.ctx)
--- a/cmd/mallowctl/handover.go
+++ b/cmd/mallowctl/handover.go
@@ -2,7 +2,7 @@
 
 import "os"
 
-// handoverCmd writes what the next shift starts from.
+// handoverCmd writes the report for the next shift: the state of the deployment and the site text.
 type handoverCmd struct {
 	siteFlags
 	adminFlags
--- a/cmd/mallowctl/history.go
+++ b/cmd/mallowctl/history.go
@@ -8,10 +8,10 @@
 	"mallowwind.dev/control/inforce/record"
 )
 
-// historyCmd lists the accepted texts, newest first.
+// historyCmd lists the accepted site texts, newest first.
 type historyCmd struct {
 	siteFlags
-	Limit int `default:"20" help:"Most entries shown."`
+	Limit int `default:"20" help:"Maximum number of entries to show."`
 }
 
 // Run implements the command.
--- a/cmd/mallowctl/main.go
+++ b/cmd/mallowctl/main.go
@@ -1,5 +1,5 @@
-// Command mallowctl is the operators' command line. It also holds the demo,
-// the stand-ins of the platform and the experiments.
+// Command mallowctl is the operators' command-line tool. It also runs the demo, the stand-ins for the
+// platform, and the experiments.
 package main
 
 import (
@@ -22,41 +22,42 @@
 // version is set by the linker in released builds.
 var version = "dev"
 
-// commands is the whole command line. One file per command holds its struct.
+// commands defines the command line. The struct of each command is in a file of its own or with the
+// commands related to it.
 type commands struct {
 	Version kong.VersionFlag `help:"Print the version and exit."`
 
 	Check    checkCmd    `cmd:"" help:"Validate site texts and settings without running anything."`
 	Plan     planCmd     `cmd:"" help:"Show what applying a site text would change."`
-	Apply    applyCmd    `cmd:"" help:"Make a site text the accepted one, or roll back to an older."`
+	Apply    applyCmd    `cmd:"" help:"Make a site text the accepted one, or roll back to an older one."`
 	Get      getCmd      `cmd:"" help:"Print an accepted site text."`
-	Diff     diffCmd     `cmd:"" help:"Compare two accepted site texts by meaning."`
+	Diff     diffCmd     `cmd:"" help:"Show the semantic changes between two accepted site texts."`
 	History  historyCmd  `cmd:"" help:"List the accepted site texts."`
-	Status   statusCmd   `cmd:"" help:"Show which revision is in force in each zone, and who lags."`
-	Handover handoverCmd `cmd:"" help:"Write what the next shift starts from: state and text."`
+	Status   statusCmd   `cmd:"" help:"Show which revision is in force in each zone, and which VMs lag."`
+	Handover handoverCmd `cmd:"" help:"Write the report for the next shift: state of the deployment and site text."`
 
-	Rollout rolloutCmd `cmd:"" help:"Show, order or take back the roll-out of a service's new version."`
-	Refused refusedCmd `cmd:"" help:"List requests that are sent to no server, or have one sent again."`
+	Rollout rolloutCmd `cmd:"" help:"Show, order or reverse the roll-out of a service's new version."`
+	Refused refusedCmd `cmd:"" help:"List requests that are refused because servers crashed while running them, or allow one again."`
 
-	Story    storyCmd    `cmd:"" help:"Print one request's story from the logs of several daemons."`
-	Stories  storiesCmd  `cmd:"" help:"Sum up what the logs of several daemons show of all requests."`
-	Demo     demoCmd     `cmd:"" help:"Play a deployment in one process: an answer survives its engine."`
+	Story    storyCmd    `cmd:"" help:"Print the events of one request from the logs of several daemons, sorted by time."`
+	Stories  storiesCmd  `cmd:"" help:"Summarize the events of all requests in the logs of several daemons."`
+	Demo     demoCmd     `cmd:"" help:"Run a deployment in one process and show that an answer survives the loss of its engine."`
 	Events   eventsCmd   `cmd:"" help:"Print the catalogue of log events, docs/events.md."`
-	Metrics  metricsCmd  `cmd:"" help:"Print the metrics of a daemon, docs/metrics.md."`
-	Capacity capacityCmd `cmd:"" help:"Work out what each role needs at the size to come, docs/CAPACITY.md."`
+	Metrics  metricsCmd  `cmd:"" help:"Print the reference page of a daemon's metrics, docs/metrics.md."`
+	Capacity capacityCmd `cmd:"" help:"Compute the capacity that each role needs at the planned size, docs/CAPACITY.md."`
 	Bench    benchCmd    `cmd:"" help:"Run an experiment."`
-	Soak     soakCmd     `cmd:"" help:"Play seeded random runs of a whole deployment and check its invariants."`
-	StandIn  standInCmd  `cmd:"" help:"Serve stand-ins of the platform: store, VM list, weight store, engines, plain services."`
+	Soak     soakCmd     `cmd:"" help:"Run a whole deployment under seeded random faults and check its invariants."`
+	StandIn  standInCmd  `cmd:"" help:"Serve stand-ins for the platform: store, VM list, weight store, engines, plain services."`
 }
 
-// exitCoder is an error that chooses the exit code.
+// exitCoder is implemented by errors that determine the exit code.
 type exitCoder interface{ ExitCode() int }
 
 func main() {
 	os.Exit(run(os.Args[1:]))
 }
 
-// run parses and executes one command line and returns the exit code.
+// run parses and executes a command line and returns the exit code.
 func run(args []string) int {
 	var c commands
 	parser := kong.Must(&c,
--- a/cmd/mallowctl/metrics.go
+++ b/cmd/mallowctl/metrics.go
@@ -14,7 +14,7 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// metricsCmd prints the metrics of a daemon.
+// metricsCmd prints the reference page of the metrics of a daemon.
 type metricsCmd struct {
 	Write string `placeholder:"FILE" help:"Write the page to FILE instead of printing it."`
 }
@@ -32,8 +32,8 @@
 	return err
 }
 
-// metricsPage assembles a daemon and a gateway, which register their metrics,
-// and runs neither.
+// metricsPage returns the reference page of all metrics. It creates a daemon and a gateway, which
+// register their metrics when they are created, and runs neither.
 func metricsPage() ([]byte, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/mallowctl/metrics_test.go
+++ b/cmd/mallowctl/metrics_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestMetricsPageEqualsWhatADaemonRegisters(t *testing.T) {
+func TestMetricsPageMatchesRegisteredMetrics(t *testing.T) {
 	want, err := metricsPage()
 	must.NoError(t, err)
 	have, err := os.ReadFile("../../docs/metrics.md")
--- a/cmd/mallowctl/operator.go
+++ b/cmd/mallowctl/operator.go
@@ -21,16 +21,17 @@
 	"mallowwind.dev/external/vmlist"
 )
 
-// siteFlags say which site's text is meant and where it lies.
+// siteFlags select the site and the store that holds its text.
 type siteFlags struct {
 	Site    string        `required:"" env:"MALLOWWIND_SITE" help:"Name of the site."`
 	Store   []string      `required:"" env:"MALLOWWIND_STORE" placeholder:"URL" help:"Endpoints of the key-value service."`
-	Who     string        `env:"MALLOWWIND_WHO,USER" default:"unknown" help:"Name that stands in the history."`
-	Timeout time.Duration `default:"30s" help:"How long a change that was begun waits for the store."`
+	Who     string        `env:"MALLOWWIND_WHO,USER" default:"unknown" help:"Author that is recorded in the history."`
+	Timeout time.Duration `default:"30s" help:"How long applying a change retries while the store is unavailable."`
 	JSON    bool          `name:"json" help:"Write JSON."`
 }
 
-// session is one command's link to the store, and where it writes.
+// session holds what one run of a command uses: the client of the store, the context that an interrupt
+// cancels, and the output.
 type session struct {
 	*operate.Client
 	ctx  context.Context
@@ -48,17 +49,18 @@
 	return &session{Client: client, ctx: ctx, stop: stop, out: os.Stdout}, nil
 }
 
-// adminFlags say how the daemons' operators' listeners are reached.
+// adminFlags select the operators' listeners of the daemons and how they are reached.
 type adminFlags struct {
-	Admin     []string `env:"MALLOWWIND_ADMIN" placeholder:"IP:PORT" help:"Operators' addresses of entry VMs. One suffices at 7 VMs; more give a fresher picture."`
-	VMList    string   `name:"vm-list" env:"MALLOWWIND_VM_LIST" placeholder:"URL" help:"Ask every entry VM of the platform's list, on --admin-port."`
-	AdminPort string   `default:"8082" help:"Port of the operators' listener of the VMs of --vm-list."`
-	// The token comes from the environment alone: an argument shows in the process list.
+	Admin     []string `env:"MALLOWWIND_ADMIN" placeholder:"IP:PORT" help:"Addresses of the operators' listeners of entry VMs. One suffices for 7 VMs; more give fresher results."`
+	VMList    string   `name:"vm-list" env:"MALLOWWIND_VM_LIST" placeholder:"URL" help:"Query every entry VM of the platform's VM list, on --admin-port."`
+	AdminPort string   `default:"8082" help:"Port of the operators' listeners of the VMs from --vm-list."`
+	// The token is documented only as an environment variable: an argument is visible in the process
+	// list.
 	Token string `hidden:"" env:"MALLOWWIND_TOKEN"`
 	TLS   bool   `help:"Reach the operators' listeners over TLS."`
 }
 
-// addresses returns the operators' addresses that the flags name.
+// addresses returns the addresses of the operators' listeners that the flags select.
 func (f *adminFlags) addresses(ctx context.Context) ([]string, error) {
 	list := f.Admin
 	if f.VMList != "" {
@@ -74,12 +76,12 @@
 		}
 	}
 	if len(list) == 0 {
-		return nil, usageError{errors.New("give --admin IP:PORT of at least one entry VM, or --vm-list URL")}
+		return nil, usageError{errors.New("no entry VM to query: give --admin IP:PORT of at least one, or --vm-list URL")}
 	}
 	return list, nil
 }
 
-// readPages asks the daemons for their pages.
+// readPages reads the status pages of the selected daemons.
 func (f *adminFlags) readPages(ctx context.Context) ([]operate.PageResult, error) {
 	addresses, err := f.addresses(ctx)
 	if err != nil {
@@ -92,10 +94,10 @@
 	return pages.Read(ctx, addresses), nil
 }
 
-// usageError is bad usage or a bad text.
+// usageError is an error in the arguments or in a file that the operator gave.
 type usageError struct{ error }
 
-// ExitCode implements coder.
+// ExitCode implements exitCoder.
 func (usageError) ExitCode() int { return exitUsage }
 
 // Unwrap returns the cause.
@@ -116,12 +118,12 @@
 	}
 }
 
-// errNotTerminal keeps a script from waiting for an answer that nobody gives.
-var errNotTerminal = usageError{errors.New("the standard input is no terminal: add --yes to apply without being asked")}
+// errNotTerminal is returned instead of waiting for a confirmation that a script cannot give.
+var errNotTerminal = usageError{errors.New("the standard input is not a terminal: add --yes to apply without confirmation")}
 
-// confirm asks on the terminal.
+// confirm asks question on the terminal and reports whether the answer was y.
 func confirm(question string) (bool, error) {
-	// The device alone does not tell: /dev/null is a character device too.
+	// Checking for a character device is not enough: /dev/null is one too.
 	if _, err := unix.IoctlGetTermios(int(os.Stdin.Fd()), unix.TCGETS); err != nil {
 		return false, errNotTerminal
 	}
--- a/cmd/mallowctl/operator_test.go
+++ b/cmd/mallowctl/operator_test.go
@@ -13,7 +13,7 @@
 	"mallowwind.dev/external/vmlist"
 )
 
-// The exit codes are what scripts of the operators rely on.
+// Operators' scripts depend on the exit codes.
 func TestExitCodes(t *testing.T) {
 	kv := store.NewFaulty(store.NewMemory())
 	server := httptest.NewServer(storesim.Handler(kv))
@@ -37,7 +37,7 @@
 	must.Eq(t, exitUsage, run([]string{"frobnicate"}))
 	must.Eq(t, exitFailed, ctl("get"))
 	must.Eq(t, exitUsage, ctl("apply", bad, "--yes"))
-	must.Eq(t, exitUsage, ctl("apply", one)) // nobody to ask
+	must.Eq(t, exitUsage, ctl("apply", one)) // the standard input is not a terminal
 	must.Eq(t, exitOK, ctl("apply", one, "--yes"))
 	must.Eq(t, exitOK, ctl("apply", two, "--yes", "--against", "1"))
 	must.Eq(t, exitConflict, ctl("apply", one, "--yes", "--against", "1"))
@@ -50,7 +50,7 @@
 	list := vmlist.NewMemory(0)
 	vms := httptest.NewServer(vmlist.Handler(list))
 	defer vms.Close()
-	must.Eq(t, exitUsage, ctl("status", "--vm-list", vms.URL)) // nobody to ask
+	must.Eq(t, exitUsage, ctl("status", "--vm-list", vms.URL)) // no entry VM in the list
 	list.Put(vmlist.VM{ID: "a", Address: "127.0.0.1:9", Role: vmlist.RoleEntry, State: vmlist.Live})
 	must.Eq(t, exitFailed, ctl("status", "--vm-list", vms.URL, "--admin-port", "1"))
 	kv.SetDown(true)
--- a/cmd/mallowctl/plan.go
+++ b/cmd/mallowctl/plan.go
@@ -6,15 +6,15 @@
 	"mallowwind.dev/control/operate"
 )
 
-// planCmd shows what applying a text would change.
+// planCmd shows what applying a site text would change.
 type planCmd struct {
 	siteFlags
 	File string `arg:"" type:"existingfile" help:"Site text."`
 }
 
-// planOutput is the answer of planCmd.
+// planOutput is the JSON output of planCmd.
 type planOutput struct {
-	Against int64            `json:"against"` // give it to apply --against
+	Against int64            `json:"against"` // revision to pass to apply --against
 	Changes []operate.Change `json:"changes"`
 }
 
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// plan compares text with the newest accepted one, which it also returns;
-// that is nil before the first.
+// plan compares text with the newest accepted text, which it also returns; that is nil before the first
+// text is accepted.
 func (s *session) plan(text string) (planOutput, *operate.Current, error) {
 	current, err := s.Get(s.ctx)
 	if err == operate.ErrNoText {
--- a/cmd/mallowctl/refused.go
+++ b/cmd/mallowctl/refused.go
@@ -15,17 +15,17 @@
 	"mallowwind.dev/platform/kv"
 )
 
-// refusedCmd concerns requests that are sent to no server, because servers ended when they
-// ran them.
+// refusedCmd groups the commands for refused requests, which are sent to no server because servers
+// crashed while running them.
 type refusedCmd struct {
-	List refusedListCmd `cmd:"" help:"List the refused requests, with the servers that ended under each."`
-	Lift refusedLiftCmd `cmd:"" help:"Have a refused request sent again."`
+	List refusedListCmd `cmd:"" help:"List the refused requests, with the servers that crashed while running each."`
+	Lift refusedLiftCmd `cmd:"" help:"Allow a refused request to be sent to servers again."`
 }
 
-// forwardStoreFlags say where the store of daemons that forward is.
+// forwardStoreFlags select the store that the daemons in forward mode use.
 type forwardStoreFlags struct {
 	Store    []string      `env:"MALLOWWIND_STORE" placeholder:"URL" help:"Endpoints of the key-value service."`
-	Platform string        `placeholder:"IP:PORT" help:"Address of the platform's metadata store, in place of --store."`
+	Platform string        `placeholder:"IP:PORT" help:"Address of the platform's metadata store, instead of --store."`
 	Timeout  time.Duration `default:"5s" help:"How long to wait for the store."`
 }
 
@@ -40,7 +40,7 @@
 		}
 		return client, nil
 	}
-	return nil, usageError{errors.New("give --store URL or --platform IP:PORT")}
+	return nil, usageError{errors.New("no store is given: use --store URL or --platform IP:PORT")}
 }
 
 type refusedListCmd struct {
@@ -79,7 +79,7 @@
 
 type refusedLiftCmd struct {
 	forwardStoreFlags
-	Digest string `arg:"" help:"Digest of the request, as list and the callers' answers show it."`
+	Digest string `arg:"" help:"Digest of the request, as shown by list and in the responses to callers."`
 }
 
 // Run implements the command.
@@ -92,7 +92,7 @@
 	defer cancel()
 	err = feed.DeleteRefused(ctx, s, c.Digest)
 	if errors.Is(err, store.ErrNotFound) {
-		return usageError{errors.Errorf("no request is refused with the digest %q", c.Digest)}
+		return usageError{errors.Errorf("no refused request has the digest %q; see list", c.Digest)}
 	}
 	return err
 }
--- a/cmd/mallowctl/rollout.go
+++ b/cmd/mallowctl/rollout.go
@@ -17,11 +17,11 @@
 	"mallowwind.dev/platform/wire"
 )
 
-// rolloutCmd concerns services that move to another version of their servers.
+// rolloutCmd groups the commands for moving a service to servers of another version.
 type rolloutCmd struct {
-	List  rolloutListCmd  `cmd:"" help:"Show how far the roll-outs of all services are."`
-	Order rolloutOrderCmd `cmd:"" help:"Order that a service moves to servers of another version, which run beside the others already or soon."`
-	Back  rolloutBackCmd  `cmd:"" help:"Order that a service moves back to the version before, while that still runs."`
+	List  rolloutListCmd  `cmd:"" help:"Show the progress of the roll-outs of all services."`
+	Order rolloutOrderCmd `cmd:"" help:"Order the roll-out of a service to servers of another version, which run already or will start soon."`
+	Back  rolloutBackCmd  `cmd:"" help:"Order the return of a service to its previous version during a roll-out."`
 }
 
 type rolloutListCmd struct{ forwardStoreFlags }
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// listRollouts reads what lies in the store.
+// listRollouts reads the orders and statuses of all roll-outs from the store.
 func (f *forwardStoreFlags) listRollouts() (map[string]feed.Rollout, error) {
 	s, err := f.open()
 	if err != nil {
@@ -71,9 +71,9 @@
 
 type rolloutOrderCmd struct {
 	forwardStoreFlags
-	Service string        `arg:"" help:"The service."`
-	Target  string        `arg:"" help:"The version of its servers, as they register it."`
-	Period  time.Duration `default:"5m" help:"The time within which the roll-out is over, either way."`
+	Service string        `arg:"" help:"Name of the service."`
+	Target  string        `arg:"" help:"Version to move to, as its servers register it."`
+	Period  time.Duration `default:"5m" help:"Time within which the roll-out completes or is rolled back."`
 }
 
 // Run implements the command.
@@ -81,10 +81,11 @@
 	return c.writeRolloutOrder(routing.RolloutOrder{Service: c.Service, Target: c.Target, Period: c.Period})
 }
 
-// writeRolloutOrder writes an order to a store of ours.
+// writeRolloutOrder validates an order and writes it to the key-value service. It rejects --platform:
+// in the platform's store only the platform's operators write orders.
 func (f *forwardStoreFlags) writeRolloutOrder(o routing.RolloutOrder) error {
 	if f.Platform != "" {
-		return usageError{errors.New("orders on the platform are its operators' to write")}
+		return usageError{errors.New("a roll-out cannot be ordered with --platform: only the platform's operators write orders there; give --store URL")}
 	}
 	if err := o.Validate(); err != nil {
 		return usageError{err}
@@ -100,8 +101,8 @@
 
 type rolloutBackCmd struct {
 	forwardStoreFlags
-	Service string        `arg:"" help:"The service."`
-	Period  time.Duration `default:"1m" help:"The time within which the service is back."`
+	Service string        `arg:"" help:"Name of the service."`
+	Period  time.Duration `default:"1m" help:"Time within which the service is back on its previous version."`
 }
 
 // Run implements the command.
@@ -113,9 +114,9 @@
 	status := list[c.Service].Status
 	switch {
 	case status == nil || !status.Stage.IsRunning():
-		return usageError{errors.Errorf("no roll-out of %q is under way", c.Service)}
+		return usageError{errors.Errorf("no roll-out of service %q is in progress", c.Service)}
 	case status.Stage == rollout.Migrating:
-		return usageError{errors.Errorf("the roll-out of %q is at its end; order one to version %q", c.Service, status.Baseline)}
+		return usageError{errors.Errorf("the roll-out of service %q is in its last stage and cannot be reversed; order a roll-out to version %q instead", c.Service, status.Baseline)}
 	}
 	return c.writeRolloutOrder(routing.RolloutOrder{Service: c.Service, Target: status.Baseline, Period: c.Period})
 }
--- a/cmd/mallowctl/rollout_test.go
+++ b/cmd/mallowctl/rollout_test.go
@@ -13,7 +13,7 @@
 	"mallowwind.dev/decision/rollout"
 )
 
-func TestRolloutsAreShown(t *testing.T) {
+func TestWriteRollouts(t *testing.T) {
 	var out bytes.Buffer
 	writeRollouts(&out, nil)
 	must.Eq(t, "no service has a roll-out\n", out.String())
@@ -27,7 +27,7 @@
 	must.Eq(t, "a  few  from v1 to v2  share 0.050  due 2026-12-03T03:00:00Z\nb  ordered  to v3  in 1m0s\nc  order cannot be carried out: no target\n", out.String())
 }
 
-func TestOrdersAreChecked(t *testing.T) {
+func TestInvalidRolloutOrdersAreRejected(t *testing.T) {
 	must.Eq(t, exitUsage, run([]string{"rollout", "order", "desk", "v2", "--period", "1s", "--store", "http://127.0.0.1:1"}))
 	must.Eq(t, exitUsage, run([]string{"rollout", "order", "desk", "v2", "--platform", "127.0.0.1:1"}))
 	must.Eq(t, exitUsage, run([]string{"rollout", "order", "desk", "v2"}))
--- a/cmd/mallowctl/soak.go
+++ b/cmd/mallowctl/soak.go
@@ -13,16 +13,16 @@
 	"mallowwind.dev/lab/soak"
 )
 
-// soakCmd plays random runs of a whole deployment over loopback.
+// soakCmd runs a whole deployment over loopback under random faults, and checks its invariants.
 type soakCmd struct {
-	Seed    uint64 `default:"1" help:"Seed of the first run; each next one takes the next seed."`
-	Runs    int    `default:"1" help:"How many runs."`
-	Minutes int    `help:"Go on with further seeds for this long instead of a number of runs."`
-	Callers int    `default:"2" help:"Callers of each kind."`
+	Seed    uint64 `default:"1" help:"Seed of the first run; each further run uses the next seed."`
+	Runs    int    `default:"1" help:"Number of runs."`
+	Minutes int    `help:"Keep running with further seeds for this many minutes, even after --runs is reached."`
+	Callers int    `default:"2" help:"Number of callers of each kind."`
 	Logs    bool   `help:"Write the daemons' logs to standard error."`
 }
 
-// Run implements the command. It stops at the first run that breaks an invariant.
+// Run implements the command. It stops at the first run that fails or violates an invariant.
 func (c *soakCmd) Run() error {
 	logs := io.Discard
 	if c.Logs {
--- a/cmd/mallowctl/standin.go
+++ b/cmd/mallowctl/standin.go
@@ -14,13 +14,12 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// standInCmd serves the stand-ins of a platform until it is interrupted.
+// standInCmd serves stand-ins for the platform until it is interrupted.
 type standInCmd struct {
 	Config string `required:"" type:"path" placeholder:"FILE" help:"INI file that lists the stand-ins; see docs/platform-protocols.md."`
 }
 
-// Run implements the command. Each address is printed on a line of its own, as
-// "name address zone", once all listen.
+// Run implements the command. Once all stand-ins listen, it prints one line "name address zone" for each.
 func (c *standInCmd) Run() error {
 	config, err := standins.Load(c.Config)
 	if err != nil {
@@ -39,8 +38,8 @@
 	return h.Run(ctx)
 }
 
-// standInError is a bad configuration or a busy port.
+// standInError is an error of the configuration or of opening a listener.
 type standInError struct{ error }
 
-// ExitCode implements coder.
+// ExitCode implements exitCoder.
 func (standInError) ExitCode() int { return exitUsage }
--- a/cmd/mallowctl/status.go
+++ b/cmd/mallowctl/status.go
@@ -2,14 +2,14 @@
 
 import "github.com/pkg/errors"
 
-// statusCmd shows which revision is in force where.
+// statusCmd shows which revision is in force in each zone and which VMs lag.
 type statusCmd struct {
 	siteFlags
 	adminFlags
 }
 
-// Run implements the command. It fails when some VM lags or does not answer,
-// so that scripts can wait on it.
+// Run implements the command. It fails when a VM lags or does not answer, so that scripts can poll it
+// until the newest revision is in force everywhere.
 func (c *statusCmd) Run() error {
 	s, err := c.open()
 	if err != nil {
@@ -30,7 +30,7 @@
 		return err
 	}
 	if !status.HasConverged() {
-		return errors.Errorf("not in force everywhere: %d VMs lag, %d do not answer", len(status.Lagging()), len(status.Unreachable))
+		return errors.Errorf("the newest revision is not in force everywhere: %d VMs lag, %d do not answer", len(status.Lagging()), len(status.Unreachable))
 	}
 	return nil
 }
--- a/cmd/mallowctl/story.go
+++ b/cmd/mallowctl/story.go
@@ -9,11 +9,11 @@
 	"mallowwind.dev/telemetry/story"
 )
 
-// storyCmd prints what the logs say of one request.
+// storyCmd prints the events of one request from the logs of several daemons, sorted by time.
 type storyCmd struct {
-	ID    string                   `arg:"" help:"The id of a request, a generation or a prompt, as the logs spell it."`
+	ID    string                   `arg:"" help:"ID of a request, a generation or a prompt, as the logs write it."`
 	Files []string                 `arg:"" type:"existingfile" help:"Logs of daemons."`
-	Clock map[string]time.Duration `placeholder:"VM=OFFSET" help:"How far a daemon's clock is ahead, such as entry-2=-150ms."`
+	Clock map[string]time.Duration `placeholder:"VM=OFFSET" help:"Offset by which a daemon's clock is ahead of the others, such as entry-2=-150ms."`
 }
 
 // Run implements the command.
@@ -35,7 +35,7 @@
 	return story.Write(os.Stdout, lines)
 }
 
-// storiesCmd sums up many requests.
+// storiesCmd summarizes the events of all requests in the logs.
 type storiesCmd struct {
 	Files []string `arg:"" type:"existingfile" help:"Logs of daemons."`
 }
--- a/control/operate/apply.go
+++ b/control/operate/apply.go
@@ -32,8 +32,8 @@
 
 // Apply makes the text of request the newest accepted one and returns its record. It returns a
 // *ConflictError if another change was accepted since BaseRevision, a *StoreError if the store is
-// unavailable, and another error if the text is invalid or belongs to another site. ctx bounds the
-// retries while the store is unavailable.
+// unavailable, and another error if the text is invalid, belongs to another site, or has a BaseRevision
+// although no text is accepted yet. ctx bounds the retries while the store is unavailable.
 func (c *Client) Apply(ctx context.Context, request Request) (*record.Record, error) {
 	if _, err := c.parseOwnSite(request.Text); err != nil {
 		return nil, err
--- a/control/site/check.go
+++ b/control/site/check.go
@@ -77,7 +77,8 @@
 }
 
 // checkCycles reports cycles of dependencies. It walks the services in the order of their names and
-// visits each once, so that a cycle is reported once.
+// visits each once, so that a cycle is reported once; a cycle that shares services with a reported one
+// may be reported only after the first one is resolved.
 func (p *parser) checkCycles() {
 	done := map[string]bool{}
 	for _, start := range slices.Sorted(maps.Keys(p.site.Services)) {
