--- a/cmd/mallowctl/main.go
+++ b/cmd/mallowctl/main.go
@@ -46,7 +46,7 @@
 	Metrics  metricsCmd  `cmd:"" help:"Print the reference page of a daemon's metrics, docs/metrics.md."`
 	Capacity capacityCmd `cmd:"" help:"Compute the capacity that each role needs at the planned size, docs/CAPACITY.md."`
 	Bench    benchCmd    `cmd:"" help:"Run an experiment."`
-	Soak     soakCmd     `cmd:"" help:"Run a whole deployment under seeded random faults and check its invariants."`
+	Soak     soakCmd     `cmd:"" help:"Run a whole deployment under seeded random faults and planned changes, and check its invariants."`
 	StandIn  standInCmd  `cmd:"" help:"Serve stand-ins for the platform: store, VM list, weight store, engines, plain services."`
 }
 
--- a/cmd/mallowctl/rollout.go
+++ b/cmd/mallowctl/rollout.go
@@ -21,7 +21,7 @@
 type rolloutCmd struct {
 	List  rolloutListCmd  `cmd:"" help:"Show the progress of the roll-outs of all services."`
 	Order rolloutOrderCmd `cmd:"" help:"Order the roll-out of a service to servers of another version, which run already or will start soon."`
-	Back  rolloutBackCmd  `cmd:"" help:"Order the return of a service to its previous version during a roll-out."`
+	Back  rolloutBackCmd  `cmd:"" help:"Order the return of a service to its previous version while its roll-out is in progress."`
 }
 
 type rolloutListCmd struct{ forwardStoreFlags }
--- a/cmd/mallowctl/soak.go
+++ b/cmd/mallowctl/soak.go
@@ -13,7 +13,8 @@
 	"mallowwind.dev/lab/soak"
 )
 
-// soakCmd runs a whole deployment over loopback under random faults, and checks its invariants.
+// soakCmd runs a whole deployment over loopback under random faults and planned
+// changes, and checks its invariants.
 type soakCmd struct {
 	Seed    uint64 `default:"1" help:"Seed of the first run; each further run uses the next seed."`
 	Runs    int    `default:"1" help:"Number of runs."`
--- a/cmd/mallowwind/forward.go
+++ b/cmd/mallowwind/forward.go
@@ -25,32 +25,33 @@
 	"mallowwind.dev/telemetry/metric"
 )
 
-// memoryLimitRatio is the share of the limit on the process from which memory is given back
-// sooner: the platform kills a process beyond the limit, and buffers of the kernel count.
+// memoryLimitRatio is the Go runtime's memory limit as a fraction of the process's limit. It is below 1
+// because the platform kills a process beyond its limit, and kernel buffers count towards it.
 const memoryLimitRatio = 0.8
 
-// gcPercent is how much the heap grows between two collections, in percent: entry VMs have
-// processor time to spare and little memory.
+// gcPercent is how much the heap may grow between two garbage collections, in percent. It is low because
+// entry VMs have spare CPU time and little memory.
 const gcPercent = 50
 
-// forwardCmd forwards requests by the configuration in the platform's store.
+// forwardCmd forwards requests according to the configuration in the platform's store or, with --config,
+// in this project's own key-value service.
 type forwardCmd struct {
-	Config   string `type:"path" placeholder:"FILE" help:"Settings of our own, with a key-value service of ours; see docs/settings.md."`
-	Settings string `env:"${settings_env}" type:"path" placeholder:"FILE" help:"The platform's settings file of this machine, where --config is not given."`
+	Config   string `type:"path" placeholder:"FILE" help:"Settings file of this project, which names its own key-value service; see docs/settings.md."`
+	Settings string `env:"${settings_env}" type:"path" placeholder:"FILE" help:"The platform's settings file of this machine; ignored if --config is given."`
 	Check    bool   `help:"Check the settings and exit."`
-	Metrics  int    `default:"0" placeholder:"PORT" help:"With --settings: the port of this machine at which metrics are served; 0 serves none."`
-	LogLevel string `default:"info" enum:"error,warning,info,debug" help:"With --settings: the least level that is logged."`
+	Metrics  int    `default:"0" placeholder:"PORT" help:"With --settings: port of this machine on which metrics are served; 0 serves none."`
+	LogLevel string `default:"info" enum:"error,warning,info,debug" help:"With --settings: the minimum level that is logged."`
 }
 
 // Run forwards until a signal ends it.
 func (c *forwardCmd) Run() error {
 	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP) // before anything else: by default it ends the process
+	signal.Notify(hup, syscall.SIGHUP) // before anything else: by default SIGHUP ends the process
 	if c.Config != "" {
 		return runOwnGateway(c.Config, c.Check)
 	}
 	if c.Settings == "" {
-		return usageError{errors.New("neither --config nor --settings is given")}
+		return usageError{errors.New("no settings are given: use --config FILE or --settings FILE")}
 	}
 	s, err := nodefile.Load(c.Settings)
 	if err != nil {
@@ -69,14 +70,14 @@
 		o.Metrics, err = net.Listen("tcp", net.JoinHostPort(s.IP, strconv.Itoa(c.Metrics)))
 		return o, errors.Wrap(err, "metrics")
 	}, func(g *gateway.Gateway, o gateway.Options) {
-		c.reload(hup, s, o.Log, func(now *nodefile.Settings) {
-			o.Store.(*kv.Client).SetAddress(now.StoreAddress)
-			g.Apply(gatewayBounds(now))
+		c.reload(hup, s, o.Log, func(next *nodefile.Settings) {
+			o.Store.(*kv.Client).SetAddress(next.StoreAddress)
+			g.Apply(gatewayBounds(next))
 		})
 	})
 }
 
-// gatewayBounds are the settings that may change while the daemon runs.
+// gatewayBounds returns the settings that may change while the daemon runs.
 func gatewayBounds(s *nodefile.Settings) gateway.Bounds {
 	return gateway.Bounds{
 		KeyAge: s.KeyRevocationDelay, Grace: s.DrainGrace, Seeds: s.Seeds,
@@ -110,30 +111,29 @@
 	return o, err
 }
 
-// reloadInterval is how often the settings file is looked at: it may change without
-// a signal.
+// reloadInterval is how often the settings file is read, because it may change without a signal.
 const reloadInterval = 2 * time.Second
 
-// reload applies the settings at SIGHUP and when the file has changed. The
-// addresses at which this daemon listens hold for the life of the process. A file
-// that cannot be used changes nothing.
-func (c *forwardCmd) reload(hup <-chan os.Signal, now *nodefile.Settings, events *event.Log, apply func(*nodefile.Settings)) {
+// reload reads the settings file at SIGHUP and every reloadInterval, and applies the settings if they
+// differ. The addresses that the daemon listens on stay the same for the life of the process. An invalid
+// file changes nothing.
+func (c *forwardCmd) reload(hup <-chan os.Signal, current *nodefile.Settings, events *event.Log, apply func(*nodefile.Settings)) {
 	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
 	for {
-		asked := false
+		shouldLog := false
 		select {
 		case <-hup:
-			asked = true
+			shouldLog = true
 		case <-tick.C:
 		}
 		next, err := nodefile.Load(c.Settings)
-		if err == nil && !reflect.DeepEqual(now, next) {
-			now = next
+		if err == nil && !reflect.DeepEqual(current, next) {
+			current = next
 			apply(next)
-			asked = true
+			shouldLog = true
 		}
-		if asked {
+		if shouldLog {
 			events.Emit(event.SettingsReloaded, c.Settings, err)
 		}
 	}
--- a/cmd/mallowwind/forward_own.go
+++ b/cmd/mallowwind/forward_own.go
@@ -23,21 +23,22 @@
 )
 
 const (
-	// ownConfirmInterval is how often the configuration is confirmed, at one read.
+	// ownConfirmInterval is how often the configuration is confirmed, at the cost of one read.
 	ownConfirmInterval = time.Second
-	// ownKeyRevocationDelay is how long after its removal an account key may still be used.
+	// ownKeyRevocationDelay is how long an account key may still be used after its removal.
 	ownKeyRevocationDelay = 5 * time.Second
 )
 
-// ownRetryBudget is the fleet's budget of sends beyond the first: four in five
-// requests and a hundred and fifty in ten seconds carry the loss of a zone.
+// ownRetryBudget is the retry budget of all daemons together: retries of 0.8 times the requests plus 150
+// in 10 s are enough to survive the loss of a zone.
 var ownRetryBudget = retrybudget.Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 
-// ownRolloutLimits lets a version that is not known to be good have a tenth of a service's requests
-// and fifty.
+// ownRolloutLimits bounds the requests to a version that is not known to be good: a tenth of a service's
+// requests plus 50.
 var ownRolloutLimits = rollout.Limits{Share: 0.1, Slack: 50}
 
-// runOwnGateway forwards by settings of our own and a key-value service of ours.
+// runOwnGateway runs a gateway with this project's settings file and key-value service instead of the
+// platform's.
 func runOwnGateway(path string, check bool) error {
 	s, err := settings.Parse(path)
 	if err != nil {
@@ -79,7 +80,7 @@
 	return o, err
 }
 
-// readinessHandler answers 200 while callers should be sent here.
+// readinessHandler answers 200 while callers should be sent to this daemon, otherwise 503.
 func readinessHandler(ready func() bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if !ready() {
@@ -88,7 +89,7 @@
 	})
 }
 
-// entriesResponse names the addresses that a caller may use, and for how long.
+// entriesResponse holds the addresses that a caller may use, and for how long.
 type entriesResponse struct {
 	Addresses  []string `json:"addresses"`
 	TTLSeconds float64  `json:"ttl_seconds"`
@@ -102,7 +103,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		// A caller that left meanwhile is the only reason for a failure here.
+		// Encoding fails only if the caller has closed the connection.
 		_ = json.NewEncoder(w).Encode(entriesResponse{Addresses: list, TTLSeconds: maxDirectoryTTL.Seconds()})
 	})
 }
--- a/cmd/mallowwind/forward_own_test.go
+++ b/cmd/mallowwind/forward_own_test.go
@@ -27,7 +27,7 @@
 "routes":[{"name":"r","host":"desk.example","prefix":"/","kind":"at_most_once","timeout":"5s",
 "targets":[{"service":"desk","weight":1}]}]}`
 
-// freeAddress is a loopback address that nobody listens at.
+// freeAddress returns a loopback address on which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,7 +36,7 @@
 	return l.Addr().String()
 }
 
-// getUntilStatus asks until an answer has the status wanted, or the test's time is over.
+// getUntilStatus repeats a GET request until the response has status want, and returns its body.
 func getUntilStatus(t *testing.T, url, key string, want int) string {
 	t.Helper()
 	for {
@@ -57,10 +57,10 @@
 	}
 }
 
-// The whole path by our own means: settings in INI, a key-value service in the
-// form of etcd's, a plain service that registered itself. A request is forwarded,
-// an unknown key refused, a change of the configuration is in force, and the stop ends.
-func TestForwardingByOurOwnMeans(t *testing.T) {
+// Runs a gateway with this project's own settings, an etcd stand-in and a plain service that is
+// registered there. A request must be forwarded, an unknown key rejected, a changed configuration take
+// effect, and the gateway stop without an error.
+func TestForwardingWithOwnSettingsAndStore(t *testing.T) {
 	memory := store.NewMemory()
 	etcd := httptest.NewServer(storesim.Handler(memory))
 	defer etcd.Close()
--- a/cmd/mallowwind/forward_test.go
+++ b/cmd/mallowwind/forward_test.go
@@ -28,7 +28,7 @@
 	must.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 }
 
-func TestForwardSettingsAreChecked(t *testing.T) {
+func TestForwardCheckValidatesSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.conf")
 	writeNodeSettings(t, path, nodeSettings)
 	must.Eq(t, exitOK, run([]string{"forward", "--settings", path, "--check"}))
@@ -36,9 +36,9 @@
 	must.Eq(t, exitUsage, run([]string{"forward", "--settings", path, "--check"}))
 }
 
-// The platform replaces the settings file, first by one that cannot be used.
-// The daemon keeps what it has until the file is whole again.
-func TestSettingsAreReloaded(t *testing.T) {
+// The platform replaces the settings file with an invalid one and then with a valid one. The daemon must
+// keep its settings while the file is invalid and then apply the new ones.
+func TestReloadIgnoresInvalidSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.conf")
 	writeNodeSettings(t, path, nodeSettings)
 	before, err := nodefile.Load(path)
--- a/cmd/mallowwind/gateway.go
+++ b/cmd/mallowwind/gateway.go
@@ -13,15 +13,15 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// maxDirectoryTTL is how long callers are told to keep an address answer: a daemon
-// that died is asked for no longer, and one that stops has to serve on for
-// three times as long.
+// maxDirectoryTTL bounds how long callers are told to cache the addresses of daemons. Callers send
+// requests to a crashed daemon for that long, and a daemon that stops has to continue serving for three
+// times as long.
 const maxDirectoryTTL = time.Second
 
-// runGateway runs a gateway with the given options until a signal ends it, and beside it what
-// follows the settings. An error of the options is the operator's.
+// runGateway runs a gateway until a signal ends it, and concurrently onStart, which may apply changed
+// settings. An error that options returns is reported as a usage error.
 func runGateway(
-	level, vm, zone string, options func(*event.Log) (gateway.Options, error), beside func(*gateway.Gateway, gateway.Options),
+	level, vm, zone string, options func(*event.Log) (gateway.Options, error), onStart func(*gateway.Gateway, gateway.Options),
 ) error {
 	events, closeLog, err := openLog(level, vm, zone)
 	if err != nil {
@@ -33,18 +33,18 @@
 		return usageError{err}
 	}
 	g := gateway.New(o)
-	go beside(g, o)
+	go onStart(g, o)
 	soft, hard := notifyContexts()
 	return g.Run(soft, hard)
 }
 
-// socket is where a listener goes and the address that it is opened at.
+// socket is an address to listen on and the variable that gets the listener.
 type socket struct {
 	listener *net.Listener
 	address  string
 }
 
-// listen opens the listeners that have an address.
+// listen opens a listener for each socket that has an address.
 func listen(sockets []socket) error {
 	for _, s := range sockets {
 		if s.address == "" {
@@ -59,14 +59,14 @@
 }
 
 const (
-	// logEventsPerSecond and logBurst bound the events that are no warnings. A daemon
-	// at the peak of the largest site forwards about 20 requests a second.
+	// logEventsPerSecond and logBurst limit the logged events below the warning level. A
+	// daemon forwards about 20 requests per second at the peak of the largest site.
 	logEventsPerSecond = 300
 	logBurstEvents     = 1500
 )
 
-// openLog writes events to standard output without waiting for its reader. The
-// function it returns writes what is queued.
+// openLog returns a log that writes events to standard output without blocking on the reader. The
+// returned function writes the queued events and closes the log.
 func openLog(levelName, vm, zone string) (*event.Log, func(), error) {
 	level, err := logrus.ParseLevel(levelName)
 	if err != nil {
@@ -81,7 +81,8 @@
 	return events, out.Close, nil
 }
 
-// bootClock goes on while the machine is suspended.
+// bootClock returns the time since boot. Unlike the monotonic clock it advances while the machine is
+// suspended.
 func bootClock() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/cmd/mallowwind/main.go
+++ b/cmd/mallowwind/main.go
@@ -24,15 +24,15 @@
 // version is set by the linker in released builds.
 var version = "dev"
 
-// commandLine is the whole command line. One file per command holds its struct.
+// commandLine defines the command line. The struct of each command is in a file of its own.
 type commandLine struct {
 	Version kong.VersionFlag `help:"Print the version and exit."`
 
-	Serve   serveCmd   `cmd:"" default:"withargs" help:"Serve generations and calls by the accepted site text."`
-	Forward forwardCmd `cmd:"" help:"Forward requests by the configuration in the platform's metadata store."`
+	Serve   serveCmd   `cmd:"" default:"withargs" help:"Serve generations and calls according to the accepted site text."`
+	Forward forwardCmd `cmd:"" help:"Forward requests according to the configuration in a metadata store."`
 }
 
-// usageError is an error in what the operator gave.
+// usageError is an error in the arguments or settings that the operator gave.
 type usageError struct{ error }
 
 func (e usageError) Unwrap() error { return e.error }
@@ -44,7 +44,7 @@
 func run(args []string) int {
 	var c commandLine
 	parser := kong.Must(&c, kong.Name("mallowwind"),
-		kong.Description("Serve callers from this entry VM until SIGTERM, which drains; a second one ends at once."),
+		kong.Description("Serve callers from this entry VM until SIGTERM, which starts draining; a second SIGTERM stops at once."),
 		kong.Vars{"version": version, "settings_env": nodefile.EnvFile})
 	ctx, err := parser.Parse(args)
 	if err != nil {
@@ -67,8 +67,8 @@
 	return code
 }
 
-// notifyContexts returns a context that ends at the first SIGTERM or interrupt, which
-// drains, and one that ends at the second, which cuts what still runs.
+// notifyContexts returns two contexts: soft is canceled at the first SIGTERM or interrupt, which starts
+// draining, and hard at the second, which aborts the requests still running.
 func notifyContexts() (soft, hard context.Context) {
 	soft, drain := context.WithCancel(context.Background())
 	hard, cut := context.WithCancel(context.Background())
--- a/cmd/mallowwind/serve.go
+++ b/cmd/mallowwind/serve.go
@@ -11,9 +11,9 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// serveCmd serves generations and calls by the accepted site text.
+// serveCmd serves generations and calls according to the accepted site text.
 type serveCmd struct {
-	Config string `required:"" type:"path" placeholder:"FILE" help:"The daemon's settings."`
+	Config string `required:"" type:"path" placeholder:"FILE" help:"Settings file of the daemon."`
 	Check  bool   `help:"Check the settings and exit."`
 }
 
