--- a/cmd/mallowctl/apply.go
+++ b/cmd/mallowctl/apply.go
@@ -11,7 +11,8 @@
 	"mallowwind.dev/control/operate"
 )
 
-// applyCmd makes a site text the newest accepted one, or rolls back to the text of an older revision.
+// applyCmd makes a site text the newest accepted one, or rolls back to the text of an older
+// revision.
 type applyCmd struct {
 	siteFlags
 	adminFlags
@@ -101,8 +102,8 @@
 	return nil
 }
 
-// waitInForce waits until revision or a newer one is in force on every known entry VM. It does nothing
-// without --wait.
+// waitInForce waits until revision or a newer one is in force on every known entry VM. It does
+// nothing without --wait.
 func (c *applyCmd) waitInForce(s *session, revision int64) error {
 	if c.Wait == 0 {
 		return nil
@@ -110,11 +111,11 @@
 	ctx, cancel := context.WithTimeout(s.ctx, c.Wait)
 	defer cancel()
 	for {
-		answers, err := c.readPages(ctx)
+		pages, err := c.readPages(ctx)
 		if err != nil {
 			return errors.Wrapf(err, "revision %d is accepted; waiting until it is in force", revision)
 		}
-		status := s.Status(ctx, answers)
+		status := s.Status(ctx, pages)
 		if status.AcceptedRevision >= revision && status.HasConverged() {
 			return nil
 		}
--- a/cmd/mallowctl/check.go
+++ b/cmd/mallowctl/check.go
@@ -39,8 +39,8 @@
 	return reportFaults(faults)
 }
 
-// reportFaults writes one line per fault to standard error and returns an error with their number, or nil
-// if there are none.
+// reportFaults writes one line per fault to standard error and returns an error with their number,
+// or nil if there are none.
 func reportFaults(faults inifile.Errors) error {
 	if len(faults) == 0 {
 		return nil
--- a/cmd/mallowctl/handover.go
+++ b/cmd/mallowctl/handover.go
@@ -16,11 +16,11 @@
 		return err
 	}
 	defer s.stop()
-	answers, err := c.readPages(s.ctx)
+	pages, err := c.readPages(s.ctx)
 	if err != nil {
 		return err
 	}
-	h, err := s.Handover(s.ctx, answers)
+	h, err := s.Handover(s.ctx, pages)
 	if err != nil {
 		return err
 	}
--- a/cmd/mallowctl/main.go
+++ b/cmd/mallowctl/main.go
@@ -1,5 +1,5 @@
-// Command mallowctl is the operators' command-line tool. It also runs the demo, the stand-ins for the
-// platform, and the experiments.
+// Command mallowctl is the operators' command-line tool. It also runs the demo, the stand-ins for
+// the platform, and the experiments.
 package main
 
 import (
--- a/cmd/mallowctl/operator.go
+++ b/cmd/mallowctl/operator.go
@@ -30,8 +30,8 @@
 	JSON    bool          `name:"json" help:"Write JSON."`
 }
 
-// session holds what one run of a command uses: the client of the store, the context that an interrupt
-// cancels, and the output.
+// session holds what one run of a command uses: the client of the store, the context that an
+// interrupt cancels, and the output.
 type session struct {
 	*operate.Client
 	ctx  context.Context
@@ -54,8 +54,8 @@
 	Admin     []string `env:"MALLOWWIND_ADMIN" placeholder:"IP:PORT" help:"Addresses of the operators' listeners of entry VMs. One suffices for 7 VMs; more give fresher results."`
 	VMList    string   `name:"vm-list" env:"MALLOWWIND_VM_LIST" placeholder:"URL" help:"Query every entry VM of the platform's VM list, on --admin-port."`
 	AdminPort string   `default:"8082" help:"Port of the operators' listeners of the VMs from --vm-list."`
-	// The token is documented only as an environment variable: an argument is visible in the process
-	// list.
+	// The token is documented only as an environment variable: an argument is visible in the
+	// process list.
 	Token string `hidden:"" env:"MALLOWWIND_TOKEN"`
 	TLS   bool   `help:"Reach the operators' listeners over TLS."`
 }
--- a/cmd/mallowctl/plan.go
+++ b/cmd/mallowctl/plan.go
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// plan compares text with the newest accepted text, which it also returns; that is nil before the first
-// text is accepted.
+// plan compares text with the newest accepted text, which it also returns; that is nil before the
+// first text is accepted.
 func (s *session) plan(text string) (planOutput, *operate.Current, error) {
 	current, err := s.Get(s.ctx)
 	if err == operate.ErrNoText {
--- a/cmd/mallowctl/rollout.go
+++ b/cmd/mallowctl/rollout.go
@@ -81,8 +81,8 @@
 	return c.writeRolloutOrder(routing.RolloutOrder{Service: c.Service, Target: c.Target, Period: c.Period})
 }
 
-// writeRolloutOrder validates an order and writes it to the key-value service. It rejects --platform:
-// in the platform's store only the platform's operators write orders.
+// writeRolloutOrder validates an order and writes it to the key-value service. It rejects
+// --platform: in the platform's store only the platform's operators write orders.
 func (f *forwardStoreFlags) writeRolloutOrder(o routing.RolloutOrder) error {
 	if f.Platform != "" {
 		return usageError{errors.New("a roll-out cannot be ordered with --platform: only the platform's operators write orders there; give --store URL")}
--- a/cmd/mallowctl/standin.go
+++ b/cmd/mallowctl/standin.go
@@ -19,7 +19,8 @@
 	Config string `required:"" type:"path" placeholder:"FILE" help:"INI file that lists the stand-ins; see docs/platform-protocols.md."`
 }
 
-// Run implements the command. Once all stand-ins listen, it prints one line "name address zone" for each.
+// Run implements the command. Once all stand-ins listen, it prints one line "name address zone" for
+// each.
 func (c *standInCmd) Run() error {
 	config, err := standins.Load(c.Config)
 	if err != nil {
--- a/cmd/mallowctl/status.go
+++ b/cmd/mallowctl/status.go
@@ -8,19 +8,19 @@
 	adminFlags
 }
 
-// Run implements the command. It fails when a VM lags or does not answer, so that scripts can poll it
-// until the newest revision is in force everywhere.
+// Run implements the command. It fails when a VM lags or does not answer, so that scripts can poll
+// it until the newest revision is in force everywhere.
 func (c *statusCmd) Run() error {
 	s, err := c.open()
 	if err != nil {
 		return err
 	}
 	defer s.stop()
-	answers, err := c.readPages(s.ctx)
+	pages, err := c.readPages(s.ctx)
 	if err != nil {
 		return err
 	}
-	status := s.Status(s.ctx, answers)
+	status := s.Status(s.ctx, pages)
 	if c.JSON {
 		err = writeJSON(s.out, status)
 	} else {
--- a/cmd/mallowwind/forward.go
+++ b/cmd/mallowwind/forward.go
@@ -25,16 +25,17 @@
 	"mallowwind.dev/telemetry/metric"
 )
 
-// memoryLimitRatio is the Go runtime's memory limit as a fraction of the process's limit. It is below 1
-// because the platform kills a process beyond its limit, and kernel buffers count towards it.
+// memoryLimitRatio is the Go runtime's memory limit as a fraction of the process's limit. It is
+// below 1 because the platform kills a process beyond its limit, and kernel buffers count towards
+// it.
 const memoryLimitRatio = 0.8
 
-// gcPercent is how much the heap may grow between two garbage collections, in percent. It is low because
-// entry VMs have spare CPU time and little memory.
+// gcPercent is how much the heap may grow between two garbage collections, in percent. It is low
+// because entry VMs have spare CPU time and little memory.
 const gcPercent = 50
 
-// forwardCmd forwards requests according to the configuration in the platform's store or, with --config,
-// in this project's own key-value service.
+// forwardCmd forwards requests according to the configuration in the platform's store or, with
+// --config, in this project's own key-value service.
 type forwardCmd struct {
 	Config   string `type:"path" placeholder:"FILE" help:"Settings file of this project, which names its own key-value service; see docs/settings.md."`
 	Settings string `env:"${settings_env}" type:"path" placeholder:"FILE" help:"The platform's settings file of this machine; ignored if --config is given."`
@@ -114,9 +115,9 @@
 // reloadInterval is how often the settings file is read, because it may change without a signal.
 const reloadInterval = 2 * time.Second
 
-// reload reads the settings file at SIGHUP and every reloadInterval, and applies the settings if they
-// differ. The addresses that the daemon listens on stay the same for the life of the process. An invalid
-// file changes nothing.
+// reload reads the settings file at SIGHUP and every reloadInterval, and applies the settings if
+// they differ. The addresses that the daemon listens on stay the same for the life of the process.
+// An invalid file changes nothing.
 func (c *forwardCmd) reload(hup <-chan os.Signal, current *nodefile.Settings, events *event.Log, apply func(*nodefile.Settings)) {
 	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
--- a/cmd/mallowwind/forward_own.go
+++ b/cmd/mallowwind/forward_own.go
@@ -29,16 +29,16 @@
 	ownKeyRevocationDelay = 5 * time.Second
 )
 
-// ownRetryBudget is the retry budget of all daemons together: retries of 0.8 times the requests plus 150
-// in 10 s are enough to survive the loss of a zone.
+// ownRetryBudget is the retry budget of all daemons together: retries of 0.8 times the requests
+// plus 150 in 10 s are enough to survive the loss of a zone.
 var ownRetryBudget = retrybudget.Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second}
 
-// ownRolloutLimits bounds the requests to a version that is not known to be good: a tenth of a service's
-// requests plus 50.
+// ownRolloutLimits bounds the requests to a version that is not known to be good: a tenth of a
+// service's requests plus 50.
 var ownRolloutLimits = rollout.Limits{Share: 0.1, Slack: 50}
 
-// runOwnGateway runs a gateway with this project's settings file and key-value service instead of the
-// platform's.
+// runOwnGateway runs a gateway with this project's settings file and key-value service instead of
+// the platform's.
 func runOwnGateway(path string, check bool) error {
 	s, err := settings.Parse(path)
 	if err != nil {
--- a/cmd/mallowwind/forward_own_test.go
+++ b/cmd/mallowwind/forward_own_test.go
@@ -58,8 +58,8 @@
 }
 
 // Runs a gateway with this project's own settings, an etcd stand-in and a plain service that is
-// registered there. A request must be forwarded, an unknown key rejected, a changed configuration take
-// effect, and the gateway stop without an error.
+// registered there. A request must be forwarded, an unknown key rejected, a changed configuration
+// take effect, and the gateway stop without an error.
 func TestForwardingWithOwnSettingsAndStore(t *testing.T) {
 	memory := store.NewMemory()
 	etcd := httptest.NewServer(storesim.Handler(memory))
--- a/cmd/mallowwind/forward_test.go
+++ b/cmd/mallowwind/forward_test.go
@@ -36,8 +36,8 @@
 	must.Eq(t, exitUsage, run([]string{"forward", "--settings", path, "--check"}))
 }
 
-// The platform replaces the settings file with an invalid one and then with a valid one. The daemon must
-// keep its settings while the file is invalid and then apply the new ones.
+// The platform replaces the settings file with an invalid one and then with a valid one. The daemon
+// must keep its settings while the file is invalid and then apply the new ones.
 func TestReloadIgnoresInvalidSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.conf")
 	writeNodeSettings(t, path, nodeSettings)
--- a/cmd/mallowwind/gateway.go
+++ b/cmd/mallowwind/gateway.go
@@ -14,12 +14,12 @@
 )
 
 // maxDirectoryTTL bounds how long callers are told to cache the addresses of daemons. Callers send
-// requests to a crashed daemon for that long, and a daemon that stops has to continue serving for three
-// times as long.
+// requests to a crashed daemon for that long, and a daemon that stops has to continue serving for
+// three times as long.
 const maxDirectoryTTL = time.Second
 
-// runGateway runs a gateway until a signal ends it, and concurrently onStart, which may apply changed
-// settings. An error that options returns is reported as a usage error.
+// runGateway runs a gateway until a signal ends it, and concurrently onStart, which may apply
+// changed settings. An error that options returns is reported as a usage error.
 func runGateway(
 	level, vm, zone string, options func(*event.Log) (gateway.Options, error), onStart func(*gateway.Gateway, gateway.Options),
 ) error {
@@ -59,7 +59,7 @@
 }
 
 const (
-	// logEventsPerSecond and logBurst limit the logged events below the warning level. A
+	// logEventsPerSecond and logBurstEvents limit the logged events below the warning level. A
 	// daemon forwards about 20 requests per second at the peak of the largest site.
 	logEventsPerSecond = 300
 	logBurstEvents     = 1500
@@ -81,8 +81,8 @@
 	return events, out.Close, nil
 }
 
-// bootClock returns the time since boot. Unlike the monotonic clock it advances while the machine is
-// suspended.
+// bootClock returns the time since boot. Unlike the monotonic clock it advances while the machine
+// is suspended.
 func bootClock() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/cmd/mallowwind/main.go
+++ b/cmd/mallowwind/main.go
@@ -67,8 +67,8 @@
 	return code
 }
 
-// notifyContexts returns two contexts: soft is canceled at the first SIGTERM or interrupt, which starts
-// draining, and hard at the second, which aborts the requests still running.
+// notifyContexts returns two contexts: soft is canceled at the first SIGTERM or interrupt, which
+// starts draining, and hard at the second, which aborts the requests still running.
 func notifyContexts() (soft, hard context.Context) {
 	soft, drain := context.WithCancel(context.Background())
 	hard, cut := context.WithCancel(context.Background())
--- a/cmd/mallowwind/main_test.go
+++ b/cmd/mallowwind/main_test.go
@@ -41,8 +41,8 @@
 	must.Eq(t, exitUsage, run([]string{"--frobnicate"}))
 }
 
-// The daemon is started while its port is in use, for example by another instance. It must exit with a
-// usage error that names the line of the setting and the cause.
+// The daemon is started while its port is in use, for example by another instance. It must exit
+// with a usage error that names the line of the setting and the cause.
 func TestBusyPort(t *testing.T) {
 	busy, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
--- a/control/operate/apply.go
+++ b/control/operate/apply.go
@@ -19,9 +19,9 @@
 	Comment      string
 	// RestoredRevision is the revision whose text is applied again by a rollback, otherwise 0.
 	RestoredRevision int64
-	// AboveRevision is a lower bound: the new revision is higher than it. It is needed once after the
-	// store was restored from an older backup: daemons then have a higher revision in force than the
-	// store holds, and by design never go back to a lower one.
+	// AboveRevision is a lower bound: the new revision is higher than it. It is needed once after
+	// the store was restored from an older backup: daemons then have a higher revision in force
+	// than the store holds, and by design never go back to a lower one.
 	AboveRevision int64
 }
 
@@ -32,8 +32,9 @@
 
 // Apply makes the text of request the newest accepted one and returns its record. It returns a
 // *ConflictError if another change was accepted since BaseRevision, a *StoreError if the store is
-// unavailable, and another error if the text is invalid, belongs to another site, or has a BaseRevision
-// although no text is accepted yet. ctx bounds the retries while the store is unavailable.
+// unavailable, and another error if the text is invalid, belongs to another site, or has a
+// BaseRevision although no text is accepted yet. ctx bounds the retries while the store is
+// unavailable.
 func (c *Client) Apply(ctx context.Context, request Request) (*record.Record, error) {
 	if _, err := c.parseOwnSite(request.Text); err != nil {
 		return nil, err
@@ -98,11 +99,11 @@
 
 // accept replaces head by next and reports whether next was accepted.
 //
-// A write can take effect although its answer is lost. Reporting the error as a failure would tell the
-// operator that nothing changed while the daemons already follow the new text. After an unknown outcome
-// the same compare-and-swap is therefore sent again, which is safe because at most one of the two can
-// take effect. If it conflicts, the store is read and the unique ID of next tells whether the first
-// write took effect.
+// A write can take effect although its answer is lost. Reporting the error as a failure would tell
+// the operator that nothing changed while the daemons already follow the new text. After an unknown
+// outcome the same compare-and-swap is therefore sent again, which is safe because at most one of
+// the two can take effect. If it conflicts, the store is read and the unique ID of next tells
+// whether the first write took effect.
 func (c *Client) accept(ctx context.Context, head record.Accepted, next *record.Record) (bool, error) {
 	unknown, accepted := false, false
 	err := retryTransient(ctx, func(ctx context.Context) error {
@@ -125,8 +126,8 @@
 	return accepted, nil
 }
 
-// isAccepted reports whether next is the newest record or, if another change has already replaced it, in
-// the history. A change is archived before it is replaced, so it is found in one of the two.
+// isAccepted reports whether next is the newest record or, if another change has already replaced
+// it, in the history. A change is archived before it is replaced, so it is found in one of the two.
 func (c *Client) isAccepted(ctx context.Context, next *record.Record) (bool, error) {
 	now, err := record.ReadHead(ctx, c.Store, c.keys())
 	if err != nil {
@@ -164,8 +165,8 @@
 	return e
 }
 
-// retryTransient retries call with exponential backoff while the store is unavailable or the outcome is
-// unknown, until ctx ends. Each attempt has its own timeout.
+// retryTransient retries call with exponential backoff while the store is unavailable or the
+// outcome is unknown, until ctx ends. Each attempt has its own timeout.
 func retryTransient(ctx context.Context, call func(context.Context) error) error {
 	wait := initialRetryDelay
 	for {
--- a/control/operate/apply_test.go
+++ b/control/operate/apply_test.go
@@ -14,7 +14,7 @@
 	"mallowwind.dev/external/store"
 )
 
-const base = `[site]
+const siteTemplate = `[site]
 name = yard
 zones = Embakasi, Athi River
 
@@ -28,45 +28,47 @@
 replicas.Embakasi = %d
 `
 
-func text(version string, replicas int) string { return fmt.Sprintf(base, version, replicas) }
+func siteText(version string, replicas int) string {
+	return fmt.Sprintf(siteTemplate, version, replicas)
+}
 
 func newClient(who string) (*Client, *store.Faulty) {
 	s := store.NewFaulty(store.NewMemory())
 	return &Client{Store: s, Site: "yard", Author: who}, s
 }
 
-func apply(t *testing.T, c *Client, against int64, text string) *record.Record {
+func mustApply(t *testing.T, c *Client, against int64, text string) *record.Record {
 	t.Helper()
 	r, err := c.Apply(t.Context(), Request{Text: text, BaseRevision: against})
 	must.NoError(t, err)
 	return r
 }
 
-func newest(t *testing.T, c *Client) *Current {
+func readNewest(t *testing.T, c *Client) *Current {
 	t.Helper()
 	current, err := c.Get(t.Context())
 	must.NoError(t, err)
 	return current
 }
 
-// Guards against a lost update: operator "day" applies a change between the plan and the apply of operator
-// "night". Accepting both would silently undo the first change. The second apply must return a conflict
-// that names the author and the changes, and must not change the text.
+// Guards against a lost update: operator "day" applies a change between the plan and the apply of
+// operator "night". Accepting both would silently undo the first change. The second apply must
+// return a conflict that names the author and the changes, and must not change the text.
 func TestApplyConflictsWithChangeAfterPlan(t *testing.T) {
 	day, s := newClient("day")
 	night := &Client{Store: s, Site: "yard", Author: "night"}
-	apply(t, day, 0, text("1", 4))
-	apply(t, day, 1, text("1", 6))
-	_, err := night.Apply(t.Context(), Request{Text: text("2", 4), BaseRevision: 1})
+	mustApply(t, day, 0, siteText("1", 4))
+	mustApply(t, day, 1, siteText("1", 6))
+	_, err := night.Apply(t.Context(), Request{Text: siteText("2", 4), BaseRevision: 1})
 	var conflict *ConflictError
 	must.ErrorAs[error](t, err, &conflict)
 	must.Eq(t, "day", conflict.Head.Author)
 	must.StrContains(t, err.Error(), "replicas.Embakasi 4 -> 6 (load 2 more in Embakasi)")
-	must.Eq(t, text("1", 6), newest(t, day).Text)
+	must.Eq(t, siteText("1", 6), readNewest(t, day).Text)
 }
 
-// racingStore calls beforeFirst before the first compare-and-swap of key, so that two operators send a
-// compare-and-swap with the same expected version.
+// racingStore calls beforeFirst before the first compare-and-swap of key, so that two operators
+// send a compare-and-swap with the same expected version.
 type racingStore struct {
 	store.Store
 	key         string
@@ -81,39 +83,39 @@
 	return g.Store.CompareAndSwap(ctx, key, version, value, lease)
 }
 
-// Two operators apply concurrently, and both read the same head before either writes. Exactly one change
-// must be accepted, the other operator gets a conflict, and the text of the rejected change is removed
-// from the store.
+// Two operators apply concurrently, and both read the same head before either writes. Exactly one
+// change must be accepted, the other operator gets a conflict, and the text of the rejected change
+// is removed from the store.
 func TestConcurrentAppliesAcceptOne(t *testing.T) {
 	day, s := newClient("day")
-	apply(t, day, 0, text("1", 4))
-	g := &racingStore{Store: s, key: record.KeysOf("yard").Head(), beforeFirst: func() { apply(t, day, 1, text("1", 5)) }}
+	mustApply(t, day, 0, siteText("1", 4))
+	g := &racingStore{Store: s, key: record.KeysOf("yard").Head(), beforeFirst: func() { mustApply(t, day, 1, siteText("1", 5)) }}
 	night := &Client{Store: g, Site: "yard", Author: "night"}
-	_, err := night.Apply(t.Context(), Request{Text: text("2", 4), BaseRevision: 1})
+	_, err := night.Apply(t.Context(), Request{Text: siteText("2", 4), BaseRevision: 1})
 	must.ErrorContains(t, err, "revision 2 is accepted: day")
-	must.Eq(t, 2, newest(t, day).Revision)
+	must.Eq(t, 2, readNewest(t, day).Revision)
 	kvs, _, err := s.List(t.Context(), "/mallowwind/yard/body/")
 	must.NoError(t, err)
 	must.SliceLen(t, 2, kvs)
 }
 
-// A write to the store or its answer is lost. Apply must retry and report success, and the change must be
-// accepted exactly once.
+// A write to the store or its answer is lost. Apply must retry and report success, and the change
+// must be accepted exactly once.
 func TestLostWriteOrAnswer(t *testing.T) {
 	for _, write := range []string{"body", "history", "text"} {
 		for _, lose := range []bool{true, false} { // the answer, or the request itself
 			synctest.Test(t, func(t *testing.T) {
 				c, s := newClient("day")
-				apply(t, c, 0, text("1", 4))
+				mustApply(t, c, 0, siteText("1", 4))
 				prepare := s.DropNextWrite
 				if lose {
 					prepare = s.LoseNextWrite
 				}
 				l := &writeHookStore{Store: s, prefix: "/mallowwind/yard/" + write, beforeFirst: prepare}
-				r, err := (&Client{Store: l, Site: "yard"}).Apply(t.Context(), Request{Text: text("1", 5), BaseRevision: 1})
+				r, err := (&Client{Store: l, Site: "yard"}).Apply(t.Context(), Request{Text: siteText("1", 5), BaseRevision: 1})
 				must.NoError(t, err)
 				must.Eq(t, 2, r.Revision)
-				must.Eq(t, r.ID, newest(t, c).ID)
+				must.Eq(t, r.ID, readNewest(t, c).ID)
 				history, err := c.History(t.Context())
 				must.NoError(t, err)
 				must.SliceLen(t, 2, history)
@@ -137,34 +139,34 @@
 	return o.Store.CompareAndSwap(ctx, key, version, value, lease)
 }
 
-// The answer to an accepted write is lost, and another operator's change replaces the record before the
-// retry. Apply must find its record in the history and report success.
+// The answer to an accepted write is lost, and another operator's change replaces the record before
+// the retry. Apply must find its record in the history and report success.
 func TestLostAnswerAndReplacedRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		day, s := newClient("day")
-		apply(t, day, 0, text("1", 4))
+		mustApply(t, day, 0, siteText("1", 4))
 		lost := &writeHookStore{Store: s, prefix: record.KeysOf("yard").Head(), beforeFirst: s.LoseNextWrite}
 		go func() {
 			time.Sleep(initialRetryDelay / 2)
-			apply(t, day, 2, text("1", 9))
+			mustApply(t, day, 2, siteText("1", 9))
 		}()
-		r, err := (&Client{Store: lost, Site: "yard"}).Apply(t.Context(), Request{Text: text("1", 5), BaseRevision: 1})
+		r, err := (&Client{Store: lost, Site: "yard"}).Apply(t.Context(), Request{Text: siteText("1", 5), BaseRevision: 1})
 		must.NoError(t, err)
 		must.Eq(t, 2, r.Revision)
-		must.Eq(t, 3, newest(t, day).Revision)
+		must.Eq(t, 3, readNewest(t, day).Revision)
 	})
 }
 
-// The store becomes unavailable before or during an apply and stays so beyond the deadline. If the change
-// was not sent, the error must say that nothing was changed. If a write got no answer, the error must
-// say that the outcome is unknown, and applying the same text again after the store has recovered must
-// return a conflict with the accepted revision.
+// The store becomes unavailable before or during an apply and stays so beyond the deadline. If the
+// change was not sent, the error must say that nothing was changed. If a write got no answer, the
+// error must say that the outcome is unknown, and applying the same text again after the store has
+// recovered must return a conflict with the accepted revision.
 func TestStoreDownDuringApply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, s := newClient("day")
-		apply(t, c, 0, text("1", 4))
+		mustApply(t, c, 0, siteText("1", 4))
 		s.SetDown(true)
-		_, err := c.Apply(t.Context(), Request{Text: text("1", 5), BaseRevision: 1})
+		_, err := c.Apply(t.Context(), Request{Text: siteText("1", 5), BaseRevision: 1})
 		var down *StoreError
 		must.ErrorAs[error](t, err, &down)
 		must.False(t, down.OutcomeUnknown)
@@ -177,28 +179,28 @@
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		_, err = (&Client{Store: cut, Site: "yard"}).Apply(ctx, Request{Text: text("1", 5), BaseRevision: 1})
+		_, err = (&Client{Store: cut, Site: "yard"}).Apply(ctx, Request{Text: siteText("1", 5), BaseRevision: 1})
 		must.ErrorAs[error](t, err, &down)
 		must.True(t, down.OutcomeUnknown)
 		must.StrContains(t, err.Error(), "may have been accepted")
 		s.SetDown(false)
-		_, err = c.Apply(t.Context(), Request{Text: text("1", 5), BaseRevision: 1})
+		_, err = c.Apply(t.Context(), Request{Text: siteText("1", 5), BaseRevision: 1})
 		must.ErrorContains(t, err, "revision 2 is accepted")
-		must.Eq(t, text("1", 5), newest(t, c).Text)
+		must.Eq(t, siteText("1", 5), readNewest(t, c).Text)
 	})
 }
 
 func TestRollbackIsNewRevision(t *testing.T) {
 	c, _ := newClient("day")
-	apply(t, c, 0, text("1", 4))
-	apply(t, c, 1, text("2", 4))
+	mustApply(t, c, 0, siteText("1", 4))
+	mustApply(t, c, 1, siteText("2", 4))
 	old, err := c.GetRevision(t.Context(), 1)
 	must.NoError(t, err)
 	r, err := c.Apply(t.Context(), Request{Text: old.Text, BaseRevision: 2, RestoredRevision: 1})
 	must.NoError(t, err)
 	must.Eq(t, 3, r.Revision)
-	must.Eq(t, text("1", 4), newest(t, c).Text)
-	r, err = c.Apply(t.Context(), Request{Text: text("3", 4), BaseRevision: 3, AboveRevision: 40})
+	must.Eq(t, siteText("1", 4), readNewest(t, c).Text)
+	r, err = c.Apply(t.Context(), Request{Text: siteText("3", 4), BaseRevision: 3, AboveRevision: 40})
 	must.NoError(t, err)
 	must.Eq(t, 41, r.Revision)
 }
@@ -216,7 +218,7 @@
 func TestHistoryIsBounded(t *testing.T) {
 	c, s := newClient("day")
 	for i := range int64(maxHistoryEntries + 3*pruneEveryRevisions) {
-		apply(t, c, i, text("1", int(i)+1))
+		mustApply(t, c, i, siteText("1", int(i)+1))
 	}
 	history, err := c.History(t.Context())
 	must.NoError(t, err)
--- a/control/operate/handover.go
+++ b/control/operate/handover.go
@@ -28,8 +28,8 @@
 
 // Handover collects the accepted text, its revision, lagging VMs, changes in progress and current
 // warnings. An unavailable store is part of the report, not an error.
-func (c *Client) Handover(ctx context.Context, answers []PageResult) (*Handover, error) {
-	h := &Handover{Time: time.Now().UTC(), Status: c.Status(ctx, answers)}
+func (c *Client) Handover(ctx context.Context, results []PageResult) (*Handover, error) {
+	h := &Handover{Time: time.Now().UTC(), Status: c.Status(ctx, results)}
 	current, err := c.Get(ctx)
 	var down *StoreError
 	if errors.As(err, &down) || errors.Is(err, ErrNoText) {
@@ -48,8 +48,8 @@
 	return h, nil
 }
 
-// Write prints the report as comments followed by the site text, so that the output is itself a valid
-// site text that can be checked, committed to version control and applied.
+// Write prints the report as comments followed by the site text, so that the output is itself a
+// valid site text that can be checked, committed to version control and applied.
 func (h *Handover) Write(out io.Writer) {
 	c := &commentWriter{out: out}
 	fmt.Fprintf(c, "handover at %s\n", h.Time.Format(time.RFC3339))
--- a/control/operate/history.go
+++ b/control/operate/history.go
@@ -12,11 +12,12 @@
 )
 
 const (
-	// maxHistoryEntries is how many replaced texts the store keeps. The history serves rollbacks within
-	// a shift; older texts are kept in version control. At 100 KB per text it takes 20 MB of the store.
+	// maxHistoryEntries is how many replaced texts the store keeps. The history serves rollbacks
+	// within a shift; older texts are kept in version control. At 100 KB per text it takes 20 MB of
+	// the store.
 	maxHistoryEntries = 200
-	// pruneEveryRevisions is the number of revisions between two prunings, each of which lists the whole
-	// history.
+	// pruneEveryRevisions is the number of revisions between two prunings, each of which lists the
+	// whole history.
 	pruneEveryRevisions = 20
 )
 
@@ -40,8 +41,8 @@
 	return list, nil
 }
 
-// listHistory returns the records of replaced revisions, oldest first. It skips records that cannot be
-// decoded.
+// listHistory returns the records of replaced revisions, oldest first. It skips records that cannot
+// be decoded.
 func (c *Client) listHistory(ctx context.Context) ([]record.Accepted, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
@@ -58,8 +59,8 @@
 	return list, nil
 }
 
-// prune removes the oldest history entries beyond maxHistoryEntries, on a best-effort basis: the next
-// pruning tries again for entries that it failed to remove.
+// prune removes the oldest history entries beyond maxHistoryEntries, on a best-effort basis: the
+// next pruning tries again for entries that it failed to remove.
 func (c *Client) prune(ctx context.Context) {
 	list, err := c.listHistory(ctx)
 	if err != nil || len(list) <= maxHistoryEntries {
@@ -82,9 +83,9 @@
 	_ = c.Store.Delete(ctx, key, kv.Version)
 }
 
-// archive adds the record that is about to be replaced to the history, so that it can be read and rolled
-// back to. It runs before the replacement, so that an accepted record is at any time either the newest
-// or in the history.
+// archive adds the record that is about to be replaced to the history, so that it can be read and
+// rolled back to. It runs before the replacement, so that an accepted record is at any time either
+// the newest or in the history.
 func (c *Client) archive(ctx context.Context, head record.Accepted) error {
 	if head.Record == nil {
 		return nil
@@ -94,8 +95,8 @@
 	return c.create(ctx, c.keys().HistoryEntry(head.Revision), kept.Encode())
 }
 
-// create writes a key that is only ever given this one value. It treats a conflict as success: the value
-// is already there, possibly from an earlier attempt whose answer was lost.
+// create writes a key that is only ever given this one value. It treats a conflict as success: the
+// value is already there, possibly from an earlier attempt whose answer was lost.
 func (c *Client) create(ctx context.Context, key string, value []byte) error {
 	return retryTransient(ctx, func(ctx context.Context) error {
 		_, err := c.Store.CompareAndSwap(ctx, key, 0, value, 0)
--- a/control/operate/operate.go
+++ b/control/operate/operate.go
@@ -1,8 +1,8 @@
 // Package operate implements the operators' actions on the site text: check, plan, apply, read and
 // roll back, and report on which VMs each revision is in force. The mallowctl command calls it.
 //
-// Concurrent changes are detected by compare-and-swap on the newest record: without it the change of
-// one operator would silently undo the change of another.
+// Concurrent changes are detected by compare-and-swap on the newest record: without it the change
+// of one operator would silently undo the change of another.
 package operate
 
 import (
@@ -31,15 +31,15 @@
 	Text string
 }
 
-// storeCallTimeout bounds one call to the store. It may be longer than the timeouts of daemons because
-// only an operator waits for it.
+// storeCallTimeout bounds one call to the store. It may be longer than the timeouts of daemons
+// because only an operator waits for it.
 const storeCallTimeout = 5 * time.Second
 
 // ErrNoText is returned when no site text has been accepted yet.
 var ErrNoText = errors.New("no site text has been accepted yet")
 
-// StoreError means that a call to the store failed. OutcomeUnknown is true when the change may have been
-// accepted nevertheless, because the answer to a write was lost.
+// StoreError means that a call to the store failed. OutcomeUnknown is true when the change may have
+// been accepted nevertheless, because the answer to a write was lost.
 type StoreError struct {
 	OutcomeUnknown bool
 	ChangeID       string // of the change, set with OutcomeUnknown
@@ -68,8 +68,8 @@
 	Changes         []Change        // from the planned revision to Head; nil when either text cannot be read
 }
 
-// Error names the author, the time and the comment of the newest change, and lists what differs from the
-// planned revision.
+// Error names the author, the time and the comment of the newest change, and lists what differs
+// from the planned revision.
 func (e *ConflictError) Error() string {
 	text := fmt.Sprintf("planned against revision %d, but revision %d is accepted: %s at %s: %q",
 		e.PlannedRevision, e.Head.Revision, e.Head.Author, e.Head.AppliedAt.UTC().Format(time.RFC3339), e.Head.Comment)
--- a/control/operate/plan.go
+++ b/control/operate/plan.go
@@ -21,8 +21,8 @@
 	Changed Action = "changed"
 )
 
-// Change is the semantic difference in one section. Comments, order and explicitly written defaults do
-// not count as changes.
+// Change is the semantic difference in one section. Comments, order and explicitly written defaults
+// do not count as changes.
 type Change struct {
 	Section string      `json:"section"` // section header without brackets
 	Action  Action      `json:"action"`
@@ -62,8 +62,8 @@
 	return value
 }
 
-// parseOwnSite parses text and rejects the text of another site: applying the wrong file by mistake would
-// remove all services of this site.
+// parseOwnSite parses text and rejects the text of another site: applying the wrong file by mistake
+// would remove all services of this site.
 func (c *Client) parseOwnSite(text string) (*site.Site, error) {
 	s, err := site.Parse("site text", []byte(text))
 	if err != nil {
--- a/control/operate/status.go
+++ b/control/operate/status.go
@@ -39,24 +39,24 @@
 	Error   string          `json:"error,omitempty"`
 }
 
-// Read fetches the status pages of all addresses concurrently and returns one result per address, in
-// the order of addresses.
+// Read fetches the status pages of all addresses concurrently and returns one result per address,
+// in the order of addresses.
 func (p *PageReader) Read(ctx context.Context, addresses []string) []PageResult {
-	answers := make([]PageResult, len(addresses))
+	results := make([]PageResult, len(addresses))
 	slots := make(chan struct{}, maxConcurrentReads)
 	var wg sync.WaitGroup
 	for i, address := range addresses {
 		wg.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			answers[i].Address = address
-			if err := p.fetch(ctx, address, &answers[i].Page); err != nil {
-				answers[i].Error = err.Error()
+			results[i].Address = address
+			if err := p.fetch(ctx, address, &results[i].Page); err != nil {
+				results[i].Error = err.Error()
 			}
 		})
 	}
 	wg.Wait()
-	return answers
+	return results
 }
 
 func (p *PageReader) fetch(ctx context.Context, address string, page *statuspage.Page) error {
@@ -115,7 +115,7 @@
 
 // Status combines the status pages with the newest record of the store. A daemon's own page takes
 // precedence over what other daemons observed of it; among such observations the latest wins.
-func (c *Client) Status(ctx context.Context, answers []PageResult) *Status {
+func (c *Client) Status(ctx context.Context, results []PageResult) *Status {
 	s := &Status{StoreState: "answers"}
 	head, err := c.head(ctx)
 	if err != nil {
@@ -123,7 +123,7 @@
 	}
 	s.AcceptedRevision = revisionOf(head)
 	vms := map[string]vmReport{}
-	for _, a := range answers {
+	for _, a := range results {
 		if a.Error != "" {
 			s.Unreachable = append(s.Unreachable, a)
 			continue
--- a/control/operate/statuspage/auth.go
+++ b/control/operate/statuspage/auth.go
@@ -10,10 +10,10 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// RequireToken returns a handler that passes requests on to next if their bearer token has the given
-// lower-case hex SHA-256, and answers 401 otherwise. An empty hash passes all requests on. The hashes
-// are compared in constant time, so that response times reveal nothing about the token. The token is
-// never logged.
+// RequireToken returns a handler that passes requests on to next if their bearer token has the
+// given lower-case hex SHA-256, and answers 401 otherwise. An empty hash passes all requests on.
+// The hashes are compared in constant time, so that response times reveal nothing about the token.
+// The token is never logged.
 func RequireToken(hash string, log *event.Log, next http.Handler) http.Handler {
 	want := []byte(hash)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/control/operate/statuspage/page.go
+++ b/control/operate/statuspage/page.go
@@ -1,5 +1,5 @@
-// Package statuspage defines the status page of a daemon: GET /status on the operators' listener returns
-// a Page as JSON or as text.
+// Package statuspage defines the status page of a daemon: GET /status on the operators' listener
+// returns a Page as JSON or as text.
 package statuspage
 
 import (
@@ -67,8 +67,8 @@
 	Since   time.Time `json:"since,omitzero"`
 }
 
-// Fill sets the configuration and the members of p, and adds the warnings about the store and the site
-// text. The daemon adds its placement changes and other warnings itself.
+// Fill sets the configuration and the members of p, and adds the warnings about the store and the
+// site text. The daemon adds its placement changes and other warnings itself.
 func (p *Page) Fill(r inforce.Report, view *membership.View) {
 	p.Config = Config{Revision: r.Revision, Source: r.Source, InForceSince: r.ActiveSince, Watching: r.Watching}
 	if r.Record != nil {
@@ -93,8 +93,8 @@
 	}
 }
 
-// Handler serves the page that get returns: as text if the Accept header contains text/plain, otherwise
-// as JSON.
+// Handler serves the page that get returns: as text if the Accept header contains text/plain,
+// otherwise as JSON.
 func Handler(get func() Page) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		page := get()
--- a/control/operate/values.go
+++ b/control/operate/values.go
@@ -56,8 +56,8 @@
 	return v
 }
 
-// accountValues returns the number of token hashes and a short digest in place of the hashes: plans are
-// pasted into tickets, and a weak token can be guessed from its hash.
+// accountValues returns the number of token hashes and a short digest in place of the hashes: plans
+// are pasted into tickets, and a weak token can be guessed from its hash.
 func accountValues(a *site.Account) sectionValues {
 	return sectionValues{
 		"share": formatFloat(a.Share), "tokens_per_second": formatFloat(a.TokensPerSecond),
--- a/control/site/check.go
+++ b/control/site/check.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// checkReplicas rejects replica counts that the reconciler cannot satisfy: replicas in a zone that does
-// not exist, no replicas at all, or fewer than the floor.
+// checkReplicas rejects replica counts that the reconciler cannot satisfy: replicas in a zone that
+// does not exist, no replicas at all, or fewer than the floor.
 func (p *parser) checkReplicas(s *Service) {
 	total := 0
 	for _, zone := range slices.Sorted(maps.Keys(s.Replicas)) {
@@ -77,8 +77,8 @@
 }
 
 // checkCycles reports cycles of dependencies. It walks the services in the order of their names and
-// visits each once, so that a cycle is reported once; a cycle that shares services with a reported one
-// may be reported only after the first one is resolved.
+// visits each once, so that a cycle is reported once; a cycle that shares services with a reported
+// one may be reported only after the first one is resolved.
 func (p *parser) checkCycles() {
 	done := map[string]bool{}
 	for _, start := range slices.Sorted(maps.Keys(p.site.Services)) {
@@ -91,8 +91,8 @@
 	}
 }
 
-// findCycle walks the dependencies of a service depth first and returns the first cycle found, or nil.
-// done holds the services that need no further walk.
+// findCycle walks the dependencies of a service depth first and returns the first cycle found, or
+// nil. done holds the services that need no further walk.
 func (p *parser) findCycle(name string, path []string, done map[string]bool) []string {
 	if i := slices.Index(path, name); i >= 0 {
 		return slices.Clone(path[i:])
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// checkTokenHashes rejects a token hash that is listed more than once: which account a caller gets would
-// be ambiguous.
+// checkTokenHashes rejects a token hash that is listed more than once: which account a caller gets
+// would be ambiguous.
 func (p *parser) checkTokenHashes() {
 	owner := map[string]string{}
 	for _, name := range slices.Sorted(maps.Keys(p.site.Accounts)) {
--- a/control/site/fields.go
+++ b/control/site/fields.go
@@ -9,8 +9,8 @@
 	"mallowwind.dev/control/inifile"
 )
 
-// Bounds of values. They catch mistakes such as a missing unit and are far beyond what the system is
-// sized for.
+// Bounds of values. They catch mistakes such as a missing unit and are far beyond what the system
+// is sized for.
 const (
 	maxReplicas        = 100_000
 	maxSlots           = 10_000
--- a/control/site/index.go
+++ b/control/site/index.go
@@ -10,8 +10,8 @@
 
 // Index looks up accounts by bearer token. It is immutable.
 type Index struct {
-	hashes [][sha256.Size]byte
-	owners []*Account
+	hashes   [][sha256.Size]byte
+	accounts []*Account
 }
 
 // NewIndex returns the index of the accounts of s. The index of a nil site is empty.
@@ -33,13 +33,13 @@
 			continue
 		}
 		x.hashes = append(x.hashes, [sha256.Size]byte(raw))
-		x.owners = append(x.owners, a)
+		x.accounts = append(x.accounts, a)
 	}
 }
 
-// Account returns the account that token belongs to, or nil. It compares the token's hash with every hash
-// in constant time, so that response times do not reveal a partial match. With 810 accounts this takes
-// some microseconds.
+// Account returns the account that token belongs to, or nil. It compares the token's hash with
+// every hash in constant time, so that response times do not reveal a partial match. With 810
+// accounts this takes some microseconds.
 func (x *Index) Account(token string) *Account {
 	sum := sha256.Sum256([]byte(token))
 	found := -1
@@ -50,5 +50,5 @@
 	if found < 0 {
 		return nil
 	}
-	return x.owners[found]
+	return x.accounts[found]
 }
--- a/control/site/parse_test.go
+++ b/control/site/parse_test.go
@@ -75,9 +75,9 @@
 	must.Nil(t, index.Account(""))
 }
 
-// Guards against a parser that stops at the first fault, which would cost the operator one attempt per
-// fault. A text with many faults is parsed, and every fault must be reported with its line and what to
-// write instead.
+// Guards against a parser that stops at the first fault, which would cost the operator one attempt
+// per fault. A text with many faults is parsed, and every fault must be reported with its line and
+// what to write instead.
 func TestParseReportsEveryFault(t *testing.T) {
 	text := `stray = 1
 [site]
--- a/control/site/site.go
+++ b/control/site/site.go
@@ -1,6 +1,6 @@
-// Package site parses and validates the site text: the INI text in which operators define services and
-// their dependencies, pools of backend servers, client accounts and limits. Parse returns an immutable
-// Site.
+// Package site parses and validates the site text: the INI text in which operators define services
+// and their dependencies, pools of backend servers, client accounts and limits. Parse returns an
+// immutable Site.
 package site
 
 import "time"
@@ -94,8 +94,8 @@
 	}
 }
 
-// Source provides the site in force. Current returns nil before any text is known. A new site replaces
-// the pointer as a whole, and its revision never decreases.
+// Source provides the site in force. Current returns nil before any text is known. A new site
+// replaces the pointer as a whole, and its revision never decreases.
 type Source interface {
 	Current() *Site
 }
