--- a/control/operate/statuspage/page.go
+++ b/control/operate/statuspage/page.go
@@ -46,7 +46,7 @@
 	ID         string    `json:"id"`
 	Zone       string    `json:"zone"`
 	State      string    `json:"state"`
-	Revision   int64     `json:"revision"` // last reported by the member, 0 for never
+	Revision   int64     `json:"revision"` // last observed, 0 for never
 	ObservedAt time.Time `json:"heard,omitzero"`
 }
 
