--- a/cmd/mallowwind/forward_own.go
+++ b/cmd/mallowwind/forward_own.go
@@ -62,9 +62,9 @@
 		Store:  store.Confirmed{Store: client, Key: feed.OwnConfigKey, Hold: ownConfirmInterval},
 		Prefix: feed.OwnPrefix, Schema: feed.OwnSchema{}, Codec: forward.DefaultCodec{},
 		Clock: bootClock, Log: events, Registry: metric.NewCatalogue(),
-		Bounds:      gateway.Bounds{KeyAge: ownKeyRevocationDelay, Repeats: ownRetryBudget, Rollouts: ownRolloutLimits, Grace: s.DrainLimit},
-		KeepAnswers: maxDirectoryTTL,
-		Dialer:      link.NewDialer(nil),
+		DynamicOptions: gateway.DynamicOptions{MaxKeyAge: ownKeyRevocationDelay, RetryBudget: ownRetryBudget, RolloutLimits: ownRolloutLimits, GracePeriod: s.DrainLimit},
+		AddressTTL:     maxDirectoryTTL,
+		Dialer:         link.NewDialer(nil),
 	}
 	admin := mux.NewRouter()
 	admin.Handle("/metrics", promhttp.HandlerFor(o.Registry, promhttp.HandlerOpts{})).Methods(http.MethodGet)
