--- a/cmd/mallowctl/apply.go
+++ b/cmd/mallowctl/apply.go
@@ -11,33 +11,34 @@
 	"mallowwind.dev/control/operate"
 )
 
-// applyCmd makes a text the accepted one.
+// applyCmd makes a site text the newest accepted one, or rolls back to the text of an older
+// revision.
 type applyCmd struct {
 	siteFlags
 	adminFlags
 	File    string        `arg:"" optional:"" type:"existingfile" help:"Site text."`
-	Restore int64         `placeholder:"REVISION" help:"Roll back: accept the text of this revision anew, as a higher revision."`
+	Restore int64         `placeholder:"REVISION" help:"Roll back: accept the text of this revision again, as a new, higher revision."`
 	Against int64         `default:"-1" placeholder:"REVISION" help:"Revision that the change was planned against; the newest by default."`
-	Comment string        `short:"m" help:"Why; stands in the history."`
-	Yes     bool          `help:"Do not ask."`
+	Comment string        `short:"m" help:"Reason for the change, recorded in the history."`
+	Yes     bool          `help:"Apply without asking for confirmation."`
 	Above   int64         `placeholder:"REVISION" help:"Choose a revision above this one, after the store was restored from an older copy."`
-	Wait    time.Duration `placeholder:"DURATION" help:"Wait until the asked entry VMs and all they know have it in force."`
+	Wait    time.Duration `placeholder:"DURATION" help:"Wait until the new revision is in force on the queried entry VMs and all members that they know."`
 }
 
-// pollInForce is the time between two looks while waiting.
-const pollInForce = 500 * time.Millisecond
+// statusPollInterval is the time between two reads of the status pages while waiting.
+const statusPollInterval = 500 * time.Millisecond
 
 // Run implements the command.
 func (c *applyCmd) Run() error {
 	if (c.File == "") == (c.Restore == 0) {
-		return usageError{errors.New("give a FILE or --restore REVISION")}
+		return usageError{errors.New("give either FILE or --restore REVISION")}
 	}
 	s, err := c.open()
 	if err != nil {
 		return err
 	}
 	defer s.stop()
-	text, err := c.text(s)
+	text, err := c.readText(s)
 	if err != nil {
 		return err
 	}
@@ -55,7 +56,7 @@
 	return c.apply(s, text, p)
 }
 
-func (c *applyCmd) text(s *session) (string, error) {
+func (c *applyCmd) readText(s *session) (string, error) {
 	if c.Restore == 0 {
 		return readSite(c.File)
 	}
@@ -66,7 +67,7 @@
 	return old.Text, nil
 }
 
-func (c *applyCmd) apply(s *session, text string, p plan) error {
+func (c *applyCmd) apply(s *session, text string, p planOutput) error {
 	if !c.Yes {
 		writeChanges(s.out, p.Changes)
 		ok, err := confirm(fmt.Sprintf("apply against revision %d?", c.Against))
@@ -74,7 +75,7 @@
 			return err
 		}
 		if !ok {
-			return errors.New("not applied")
+			return errors.New("not applied: the confirmation was declined")
 		}
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, c.Timeout)
@@ -85,13 +86,13 @@
 	if err != nil {
 		return err
 	}
-	if err := c.report(s, accepted); err != nil {
+	if err := c.writeAccepted(s, accepted); err != nil {
 		return err
 	}
-	return c.wait(s, accepted.Revision)
+	return c.waitInForce(s, accepted.Revision)
 }
 
-func (c *applyCmd) report(s *session, accepted *record.Record) error {
+func (c *applyCmd) writeAccepted(s *session, accepted *record.Record) error {
 	if c.JSON {
 		bare := *accepted
 		bare.Patch = nil
@@ -101,26 +102,27 @@
 	return nil
 }
 
-// wait returns once every known entry VM has revision in force.
-func (c *applyCmd) wait(s *session, revision int64) error {
+// waitInForce waits until revision or a newer one is in force on every known entry VM. It does
+// nothing without --wait.
+func (c *applyCmd) waitInForce(s *session, revision int64) error {
 	if c.Wait == 0 {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, c.Wait)
 	defer cancel()
 	for {
-		answers, err := c.read(ctx)
+		pages, err := c.readPages(ctx)
 		if err != nil {
-			return errors.Wrapf(err, "revision %d is accepted; waiting for it", revision)
+			return errors.Wrapf(err, "revision %d is accepted; waiting until it is in force", revision)
 		}
-		status := s.Status(ctx, answers)
+		status := s.Status(ctx, pages)
 		if status.AcceptedRevision >= revision && status.HasConverged() {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return errors.Errorf("revision %d is accepted, but after %s not in force everywhere; see status", revision, c.Wait)
-		case <-time.After(pollInForce):
+		case <-time.After(statusPollInterval):
 		}
 	}
 }
--- a/cmd/mallowctl/check.go
+++ b/cmd/mallowctl/check.go
@@ -12,9 +12,9 @@
 	"mallowwind.dev/lab/standins"
 )
 
-// checkCmd validates files without running anything.
+// checkCmd validates configuration files without running anything.
 type checkCmd struct {
-	Files []string `arg:"" name:"file" help:"Site texts, settings of daemons, configurations of stand-ins."`
+	Files []string `arg:"" name:"file" help:"Site texts, daemon settings and stand-in configurations."`
 	JSON  bool     `name:"json" help:"Write the faults as JSON."`
 }
 
@@ -36,11 +36,12 @@
 			return err
 		}
 	}
-	return refuse(faults)
+	return reportFaults(faults)
 }
 
-// refuse writes one line per fault and returns how many there are as an error.
-func refuse(faults inifile.Errors) error {
+// reportFaults writes one line per fault to standard error and returns an error with their number,
+// or nil if there are none.
+func reportFaults(faults inifile.Errors) error {
 	if len(faults) == 0 {
 		return nil
 	}
@@ -48,13 +49,13 @@
 	return usageError{errors.Errorf("%d faults found", len(faults))}
 }
 
-// checkFile returns the faults of one file.
+// checkFile returns the faults of one file. The error is set if the file cannot be checked.
 func checkFile(file string) (inifile.Errors, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	switch kindOf(text) {
+	switch detectKind(text) {
 	case daemonSettings:
 		_, err = settings.ParseText(file, text)
 	case standInConfig:
@@ -69,7 +70,7 @@
 	return faults, nil
 }
 
-// fileKind tells what an INI file is for.
+// fileKind is the kind of an INI file.
 type fileKind uint8
 
 const (
@@ -78,8 +79,9 @@
 	standInConfig
 )
 
-// kindOf goes by the first section that stands in one kind of file alone.
-func kindOf(text []byte) fileKind {
+// detectKind returns the kind of a file by its first section that is specific to one kind. A file
+// without such a section is treated as a site text.
+func detectKind(text []byte) fileKind {
 	for _, s := range inifile.Parse(text, &inifile.Collector{}) {
 		switch s.Kind {
 		case "daemon", "tls":
@@ -91,7 +93,7 @@
 	return siteText
 }
 
-// readSite reads a site text and refuses a faulty one.
+// readSite reads and validates a site text. It writes the faults to standard error.
 func readSite(file string) (string, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -100,7 +102,7 @@
 	_, err = site.Parse(file, text)
 	var faults inifile.Errors
 	if errors.As(err, &faults) {
-		return "", refuse(faults)
+		return "", reportFaults(faults)
 	}
 	return string(text), err
 }
--- a/cmd/mallowctl/diff.go
+++ b/cmd/mallowctl/diff.go
@@ -4,10 +4,10 @@
 	"mallowwind.dev/control/operate"
 )
 
-// diffCmd compares two accepted texts by meaning.
+// diffCmd shows the semantic changes between two accepted texts.
 type diffCmd struct {
 	siteFlags
-	From int64 `arg:"" optional:"" help:"Older revision; the one before the newer by default."`
+	From int64 `arg:"" optional:"" help:"Older revision; by default the one that the newer revision replaced."`
 	To   int64 `arg:"" optional:"" help:"Newer revision; the newest by default."`
 }
 
@@ -18,7 +18,7 @@
 		return err
 	}
 	defer s.stop()
-	to, err := s.at(c.To)
+	to, err := s.readRevision(c.To)
 	if err != nil {
 		return err
 	}
@@ -27,7 +27,7 @@
 	}
 	oldText := ""
 	if c.From > 0 {
-		from, err := s.at(c.From)
+		from, err := s.readRevision(c.From)
 		if err != nil {
 			return err
 		}
--- a/cmd/mallowctl/handover.go
+++ b/cmd/mallowctl/handover.go
@@ -2,7 +2,7 @@
 
 import "os"
 
-// handoverCmd writes what the next shift starts from.
+// handoverCmd writes the report for the next shift: the state of the deployment and the site text.
 type handoverCmd struct {
 	siteFlags
 	adminFlags
@@ -16,11 +16,11 @@
 		return err
 	}
 	defer s.stop()
-	answers, err := c.read(s.ctx)
+	pages, err := c.readPages(s.ctx)
 	if err != nil {
 		return err
 	}
-	h, err := s.Handover(s.ctx, answers)
+	h, err := s.Handover(s.ctx, pages)
 	if err != nil {
 		return err
 	}
--- a/cmd/mallowctl/history.go
+++ b/cmd/mallowctl/history.go
@@ -8,10 +8,10 @@
 	"mallowwind.dev/control/inforce/record"
 )
 
-// historyCmd lists the accepted texts, newest first.
+// historyCmd lists the accepted site texts, newest first.
 type historyCmd struct {
 	siteFlags
-	Limit int `default:"20" help:"Most entries shown."`
+	Limit int `default:"20" help:"Maximum number of entries to show."`
 }
 
 // Run implements the command.
@@ -35,12 +35,12 @@
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	defer w.Flush()
 	for _, r := range list {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", r.Revision, r.AppliedAt.Format(time.RFC3339), r.Author, r.Comment, restored(r))
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", r.Revision, r.AppliedAt.Format(time.RFC3339), r.Author, r.Comment, formatRestored(r))
 	}
 	return nil
 }
 
-func restored(r record.Record) string {
+func formatRestored(r record.Record) string {
 	if r.RestoredRevision == 0 {
 		return ""
 	}
--- a/cmd/mallowwind/forwardown_test.go
+++ b/cmd/mallowwind/forward_own_test.go
@@ -27,7 +27,7 @@
 "routes":[{"name":"r","host":"desk.example","prefix":"/","kind":"at_most_once","timeout":"5s",
 "targets":[{"service":"desk","weight":1}]}]}`
 
-// freeAddress is a loopback address that nobody listens at.
+// freeAddress returns a loopback address on which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,8 +36,8 @@
 	return l.Addr().String()
 }
 
-// get asks until an answer has the status wanted, or the test's time is over.
-func get(t *testing.T, url, key string, want int) string {
+// getUntilStatus repeats a GET request until the response has status want, and returns its body.
+func getUntilStatus(t *testing.T, url, key string, want int) string {
 	t.Helper()
 	for {
 		req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
@@ -57,10 +57,10 @@
 	}
 }
 
-// The whole path by our own means: settings in INI, a key-value service in the
-// form of etcd's, a plain service that registered itself. A request is forwarded,
-// an unknown key refused, a change of the configuration is in force, and the stop ends.
-func TestForwardingByOurOwnMeans(t *testing.T) {
+// Runs a gateway with this project's own settings, an etcd stand-in and a plain service that is
+// registered there. A request must be forwarded, an unknown key rejected, a changed configuration
+// take effect, and the gateway stop without an error.
+func TestForwardingWithOwnSettingsAndStore(t *testing.T) {
 	memory := store.NewMemory()
 	etcd := httptest.NewServer(storesim.Handler(memory))
 	defer etcd.Close()
@@ -80,22 +80,22 @@
 		VM: "entry-1", Zone: "a", Listen: freeAddress(t), PeerListen: freeAddress(t), AdminListen: freeAddress(t),
 		Store: []string{etcd.URL}, DrainLimit: 5 * time.Second,
 	}
-	o, err := ownOptions(s, event.Discard())
+	o, err := ownGatewayOptions(s, event.Discard())
 	must.NoError(t, err)
 	soft, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- gateway.New(o).Run(soft, t.Context()) }()
 
-	get(t, "http://"+s.AdminListen+"/readyz", "", http.StatusOK)
+	getUntilStatus(t, "http://"+s.AdminListen+"/readyz", "", http.StatusOK)
 	var reply plainsim.Reply
-	must.NoError(t, json.Unmarshal([]byte(get(t, "http://"+s.Listen+"/confirm?x=1", "k1", http.StatusOK)), &reply))
+	must.NoError(t, json.Unmarshal([]byte(getUntilStatus(t, "http://"+s.Listen+"/confirm?x=1", "k1", http.StatusOK)), &reply))
 	must.Eq(t, "/confirm", strings.SplitN(reply.Path, "?", 2)[0])
-	must.StrContains(t, get(t, "http://"+s.AdminListen+"/v1/entries", "", http.StatusOK), s.Listen)
-	must.StrContains(t, get(t, "http://"+s.AdminListen+"/metrics", "", http.StatusOK), "mallowwind_feed_config_version 1")
-	get(t, "http://"+s.Listen+"/confirm", "k2", http.StatusUnauthorized)
+	must.StrContains(t, getUntilStatus(t, "http://"+s.AdminListen+"/v1/entries", "", http.StatusOK), s.Listen)
+	must.StrContains(t, getUntilStatus(t, "http://"+s.AdminListen+"/metrics", "", http.StatusOK), "mallowwind_feed_config_version 1")
+	getUntilStatus(t, "http://"+s.Listen+"/confirm", "k2", http.StatusUnauthorized)
 	put(feed.OwnConfigKey, strings.Replace(strings.Replace(ownConfig, `"version":1`, `"version":2`, 1), "k1", "k2", 1))
-	get(t, "http://"+s.Listen+"/confirm", "k2", http.StatusOK)
-	get(t, "http://"+s.Listen+"/confirm", "k1", http.StatusUnauthorized)
+	getUntilStatus(t, "http://"+s.Listen+"/confirm", "k2", http.StatusOK)
+	getUntilStatus(t, "http://"+s.Listen+"/confirm", "k1", http.StatusUnauthorized)
 	stop()
 	must.NoError(t, <-done)
 }
--- a/cmd/mallowwind/serve.go
+++ b/cmd/mallowwind/serve.go
@@ -11,9 +11,9 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// serveCmd serves generations and calls by the accepted site text.
+// serveCmd serves generations and calls according to the accepted site text.
 type serveCmd struct {
-	Config string `required:"" type:"path" placeholder:"FILE" help:"The daemon's settings."`
+	Config string `required:"" type:"path" placeholder:"FILE" help:"Settings file of the daemon."`
 	Check  bool   `help:"Check the settings and exit."`
 }
 
@@ -47,7 +47,7 @@
 		Settings: s, Platform: platform, Listeners: listeners.Secure(files), TLS: files,
 		Dialer: link.NewDialer(files.PeerClient()), Logger: logger, Version: version,
 	})
-	soft, hard := signals()
+	soft, hard := notifyContexts()
 	if err := d.Run(soft, hard); err != nil {
 		return err
 	}
--- a/control/operate/apply.go
+++ b/control/operate/apply.go
@@ -12,29 +12,31 @@
 	"mallowwind.dev/external/store"
 )
 
-// Request is a change that an operator wants.
+// Request is a change of the site text to apply.
 type Request struct {
 	Text         string
-	BaseRevision int64 // revision it was planned against, 0 for the first text
+	BaseRevision int64 // revision it was planned against; 0 for the first text
 	Comment      string
-	// RestoredRevision is the revision whose text this is, when rolling back.
+	// RestoredRevision is the revision whose text is applied again by a rollback, otherwise 0.
 	RestoredRevision int64
-	// AboveRevision makes the new revision higher than this as well. It is needed once
-	// after the store was restored from an older copy: daemons then have in
-	// force, and rightly keep, a higher revision than the store knows.
+	// AboveRevision is a lower bound: the new revision is higher than it. It is needed once after
+	// the store was restored from an older backup: daemons then have a higher revision in force
+	// than the store holds, and by design never go back to a lower one.
 	AboveRevision int64
 }
 
 const (
-	firstRetry = 100 * time.Millisecond
-	lastRetry  = 3 * time.Second
+	initialRetryDelay = 100 * time.Millisecond
+	maxRetryDelay     = 3 * time.Second
 )
 
-// Apply makes the text of request the newest accepted one and returns its
-// record. The caller has checked the text. Errors are *ConflictError and
-// *StoreError; ctx bounds how long an unavailable store is waited for.
+// Apply makes the text of request the newest accepted one and returns its record. It returns a
+// *ConflictError if another change was accepted since BaseRevision, a *StoreError if the store is
+// unavailable, and another error if the text is invalid, belongs to another site, or has a
+// BaseRevision although no text is accepted yet. ctx bounds the retries while the store is
+// unavailable.
 func (c *Client) Apply(ctx context.Context, request Request) (*record.Record, error) {
-	if _, err := c.check(request.Text); err != nil {
+	if _, err := c.parseOwnSite(request.Text); err != nil {
 		return nil, err
 	}
 	head, err := c.head(ctx)
@@ -44,7 +46,7 @@
 	if revisionOf(head) != request.BaseRevision {
 		return nil, c.conflict(ctx, request.BaseRevision, head)
 	}
-	next := c.next(ctx, head, request)
+	next := c.newRecord(ctx, head, request)
 	if err := c.create(ctx, c.keys().Body(next.ID), []byte(request.Text)); err != nil {
 		return nil, &StoreError{Err: err}
 	}
@@ -63,7 +65,7 @@
 		}
 		return nil, c.conflict(ctx, request.BaseRevision, now)
 	}
-	if next.Revision%pruneEvery == 0 {
+	if next.Revision%pruneEveryRevisions == 0 {
 		c.prune(ctx)
 	}
 	return next, nil
@@ -76,8 +78,8 @@
 	return a.Revision
 }
 
-// next is the record of a change to head.
-func (c *Client) next(ctx context.Context, head record.Accepted, request Request) *record.Record {
+// newRecord returns the record of the change that replaces head.
+func (c *Client) newRecord(ctx context.Context, head record.Accepted, request Request) *record.Record {
 	r := &record.Record{
 		ID: uuid.NewString(), Revision: max(revisionOf(head), request.AboveRevision) + 1, BaseRevision: revisionOf(head),
 		SHA256: record.Hash(request.Text), Author: c.Author, AppliedAt: time.Now().UTC(),
@@ -86,8 +88,8 @@
 	if head.Record == nil {
 		return r
 	}
-	// Without a difference watchers read the body: dearer, not wrong.
-	if old, err := c.withText(ctx, head); err == nil {
+	// Without a patch the watching daemons read the whole text, which costs more but is correct.
+	if old, err := c.readText(ctx, head); err == nil {
 		if p := patch.Make(old.Text, request.Text); p.Size() <= record.MaxPatchBytes {
 			r.Patch = p
 		}
@@ -95,22 +97,22 @@
 	return r
 }
 
-// accept replaces head by next and reports whether that happened.
+// accept replaces head by next and reports whether next was accepted.
 //
-// A write can take effect while its answer is lost. Concluding from the error
-// would tell the operator that nothing changed while the fleet follows the
-// new text. So after an unknown outcome the store is read: next carries an id
-// of its own. While the old record is still there the same compare-and-swap
-// is sent again; whichever of the two takes effect, it does so once.
+// A write can take effect although its answer is lost. Reporting the error as a failure would tell
+// the operator that nothing changed while the daemons already follow the new text. After an unknown
+// outcome the same compare-and-swap is therefore sent again, which is safe because at most one of
+// the two can take effect. If it conflicts, the store is read and the unique ID of next tells
+// whether the first write took effect.
 func (c *Client) accept(ctx context.Context, head record.Accepted, next *record.Record) (bool, error) {
 	unknown, accepted := false, false
-	err := retry(ctx, func(ctx context.Context) error {
+	err := retryTransient(ctx, func(ctx context.Context) error {
 		_, err := c.Store.CompareAndSwap(ctx, c.keys().Head(), head.Version, next.Encode(), 0)
 		if err == nil {
 			accepted = true
 			return nil
 		}
-		if errors.Is(err, store.ErrUnknown) || isDeadline(err) {
+		if errors.Is(err, store.ErrUnknown) || isDeadlineExceeded(err) {
 			unknown = true
 		}
 		if errors.Is(err, store.ErrConflict) {
@@ -124,8 +126,8 @@
 	return accepted, nil
 }
 
-// isAccepted looks for next as the newest record or, if another change was
-// accepted right after it, in the history, where that one put it first.
+// isAccepted reports whether next is the newest record or, if another change has already replaced
+// it, in the history. A change is archived before it is replaced, so it is found in one of the two.
 func (c *Client) isAccepted(ctx context.Context, next *record.Record) (bool, error) {
 	now, err := record.ReadHead(ctx, c.Store, c.keys())
 	if err != nil {
@@ -134,14 +136,14 @@
 	if now.ID == next.ID {
 		return true, nil
 	}
-	old, err := c.replaced(ctx, next.Revision)
+	old, err := c.readHistoryEntry(ctx, next.Revision)
 	if errors.Is(err, store.ErrNotFound) {
 		return false, nil
 	}
 	return err == nil && old.ID == next.ID, err
 }
 
-// conflict describes what was accepted since planned.
+// conflict returns the error that describes what was accepted after the planned revision.
 func (c *Client) conflict(ctx context.Context, planned int64, head record.Accepted) error {
 	if head.Record == nil {
 		return errors.Errorf("planned against revision %d, but no text has been accepted yet; use --against 0", planned)
@@ -155,7 +157,7 @@
 		}
 		oldText = old.Text
 	}
-	now, err := c.withText(ctx, head)
+	now, err := c.readText(ctx, head)
 	if err != nil {
 		return e
 	}
@@ -163,15 +165,15 @@
 	return e
 }
 
-// retry repeats call while the store is unavailable or the outcome unknown,
-// until ctx ends. Each call has its own deadline.
-func retry(ctx context.Context, call func(context.Context) error) error {
-	wait := firstRetry
+// retryTransient retries call with exponential backoff while the store is unavailable or the
+// outcome is unknown, until ctx ends. Each attempt has its own timeout.
+func retryTransient(ctx context.Context, call func(context.Context) error) error {
+	wait := initialRetryDelay
 	for {
-		once, cancel := context.WithTimeout(ctx, callTimeout)
+		once, cancel := context.WithTimeout(ctx, storeCallTimeout)
 		err := call(once)
 		cancel()
-		if err == nil || !transient(err) {
+		if err == nil || !isTransient(err) {
 			return err
 		}
 		select {
@@ -179,12 +181,12 @@
 			return err
 		case <-time.After(wait):
 		}
-		wait = min(2*wait, lastRetry)
+		wait = min(2*wait, maxRetryDelay)
 	}
 }
 
-func transient(err error) bool {
-	return errors.Is(err, store.ErrUnavailable) || errors.Is(err, store.ErrUnknown) || isDeadline(err)
+func isTransient(err error) bool {
+	return errors.Is(err, store.ErrUnavailable) || errors.Is(err, store.ErrUnknown) || isDeadlineExceeded(err)
 }
 
-func isDeadline(err error) bool { return errors.Is(err, context.DeadlineExceeded) }
+func isDeadlineExceeded(err error) bool { return errors.Is(err, context.DeadlineExceeded) }
--- a/control/operate/status.go
+++ b/control/operate/status.go
@@ -19,47 +19,48 @@
 )
 
 const (
-	pageTimeout = 2 * time.Second
-	largestPage = 4 << 20 // 390 members take some 60 KB
-	// pagesAtOnce bounds open requests for pages.
-	pagesAtOnce = 32
+	statusPageTimeout = 2 * time.Second
+	maxPageBytes      = 4 << 20 // a page with 390 members takes about 60 KB
+	// maxConcurrentReads bounds the requests for status pages that are in flight at once.
+	maxConcurrentReads = 32
 )
 
-// PageReader reads status pages of daemons.
+// PageReader reads the status pages of daemons over HTTP.
 type PageReader struct {
 	Client *http.Client
 	Scheme string // http or https
-	Token  string // operators' bearer token, may be empty
+	Token  string // operators' bearer token; empty sends none
 }
 
-// PageResult is one daemon's page, or why there is none.
+// PageResult holds the status page of one daemon, or the error that prevented reading it.
 type PageResult struct {
 	Address string          `json:"address"`
 	Page    statuspage.Page `json:"page"`
 	Error   string          `json:"error,omitempty"`
 }
 
-// Read asks all addresses and returns the answers in their order.
+// Read fetches the status pages of all addresses concurrently and returns one result per address,
+// in the order of addresses.
 func (p *PageReader) Read(ctx context.Context, addresses []string) []PageResult {
-	answers := make([]PageResult, len(addresses))
-	slots := make(chan struct{}, pagesAtOnce)
+	results := make([]PageResult, len(addresses))
+	slots := make(chan struct{}, maxConcurrentReads)
 	var wg sync.WaitGroup
 	for i, address := range addresses {
 		wg.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			answers[i].Address = address
-			if err := p.read(ctx, address, &answers[i].Page); err != nil {
-				answers[i].Error = err.Error()
+			results[i].Address = address
+			if err := p.fetch(ctx, address, &results[i].Page); err != nil {
+				results[i].Error = err.Error()
 			}
 		})
 	}
 	wg.Wait()
-	return answers
+	return results
 }
 
-func (p *PageReader) read(ctx context.Context, address string, page *statuspage.Page) error {
-	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
+func (p *PageReader) fetch(ctx context.Context, address string, page *statuspage.Page) error {
+	ctx, cancel := context.WithTimeout(ctx, statusPageTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.Scheme+"://"+address+"/status", nil)
 	if err != nil {
@@ -74,30 +75,30 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return errors.Errorf("answered %s", response.Status)
+		return errors.Errorf("GET /status returned %s, want 200 OK", response.Status)
 	}
-	return json.NewDecoder(io.LimitReader(response.Body, largestPage)).Decode(page)
+	return json.NewDecoder(io.LimitReader(response.Body, maxPageBytes)).Decode(page)
 }
 
-// Status is the state of the configuration in the whole site.
+// Status describes which revision of the site text is in force in each zone of the site.
 type Status struct {
-	AcceptedRevision int64               `json:"accepted"` // newest revision known, 0 for none
-	StoreState       string              `json:"store"`    // "answers", or the error
+	AcceptedRevision int64               `json:"accepted"` // newest revision known from the store or a daemon, 0 for none
+	StoreState       string              `json:"store"`    // "answers", or the error of the last read
 	Zones            []Zone              `json:"zones"`
 	Unreachable      []PageResult        `json:"no_answer"`
 	Changes          []statuspage.Change `json:"changes"`
 	Warnings         []Warning           `json:"warnings"`
 }
 
-// Zone is the configuration in one zone.
+// Zone describes which revisions are in force in one availability zone.
 type Zone struct {
 	Name        string `json:"name"`
-	MinRevision int64  `json:"revision"` // the lowest in force: what the whole zone has reached
+	MinRevision int64  `json:"revision"` // the lowest in force: every known VM of the zone has reached it
 	MaxRevision int64  `json:"newest"`   // the highest in force
 	VMs         []VM   `json:"vms"`
 }
 
-// VM is one entry VM. Revision is 0 where nobody has heard of one.
+// VM describes one entry VM. Revision is 0 when no daemon has reported a revision for it.
 type VM struct {
 	ID         string    `json:"id"`
 	State      string    `json:"state"`
@@ -106,56 +107,56 @@
 	IsLagging  bool      `json:"lags"`
 }
 
-// Warning is a warning with the daemon that gave it.
+// Warning is a warning of a status page together with the VM that reported it.
 type Warning struct {
 	VM string `json:"vm"`
 	statuspage.Warning
 }
 
-// Status joins the pages with what the store has accepted. What a daemon says
-// of itself counts more than what others heard of it; of hearsay the latest.
-func (c *Client) Status(ctx context.Context, answers []PageResult) *Status {
+// Status combines the status pages with the newest record of the store. A daemon's own page takes
+// precedence over what other daemons observed of it; among such observations the latest wins.
+func (c *Client) Status(ctx context.Context, results []PageResult) *Status {
 	s := &Status{StoreState: "answers"}
 	head, err := c.head(ctx)
 	if err != nil {
 		s.StoreState = err.Error()
 	}
 	s.AcceptedRevision = revisionOf(head)
-	vms := map[string]located{}
-	for _, a := range answers {
+	vms := map[string]vmReport{}
+	for _, a := range results {
 		if a.Error != "" {
 			s.Unreachable = append(s.Unreachable, a)
 			continue
 		}
-		s.take(a.Page, vms)
+		s.addPage(a.Page, vms)
 	}
-	s.zones(vms)
+	s.groupByZone(vms)
 	return s
 }
 
-type located struct {
+type vmReport struct {
 	VM
-	zone  string
-	first bool // said by the daemon itself
+	zone     string
+	isDirect bool // from the page of the daemon itself
 }
 
-func (s *Status) take(p statuspage.Page, vms map[string]located) {
+func (s *Status) addPage(p statuspage.Page, vms map[string]vmReport) {
 	s.AcceptedRevision = max(s.AcceptedRevision, p.Config.Revision)
 	s.Changes = append(s.Changes, p.Changes...)
 	for _, w := range p.Warnings {
 		s.Warnings = append(s.Warnings, Warning{p.VM, w})
 	}
-	vms[p.VM] = located{VM{ID: p.VM, State: p.State, Revision: p.Config.Revision, ObservedAt: p.Time}, p.Zone, true}
+	vms[p.VM] = vmReport{VM{ID: p.VM, State: p.State, Revision: p.Config.Revision, ObservedAt: p.Time}, p.Zone, true}
 	for _, m := range p.Members {
 		known, ok := vms[m.ID]
-		if ok && (known.first || !m.ObservedAt.After(known.ObservedAt)) {
+		if ok && (known.isDirect || !m.ObservedAt.After(known.ObservedAt)) {
 			continue
 		}
-		vms[m.ID] = located{VM{ID: m.ID, State: m.State, Revision: m.Revision, ObservedAt: m.ObservedAt}, m.Zone, false}
+		vms[m.ID] = vmReport{VM{ID: m.ID, State: m.State, Revision: m.Revision, ObservedAt: m.ObservedAt}, m.Zone, false}
 	}
 }
 
-func (s *Status) zones(vms map[string]located) {
+func (s *Status) groupByZone(vms map[string]vmReport) {
 	byZone := map[string]*Zone{}
 	for _, vm := range vms {
 		z := byZone[vm.zone]
@@ -175,7 +176,7 @@
 	slices.SortFunc(s.Zones, func(a, b Zone) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Lagging returns the VMs that do not have the newest revision in force.
+// Lagging returns the VMs on which a revision older than the newest accepted one is in force.
 func (s *Status) Lagging() []VM {
 	var list []VM
 	for _, z := range s.Zones {
@@ -188,19 +189,19 @@
 	return list
 }
 
-// HasConverged reports whether every known VM has the newest revision in force
-// and every asked one answered.
+// HasConverged reports whether the newest accepted revision is in force on every known VM and every
+// status page could be read. It is false before the first text is accepted.
 func (s *Status) HasConverged() bool {
 	return s.AcceptedRevision > 0 && len(s.Unreachable) == 0 && len(s.Lagging()) == 0
 }
 
-// Write prints the status for a person.
+// Write prints the status as text for operators.
 func (s *Status) Write(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer w.Flush()
 	fmt.Fprintf(w, "newest accepted revision: %d, store: %s\n", s.AcceptedRevision, s.StoreState)
 	for _, z := range s.Zones {
-		fmt.Fprintf(w, "zone\t%s\trevision %d in force\t%d VMs%s\n", z.Name, z.MinRevision, len(z.VMs), lagging(z))
+		fmt.Fprintf(w, "zone\t%s\trevision %d in force\t%d VMs%s\n", z.Name, z.MinRevision, len(z.VMs), formatLagging(z))
 	}
 	for _, a := range s.Unreachable {
 		fmt.Fprintf(w, "no answer\t%s\t%s\n", a.Address, a.Error)
@@ -213,7 +214,7 @@
 	}
 }
 
-func lagging(z Zone) string {
+func formatLagging(z Zone) string {
 	var ids []string
 	for _, vm := range z.VMs {
 		if vm.IsLagging {
