--- a/cmd/mallowwind/forward_own.go
+++ b/cmd/mallowwind/forward_own.go
@@ -59,7 +59,7 @@
 	}
 	o := gateway.Options{
 		Self:   routing.VM{ID: s.VM, Zone: s.Zone, Address: s.Listen, PeerAddress: s.PeerListen},
-		Store:  store.Confirmed{Store: client, Key: feed.OwnConfigKey, Hold: ownConfirmInterval},
+		Store:  store.Confirmed{Store: client, Key: feed.OwnConfigKey, Interval: ownConfirmInterval},
 		Prefix: feed.OwnPrefix, Schema: feed.OwnSchema{}, Codec: forward.DefaultCodec{},
 		Clock: bootClock, Log: events, Registry: metric.NewCatalogue(),
 		DynamicOptions: gateway.DynamicOptions{MaxKeyAge: ownKeyRevocationDelay, RetryBudget: ownRetryBudget, RolloutLimits: ownRolloutLimits, GracePeriod: s.DrainLimit},
--- a/control/operate/apply_test.go
+++ b/control/operate/apply_test.go
@@ -109,7 +109,7 @@
 				mustApply(t, c, 0, siteText("1", 4))
 				prepare := s.DropNextWrite
 				if lose {
-					prepare = s.LoseNextWrite
+					prepare = s.LoseNextWriteResponse
 				}
 				l := &writeHookStore{Store: s, prefix: "/mallowwind/yard/" + write, beforeFirst: prepare}
 				r, err := (&Client{Store: l, Site: "yard"}).Apply(t.Context(), Request{Text: siteText("1", 5), BaseRevision: 1})
@@ -145,7 +145,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		day, s := newClient("day")
 		mustApply(t, day, 0, siteText("1", 4))
-		lost := &writeHookStore{Store: s, prefix: record.KeysOf("yard").Head(), beforeFirst: s.LoseNextWrite}
+		lost := &writeHookStore{Store: s, prefix: record.KeysOf("yard").Head(), beforeFirst: s.LoseNextWriteResponse}
 		go func() {
 			time.Sleep(initialRetryDelay / 2)
 			mustApply(t, day, 2, siteText("1", 9))
@@ -174,7 +174,7 @@
 
 		cut := &writeHookStore{Store: s, prefix: record.KeysOf("yard").Head()}
 		cut.beforeFirst = func() {
-			s.LoseNextWrite()
+			s.LoseNextWriteResponse()
 			time.AfterFunc(initialRetryDelay/2, func() { s.SetDown(true) })
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
--- a/external/standin/enginesim/status.go
+++ b/external/standin/enginesim/status.go
@@ -60,14 +60,14 @@
 	s.loadHistory.sample(s)
 	f := s.loadHistory.reported(s.config.StatusLag)
 	status := engine.Status{
-		Incarnation: fmt.Sprintf("%s-%d", s.config.Name, s.incarnation),
-		Role:        s.weights.role,
-		Models:      slices.Clone(s.weights.models),
-		Running:     f.running,
-		Waiting:     f.waiting,
-		Slots:       s.config.Slots,
-		TokensPerS:  f.tokensPerSecond,
-		Age:         time.Since(f.sampledAt),
+		Incarnation:     fmt.Sprintf("%s-%d", s.config.Name, s.incarnation),
+		Role:            s.weights.role,
+		Models:          slices.Clone(s.weights.models),
+		Running:         f.running,
+		Waiting:         f.waiting,
+		Slots:           s.config.Slots,
+		TokensPerSecond: f.tokensPerSecond,
+		Age:             time.Since(f.sampledAt),
 	}
 	if s.config.EnforceFencing {
 		status.Fence = s.weights.fence
--- a/external/standin/enginesim/weights.go
+++ b/external/standin/enginesim/weights.go
@@ -17,14 +17,14 @@
 
 // weightSet holds the models and the role of an engine and the orders that led to them.
 type weightSet struct {
-	models []engine.Loaded
+	models []engine.LoadedModel
 	role   engine.Role
 	fence  uint64
 	orders []engine.Order
 }
 
-func (w *weightSet) find(ref engine.ModelRef) *engine.Loaded {
-	i := slices.IndexFunc(w.models, func(l engine.Loaded) bool { return l.Ref == ref })
+func (w *weightSet) find(ref engine.ModelRef) *engine.LoadedModel {
+	i := slices.IndexFunc(w.models, func(l engine.LoadedModel) bool { return l.Ref == ref })
 	if i < 0 {
 		return nil
 	}
@@ -43,12 +43,12 @@
 		l.State = state
 		return
 	}
-	w.models = append(w.models, engine.Loaded{Ref: ref, State: state})
+	w.models = append(w.models, engine.LoadedModel{Ref: ref, State: state})
 }
 
 // dropUnused removes models that are being unloaded and that no generation uses any more.
 func (w *weightSet) dropUnused(isInUse func(engine.ModelRef) bool) {
-	w.models = slices.DeleteFunc(w.models, func(l engine.Loaded) bool {
+	w.models = slices.DeleteFunc(w.models, func(l engine.LoadedModel) bool {
 		return l.State == engine.Unloading && !isInUse(l.Ref)
 	})
 }
--- a/external/standin/host/faults.go
+++ b/external/standin/host/faults.go
@@ -98,9 +98,9 @@
 
 func plainFaults(n *Node) faults {
 	return faults{
-		"work":         durationFault(n.Plain.SetWork),
-		"hold":         boolFault(n.Plain.Silence),
-		"lose-answers": intFault(n.Plain.LoseAnswers),
+		"work":         durationFault(n.Plain.SetServiceTime),
+		"hold":         boolFault(n.Plain.SetSilent),
+		"lose-answers": intFault(n.Plain.LoseResponses),
 	}
 }
 
@@ -108,7 +108,7 @@
 	return faults{
 		"down":            boolFault(f.SetDown),
 		"delay":           durationFault(f.SetDelay),
-		"lose-next-write": ignoreValue(f.LoseNextWrite),
+		"lose-next-write": ignoreValue(f.LoseNextWriteResponse),
 		"drop-next-write": ignoreValue(f.DropNextWrite),
 	}
 }
@@ -117,7 +117,7 @@
 	return faults{"down": boolFault(m.SetDown), "lag": durationFault(m.SetLag)}
 }
 
-func weightFaults(w *weightsim.Sim) faults { return faults{"slow": floatFault(w.Slow)} }
+func weightFaults(w *weightsim.Sim) faults { return faults{"slow": floatFault(w.SetSlowdown)} }
 
 func ignoreValue(f func()) func(string) error {
 	return func(string) error { f(); return nil }
