--- a/external/engine/client.go
+++ b/external/engine/client.go
@@ -126,7 +126,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxControlBody))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxControlBodyBytes))
 	if err != nil {
 		c.calls.CloseIdleConnections()
 		return errors.Wrapf(ErrBroken, "read answer: %v", err)
@@ -153,7 +153,7 @@
 	}
 	resp, err := hc.Do(req)
 	if err != nil {
-		return nil, c.failure(err, probe)
+		return nil, c.transportError(err, probe)
 	}
 	if resp.StatusCode == http.StatusOK {
 		return resp, nil
@@ -162,18 +162,18 @@
 	return nil, statusError(resp)
 }
 
-// failure classifies an error of the transport. Idle connections are dropped:
+// transportError classifies an error of the transport. Idle connections are dropped:
 // what cut or silenced this connection may have done so to all.
-func (c *Client) failure(err error, probe *sent.Probe) error {
+func (c *Client) transportError(err error, probe *sent.Probe) error {
 	c.calls.CloseIdleConnections()
-	if probe.Nothing() {
+	if probe.NothingSent() {
 		return errors.Wrapf(ErrNotSent, "%v", err)
 	}
 	return errors.Wrapf(ErrBroken, "%v", err)
 }
 
 func statusError(resp *http.Response) error {
-	detail, ok := refusal(resp)
+	detail, ok := decodeRefusal(resp)
 	if !ok {
 		return errors.Wrapf(ErrBroken, "answer %s", resp.Status)
 	}
--- a/external/engine/stream.go
+++ b/external/engine/stream.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// maxEvent bounds one event, in bytes; an engine sends a few tokens at a time.
-	maxEvent = 256 << 10
-	// readAhead is how many chunks are read before Next takes them. When it is
+	// maxEventBytes bounds one event, in bytes; an engine sends a few tokens at a time.
+	maxEventBytes = 256 << 10
+	// readAheadChunks is how many chunks are read before Next takes them. When it is
 	// full the connection fills and the engine feels the slow reader.
-	readAhead = 16
+	readAheadChunks = 16
 )
 
 type result struct {
@@ -27,17 +27,17 @@
 // can give up on its context while the connection stays good.
 type stream struct {
 	body    io.ReadCloser
-	end     context.CancelFunc
+	cancel  context.CancelFunc
 	results chan result
 	closed  chan struct{}
 	once    sync.Once
-	last    error // sticky; only Next uses it
+	lastErr error // sticky; only Next uses it
 }
 
 func newStream(body io.ReadCloser, end context.CancelFunc, attempt uint64, from int) *stream {
 	s := &stream{
-		body: body, end: end,
-		results: make(chan result, readAhead),
+		body: body, cancel: end,
+		results: make(chan result, readAheadChunks),
 		closed:  make(chan struct{}),
 	}
 	go s.read(attempt, from)
@@ -46,19 +46,19 @@
 
 // Next implements Stream.
 func (s *stream) Next(ctx context.Context) (Chunk, error) {
-	if s.last != nil {
-		return Chunk{}, s.last
+	if s.lastErr != nil {
+		return Chunk{}, s.lastErr
 	}
 	select {
 	case r := <-s.results:
-		s.last = r.err
+		s.lastErr = r.err
 		if r.chunk.Finish != "" {
-			s.last = io.EOF
+			s.lastErr = io.EOF
 		}
 		return r.chunk, r.err
 	case <-s.closed:
-		s.last = errors.Wrap(ErrBroken, "stream closed")
-		return Chunk{}, s.last
+		s.lastErr = errors.Wrap(ErrBroken, "stream closed")
+		return Chunk{}, s.lastErr
 	case <-ctx.Done():
 		return Chunk{}, ctx.Err()
 	}
@@ -68,23 +68,23 @@
 func (s *stream) Close() error {
 	s.once.Do(func() {
 		close(s.closed)
-		s.end()
+		s.cancel()
 	})
 	return nil
 }
 
 func (s *stream) read(attempt uint64, from int) {
-	defer s.end()
+	defer s.cancel()
 	defer s.body.Close()
 	err := readEvents(s.body, attempt, from, func(c Chunk) bool {
-		return s.put(result{chunk: c})
+		return s.deliver(result{chunk: c})
 	})
 	if err != nil {
-		s.put(result{err: err})
+		s.deliver(result{err: err})
 	}
 }
 
-func (s *stream) put(r result) bool {
+func (s *stream) deliver(r result) bool {
 	select {
 	case s.results <- r:
 		return true
@@ -99,11 +99,11 @@
 // its attempt is not passed on.
 func readEvents(r io.Reader, attempt uint64, from int, yield func(Chunk) bool) error {
 	next := from
-	for e, err := range sse.Read(r, &sse.ReadConfig{MaxEventSize: maxEvent}) {
+	for e, err := range sse.Read(r, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
 			return errors.Wrapf(ErrBroken, "read: %v", err)
 		}
-		if e.Data == Done {
+		if e.Data == StreamDone {
 			return errors.Wrap(ErrBroken, "stream ended without a finish reason")
 		}
 		c, err := parseEvent(e.Data, attempt)
--- a/external/engine/stream_test.go
+++ b/external/engine/stream_test.go
@@ -43,7 +43,7 @@
 		"of another attempt":   {strings.Replace(eventA, `"attempt":1`, `"attempt":2`, 1), 0, ErrBroken},
 		"not JSON":             {eventA + "data: {\n\n", 1, ErrBroken},
 		"several choices":      {`data: {"attempt":1,"choices":[{},{}]}` + "\n\n", 0, ErrBroken},
-		"larger than an event": {"data: " + strings.Repeat("x", maxEvent) + "\n\n", 0, ErrBroken},
+		"larger than an event": {"data: " + strings.Repeat("x", maxEventBytes) + "\n\n", 0, ErrBroken},
 	} {
 		chunks, err := collect(c.text)
 		must.ErrorIs(t, err, c.err, must.Sprint(name))
--- a/external/engine/wire.go
+++ b/external/engine/wire.go
@@ -63,8 +63,8 @@
 	FinishReason *FinishReason `json:"finish_reason"`
 }
 
-// Done is the data of the last event of a whole stream.
-const Done = "[DONE]"
+// StreamDone is the data of the last event of a whole stream.
+const StreamDone = "[DONE]"
 
 // ErrorCode is the stable code of an engine's refusal.
 type ErrorCode string
@@ -91,17 +91,17 @@
 	Message string    `json:"message"`
 }
 
-// maxControlBody bounds the answer of a call that does not stream, in bytes.
-const maxControlBody = 4 << 20
+// maxControlBodyBytes bounds the answer of a call that does not stream, in bytes.
+const maxControlBodyBytes = 4 << 20
 
-// refusal reads an engine's own refusal out of a response. An error status
+// decodeRefusal reads an engine's own refusal out of a response. An error status
 // without this body may come from something in between and states no fact.
-func refusal(resp *http.Response) (ErrorDetail, bool) {
+func decodeRefusal(resp *http.Response) (ErrorDetail, bool) {
 	refused := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode/100 == 4
 	if !refused {
 		return ErrorDetail{}, false
 	}
 	var body ErrorBody
-	err := json.NewDecoder(io.LimitReader(resp.Body, maxControlBody)).Decode(&body)
+	err := json.NewDecoder(io.LimitReader(resp.Body, maxControlBodyBytes)).Decode(&body)
 	return body.Error, err == nil && body.Error.Code != ""
 }
--- a/external/sent/body.go
+++ b/external/sent/body.go
@@ -6,11 +6,11 @@
 	"net/http"
 )
 
-// onceBody hides the kind of its reader, so that net/http cannot rewind it.
-type onceBody struct{ r io.Reader }
+// nonRewindableBody hides the kind of its reader, so that net/http cannot rewind it.
+type nonRewindableBody struct{ r io.Reader }
 
-func (b onceBody) Read(p []byte) (int, error) { return b.r.Read(p) }
-func (b onceBody) Close() error               { return nil }
+func (b nonRewindableBody) Read(p []byte) (int, error) { return b.r.Read(p) }
+func (b nonRewindableBody) Close() error               { return nil }
 
 // SetBody gives req a body that net/http cannot send twice. The transport
 // repeats by itself a request on a reused connection that failed early, when
@@ -18,7 +18,7 @@
 // Idempotency-Key: a call that may not be repeated could run twice. With a body
 // that is present and has no GetBody it never does.
 func SetBody(req *http.Request, body []byte) {
-	req.Body = onceBody{bytes.NewReader(body)}
+	req.Body = nonRewindableBody{bytes.NewReader(body)}
 	req.GetBody = nil
 	req.ContentLength = int64(len(body))
 	if len(body) == 0 {
--- a/external/sent/sent.go
+++ b/external/sent/sent.go
@@ -46,16 +46,16 @@
 	return c.Conn.Write(p)
 }
 
-func (c *Conn) count() int64 {
+func (c *Conn) bytesWritten() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written
 }
 
-// seal reports whether nothing was written since the count stood at since, and
+// sealIfUnwritten reports whether nothing was written since the count stood at since, and
 // if so forbids every later write. Without that, a write that the transport
 // still had under way could follow the answer "nothing was sent".
-func (c *Conn) seal(since int64) bool {
+func (c *Conn) sealIfUnwritten(since int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.written != since {
@@ -65,8 +65,8 @@
 	return true
 }
 
-// Counting returns dial with its connections wrapped in Conn.
-func Counting(dial DialFunc) DialFunc {
+// CountingDial returns dial with its connections wrapped in Conn.
+func CountingDial(dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
 		if err != nil {
@@ -79,12 +79,12 @@
 // Probe watches one request.
 type Probe struct {
 	mu   sync.Mutex
-	uses []use
+	uses []connUse
 }
 
-type use struct {
-	conn  *Conn // nil when the connection does not count
-	since int64
+type connUse struct {
+	conn          *Conn // nil when the connection does not count
+	writtenBefore int64
 }
 
 // WithProbe returns a context whose request is watched.
@@ -98,23 +98,23 @@
 	if t, ok := c.(interface{ NetConn() net.Conn }); ok { // TLS
 		c = t.NetConn()
 	}
-	u := use{}
+	u := connUse{}
 	if counting, ok := c.(*Conn); ok {
-		u = use{conn: counting, since: counting.count()}
+		u = connUse{conn: counting, writtenBefore: counting.bytesWritten()}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.uses = append(p.uses, u)
 }
 
-// Nothing reports whether no byte of the request was written and none will be.
+// NothingSent reports whether no byte of the request was written and none will be.
 // Call it after the request has failed. A connection that does not count is
 // taken as written to.
-func (p *Probe) Nothing() bool {
+func (p *Probe) NothingSent() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, u := range p.uses {
-		if u.conn == nil || !u.conn.seal(u.since) {
+		if u.conn == nil || !u.conn.sealIfUnwritten(u.writtenBefore) {
 			return false
 		}
 	}
@@ -126,8 +126,8 @@
 	dialTimeout = 2 * time.Second
 	// idleTimeout is short: a connection that went silent while idle shows only
 	// when it is used, so none is kept idle for long.
-	idleTimeout = 15 * time.Second
-	idlePerHost = 4
+	idleTimeout         = 15 * time.Second
+	maxIdleConnsPerHost = 4
 )
 
 // NewTransport returns a transport that counts what it writes, follows no
@@ -142,9 +142,9 @@
 // NewTransportWith is NewTransport with a given dialer.
 func NewTransportWith(dial DialFunc, fresh bool) *http.Transport {
 	return &http.Transport{
-		DialContext:         Counting(dial),
+		DialContext:         CountingDial(dial),
 		DisableKeepAlives:   fresh,
-		MaxIdleConnsPerHost: idlePerHost,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
@@ -153,9 +153,9 @@
 // NoRedirect is the CheckRedirect of clients that must send a request once only.
 func NoRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// ByAddress returns a dialer that knows only these addresses, for stand-ins
+// DialByAddress returns a dialer that knows only these addresses, for stand-ins
 // reached without a network.
-func ByAddress(dials map[string]DialFunc) DialFunc {
+func DialByAddress(dials map[string]DialFunc) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		dial, ok := dials[address]
 		if !ok {
--- a/external/standin/faultnet/faultnet.go
+++ b/external/standin/faultnet/faultnet.go
@@ -15,8 +15,8 @@
 // ErrRefused is what Dial returns while the listener is cut.
 var ErrRefused = errors.New("faultnet: connection refused")
 
-// acceptQueue is how many connections of Dial may wait for Accept.
-const acceptQueue = 128
+// acceptQueueSize is how many connections of Dial may wait for Accept.
+const acceptQueueSize = 128
 
 // Listener hands out connections that it can reset, stall or silence. Over TCP
 // it also lets go of its port while cut, so that callers find it refused.
@@ -41,7 +41,7 @@
 	}
 	l := newListener(t.Addr())
 	l.tcp = t
-	go l.take(t)
+	go l.acceptTCP(t)
 	return l, nil
 }
 
@@ -56,27 +56,27 @@
 	close(flowing)
 	return &Listener{
 		address: address,
-		accept:  make(chan net.Conn, acceptQueue),
+		accept:  make(chan net.Conn, acceptQueueSize),
 		closed:  make(chan struct{}),
 		stall:   flowing,
 		conns:   make(map[*conn]struct{}),
 	}
 }
 
-// take moves connections of t into the accept queue until t is closed.
-func (l *Listener) take(t net.Listener) {
+// acceptTCP moves connections of t into the accept queue until t is closed.
+func (l *Listener) acceptTCP(t net.Listener) {
 	for {
 		c, err := t.Accept()
 		if err != nil {
 			return
 		}
-		if l.offer(c) != nil {
+		if l.enqueue(c) != nil {
 			_ = c.Close()
 		}
 	}
 }
 
-func (l *Listener) offer(inner net.Conn) error {
+func (l *Listener) enqueue(inner net.Conn) error {
 	l.mu.Lock()
 	c := &conn{Conn: inner, owner: l, silent: make(chan struct{}), closed: make(chan struct{})}
 	if l.cut {
@@ -119,7 +119,7 @@
 		return nil, err
 	}
 	here, there := net.Pipe()
-	if err := l.offer(there); err != nil {
+	if err := l.enqueue(there); err != nil {
 		return nil, err
 	}
 	return here, nil
@@ -154,7 +154,7 @@
 			return errors.Wrap(err, "listen again")
 		}
 		l.tcp = t
-		go l.take(t)
+		go l.acceptTCP(t)
 	}
 	l.cut = false
 	return nil
@@ -192,13 +192,13 @@
 	}
 }
 
-func (l *Listener) flowing() <-chan struct{} {
+func (l *Listener) unstalled() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.stall
 }
 
-func (l *Listener) forget(c *conn) {
+func (l *Listener) removeConn(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, c)
@@ -225,10 +225,10 @@
 	}
 }
 
-// wait holds traffic while the listener is stalled.
-func (c *conn) wait() error {
+// waitWhileStalled holds traffic while the listener is stalled.
+func (c *conn) waitWhileStalled() error {
 	select {
-	case <-c.owner.flowing():
+	case <-c.owner.unstalled():
 		return nil
 	case <-c.closed:
 		return net.ErrClosed
@@ -241,7 +241,7 @@
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return n, err
 	}
-	if werr := c.wait(); werr != nil {
+	if werr := c.waitWhileStalled(); werr != nil {
 		return 0, werr
 	}
 	if c.isSilent() {
@@ -253,7 +253,7 @@
 
 // Write implements net.Conn. What is written to a silent connection is lost.
 func (c *conn) Write(p []byte) (int, error) {
-	if err := c.wait(); err != nil {
+	if err := c.waitWhileStalled(); err != nil {
 		return 0, err
 	}
 	if c.isSilent() {
@@ -266,7 +266,7 @@
 // nothing of the close reaches it.
 func (c *conn) Close() error {
 	c.closeOne.Do(func() { close(c.closed) })
-	c.owner.forget(c)
+	c.owner.removeConn(c)
 	if c.isSilent() {
 		return nil
 	}
--- a/external/standin/plainsim/plainsim.go
+++ b/external/standin/plainsim/plainsim.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// KeyHeader names the call.
-	KeyHeader = "Idempotency-Key"
-	maxBody   = 16 << 20
+	// IdempotencyKeyHeader names the call.
+	IdempotencyKeyHeader = "Idempotency-Key"
+	maxBodyBytes         = 16 << 20
 )
 
 // Reply is the body of an answer.
@@ -33,31 +33,31 @@
 type Sim struct {
 	name string
 
-	mu        sync.Mutex
-	runs      map[string]int
-	total     int
-	work      time.Duration
-	loseNext  int
-	unsilence chan struct{}
+	mu              sync.Mutex
+	runs            map[string]int
+	total           int
+	serviceTime     time.Duration
+	responsesToLose int
+	resumed         chan struct{}
 }
 
 // New returns a service that takes work for each call.
 func New(name string, work time.Duration) *Sim {
-	return &Sim{name: name, work: work, runs: make(map[string]int)}
+	return &Sim{name: name, serviceTime: work, runs: make(map[string]int)}
 }
 
 // ServeHTTP implements http.Handler. The run is recorded before the answer is
 // written, as a real effect would be.
 func (s *Sim) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !s.wait(r.Context()) {
+	if !s.awaitService(r.Context()) {
 		return
 	}
-	reply, lost := s.run(r, string(body))
+	reply, lost := s.recordRun(r, string(body))
 	if lost {
 		panic(http.ErrAbortHandler)
 	}
@@ -65,12 +65,12 @@
 	_ = json.NewEncoder(w).Encode(reply)
 }
 
-// wait takes the time of the work, and holds the call while the service is
+// awaitService takes the time of the work, and holds the call while the service is
 // silent. It reports whether the call goes on: a caller that leaves before the
 // work is done finds that it did not run, one that leaves after, that it did.
-func (s *Sim) wait(ctx context.Context) bool {
+func (s *Sim) awaitService(ctx context.Context) bool {
 	s.mu.Lock()
-	work, unsilence := s.work, s.unsilence
+	work, unsilence := s.serviceTime, s.resumed
 	s.mu.Unlock()
 	if unsilence != nil {
 		select {
@@ -89,15 +89,15 @@
 	}
 }
 
-func (s *Sim) run(r *http.Request, body string) (Reply, bool) {
+func (s *Sim) recordRun(r *http.Request, body string) (Reply, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	key := r.Header.Get(KeyHeader)
+	key := r.Header.Get(IdempotencyKeyHeader)
 	s.runs[key]++
 	s.total++
-	lost := s.loseNext > 0
+	lost := s.responsesToLose > 0
 	if lost {
-		s.loseNext--
+		s.responsesToLose--
 	}
 	return Reply{
 		Service: s.name, Key: key, Run: s.runs[key],
@@ -112,44 +112,44 @@
 	return s.runs[key]
 }
 
-// All returns the runs of every key.
-func (s *Sim) All() map[string]int {
+// AllRuns returns the runs of every key.
+func (s *Sim) AllRuns() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.runs)
 }
 
-// Total returns the number of runs of all keys.
-func (s *Sim) Total() int {
+// TotalRuns returns the number of runs of all keys.
+func (s *Sim) TotalRuns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.total
 }
 
-// LoseAnswers makes the next n calls run and lose their answers.
-func (s *Sim) LoseAnswers(n int) {
+// LoseResponses makes the next n calls run and lose their answers.
+func (s *Sim) LoseResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.loseNext = n
+	s.responsesToLose = n
 }
 
-// SetWork changes how long calls take from now on.
-func (s *Sim) SetWork(d time.Duration) {
+// SetServiceTime changes how long calls take from now on.
+func (s *Sim) SetServiceTime(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.work = d
+	s.serviceTime = d
 }
 
-// Silence makes the service take calls and neither run nor answer them, until
+// SetSilent makes the service take calls and neither run nor answer them, until
 // it is called with false. Calls whose caller is still there then run.
-func (s *Sim) Silence(silent bool) {
+func (s *Sim) SetSilent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case silent && s.unsilence == nil:
-		s.unsilence = make(chan struct{})
-	case !silent && s.unsilence != nil:
-		close(s.unsilence)
-		s.unsilence = nil
+	case silent && s.resumed == nil:
+		s.resumed = make(chan struct{})
+	case !silent && s.resumed != nil:
+		close(s.resumed)
+		s.resumed = nil
 	}
 }
--- a/external/standin/storesim/storesim.go
+++ b/external/standin/storesim/storesim.go
@@ -15,8 +15,8 @@
 	"mallowwind.dev/external/store"
 )
 
-// maxRequest bounds a request body, in bytes: a value at its limit in base64.
-const maxRequest = 2 * store.MaxValue
+// maxRequestBytes bounds a request body, in bytes: a value at its limit in base64.
+const maxRequestBytes = 2 * store.MaxValue
 
 // Status codes of the service's errors, as gRPC numbers them.
 const (
@@ -49,12 +49,12 @@
 	if !decode(w, r, &q) {
 		return
 	}
-	a, err := h.lookUp(r.Context(), q)
-	answer(w, a, err)
+	a, err := h.readRange(r.Context(), q)
+	respond(w, a, err)
 }
 
-func (h *handler) lookUp(ctx context.Context, q store.EtcdRange) (store.EtcdRangeAnswer, error) {
-	var a store.EtcdRangeAnswer
+func (h *handler) readRange(ctx context.Context, q store.EtcdRange) (store.EtcdRangeResponse, error) {
+	var a store.EtcdRangeResponse
 	if len(q.RangeEnd) == 0 {
 		kv, err := h.store.Get(ctx, string(q.Key))
 		if errors.Is(err, store.ErrNotFound) {
@@ -93,18 +93,18 @@
 		return
 	}
 	if len(t.Compare) != 1 || len(t.Success) != 1 || t.Compare[0].Target != store.EtcdTargetMod {
-		fail(w, http.StatusBadRequest, codeInvalid, "storesim: only one compare of MOD with one operation")
+		respondError(w, http.StatusBadRequest, codeInvalid, "storesim: only one compare of MOD with one operation")
 		return
 	}
-	a, err := h.swap(r.Context(), t.Compare[0], t.Success[0])
+	a, err := h.apply(r.Context(), t.Compare[0], t.Success[0])
 	if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrNotFound) {
-		a, err = h.failed(r.Context(), t.Compare[0].Key)
+		a, err = h.compareFailed(r.Context(), t.Compare[0].Key)
 	}
-	answer(w, a, err)
+	respond(w, a, err)
 }
 
-func (h *handler) swap(ctx context.Context, c store.EtcdCompare, op store.EtcdOp) (store.EtcdTxnAnswer, error) {
-	a := store.EtcdTxnAnswer{Succeeded: true}
+func (h *handler) apply(ctx context.Context, c store.EtcdCompare, op store.EtcdOp) (store.EtcdTxnResponse, error) {
+	a := store.EtcdTxnResponse{Succeeded: true}
 	switch {
 	case op.Put != nil:
 		v, err := h.store.CompareAndSwap(ctx, string(c.Key), c.ModRevision, op.Put.Value, store.LeaseID(op.Put.Lease))
@@ -116,9 +116,9 @@
 	return a, errors.New("storesim: operation is neither put nor delete")
 }
 
-func (h *handler) failed(ctx context.Context, key []byte) (store.EtcdTxnAnswer, error) {
-	found, err := h.lookUp(ctx, store.EtcdRange{Key: key})
-	return store.EtcdTxnAnswer{Responses: []store.EtcdOpAnswer{{Range: &found}}}, err
+func (h *handler) compareFailed(ctx context.Context, key []byte) (store.EtcdTxnResponse, error) {
+	found, err := h.readRange(ctx, store.EtcdRange{Key: key})
+	return store.EtcdTxnResponse{Responses: []store.EtcdOpResponse{{Range: &found}}}, err
 }
 
 func (h *handler) grant(w http.ResponseWriter, r *http.Request) {
@@ -127,13 +127,13 @@
 		return
 	}
 	id, err := h.store.Grant(r.Context(), time.Duration(q.TTL)*time.Second)
-	answer(w, store.EtcdLease{ID: int64(id), TTL: q.TTL}, err)
+	respond(w, store.EtcdLease{ID: int64(id), TTL: q.TTL}, err)
 }
 
 func (h *handler) revoke(w http.ResponseWriter, r *http.Request) {
 	var q store.EtcdLease
 	if decode(w, r, &q) {
-		answer(w, struct{}{}, h.store.Revoke(r.Context(), store.LeaseID(q.ID)))
+		respond(w, struct{}{}, h.store.Revoke(r.Context(), store.LeaseID(q.ID)))
 	}
 }
 
@@ -147,7 +147,7 @@
 		left, err = 0, nil
 	}
 	result := store.EtcdLease{ID: q.ID, TTL: int64(left / time.Second)}
-	answer(w, store.EtcdStreamed[store.EtcdLease]{Result: &result}, err)
+	respond(w, store.EtcdStreamMessage[store.EtcdLease]{Result: &result}, err)
 }
 
 func (h *handler) watch(w http.ResponseWriter, r *http.Request) {
@@ -158,23 +158,23 @@
 	from := max(q.Create.StartRevision-1, 0)
 	watcher, err := h.store.Watch(r.Context(), prefixOf(q.Create.Key), from)
 	if err != nil && !errors.Is(err, store.ErrCompacted) {
-		answer(w, nil, err)
+		respond(w, nil, err)
 		return
 	}
 	s := &watchStream{enc: json.NewEncoder(w), flush: http.NewResponseController(w)}
-	if !s.send(store.EtcdWatchAnswer{Created: true}) {
+	if !s.send(store.EtcdWatchResponse{Created: true}) {
 		return
 	}
 	if err != nil {
-		s.send(compacted(from))
+		s.send(compactedResponse(from))
 		return
 	}
 	defer watcher.Close()
-	s.copy(r.Context(), watcher, from)
+	s.relay(r.Context(), watcher, from)
 }
 
-func compacted(from int64) store.EtcdWatchAnswer {
-	return store.EtcdWatchAnswer{Canceled: true, CompactRevision: from + 1}
+func compactedResponse(from int64) store.EtcdWatchResponse {
+	return store.EtcdWatchResponse{Canceled: true, CompactRevision: from + 1}
 }
 
 // watchStream writes the messages of one watch.
@@ -183,21 +183,21 @@
 	flush *http.ResponseController
 }
 
-func (s *watchStream) send(a store.EtcdWatchAnswer) bool {
-	err := s.enc.Encode(store.EtcdStreamed[store.EtcdWatchAnswer]{Result: &a})
+func (s *watchStream) send(a store.EtcdWatchResponse) bool {
+	err := s.enc.Encode(store.EtcdStreamMessage[store.EtcdWatchResponse]{Result: &a})
 	return err == nil && s.flush.Flush() == nil
 }
 
-func (s *watchStream) copy(ctx context.Context, watcher store.Watcher, from int64) {
+func (s *watchStream) relay(ctx context.Context, watcher store.Watcher, from int64) {
 	for {
 		events, err := watcher.Next(ctx)
 		if errors.Is(err, store.ErrCompacted) {
-			s.send(compacted(from))
+			s.send(compactedResponse(from))
 		}
 		if err != nil {
 			return
 		}
-		a := store.EtcdWatchAnswer{}
+		a := store.EtcdWatchResponse{}
 		for _, e := range events {
 			a.Events = append(a.Events, wireEvent(e))
 			a.Header.Revision = e.KV.Version
@@ -221,34 +221,34 @@
 }
 
 func decode(w http.ResponseWriter, r *http.Request, v any) bool {
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequest)).Decode(v)
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(v)
 	var big *http.MaxBytesError
 	switch {
 	case errors.As(err, &big):
-		fail(w, http.StatusBadRequest, codeInvalid, store.EtcdTooLarge)
+		respondError(w, http.StatusBadRequest, codeInvalid, store.EtcdTooLarge)
 	case err != nil:
-		fail(w, http.StatusBadRequest, codeInvalid, err.Error())
+		respondError(w, http.StatusBadRequest, codeInvalid, err.Error())
 	}
 	return err == nil
 }
 
-func answer(w http.ResponseWriter, v any, err error) {
+func respond(w http.ResponseWriter, v any, err error) {
 	switch {
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(v)
 	case errors.Is(err, store.ErrUnavailable):
-		fail(w, http.StatusServiceUnavailable, codeUnavailable, store.EtcdNoLeader)
+		respondError(w, http.StatusServiceUnavailable, codeUnavailable, store.EtcdNoLeader)
 	case errors.Is(err, store.ErrTooLarge):
-		fail(w, http.StatusBadRequest, codeInvalid, store.EtcdTooLarge)
+		respondError(w, http.StatusBadRequest, codeInvalid, store.EtcdTooLarge)
 	case errors.Is(err, store.ErrLeaseGone):
-		fail(w, http.StatusNotFound, codeNotFound, store.EtcdLeaseNotFound)
+		respondError(w, http.StatusNotFound, codeNotFound, store.EtcdLeaseNotFound)
 	default: // the answer is lost with its connection
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func fail(w http.ResponseWriter, status, code int, message string) {
+func respondError(w http.ResponseWriter, status, code int, message string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(store.EtcdError{Message: message, Code: code})
--- a/external/standin/tokencheck/tokencheck.go
+++ b/external/standin/tokencheck/tokencheck.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	hashDigits = 8
-	maxSalt    = 2
-	maxToken   = 32 // bytes of a token with any index
+	hashDigits    = 8
+	maxSaltBytes  = 2
+	maxTokenBytes = 32 // bytes of a token with any index
 )
 
 // Chain is the running hash over a generation. It is not safe for concurrent use.
@@ -49,7 +49,7 @@
 
 // Next makes the next token with this salt and advances.
 func (c *Chain) Next(salt string) string {
-	var buf [maxToken]byte
+	var buf [maxTokenBytes]byte
 	b := append(buf[:0], ' ')
 	b = strconv.AppendInt(b, int64(c.next), 10)
 	b = append(b, '.')
@@ -123,7 +123,7 @@
 
 func parse(token string) (index int, hash uint32, err error) {
 	number, rest, ok := strings.Cut(token, ".")
-	if !ok || !strings.HasPrefix(number, " ") || len(rest) <= hashDigits || len(rest) > hashDigits+maxSalt {
+	if !ok || !strings.HasPrefix(number, " ") || len(rest) <= hashDigits || len(rest) > hashDigits+maxSaltBytes {
 		return 0, 0, errors.Wrapf(ErrMalformed, "%q", token)
 	}
 	index, err = strconv.Atoi(number[1:])
--- a/external/standin/weightsim/weightsim.go
+++ b/external/standin/weightsim/weightsim.go
@@ -15,13 +15,13 @@
 
 // Sim is one weight store. It is safe for concurrent use and runs in virtual time.
 type Sim struct {
-	slots chan struct{}
-	fetch time.Duration
+	slots     chan struct{}
+	fetchTime time.Duration
 
-	mu     sync.Mutex
-	active int
-	slow   float64
-	counts map[engine.ModelRef]int
+	mu            sync.Mutex
+	activeFetches int
+	slowdown      float64
+	fetchCounts   map[engine.ModelRef]int
 }
 
 var _ weights.Store = (*Sim)(nil)
@@ -30,10 +30,10 @@
 // taking fetch.
 func New(capacity int, fetch time.Duration) *Sim {
 	return &Sim{
-		slots:  make(chan struct{}, capacity),
-		fetch:  fetch,
-		slow:   1,
-		counts: make(map[engine.ModelRef]int),
+		slots:       make(chan struct{}, capacity),
+		fetchTime:   fetch,
+		slowdown:    1,
+		fetchCounts: make(map[engine.ModelRef]int),
 	}
 }
 
@@ -45,9 +45,9 @@
 		return ctx.Err()
 	}
 	defer func() { <-s.slots }()
-	t := time.NewTimer(s.begin(ref))
+	t := time.NewTimer(s.startFetch(ref))
 	defer t.Stop()
-	defer s.end()
+	defer s.endFetch()
 	select {
 	case <-t.C:
 		return nil
@@ -56,37 +56,37 @@
 	}
 }
 
-func (s *Sim) begin(ref engine.ModelRef) time.Duration {
+func (s *Sim) startFetch(ref engine.ModelRef) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.active++
-	s.counts[ref]++
-	return s.typical(s.active)
+	s.activeFetches++
+	s.fetchCounts[ref]++
+	return s.fetchDuration(s.activeFetches)
 }
 
-func (s *Sim) end() {
+func (s *Sim) endFetch() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.active--
+	s.activeFetches--
 }
 
-// typical is the time of a fetch among n: the bandwidth is shared.
-func (s *Sim) typical(n int) time.Duration {
-	return time.Duration(float64(s.fetch) * s.slow * float64(max(n, 1)))
+// fetchDuration is the time of a fetch among n: the bandwidth is shared.
+func (s *Sim) fetchDuration(n int) time.Duration {
+	return time.Duration(float64(s.fetchTime) * s.slowdown * float64(max(n, 1)))
 }
 
-// Slow multiplies the time of fetches that begin from now on; 1 is usual.
-func (s *Sim) Slow(factor float64) {
+// SetSlowdown multiplies the time of fetches that begin from now on; 1 is usual.
+func (s *Sim) SetSlowdown(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = factor
+	s.slowdown = factor
 }
 
-// Fetches returns how often each set of weights was fetched.
-func (s *Sim) Fetches(ref engine.ModelRef) int {
+// FetchCount returns how often each set of weights was fetched.
+func (s *Sim) FetchCount(ref engine.ModelRef) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.counts[ref]
+	return s.fetchCounts[ref]
 }
 
 // Status implements weights.Store.
@@ -96,7 +96,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return weights.Status{Capacity: cap(s.slots), Active: s.active, Typical: s.typical(s.active)}, nil
+	return weights.Status{Capacity: cap(s.slots), Active: s.activeFetches, FetchDuration: s.fetchDuration(s.activeFetches)}, nil
 }
 
 // Handler serves the report in its wire form: one GET, one JSON object.
--- a/external/store/confirmed.go
+++ b/external/store/confirmed.go
@@ -13,8 +13,8 @@
 // last seen. Otherwise the watch is behind and ends.
 type Confirmed struct {
 	Store
-	Key  string
-	Hold time.Duration
+	Key      string
+	Interval time.Duration
 }
 
 // ErrBehind means that a watch has not delivered a change that a read shows.
@@ -27,31 +27,31 @@
 		return nil, err
 	}
 	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	w := &confirmedWatcher{inner: inner, from: c, seen: from, batches: make(chan batch), end: end}
+	w := &confirmedWatcher{inner: inner, store: c, lastRevision: from, batches: make(chan watchBatch), cancel: end}
 	go w.read(life)
 	return w, nil
 }
 
-// batch is what the inner watch gave.
-type batch struct {
+// watchBatch is what the inner watch gave.
+type watchBatch struct {
 	events   []Event
 	revision int64
 	err      error
 }
 
 type confirmedWatcher struct {
-	inner   Watcher
-	from    Confirmed
-	seen    int64
-	batches chan batch
-	end     context.CancelFunc
+	inner        Watcher
+	store        Confirmed
+	lastRevision int64
+	batches      chan watchBatch
+	cancel       context.CancelFunc
 }
 
 // read follows the inner watch until it fails or life ends.
 func (w *confirmedWatcher) read(life context.Context) {
 	for {
 		events, err := w.inner.Next(life)
-		b := batch{events: events, revision: w.inner.Revision(), err: err}
+		b := watchBatch{events: events, revision: w.inner.Revision(), err: err}
 		select {
 		case w.batches <- b:
 		case <-life.Done():
@@ -65,11 +65,11 @@
 
 // Next implements Watcher.
 func (w *confirmedWatcher) Next(ctx context.Context) ([]Event, error) {
-	hold := time.NewTimer(w.from.Hold)
+	hold := time.NewTimer(w.store.Interval)
 	defer hold.Stop()
 	select {
 	case b := <-w.batches:
-		w.seen = max(w.seen, b.revision)
+		w.lastRevision = max(w.lastRevision, b.revision)
 		return b.events, b.err
 	case <-hold.C:
 		return nil, w.confirm(ctx)
@@ -79,23 +79,23 @@
 }
 
 func (w *confirmedWatcher) confirm(ctx context.Context) error {
-	kv, err := w.from.Get(ctx, w.from.Key)
+	kv, err := w.store.Get(ctx, w.store.Key)
 	switch {
 	case errors.Is(err, ErrNotFound):
 		return nil
 	case err != nil:
 		return err
-	case kv.Version > w.seen:
-		return errors.Wrapf(ErrBehind, "%s is at %d, the watch at %d", w.from.Key, kv.Version, w.seen)
+	case kv.Version > w.lastRevision:
+		return errors.Wrapf(ErrBehind, "%s is at %d, the watch at %d", w.store.Key, kv.Version, w.lastRevision)
 	}
 	return nil
 }
 
 // Revision implements Watcher.
-func (w *confirmedWatcher) Revision() int64 { return w.seen }
+func (w *confirmedWatcher) Revision() int64 { return w.lastRevision }
 
 // Close implements Watcher.
 func (w *confirmedWatcher) Close() error {
-	w.end()
+	w.cancel()
 	return w.inner.Close()
 }
--- a/external/store/confirmed_test.go
+++ b/external/store/confirmed_test.go
@@ -16,7 +16,7 @@
 		m := NewMemory()
 		version, err := m.CompareAndSwap(ctx, "k", 0, []byte("1"), 0)
 		must.NoError(t, err)
-		c := Confirmed{Store: m, Key: "k", Hold: time.Second}
+		c := Confirmed{Store: m, Key: "k", Interval: time.Second}
 		w, err := c.Watch(ctx, "", version)
 		must.NoError(t, err)
 		events, err := w.Next(ctx)
@@ -32,19 +32,21 @@
 	})
 }
 
-// deafStore is a store whose watches stay open and never deliver.
-type deafStore struct{ Store }
+// silentWatchStore is a store whose watches stay open and never deliver.
+type silentWatchStore struct{ Store }
 
-type deafWatch struct{}
+type silentWatch struct{}
 
-func (deafWatch) Next(ctx context.Context) ([]Event, error) {
+func (silentWatch) Next(ctx context.Context) ([]Event, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
-func (deafWatch) Revision() int64 { return 0 }
-func (deafWatch) Close() error    { return nil }
+func (silentWatch) Revision() int64 { return 0 }
+func (silentWatch) Close() error    { return nil }
 
-func (deafStore) Watch(context.Context, string, int64) (Watcher, error) { return deafWatch{}, nil }
+func (silentWatchStore) Watch(context.Context, string, int64) (Watcher, error) {
+	return silentWatch{}, nil
+}
 
 // The connection of a watch went silent for good. A read shows the change that
 // never arrives; without it the daemon would take what it knows for confirmed.
@@ -53,7 +55,7 @@
 		m := NewMemory()
 		version, err := m.CompareAndSwap(t.Context(), "k", 0, []byte("1"), 0)
 		must.NoError(t, err)
-		w, err := Confirmed{Store: deafStore{m}, Key: "k", Hold: time.Second}.Watch(t.Context(), "", version)
+		w, err := Confirmed{Store: silentWatchStore{m}, Key: "k", Interval: time.Second}.Watch(t.Context(), "", version)
 		must.NoError(t, err)
 		_, err = w.Next(t.Context())
 		must.NoError(t, err)
@@ -67,7 +69,7 @@
 
 func TestConfirmedWatchEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, err := Confirmed{Store: NewMemory(), Key: "k", Hold: time.Second}.Watch(t.Context(), "", 0)
+		w, err := Confirmed{Store: NewMemory(), Key: "k", Interval: time.Second}.Watch(t.Context(), "", 0)
 		must.NoError(t, err)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
--- a/external/store/etcd.go
+++ b/external/store/etcd.go
@@ -21,21 +21,21 @@
 	// that a silent one leaves time for it. The last one asked has slowTimeout or
 	// what the caller gives, if that is less: a service that is merely slow must
 	// stay readable, and a watch that is opened anew must not hang for ever.
-	readTimeout = 2 * time.Second
-	slowTimeout = 30 * time.Second
-	// maxAnswer bounds an answer, in bytes: a list of the largest values that
+	readTimeout     = 2 * time.Second
+	lastReadTimeout = 30 * time.Second
+	// maxResponseBytes bounds an answer, in bytes: a list of the largest values that
 	// this system keeps under one prefix, in base64.
-	maxAnswer = 64 << 20
+	maxResponseBytes = 64 << 20
 )
 
 // EtcdClient speaks the JSON-over-HTTP form of etcd's v3 API to one of several
 // endpoints. It stays with an endpoint while that answers.
 type EtcdClient struct {
-	endpoints []string
-	calls     *http.Client
-	streams   *http.Client
-	current   atomic.Int64 // index of the endpoint that last answered
-	watchIdle time.Duration
+	endpoints        []string
+	calls            *http.Client
+	streams          *http.Client
+	current          atomic.Int64 // index of the endpoint that last answered
+	watchIdleTimeout time.Duration
 }
 
 var _ Store = (*EtcdClient)(nil)
@@ -47,7 +47,7 @@
 	if len(endpoints) == 0 {
 		return nil, errors.New("store: no endpoint")
 	}
-	c := &EtcdClient{calls: hc, streams: hc, watchIdle: defaultWatchIdle}
+	c := &EtcdClient{calls: hc, streams: hc, watchIdleTimeout: defaultWatchIdleTimeout}
 	for _, e := range endpoints {
 		c.endpoints = append(c.endpoints, strings.TrimSuffix(e, "/"))
 	}
@@ -60,14 +60,14 @@
 
 // Get implements Store.
 func (c *EtcdClient) Get(ctx context.Context, key string) (KV, error) {
-	var a EtcdRangeAnswer
+	var a EtcdRangeResponse
 	if err := c.read(ctx, PathRange, EtcdRange{Key: []byte(key)}, &a); err != nil {
 		return KV{}, err
 	}
 	if len(a.KVs) == 0 {
 		return KV{}, errors.Wrap(ErrNotFound, key)
 	}
-	return a.KVs[0].kv(), nil
+	return a.KVs[0].toKV(), nil
 }
 
 // List implements Store.
@@ -83,13 +83,13 @@
 }
 
 func (c *EtcdClient) list(ctx context.Context, q EtcdRange) ([]KV, int64, error) {
-	var a EtcdRangeAnswer
+	var a EtcdRangeResponse
 	if err := c.read(ctx, PathRange, q, &a); err != nil {
 		return nil, 0, err
 	}
 	list := make([]KV, 0, len(a.KVs))
 	for _, kv := range a.KVs {
-		list = append(list, kv.kv())
+		list = append(list, kv.toKV())
 	}
 	slices.SortFunc(list, func(x, y KV) int { return strings.Compare(x.Key, y.Key) })
 	return list, a.Header.Revision, nil
@@ -116,7 +116,7 @@
 		return 0, err
 	}
 	if !a.Succeeded {
-		return 0, errors.Wrapf(ErrConflict, "%s is at %d, expected %d", key, a.found(), version)
+		return 0, errors.Wrapf(ErrConflict, "%s is at %d, expected %d", key, a.foundVersion(), version)
 	}
 	return a.Header.Revision, nil
 }
@@ -129,26 +129,26 @@
 		return err
 	case a.Succeeded && version != 0:
 		return nil
-	case a.Succeeded || a.found() == 0:
+	case a.Succeeded || a.foundVersion() == 0:
 		return errors.Wrap(ErrNotFound, key)
 	}
-	return errors.Wrapf(ErrConflict, "%s is at %d, expected %d", key, a.found(), version)
+	return errors.Wrapf(ErrConflict, "%s is at %d, expected %d", key, a.foundVersion(), version)
 }
 
 // txn does op if key stands at version, and else reads the key.
-func (c *EtcdClient) txn(ctx context.Context, key string, version int64, op EtcdOp) (EtcdTxnAnswer, error) {
+func (c *EtcdClient) txn(ctx context.Context, key string, version int64, op EtcdOp) (EtcdTxnResponse, error) {
 	compare := EtcdCompare{Key: []byte(key), Target: EtcdTargetMod, Result: EtcdResultEqual, ModRevision: version}
 	txn := EtcdTxn{
 		Compare: []EtcdCompare{compare},
 		Success: []EtcdOp{op},
 		Failure: []EtcdOp{{Range: &EtcdRange{Key: []byte(key)}}},
 	}
-	var a EtcdTxnAnswer
+	var a EtcdTxnResponse
 	return a, c.write(ctx, PathTxn, txn, &a)
 }
 
-// found is the version that a failed compare met, 0 if there was no key.
-func (a EtcdTxnAnswer) found() int64 {
+// foundVersion is the version that a failed compare met, 0 if there was no key.
+func (a EtcdTxnResponse) foundVersion() int64 {
 	for _, r := range a.Responses {
 		if r.Range != nil && len(r.Range.KVs) > 0 {
 			return r.Range.KVs[0].ModRevision
@@ -167,7 +167,7 @@
 
 // KeepAlive implements Store.
 func (c *EtcdClient) KeepAlive(ctx context.Context, id LeaseID) (time.Duration, error) {
-	var a EtcdStreamed[EtcdLease]
+	var a EtcdStreamMessage[EtcdLease]
 	if err := c.write(ctx, PathKeepAlive, EtcdLease{ID: int64(id)}, &a); err != nil {
 		return 0, err
 	}
@@ -184,7 +184,7 @@
 
 // read asks the endpoints in turn until one answers.
 func (c *EtcdClient) read(ctx context.Context, path string, in, out any) error {
-	return c.each(ctx, func(endpoint string, last bool) (bool, error) {
+	return c.tryEndpoints(ctx, func(endpoint string, last bool) (bool, error) {
 		ctx, cancel := readContext(ctx, last)
 		defer cancel()
 		err := c.call(ctx, endpoint, path, in, out)
@@ -198,7 +198,7 @@
 // write goes on to the next endpoint only while nothing was sent or the
 // service said that it did not write: a write sent twice could undo a later one.
 func (c *EtcdClient) write(ctx context.Context, path string, in, out any) error {
-	return c.each(ctx, func(endpoint string, _ bool) (bool, error) {
+	return c.tryEndpoints(ctx, func(endpoint string, _ bool) (bool, error) {
 		err := c.call(ctx, endpoint, path, in, out)
 		return errors.Is(err, ErrUnavailable), err
 	})
@@ -206,15 +206,15 @@
 
 func readContext(ctx context.Context, last bool) (context.Context, context.CancelFunc) {
 	if last {
-		return context.WithTimeout(ctx, slowTimeout)
+		return context.WithTimeout(ctx, lastReadTimeout)
 	}
 	return context.WithTimeout(ctx, readTimeout)
 }
 
-// each tries the endpoints from the current one on while try says so, and
+// tryEndpoints tries the endpoints from the current one on while try says so, and
 // remembers one that answered. One that left an outcome unknown is not the
 // first to be asked next time.
-func (c *EtcdClient) each(ctx context.Context, try func(endpoint string, last bool) (bool, error)) error {
+func (c *EtcdClient) tryEndpoints(ctx context.Context, try func(endpoint string, last bool) (bool, error)) error {
 	first, n := c.current.Load(), int64(len(c.endpoints))
 	var err error
 	for i := range n {
@@ -242,7 +242,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		c.calls.CloseIdleConnections()
 		return errors.Wrapf(ErrUnknown, "read answer: %v", err)
@@ -270,7 +270,7 @@
 	resp, err := hc.Do(req)
 	if err != nil {
 		c.calls.CloseIdleConnections()
-		if probe.Nothing() {
+		if probe.NothingSent() {
 			return nil, errors.Wrapf(ErrUnavailable, "%v", err)
 		}
 		return nil, errors.Wrapf(ErrUnknown, "%v", err)
@@ -287,13 +287,13 @@
 // carries the same status and may have taken effect.
 func etcdError(resp *http.Response) error {
 	var e EtcdError
-	_ = json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&e)
-	return e.fact(resp.Status)
+	_ = json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&e)
+	return e.toError(resp.Status)
 }
 
-func (e EtcdError) fact(status string) error {
+func (e EtcdError) toError(status string) error {
 	switch e.Message {
-	case EtcdNoLeader, EtcdTooMany:
+	case EtcdNoLeader, EtcdTooManyRequests:
 		return errors.Wrap(ErrUnavailable, e.Message)
 	case EtcdTooLarge:
 		return errors.Wrap(ErrTooLarge, e.Message)
@@ -305,6 +305,6 @@
 	return errors.Wrapf(ErrUnknown, "answer %s: %s", status, e.Message)
 }
 
-func (kv EtcdKV) kv() KV {
+func (kv EtcdKV) toKV() KV {
 	return KV{Key: string(kv.Key), Value: kv.Value, Version: kv.ModRevision, Lease: LeaseID(kv.Lease)}
 }
--- a/external/store/etcdwatch.go
+++ b/external/store/etcdwatch.go
@@ -11,39 +11,39 @@
 	"github.com/pkg/errors"
 )
 
-// defaultWatchIdle is how long a watch may say nothing before it is opened
+// defaultWatchIdleTimeout is how long a watch may say nothing before it is opened
 // anew. A connection may go silent for good while new ones work, and a watch
 // on one would wait for ever; a fresh watch starts after the last revision
 // seen, so nothing is lost. At a minute, 390 daemons cost the service 6.5
 // calls a second.
-const defaultWatchIdle = time.Minute
+const defaultWatchIdleTimeout = time.Minute
 
 // etcdWatcher reads one watch connection at a time, in a goroutine, and goes
 // on with another after the last revision it saw when one breaks or is idle.
 type etcdWatcher struct {
-	client *EtcdClient
-	prefix string
-	seen   int64
-	ctx    context.Context // ends with Close
-	end    context.CancelFunc
-	conn   *watchConn
+	client       *EtcdClient
+	prefix       string
+	lastRevision int64
+	ctx          context.Context // ends with Close
+	cancel       context.CancelFunc
+	conn         *watchConn
 }
 
 // watchConn is one open connection.
 type watchConn struct {
 	messages chan watchMessage
-	end      context.CancelFunc
+	cancel   context.CancelFunc
 }
 
 type watchMessage struct {
-	answer EtcdWatchAnswer
-	err    error
+	response EtcdWatchResponse
+	err      error
 }
 
 // Watch implements Store. It returns when the service has confirmed the watch.
 func (c *EtcdClient) Watch(ctx context.Context, prefix string, from int64) (Watcher, error) {
 	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	w := &etcdWatcher{client: c, prefix: prefix, seen: from, ctx: life, end: end}
+	w := &etcdWatcher{client: c, prefix: prefix, lastRevision: from, ctx: life, cancel: end}
 	if err := w.open(ctx); err != nil {
 		end()
 		return nil, err
@@ -53,7 +53,7 @@
 
 // open tries the endpoints in turn for a watch after the last revision seen.
 func (w *etcdWatcher) open(ctx context.Context) error {
-	return w.client.each(ctx, func(endpoint string, last bool) (bool, error) {
+	return w.client.tryEndpoints(ctx, func(endpoint string, last bool) (bool, error) {
 		ctx, cancel := readContext(ctx, last)
 		defer cancel()
 		conn, err := w.connect(ctx, endpoint)
@@ -71,22 +71,22 @@
 	life, end := context.WithCancel(w.ctx)
 	unlink := context.AfterFunc(ctx, end)
 	r := prefixRange(w.prefix)
-	create := EtcdWatchCreate{Key: r.Key, RangeEnd: r.RangeEnd, StartRevision: w.seen + 1}
+	create := EtcdWatchCreate{Key: r.Key, RangeEnd: r.RangeEnd, StartRevision: w.lastRevision + 1}
 	resp, err := w.client.post(life, w.client.streams, endpoint+PathWatch, EtcdWatch{Create: create})
 	if err != nil {
 		unlink()
 		end()
 		return nil, err
 	}
-	conn := &watchConn{messages: make(chan watchMessage), end: end}
+	conn := &watchConn{messages: make(chan watchMessage), cancel: end}
 	go conn.read(life, resp)
 	select {
 	case m := <-conn.messages:
-		if unlink() && m.err == nil && m.answer.Created {
+		if unlink() && m.err == nil && m.response.Created {
 			return conn, nil
 		}
 		end()
-		if m.err == nil && !m.answer.Created {
+		if m.err == nil && !m.response.Created {
 			m.err = errors.Wrap(ErrUnknown, "watch was not confirmed")
 		}
 		if m.err == nil {
@@ -103,7 +103,7 @@
 	defer resp.Body.Close()
 	d := json.NewDecoder(resp.Body)
 	for {
-		m := decodeWatch(d)
+		m := decodeWatchMessage(d)
 		select {
 		case c.messages <- m:
 		case <-ctx.Done():
@@ -115,8 +115,8 @@
 	}
 }
 
-func decodeWatch(d *json.Decoder) watchMessage {
-	var s EtcdStreamed[EtcdWatchAnswer]
+func decodeWatchMessage(d *json.Decoder) watchMessage {
+	var s EtcdStreamMessage[EtcdWatchResponse]
 	err := d.Decode(&s)
 	switch {
 	case err == io.EOF:
@@ -124,7 +124,7 @@
 	case err != nil:
 		return watchMessage{err: errors.Wrapf(ErrUnavailable, "watch: %v", err)}
 	case s.Error != nil:
-		return watchMessage{err: s.Error.fact("in the stream")}
+		return watchMessage{err: s.Error.toError("in the stream")}
 	case s.Result == nil:
 		return watchMessage{err: errors.Wrap(ErrUnavailable, "empty message")}
 	case s.Result.CompactRevision > 0:
@@ -132,15 +132,15 @@
 	case s.Result.Canceled:
 		return watchMessage{err: errors.Wrap(ErrUnavailable, "watch cancelled")}
 	}
-	return watchMessage{answer: *s.Result}
+	return watchMessage{response: *s.Result}
 }
 
 // Next implements Watcher. A broken or idle connection is replaced once by
 // another; only when no endpoint gives one does the watcher end.
 func (w *etcdWatcher) Next(ctx context.Context) ([]Event, error) {
 	for {
-		idle := time.NewTimer(jitter(w.client.watchIdle))
-		m, err := w.wait(ctx, idle.C)
+		idle := time.NewTimer(jitter(w.client.watchIdleTimeout))
+		m, err := w.nextMessage(ctx, idle.C)
 		idle.Stop()
 		if err != nil {
 			return nil, err
@@ -154,14 +154,14 @@
 		if m.err != nil {
 			return nil, m.err
 		}
-		if events := w.take(m.answer); len(events) > 0 {
+		if events := w.advance(m.response); len(events) > 0 {
 			return events, nil
 		}
 	}
 }
 
-// wait returns the next message, or nil when the connection was idle too long.
-func (w *etcdWatcher) wait(ctx context.Context, idle <-chan time.Time) (*watchMessage, error) {
+// nextMessage returns the next message, or nil when the connection was idle too long.
+func (w *etcdWatcher) nextMessage(ctx context.Context, idle <-chan time.Time) (*watchMessage, error) {
 	select {
 	case m := <-w.conn.messages:
 		return &m, nil
@@ -175,39 +175,39 @@
 }
 
 func (w *etcdWatcher) reopen(ctx context.Context) error {
-	w.conn.end()
+	w.conn.cancel()
 	return w.open(ctx)
 }
 
-// take returns the events not seen yet. A revision may hold several events,
+// advance returns the events not seen yet. A revision may hold several events,
 // which the service sends in one message.
-func (w *etcdWatcher) take(a EtcdWatchAnswer) []Event {
+func (w *etcdWatcher) advance(a EtcdWatchResponse) []Event {
 	var events []Event
-	last := w.seen
+	last := w.lastRevision
 	for _, e := range a.Events {
-		if e.KV.ModRevision <= w.seen {
+		if e.KV.ModRevision <= w.lastRevision {
 			continue
 		}
 		last = max(last, e.KV.ModRevision)
-		events = append(events, e.event())
+		events = append(events, e.toEvent())
 	}
-	w.seen = last
+	w.lastRevision = last
 	return events
 }
 
-func (e EtcdEvent) event() Event {
+func (e EtcdEvent) toEvent() Event {
 	if e.Type == EtcdDelete {
 		return Event{Kind: Deleted, KV: KV{Key: string(e.KV.Key), Version: e.KV.ModRevision}}
 	}
-	return Event{Kind: Put, KV: e.KV.kv()}
+	return Event{Kind: Put, KV: e.KV.toKV()}
 }
 
 // Revision implements Watcher.
-func (w *etcdWatcher) Revision() int64 { return w.seen }
+func (w *etcdWatcher) Revision() int64 { return w.lastRevision }
 
 // Close implements Watcher.
 func (w *etcdWatcher) Close() error {
-	w.end()
+	w.cancel()
 	return nil
 }
 
--- a/external/store/faulty.go
+++ b/external/store/faulty.go
@@ -33,15 +33,15 @@
 type Faulty struct {
 	inner Store
 
-	mu       sync.Mutex
-	down     bool
-	outage   chan struct{} // closed when an outage begins
-	delay    time.Duration
-	loseNext bool
-	dropNext bool
-	reads    *rate.Limiter
-	writes   *rate.Limiter
-	counts   Counts
+	mu               sync.Mutex
+	down             bool
+	outage           chan struct{} // closed when an outage begins
+	delay            time.Duration
+	loseNextResponse bool
+	dropNextWrite    bool
+	reads            *rate.Limiter
+	writes           *rate.Limiter
+	counts           Counts
 }
 
 var _ Store = (*Faulty)(nil)
@@ -81,12 +81,12 @@
 	f.delay = d
 }
 
-// LoseNextWrite loses the answer of the next write to a key that takes effect:
+// LoseNextWriteResponse loses the answer of the next write to a key that takes effect:
 // its caller gets ErrUnknown.
-func (f *Faulty) LoseNextWrite() {
+func (f *Faulty) LoseNextWriteResponse() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.loseNext = true
+	f.loseNextResponse = true
 }
 
 // DropNextWrite loses the next write to a key on its way: its caller gets
@@ -94,16 +94,16 @@
 func (f *Faulty) DropNextWrite() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.dropNext = true
+	f.dropNextWrite = true
 }
 
-func (f *Faulty) drop() error {
+func (f *Faulty) takeDroppedWrite() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.dropNext {
+	if !f.dropNextWrite {
 		return nil
 	}
-	f.dropNext = false
+	f.dropNextWrite = false
 	return errors.Wrap(ErrUnknown, "request lost")
 }
 
@@ -112,10 +112,10 @@
 func (f *Faulty) SetLimits(readsPerS, writesPerS int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.reads, f.writes = limiter(readsPerS), limiter(writesPerS)
+	f.reads, f.writes = newLimiter(readsPerS), newLimiter(writesPerS)
 }
 
-func limiter(perS int) *rate.Limiter {
+func newLimiter(perS int) *rate.Limiter {
 	if perS == 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
@@ -129,8 +129,8 @@
 	return f.counts
 }
 
-// begin counts one call and fails it if a fault says so.
-func (f *Faulty) begin(ctx context.Context, field *int64, limit func() *rate.Limiter, late error) error {
+// admit counts one call and fails it if a fault says so.
+func (f *Faulty) admit(ctx context.Context, field *int64, limit func() *rate.Limiter, late error) error {
 	f.mu.Lock()
 	*field++
 	refused := f.down || !limit().Allow()
@@ -142,18 +142,18 @@
 	if refused {
 		return errors.Wrap(ErrUnavailable, "outage or rate limit")
 	}
-	return pause(ctx, delay, late)
+	return sleep(ctx, delay, late)
 }
 
-func (f *Faulty) read(ctx context.Context, field *int64) error {
-	return f.begin(ctx, field, func() *rate.Limiter { return f.reads }, ErrUnavailable)
+func (f *Faulty) admitRead(ctx context.Context, field *int64) error {
+	return f.admit(ctx, field, func() *rate.Limiter { return f.reads }, ErrUnavailable)
 }
 
-func (f *Faulty) write(ctx context.Context, field *int64) error {
-	return f.begin(ctx, field, func() *rate.Limiter { return f.writes }, ErrUnknown)
+func (f *Faulty) admitWrite(ctx context.Context, field *int64) error {
+	return f.admit(ctx, field, func() *rate.Limiter { return f.writes }, ErrUnknown)
 }
 
-func pause(ctx context.Context, d time.Duration, late error) error {
+func sleep(ctx context.Context, d time.Duration, late error) error {
 	if d == 0 {
 		return nil
 	}
@@ -167,21 +167,21 @@
 	}
 }
 
-// lose turns the answer of a write that took effect into ErrUnknown if it was
+// loseResponse turns the answer of a write that took effect into ErrUnknown if it was
 // asked for.
-func (f *Faulty) lose(err error) error {
+func (f *Faulty) loseResponse(err error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err != nil || !f.loseNext {
+	if err != nil || !f.loseNextResponse {
 		return err
 	}
-	f.loseNext = false
+	f.loseNextResponse = false
 	return errors.Wrap(ErrUnknown, "answer lost")
 }
 
 // Get implements Store.
 func (f *Faulty) Get(ctx context.Context, key string) (KV, error) {
-	if err := f.read(ctx, &f.counts.Get); err != nil {
+	if err := f.admitRead(ctx, &f.counts.Get); err != nil {
 		return KV{}, err
 	}
 	return f.inner.Get(ctx, key)
@@ -189,7 +189,7 @@
 
 // List implements Store.
 func (f *Faulty) List(ctx context.Context, prefix string) ([]KV, int64, error) {
-	if err := f.read(ctx, &f.counts.List); err != nil {
+	if err := f.admitRead(ctx, &f.counts.List); err != nil {
 		return nil, 0, err
 	}
 	return f.inner.List(ctx, prefix)
@@ -198,7 +198,7 @@
 // ListStale implements Store. It is not held to the rate of reads.
 func (f *Faulty) ListStale(ctx context.Context, prefix string) ([]KV, int64, error) {
 	unlimited := func() *rate.Limiter { return rate.NewLimiter(rate.Inf, 0) }
-	if err := f.begin(ctx, &f.counts.ListStale, unlimited, ErrUnavailable); err != nil {
+	if err := f.admit(ctx, &f.counts.ListStale, unlimited, ErrUnavailable); err != nil {
 		return nil, 0, err
 	}
 	return f.inner.ListStale(ctx, prefix)
@@ -206,14 +206,14 @@
 
 // CompareAndSwap implements Store.
 func (f *Faulty) CompareAndSwap(ctx context.Context, key string, version int64, value []byte, lease LeaseID) (int64, error) {
-	if err := f.write(ctx, &f.counts.CompareAndSwap); err != nil {
+	if err := f.admitWrite(ctx, &f.counts.CompareAndSwap); err != nil {
 		return 0, err
 	}
-	if err := f.drop(); err != nil {
+	if err := f.takeDroppedWrite(); err != nil {
 		return 0, err
 	}
 	v, err := f.inner.CompareAndSwap(ctx, key, version, value, lease)
-	if err = f.lose(err); err != nil {
+	if err = f.loseResponse(err); err != nil {
 		return 0, err
 	}
 	return v, nil
@@ -221,18 +221,18 @@
 
 // Delete implements Store.
 func (f *Faulty) Delete(ctx context.Context, key string, version int64) error {
-	if err := f.write(ctx, &f.counts.Delete); err != nil {
+	if err := f.admitWrite(ctx, &f.counts.Delete); err != nil {
 		return err
 	}
-	if err := f.drop(); err != nil {
+	if err := f.takeDroppedWrite(); err != nil {
 		return err
 	}
-	return f.lose(f.inner.Delete(ctx, key, version))
+	return f.loseResponse(f.inner.Delete(ctx, key, version))
 }
 
 // Grant implements Store.
 func (f *Faulty) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
-	if err := f.write(ctx, &f.counts.Grant); err != nil {
+	if err := f.admitWrite(ctx, &f.counts.Grant); err != nil {
 		return 0, err
 	}
 	return f.inner.Grant(ctx, ttl)
@@ -240,7 +240,7 @@
 
 // KeepAlive implements Store.
 func (f *Faulty) KeepAlive(ctx context.Context, id LeaseID) (time.Duration, error) {
-	if err := f.write(ctx, &f.counts.KeepAlive); err != nil {
+	if err := f.admitWrite(ctx, &f.counts.KeepAlive); err != nil {
 		return 0, err
 	}
 	return f.inner.KeepAlive(ctx, id)
@@ -248,7 +248,7 @@
 
 // Revoke implements Store.
 func (f *Faulty) Revoke(ctx context.Context, id LeaseID) error {
-	if err := f.write(ctx, &f.counts.Revoke); err != nil {
+	if err := f.admitWrite(ctx, &f.counts.Revoke); err != nil {
 		return err
 	}
 	return f.inner.Revoke(ctx, id)
@@ -256,7 +256,7 @@
 
 // Watch implements Store.
 func (f *Faulty) Watch(ctx context.Context, prefix string, from int64) (Watcher, error) {
-	if err := f.read(ctx, &f.counts.Watch); err != nil {
+	if err := f.admitRead(ctx, &f.counts.Watch); err != nil {
 		return nil, err
 	}
 	w, err := f.inner.Watch(ctx, prefix, from)
--- a/external/store/memory.go
+++ b/external/store/memory.go
@@ -12,28 +12,28 @@
 	"github.com/pkg/errors"
 )
 
-// keptHistory is how many changes a Memory keeps for watches that start in the past.
-const keptHistory = 10000
+// retainedEvents is how many changes a Memory keeps for watches that start in the past.
+const retainedEvents = 10000
 
 // Memory is the service in process. Leases end by time, also in virtual time
 // under testing/synctest. It has no faults of its own; see Faulty.
 type Memory struct {
-	mu        sync.Mutex
-	revision  int64
-	keys      map[string]KV
-	leases    map[LeaseID]*lease
-	nextLease LeaseID
-	history   []Event // in revision order
-	compacted int64   // changes up to this revision are gone
-	watchers  map[*memoryWatcher]struct{}
+	mu                sync.Mutex
+	revision          int64
+	keys              map[string]KV
+	leases            map[LeaseID]*lease
+	nextLease         LeaseID
+	history           []Event // in revision order
+	compactedRevision int64   // changes up to this revision are gone
+	watchers          map[*memoryWatcher]struct{}
 }
 
 var _ Store = (*Memory)(nil)
 
 type lease struct {
-	ttl   time.Duration
-	timer *time.Timer
-	ends  time.Time
+	ttl       time.Duration
+	timer     *time.Timer
+	expiresAt time.Time
 }
 
 // NewMemory returns an empty service.
@@ -133,9 +133,9 @@
 	m.nextLease++
 	id := m.nextLease
 	m.leases[id] = &lease{
-		ttl:   ttl,
-		ends:  time.Now().Add(ttl),
-		timer: time.AfterFunc(ttl, func() { m.expire(id) }),
+		ttl:       ttl,
+		expiresAt: time.Now().Add(ttl),
+		timer:     time.AfterFunc(ttl, func() { m.expire(id) }),
 	}
 	return id, nil
 }
@@ -151,7 +151,7 @@
 	if !ok {
 		return 0, errors.Wrapf(ErrLeaseGone, "%d", id)
 	}
-	l.ends = time.Now().Add(l.ttl)
+	l.expiresAt = time.Now().Add(l.ttl)
 	l.timer.Reset(l.ttl)
 	return l.ttl, nil
 }
@@ -178,7 +178,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	l, ok := m.leases[id]
-	if !ok || time.Now().Before(l.ends) {
+	if !ok || time.Now().Before(l.expiresAt) {
 		return
 	}
 	m.endLease(id)
@@ -211,8 +211,8 @@
 // record appends to the history and wakes the watchers.
 func (m *Memory) record(e Event) {
 	m.history = append(m.history, e)
-	if len(m.history) > 2*keptHistory {
-		m.compactTo(m.history[len(m.history)-keptHistory].KV.Version)
+	if len(m.history) > 2*retainedEvents {
+		m.compactTo(m.history[len(m.history)-retainedEvents].KV.Version)
 	}
 	for w := range m.watchers {
 		w.notify()
@@ -227,12 +227,12 @@
 }
 
 func (m *Memory) compactTo(revision int64) {
-	m.history = slices.Clone(m.history[m.position(revision):])
-	m.compacted = max(m.compacted, revision)
+	m.history = slices.Clone(m.history[m.indexAfter(revision):])
+	m.compactedRevision = max(m.compactedRevision, revision)
 }
 
-// position returns the index of the first change after revision.
-func (m *Memory) position(revision int64) int {
+// indexAfter returns the index of the first change after revision.
+func (m *Memory) indexAfter(revision int64) int {
 	return sort.Search(len(m.history), func(i int) bool { return m.history[i].KV.Version > revision })
 }
 
@@ -250,10 +250,10 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if from < m.compacted {
-		return nil, errors.Wrapf(ErrCompacted, "up to %d", m.compacted)
+	if from < m.compactedRevision {
+		return nil, errors.Wrapf(ErrCompacted, "up to %d", m.compactedRevision)
 	}
-	w := &memoryWatcher{store: m, prefix: prefix, seen: from, wake: make(chan struct{}, 1)}
+	w := &memoryWatcher{store: m, prefix: prefix, lastRevision: from, wake: make(chan struct{}, 1)}
 	m.watchers[w] = struct{}{}
 	return w, nil
 }
@@ -261,10 +261,10 @@
 // memoryWatcher reads the history from where it stands, so that a slow reader
 // costs no memory and learns when it fell behind what is kept.
 type memoryWatcher struct {
-	store  *Memory
-	prefix string
-	seen   int64
-	wake   chan struct{}
+	store        *Memory
+	prefix       string
+	lastRevision int64
+	wake         chan struct{}
 }
 
 func (w *memoryWatcher) notify() {
@@ -293,21 +293,21 @@
 	m := w.store
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if w.seen < m.compacted {
-		return nil, errors.Wrapf(ErrCompacted, "up to %d", m.compacted)
+	if w.lastRevision < m.compactedRevision {
+		return nil, errors.Wrapf(ErrCompacted, "up to %d", m.compactedRevision)
 	}
 	var events []Event
-	for _, e := range m.history[m.position(w.seen):] {
+	for _, e := range m.history[m.indexAfter(w.lastRevision):] {
 		if strings.HasPrefix(e.KV.Key, w.prefix) {
 			events = append(events, Event{Kind: e.Kind, KV: e.KV.clone()})
 		}
 	}
-	w.seen = m.revision
+	w.lastRevision = m.revision
 	return events, nil
 }
 
 // Revision implements Watcher.
-func (w *memoryWatcher) Revision() int64 { return w.seen }
+func (w *memoryWatcher) Revision() int64 { return w.lastRevision }
 
 // Close implements Watcher.
 func (w *memoryWatcher) Close() error {
--- a/external/vmlist/client.go
+++ b/external/vmlist/client.go
@@ -12,8 +12,8 @@
 	"mallowwind.dev/external/sent"
 )
 
-// maxList bounds the list, in bytes.
-const maxList = 16 << 20
+// maxListBytes bounds the list, in bytes.
+const maxListBytes = 16 << 20
 
 // Client reads the list over HTTP. It asks with the entity tag of the last
 // answer, so that an unchanged list costs a few hundred bytes instead of the
@@ -23,7 +23,7 @@
 	http *http.Client
 
 	mu   sync.Mutex
-	tag  string
+	etag string
 	last []VM
 }
 
@@ -41,20 +41,20 @@
 
 // List implements Source; callers must not change the rows. After a failure the next call has a fresh connection.
 func (c *Client) List(ctx context.Context) ([]VM, error) {
-	list, err := c.get(ctx)
+	list, err := c.fetch(ctx)
 	if err != nil {
 		c.http.CloseIdleConnections()
 	}
 	return list, errors.Wrap(err, "vm list")
 }
 
-func (c *Client) get(ctx context.Context) ([]VM, error) {
+func (c *Client) fetch(ctx context.Context) ([]VM, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
 	if err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
-	tag, last := c.tag, c.last
+	tag, last := c.etag, c.last
 	c.mu.Unlock()
 	if tag != "" {
 		req.Header.Set("If-None-Match", tag)
@@ -71,11 +71,11 @@
 		return nil, errors.Errorf("answer %s", resp.Status)
 	}
 	var list []VM
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxList)).Decode(&list); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxListBytes)).Decode(&list); err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
-	c.tag, c.last = resp.Header.Get("ETag"), list
+	c.etag, c.last = resp.Header.Get("ETag"), list
 	c.mu.Unlock()
 	return list, nil
 }
--- a/external/vmlist/memory.go
+++ b/external/vmlist/memory.go
@@ -32,9 +32,9 @@
 var _ Source = (*Memory)(nil)
 
 type change struct {
-	due  time.Time
-	vm   VM
-	gone bool
+	due     time.Time
+	vm      VM
+	removed bool
 }
 
 // NewMemory returns a list that shows these VMs at once and later changes after lag.
@@ -46,8 +46,8 @@
 	return m
 }
 
-// Show adds or replaces a VM at once, for the start.
-func (m *Memory) Show(vm VM) {
+// PutNow adds or replaces a VM at once, for the start.
+func (m *Memory) PutNow(vm VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.visible[vm.ID] = vm
@@ -59,7 +59,7 @@
 	defer m.mu.Unlock()
 	for _, c := range slices.Backward(m.pending) {
 		if c.vm.ID == id {
-			return c.vm, !c.gone
+			return c.vm, !c.removed
 		}
 	}
 	vm, ok := m.visible[id]
@@ -70,7 +70,7 @@
 func (m *Memory) Put(vm VM) { m.change(change{vm: vm}) }
 
 // Remove takes a VM off the list.
-func (m *Memory) Remove(id string) { m.change(change{vm: VM{ID: id}, gone: true}) }
+func (m *Memory) Remove(id string) { m.change(change{vm: VM{ID: id}, removed: true}) }
 
 func (m *Memory) change(c change) {
 	m.mu.Lock()
@@ -104,16 +104,16 @@
 	if m.down {
 		return nil, ErrDown
 	}
-	m.settle(time.Now())
+	m.applyDue(time.Now())
 	byID := func(a, b VM) int { return strings.Compare(a.ID, b.ID) }
 	return slices.SortedFunc(maps.Values(m.visible), byID), nil
 }
 
-func (m *Memory) settle(now time.Time) {
+func (m *Memory) applyDue(now time.Time) {
 	for len(m.pending) > 0 && !m.pending[0].due.After(now) {
 		c := m.pending[0]
 		m.pending = m.pending[1:]
-		if c.gone {
+		if c.removed {
 			delete(m.visible, c.vm.ID)
 			continue
 		}
--- a/external/weights/client.go
+++ b/external/weights/client.go
@@ -28,14 +28,14 @@
 
 // Status implements Store. After a failure the next call has a fresh connection.
 func (c *Client) Status(ctx context.Context) (Status, error) {
-	s, err := c.get(ctx)
+	s, err := c.fetch(ctx)
 	if err != nil {
 		c.http.CloseIdleConnections()
 	}
 	return s, errors.Wrap(err, "weight store")
 }
 
-func (c *Client) get(ctx context.Context) (Status, error) {
+func (c *Client) fetch(ctx context.Context) (Status, error) {
 	var s Status
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
 	if err != nil {
