--- a/external/engine/client.go
+++ b/external/engine/client.go
@@ -15,7 +15,7 @@
 	"mallowwind.dev/external/sent"
 )
 
-// Paths of the wire form.
+// Paths of the HTTP API.
 const (
 	PathCompletions = "/v1/completions"
 	PathGenerations = "/mallow/generations/"
@@ -24,7 +24,7 @@
 	PathCacheEvents = "/mallow/cache-events"
 )
 
-// Client is the wire adapter to one engine. It never repeats a request.
+// Client accesses one engine over HTTP. It never retries a request.
 type Client struct {
 	base    string
 	calls   *http.Client
@@ -33,12 +33,11 @@
 
 var _ Engine = (*Client)(nil)
 
-// NewClient returns the adapter to the engine at base (http://ip:port). With a
-// nil client it makes its own transports: pooled for short calls, a fresh
-// connection for each stream. A client given must count what it writes (its
-// transport from sent.NewTransport); otherwise no failure after a connection
-// was found is ever reported as ErrNotSent. It should not be shared between
-// engines, because a failure drops all its idle connections.
+// NewClient returns a client of the engine at base (http://ip:port). If hc is nil, the client uses
+// transports of its own: pooled connections for short calls and a new connection for each stream. Any
+// other client needs a transport that counts the bytes written, from package sent; otherwise no
+// failure after a connection was made is reported as ErrNotSent. Do not share hc between engines,
+// because a failure closes all its idle connections.
 func NewClient(base string, hc *http.Client) *Client {
 	c := &Client{base: strings.TrimSuffix(base, "/"), calls: hc, streams: hc}
 	if hc == nil {
@@ -48,10 +47,10 @@
 	return c
 }
 
-// NewTransport returns the default transport; fresh gives each request its own connection.
+// NewTransport returns the default transport. If fresh is set, each request uses its own connection.
 func NewTransport(fresh bool) *http.Transport { return sent.NewTransport(fresh) }
 
-// CloseIdle closes idle connections, for when the engine is no longer used.
+// CloseIdle closes the idle connections, for use when the engine is no longer needed.
 func (c *Client) CloseIdle() { c.calls.CloseIdleConnections() }
 
 // Generate implements Engine.
@@ -70,21 +69,21 @@
 	return c.open(ctx, http.MethodGet, path, nil, attempt, from)
 }
 
-// open starts a stream. The connection lives until Close, not until ctx ends:
-// ctx bounds only the wait for the engine's first answer.
+// open starts a stream. The connection stays open until the stream ends or is closed; ctx bounds only
+// the wait for the response headers.
 func (c *Client) open(ctx context.Context, method, path string, body []byte, attempt uint64, from int) (Stream, error) {
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	unlink := context.AfterFunc(ctx, end)
-	resp, err := c.do(life, c.streams, method, path, body)
-	if !unlink() && err == nil {
+	streamCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	stop := context.AfterFunc(ctx, cancel)
+	resp, err := c.do(streamCtx, c.streams, method, path, body)
+	if !stop() && err == nil {
 		_ = resp.Body.Close()
 		err = errors.Wrapf(ErrBroken, "%v", context.Cause(ctx))
 	}
 	if err != nil {
-		end()
+		cancel()
 		return nil, err
 	}
-	return newStream(resp.Body, end, attempt, from), nil
+	return newStream(resp.Body, cancel, attempt, from), nil
 }
 
 // Cancel implements Engine.
@@ -112,7 +111,7 @@
 	return events, err
 }
 
-// call makes one short call with JSON both ways; in and out may be nil.
+// call makes one non-streaming call with JSON bodies; in and out may be nil.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
 	var body []byte
 	if in != nil {
@@ -140,7 +139,7 @@
 	return nil
 }
 
-// do sends one request and turns every failure into its fact.
+// do sends one request and maps every failure to one of the package's errors.
 func (c *Client) do(ctx context.Context, hc *http.Client, method, path string, body []byte) (*http.Response, error) {
 	ctx, probe := sent.WithProbe(ctx)
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
@@ -162,8 +161,8 @@
 	return nil, statusError(resp)
 }
 
-// transportError classifies an error of the transport. Idle connections are dropped:
-// what cut or silenced this connection may have done so to all.
+// transportError maps an error of the transport to ErrNotSent or ErrBroken. It closes the idle
+// connections because they may have been reset or stalled by the same fault.
 func (c *Client) transportError(err error, probe *sent.Probe) error {
 	c.calls.CloseIdleConnections()
 	if probe.NothingSent() {
--- a/external/engine/client_test.go
+++ b/external/engine/client_test.go
@@ -14,8 +14,8 @@
 	"mallowwind.dev/external/standin/faultnet"
 )
 
-// against runs f with a client of a server that answers every request with h.
-func against(t *testing.T, h http.HandlerFunc, f func(t *testing.T, c *engine.Client, l *faultnet.Listener)) {
+// withServer runs f with a client of a server that handles every request with h.
+func withServer(t *testing.T, h http.HandlerFunc, f func(t *testing.T, c *engine.Client, l *faultnet.Listener)) {
 	synctest.Test(t, func(t *testing.T) {
 		l := faultnet.Pipe()
 		server := &http.Server{Handler: h}
@@ -29,10 +29,9 @@
 
 var req = engine.Request{Generation: "g", Attempt: 1, Model: "m", Prompt: "p", MaxTokens: 5}
 
-// An error status comes back. Only the engine's own words make it a refusal:
-// a 503 from something in between says nothing about whether the engine runs
-// the request.
-func TestOnlyTheEnginesOwnRefusalIsOne(t *testing.T) {
+// Only a response body in the engine's own format is a refusal. An error status from an intermediary,
+// such as a 503, does not tell whether the engine runs the request.
+func TestOnlyEngineErrorBodyIsRefusal(t *testing.T) {
 	for name, c := range map[string]struct {
 		status int
 		body   string
@@ -48,24 +47,23 @@
 		"failure in the engine": {500, `{"error":{"code":"overloaded"}}`, engine.ErrBroken},
 		"redirect":              {307, "", engine.ErrBroken},
 	} {
-		answer := func(w http.ResponseWriter, _ *http.Request) {
+		handler := func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Location", "/elsewhere")
 			w.WriteHeader(c.status)
 			_, _ = w.Write([]byte(c.body))
 		}
-		against(t, answer, func(t *testing.T, client *engine.Client, _ *faultnet.Listener) {
+		withServer(t, handler, func(t *testing.T, client *engine.Client, _ *faultnet.Listener) {
 			_, err := client.Generate(t.Context(), req)
 			must.ErrorIs(t, err, c.want, must.Sprint(name))
 		})
 	}
 }
 
-// The engine takes a request on a connection that worked before and cuts it.
-// The request is broken, and reached the engine once: the transport must not
-// send it again by itself.
-func TestRequestOnAPooledConnectionIsSentOnce(t *testing.T) {
+// The engine receives a request on a pooled connection and closes the connection. The call fails with
+// ErrBroken, and the transport must not retry it: the request reaches the engine only once.
+func TestPooledConnectionSendsRequestOnce(t *testing.T) {
 	posts := 0
-	answer := func(w http.ResponseWriter, r *http.Request) {
+	handler := func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			_, _ = w.Write([]byte("{}"))
 			return
@@ -73,7 +71,7 @@
 		posts++
 		panic(http.ErrAbortHandler)
 	}
-	against(t, answer, func(t *testing.T, client *engine.Client, _ *faultnet.Listener) {
+	withServer(t, handler, func(t *testing.T, client *engine.Client, _ *faultnet.Listener) {
 		_, err := client.Status(t.Context())
 		must.NoError(t, err)
 		must.ErrorIs(t, client.Cancel(t.Context(), "g", 1), engine.ErrBroken)
@@ -81,11 +79,11 @@
 	})
 }
 
-// The pooled connection went silent for good. The call that finds out is
-// broken; the next one uses a fresh connection and is answered.
-func TestFreshConnectionAfterASilentOne(t *testing.T) {
-	answer := func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) }
-	against(t, answer, func(t *testing.T, client *engine.Client, l *faultnet.Listener) {
+// The pooled connection has stalled permanently. The call that uses it fails with ErrBroken; the next
+// call must open a new connection and succeed.
+func TestNewConnectionAfterStalledOne(t *testing.T) {
+	handler := func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) }
+	withServer(t, handler, func(t *testing.T, client *engine.Client, l *faultnet.Listener) {
 		_, err := client.Status(t.Context())
 		must.NoError(t, err)
 		l.Silence()
@@ -98,15 +96,15 @@
 	})
 }
 
-// A stream outlives the deadline of the call that opened it, and ends with
-// Close from another goroutine.
-func TestStreamOutlivesItsOpening(t *testing.T) {
-	answer := func(w http.ResponseWriter, r *http.Request) {
+// A stream stays open beyond the deadline of the call that opened it, until Close is called from
+// another goroutine.
+func TestStreamOutlivesContextOfGenerate(t *testing.T) {
+	handler := func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(http.StatusOK)
 		_ = http.NewResponseController(w).Flush()
 		<-r.Context().Done()
 	}
-	against(t, answer, func(t *testing.T, client *engine.Client, _ *faultnet.Listener) {
+	withServer(t, handler, func(t *testing.T, client *engine.Client, _ *faultnet.Listener) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		s, err := client.Generate(ctx, req)
--- a/external/engine/stream.go
+++ b/external/engine/stream.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// maxEventBytes bounds one event, in bytes; an engine sends a few tokens at a time.
+	// maxEventBytes bounds one event. An engine sends a few tokens per event.
 	maxEventBytes = 256 << 10
-	// readAheadChunks is how many chunks are read before Next takes them. When it is
-	// full the connection fills and the engine feels the slow reader.
+	// readAheadChunks is the number of chunks buffered for Next. When the buffer is full, the stream
+	// stops reading from the connection, which puts backpressure on the engine.
 	readAheadChunks = 16
 )
 
@@ -23,20 +23,20 @@
 	err   error
 }
 
-// stream reads the events of one connection in its own goroutine, so that Next
-// can give up on its context while the connection stays good.
+// stream reads the events of one connection in its own goroutine, so that Next can return when its
+// context ends while the connection remains usable.
 type stream struct {
 	body    io.ReadCloser
 	cancel  context.CancelFunc
 	results chan result
 	closed  chan struct{}
 	once    sync.Once
-	lastErr error // sticky; only Next uses it
+	lastErr error // returned by every later Next; used only by Next
 }
 
-func newStream(body io.ReadCloser, end context.CancelFunc, attempt uint64, from int) *stream {
+func newStream(body io.ReadCloser, cancel context.CancelFunc, attempt uint64, from int) *stream {
 	s := &stream{
-		body: body, cancel: end,
+		body: body, cancel: cancel,
 		results: make(chan result, readAheadChunks),
 		closed:  make(chan struct{}),
 	}
@@ -93,10 +93,10 @@
 	}
 }
 
-// readEvents parses a stream and yields its chunks up to the one with Finish
-// set, after which it returns nil. Everything else is ErrBroken: the end of the
-// connection alone never ends an answer, and a chunk that is not the next of
-// its attempt is not passed on.
+// readEvents parses a stream and yields its chunks up to the one with Finish set or until yield
+// returns false, and then returns nil. Any other end is ErrBroken: the end of the connection alone
+// does not complete a generation, and a chunk of another attempt or at an unexpected offset is not
+// yielded.
 func readEvents(r io.Reader, attempt uint64, from int, yield func(Chunk) bool) error {
 	next := from
 	for e, err := range sse.Read(r, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
--- a/external/engine/stream_test.go
+++ b/external/engine/stream_test.go
@@ -24,9 +24,8 @@
 	return chunks, err
 }
 
-// A connection ends, or a part of the events is lost or foreign. Whatever the
-// reader already passed on stays good, and only a finish reason ends an answer
-// without an error.
+// The connection ends early, or events are lost, repeated, malformed or of another attempt. Chunks
+// yielded before the fault remain valid, and only a finish reason ends the stream without an error.
 func TestReadEvents(t *testing.T) {
 	for name, c := range map[string]struct {
 		text   string
@@ -51,8 +50,8 @@
 	}
 }
 
-// FuzzReadEvents asserts that whatever comes, the chunks passed on follow each
-// other without a gap, nothing follows a finish, and the only good end is one.
+// FuzzReadEvents checks for arbitrary input that the yielded chunks are contiguous, that no chunk
+// follows one with a finish reason, and that only a finish reason ends the stream without an error.
 func FuzzReadEvents(f *testing.F) {
 	f.Add(eventA + eventB + eventLast + eventDone)
 	f.Add(eventA + ":\n\n" + eventB[:20])
--- a/external/engine/wire.go
+++ b/external/engine/wire.go
@@ -6,8 +6,8 @@
 	"net/http"
 )
 
-// CompletionRequest is the body of POST /v1/completions: the completions API
-// with the extension fields of docs/engine-protocol.md.
+// CompletionRequest is the body of POST /v1/completions: the request of the completions API with the
+// extension fields of docs/engine-protocol.md.
 type CompletionRequest struct {
 	Model       string   `json:"model"`
 	Prompt      string   `json:"prompt"`
@@ -35,7 +35,7 @@
 	}
 }
 
-// Request returns the request that c stands for.
+// Request returns the request that c encodes.
 func (c CompletionRequest) Request() Request {
 	return Request{
 		Generation: c.Generation, Attempt: c.Attempt, Model: c.Model, Adapter: c.Adapter,
@@ -44,7 +44,7 @@
 	}
 }
 
-// CompletionEvent is the data of one server-sent event of a stream.
+// CompletionEvent is the data of one server-sent event in a stream.
 type CompletionEvent struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
@@ -56,17 +56,17 @@
 	Tokens  []string `json:"tokens,omitempty"`
 }
 
-// CompletionChoice is the one choice of an event.
+// CompletionChoice is the single choice in an event.
 type CompletionChoice struct {
 	Index        int           `json:"index"`
 	Text         string        `json:"text"`
 	FinishReason *FinishReason `json:"finish_reason"`
 }
 
-// StreamDone is the data of the last event of a whole stream.
+// StreamDone is the data of the event that ends a complete stream.
 const StreamDone = "[DONE]"
 
-// ErrorCode is the stable code of an engine's refusal.
+// ErrorCode is the machine-readable code of an engine's refusal.
 type ErrorCode string
 
 // The codes of refusals.
@@ -85,17 +85,18 @@
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says why.
+// ErrorDetail is the reason for a refusal.
 type ErrorDetail struct {
 	Code    ErrorCode `json:"code"`
 	Message string    `json:"message"`
 }
 
-// maxControlBodyBytes bounds the answer of a call that does not stream, in bytes.
+// maxControlBodyBytes bounds the response body of a call that does not stream.
 const maxControlBodyBytes = 4 << 20
 
-// decodeRefusal reads an engine's own refusal out of a response. An error status
-// without this body may come from something in between and states no fact.
+// decodeRefusal decodes the refusal of an engine from a response and reports whether it is one. An
+// error status without such a body may come from an intermediary and does not tell whether the engine
+// runs the request.
 func decodeRefusal(resp *http.Response) (ErrorDetail, bool) {
 	refused := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode/100 == 4
 	if !refused {
--- a/external/plain/client.go
+++ b/external/plain/client.go
@@ -10,13 +10,13 @@
 	"mallowwind.dev/external/sent"
 )
 
-// DefaultMaxResponseBytes is the largest answer that a Client reads unless told otherwise, in bytes.
+// DefaultMaxResponseBytes is the default limit on the response body that a Client reads.
 const DefaultMaxResponseBytes = 16 << 20
 
-// Client sends calls over HTTP. Every call has its own connection: one kept
-// from earlier may have gone silent, or be closed by the backend server just as
-// the call is written, and either would leave a call that never arrived as one
-// that may have run. A fresh connection costs one round trip within the zone.
+// Client sends calls over HTTP. Every call uses its own connection. A pooled connection may have
+// stalled, or the backend server may close it just as the call is written; either way a call that
+// never arrived would have to be treated as one that may have run. A new connection costs one round
+// trip within the zone.
 type Client struct {
 	http             *http.Client
 	maxResponseBytes int64
@@ -24,21 +24,22 @@
 
 var _ Caller = (*Client)(nil)
 
-// NewClient returns a Client that reads answers of at most maxAnswer bytes, 0
-// meaning DefaultMaxAnswer. A nil transport means its own; one given must come
-// from sent.NewTransport, or no call is ever reported as not sent.
-func NewClient(transport *http.Transport, maxAnswer int64) *Client {
+// NewClient returns a Client that accepts response bodies of at most maxResponseBytes; 0 means
+// DefaultMaxResponseBytes. If transport is nil, the client uses one of its own. Any other transport
+// must come from package sent: with a transport that does not count the bytes written, no failure
+// after a connection was made is reported as ErrNotSent.
+func NewClient(transport *http.Transport, maxResponseBytes int64) *Client {
 	if transport == nil {
 		transport = sent.NewTransport(true)
 	}
-	if maxAnswer <= 0 {
-		maxAnswer = DefaultMaxResponseBytes
+	if maxResponseBytes <= 0 {
+		maxResponseBytes = DefaultMaxResponseBytes
 	}
 	hc := &http.Client{Transport: transport, CheckRedirect: sent.NoRedirect}
-	return &Client{http: hc, maxResponseBytes: maxAnswer}
+	return &Client{http: hc, maxResponseBytes: maxResponseBytes}
 }
 
-// Do implements Caller. A redirect is an answer and is not followed.
+// Do implements Caller. It returns a redirect as the response and does not follow it.
 func (c *Client) Do(ctx context.Context, address string, call Call) (Response, error) {
 	ctx, probe := sent.WithProbe(ctx)
 	req, err := http.NewRequestWithContext(ctx, call.Method, "http://"+address+call.Path, nil)
--- a/external/sent/sent.go
+++ b/external/sent/sent.go
@@ -1,9 +1,10 @@
-// Package sent establishes one fact about a failed HTTP request: whether any
-// byte of it was written. A connection counts what is written to it, and a
-// Probe on the request's context reads the count of the connection used.
+// Package sent determines whether any byte of a failed HTTP request was written. A request of which
+// nothing was written can be retried safely; any other may have run on the server. Conn counts the
+// bytes written to a connection, and a Probe in the request's context reads the count of the
+// connection that the request used.
 //
-// The hooks of httptrace alone do not suffice: a connection may break after a
-// part of the headers left and before any of the hooks about writing runs.
+// The hooks of httptrace alone are not sufficient: a connection can break after part of the headers
+// was written and before any write hook is called.
 package sent
 
 import (
@@ -17,13 +18,13 @@
 	"github.com/pkg/errors"
 )
 
-// ErrSealed is what a write gets on a connection that was declared unwritten.
+// ErrSealed is returned by a write to a connection on which Probe.NothingSent reported true.
 var ErrSealed = errors.New("sent: connection sealed")
 
-// DialFunc is the DialContext of an http.Transport.
+// DialFunc has the signature of http.Transport.DialContext.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Conn counts the bytes handed to the underlying connection.
+// Conn counts the bytes passed to the underlying connection.
 type Conn struct {
 	net.Conn
 	mu      sync.Mutex
@@ -34,7 +35,8 @@
 // NewConn wraps c.
 func NewConn(c net.Conn) *Conn { return &Conn{Conn: c} }
 
-// Write counts before it writes, so that a write in progress counts as one.
+// Write implements net.Conn. It counts the bytes before it writes them, so that a write in progress
+// is included.
 func (c *Conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	if c.sealed {
@@ -52,9 +54,9 @@
 	return c.written
 }
 
-// sealIfUnwritten reports whether nothing was written since the count stood at since, and
-// if so forbids every later write. Without that, a write that the transport
-// still had under way could follow the answer "nothing was sent".
+// sealIfUnwritten reports whether nothing was written since the byte count was since. If so, every
+// later write fails with ErrSealed: otherwise a write that the transport still has pending could
+// reach the server after the caller was told that nothing was sent.
 func (c *Conn) sealIfUnwritten(since int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +67,7 @@
 	return true
 }
 
-// CountingDial returns dial with its connections wrapped in Conn.
+// CountingDial returns a DialFunc that wraps the connections of dial in Conn.
 func CountingDial(dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
@@ -76,18 +78,18 @@
 	}
 }
 
-// Probe watches one request.
+// Probe records the connections that one request used.
 type Probe struct {
 	mu   sync.Mutex
 	uses []connUse
 }
 
 type connUse struct {
-	conn          *Conn // nil when the connection does not count
+	conn          *Conn // nil if the connection is not a Conn
 	writtenBefore int64
 }
 
-// WithProbe returns a context whose request is watched.
+// WithProbe returns a context for one request and the Probe that observes that request.
 func WithProbe(ctx context.Context) (context.Context, *Probe) {
 	p := &Probe{}
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: p.gotConn}), p
@@ -107,9 +109,8 @@
 	p.uses = append(p.uses, u)
 }
 
-// NothingSent reports whether no byte of the request was written and none will be.
-// Call it after the request has failed. A connection that does not count is
-// taken as written to.
+// NothingSent reports whether no byte of the request was written and none will be. Call it after the
+// request has failed. For a connection that is not a Conn it reports false.
 func (p *Probe) NothingSent() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,25 +122,23 @@
 	return true
 }
 
-// Times of the default transports.
+// Settings of the default transports.
 const (
 	dialTimeout = 2 * time.Second
-	// idleTimeout is short: a connection that went silent while idle shows only
-	// when it is used, so none is kept idle for long.
+	// idleTimeout is short because a stalled idle connection is detected only when it is used.
 	idleTimeout         = 15 * time.Second
 	maxIdleConnsPerHost = 4
 )
 
-// NewTransport returns a transport that counts what it writes, follows no
-// proxy and speaks HTTP/1.1 only. With fresh set, each request has its own
-// connection: one that went silent while idle can then not swallow a request,
-// and one that the other end just closed can not lose it.
+// NewTransport returns a transport that counts the bytes it writes, uses no proxy and speaks
+// HTTP/1.1 only. If fresh is set, each request uses its own connection, so that no request is lost on
+// an idle connection that has stalled or that the server is just closing.
 func NewTransport(fresh bool) *http.Transport {
 	d := &net.Dialer{Timeout: dialTimeout}
 	return NewTransportWith(d.DialContext, fresh)
 }
 
-// NewTransportWith is NewTransport with a given dialer.
+// NewTransportWith is like NewTransport but connects with dial.
 func NewTransportWith(dial DialFunc, fresh bool) *http.Transport {
 	return &http.Transport{
 		DialContext:         CountingDial(dial),
@@ -150,11 +149,11 @@
 	}
 }
 
-// NoRedirect is the CheckRedirect of clients that must send a request once only.
+// NoRedirect is the CheckRedirect function of clients that must send a request only once.
 func NoRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// DialByAddress returns a dialer that knows only these addresses, for stand-ins
-// reached without a network.
+// DialByAddress returns a DialFunc that selects the dialer by address and fails for any other
+// address. Tests use it to reach stand-ins without a network.
 func DialByAddress(dials map[string]DialFunc) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		dial, ok := dials[address]
--- a/external/sent/sent_test.go
+++ b/external/sent/sent_test.go
@@ -15,7 +15,7 @@
 	"mallowwind.dev/external/sent"
 )
 
-// brokenConn fails its writes after letting n bytes through.
+// brokenConn accepts n bytes and then closes and fails.
 type brokenConn struct {
 	net.Conn
 	n int
@@ -30,7 +30,8 @@
 	return c.n, io.ErrClosedPipe
 }
 
-// post sends a request with large headers over conn and returns the probe.
+// post sends a request with large headers over a connection of dial, expects it to fail and returns
+// its probe.
 func post(t *testing.T, dial sent.DialFunc) *sent.Probe {
 	ctx, probe := sent.WithProbe(t.Context())
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://there/", nil)
@@ -53,25 +54,25 @@
 	}
 }
 
-// The headers leave in part and the connection breaks before any hook about
-// writing has run. The request may have arrived in part: it was sent.
-func TestPartOfTheHeadersCountsAsSent(t *testing.T) {
+// The connection breaks after part of the headers was written and before any write hook of httptrace
+// was called. The server may have received part of the request, so it counts as sent.
+func TestPartialHeadersCountAsSent(t *testing.T) {
 	dial := sent.CountingDial(pipe(func(c net.Conn) net.Conn { return &brokenConn{c, 8 << 10} }))
 	must.False(t, post(t, dial).NothingSent())
 }
 
-func TestRefusedDialIsNothing(t *testing.T) {
+func TestRefusedDialSendsNothing(t *testing.T) {
 	refused := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	must.True(t, post(t, refused).NothingSent())
 }
 
-// A client made elsewhere does not count what it writes. The probe then cannot
-// know and does not promise that nothing was sent.
+// The transport does not wrap its connections in Conn. The probe cannot tell whether bytes were
+// written and must not report that nothing was sent.
 func TestUncountedConnectionCountsAsSent(t *testing.T) {
 	must.False(t, post(t, pipe(func(c net.Conn) net.Conn { return c })).NothingSent())
 }
 
-// recordingConn keeps what is written.
+// recordingConn records the bytes written.
 type recordingConn struct {
 	net.Conn
 	written []byte
@@ -82,10 +83,9 @@
 	return len(p), nil
 }
 
-// A request is given up on while the transport still has its write before it.
-// Once the probe has said that nothing was sent, that write fails, so that the
-// word stays true.
-func TestSealedConnectionWritesNothingLater(t *testing.T) {
+// A request is abandoned before the transport has written it. Once the probe has reported that
+// nothing was sent, that pending write must fail; otherwise the report would become false.
+func TestSealedConnectionRejectsLateWrite(t *testing.T) {
 	inner := &recordingConn{}
 	c := sent.NewConn(inner)
 	ctx, probe := sent.WithProbe(t.Context())
@@ -96,7 +96,7 @@
 	must.SliceEmpty(t, inner.written)
 }
 
-// gotConn tells the probe in ctx, as the transport does, which connection it took.
+// gotConn reports c to the probe in ctx as the connection in use, as http.Transport does.
 func gotConn(ctx context.Context, c net.Conn) {
 	httptrace.ContextClientTrace(ctx).GotConn(httptrace.GotConnInfo{Conn: c})
 }
--- a/external/store/confirmed.go
+++ b/external/store/confirmed.go
@@ -26,9 +26,9 @@
 	if err != nil {
 		return nil, err
 	}
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	w := &confirmedWatcher{inner: inner, store: c, lastRevision: from, batches: make(chan watchBatch), cancel: end}
-	go w.read(life)
+	watchCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	w := &confirmedWatcher{inner: inner, store: c, lastRevision: from, batches: make(chan watchBatch), cancel: cancel}
+	go w.read(watchCtx)
 	return w, nil
 }
 
@@ -48,13 +48,13 @@
 }
 
 // read follows the inner watch until it fails or life ends.
-func (w *confirmedWatcher) read(life context.Context) {
+func (w *confirmedWatcher) read(watchCtx context.Context) {
 	for {
-		events, err := w.inner.Next(life)
+		events, err := w.inner.Next(watchCtx)
 		b := watchBatch{events: events, revision: w.inner.Revision(), err: err}
 		select {
 		case w.batches <- b:
-		case <-life.Done():
+		case <-watchCtx.Done():
 			return
 		}
 		if err != nil {
--- a/external/store/etcdwatch.go
+++ b/external/store/etcdwatch.go
@@ -42,10 +42,10 @@
 
 // Watch implements Store. It returns when the service has confirmed the watch.
 func (c *EtcdClient) Watch(ctx context.Context, prefix string, from int64) (Watcher, error) {
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	w := &etcdWatcher{client: c, prefix: prefix, lastRevision: from, ctx: life, cancel: end}
+	connCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	w := &etcdWatcher{client: c, prefix: prefix, lastRevision: from, ctx: connCtx, cancel: cancel}
 	if err := w.open(ctx); err != nil {
-		end()
+		cancel()
 		return nil, err
 	}
 	return w, nil
@@ -68,24 +68,24 @@
 }
 
 func (w *etcdWatcher) connect(ctx context.Context, endpoint string) (*watchConn, error) {
-	life, end := context.WithCancel(w.ctx)
-	unlink := context.AfterFunc(ctx, end)
+	connCtx, cancel := context.WithCancel(w.ctx)
+	stop := context.AfterFunc(ctx, cancel)
 	r := prefixRange(w.prefix)
 	create := EtcdWatchCreate{Key: r.Key, RangeEnd: r.RangeEnd, StartRevision: w.lastRevision + 1}
-	resp, err := w.client.post(life, w.client.streams, endpoint+PathWatch, EtcdWatch{Create: create})
+	resp, err := w.client.post(connCtx, w.client.streams, endpoint+PathWatch, EtcdWatch{Create: create})
 	if err != nil {
-		unlink()
-		end()
+		stop()
+		cancel()
 		return nil, err
 	}
-	conn := &watchConn{messages: make(chan watchMessage), cancel: end}
-	go conn.read(life, resp)
+	conn := &watchConn{messages: make(chan watchMessage), cancel: cancel}
+	go conn.read(connCtx, resp)
 	select {
 	case m := <-conn.messages:
-		if unlink() && m.err == nil && m.response.Created {
+		if stop() && m.err == nil && m.response.Created {
 			return conn, nil
 		}
-		end()
+		cancel()
 		if m.err == nil && !m.response.Created {
 			m.err = errors.Wrap(ErrUnknown, "watch was not confirmed")
 		}
@@ -93,8 +93,8 @@
 			m.err = errors.Wrapf(ErrUnavailable, "%v", ctx.Err())
 		}
 		return nil, m.err
-	case <-life.Done():
-		end()
+	case <-connCtx.Done():
+		cancel()
 		return nil, errors.Wrapf(ErrUnavailable, "%v", ctx.Err())
 	}
 }
--- a/external/vmlist/client.go
+++ b/external/vmlist/client.go
@@ -12,12 +12,11 @@
 	"mallowwind.dev/external/sent"
 )
 
-// maxListBytes bounds the list, in bytes.
+// maxListBytes bounds the size of the list after decompression.
 const maxListBytes = 16 << 20
 
-// Client reads the list over HTTP. It asks with the entity tag of the last
-// answer, so that an unchanged list costs a few hundred bytes instead of the
-// 310 KB that 2,290 VMs are.
+// Client reads the list over HTTP. It sends the entity tag of the last response, so that an unchanged
+// list costs a few hundred bytes instead of 310 KB for 2,290 VMs.
 type Client struct {
 	url  string
 	http *http.Client
@@ -29,17 +28,18 @@
 
 var _ Source = (*Client)(nil)
 
-// NewClient returns a client of the list at url. A nil client means its own transport.
+// NewClient returns a client of the list at url. If hc is nil, the client uses a transport of its own.
 func NewClient(url string, hc *http.Client) *Client {
 	if hc == nil {
 		t := sent.NewTransport(false)
-		t.DisableCompression = false // rows differ little: a tenth of the bytes
+		t.DisableCompression = false // the rows are similar and compress to a tenth of their size
 		hc = &http.Client{Transport: t}
 	}
 	return &Client{url: url, http: hc}
 }
 
-// List implements Source; callers must not change the rows. After a failure the next call has a fresh connection.
+// List implements Source. Callers must not modify the list. After a failure idle connections are
+// closed, so that the next call opens a new one.
 func (c *Client) List(ctx context.Context) ([]VM, error) {
 	list, err := c.fetch(ctx)
 	if err != nil {
--- a/external/vmlist/client_test.go
+++ b/external/vmlist/client_test.go
@@ -10,9 +10,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// Daemons read the list each second and it hardly ever changes. A read of an
-// unchanged list must carry no rows, and one after a change the new ones.
-func TestUnchangedListIsNotSentAgain(t *testing.T) {
+// Daemons read the list every second and it rarely changes. The response must have no body while the
+// list is unchanged and the new rows after a change.
+func TestUnchangedListHasNoBody(t *testing.T) {
 	list := NewMemory(0, VM{ID: "a", State: Live})
 	var bytes atomic.Int64
 	handler := Handler(list)
@@ -43,8 +43,8 @@
 	must.Eq(t, Leaving, third[0].State)
 }
 
-// A daemon that reads the list for its zone pays for the whole of it at each
-// change. At the size to come that must be a fraction of the rows as text.
+// A daemon downloads the whole list after each change. At 2,290 VMs the compressed list must be less
+// than a fifth of its JSON form.
 func TestListIsCompressed(t *testing.T) {
 	var rows []VM
 	for i := range 2290 {
--- a/external/vmlist/memory.go
+++ b/external/vmlist/memory.go
@@ -16,17 +16,17 @@
 	"github.com/pkg/errors"
 )
 
-// ErrDown is what Memory answers during an outage.
+// ErrDown is returned by Memory.List during an outage.
 var ErrDown = errors.New("vmlist: outage")
 
-// Memory is the list in process. Each change becomes visible after its lag.
-// It is safe for concurrent use.
+// Memory is an in-process list. Each change becomes visible after a lag. It is safe for concurrent
+// use.
 type Memory struct {
 	mu      sync.Mutex
 	lag     time.Duration
 	down    bool
 	visible map[string]VM
-	pending []change // in the order in which they were made
+	pending []change // in the order they were made
 }
 
 var _ Source = (*Memory)(nil)
@@ -37,7 +37,7 @@
 	removed bool
 }
 
-// NewMemory returns a list that shows these VMs at once and later changes after lag.
+// NewMemory returns a list that contains vms immediately and shows later changes after lag.
 func NewMemory(lag time.Duration, vms ...VM) *Memory {
 	m := &Memory{lag: lag, visible: make(map[string]VM)}
 	for _, vm := range vms {
@@ -46,14 +46,14 @@
 	return m
 }
 
-// PutNow adds or replaces a VM at once, for the start.
+// PutNow adds or replaces a VM without lag, for the initial contents.
 func (m *Memory) PutNow(vm VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.visible[vm.ID] = vm
 }
 
-// Latest returns a VM as the last change made it, visible or not.
+// Latest returns a VM as of its last change, whether or not that change is visible yet.
 func (m *Memory) Latest(id string) (VM, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -66,10 +66,10 @@
 	return vm, ok
 }
 
-// Put adds or replaces a VM.
+// Put adds or replaces a VM after the lag.
 func (m *Memory) Put(vm VM) { m.change(change{vm: vm}) }
 
-// Remove takes a VM off the list.
+// Remove removes a VM after the lag.
 func (m *Memory) Remove(id string) { m.change(change{vm: VM{ID: id}, removed: true}) }
 
 func (m *Memory) change(c change) {
@@ -79,22 +79,22 @@
 	m.pending = append(m.pending, c)
 }
 
-// SetLag changes how late changes made from now on become visible. They never
-// overtake earlier ones.
+// SetLag sets the lag of later changes. Changes always become visible in the order they were made,
+// also if the lag shrinks.
 func (m *Memory) SetLag(lag time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.lag = lag
 }
 
-// SetDown begins or ends an outage.
+// SetDown starts or ends an outage.
 func (m *Memory) SetDown(down bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.down = down
 }
 
-// List implements Source; the list is ordered by id.
+// List implements Source. The list is sorted by ID.
 func (m *Memory) List(ctx context.Context) ([]VM, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -121,8 +121,8 @@
 	}
 }
 
-// Handler serves a Source in its wire form: one GET, one JSON array, with an
-// entity tag, and compressed for clients that take it.
+// Handler serves the list of s as a JSON array with an entity tag, compressed for clients that accept
+// gzip.
 func Handler(s Source) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		list, err := s.List(r.Context())
--- a/external/vmlist/memory_test.go
+++ b/external/vmlist/memory_test.go
@@ -10,9 +10,9 @@
 	"mallowwind.dev/external/vmlist"
 )
 
-// A VM leaves and goes. The list shows each step late, in order, and never one
-// that overtakes another although the lag shrinks in between.
-func TestChangesShowAfterTheLag(t *testing.T) {
+// A VM starts to leave and is then removed. The changes become visible after the lag and in order,
+// although the lag of the second change is shorter.
+func TestChangesBecomeVisibleAfterLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		vm := vmlist.VM{ID: "a", State: vmlist.Live}
 		m := vmlist.NewMemory(10*time.Second, vm)
--- a/external/vmlist/vmlist.go
+++ b/external/vmlist/vmlist.go
@@ -1,10 +1,10 @@
-// Package vmlist is the interface to the platform's list of live and leaving
-// VMs. The list lags: it may show a VM that is gone or miss a new one.
+// Package vmlist reads the platform's list of live and leaving VMs. The list lags behind the
+// platform: it may contain a VM that no longer exists or miss a new one.
 package vmlist
 
 import "context"
 
-// Role tells entry VMs from backend servers.
+// Role distinguishes entry VMs from backend servers.
 type Role string
 
 // The roles of VMs.
@@ -13,7 +13,7 @@
 	RoleBackend Role = "backend"
 )
 
-// State is what the platform says of a VM.
+// State is the state of a VM as reported by the platform.
 type State string
 
 // The states of VMs.
@@ -22,14 +22,14 @@
 	Leaving State = "leaving"
 )
 
-// VM is one row of the list. Address is host:port with an IP number.
+// VM is one row of the list. Address is host:port with an IP address as the host.
 type VM struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	Region  string `json:"region,omitempty"`
 	Role    Role   `json:"role"`
-	Pool    string `json:"pool,omitempty"` // backend servers only: the pool of the site text
+	Pool    string `json:"pool,omitempty"` // name of the pool in the site configuration; only for backend servers
 	State   State  `json:"state"`
 }
 
--- a/external/weights/client.go
+++ b/external/weights/client.go
@@ -10,7 +10,7 @@
 	"mallowwind.dev/external/sent"
 )
 
-// Client reads the weight store's report over HTTP.
+// Client reads the status of the weight store over HTTP.
 type Client struct {
 	url  string
 	http *http.Client
@@ -18,7 +18,8 @@
 
 var _ Store = (*Client)(nil)
 
-// NewClient returns a client of the report at url. A nil client means its own transport.
+// NewClient returns a client of the status endpoint at url. If hc is nil, the client uses a transport
+// of its own.
 func NewClient(url string, hc *http.Client) *Client {
 	if hc == nil {
 		hc = &http.Client{Transport: sent.NewTransport(false)}
@@ -26,7 +27,8 @@
 	return &Client{url: url, http: hc}
 }
 
-// Status implements Store. After a failure the next call has a fresh connection.
+// Status implements Store. After a failure idle connections are closed, so that the next call opens
+// a new one.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	s, err := c.fetch(ctx)
 	if err != nil {
--- a/external/weights/weights.go
+++ b/external/weights/weights.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Status is what the weight store reports of its rate limit.
+// Status is the weight store's report of its concurrency limit and load.
 type Status struct {
-	// Capacity is the number of fetches that may run at once.
+	// Capacity is the maximum number of concurrent fetches.
 	Capacity int `json:"capacity"`
-	// Active is the number of fetches running.
+	// Active is the number of fetches in progress.
 	Active int `json:"active"`
-	// FetchDuration is the time of one fetch at the present load.
+	// FetchDuration is the time that one fetch takes at the current load.
 	FetchDuration time.Duration `json:"typical_ns"`
 }
 
-// Store reports on the weight store; engines fetch from it by themselves.
+// Store reports the status of the weight store. Engines fetch weights from it directly.
 type Store interface {
 	Status(ctx context.Context) (Status, error)
 }
