--- a/external/sent/sent_test.go
+++ b/external/sent/sent_test.go
@@ -34,7 +34,7 @@
 // its probe.
 func post(t *testing.T, dial sent.DialFunc) *sent.Probe {
 	ctx, probe := sent.WithProbe(t.Context())
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://there/", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://server/", nil)
 	must.NoError(t, err)
 	sent.SetBody(req, []byte("body"))
 	req.Header.Set("Large", strings.Repeat("x", 64<<10))
@@ -48,9 +48,9 @@
 
 func pipe(wrap func(net.Conn) net.Conn) sent.DialFunc {
 	return func(context.Context, string, string) (net.Conn, error) {
-		here, there := net.Pipe()
-		go func() { _, _ = io.CopyN(io.Discard, there, 1); _ = there.Close() }()
-		return wrap(here), nil
+		client, server := net.Pipe()
+		go func() { _, _ = io.CopyN(io.Discard, server, 1); _ = server.Close() }()
+		return wrap(client), nil
 	}
 }
 
--- a/external/standin/faultnet/faultnet.go
+++ b/external/standin/faultnet/faultnet.go
@@ -1,6 +1,5 @@
-// Package faultnet is a listener whose connections fail on demand. Every
-// stand-in is served through one, so that a death, a pause or a lost
-// connection looks on the wire as it does between machines.
+// Package faultnet provides a listener whose connections fail on demand. Stand-ins are served through
+// it, so that a crash, a pause or a lost connection looks to clients as it does between machines.
 package faultnet
 
 import (
@@ -15,11 +14,11 @@
 // ErrRefused is what Dial returns while the listener is cut.
 var ErrRefused = errors.New("faultnet: connection refused")
 
-// acceptQueueSize is how many connections of Dial may wait for Accept.
+// acceptQueueSize is the number of connections that can wait for Accept.
 const acceptQueueSize = 128
 
-// Listener hands out connections that it can reset, stall or silence. Over TCP
-// it also lets go of its port while cut, so that callers find it refused.
+// Listener accepts connections that it can reset, stall or silence. Over TCP it also closes its port
+// while cut, so that clients get connection refused.
 type Listener struct {
 	address net.Addr
 	accept  chan net.Conn
@@ -29,11 +28,11 @@
 	mu    sync.Mutex
 	tcp   net.Listener // nil for Pipe and while cut
 	cut   bool
-	stall chan struct{} // closed when traffic flows; nil never
+	stall chan struct{} // closed while traffic is not stalled; never nil
 	conns map[*conn]struct{}
 }
 
-// Listen serves a TCP address.
+// Listen returns a Listener on a TCP address.
 func Listen(address string) (*Listener, error) {
 	t, err := net.Listen("tcp", address)
 	if err != nil {
@@ -45,20 +44,19 @@
 	return l, nil
 }
 
-// Pipe returns a listener that is reached by Dial only, within one process and
-// without a network.
+// Pipe returns a Listener that is reached only through Dial, within one process and without a network.
 func Pipe() *Listener {
 	return newListener(&net.IPAddr{IP: net.IPv4(127, 0, 0, 1)})
 }
 
 func newListener(address net.Addr) *Listener {
-	flowing := make(chan struct{})
-	close(flowing)
+	unstalled := make(chan struct{})
+	close(unstalled)
 	return &Listener{
 		address: address,
 		accept:  make(chan net.Conn, acceptQueueSize),
 		closed:  make(chan struct{}),
-		stall:   flowing,
+		stall:   unstalled,
 		conns:   make(map[*conn]struct{}),
 	}
 }
@@ -113,19 +111,19 @@
 	return nil
 }
 
-// Dial connects within the process; it has the form of http.Transport.DialContext.
+// Dial connects within the process. It has the signature of http.Transport.DialContext.
 func (l *Listener) Dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	here, there := net.Pipe()
-	if err := l.enqueue(there); err != nil {
+	client, server := net.Pipe()
+	if err := l.enqueue(server); err != nil {
 		return nil, err
 	}
-	return here, nil
+	return client, nil
 }
 
-// Cut resets every connection and refuses new ones, as a dead process does.
+// Cut resets all connections and refuses new ones, as after a crash of the process.
 func (l *Listener) Cut() {
 	l.mu.Lock()
 	l.cut = true
@@ -141,7 +139,7 @@
 	}
 }
 
-// Restore listens again after Cut, on the same address.
+// Restore reverts Cut and listens on the same address again.
 func (l *Listener) Restore() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -160,8 +158,8 @@
 	return nil
 }
 
-// Silence makes every connection open now silent for good: reads wait, writes
-// vanish, and the other end sees neither. New connections work.
+// Silence permanently drops all further traffic on the connections that are currently open: reads
+// block, writes are discarded, and the client sees neither data nor a close. New connections work.
 func (l *Listener) Silence() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -170,7 +168,7 @@
 	}
 }
 
-// Stall stops traffic on all connections, old and new, until Unstall.
+// Stall pauses traffic on all connections, existing and new, until Unstall.
 func (l *Listener) Stall() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -181,7 +179,7 @@
 	}
 }
 
-// Unstall lets traffic go on.
+// Unstall resumes traffic.
 func (l *Listener) Unstall() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -204,7 +202,7 @@
 	delete(l.conns, c)
 }
 
-// conn is the server's end of one connection.
+// conn is the server side of one connection.
 type conn struct {
 	net.Conn
 	owner      *Listener
@@ -225,7 +223,7 @@
 	}
 }
 
-// waitWhileStalled holds traffic while the listener is stalled.
+// waitWhileStalled blocks while the listener is stalled. It fails if the connection is closed.
 func (c *conn) waitWhileStalled() error {
 	select {
 	case <-c.owner.unstalled():
@@ -235,7 +233,7 @@
 	}
 }
 
-// Read implements net.Conn. What arrives on a silent connection is lost.
+// Read implements net.Conn. Data that arrives on a silenced connection is discarded.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -251,7 +249,7 @@
 	return n, err
 }
 
-// Write implements net.Conn. What is written to a silent connection is lost.
+// Write implements net.Conn. Data written to a silenced connection is discarded.
 func (c *conn) Write(p []byte) (int, error) {
 	if err := c.waitWhileStalled(); err != nil {
 		return 0, err
@@ -262,8 +260,8 @@
 	return c.Conn.Write(p)
 }
 
-// Close implements net.Conn. A silent connection keeps the other end waiting:
-// nothing of the close reaches it.
+// Close implements net.Conn. The close of a silenced connection does not reach the client, which keeps
+// waiting.
 func (c *conn) Close() error {
 	c.closeOne.Do(func() { close(c.closed) })
 	c.owner.removeConn(c)
@@ -273,8 +271,8 @@
 	return c.Conn.Close()
 }
 
-// reset closes at once and throws away what was not yet delivered. A silent
-// connection keeps the other end waiting also then.
+// reset closes the connection immediately and discards undelivered data. The reset of a silenced
+// connection does not reach the client either.
 func (c *conn) reset() {
 	if c.isSilent() {
 		c.closeOne.Do(func() { close(c.closed) })
--- a/external/standin/faultnet/faultnet_test.go
+++ b/external/standin/faultnet/faultnet_test.go
@@ -13,7 +13,7 @@
 	"mallowwind.dev/external/standin/faultnet"
 )
 
-// echo serves l: each connection gets back what it sends.
+// echo serves l and returns to each connection the data that it sends.
 func echo(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -33,13 +33,13 @@
 		open, err := l.Dial(t.Context(), "", "")
 		must.NoError(t, err)
 		defer open.Close()
-		must.NoError(t, ask(open))
+		must.NoError(t, ping(open))
 		f(t, l, open)
 	})
 }
 
-// ask sends a byte and waits up to a minute for it to come back.
-func ask(c net.Conn) error {
+// ping sends one byte and waits up to a minute for the echo.
+func ping(c net.Conn) error {
 	_ = c.SetDeadline(time.Now().Add(time.Minute))
 	if _, err := c.Write([]byte("x")); err != nil {
 		return err
@@ -48,23 +48,23 @@
 	return err
 }
 
-func TestSilenceConcernsOldConnectionsOnly(t *testing.T) {
+func TestSilenceAffectsOnlyOpenConnections(t *testing.T) {
 	withEcho(t, func(t *testing.T, l *faultnet.Listener, open net.Conn) {
 		l.Silence()
-		must.ErrorIs(t, ask(open), os.ErrDeadlineExceeded)
+		must.ErrorIs(t, ping(open), os.ErrDeadlineExceeded)
 		fresh, err := l.Dial(t.Context(), "", "")
 		must.NoError(t, err)
 		defer fresh.Close()
-		must.NoError(t, ask(fresh))
+		must.NoError(t, ping(fresh))
 	})
 }
 
-func TestStallHoldsTrafficBack(t *testing.T) {
+func TestStallPausesTraffic(t *testing.T) {
 	withEcho(t, func(t *testing.T, l *faultnet.Listener, open net.Conn) {
 		l.Stall()
 		begin := time.Now()
 		time.AfterFunc(30*time.Second, l.Unstall)
-		must.NoError(t, ask(open))
+		must.NoError(t, ping(open))
 		must.Eq(t, 30*time.Second, time.Since(begin))
 	})
 }
@@ -72,13 +72,13 @@
 func TestCutResetsAndRefuses(t *testing.T) {
 	withEcho(t, func(t *testing.T, l *faultnet.Listener, open net.Conn) {
 		l.Cut()
-		must.Error(t, ask(open))
+		must.Error(t, ping(open))
 		_, err := l.Dial(t.Context(), "", "")
 		must.ErrorIs(t, err, faultnet.ErrRefused)
 		must.NoError(t, l.Restore())
 		fresh, err := l.Dial(t.Context(), "", "")
 		must.NoError(t, err)
 		defer fresh.Close()
-		must.NoError(t, ask(fresh))
+		must.NoError(t, ping(fresh))
 	})
 }
--- a/external/standin/plainsim/bench_test.go
+++ b/external/standin/plainsim/bench_test.go
@@ -10,8 +10,8 @@
 	"mallowwind.dev/external/standin/plainsim"
 )
 
-// BenchmarkCall compares a fresh connection for each call, as in use, with
-// pooled ones.
+// BenchmarkCall compares a new connection for each call, as plain.NewClient uses by default, with
+// pooled connections.
 func BenchmarkCall(b *testing.B) {
 	server := httptest.NewServer(plainsim.New("orders", 0))
 	defer server.Close()
--- a/external/standin/plainsim/plainsim.go
+++ b/external/standin/plainsim/plainsim.go
@@ -1,6 +1,6 @@
-// Package plainsim is the stand-in for a plain service, such as an order desk
-// or a dispatch system. It runs whatever it is sent and records each run by its
-// Idempotency-Key; it checks nothing, so that a call sent twice shows as two runs.
+// Package plainsim simulates a plain service, such as an ordering or dispatch system. It runs every
+// call that it receives and counts the runs by Idempotency-Key. It does not deduplicate, so that a call
+// that is sent twice shows up as two runs.
 package plainsim
 
 import (
@@ -14,22 +14,22 @@
 )
 
 const (
-	// IdempotencyKeyHeader names the call.
+	// IdempotencyKeyHeader is the header that identifies a call.
 	IdempotencyKeyHeader = "Idempotency-Key"
 	maxBodyBytes         = 16 << 20
 )
 
-// Reply is the body of an answer.
+// Reply is the response body.
 type Reply struct {
 	Service string `json:"service"`
 	Key     string `json:"key,omitempty"`
-	Run     int    `json:"run"` // how many runs this key has had, this one included
+	Run     int    `json:"run"` // number of runs of this key, including this one
 	Method  string `json:"method"`
 	Path    string `json:"path"`
 	Body    string `json:"body,omitempty"`
 }
 
-// Sim is one plain service. It is safe for concurrent use.
+// Sim is one simulated plain service. It is safe for concurrent use.
 type Sim struct {
 	name string
 
@@ -41,13 +41,13 @@
 	resumed         chan struct{}
 }
 
-// New returns a service that takes work for each call.
-func New(name string, work time.Duration) *Sim {
-	return &Sim{name: name, serviceTime: work, runs: make(map[string]int)}
+// New returns a service that takes serviceTime for each call.
+func New(name string, serviceTime time.Duration) *Sim {
+	return &Sim{name: name, serviceTime: serviceTime, runs: make(map[string]int)}
 }
 
-// ServeHTTP implements http.Handler. The run is recorded before the answer is
-// written, as a real effect would be.
+// ServeHTTP implements http.Handler. It records the run before it writes the response, because a real
+// service would have taken effect by then.
 func (s *Sim) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
@@ -65,21 +65,20 @@
 	_ = json.NewEncoder(w).Encode(reply)
 }
 
-// awaitService takes the time of the work, and holds the call while the service is
-// silent. It reports whether the call goes on: a caller that leaves before the
-// work is done finds that it did not run, one that leaves after, that it did.
+// awaitService waits for the service time and, while the service is silent, until it is no longer. It
+// reports whether the call should run: it reports false if the caller disconnects first.
 func (s *Sim) awaitService(ctx context.Context) bool {
 	s.mu.Lock()
-	work, unsilence := s.serviceTime, s.resumed
+	serviceTime, resumed := s.serviceTime, s.resumed
 	s.mu.Unlock()
-	if unsilence != nil {
+	if resumed != nil {
 		select {
-		case <-unsilence:
+		case <-resumed:
 		case <-ctx.Done():
 			return false
 		}
 	}
-	t := time.NewTimer(work)
+	t := time.NewTimer(serviceTime)
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -105,14 +104,14 @@
 	}, lost
 }
 
-// Runs returns how often a key has run.
+// Runs returns the number of runs of a key.
 func (s *Sim) Runs(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[key]
 }
 
-// AllRuns returns the runs of every key.
+// AllRuns returns the number of runs of each key.
 func (s *Sim) AllRuns() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,22 +125,22 @@
 	return s.total
 }
 
-// LoseResponses makes the next n calls run and lose their answers.
+// LoseResponses makes the next n calls run but close the connection instead of responding.
 func (s *Sim) LoseResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.responsesToLose = n
 }
 
-// SetServiceTime changes how long calls take from now on.
+// SetServiceTime sets the service time of later calls.
 func (s *Sim) SetServiceTime(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.serviceTime = d
 }
 
-// SetSilent makes the service take calls and neither run nor answer them, until
-// it is called with false. Calls whose caller is still there then run.
+// SetSilent makes the service accept calls without running or answering them until it is called with
+// false. Calls whose callers are still connected then run.
 func (s *Sim) SetSilent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/external/standin/plainsim/plainsim_test.go
+++ b/external/standin/plainsim/plainsim_test.go
@@ -18,16 +18,16 @@
 	"mallowwind.dev/external/standin/plainsim"
 )
 
-type desk struct {
+type fixture struct {
 	sim    *plainsim.Sim
 	net    *faultnet.Listener
 	client *plain.Client
 }
 
-// withDesk runs f against an order desk that takes a second for each order.
-func withDesk(t *testing.T, f func(t *testing.T, d desk)) {
+// withService runs f with a plain service that takes one second per call, and a client of it.
+func withService(t *testing.T, f func(t *testing.T, d fixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		d := desk{sim: plainsim.New("orders", time.Second), net: faultnet.Pipe()}
+		d := fixture{sim: plainsim.New("orders", time.Second), net: faultnet.Pipe()}
 		d.client = plain.NewClient(sent.NewTransportWith(d.net.Dial, true), 0)
 		server := &http.Server{Handler: d.sim}
 		go server.Serve(d.net)
@@ -41,8 +41,8 @@
 	return plain.Call{Method: http.MethodPost, Path: "/confirm?order=7", Header: header, Body: []byte("40 sacks")}
 }
 
-func TestCallRunsOnceAndAnswersWhole(t *testing.T) {
-	withDesk(t, func(t *testing.T, d desk) {
+func TestCallRunsOnceAndReturnsResponse(t *testing.T) {
+	withService(t, func(t *testing.T, d fixture) {
 		a, err := d.client.Do(t.Context(), "desk", order("k"))
 		must.NoError(t, err)
 		must.Eq(t, http.StatusOK, a.Status)
@@ -51,11 +51,11 @@
 	})
 }
 
-// The desk confirms an order and its answer is lost with the connection. The
-// caller is told that there was no answer, and the order has run exactly once:
-// the transport must not send a call with an Idempotency-Key again by itself.
-func TestAnswerLostAfterRunning(t *testing.T) {
-	withDesk(t, func(t *testing.T, d desk) {
+// The service runs a call and the connection closes before the response. The client must return
+// ErrNoResponse, and the call must have run exactly once: the transport must not retry a call because
+// it carries an Idempotency-Key.
+func TestLostResponseIsNotRetried(t *testing.T) {
+	withService(t, func(t *testing.T, d fixture) {
 		for i := range 3 {
 			d.sim.LoseResponses(1)
 			key := fmt.Sprint(i)
@@ -66,10 +66,11 @@
 	})
 }
 
-// The same over a pooled connection that worked before, where the transport
-// is keenest to repeat: no body, and a key that it reads as leave to do so.
+// A pooled connection that worked before closes after the call has run. http.Transport retries in this
+// case if the request has no body or can be rewound and carries an Idempotency-Key; the client must
+// prevent that.
 func TestPooledConnectionIsNotRetried(t *testing.T) {
-	withDesk(t, func(t *testing.T, d desk) {
+	withService(t, func(t *testing.T, d fixture) {
 		transport := sent.NewTransportWith(d.net.Dial, false)
 		defer transport.CloseIdleConnections()
 		pooled := plain.NewClient(transport, 0)
@@ -86,10 +87,10 @@
 	})
 }
 
-// The desk is gone and its address refuses connections: nothing was sent, and
-// only then does the error say so.
+// The service is down and its address refuses connections. Nothing was sent, so the client must return
+// ErrNotSent.
 func TestRefusedConnectionIsNotSent(t *testing.T) {
-	withDesk(t, func(t *testing.T, d desk) {
+	withService(t, func(t *testing.T, d fixture) {
 		d.net.Cut()
 		_, err := d.client.Do(t.Context(), "desk", order("k"))
 		must.ErrorIs(t, err, plain.ErrNotSent)
@@ -97,10 +98,10 @@
 	})
 }
 
-// The caller gives up while the desk works: bytes were written, so the call
-// may have run, whatever the desk did with it.
-func TestTimeoutIsNoAnswer(t *testing.T) {
-	withDesk(t, func(t *testing.T, d desk) {
+// The caller times out while the service holds the call. Bytes were written, so the call may have run
+// and the client must return ErrNoResponse.
+func TestTimeoutIsNoResponse(t *testing.T) {
+	withService(t, func(t *testing.T, d fixture) {
 		d.sim.SetSilent(true)
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
@@ -110,8 +111,8 @@
 	})
 }
 
-// A deadline passes before the connection is there. Nothing was written then,
-// and nothing may be written later.
+// The deadline passes before the connection is established. The client returns ErrNotSent, and nothing
+// may be written later when the connection is ready.
 func TestTimeoutBeforeConnectingIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, orders := faultnet.Pipe(), plainsim.New("orders", 0)
@@ -132,9 +133,9 @@
 	})
 }
 
-// An answer larger than the limit is not whole, so it is none.
-func TestAnswerOverTheLimit(t *testing.T) {
-	withDesk(t, func(t *testing.T, d desk) {
+// A response body above the limit is not read completely, so the client returns ErrNoResponse.
+func TestResponseOverLimit(t *testing.T) {
+	withService(t, func(t *testing.T, d fixture) {
 		small := plain.NewClient(sent.NewTransportWith(d.net.Dial, true), 100)
 		call := order("k")
 		call.Body = []byte(strings.Repeat("x", 200))
--- a/external/standin/storesim/confirming.go
+++ b/external/standin/storesim/confirming.go
@@ -9,10 +9,9 @@
 	"mallowwind.dev/external/store"
 )
 
-// BoundedWatch stands in for a service that holds a watch for a bounded time: a
-// watch that has nothing to tell returns an empty batch after Hold. The inner
-// store must deliver each change at once, as store.Memory does, so that an
-// empty batch proves that nothing changed.
+// BoundedWatch wraps a Store so that its watches return an empty batch after MaxWait without events.
+// The inner store must deliver each change immediately, as store.Memory does, so that an empty batch
+// proves that nothing has changed.
 type BoundedWatch struct {
 	store.Store
 	MaxWait time.Duration
--- a/external/standin/storesim/contract_test.go
+++ b/external/standin/storesim/contract_test.go
@@ -16,12 +16,12 @@
 	"mallowwind.dev/external/store"
 )
 
-// service is the store under test, in process or over the wire form.
+// service is the store under test, accessed in process or over HTTP.
 type service struct {
 	store.Store
 	memory *store.Memory
 	faults *store.Faulty
-	nets   []*faultnet.Listener // one per endpoint
+	nets   []*faultnet.Listener // one per endpoint, for overWire only
 	close  func()
 }
 
@@ -31,7 +31,7 @@
 	return &service{Store: f, memory: m, faults: f, close: func() {}}
 }
 
-// overWire serves one store behind two endpoints, as a replicated service does.
+// overWire serves one store over HTTP at two endpoints, as a replicated service does.
 func overWire() *service {
 	s := inProcess()
 	dials := make(map[string]sent.DialFunc)
@@ -58,8 +58,8 @@
 	return s
 }
 
-// forBoth runs a test against the store in process and over its wire form.
-func forBoth(t *testing.T, f func(t *testing.T, s *service)) {
+// forEachTransport runs f with the store in process and over HTTP.
+func forEachTransport(t *testing.T, f func(t *testing.T, s *service)) {
 	for name, start := range map[string]func() *service{"memory": inProcess, "etcd": overWire} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -72,7 +72,7 @@
 }
 
 func TestCompareAndSwap(t *testing.T) {
-	forBoth(t, func(t *testing.T, s *service) {
+	forEachTransport(t, func(t *testing.T, s *service) {
 		ctx := t.Context()
 		_, err := s.Get(ctx, "a")
 		must.ErrorIs(t, err, store.ErrNotFound)
@@ -92,8 +92,8 @@
 	})
 }
 
-func TestListIsOrderedAndUnderThePrefix(t *testing.T) {
-	forBoth(t, func(t *testing.T, s *service) {
+func TestListIsSortedAndLimitedToPrefix(t *testing.T) {
+	forEachTransport(t, func(t *testing.T, s *service) {
 		ctx := t.Context()
 		for _, key := range []string{"p/b", "q", "p/a", "o"} {
 			_, err := s.CompareAndSwap(ctx, key, 0, []byte(key), 0)
@@ -111,7 +111,7 @@
 }
 
 func TestValueSize(t *testing.T) {
-	forBoth(t, func(t *testing.T, s *service) {
+	forEachTransport(t, func(t *testing.T, s *service) {
 		largest := bytes.Repeat([]byte{'x'}, store.MaxValue)
 		v, err := s.CompareAndSwap(t.Context(), "a", 0, largest, 0)
 		must.NoError(t, err)
@@ -120,11 +120,11 @@
 	})
 }
 
-// A lease holder stops renewing, as one that is paused does. Its key goes when
-// the lease ends, watchers see it go, and its next renewal says that the lease
-// is gone.
-func TestLeaseLapses(t *testing.T) {
-	forBoth(t, func(t *testing.T, s *service) {
+// A lease holder stops renewing, for example because it is paused. Its key must be deleted when the
+// lease expires, watches must deliver the deletion, and the next renewal or write with the lease must
+// fail with ErrLeaseGone.
+func TestLeaseExpires(t *testing.T) {
+	forEachTransport(t, func(t *testing.T, s *service) {
 		ctx := t.Context()
 		id, err := s.Grant(ctx, 5*time.Second)
 		must.NoError(t, err)
@@ -151,8 +151,8 @@
 	})
 }
 
-func TestWatchFromThePast(t *testing.T) {
-	forBoth(t, func(t *testing.T, s *service) {
+func TestWatchFromEarlierRevision(t *testing.T) {
+	forEachTransport(t, func(t *testing.T, s *service) {
 		ctx := t.Context()
 		v, err := s.CompareAndSwap(ctx, "p/a", 0, []byte("1"), 0)
 		must.NoError(t, err)
@@ -170,10 +170,10 @@
 	})
 }
 
-// A watch asks for changes that the service has thrown away. It says so, and
-// does not go on as if nothing had happened in between.
+// A watch starts at a revision whose changes were compacted. It must fail with ErrCompacted instead of
+// skipping the missing changes.
 func TestWatchOfCompactedHistory(t *testing.T) {
-	forBoth(t, func(t *testing.T, s *service) {
+	forEachTransport(t, func(t *testing.T, s *service) {
 		ctx := t.Context()
 		v, _ := s.CompareAndSwap(ctx, "a", 0, nil, 0)
 		v, err := s.CompareAndSwap(ctx, "a", v, nil, 0)
@@ -188,11 +188,10 @@
 	})
 }
 
-// The answer to a write is lost after it took effect, and the next one is lost
-// before. The writer is told the same both times, that it cannot know; only
-// reading back tells the two apart.
-func TestLostAnswerIsUnknown(t *testing.T) {
-	forBoth(t, func(t *testing.T, s *service) {
+// The response to one write is lost, and the request of the next write is lost. Both writes must fail
+// with ErrUnknown; only a read tells whether the write took effect.
+func TestLostWriteIsUnknown(t *testing.T) {
+	forEachTransport(t, func(t *testing.T, s *service) {
 		ctx := t.Context()
 		s.faults.LoseNextWriteResponse()
 		_, err := s.CompareAndSwap(ctx, "a", 0, []byte("1"), 0)
@@ -210,10 +209,10 @@
 	})
 }
 
-// The service is down, then back. Calls and waiting watches fail with a fact,
-// nothing is written meanwhile, and afterwards everything works.
+// During an outage calls and open watches must fail with ErrUnavailable. After it, writes must work
+// again.
 func TestOutage(t *testing.T) {
-	forBoth(t, func(t *testing.T, s *service) {
+	forEachTransport(t, func(t *testing.T, s *service) {
 		ctx := t.Context()
 		w, err := s.Watch(ctx, "", 0)
 		must.NoError(t, err)
@@ -231,10 +230,10 @@
 	})
 }
 
-// The service is slow. A write given up on may yet take effect, so it is
-// unknown; a read given up on is merely unavailable.
-func TestSlowServicePastTheDeadline(t *testing.T) {
-	forBoth(t, func(t *testing.T, s *service) {
+// The service responds after the caller's deadline. A write that timed out may still take effect, so
+// it must fail with ErrUnknown; a read that timed out must fail with ErrUnavailable.
+func TestServiceSlowerThanDeadline(t *testing.T) {
+	forEachTransport(t, func(t *testing.T, s *service) {
 		s.faults.SetDelay(10 * time.Second)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -248,7 +247,7 @@
 }
 
 func TestRateLimitAndCounts(t *testing.T) {
-	forBoth(t, func(t *testing.T, s *service) {
+	forEachTransport(t, func(t *testing.T, s *service) {
 		ctx := t.Context()
 		s.faults.SetLimits(3, 1)
 		w, err := s.Watch(ctx, "", 0)
--- a/external/standin/storesim/failover_test.go
+++ b/external/standin/storesim/failover_test.go
@@ -20,9 +20,9 @@
 	})
 }
 
-// One endpoint of the service is dead: nothing can be sent to it, so reads and
-// writes go to the other, and the caller notices nothing.
-func TestFailoverFromADeadEndpoint(t *testing.T) {
+// One endpoint refuses connections. Nothing was sent to it, so reads and writes must fail over to the
+// other endpoint without an error.
+func TestFailoverFromDownEndpoint(t *testing.T) {
 	overWireTest(t, func(t *testing.T, s *service) {
 		s.nets[0].Cut()
 		v, err := s.CompareAndSwap(t.Context(), "a", 0, []byte("1"), 0)
@@ -33,7 +33,7 @@
 	})
 }
 
-// Both endpoints are dead: nothing was sent, and the error says so.
+// Both endpoints refuse connections. Nothing was sent, so the write must fail with ErrUnavailable.
 func TestNothingSentIsUnavailable(t *testing.T) {
 	overWireTest(t, func(t *testing.T, s *service) {
 		s.nets[0].Cut()
@@ -43,10 +43,10 @@
 	})
 }
 
-// The pooled connection to an endpoint went silent for good. A write on it was
-// sent and has no answer: it is unknown, and is not sent again to the other
-// endpoint. The next write goes there over a fresh connection.
-func TestSilentConnectionMakesAWriteUnknown(t *testing.T) {
+// The pooled connection to an endpoint has stalled permanently. A write on it was sent but gets no
+// response: it must fail with ErrUnknown and must not be retried at the other endpoint. The next write
+// must succeed over a new connection.
+func TestWriteOnStalledConnectionIsUnknown(t *testing.T) {
 	overWireTest(t, func(t *testing.T, s *service) {
 		_, err := s.Get(t.Context(), "a")
 		must.ErrorIs(t, err, store.ErrNotFound)
@@ -61,9 +61,9 @@
 	})
 }
 
-// A read on a silent connection is asked again at the other endpoint, within
-// the caller's deadline.
-func TestSilentConnectionDelaysARead(t *testing.T) {
+// A read on a permanently stalled connection must be retried at the other endpoint within the caller's
+// deadline.
+func TestReadOnStalledConnectionIsRetried(t *testing.T) {
 	overWireTest(t, func(t *testing.T, s *service) {
 		_, err := s.CompareAndSwap(t.Context(), "a", 0, nil, 0)
 		must.NoError(t, err)
@@ -75,9 +75,8 @@
 	})
 }
 
-// The service takes five seconds for every call, for a long stretch. A caller
-// that gives it ten reads and watches all the same, instead of giving up on one
-// endpoint after the other.
+// The service takes five seconds per call. A caller with a deadline of ten seconds must be able to
+// read and watch; the client must not time out on every endpoint in turn.
 func TestSlowServiceStaysReadable(t *testing.T) {
 	overWireTest(t, func(t *testing.T, s *service) {
 		s.faults.SetDelay(5 * time.Second)
@@ -93,12 +92,12 @@
 	})
 }
 
-// A watch loses its connection again and again, by a reset, by a dead endpoint
-// and by a connection that goes silent for good, while a writer goes on. The
-// watcher sees every write once and in order.
-func TestWatchLosesNothingOverBrokenConnections(t *testing.T) {
+// A watch loses its connection repeatedly, through resets, endpoints that are down and connections
+// that stall permanently, while a writer continues. The watch must deliver every write once and in
+// order.
+func TestWatchAcrossBrokenConnections(t *testing.T) {
 	overWireTest(t, func(t *testing.T, s *service) {
-		const writes = 400 // long enough for several idle watches
+		const writes = 400 // long enough for several idle timeouts of the watch
 		ctx, cancel := context.WithTimeout(t.Context(), time.Hour)
 		defer cancel()
 		w, err := s.Watch(ctx, "n/", 0)
@@ -111,7 +110,7 @@
 				key := fmt.Sprintf("n/%03d", i)
 				_, _ = s.memory.CompareAndSwap(ctx, key, 0, nil, 0)
 				time.Sleep(time.Second)
-				breakOne(s, i)
+				injectNetworkFault(s, i)
 			}
 		}()
 		var seen []string
@@ -127,7 +126,7 @@
 	})
 }
 
-func breakOne(s *service, i int) {
+func injectNetworkFault(s *service, i int) {
 	net := s.nets[i/7%2]
 	switch i % 7 {
 	case 2:
--- a/external/standin/storesim/random_test.go
+++ b/external/standin/storesim/random_test.go
@@ -13,11 +13,11 @@
 	"mallowwind.dev/external/store"
 )
 
-// randomRuns is how many seeds the randomised test plays.
-const randomRuns = 60
+// seedCount is the number of seeds that the randomized test runs.
+const seedCount = 60
 
-// disturb injects faults into the service and its endpoints until ctx ends.
-func disturb(ctx context.Context, r *rand.Rand, s *service) {
+// injectFaults injects faults into the service and its endpoints until ctx ends.
+func injectFaults(ctx context.Context, r *rand.Rand, s *service) {
 	for ctx.Err() == nil {
 		span := time.Duration(r.IntN(2000)) * time.Millisecond
 		net := s.nets[r.IntN(len(s.nets))]
@@ -45,8 +45,9 @@
 	}
 }
 
-// write tries once to swap in a unique value and returns what it was told.
-func write(ctx context.Context, s *service, value string) error {
+// tryWrite attempts once to write value with a compare-and-swap and returns the reported outcome. An
+// attempt that fails to read the key is reported as ErrUnavailable.
+func tryWrite(ctx context.Context, s *service, value string) error {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	kv, err := s.Get(ctx, "key")
@@ -57,38 +58,37 @@
 	return err
 }
 
-// Several writers swap unique values into one key while the service and its
-// connections fail. What a writer is told must be a fact: a confirmed write
-// happened once, one said not to have been sent or to have lost never did, and
-// only those of unknown outcome may be either.
-func TestWhatWritersAreToldIsTrue(t *testing.T) {
+// Several writers write unique values to one key with compare-and-swap while the service and its
+// connections fail. Every reported outcome must match the history: a confirmed write took effect once,
+// a write with ErrUnknown at most once, and a write with any other error never.
+func TestReportedOutcomesMatchHistory(t *testing.T) {
 	counts := make(map[string]int)
-	for seed := range uint64(randomRuns) {
+	for seed := range uint64(seedCount) {
 		overWireTest(t, func(t *testing.T, s *service) {
 			ctx, stop := context.WithCancel(t.Context())
-			go disturb(ctx, rand.New(rand.NewPCG(seed, 1)), s)
-			told := make(chan map[string]error)
+			go injectFaults(ctx, rand.New(rand.NewPCG(seed, 1)), s)
+			results := make(chan map[string]error)
 			for writer := range 3 {
 				go func() {
 					outcomes := make(map[string]error)
 					for i := range 40 {
 						value := fmt.Sprintf("%d-%d", writer, i)
-						outcomes[value] = write(ctx, s, value)
+						outcomes[value] = tryWrite(ctx, s, value)
 						time.Sleep(100 * time.Millisecond)
 					}
-					told <- outcomes
+					results <- outcomes
 				}()
 			}
 			var all []map[string]error
 			for range 3 {
-				all = append(all, <-told)
+				all = append(all, <-results)
 			}
 			stop()
-			time.Sleep(time.Minute) // faults end, writes under way take effect
-			happened := history(t, s.memory)
+			time.Sleep(time.Minute) // faults end, in-flight writes take effect
+			timesWritten := countWrites(t, s.memory)
 			for _, outcomes := range all {
 				for value, err := range outcomes {
-					counts[verify(t, value, err, happened[value])]++
+					counts[checkOutcome(t, value, err, timesWritten[value])]++
 				}
 			}
 		})
@@ -98,7 +98,7 @@
 	}
 }
 
-func verify(t *testing.T, value string, err error, times int) string {
+func checkOutcome(t *testing.T, value string, err error, times int) string {
 	switch {
 	case err == nil:
 		must.Eq(t, 1, times, must.Sprint(value))
@@ -112,8 +112,8 @@
 	}
 }
 
-// history counts the values ever written.
-func history(t *testing.T, m *store.Memory) map[string]int {
+// countWrites returns how often each value was written.
+func countWrites(t *testing.T, m *store.Memory) map[string]int {
 	w, err := m.Watch(t.Context(), "", 0)
 	must.NoError(t, err)
 	defer w.Close()
--- a/external/standin/storesim/storesim.go
+++ b/external/standin/storesim/storesim.go
@@ -1,6 +1,6 @@
-// Package storesim serves a store.Store in the JSON-over-HTTP form of etcd's
-// v3 API, as far as store.EtcdClient and an operator's curl use it. Faults come
-// from the store behind it, usually a store.Faulty.
+// Package storesim serves a store.Store through the JSON form of etcd's v3 API. It implements the part
+// of the API that store.EtcdClient and an operator with curl use. Faults are injected by the store that
+// it serves, usually a store.Faulty.
 package storesim
 
 import (
@@ -15,17 +15,17 @@
 	"mallowwind.dev/external/store"
 )
 
-// maxRequestBytes bounds a request body, in bytes: a value at its limit in base64.
+// maxRequestBytes bounds a request body. It allows for a value of MaxValue bytes in base64.
 const maxRequestBytes = 2 * store.MaxValue
 
-// Status codes of the service's errors, as gRPC numbers them.
+// gRPC status codes in the service's error responses.
 const (
 	codeInvalid     = 3
 	codeNotFound    = 5
 	codeUnavailable = 14
 )
 
-// Handler serves s.
+// Handler returns a handler that serves s.
 func Handler(s store.Store) http.Handler {
 	h := &handler{s}
 	r := mux.NewRouter()
@@ -77,7 +77,7 @@
 	return a, err
 }
 
-// prefixOf reads a range as a prefix; a zero byte stands for every key.
+// prefixOf returns the prefix that the start of a range stands for. A zero byte stands for all keys.
 func prefixOf(key []byte) string {
 	if string(key) == "\x00" {
 		return ""
@@ -85,8 +85,8 @@
 	return string(key)
 }
 
-// txn serves the one shape in use: one comparison of a key's revision, one put
-// or delete of the same key, and a read of it on failure.
+// txn serves the only supported form of transaction: one comparison of a key's revision, one put or
+// delete of the same key, and a read of the key if the comparison fails.
 func (h *handler) txn(w http.ResponseWriter, r *http.Request) {
 	var t store.EtcdTxn
 	if !decode(w, r, &t) {
@@ -143,7 +143,7 @@
 		return
 	}
 	left, err := h.store.KeepAlive(r.Context(), store.LeaseID(q.ID))
-	if errors.Is(err, store.ErrLeaseGone) { // the service answers with no time left
+	if errors.Is(err, store.ErrLeaseGone) { // the real service responds with a zero TTL
 		left, err = 0, nil
 	}
 	result := store.EtcdLease{ID: q.ID, TTL: int64(left / time.Second)}
@@ -177,7 +177,7 @@
 	return store.EtcdWatchResponse{Canceled: true, CompactRevision: from + 1}
 }
 
-// watchStream writes the messages of one watch.
+// watchStream writes the messages of one watch to the response.
 type watchStream struct {
 	enc   *json.Encoder
 	flush *http.ResponseController
@@ -243,7 +243,7 @@
 		respondError(w, http.StatusBadRequest, codeInvalid, store.EtcdTooLarge)
 	case errors.Is(err, store.ErrLeaseGone):
 		respondError(w, http.StatusNotFound, codeNotFound, store.EtcdLeaseNotFound)
-	default: // the answer is lost with its connection
+	default: // closes the connection without a response
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/external/standin/tokencheck/tokencheck.go
+++ b/external/standin/tokencheck/tokencheck.go
@@ -1,7 +1,6 @@
-// Package tokencheck makes and verifies the self-checking tokens of the
-// stand-in engine. Token k carries its index, a hash of the model, the prompt
-// and every token before it, and a random salt, so that a missing, repeated or
-// foreign token shows in the text itself.
+// Package tokencheck generates and verifies the self-checking tokens of the simulated engine. Token k
+// contains its index, a hash of the model, the prompt and all previous tokens, and a salt. A missing or
+// repeated token, or a token of another generation, can therefore be detected from the text alone.
 package tokencheck
 
 import (
@@ -12,32 +11,32 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of Check, wrapped with the index at which they show.
+// Errors of Check, wrapped with the position of the fault.
 var (
-	// ErrMissing means that tokens were left out.
+	// ErrMissing means that tokens are missing.
 	ErrMissing = errors.New("tokencheck: token missing")
-	// ErrRepeated means that a token came again.
+	// ErrRepeated means that a token is repeated.
 	ErrRepeated = errors.New("tokencheck: token repeated")
-	// ErrMixed means that a token continues another text: another generation,
-	// another attempt, another prompt or another model.
+	// ErrMixed means that a token continues another text: of another generation, attempt, prompt or
+	// model.
 	ErrMixed = errors.New("tokencheck: generations mixed")
-	// ErrMalformed means that the text is not made of whole tokens.
+	// ErrMalformed means that the text does not consist of complete tokens.
 	ErrMalformed = errors.New("tokencheck: malformed token")
 )
 
 const (
 	hashDigits    = 8
 	maxSaltBytes  = 2
-	maxTokenBytes = 32 // bytes of a token with any index
+	maxTokenBytes = 32 // enough for a token with any index
 )
 
-// Chain is the running hash over a generation. It is not safe for concurrent use.
+// Chain is the running hash of a generation. It is not safe for concurrent use.
 type Chain struct {
 	digest *xxhash.Digest
 	next   int
 }
 
-// NewChain starts the chain of a generation of model over prompt.
+// NewChain returns the chain of a generation by model for prompt.
 func NewChain(model, prompt string) *Chain {
 	d := xxhash.New()
 	d.WriteString(model)
@@ -47,7 +46,7 @@
 	return &Chain{digest: d}
 }
 
-// Next makes the next token with this salt and advances.
+// Next returns the next token, with the given salt, and appends it.
 func (c *Chain) Next(salt string) string {
 	var buf [maxTokenBytes]byte
 	b := append(buf[:0], ' ')
@@ -59,7 +58,7 @@
 	return token
 }
 
-// appendHash writes eight lower-case hexadecimal digits.
+// appendHash appends h as eight lower-case hexadecimal digits.
 func appendHash(b []byte, h uint32) []byte {
 	const digits = "0123456789abcdef"
 	for shift := 28; shift >= 0; shift -= 4 {
@@ -68,15 +67,14 @@
 	return b
 }
 
-// Append advances over a token made elsewhere, as a forced prefix is.
+// Append appends a token that was generated elsewhere, such as one of a given prefix.
 func (c *Chain) Append(token string) {
 	c.digest.WriteString(token)
 	c.next++
 }
 
-// Check verifies that text is a prefix of exactly one generation of model over
-// prompt and returns how many tokens it holds. On an error it returns how many
-// were good before it.
+// Check verifies that text is a prefix of a single generation by model for prompt and returns the
+// number of tokens. On an error it returns the number of valid tokens before the fault.
 func Check(model, prompt, text string) (int, error) {
 	c := NewChain(model, prompt)
 	for text != "" {
@@ -92,7 +90,7 @@
 	return c.next, nil
 }
 
-// CheckWhole is Check for a finished answer of exactly want tokens.
+// CheckWhole is like Check for a finished generation of exactly want tokens.
 func CheckWhole(model, prompt, text string, want int) error {
 	n, err := Check(model, prompt, text)
 	if err != nil {
--- a/external/standin/tokencheck/tokencheck_test.go
+++ b/external/standin/tokencheck/tokencheck_test.go
@@ -18,7 +18,7 @@
 	return tokens
 }
 
-func TestCheckNamesTheFault(t *testing.T) {
+func TestCheckReportsFault(t *testing.T) {
 	a := generate("m", "p", "a", 5)
 	b := generate("m", "p", "b", 5) // another attempt at the same request
 	text := func(parts ...string) string { return strings.Join(parts, "") }
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestCheckTellsRequestsApart(t *testing.T) {
+func TestCheckRejectsOtherRequest(t *testing.T) {
 	text := strings.Join(generate("m", "p", "a", 3), "")
 	for _, other := range [][2]string{{"m", "q"}, {"n", "p"}} {
 		_, err := tokencheck.Check(other[0], other[1], text)
@@ -51,8 +51,8 @@
 	must.ErrorIs(t, tokencheck.CheckWhole("m", "p", text, 4), tokencheck.ErrMissing)
 }
 
-// FuzzCheck asserts that a text is only accepted if making its tokens anew,
-// with the salts it carries, gives the same text.
+// FuzzCheck checks that a text is accepted only if generating its tokens again, with the same salts,
+// gives the same text.
 func FuzzCheck(f *testing.F) {
 	f.Add(strings.Join(generate("m", "p", "a", 3), ""))
 	f.Add(" 0.00000000a")
--- a/external/standin/weightsim/weightsim.go
+++ b/external/standin/weightsim/weightsim.go
@@ -1,5 +1,5 @@
-// Package weightsim is the stand-in for the rate-limited weight store: a bound
-// on fetches at once, each slower the more run beside it.
+// Package weightsim simulates the rate-limited weight store: the number of concurrent fetches is
+// bounded, and concurrent fetches share the bandwidth.
 package weightsim
 
 import (
@@ -13,7 +13,7 @@
 	"mallowwind.dev/external/weights"
 )
 
-// Sim is one weight store. It is safe for concurrent use and runs in virtual time.
+// Sim is one simulated weight store. It is safe for concurrent use and also runs in virtual time.
 type Sim struct {
 	slots     chan struct{}
 	fetchTime time.Duration
@@ -26,18 +26,18 @@
 
 var _ weights.Store = (*Sim)(nil)
 
-// New returns a weight store that serves capacity fetches at once, one alone
-// taking fetch.
-func New(capacity int, fetch time.Duration) *Sim {
+// New returns a weight store that serves up to capacity concurrent fetches. A single fetch takes
+// fetchTime.
+func New(capacity int, fetchTime time.Duration) *Sim {
 	return &Sim{
 		slots:       make(chan struct{}, capacity),
-		fetchTime:   fetch,
+		fetchTime:   fetchTime,
 		slowdown:    1,
 		fetchCounts: make(map[engine.ModelRef]int),
 	}
 }
 
-// Fetch waits for a slot and then as long as the fetch takes.
+// Fetch waits for a slot and then for the duration of the fetch.
 func (s *Sim) Fetch(ctx context.Context, ref engine.ModelRef) error {
 	select {
 	case s.slots <- struct{}{}:
@@ -70,19 +70,20 @@
 	s.activeFetches--
 }
 
-// fetchDuration is the time of a fetch among n: the bandwidth is shared.
+// fetchDuration returns the time of a fetch while n fetches run, which share the bandwidth.
 func (s *Sim) fetchDuration(n int) time.Duration {
 	return time.Duration(float64(s.fetchTime) * s.slowdown * float64(max(n, 1)))
 }
 
-// SetSlowdown multiplies the time of fetches that begin from now on; 1 is usual.
+// SetSlowdown sets the factor by which the time of later fetches is multiplied; 1 is the default.
 func (s *Sim) SetSlowdown(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slowdown = factor
 }
 
-// FetchCount returns how often each set of weights was fetched.
+// FetchCount returns how often the weights ref were fetched, including fetches in progress or
+// canceled.
 func (s *Sim) FetchCount(ref engine.ModelRef) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,7 +100,7 @@
 	return weights.Status{Capacity: cap(s.slots), Active: s.activeFetches, FetchDuration: s.fetchDuration(s.activeFetches)}, nil
 }
 
-// Handler serves the report in its wire form: one GET, one JSON object.
+// Handler serves the status of s as a JSON object.
 func Handler(s weights.Store) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		status, err := s.Status(r.Context())
--- a/external/store/confirmed.go
+++ b/external/store/confirmed.go
@@ -7,17 +7,18 @@
 	"github.com/pkg/errors"
 )
 
-// Confirmed makes watches of a Store return at least once in each Hold. A watch
-// that has nothing to tell then reads Key, whose answer is linearizable: if the
-// watch has delivered its last change, an empty batch says that Key is as it was
-// last seen. Otherwise the watch is behind and ends.
+// Confirmed wraps a Store so that Next of its watches returns at least once per Interval. If there is
+// no event within Interval, the watch reads Key with a linearizable read. If the watch has already
+// delivered the last change of Key, Next returns an empty batch, which confirms that Key is unchanged.
+// Otherwise it returns ErrBehind. If Key does not exist, the batch is empty too. Without the read, a watch on a stalled connection could not be told
+// from one without changes.
 type Confirmed struct {
 	Store
 	Key      string
 	Interval time.Duration
 }
 
-// ErrBehind means that a watch has not delivered a change that a read shows.
+// ErrBehind means that a watch has not delivered a change that a read has returned.
 var ErrBehind = errors.New("store: the watch is behind")
 
 // Watch implements Store.
@@ -32,7 +33,7 @@
 	return w, nil
 }
 
-// watchBatch is what the inner watch gave.
+// watchBatch is one result of the inner watch.
 type watchBatch struct {
 	events   []Event
 	revision int64
@@ -47,7 +48,7 @@
 	cancel       context.CancelFunc
 }
 
-// read follows the inner watch until it fails or life ends.
+// read forwards the batches of the inner watch until it fails or watchCtx ends.
 func (w *confirmedWatcher) read(watchCtx context.Context) {
 	for {
 		events, err := w.inner.Next(watchCtx)
@@ -65,13 +66,13 @@
 
 // Next implements Watcher.
 func (w *confirmedWatcher) Next(ctx context.Context) ([]Event, error) {
-	hold := time.NewTimer(w.store.Interval)
-	defer hold.Stop()
+	interval := time.NewTimer(w.store.Interval)
+	defer interval.Stop()
 	select {
 	case b := <-w.batches:
 		w.lastRevision = max(w.lastRevision, b.revision)
 		return b.events, b.err
-	case <-hold.C:
+	case <-interval.C:
 		return nil, w.confirm(ctx)
 	case <-ctx.Done():
 		return nil, ctx.Err()
--- a/external/store/confirmed_test.go
+++ b/external/store/confirmed_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// A watch has nothing to tell for a while and then a change.
+// A watch without events returns an empty batch, and later delivers a change.
 func TestConfirmedWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
@@ -32,7 +32,7 @@
 	})
 }
 
-// silentWatchStore is a store whose watches stay open and never deliver.
+// silentWatchStore is a store whose watches stay open and never deliver an event.
 type silentWatchStore struct{ Store }
 
 type silentWatch struct{}
@@ -48,9 +48,9 @@
 	return silentWatch{}, nil
 }
 
-// The connection of a watch went silent for good. A read shows the change that
-// never arrives; without it the daemon would take what it knows for confirmed.
-func TestConfirmedWatchThatIsDeaf(t *testing.T) {
+// The connection of a watch has stalled permanently, so a change is never delivered. The read of Key
+// must detect this; otherwise the daemon would treat its outdated data as confirmed.
+func TestConfirmedWatchDetectsMissedChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := NewMemory()
 		version, err := m.CompareAndSwap(t.Context(), "k", 0, []byte("1"), 0)
--- a/external/store/etcd.go
+++ b/external/store/etcd.go
@@ -17,32 +17,32 @@
 )
 
 const (
-	// readTimeout bounds a read on one endpoint while there is another to ask, so
-	// that a silent one leaves time for it. The last one asked has slowTimeout or
-	// what the caller gives, if that is less: a service that is merely slow must
-	// stay readable, and a watch that is opened anew must not hang for ever.
+	// readTimeout bounds a read from one endpoint while another endpoint remains, so that an
+	// unresponsive endpoint leaves time to try the next one. A read from the last endpoint is bounded
+	// by lastReadTimeout or the caller's deadline, whichever is earlier: a slow service must stay
+	// readable, and reopening a watch must not block forever.
 	readTimeout     = 2 * time.Second
 	lastReadTimeout = 30 * time.Second
-	// maxResponseBytes bounds an answer, in bytes: a list of the largest values that
-	// this system keeps under one prefix, in base64.
+	// maxResponseBytes bounds a response. The largest is a list of all values under one prefix, in
+	// base64.
 	maxResponseBytes = 64 << 20
 )
 
-// EtcdClient speaks the JSON-over-HTTP form of etcd's v3 API to one of several
-// endpoints. It stays with an endpoint while that answers.
+// EtcdClient calls one of several endpoints through the JSON gateway of etcd's v3 API. It keeps using
+// an endpoint as long as that endpoint responds.
 type EtcdClient struct {
 	endpoints        []string
 	calls            *http.Client
 	streams          *http.Client
-	current          atomic.Int64 // index of the endpoint that last answered
+	current          atomic.Int64 // index of the endpoint to try first
 	watchIdleTimeout time.Duration
 }
 
 var _ Store = (*EtcdClient)(nil)
 
 // NewEtcdClient returns a client of the service at endpoints (http://ip:port).
-// A nil client means its own transports. A client given must count what it
-// writes (its transport from sent.NewTransport).
+// If hc is nil, the client uses transports of its own. Any other client needs a transport that counts
+// the bytes written, from package sent.
 func NewEtcdClient(endpoints []string, hc *http.Client) (*EtcdClient, error) {
 	if len(endpoints) == 0 {
 		return nil, errors.New("store: no endpoint")
@@ -95,8 +95,8 @@
 	return list, a.Header.Revision, nil
 }
 
-// prefixRange is the range of all keys under prefix. The service takes an
-// empty key as a mistake; a zero byte stands for the first key of all.
+// prefixRange returns the range of all keys under prefix. The service rejects an empty key; a zero
+// byte stands for the first key.
 func prefixRange(prefix string) EtcdRange {
 	r := EtcdRange{Key: []byte(prefix), RangeEnd: PrefixEnd(prefix)}
 	if prefix == "" {
@@ -121,7 +121,7 @@
 	return a.Header.Revision, nil
 }
 
-// Delete implements Store. A key that does not exist gives ErrNotFound.
+// Delete implements Store. It returns ErrNotFound if the key does not exist.
 func (c *EtcdClient) Delete(ctx context.Context, key string, version int64) error {
 	a, err := c.txn(ctx, key, version, EtcdOp{Delete: &EtcdRange{Key: []byte(key)}})
 	switch {
@@ -135,7 +135,7 @@
 	return errors.Wrapf(ErrConflict, "%s is at %d, expected %d", key, a.foundVersion(), version)
 }
 
-// txn does op if key stands at version, and else reads the key.
+// txn applies op if key is at version, and otherwise reads the key.
 func (c *EtcdClient) txn(ctx context.Context, key string, version int64, op EtcdOp) (EtcdTxnResponse, error) {
 	compare := EtcdCompare{Key: []byte(key), Target: EtcdTargetMod, Result: EtcdResultEqual, ModRevision: version}
 	txn := EtcdTxn{
@@ -147,7 +147,8 @@
 	return a, c.write(ctx, PathTxn, txn, &a)
 }
 
-// foundVersion is the version that a failed compare met, 0 if there was no key.
+// foundVersion returns the version of the key that a failed compare found, or 0 if the key does not
+// exist.
 func (a EtcdTxnResponse) foundVersion() int64 {
 	for _, r := range a.Responses {
 		if r.Range != nil && len(r.Range.KVs) > 0 {
@@ -157,7 +158,7 @@
 	return 0
 }
 
-// Grant implements Store. The service counts in whole seconds; ttl is rounded up.
+// Grant implements Store. The service uses whole seconds, so ttl is rounded up.
 func (c *EtcdClient) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	var a EtcdLease
 	seconds := int64((ttl + time.Second - 1) / time.Second)
@@ -182,21 +183,21 @@
 	return c.write(ctx, PathRevoke, EtcdLease{ID: int64(id)}, &struct{}{})
 }
 
-// read asks the endpoints in turn until one answers.
+// read sends a read to the endpoints in turn until one responds.
 func (c *EtcdClient) read(ctx context.Context, path string, in, out any) error {
 	return c.tryEndpoints(ctx, func(endpoint string, last bool) (bool, error) {
 		ctx, cancel := readContext(ctx, last)
 		defer cancel()
 		err := c.call(ctx, endpoint, path, in, out)
-		if errors.Is(err, ErrUnknown) { // a read has no effect to be unsure of
+		if errors.Is(err, ErrUnknown) { // a read has no effect, so its outcome cannot be unknown
 			err = errors.Wrapf(ErrUnavailable, "%v", err)
 		}
 		return errors.Is(err, ErrUnavailable), err
 	})
 }
 
-// write goes on to the next endpoint only while nothing was sent or the
-// service said that it did not write: a write sent twice could undo a later one.
+// write tries the next endpoint only if nothing was sent or the service reported that it did not
+// write. A write that is sent twice could undo a later write.
 func (c *EtcdClient) write(ctx context.Context, path string, in, out any) error {
 	return c.tryEndpoints(ctx, func(endpoint string, _ bool) (bool, error) {
 		err := c.call(ctx, endpoint, path, in, out)
@@ -211,9 +212,9 @@
 	return context.WithTimeout(ctx, readTimeout)
 }
 
-// tryEndpoints tries the endpoints from the current one on while try says so, and
-// remembers one that answered. One that left an outcome unknown is not the
-// first to be asked next time.
+// tryEndpoints calls try for the endpoints in turn, starting with the current one, until try reports
+// that no further endpoint should be tried. That endpoint becomes the current one, or the endpoint
+// after it if the outcome is unknown.
 func (c *EtcdClient) tryEndpoints(ctx context.Context, try func(endpoint string, last bool) (bool, error)) error {
 	first, n := c.current.Load(), int64(len(c.endpoints))
 	var err error
@@ -222,8 +223,8 @@
 			return err
 		}
 		at := (first + i) % n
-		var again bool
-		if again, err = try(c.endpoints[at], i == n-1); again {
+		var next bool
+		if next, err = try(c.endpoints[at], i == n-1); next {
 			continue
 		}
 		if errors.Is(err, ErrUnknown) {
@@ -235,7 +236,7 @@
 	return err
 }
 
-// call makes one call to one endpoint.
+// call makes one call to one endpoint and decodes the response into out.
 func (c *EtcdClient) call(ctx context.Context, endpoint, path string, in, out any) error {
 	resp, err := c.post(ctx, c.calls, endpoint+path, in)
 	if err != nil {
@@ -253,8 +254,8 @@
 	return nil
 }
 
-// post sends one request and turns every failure into its fact: ErrUnavailable
-// when nothing was sent or the service said so, ErrUnknown otherwise.
+// post sends one request and maps every failure to one of the package's errors. A transport failure
+// is ErrUnavailable if nothing was sent and ErrUnknown otherwise.
 func (c *EtcdClient) post(ctx context.Context, hc *http.Client, url string, in any) (*http.Response, error) {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -282,9 +283,9 @@
 	return resp, nil
 }
 
-// etcdError reads the service's own words. Only the messages known to mean
-// that the request was not proposed are ErrUnavailable: a "request timed out"
-// carries the same status and may have taken effect.
+// etcdError decodes the error in a response of the service. Only messages that mean that the request
+// was not proposed map to ErrUnavailable: "request timed out" has the same status, but such a request
+// may have taken effect.
 func etcdError(resp *http.Response) error {
 	var e EtcdError
 	_ = json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&e)
--- a/external/store/etcdwatch.go
+++ b/external/store/etcdwatch.go
@@ -11,25 +11,24 @@
 	"github.com/pkg/errors"
 )
 
-// defaultWatchIdleTimeout is how long a watch may say nothing before it is opened
-// anew. A connection may go silent for good while new ones work, and a watch
-// on one would wait for ever; a fresh watch starts after the last revision
-// seen, so nothing is lost. At a minute, 390 daemons cost the service 6.5
-// calls a second.
+// defaultWatchIdleTimeout is the time without a message after which a watch is reopened. A connection
+// can stall permanently while new connections work, and a watch on it would wait forever. The new
+// watch starts after the last revision seen, so no event is lost. With one minute, 390 daemons cause
+// 6.5 calls per second on the service.
 const defaultWatchIdleTimeout = time.Minute
 
-// etcdWatcher reads one watch connection at a time, in a goroutine, and goes
-// on with another after the last revision it saw when one breaks or is idle.
+// etcdWatcher reads from one watch connection at a time. When the connection breaks or is idle for too
+// long, it opens another that starts after the last revision seen.
 type etcdWatcher struct {
 	client       *EtcdClient
 	prefix       string
 	lastRevision int64
-	ctx          context.Context // ends with Close
+	ctx          context.Context // canceled by Close
 	cancel       context.CancelFunc
 	conn         *watchConn
 }
 
-// watchConn is one open connection.
+// watchConn is one open watch connection.
 type watchConn struct {
 	messages chan watchMessage
 	cancel   context.CancelFunc
@@ -40,7 +39,7 @@
 	err      error
 }
 
-// Watch implements Store. It returns when the service has confirmed the watch.
+// Watch implements Store. It returns once the service has confirmed the watch.
 func (c *EtcdClient) Watch(ctx context.Context, prefix string, from int64) (Watcher, error) {
 	connCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	w := &etcdWatcher{client: c, prefix: prefix, lastRevision: from, ctx: connCtx, cancel: cancel}
@@ -51,13 +50,13 @@
 	return w, nil
 }
 
-// open tries the endpoints in turn for a watch after the last revision seen.
+// open tries the endpoints in turn and opens a watch that starts after the last revision seen.
 func (w *etcdWatcher) open(ctx context.Context) error {
 	return w.client.tryEndpoints(ctx, func(endpoint string, last bool) (bool, error) {
 		ctx, cancel := readContext(ctx, last)
 		defer cancel()
 		conn, err := w.connect(ctx, endpoint)
-		if errors.Is(err, ErrUnknown) { // a watch has no effect to be unsure of
+		if errors.Is(err, ErrUnknown) { // a watch has no effect, so its outcome cannot be unknown
 			err = errors.Wrapf(ErrUnavailable, "%v", err)
 		}
 		if err == nil {
@@ -135,8 +134,8 @@
 	return watchMessage{response: *s.Result}
 }
 
-// Next implements Watcher. A broken or idle connection is replaced once by
-// another; only when no endpoint gives one does the watcher end.
+// Next implements Watcher. It replaces a broken or idle connection and fails only if no endpoint
+// accepts a new one or the service reports another error.
 func (w *etcdWatcher) Next(ctx context.Context) ([]Event, error) {
 	for {
 		idle := time.NewTimer(jitter(w.client.watchIdleTimeout))
@@ -160,7 +159,7 @@
 	}
 }
 
-// nextMessage returns the next message, or nil when the connection was idle too long.
+// nextMessage returns the next message, or nil if idle fires first.
 func (w *etcdWatcher) nextMessage(ctx context.Context, idle <-chan time.Time) (*watchMessage, error) {
 	select {
 	case m := <-w.conn.messages:
@@ -179,12 +178,12 @@
 	return w.open(ctx)
 }
 
-// advance returns the events not seen yet. A revision may hold several events,
-// which the service sends in one message.
-func (w *etcdWatcher) advance(a EtcdWatchResponse) []Event {
+// advance returns the events of r after the last revision seen and moves that revision forward. A
+// revision can contain several events, which the service sends in one message.
+func (w *etcdWatcher) advance(r EtcdWatchResponse) []Event {
 	var events []Event
 	last := w.lastRevision
-	for _, e := range a.Events {
+	for _, e := range r.Events {
 		if e.KV.ModRevision <= w.lastRevision {
 			continue
 		}
@@ -211,8 +210,8 @@
 	return nil
 }
 
-// jitter spreads d by a quarter either way, so that watches opened together
-// after an outage do not stay in step.
+// jitter returns a random duration between 75% and 125% of d, so that watches that were opened
+// together after an outage are not reopened together.
 func jitter(d time.Duration) time.Duration {
 	return d*3/4 + rand.N(d/2)
 }
--- a/external/store/etcdwire.go
+++ b/external/store/etcdwire.go
@@ -1,10 +1,9 @@
 package store
 
-// The messages of etcd's v3 API in their JSON-over-HTTP form: bytes in base64,
-// 64-bit integers as strings, fields at their zero value left out. Only what
-// this package needs is declared.
+// The messages of etcd's v3 API as encoded by its JSON gateway: bytes in base64, 64-bit integers as
+// strings, fields with a zero value omitted. Only the fields that this package needs are declared.
 
-// Paths of the wire form.
+// Paths of the HTTP API.
 const (
 	PathRange     = "/v3/kv/range"
 	PathTxn       = "/v3/kv/txn"
@@ -14,12 +13,12 @@
 	PathWatch     = "/v3/watch"
 )
 
-// EtcdHeader is part of every answer.
+// EtcdHeader is the header of a response.
 type EtcdHeader struct {
 	Revision int64 `json:"revision,omitempty,string"`
 }
 
-// EtcdKV is one key.
+// EtcdKV is one key with its value.
 type EtcdKV struct {
 	Key         []byte `json:"key,omitempty"`
 	Value       []byte `json:"value,omitempty"`
@@ -27,15 +26,17 @@
 	Lease       int64  `json:"lease,omitempty,string"`
 }
 
-// EtcdRange asks for the keys from Key up to but not including RangeEnd.
+// EtcdRange requests the keys from Key up to but not including RangeEnd, or only Key if RangeEnd is
+// empty.
 type EtcdRange struct {
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end,omitempty"`
-	// Serializable lets the member that is asked answer from what it has.
+	// Serializable allows the member that receives the request to answer from its local data, which
+	// may be stale.
 	Serializable bool `json:"serializable,omitempty"`
 }
 
-// EtcdRangeResponse answers EtcdRange.
+// EtcdRangeResponse is the response to EtcdRange.
 type EtcdRangeResponse struct {
 	Header EtcdHeader `json:"header"`
 	KVs    []EtcdKV   `json:"kvs,omitempty"`
@@ -56,45 +57,45 @@
 	ModRevision int64  `json:"mod_revision,string"`
 }
 
-// The comparison that a compare-and-swap makes.
+// The comparison that a compare-and-swap uses.
 const (
 	EtcdTargetMod   = "MOD"
 	EtcdResultEqual = "EQUAL"
 )
 
-// EtcdOp is one operation of a transaction; one field is set.
+// EtcdOp is one operation of a transaction. Exactly one field is set.
 type EtcdOp struct {
 	Range  *EtcdRange `json:"request_range,omitempty"`
 	Put    *EtcdPut   `json:"request_put,omitempty"`
 	Delete *EtcdRange `json:"request_delete_range,omitempty"`
 }
 
-// EtcdTxn does Success if Compare holds, else Failure.
+// EtcdTxn applies Success if all of Compare holds, and Failure otherwise.
 type EtcdTxn struct {
 	Compare []EtcdCompare `json:"compare"`
 	Success []EtcdOp      `json:"success"`
 	Failure []EtcdOp      `json:"failure"`
 }
 
-// EtcdOpResponse answers one operation.
+// EtcdOpResponse is the response to one operation.
 type EtcdOpResponse struct {
 	Range *EtcdRangeResponse `json:"response_range,omitempty"`
 }
 
-// EtcdTxnResponse answers EtcdTxn.
+// EtcdTxnResponse is the response to EtcdTxn.
 type EtcdTxnResponse struct {
 	Header    EtcdHeader       `json:"header"`
 	Succeeded bool             `json:"succeeded,omitempty"`
 	Responses []EtcdOpResponse `json:"responses,omitempty"`
 }
 
-// EtcdLease names a lease and its time to live in seconds.
+// EtcdLease is the ID of a lease and its time to live in seconds.
 type EtcdLease struct {
 	ID  int64 `json:"ID,omitempty,string"`
 	TTL int64 `json:"TTL,omitempty,string"`
 }
 
-// EtcdStreamMessage wraps each message of a streaming answer.
+// EtcdStreamMessage wraps each message of a streaming response.
 type EtcdStreamMessage[T any] struct {
 	Result *T         `json:"result,omitempty"`
 	Error  *EtcdError `json:"error,omitempty"`
@@ -105,7 +106,7 @@
 	Create EtcdWatchCreate `json:"create_request"`
 }
 
-// EtcdWatchCreate watches the range from StartRevision on.
+// EtcdWatchCreate requests the changes in a key range from StartRevision on.
 type EtcdWatchCreate struct {
 	Key           []byte `json:"key"`
 	RangeEnd      []byte `json:"range_end,omitempty"`
@@ -121,22 +122,22 @@
 	Events          []EtcdEvent `json:"events,omitempty"`
 }
 
-// EtcdEvent is one change; Type is empty for a put.
+// EtcdEvent is one change. Type is empty for a put.
 type EtcdEvent struct {
 	Type string `json:"type,omitempty"`
 	KV   EtcdKV `json:"kv"`
 }
 
-// EtcdDelete is the Type of a removal.
+// EtcdDelete is the Type of a deletion.
 const EtcdDelete = "DELETE"
 
-// EtcdError is the body of an answer that is an error.
+// EtcdError is the body of an error response.
 type EtcdError struct {
 	Message string `json:"message"`
 	Code    int    `json:"code"`
 }
 
-// The messages of errors that state a fact about the request.
+// The error messages that tell whether the request took effect.
 const (
 	EtcdNoLeader        = "etcdserver: no leader"
 	EtcdTooManyRequests = "etcdserver: too many requests"
@@ -154,5 +155,5 @@
 			return end[:i+1]
 		}
 	}
-	return []byte{0} // every key from prefix on
+	return []byte{0} // all keys from prefix on
 }
--- a/external/store/faulty.go
+++ b/external/store/faulty.go
@@ -9,33 +9,33 @@
 	"golang.org/x/time/rate"
 )
 
-// Counts are the calls a service has taken, by kind. A watch counts when it
-// opens, and is in Waiting until it closes.
+// Counts holds the number of calls that a service received, by kind. A watch is counted when it
+// opens, and is included in Waiting until it closes.
 type Counts struct {
 	Get, List, CompareAndSwap, Delete int64
 	ListStale                         int64
 	Grant, KeepAlive, Revoke          int64
 	Watch                             int64
-	Waiting                           int64 // watches open now
-	Refused                           int64 // over the rate or during an outage
+	Waiting                           int64 // watches currently open
+	Refused                           int64 // calls refused by a rate limit or an outage
 }
 
-// Reads is the number of calls that count against the rate of reads, which lists that
-// may be old do not.
+// Reads returns the number of calls subject to the read rate limit, which does not apply to
+// ListStale.
 func (c Counts) Reads() int64 { return c.Get + c.List + c.Watch }
 
-// Writes is the number of calls that count against the rate of writes.
+// Writes returns the number of calls subject to the write rate limit.
 func (c Counts) Writes() int64 {
 	return c.CompareAndSwap + c.Delete + c.Grant + c.KeepAlive + c.Revoke
 }
 
-// Faulty puts the faults and limits of the real service before another Store.
+// Faulty wraps a Store and adds the faults and rate limits of the real service.
 type Faulty struct {
 	inner Store
 
 	mu               sync.Mutex
 	down             bool
-	outage           chan struct{} // closed when an outage begins
+	outage           chan struct{} // closed when an outage starts
 	delay            time.Duration
 	loseNextResponse bool
 	dropNextWrite    bool
@@ -46,7 +46,7 @@
 
 var _ Store = (*Faulty)(nil)
 
-// NewFaulty returns a wrapper with no fault and no limit.
+// NewFaulty returns a wrapper of inner without faults and limits.
 func NewFaulty(inner Store) *Faulty {
 	return &Faulty{
 		inner:  inner,
@@ -56,8 +56,7 @@
 	}
 }
 
-// SetDown begins or ends an outage. Calls and waiting watches then fail with
-// ErrUnavailable.
+// SetDown starts or ends an outage. During an outage calls and open watches fail with ErrUnavailable.
 func (f *Faulty) SetDown(down bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -72,25 +71,24 @@
 	f.outage = make(chan struct{})
 }
 
-// SetDelay makes each call take this long. A call whose context ends before is
-// answered as the real service's client answers it: reads are ErrUnavailable,
-// writes ErrUnknown.
+// SetDelay delays each call by d. A call whose context ends earlier fails as with a client of the real
+// service: a read with ErrUnavailable, a write with ErrUnknown.
 func (f *Faulty) SetDelay(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.delay = d
 }
 
-// LoseNextWriteResponse loses the answer of the next write to a key that takes effect:
-// its caller gets ErrUnknown.
+// LoseNextWriteResponse loses the response to the next successful write to a key: the write takes
+// effect, and its caller gets ErrUnknown.
 func (f *Faulty) LoseNextWriteResponse() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.loseNextResponse = true
 }
 
-// DropNextWrite loses the next write to a key on its way: its caller gets
-// ErrUnknown, as with LoseNextWrite, and nothing is written.
+// DropNextWrite loses the request of the next write to a key: nothing is written, and the caller gets
+// ErrUnknown as with LoseNextWriteResponse.
 func (f *Faulty) DropNextWrite() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -107,19 +105,19 @@
 	return errors.Wrap(ErrUnknown, "request lost")
 }
 
-// SetLimits refuses calls above these rates, each with a burst of one second.
-// Zero means no limit.
-func (f *Faulty) SetLimits(readsPerS, writesPerS int) {
+// SetLimits limits the rates of reads and writes, each with a burst of one second. Calls above a limit
+// are refused. Zero means no limit.
+func (f *Faulty) SetLimits(readsPerSecond, writesPerSecond int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.reads, f.writes = newLimiter(readsPerS), newLimiter(writesPerS)
+	f.reads, f.writes = newLimiter(readsPerSecond), newLimiter(writesPerSecond)
 }
 
-func newLimiter(perS int) *rate.Limiter {
-	if perS == 0 {
+func newLimiter(perSecond int) *rate.Limiter {
+	if perSecond == 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
-	return rate.NewLimiter(rate.Limit(perS), perS)
+	return rate.NewLimiter(rate.Limit(perSecond), perSecond)
 }
 
 // Counts returns the calls so far.
@@ -129,8 +127,9 @@
 	return f.counts
 }
 
-// admit counts one call and fails it if a fault says so.
-func (f *Faulty) admit(ctx context.Context, field *int64, limit func() *rate.Limiter, late error) error {
+// admit counts one call in field and returns an error if the call is refused. If ctx ends during the
+// configured delay, the error wraps deadlineErr.
+func (f *Faulty) admit(ctx context.Context, field *int64, limit func() *rate.Limiter, deadlineErr error) error {
 	f.mu.Lock()
 	*field++
 	refused := f.down || !limit().Allow()
@@ -142,7 +141,7 @@
 	if refused {
 		return errors.Wrap(ErrUnavailable, "outage or rate limit")
 	}
-	return sleep(ctx, delay, late)
+	return sleep(ctx, delay, deadlineErr)
 }
 
 func (f *Faulty) admitRead(ctx context.Context, field *int64) error {
@@ -153,7 +152,7 @@
 	return f.admit(ctx, field, func() *rate.Limiter { return f.writes }, ErrUnknown)
 }
 
-func sleep(ctx context.Context, d time.Duration, late error) error {
+func sleep(ctx context.Context, d time.Duration, deadlineErr error) error {
 	if d == 0 {
 		return nil
 	}
@@ -163,12 +162,12 @@
 	case <-t.C:
 		return nil
 	case <-ctx.Done():
-		return errors.Wrapf(late, "%v", ctx.Err())
+		return errors.Wrapf(deadlineErr, "%v", ctx.Err())
 	}
 }
 
-// loseResponse turns the answer of a write that took effect into ErrUnknown if it was
-// asked for.
+// loseResponse replaces the result of a successful write by ErrUnknown if LoseNextWriteResponse was
+// called.
 func (f *Faulty) loseResponse(err error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -195,7 +194,7 @@
 	return f.inner.List(ctx, prefix)
 }
 
-// ListStale implements Store. It is not held to the rate of reads.
+// ListStale implements Store. It is not subject to the read rate limit.
 func (f *Faulty) ListStale(ctx context.Context, prefix string) ([]KV, int64, error) {
 	unlimited := func() *rate.Limiter { return rate.NewLimiter(rate.Inf, 0) }
 	if err := f.admit(ctx, &f.counts.ListStale, unlimited, ErrUnavailable); err != nil {
@@ -276,7 +275,7 @@
 	once   sync.Once
 }
 
-// Next implements Watcher. An outage ends it.
+// Next implements Watcher. It fails when an outage starts.
 func (w *faultyWatcher) Next(ctx context.Context) ([]Event, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/external/store/memory.go
+++ b/external/store/memory.go
@@ -12,11 +12,12 @@
 	"github.com/pkg/errors"
 )
 
-// retainedEvents is how many changes a Memory keeps for watches that start in the past.
+// retainedEvents is the number of events that a Memory retains, when it truncates its history, for
+// watches that start at an earlier revision.
 const retainedEvents = 10000
 
-// Memory is the service in process. Leases end by time, also in virtual time
-// under testing/synctest. It has no faults of its own; see Faulty.
+// Memory is an in-process Store. Leases expire on timers, which also works in the virtual time of
+// testing/synctest. It injects no faults; see Faulty.
 type Memory struct {
 	mu                sync.Mutex
 	revision          int64
@@ -24,7 +25,7 @@
 	leases            map[LeaseID]*lease
 	nextLease         LeaseID
 	history           []Event // in revision order
-	compactedRevision int64   // changes up to this revision are gone
+	compactedRevision int64   // changes up to this revision are discarded
 	watchers          map[*memoryWatcher]struct{}
 }
 
@@ -36,7 +37,7 @@
 	expiresAt time.Time
 }
 
-// NewMemory returns an empty service.
+// NewMemory returns an empty store.
 func NewMemory() *Memory {
 	return &Memory{
 		keys:     make(map[string]KV),
@@ -76,7 +77,7 @@
 	return list, m.revision, nil
 }
 
-// ListStale implements Store. Its answer is the newest.
+// ListStale implements Store. Its result is always current.
 func (m *Memory) ListStale(ctx context.Context, prefix string) ([]KV, int64, error) {
 	return m.List(ctx, prefix)
 }
@@ -104,7 +105,7 @@
 	return kv.Version, nil
 }
 
-// Delete implements Store. A key that does not exist gives ErrNotFound.
+// Delete implements Store. It returns ErrNotFound if the key does not exist.
 func (m *Memory) Delete(ctx context.Context, key string, version int64) error {
 	if err := ctx.Err(); err != nil {
 		return errors.Wrapf(ErrUnavailable, "%v", err)
@@ -172,8 +173,8 @@
 	return nil
 }
 
-// expire runs when a lease's timer fires. A renewal may have come between the
-// firing and the lock.
+// expire runs when the timer of a lease fires. The lease may have been renewed between the firing and
+// the acquisition of the lock.
 func (m *Memory) expire(id LeaseID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -184,7 +185,7 @@
 	m.endLease(id)
 }
 
-// endLease drops a lease and its keys, all at one revision.
+// endLease removes a lease and its keys, all at one revision.
 func (m *Memory) endLease(id LeaseID) {
 	delete(m.leases, id)
 	var keys []string
@@ -208,7 +209,7 @@
 	m.record(Event{Kind: Deleted, KV: KV{Key: key, Version: m.revision}})
 }
 
-// record appends to the history and wakes the watchers.
+// record appends an event to the history and wakes the watchers.
 func (m *Memory) record(e Event) {
 	m.history = append(m.history, e)
 	if len(m.history) > 2*retainedEvents {
@@ -219,7 +220,7 @@
 	}
 }
 
-// Compact forgets changes up to revision, as the service does in the long run.
+// Compact discards the history up to revision, as the real service does from time to time.
 func (m *Memory) Compact(revision int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -236,7 +237,7 @@
 	return sort.Search(len(m.history), func(i int) bool { return m.history[i].KV.Version > revision })
 }
 
-// Keys returns all keys in order, for tests and for the stand-in's status.
+// Keys returns all keys in order, for tests and for the status of the stand-in.
 func (m *Memory) Keys() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -258,8 +259,8 @@
 	return w, nil
 }
 
-// memoryWatcher reads the history from where it stands, so that a slow reader
-// costs no memory and learns when it fell behind what is kept.
+// memoryWatcher reads the shared history from its own revision, so that a slow reader needs no buffer
+// and gets ErrCompacted when it falls behind the retained history.
 type memoryWatcher struct {
 	store        *Memory
 	prefix       string
--- a/external/store/purpose.go
+++ b/external/store/purpose.go
@@ -7,31 +7,31 @@
 	"github.com/pkg/errors"
 )
 
-// Purpose says why a call to the store is made, so that the price and load of a
-// fleet can be told apart by what causes them.
+// Purpose is the reason for a call to the store. It allows the cost and load of a fleet to be
+// attributed to their causes.
 type Purpose string
 
 // The purposes of calls.
 const (
-	PurposeOther    Purpose = "other"    // the caller named none
-	PurposeStart    Purpose = "start"    // the first read of a daemon
-	PurposeReread   Purpose = "reread"   // a read after an outage or lost history
+	PurposeOther    Purpose = "other"    // the caller set no purpose
+	PurposeStart    Purpose = "start"    // the first read after a daemon starts
+	PurposeReread   Purpose = "reread"   // a read after an outage or after the history was compacted
 	PurposeWatch    Purpose = "watch"    // waiting for changes
 	PurposeRegister Purpose = "register" // writing the daemon's own entry
-	PurposeRenew    Purpose = "renew"    // keeping the lease of that entry
+	PurposeRenew    Purpose = "renew"    // renewing the lease of that entry
 	PurposeLeave    Purpose = "leave"    // removing that entry
-	PurposeRefuse   Purpose = "refuse"   // writing which request is sent to no server
-	PurposeRollout  Purpose = "rollout"  // writing how far a roll-out has come
+	PurposeRefuse   Purpose = "refuse"   // recording a request that must not be sent to any server
+	PurposeRollout  Purpose = "rollout"  // recording the progress of a rollout
 )
 
 type purposeKey struct{}
 
-// WithPurpose returns a context whose calls to a store are made for p.
+// WithPurpose returns a context that marks calls to a store with purpose p.
 func WithPurpose(ctx context.Context, p Purpose) context.Context {
 	return context.WithValue(ctx, purposeKey{}, p)
 }
 
-// PurposeOf returns why calls with ctx are made.
+// PurposeOf returns the purpose of calls with ctx.
 func PurposeOf(ctx context.Context) Purpose {
 	if p, ok := ctx.Value(purposeKey{}).(Purpose); ok {
 		return p
@@ -39,16 +39,16 @@
 	return PurposeOther
 }
 
-// Call is one call that a service counted, or would have counted had it arrived.
+// Call is one call to the service, whether or not it arrived there.
 type Call struct {
 	Purpose Purpose
-	// Path is the call's path without what follows a '?'.
+	// Path is the path of the call without the query.
 	Path     string
 	Duration time.Duration
-	Err      error // nil where it succeeded
+	Err      error // nil if the call succeeded
 }
 
-// Result names how the call ended, in one word.
+// Result returns the outcome of the call as a short name.
 func (c Call) Result() string {
 	for _, known := range []struct {
 		err  error
@@ -68,5 +68,5 @@
 	return "unknown"
 }
 
-// Observer is told of each call after its end. It must not block.
+// Observer is called after the end of each call. It must not block.
 type Observer func(Call)
--- a/external/store/store.go
+++ b/external/store/store.go
@@ -1,9 +1,8 @@
-// Package store is the narrow interface to the platform's key-value service:
-// compare-and-swap, leases and watches. Adapters speak the published
-// JSON-over-HTTP form of etcd's v3 API; Memory is the in-process fake.
+// Package store is the interface to the platform's key-value service: compare-and-swap, leases and
+// watches. EtcdClient uses the JSON gateway of etcd's v3 API; Memory is an in-process fake.
 //
-// The service counts every call, a waiting watch as one, holds values up to
-// MaxValue bytes and has outages. Callers keep off it on the request path.
+// The service counts every call, and an open watch as one call. It accepts values of up to MaxValue
+// bytes and has outages. Callers do not access it on the request path.
 package store
 
 import (
@@ -13,34 +12,34 @@
 	"github.com/pkg/errors"
 )
 
-// MaxValue is the largest value the service holds, in bytes.
+// MaxValue is the size of the largest value that the service accepts, in bytes.
 const MaxValue = 1 << 20
 
-// Errors that every implementation returns, possibly wrapped.
+// Errors that implementations of Store return, possibly wrapped.
 var (
 	// ErrNotFound means that the key does not exist.
 	ErrNotFound = errors.New("store: key not found")
-	// ErrConflict means that the compare of a compare-and-swap failed; nothing was written.
+	// ErrConflict means that the key is at another version than expected; nothing was written.
 	ErrConflict = errors.New("store: version conflict")
-	// ErrUnavailable means that the service refused or could not be reached
-	// before the request was sent; nothing was written.
+	// ErrUnavailable means that the service refused the request or that the request was not sent;
+	// nothing was written.
 	ErrUnavailable = errors.New("store: unavailable")
-	// ErrUnknown means that a write was sent and its answer lost: it may have
-	// taken effect. The caller reads back before it concludes anything.
+	// ErrUnknown means that a write was sent but its response was lost: it may have taken effect. The
+	// caller must read the key to learn the outcome.
 	ErrUnknown = errors.New("store: outcome unknown")
 	// ErrLeaseGone means that the lease expired or was revoked.
 	ErrLeaseGone = errors.New("store: lease gone")
 	// ErrTooLarge means that the value exceeds MaxValue.
 	ErrTooLarge = errors.New("store: value too large")
-	// ErrCompacted means that a watch asked for history that is gone; list again.
+	// ErrCompacted means that a watch requested history that was discarded; the caller must list again.
 	ErrCompacted = errors.New("store: revision compacted")
 )
 
-// LeaseID names a lease; zero means no lease.
+// LeaseID identifies a lease; zero means no lease.
 type LeaseID int64
 
-// KV is one key with its value. Version is the store revision of its last
-// write and grows with every write to any key.
+// KV is one key with its value. Version is the store revision of the key's last write. The revision
+// increases with every write to any key.
 type KV struct {
 	Key     string
 	Value   []byte
@@ -48,7 +47,7 @@
 	Lease   LeaseID
 }
 
-// EventKind tells a write from a removal.
+// EventKind distinguishes writes from deletions.
 type EventKind uint8
 
 // The kinds of watch events.
@@ -57,7 +56,7 @@
 	Deleted
 )
 
-// Event is one change seen by a watch. A Deleted event carries only Key and Version.
+// Event is one change delivered by a watch. A Deleted event has only Key and Version.
 type Event struct {
 	Kind EventKind
 	KV   KV
@@ -65,38 +64,39 @@
 
 // Watcher delivers changes in revision order.
 type Watcher interface {
-	// Next waits for the next batch, which may be empty: nothing has changed
-	// then. It returns ErrCompacted, ErrUnavailable or the context's error; after
-	// an error the watcher is dead.
+	// Next waits for the next batch of events. An empty batch means that nothing has changed. Its
+	// errors include ErrCompacted, ErrUnavailable and the context's error; after an error the watcher
+	// must not be used.
 	Next(ctx context.Context) ([]Event, error)
-	// Revision is the store revision up to which changes were delivered, where a
-	// new watch goes on.
+	// Revision returns the store revision up to which changes were delivered. A new watch can
+	// continue from it.
 	Revision() int64
-	// Close releases the call that the service counts.
+	// Close ends the watch, which the service counts as a call while it is open.
 	Close() error
 }
 
-// Store is safe for concurrent use. Every method honours the context's deadline.
+// Store accesses the key-value service. Implementations are safe for concurrent use. Every method
+// respects the context's deadline.
 type Store interface {
 	// Get returns one key or ErrNotFound.
 	Get(ctx context.Context, key string) (KV, error)
-	// List returns all keys under prefix, ordered by key, and the store revision they were read at.
+	// List returns all keys under prefix, sorted by key, and the store revision of the read.
 	List(ctx context.Context, prefix string) ([]KV, int64, error)
-	// ListStale is List with an answer that may be seconds old, at the revision it was
-	// read at. Services charge less for it.
+	// ListStale is like List, but the result may be seconds old. The returned revision is that of the
+	// result. Services charge less for it.
 	ListStale(ctx context.Context, prefix string) ([]KV, int64, error)
-	// CompareAndSwap writes value if key's Version equals version, where 0 means
-	// that the key must not exist. It returns the new Version. A lease other
-	// than 0 removes the key when the lease ends.
+	// CompareAndSwap writes value if the Version of key equals version, where 0 means that the key
+	// must not exist. It returns the new Version. If lease is not 0, the key is removed when the lease
+	// ends.
 	CompareAndSwap(ctx context.Context, key string, version int64, value []byte, lease LeaseID) (int64, error)
-	// Delete removes key if its Version equals version.
+	// Delete deletes key if its Version equals version.
 	Delete(ctx context.Context, key string, version int64) error
-	// Grant starts a lease.
+	// Grant creates a lease with the given time to live.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// KeepAlive renews a lease and returns the time it now has, or ErrLeaseGone.
+	// KeepAlive renews a lease and returns its remaining time, or ErrLeaseGone.
 	KeepAlive(ctx context.Context, id LeaseID) (time.Duration, error)
-	// Revoke ends a lease and removes its keys.
+	// Revoke ends a lease and deletes its keys.
 	Revoke(ctx context.Context, id LeaseID) error
-	// Watch reports changes under prefix after revision from.
+	// Watch delivers the changes under prefix after revision from.
 	Watch(ctx context.Context, prefix string, from int64) (Watcher, error)
 }
