--- a/external/engine/client.go
+++ b/external/engine/client.go
@@ -128,13 +128,13 @@
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxControlBodyBytes))
 	if err != nil {
 		c.calls.CloseIdleConnections()
-		return errors.Wrapf(ErrBroken, "read answer: %v", err)
+		return errors.Wrapf(ErrBroken, "read response: %v", err)
 	}
 	if out == nil {
 		return nil
 	}
 	if err := json.Unmarshal(raw, out); err != nil {
-		return errors.Wrapf(ErrBroken, "decode answer: %v", err)
+		return errors.Wrapf(ErrBroken, "decode response: %v", err)
 	}
 	return nil
 }
@@ -174,7 +174,7 @@
 func statusError(resp *http.Response) error {
 	detail, ok := decodeRefusal(resp)
 	if !ok {
-		return errors.Wrapf(ErrBroken, "answer %s", resp.Status)
+		return errors.Wrapf(ErrBroken, "unexpected status %s", resp.Status)
 	}
 	switch detail.Code {
 	case CodeUnknownGeneration:
--- a/external/engine/engine.go
+++ b/external/engine/engine.go
@@ -25,7 +25,7 @@
 	// Cancel.
 	ErrUnknownGeneration = errors.New("engine: unknown generation")
 	// ErrStaleFence means that an order carried an outdated fencing token.
-	ErrStaleFence = errors.New("engine: stale fencing number")
+	ErrStaleFence = errors.New("engine: stale fencing token")
 )
 
 // Request starts one attempt of a generation. Prefix holds the tokens that earlier attempts have
--- a/external/engine/stream.go
+++ b/external/engine/stream.go
@@ -30,7 +30,7 @@
 	cancel  context.CancelFunc
 	results chan result
 	closed  chan struct{}
-	once    sync.Once
+	closeOnce    sync.Once
 	lastErr error // returned by every later Next; used only by Next
 }
 
@@ -66,7 +66,7 @@
 
 // Close implements Stream.
 func (s *stream) Close() error {
-	s.once.Do(func() {
+	s.closeOnce.Do(func() {
 		close(s.closed)
 		s.cancel()
 	})
@@ -118,13 +118,13 @@
 			return nil
 		}
 	}
-	return errors.Wrap(ErrBroken, "connection ended before the answer")
+	return errors.Wrap(ErrBroken, "connection ended without a finish reason")
 }
 
 func parseEvent(data string, attempt uint64) (Chunk, error) {
 	var e CompletionEvent
 	if err := json.Unmarshal([]byte(data), &e); err != nil {
-		return Chunk{}, errors.Wrapf(ErrBroken, "event: %v", err)
+		return Chunk{}, errors.Wrapf(ErrBroken, "decode event: %v", err)
 	}
 	if e.Attempt != attempt {
 		return Chunk{}, errors.Wrapf(ErrBroken, "event of attempt %d in the stream of attempt %d", e.Attempt, attempt)
--- a/external/plain/client.go
+++ b/external/plain/client.go
@@ -58,7 +58,7 @@
 	defer resp.Body.Close()
 	body, err := c.readBody(resp.Body)
 	if err != nil {
-		return Response{}, errors.Wrapf(ErrNoResponse, "read answer: %v", err)
+		return Response{}, errors.Wrapf(ErrNoResponse, "read response: %v", err)
 	}
 	return Response{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
@@ -73,7 +73,7 @@
 func (c *Client) readBody(r io.Reader) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r, c.maxResponseBytes+1))
 	if err == nil && int64(len(body)) > c.maxResponseBytes {
-		return nil, errors.Errorf("answer is larger than %d bytes", c.maxResponseBytes)
+		return nil, errors.Errorf("response body is larger than %d bytes", c.maxResponseBytes)
 	}
 	return body, err
 }
--- a/external/plain/plain.go
+++ b/external/plain/plain.go
@@ -15,7 +15,7 @@
 	// ErrNotSent means that no byte of the request was written to the backend server.
 	ErrNotSent = errors.New("plain: not sent")
 	// ErrNoResponse means that bytes may have been written and no complete response was received.
-	ErrNoResponse = errors.New("plain: no answer")
+	ErrNoResponse = errors.New("plain: no response")
 )
 
 // Call is one request with its body in memory.
--- a/external/sent/sent_test.go
+++ b/external/sent/sent_test.go
@@ -34,7 +34,7 @@
 // its probe.
 func post(t *testing.T, dial sent.DialFunc) *sent.Probe {
 	ctx, probe := sent.WithProbe(t.Context())
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://server/", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://there/", nil)
 	must.NoError(t, err)
 	sent.SetBody(req, []byte("body"))
 	req.Header.Set("Large", strings.Repeat("x", 64<<10))
--- a/external/standin/faultnet/faultnet.go
+++ b/external/standin/faultnet/faultnet.go
@@ -23,7 +23,7 @@
 	address net.Addr
 	accept  chan net.Conn
 	closed  chan struct{}
-	once    sync.Once
+	closeOnce    sync.Once
 
 	mu    sync.Mutex
 	tcp   net.Listener // nil for Pipe and while cut
@@ -106,7 +106,7 @@
 
 // Close implements net.Listener and resets all connections.
 func (l *Listener) Close() error {
-	l.once.Do(func() { close(l.closed) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	l.Cut()
 	return nil
 }
@@ -208,11 +208,11 @@
 	owner      *Listener
 	silent     chan struct{} // closed by Silence
 	closed     chan struct{}
-	silenceOne sync.Once
-	closeOne   sync.Once
+	silenceOnce sync.Once
+	closeOnce   sync.Once
 }
 
-func (c *conn) silence() { c.silenceOne.Do(func() { close(c.silent) }) }
+func (c *conn) silence() { c.silenceOnce.Do(func() { close(c.silent) }) }
 
 func (c *conn) isSilent() bool {
 	select {
@@ -263,7 +263,7 @@
 // Close implements net.Conn. The close of a silenced connection does not reach the client, which keeps
 // waiting.
 func (c *conn) Close() error {
-	c.closeOne.Do(func() { close(c.closed) })
+	c.closeOnce.Do(func() { close(c.closed) })
 	c.owner.removeConn(c)
 	if c.isSilent() {
 		return nil
@@ -275,12 +275,12 @@
 // connection does not reach the client either.
 func (c *conn) reset() {
 	if c.isSilent() {
-		c.closeOne.Do(func() { close(c.closed) })
+		c.closeOnce.Do(func() { close(c.closed) })
 		return
 	}
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
-	c.closeOne.Do(func() { close(c.closed) })
+	c.closeOnce.Do(func() { close(c.closed) })
 	_ = c.Conn.Close()
 }
--- a/external/standin/plainsim/bench_test.go
+++ b/external/standin/plainsim/bench_test.go
@@ -23,7 +23,7 @@
 			client := plain.NewClient(transport, 0)
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := client.Do(b.Context(), address, order("k")); err != nil {
+				if _, err := client.Do(b.Context(), address, newCall("k")); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/external/standin/plainsim/plainsim_test.go
+++ b/external/standin/plainsim/plainsim_test.go
@@ -25,29 +25,29 @@
 }
 
 // withService runs f with a plain service that takes one second per call, and a client of it.
-func withService(t *testing.T, f func(t *testing.T, d fixture)) {
+func withService(t *testing.T, f func(t *testing.T, fx fixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		d := fixture{sim: plainsim.New("orders", time.Second), net: faultnet.Pipe()}
-		d.client = plain.NewClient(sent.NewTransportWith(d.net.Dial, true), 0)
-		server := &http.Server{Handler: d.sim}
-		go server.Serve(d.net)
+		fx := fixture{sim: plainsim.New("orders", time.Second), net: faultnet.Pipe()}
+		fx.client = plain.NewClient(sent.NewTransportWith(fx.net.Dial, true), 0)
+		server := &http.Server{Handler: fx.sim}
+		go server.Serve(fx.net)
 		defer server.Close()
-		f(t, d)
+		f(t, fx)
 	})
 }
 
-func order(key string) plain.Call {
+func newCall(key string) plain.Call {
 	header := http.Header{plainsim.IdempotencyKeyHeader: {key}}
 	return plain.Call{Method: http.MethodPost, Path: "/confirm?order=7", Header: header, Body: []byte("40 sacks")}
 }
 
 func TestCallRunsOnceAndReturnsResponse(t *testing.T) {
-	withService(t, func(t *testing.T, d fixture) {
-		a, err := d.client.Do(t.Context(), "desk", order("k"))
+	withService(t, func(t *testing.T, fx fixture) {
+		a, err := fx.client.Do(t.Context(), "desk", newCall("k"))
 		must.NoError(t, err)
 		must.Eq(t, http.StatusOK, a.Status)
 		must.StrContains(t, string(a.Body), `"run":1,"method":"POST","path":"/confirm?order=7","body":"40 sacks"`)
-		must.Eq(t, 1, d.sim.Runs("k"))
+		must.Eq(t, 1, fx.sim.Runs("k"))
 	})
 }
 
@@ -55,13 +55,13 @@
 // ErrNoResponse, and the call must have run exactly once: the transport must not retry a call because
 // it carries an Idempotency-Key.
 func TestLostResponseIsNotRetried(t *testing.T) {
-	withService(t, func(t *testing.T, d fixture) {
+	withService(t, func(t *testing.T, fx fixture) {
 		for i := range 3 {
-			d.sim.LoseResponses(1)
+			fx.sim.LoseResponses(1)
 			key := fmt.Sprint(i)
-			_, err := d.client.Do(t.Context(), "desk", order(key))
+			_, err := fx.client.Do(t.Context(), "desk", newCall(key))
 			must.ErrorIs(t, err, plain.ErrNoResponse)
-			must.Eq(t, 1, d.sim.Runs(key))
+			must.Eq(t, 1, fx.sim.Runs(key))
 		}
 	})
 }
@@ -70,19 +70,19 @@
 // case if the request has no body or can be rewound and carries an Idempotency-Key; the client must
 // prevent that.
 func TestPooledConnectionIsNotRetried(t *testing.T) {
-	withService(t, func(t *testing.T, d fixture) {
-		transport := sent.NewTransportWith(d.net.Dial, false)
+	withService(t, func(t *testing.T, fx fixture) {
+		transport := sent.NewTransportWith(fx.net.Dial, false)
 		defer transport.CloseIdleConnections()
 		pooled := plain.NewClient(transport, 0)
 		for _, body := range []string{"", "40 sacks"} {
-			_, err := pooled.Do(t.Context(), "desk", order("warm"))
+			_, err := pooled.Do(t.Context(), "desk", newCall("warm"))
 			must.NoError(t, err)
-			d.sim.LoseResponses(1)
-			call := order("key" + body)
+			fx.sim.LoseResponses(1)
+			call := newCall("key" + body)
 			call.Body = []byte(body)
 			_, err = pooled.Do(t.Context(), "desk", call)
 			must.ErrorIs(t, err, plain.ErrNoResponse)
-			must.Eq(t, 1, d.sim.Runs("key"+body))
+			must.Eq(t, 1, fx.sim.Runs("key"+body))
 		}
 	})
 }
@@ -90,24 +90,24 @@
 // The service is down and its address refuses connections. Nothing was sent, so the client must return
 // ErrNotSent.
 func TestRefusedConnectionIsNotSent(t *testing.T) {
-	withService(t, func(t *testing.T, d fixture) {
-		d.net.Cut()
-		_, err := d.client.Do(t.Context(), "desk", order("k"))
+	withService(t, func(t *testing.T, fx fixture) {
+		fx.net.Cut()
+		_, err := fx.client.Do(t.Context(), "desk", newCall("k"))
 		must.ErrorIs(t, err, plain.ErrNotSent)
-		must.Eq(t, 0, d.sim.TotalRuns())
+		must.Eq(t, 0, fx.sim.TotalRuns())
 	})
 }
 
 // The caller times out while the service holds the call. Bytes were written, so the call may have run
 // and the client must return ErrNoResponse.
 func TestTimeoutIsNoResponse(t *testing.T) {
-	withService(t, func(t *testing.T, d fixture) {
-		d.sim.SetSilent(true)
+	withService(t, func(t *testing.T, fx fixture) {
+		fx.sim.SetSilent(true)
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		_, err := d.client.Do(ctx, "desk", order("k"))
+		_, err := fx.client.Do(ctx, "desk", newCall("k"))
 		must.ErrorIs(t, err, plain.ErrNoResponse)
-		d.sim.SetSilent(false)
+		fx.sim.SetSilent(false)
 	})
 }
 
@@ -126,7 +126,7 @@
 		client := plain.NewClient(sent.NewTransportWith(slow, true), 0)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, err := client.Do(ctx, "desk", order("k"))
+		_, err := client.Do(ctx, "desk", newCall("k"))
 		must.ErrorIs(t, err, plain.ErrNotSent)
 		time.Sleep(time.Hour)
 		must.Eq(t, 0, orders.TotalRuns())
@@ -135,9 +135,9 @@
 
 // A response body above the limit is not read completely, so the client returns ErrNoResponse.
 func TestResponseOverLimit(t *testing.T) {
-	withService(t, func(t *testing.T, d fixture) {
-		small := plain.NewClient(sent.NewTransportWith(d.net.Dial, true), 100)
-		call := order("k")
+	withService(t, func(t *testing.T, fx fixture) {
+		small := plain.NewClient(sent.NewTransportWith(fx.net.Dial, true), 100)
+		call := newCall("k")
 		call.Body = []byte(strings.Repeat("x", 200))
 		_, err := small.Do(t.Context(), "desk", call)
 		must.ErrorIs(t, err, plain.ErrNoResponse)
--- a/external/standin/tokencheck/tokencheck.go
+++ b/external/standin/tokencheck/tokencheck.go
@@ -97,7 +97,7 @@
 		return err
 	}
 	if n != want {
-		return errors.Wrapf(ErrMissing, "answer ends after %d of %d tokens", n, want)
+		return errors.Wrapf(ErrMissing, "text ends after %d of %d tokens", n, want)
 	}
 	return nil
 }
--- a/external/store/confirmed.go
+++ b/external/store/confirmed.go
@@ -9,9 +9,9 @@
 
 // Confirmed wraps a Store so that Next of its watches returns at least once per Interval. If there is
 // no event within Interval, the watch reads Key with a linearizable read. If the watch has already
-// delivered the last change of Key, Next returns an empty batch, which confirms that Key is unchanged.
-// Otherwise it returns ErrBehind. If Key does not exist, the batch is empty too. Without the read, a watch on a stalled connection could not be told
-// from one without changes.
+// delivered the last change of Key, or if Key does not exist, Next returns an empty batch, which
+// confirms that Key is unchanged. Otherwise it returns ErrBehind. Without the read, a watch on a
+// stalled connection could not be distinguished from a watch without changes.
 type Confirmed struct {
 	Store
 	Key      string
@@ -19,7 +19,7 @@
 }
 
 // ErrBehind means that a watch has not delivered a change that a read has returned.
-var ErrBehind = errors.New("store: the watch is behind")
+var ErrBehind = errors.New("store: watch is behind")
 
 // Watch implements Store.
 func (c Confirmed) Watch(ctx context.Context, prefix string, from int64) (Watcher, error) {
--- a/external/store/etcd.go
+++ b/external/store/etcd.go
@@ -246,10 +246,10 @@
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		c.calls.CloseIdleConnections()
-		return errors.Wrapf(ErrUnknown, "read answer: %v", err)
+		return errors.Wrapf(ErrUnknown, "read response: %v", err)
 	}
 	if err := json.NewDecoder(bytes.NewReader(raw)).Decode(out); err != nil {
-		return errors.Wrapf(ErrUnknown, "decode answer: %v", err)
+		return errors.Wrapf(ErrUnknown, "decode response: %v", err)
 	}
 	return nil
 }
@@ -259,7 +259,7 @@
 func (c *EtcdClient) post(ctx context.Context, hc *http.Client, url string, in any) (*http.Response, error) {
 	body, err := json.Marshal(in)
 	if err != nil {
-		return nil, errors.Wrap(err, "encode")
+		return nil, errors.Wrap(err, "encode request")
 	}
 	ctx, probe := sent.WithProbe(ctx)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, nil)
@@ -303,7 +303,7 @@
 	case EtcdCompacted:
 		return errors.Wrap(ErrCompacted, e.Message)
 	}
-	return errors.Wrapf(ErrUnknown, "answer %s: %s", status, e.Message)
+	return errors.Wrapf(ErrUnknown, "status %s: %s", status, e.Message)
 }
 
 func (kv EtcdKV) toKV() KV {
--- a/external/store/etcdwatch.go
+++ b/external/store/etcdwatch.go
@@ -121,11 +121,11 @@
 	case err == io.EOF:
 		return watchMessage{err: errors.Wrap(ErrUnavailable, "watch ended")}
 	case err != nil:
-		return watchMessage{err: errors.Wrapf(ErrUnavailable, "watch: %v", err)}
+		return watchMessage{err: errors.Wrapf(ErrUnavailable, "read watch message: %v", err)}
 	case s.Error != nil:
 		return watchMessage{err: s.Error.toError("in the stream")}
 	case s.Result == nil:
-		return watchMessage{err: errors.Wrap(ErrUnavailable, "empty message")}
+		return watchMessage{err: errors.Wrap(ErrUnavailable, "empty watch message")}
 	case s.Result.CompactRevision > 0:
 		return watchMessage{err: errors.Wrapf(ErrCompacted, "up to %d", s.Result.CompactRevision)}
 	case s.Result.Canceled:
--- a/external/store/faulty.go
+++ b/external/store/faulty.go
@@ -95,7 +95,7 @@
 	f.dropNextWrite = true
 }
 
-func (f *Faulty) takeDroppedWrite() error {
+func (f *Faulty) droppedWriteError() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.dropNextWrite {
@@ -175,7 +175,7 @@
 		return err
 	}
 	f.loseNextResponse = false
-	return errors.Wrap(ErrUnknown, "answer lost")
+	return errors.Wrap(ErrUnknown, "response lost")
 }
 
 // Get implements Store.
@@ -208,7 +208,7 @@
 	if err := f.admitWrite(ctx, &f.counts.CompareAndSwap); err != nil {
 		return 0, err
 	}
-	if err := f.takeDroppedWrite(); err != nil {
+	if err := f.droppedWriteError(); err != nil {
 		return 0, err
 	}
 	v, err := f.inner.CompareAndSwap(ctx, key, version, value, lease)
@@ -223,7 +223,7 @@
 	if err := f.admitWrite(ctx, &f.counts.Delete); err != nil {
 		return err
 	}
-	if err := f.takeDroppedWrite(); err != nil {
+	if err := f.droppedWriteError(); err != nil {
 		return err
 	}
 	return f.loseResponse(f.inner.Delete(ctx, key, version))
@@ -272,7 +272,7 @@
 	Watcher
 	faulty *Faulty
 	outage chan struct{}
-	once   sync.Once
+	closeOnce   sync.Once
 }
 
 // Next implements Watcher. It fails when an outage starts.
@@ -297,7 +297,7 @@
 
 // Close implements Watcher.
 func (w *faultyWatcher) Close() error {
-	w.once.Do(func() {
+	w.closeOnce.Do(func() {
 		w.faulty.mu.Lock()
 		defer w.faulty.mu.Unlock()
 		w.faulty.counts.Waiting--
--- a/external/vmlist/client.go
+++ b/external/vmlist/client.go
@@ -54,10 +54,10 @@
 		return nil, err
 	}
 	c.mu.Lock()
-	tag, last := c.etag, c.last
+	etag, last := c.etag, c.last
 	c.mu.Unlock()
-	if tag != "" {
-		req.Header.Set("If-None-Match", tag)
+	if etag != "" {
+		req.Header.Set("If-None-Match", etag)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -65,10 +65,10 @@
 	}
 	defer resp.Body.Close()
 	switch {
-	case resp.StatusCode == http.StatusNotModified && tag != "":
+	case resp.StatusCode == http.StatusNotModified && etag != "":
 		return last, nil
 	case resp.StatusCode != http.StatusOK:
-		return nil, errors.Errorf("answer %s", resp.Status)
+		return nil, errors.Errorf("unexpected status %s", resp.Status)
 	}
 	var list []VM
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxListBytes)).Decode(&list); err != nil {
--- a/external/weights/client.go
+++ b/external/weights/client.go
@@ -49,7 +49,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return s, errors.Errorf("answer %s", resp.Status)
+		return s, errors.Errorf("unexpected status %s", resp.Status)
 	}
 	return s, json.NewDecoder(resp.Body).Decode(&s)
 }
