--- a/external/engine/stream.go
+++ b/external/engine/stream.go
@@ -26,12 +26,12 @@
 // stream reads the events of one connection in its own goroutine, so that Next can return when its
 // context ends while the connection remains usable.
 type stream struct {
-	body    io.ReadCloser
-	cancel  context.CancelFunc
-	results chan result
-	closed  chan struct{}
-	closeOnce    sync.Once
-	lastErr error // returned by every later Next; used only by Next
+	body      io.ReadCloser
+	cancel    context.CancelFunc
+	results   chan result
+	closed    chan struct{}
+	closeOnce sync.Once
+	lastErr   error // returned by every later Next; used only by Next
 }
 
 func newStream(body io.ReadCloser, cancel context.CancelFunc, attempt uint64, from int) *stream {
--- a/external/standin/faultnet/faultnet.go
+++ b/external/standin/faultnet/faultnet.go
@@ -20,10 +20,10 @@
 // Listener accepts connections that it can reset, stall or silence. Over TCP it also closes its port
 // while cut, so that clients get connection refused.
 type Listener struct {
-	address net.Addr
-	accept  chan net.Conn
-	closed  chan struct{}
-	closeOnce    sync.Once
+	address   net.Addr
+	accept    chan net.Conn
+	closed    chan struct{}
+	closeOnce sync.Once
 
 	mu    sync.Mutex
 	tcp   net.Listener // nil for Pipe and while cut
@@ -205,9 +205,9 @@
 // conn is the server side of one connection.
 type conn struct {
 	net.Conn
-	owner      *Listener
-	silent     chan struct{} // closed by Silence
-	closed     chan struct{}
+	owner       *Listener
+	silent      chan struct{} // closed by Silence
+	closed      chan struct{}
 	silenceOnce sync.Once
 	closeOnce   sync.Once
 }
--- a/external/store/faulty.go
+++ b/external/store/faulty.go
@@ -270,9 +270,9 @@
 
 type faultyWatcher struct {
 	Watcher
-	faulty *Faulty
-	outage chan struct{}
-	closeOnce   sync.Once
+	faulty    *Faulty
+	outage    chan struct{}
+	closeOnce sync.Once
 }
 
 // Next implements Watcher. It fails when an outage starts.
