--- a/external/engine/stream.go
+++ b/external/engine/stream.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// maxEvent bounds one event, in bytes; an engine sends a few tokens at a time.
-	maxEvent = 256 << 10
-	// readAhead is how many chunks are read before Next takes them. When it is
-	// full the connection fills and the engine feels the slow reader.
-	readAhead = 16
+	// maxEventBytes bounds one event. An engine sends a few tokens per event.
+	maxEventBytes = 256 << 10
+	// readAheadChunks is the number of chunks buffered for Next. When the buffer is full, the stream
+	// stops reading from the connection, which puts backpressure on the engine.
+	readAheadChunks = 16
 )
 
 type result struct {
@@ -23,21 +23,21 @@
 	err   error
 }
 
-// stream reads the events of one connection in its own goroutine, so that Next
-// can give up on its context while the connection stays good.
+// stream reads the events of one connection in its own goroutine, so that Next can return when its
+// context ends while the connection remains usable.
 type stream struct {
-	body    io.ReadCloser
-	end     context.CancelFunc
-	results chan result
-	closed  chan struct{}
-	once    sync.Once
-	last    error // sticky; only Next uses it
+	body      io.ReadCloser
+	cancel    context.CancelFunc
+	results   chan result
+	closed    chan struct{}
+	closeOnce sync.Once
+	lastErr   error // returned by every later Next; used only by Next
 }
 
-func newStream(body io.ReadCloser, end context.CancelFunc, attempt uint64, from int) *stream {
+func newStream(body io.ReadCloser, cancel context.CancelFunc, attempt uint64, from int) *stream {
 	s := &stream{
-		body: body, end: end,
-		results: make(chan result, readAhead),
+		body: body, cancel: cancel,
+		results: make(chan result, readAheadChunks),
 		closed:  make(chan struct{}),
 	}
 	go s.read(attempt, from)
@@ -46,19 +46,19 @@
 
 // Next implements Stream.
 func (s *stream) Next(ctx context.Context) (Chunk, error) {
-	if s.last != nil {
-		return Chunk{}, s.last
+	if s.lastErr != nil {
+		return Chunk{}, s.lastErr
 	}
 	select {
 	case r := <-s.results:
-		s.last = r.err
+		s.lastErr = r.err
 		if r.chunk.Finish != "" {
-			s.last = io.EOF
+			s.lastErr = io.EOF
 		}
 		return r.chunk, r.err
 	case <-s.closed:
-		s.last = errors.Wrap(ErrBroken, "stream closed")
-		return Chunk{}, s.last
+		s.lastErr = errors.Wrap(ErrBroken, "stream closed")
+		return Chunk{}, s.lastErr
 	case <-ctx.Done():
 		return Chunk{}, ctx.Err()
 	}
@@ -66,25 +66,25 @@
 
 // Close implements Stream.
 func (s *stream) Close() error {
-	s.once.Do(func() {
+	s.closeOnce.Do(func() {
 		close(s.closed)
-		s.end()
+		s.cancel()
 	})
 	return nil
 }
 
 func (s *stream) read(attempt uint64, from int) {
-	defer s.end()
+	defer s.cancel()
 	defer s.body.Close()
 	err := readEvents(s.body, attempt, from, func(c Chunk) bool {
-		return s.put(result{chunk: c})
+		return s.deliver(result{chunk: c})
 	})
 	if err != nil {
-		s.put(result{err: err})
+		s.deliver(result{err: err})
 	}
 }
 
-func (s *stream) put(r result) bool {
+func (s *stream) deliver(r result) bool {
 	select {
 	case s.results <- r:
 		return true
@@ -93,13 +93,13 @@
 	}
 }
 
-// readEvents parses a stream and yields its chunks up to the one with Finish
-// set, after which it returns nil. Everything else is ErrBroken: the end of the
-// connection alone never ends an answer, and a chunk that is not the next of
-// its attempt is not passed on.
+// readEvents parses a stream and yields its chunks up to the one with Finish set or until yield
+// returns false, and then returns nil. Any other end is ErrBroken: the end of the connection alone
+// does not complete a generation, and a chunk of another attempt or at an unexpected offset is not
+// yielded.
 func readEvents(r io.Reader, attempt uint64, from int, yield func(Chunk) bool) error {
 	next := from
-	for e, err := range sse.Read(r, &sse.ReadConfig{MaxEventSize: maxEvent}) {
+	for e, err := range sse.Read(r, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
 			return errors.Wrapf(ErrBroken, "read: %v", err)
 		}
@@ -118,13 +118,13 @@
 			return nil
 		}
 	}
-	return errors.Wrap(ErrBroken, "connection ended before the answer")
+	return errors.Wrap(ErrBroken, "connection ended without a finish reason")
 }
 
 func parseEvent(data string, attempt uint64) (Chunk, error) {
 	var e CompletionEvent
 	if err := json.Unmarshal([]byte(data), &e); err != nil {
-		return Chunk{}, errors.Wrapf(ErrBroken, "event: %v", err)
+		return Chunk{}, errors.Wrapf(ErrBroken, "decode event: %v", err)
 	}
 	if e.Attempt != attempt {
 		return Chunk{}, errors.Wrapf(ErrBroken, "event of attempt %d in the stream of attempt %d", e.Attempt, attempt)
--- a/external/standin/plainsim/bench_test.go
+++ b/external/standin/plainsim/bench_test.go
@@ -10,8 +10,8 @@
 	"mallowwind.dev/external/standin/plainsim"
 )
 
-// BenchmarkCall compares a fresh connection for each call, as in use, with
-// pooled ones.
+// BenchmarkCall compares a new connection for each call, as plain.NewClient uses by default, with
+// pooled connections.
 func BenchmarkCall(b *testing.B) {
 	server := httptest.NewServer(plainsim.New("orders", 0))
 	defer server.Close()
@@ -23,7 +23,7 @@
 			client := plain.NewClient(transport, 0)
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := client.Do(b.Context(), address, order("k")); err != nil {
+				if _, err := client.Do(b.Context(), address, newCall("k")); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/external/standin/plainsim/plainsim_test.go
+++ b/external/standin/plainsim/plainsim_test.go
@@ -18,100 +18,101 @@
 	"mallowwind.dev/external/standin/plainsim"
 )
 
-type desk struct {
+type fixture struct {
 	sim    *plainsim.Sim
 	net    *faultnet.Listener
 	client *plain.Client
 }
 
-// withDesk runs f against an order desk that takes a second for each order.
-func withDesk(t *testing.T, f func(t *testing.T, d desk)) {
+// withService runs f with a plain service that takes one second per call, and a client of it.
+func withService(t *testing.T, f func(t *testing.T, fx fixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		d := desk{sim: plainsim.New("orders", time.Second), net: faultnet.Pipe()}
-		d.client = plain.NewClient(sent.NewTransportWith(d.net.Dial, true), 0)
-		server := &http.Server{Handler: d.sim}
-		go server.Serve(d.net)
+		fx := fixture{sim: plainsim.New("orders", time.Second), net: faultnet.Pipe()}
+		fx.client = plain.NewClient(sent.NewTransportWith(fx.net.Dial, true), 0)
+		server := &http.Server{Handler: fx.sim}
+		go server.Serve(fx.net)
 		defer server.Close()
-		f(t, d)
+		f(t, fx)
 	})
 }
 
-func order(key string) plain.Call {
+func newCall(key string) plain.Call {
 	header := http.Header{plainsim.IdempotencyKeyHeader: {key}}
 	return plain.Call{Method: http.MethodPost, Path: "/confirm?order=7", Header: header, Body: []byte("40 sacks")}
 }
 
-func TestCallRunsOnceAndAnswersWhole(t *testing.T) {
-	withDesk(t, func(t *testing.T, d desk) {
-		a, err := d.client.Do(t.Context(), "desk", order("k"))
+func TestCallRunsOnceAndReturnsResponse(t *testing.T) {
+	withService(t, func(t *testing.T, fx fixture) {
+		a, err := fx.client.Do(t.Context(), "desk", newCall("k"))
 		must.NoError(t, err)
 		must.Eq(t, http.StatusOK, a.Status)
 		must.StrContains(t, string(a.Body), `"run":1,"method":"POST","path":"/confirm?order=7","body":"40 sacks"`)
-		must.Eq(t, 1, d.sim.Runs("k"))
+		must.Eq(t, 1, fx.sim.Runs("k"))
 	})
 }
 
-// The desk confirms an order and its answer is lost with the connection. The
-// caller is told that there was no answer, and the order has run exactly once:
-// the transport must not send a call with an Idempotency-Key again by itself.
-func TestAnswerLostAfterRunning(t *testing.T) {
-	withDesk(t, func(t *testing.T, d desk) {
+// The service runs a call and the connection closes before the response. The client must return
+// ErrNoResponse, and the call must have run exactly once: the transport must not retry a call because
+// it carries an Idempotency-Key.
+func TestLostResponseIsNotRetried(t *testing.T) {
+	withService(t, func(t *testing.T, fx fixture) {
 		for i := range 3 {
-			d.sim.LoseResponses(1)
+			fx.sim.LoseResponses(1)
 			key := fmt.Sprint(i)
-			_, err := d.client.Do(t.Context(), "desk", order(key))
+			_, err := fx.client.Do(t.Context(), "desk", newCall(key))
 			must.ErrorIs(t, err, plain.ErrNoResponse)
-			must.Eq(t, 1, d.sim.Runs(key))
+			must.Eq(t, 1, fx.sim.Runs(key))
 		}
 	})
 }
 
-// The same over a pooled connection that worked before, where the transport
-// is keenest to repeat: no body, and a key that it reads as leave to do so.
+// A pooled connection that worked before closes after the call has run. http.Transport retries in this
+// case if the request has no body or can be rewound and carries an Idempotency-Key; the client must
+// prevent that.
 func TestPooledConnectionIsNotRetried(t *testing.T) {
-	withDesk(t, func(t *testing.T, d desk) {
-		transport := sent.NewTransportWith(d.net.Dial, false)
+	withService(t, func(t *testing.T, fx fixture) {
+		transport := sent.NewTransportWith(fx.net.Dial, false)
 		defer transport.CloseIdleConnections()
 		pooled := plain.NewClient(transport, 0)
 		for _, body := range []string{"", "40 sacks"} {
-			_, err := pooled.Do(t.Context(), "desk", order("warm"))
+			_, err := pooled.Do(t.Context(), "desk", newCall("warm"))
 			must.NoError(t, err)
-			d.sim.LoseResponses(1)
-			call := order("key" + body)
+			fx.sim.LoseResponses(1)
+			call := newCall("key" + body)
 			call.Body = []byte(body)
 			_, err = pooled.Do(t.Context(), "desk", call)
 			must.ErrorIs(t, err, plain.ErrNoResponse)
-			must.Eq(t, 1, d.sim.Runs("key"+body))
+			must.Eq(t, 1, fx.sim.Runs("key"+body))
 		}
 	})
 }
 
-// The desk is gone and its address refuses connections: nothing was sent, and
-// only then does the error say so.
+// The service is down and its address refuses connections. Nothing was sent, so the client must return
+// ErrNotSent.
 func TestRefusedConnectionIsNotSent(t *testing.T) {
-	withDesk(t, func(t *testing.T, d desk) {
-		d.net.Cut()
-		_, err := d.client.Do(t.Context(), "desk", order("k"))
+	withService(t, func(t *testing.T, fx fixture) {
+		fx.net.Cut()
+		_, err := fx.client.Do(t.Context(), "desk", newCall("k"))
 		must.ErrorIs(t, err, plain.ErrNotSent)
-		must.Eq(t, 0, d.sim.TotalRuns())
+		must.Eq(t, 0, fx.sim.TotalRuns())
 	})
 }
 
-// The caller gives up while the desk works: bytes were written, so the call
-// may have run, whatever the desk did with it.
-func TestTimeoutIsNoAnswer(t *testing.T) {
-	withDesk(t, func(t *testing.T, d desk) {
-		d.sim.SetSilent(true)
+// The caller times out while the service holds the call. Bytes were written, so the call may have run
+// and the client must return ErrNoResponse.
+func TestTimeoutIsNoResponse(t *testing.T) {
+	withService(t, func(t *testing.T, fx fixture) {
+		fx.sim.SetSilent(true)
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		_, err := d.client.Do(ctx, "desk", order("k"))
+		_, err := fx.client.Do(ctx, "desk", newCall("k"))
 		must.ErrorIs(t, err, plain.ErrNoResponse)
-		d.sim.SetSilent(false)
+		fx.sim.SetSilent(false)
 	})
 }
 
-// A deadline passes before the connection is there. Nothing was written then,
-// and nothing may be written later.
+// The deadline passes before the connection is established. The client returns ErrNotSent, and nothing
+// may be written later when the connection is ready.
 func TestTimeoutBeforeConnectingIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, orders := faultnet.Pipe(), plainsim.New("orders", 0)
@@ -125,18 +126,18 @@
 		client := plain.NewClient(sent.NewTransportWith(slow, true), 0)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, err := client.Do(ctx, "desk", order("k"))
+		_, err := client.Do(ctx, "desk", newCall("k"))
 		must.ErrorIs(t, err, plain.ErrNotSent)
 		time.Sleep(time.Hour)
 		must.Eq(t, 0, orders.TotalRuns())
 	})
 }
 
-// An answer larger than the limit is not whole, so it is none.
-func TestAnswerOverTheLimit(t *testing.T) {
-	withDesk(t, func(t *testing.T, d desk) {
-		small := plain.NewClient(sent.NewTransportWith(d.net.Dial, true), 100)
-		call := order("k")
+// A response body above the limit is not read completely, so the client returns ErrNoResponse.
+func TestResponseOverLimit(t *testing.T) {
+	withService(t, func(t *testing.T, fx fixture) {
+		small := plain.NewClient(sent.NewTransportWith(fx.net.Dial, true), 100)
+		call := newCall("k")
 		call.Body = []byte(strings.Repeat("x", 200))
 		_, err := small.Do(t.Context(), "desk", call)
 		must.ErrorIs(t, err, plain.ErrNoResponse)
--- a/external/standin/storesim/confirming.go
+++ b/external/standin/storesim/boundedwatch.go
@@ -9,10 +9,9 @@
 	"mallowwind.dev/external/store"
 )
 
-// BoundedWatch stands in for a service that holds a watch for a bounded time: a
-// watch that has nothing to tell returns an empty batch after Hold. The inner
-// store must deliver each change at once, as store.Memory does, so that an
-// empty batch proves that nothing changed.
+// BoundedWatch wraps a Store so that its watches return an empty batch after MaxWait without events.
+// The inner store must deliver each change immediately, as store.Memory does, so that an empty batch
+// proves that nothing has changed.
 type BoundedWatch struct {
 	store.Store
 	MaxWait time.Duration
@@ -24,17 +23,17 @@
 	if err != nil {
 		return nil, err
 	}
-	return confirmingWatch{Watcher: w, hold: c.MaxWait}, nil
+	return boundedWatcher{Watcher: w, maxWait: c.MaxWait}, nil
 }
 
-type confirmingWatch struct {
+type boundedWatcher struct {
 	store.Watcher
-	hold time.Duration
+	maxWait time.Duration
 }
 
 // Next implements store.Watcher.
-func (w confirmingWatch) Next(ctx context.Context) ([]store.Event, error) {
-	limited, cancel := context.WithTimeout(ctx, w.hold)
+func (w boundedWatcher) Next(ctx context.Context) ([]store.Event, error) {
+	limited, cancel := context.WithTimeout(ctx, w.maxWait)
 	defer cancel()
 	events, err := w.Watcher.Next(limited)
 	if ctx.Err() == nil && errors.Is(err, context.DeadlineExceeded) {
--- a/external/store/confirmed.go
+++ b/external/store/confirmed.go
@@ -7,18 +7,19 @@
 	"github.com/pkg/errors"
 )
 
-// Confirmed makes watches of a Store return at least once in each Hold. A watch
-// that has nothing to tell then reads Key, whose answer is linearizable: if the
-// watch has delivered its last change, an empty batch says that Key is as it was
-// last seen. Otherwise the watch is behind and ends.
+// Confirmed wraps a Store so that Next of its watches returns at least once per Interval. If there is
+// no event within Interval, the watch reads Key with a linearizable read. If the watch has already
+// delivered the last change of Key, or if Key does not exist, Next returns an empty batch, which
+// confirms that Key is unchanged. Otherwise it returns ErrBehind. Without the read, a watch on a
+// stalled connection could not be distinguished from a watch without changes.
 type Confirmed struct {
 	Store
 	Key      string
 	Interval time.Duration
 }
 
-// ErrBehind means that a watch has not delivered a change that a read shows.
-var ErrBehind = errors.New("store: the watch is behind")
+// ErrBehind means that a watch has not delivered a change that a read has returned.
+var ErrBehind = errors.New("store: watch is behind")
 
 // Watch implements Store.
 func (c Confirmed) Watch(ctx context.Context, prefix string, from int64) (Watcher, error) {
@@ -26,35 +27,35 @@
 	if err != nil {
 		return nil, err
 	}
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	w := &confirmedWatcher{inner: inner, from: c, seen: from, batches: make(chan batch), end: end}
-	go w.read(life)
+	watchCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	w := &confirmedWatcher{inner: inner, store: c, lastRevision: from, batches: make(chan watchBatch), cancel: cancel}
+	go w.read(watchCtx)
 	return w, nil
 }
 
-// batch is what the inner watch gave.
-type batch struct {
+// watchBatch is one result of the inner watch.
+type watchBatch struct {
 	events   []Event
 	revision int64
 	err      error
 }
 
 type confirmedWatcher struct {
-	inner   Watcher
-	from    Confirmed
-	seen    int64
-	batches chan batch
-	end     context.CancelFunc
+	inner        Watcher
+	store        Confirmed
+	lastRevision int64
+	batches      chan watchBatch
+	cancel       context.CancelFunc
 }
 
-// read follows the inner watch until it fails or life ends.
-func (w *confirmedWatcher) read(life context.Context) {
+// read forwards the batches of the inner watch until it fails or watchCtx ends.
+func (w *confirmedWatcher) read(watchCtx context.Context) {
 	for {
-		events, err := w.inner.Next(life)
-		b := batch{events: events, revision: w.inner.Revision(), err: err}
+		events, err := w.inner.Next(watchCtx)
+		b := watchBatch{events: events, revision: w.inner.Revision(), err: err}
 		select {
 		case w.batches <- b:
-		case <-life.Done():
+		case <-watchCtx.Done():
 			return
 		}
 		if err != nil {
@@ -65,13 +66,13 @@
 
 // Next implements Watcher.
 func (w *confirmedWatcher) Next(ctx context.Context) ([]Event, error) {
-	hold := time.NewTimer(w.from.Interval)
-	defer hold.Stop()
+	interval := time.NewTimer(w.store.Interval)
+	defer interval.Stop()
 	select {
 	case b := <-w.batches:
-		w.seen = max(w.seen, b.revision)
+		w.lastRevision = max(w.lastRevision, b.revision)
 		return b.events, b.err
-	case <-hold.C:
+	case <-interval.C:
 		return nil, w.confirm(ctx)
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -79,23 +80,23 @@
 }
 
 func (w *confirmedWatcher) confirm(ctx context.Context) error {
-	kv, err := w.from.Get(ctx, w.from.Key)
+	kv, err := w.store.Get(ctx, w.store.Key)
 	switch {
 	case errors.Is(err, ErrNotFound):
 		return nil
 	case err != nil:
 		return err
-	case kv.Version > w.seen:
-		return errors.Wrapf(ErrBehind, "%s is at %d, the watch at %d", w.from.Key, kv.Version, w.seen)
+	case kv.Version > w.lastRevision:
+		return errors.Wrapf(ErrBehind, "%s is at %d, the watch at %d", w.store.Key, kv.Version, w.lastRevision)
 	}
 	return nil
 }
 
 // Revision implements Watcher.
-func (w *confirmedWatcher) Revision() int64 { return w.seen }
+func (w *confirmedWatcher) Revision() int64 { return w.lastRevision }
 
 // Close implements Watcher.
 func (w *confirmedWatcher) Close() error {
-	w.end()
+	w.cancel()
 	return w.inner.Close()
 }
--- a/external/store/etcdwatch.go
+++ b/external/store/etcdwatch.go
@@ -11,53 +11,52 @@
 	"github.com/pkg/errors"
 )
 
-// defaultWatchIdle is how long a watch may say nothing before it is opened
-// anew. A connection may go silent for good while new ones work, and a watch
-// on one would wait for ever; a fresh watch starts after the last revision
-// seen, so nothing is lost. At a minute, 390 daemons cost the service 6.5
-// calls a second.
-const defaultWatchIdle = time.Minute
-
-// etcdWatcher reads one watch connection at a time, in a goroutine, and goes
-// on with another after the last revision it saw when one breaks or is idle.
+// defaultWatchIdleTimeout is the time without a message after which a watch is reopened. A connection
+// can stall permanently while new connections work, and a watch on it would wait forever. The new
+// watch starts after the last revision seen, so no event is lost. With one minute, 390 daemons cause
+// 6.5 calls per second on the service.
+const defaultWatchIdleTimeout = time.Minute
+
+// etcdWatcher reads from one watch connection at a time. When the connection breaks or is idle for too
+// long, it opens another that starts after the last revision seen.
 type etcdWatcher struct {
-	client *EtcdClient
-	prefix string
-	seen   int64
-	ctx    context.Context // ends with Close
-	end    context.CancelFunc
-	conn   *watchConn
+	client       *EtcdClient
+	prefix       string
+	lastRevision int64
+	ctx          context.Context // canceled by Close
+	cancel       context.CancelFunc
+	conn         *watchConn
 }
 
-// watchConn is one open connection.
+// watchConn is one open watch connection.
 type watchConn struct {
 	messages chan watchMessage
-	end      context.CancelFunc
+	cancel   context.CancelFunc
 }
 
 type watchMessage struct {
-	answer EtcdWatchResponse
-	err    error
+	response EtcdWatchResponse
+	err      error
 }
 
-// Watch implements Store. It returns when the service has confirmed the watch.
+// Watch implements Store. It returns once the service has confirmed the watch.
 func (c *EtcdClient) Watch(ctx context.Context, prefix string, from int64) (Watcher, error) {
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	w := &etcdWatcher{client: c, prefix: prefix, seen: from, ctx: life, end: end}
+	connCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	w := &etcdWatcher{client: c, prefix: prefix, lastRevision: from, ctx: connCtx, cancel: cancel}
 	if err := w.open(ctx); err != nil {
-		end()
+		cancel()
 		return nil, err
 	}
 	return w, nil
 }
 
-// open tries the endpoints in turn for a watch after the last revision seen.
+// open tries the endpoints in turn and opens a watch that starts after the last revision seen.
 func (w *etcdWatcher) open(ctx context.Context) error {
-	return w.client.each(ctx, func(endpoint string, last bool) (bool, error) {
+	return w.client.tryEndpoints(ctx, func(endpoint string, last bool) (bool, error) {
 		ctx, cancel := readContext(ctx, last)
 		defer cancel()
 		conn, err := w.connect(ctx, endpoint)
-		if errors.Is(err, ErrUnknown) { // a watch has no effect to be unsure of
+		if errors.Is(err, ErrUnknown) { // a watch has no effect, so its outcome cannot be unknown
 			err = errors.Wrapf(ErrUnavailable, "%v", err)
 		}
 		if err == nil {
@@ -68,33 +67,33 @@
 }
 
 func (w *etcdWatcher) connect(ctx context.Context, endpoint string) (*watchConn, error) {
-	life, end := context.WithCancel(w.ctx)
-	unlink := context.AfterFunc(ctx, end)
+	connCtx, cancel := context.WithCancel(w.ctx)
+	stop := context.AfterFunc(ctx, cancel)
 	r := prefixRange(w.prefix)
-	create := EtcdWatchCreate{Key: r.Key, RangeEnd: r.RangeEnd, StartRevision: w.seen + 1}
-	resp, err := w.client.post(life, w.client.streams, endpoint+PathWatch, EtcdWatch{Create: create})
+	create := EtcdWatchCreate{Key: r.Key, RangeEnd: r.RangeEnd, StartRevision: w.lastRevision + 1}
+	resp, err := w.client.post(connCtx, w.client.streams, endpoint+PathWatch, EtcdWatch{Create: create})
 	if err != nil {
-		unlink()
-		end()
+		stop()
+		cancel()
 		return nil, err
 	}
-	conn := &watchConn{messages: make(chan watchMessage), end: end}
-	go conn.read(life, resp)
+	conn := &watchConn{messages: make(chan watchMessage), cancel: cancel}
+	go conn.read(connCtx, resp)
 	select {
 	case m := <-conn.messages:
-		if unlink() && m.err == nil && m.answer.Created {
+		if stop() && m.err == nil && m.response.Created {
 			return conn, nil
 		}
-		end()
-		if m.err == nil && !m.answer.Created {
+		cancel()
+		if m.err == nil && !m.response.Created {
 			m.err = errors.Wrap(ErrUnknown, "watch was not confirmed")
 		}
 		if m.err == nil {
 			m.err = errors.Wrapf(ErrUnavailable, "%v", ctx.Err())
 		}
 		return nil, m.err
-	case <-life.Done():
-		end()
+	case <-connCtx.Done():
+		cancel()
 		return nil, errors.Wrapf(ErrUnavailable, "%v", ctx.Err())
 	}
 }
@@ -103,7 +102,7 @@
 	defer resp.Body.Close()
 	d := json.NewDecoder(resp.Body)
 	for {
-		m := decodeWatch(d)
+		m := decodeWatchMessage(d)
 		select {
 		case c.messages <- m:
 		case <-ctx.Done():
@@ -115,32 +114,32 @@
 	}
 }
 
-func decodeWatch(d *json.Decoder) watchMessage {
+func decodeWatchMessage(d *json.Decoder) watchMessage {
 	var s EtcdStreamMessage[EtcdWatchResponse]
 	err := d.Decode(&s)
 	switch {
 	case err == io.EOF:
 		return watchMessage{err: errors.Wrap(ErrUnavailable, "watch ended")}
 	case err != nil:
-		return watchMessage{err: errors.Wrapf(ErrUnavailable, "watch: %v", err)}
+		return watchMessage{err: errors.Wrapf(ErrUnavailable, "read watch message: %v", err)}
 	case s.Error != nil:
-		return watchMessage{err: s.Error.fact("in the stream")}
+		return watchMessage{err: s.Error.toError("in the stream")}
 	case s.Result == nil:
-		return watchMessage{err: errors.Wrap(ErrUnavailable, "empty message")}
+		return watchMessage{err: errors.Wrap(ErrUnavailable, "empty watch message")}
 	case s.Result.CompactRevision > 0:
 		return watchMessage{err: errors.Wrapf(ErrCompacted, "up to %d", s.Result.CompactRevision)}
 	case s.Result.Canceled:
 		return watchMessage{err: errors.Wrap(ErrUnavailable, "watch cancelled")}
 	}
-	return watchMessage{answer: *s.Result}
+	return watchMessage{response: *s.Result}
 }
 
-// Next implements Watcher. A broken or idle connection is replaced once by
-// another; only when no endpoint gives one does the watcher end.
+// Next implements Watcher. It replaces a broken or idle connection and fails only if no endpoint
+// accepts a new one or the service reports another error.
 func (w *etcdWatcher) Next(ctx context.Context) ([]Event, error) {
 	for {
-		idle := time.NewTimer(jitter(w.client.watchIdle))
-		m, err := w.wait(ctx, idle.C)
+		idle := time.NewTimer(jitter(w.client.watchIdleTimeout))
+		m, err := w.nextMessage(ctx, idle.C)
 		idle.Stop()
 		if err != nil {
 			return nil, err
@@ -154,14 +153,14 @@
 		if m.err != nil {
 			return nil, m.err
 		}
-		if events := w.take(m.answer); len(events) > 0 {
+		if events := w.advance(m.response); len(events) > 0 {
 			return events, nil
 		}
 	}
 }
 
-// wait returns the next message, or nil when the connection was idle too long.
-func (w *etcdWatcher) wait(ctx context.Context, idle <-chan time.Time) (*watchMessage, error) {
+// nextMessage returns the next message, or nil if idle fires first.
+func (w *etcdWatcher) nextMessage(ctx context.Context, idle <-chan time.Time) (*watchMessage, error) {
 	select {
 	case m := <-w.conn.messages:
 		return &m, nil
@@ -175,44 +174,44 @@
 }
 
 func (w *etcdWatcher) reopen(ctx context.Context) error {
-	w.conn.end()
+	w.conn.cancel()
 	return w.open(ctx)
 }
 
-// take returns the events not seen yet. A revision may hold several events,
-// which the service sends in one message.
-func (w *etcdWatcher) take(a EtcdWatchResponse) []Event {
+// advance returns the events of r after the last revision seen and moves that revision forward. A
+// revision can contain several events, which the service sends in one message.
+func (w *etcdWatcher) advance(r EtcdWatchResponse) []Event {
 	var events []Event
-	last := w.seen
-	for _, e := range a.Events {
-		if e.KV.ModRevision <= w.seen {
+	last := w.lastRevision
+	for _, e := range r.Events {
+		if e.KV.ModRevision <= w.lastRevision {
 			continue
 		}
 		last = max(last, e.KV.ModRevision)
-		events = append(events, e.event())
+		events = append(events, e.toEvent())
 	}
-	w.seen = last
+	w.lastRevision = last
 	return events
 }
 
-func (e EtcdEvent) event() Event {
+func (e EtcdEvent) toEvent() Event {
 	if e.Type == EtcdDelete {
 		return Event{Kind: Deleted, KV: KV{Key: string(e.KV.Key), Version: e.KV.ModRevision}}
 	}
-	return Event{Kind: Put, KV: e.KV.kv()}
+	return Event{Kind: Put, KV: e.KV.toKV()}
 }
 
 // Revision implements Watcher.
-func (w *etcdWatcher) Revision() int64 { return w.seen }
+func (w *etcdWatcher) Revision() int64 { return w.lastRevision }
 
 // Close implements Watcher.
 func (w *etcdWatcher) Close() error {
-	w.end()
+	w.cancel()
 	return nil
 }
 
-// jitter spreads d by a quarter either way, so that watches opened together
-// after an outage do not stay in step.
+// jitter returns a random duration between 75% and 125% of d, so that watches that were opened
+// together after an outage are not reopened together.
 func jitter(d time.Duration) time.Duration {
 	return d*3/4 + rand.N(d/2)
 }
--- a/external/store/faulty.go
+++ b/external/store/faulty.go
@@ -9,44 +9,44 @@
 	"golang.org/x/time/rate"
 )
 
-// Counts are the calls a service has taken, by kind. A watch counts when it
-// opens, and is in Waiting until it closes.
+// Counts holds the number of calls that a service received, by kind. A watch is counted when it
+// opens, and is included in Waiting until it closes.
 type Counts struct {
 	Get, List, CompareAndSwap, Delete int64
 	ListStale                         int64
 	Grant, KeepAlive, Revoke          int64
 	Watch                             int64
-	Waiting                           int64 // watches open now
-	Refused                           int64 // over the rate or during an outage
+	Waiting                           int64 // watches currently open
+	Refused                           int64 // calls refused by a rate limit or an outage
 }
 
-// Reads is the number of calls that count against the rate of reads, which lists that
-// may be old do not.
+// Reads returns the number of calls subject to the read rate limit, which does not apply to
+// ListStale.
 func (c Counts) Reads() int64 { return c.Get + c.List + c.Watch }
 
-// Writes is the number of calls that count against the rate of writes.
+// Writes returns the number of calls subject to the write rate limit.
 func (c Counts) Writes() int64 {
 	return c.CompareAndSwap + c.Delete + c.Grant + c.KeepAlive + c.Revoke
 }
 
-// Faulty puts the faults and limits of the real service before another Store.
+// Faulty wraps a Store and adds the faults and rate limits of the real service.
 type Faulty struct {
 	inner Store
 
-	mu       sync.Mutex
-	down     bool
-	outage   chan struct{} // closed when an outage begins
-	delay    time.Duration
-	loseNext bool
-	dropNext bool
-	reads    *rate.Limiter
-	writes   *rate.Limiter
-	counts   Counts
+	mu               sync.Mutex
+	down             bool
+	outage           chan struct{} // closed when an outage starts
+	delay            time.Duration
+	loseNextResponse bool
+	dropNextWrite    bool
+	reads            *rate.Limiter
+	writes           *rate.Limiter
+	counts           Counts
 }
 
 var _ Store = (*Faulty)(nil)
 
-// NewFaulty returns a wrapper with no fault and no limit.
+// NewFaulty returns a wrapper of inner without faults and limits.
 func NewFaulty(inner Store) *Faulty {
 	return &Faulty{
 		inner:  inner,
@@ -56,8 +56,7 @@
 	}
 }
 
-// SetDown begins or ends an outage. Calls and waiting watches then fail with
-// ErrUnavailable.
+// SetDown starts or ends an outage. During an outage calls and open watches fail with ErrUnavailable.
 func (f *Faulty) SetDown(down bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -72,54 +71,53 @@
 	f.outage = make(chan struct{})
 }
 
-// SetDelay makes each call take this long. A call whose context ends before is
-// answered as the real service's client answers it: reads are ErrUnavailable,
-// writes ErrUnknown.
+// SetDelay delays each call by d. A call whose context ends earlier fails as with a client of the real
+// service: a read with ErrUnavailable, a write with ErrUnknown.
 func (f *Faulty) SetDelay(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.delay = d
 }
 
-// LoseNextWriteResponse loses the answer of the next write to a key that takes effect:
-// its caller gets ErrUnknown.
+// LoseNextWriteResponse loses the response to the next successful write to a key: the write takes
+// effect, and its caller gets ErrUnknown.
 func (f *Faulty) LoseNextWriteResponse() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.loseNext = true
+	f.loseNextResponse = true
 }
 
-// DropNextWrite loses the next write to a key on its way: its caller gets
-// ErrUnknown, as with LoseNextWrite, and nothing is written.
+// DropNextWrite loses the request of the next write to a key: nothing is written, and the caller gets
+// ErrUnknown as with LoseNextWriteResponse.
 func (f *Faulty) DropNextWrite() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.dropNext = true
+	f.dropNextWrite = true
 }
 
-func (f *Faulty) drop() error {
+func (f *Faulty) droppedWriteError() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.dropNext {
+	if !f.dropNextWrite {
 		return nil
 	}
-	f.dropNext = false
+	f.dropNextWrite = false
 	return errors.Wrap(ErrUnknown, "request lost")
 }
 
-// SetLimits refuses calls above these rates, each with a burst of one second.
-// Zero means no limit.
-func (f *Faulty) SetLimits(readsPerS, writesPerS int) {
+// SetLimits limits the rates of reads and writes, each with a burst of one second. Calls above a limit
+// are refused. Zero means no limit.
+func (f *Faulty) SetLimits(readsPerSecond, writesPerSecond int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.reads, f.writes = limiter(readsPerS), limiter(writesPerS)
+	f.reads, f.writes = newLimiter(readsPerSecond), newLimiter(writesPerSecond)
 }
 
-func limiter(perS int) *rate.Limiter {
-	if perS == 0 {
+func newLimiter(perSecond int) *rate.Limiter {
+	if perSecond == 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
-	return rate.NewLimiter(rate.Limit(perS), perS)
+	return rate.NewLimiter(rate.Limit(perSecond), perSecond)
 }
 
 // Counts returns the calls so far.
@@ -129,8 +127,9 @@
 	return f.counts
 }
 
-// begin counts one call and fails it if a fault says so.
-func (f *Faulty) begin(ctx context.Context, field *int64, limit func() *rate.Limiter, late error) error {
+// admit counts one call in field and returns an error if the call is refused. If ctx ends during the
+// configured delay, the error wraps deadlineErr.
+func (f *Faulty) admit(ctx context.Context, field *int64, limit func() *rate.Limiter, deadlineErr error) error {
 	f.mu.Lock()
 	*field++
 	refused := f.down || !limit().Allow()
@@ -142,18 +141,18 @@
 	if refused {
 		return errors.Wrap(ErrUnavailable, "outage or rate limit")
 	}
-	return pause(ctx, delay, late)
+	return sleep(ctx, delay, deadlineErr)
 }
 
-func (f *Faulty) read(ctx context.Context, field *int64) error {
-	return f.begin(ctx, field, func() *rate.Limiter { return f.reads }, ErrUnavailable)
+func (f *Faulty) admitRead(ctx context.Context, field *int64) error {
+	return f.admit(ctx, field, func() *rate.Limiter { return f.reads }, ErrUnavailable)
 }
 
-func (f *Faulty) write(ctx context.Context, field *int64) error {
-	return f.begin(ctx, field, func() *rate.Limiter { return f.writes }, ErrUnknown)
+func (f *Faulty) admitWrite(ctx context.Context, field *int64) error {
+	return f.admit(ctx, field, func() *rate.Limiter { return f.writes }, ErrUnknown)
 }
 
-func pause(ctx context.Context, d time.Duration, late error) error {
+func sleep(ctx context.Context, d time.Duration, deadlineErr error) error {
 	if d == 0 {
 		return nil
 	}
@@ -163,25 +162,25 @@
 	case <-t.C:
 		return nil
 	case <-ctx.Done():
-		return errors.Wrapf(late, "%v", ctx.Err())
+		return errors.Wrapf(deadlineErr, "%v", ctx.Err())
 	}
 }
 
-// lose turns the answer of a write that took effect into ErrUnknown if it was
-// asked for.
-func (f *Faulty) lose(err error) error {
+// loseResponse replaces the result of a successful write by ErrUnknown if LoseNextWriteResponse was
+// called.
+func (f *Faulty) loseResponse(err error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err != nil || !f.loseNext {
+	if err != nil || !f.loseNextResponse {
 		return err
 	}
-	f.loseNext = false
-	return errors.Wrap(ErrUnknown, "answer lost")
+	f.loseNextResponse = false
+	return errors.Wrap(ErrUnknown, "response lost")
 }
 
 // Get implements Store.
 func (f *Faulty) Get(ctx context.Context, key string) (KV, error) {
-	if err := f.read(ctx, &f.counts.Get); err != nil {
+	if err := f.admitRead(ctx, &f.counts.Get); err != nil {
 		return KV{}, err
 	}
 	return f.inner.Get(ctx, key)
@@ -189,16 +188,16 @@
 
 // List implements Store.
 func (f *Faulty) List(ctx context.Context, prefix string) ([]KV, int64, error) {
-	if err := f.read(ctx, &f.counts.List); err != nil {
+	if err := f.admitRead(ctx, &f.counts.List); err != nil {
 		return nil, 0, err
 	}
 	return f.inner.List(ctx, prefix)
 }
 
-// ListStale implements Store. It is not held to the rate of reads.
+// ListStale implements Store. It is not subject to the read rate limit.
 func (f *Faulty) ListStale(ctx context.Context, prefix string) ([]KV, int64, error) {
 	unlimited := func() *rate.Limiter { return rate.NewLimiter(rate.Inf, 0) }
-	if err := f.begin(ctx, &f.counts.ListStale, unlimited, ErrUnavailable); err != nil {
+	if err := f.admit(ctx, &f.counts.ListStale, unlimited, ErrUnavailable); err != nil {
 		return nil, 0, err
 	}
 	return f.inner.ListStale(ctx, prefix)
@@ -206,14 +205,14 @@
 
 // CompareAndSwap implements Store.
 func (f *Faulty) CompareAndSwap(ctx context.Context, key string, version int64, value []byte, lease LeaseID) (int64, error) {
-	if err := f.write(ctx, &f.counts.CompareAndSwap); err != nil {
+	if err := f.admitWrite(ctx, &f.counts.CompareAndSwap); err != nil {
 		return 0, err
 	}
-	if err := f.drop(); err != nil {
+	if err := f.droppedWriteError(); err != nil {
 		return 0, err
 	}
 	v, err := f.inner.CompareAndSwap(ctx, key, version, value, lease)
-	if err = f.lose(err); err != nil {
+	if err = f.loseResponse(err); err != nil {
 		return 0, err
 	}
 	return v, nil
@@ -221,18 +220,18 @@
 
 // Delete implements Store.
 func (f *Faulty) Delete(ctx context.Context, key string, version int64) error {
-	if err := f.write(ctx, &f.counts.Delete); err != nil {
+	if err := f.admitWrite(ctx, &f.counts.Delete); err != nil {
 		return err
 	}
-	if err := f.drop(); err != nil {
+	if err := f.droppedWriteError(); err != nil {
 		return err
 	}
-	return f.lose(f.inner.Delete(ctx, key, version))
+	return f.loseResponse(f.inner.Delete(ctx, key, version))
 }
 
 // Grant implements Store.
 func (f *Faulty) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
-	if err := f.write(ctx, &f.counts.Grant); err != nil {
+	if err := f.admitWrite(ctx, &f.counts.Grant); err != nil {
 		return 0, err
 	}
 	return f.inner.Grant(ctx, ttl)
@@ -240,7 +239,7 @@
 
 // KeepAlive implements Store.
 func (f *Faulty) KeepAlive(ctx context.Context, id LeaseID) (time.Duration, error) {
-	if err := f.write(ctx, &f.counts.KeepAlive); err != nil {
+	if err := f.admitWrite(ctx, &f.counts.KeepAlive); err != nil {
 		return 0, err
 	}
 	return f.inner.KeepAlive(ctx, id)
@@ -248,7 +247,7 @@
 
 // Revoke implements Store.
 func (f *Faulty) Revoke(ctx context.Context, id LeaseID) error {
-	if err := f.write(ctx, &f.counts.Revoke); err != nil {
+	if err := f.admitWrite(ctx, &f.counts.Revoke); err != nil {
 		return err
 	}
 	return f.inner.Revoke(ctx, id)
@@ -256,7 +255,7 @@
 
 // Watch implements Store.
 func (f *Faulty) Watch(ctx context.Context, prefix string, from int64) (Watcher, error) {
-	if err := f.read(ctx, &f.counts.Watch); err != nil {
+	if err := f.admitRead(ctx, &f.counts.Watch); err != nil {
 		return nil, err
 	}
 	w, err := f.inner.Watch(ctx, prefix, from)
@@ -271,12 +270,12 @@
 
 type faultyWatcher struct {
 	Watcher
-	faulty *Faulty
-	outage chan struct{}
-	once   sync.Once
+	faulty    *Faulty
+	outage    chan struct{}
+	closeOnce sync.Once
 }
 
-// Next implements Watcher. An outage ends it.
+// Next implements Watcher. It fails when an outage starts.
 func (w *faultyWatcher) Next(ctx context.Context) ([]Event, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -298,7 +297,7 @@
 
 // Close implements Watcher.
 func (w *faultyWatcher) Close() error {
-	w.once.Do(func() {
+	w.closeOnce.Do(func() {
 		w.faulty.mu.Lock()
 		defer w.faulty.mu.Unlock()
 		w.faulty.counts.Waiting--
--- a/external/vmlist/client.go
+++ b/external/vmlist/client.go
@@ -12,52 +12,52 @@
 	"mallowwind.dev/external/sent"
 )
 
-// maxList bounds the list, in bytes.
-const maxList = 16 << 20
+// maxListBytes bounds the size of the list after decompression.
+const maxListBytes = 16 << 20
 
-// Client reads the list over HTTP. It asks with the entity tag of the last
-// answer, so that an unchanged list costs a few hundred bytes instead of the
-// 310 KB that 2,290 VMs are.
+// Client reads the list over HTTP. It sends the entity tag of the last response, so that an unchanged
+// list costs a few hundred bytes instead of 310 KB for 2,290 VMs.
 type Client struct {
 	url  string
 	http *http.Client
 
 	mu   sync.Mutex
-	tag  string
+	etag string
 	last []VM
 }
 
 var _ Source = (*Client)(nil)
 
-// NewClient returns a client of the list at url. A nil client means its own transport.
+// NewClient returns a client of the list at url. If hc is nil, the client uses a transport of its own.
 func NewClient(url string, hc *http.Client) *Client {
 	if hc == nil {
 		t := sent.NewTransport(false)
-		t.DisableCompression = false // rows differ little: a tenth of the bytes
+		t.DisableCompression = false // the rows are similar and compress to a tenth of their size
 		hc = &http.Client{Transport: t}
 	}
 	return &Client{url: url, http: hc}
 }
 
-// List implements Source; callers must not change the rows. After a failure the next call has a fresh connection.
+// List implements Source. Callers must not modify the list. After a failure idle connections are
+// closed, so that the next call opens a new one.
 func (c *Client) List(ctx context.Context) ([]VM, error) {
-	list, err := c.get(ctx)
+	list, err := c.fetch(ctx)
 	if err != nil {
 		c.http.CloseIdleConnections()
 	}
 	return list, errors.Wrap(err, "vm list")
 }
 
-func (c *Client) get(ctx context.Context) ([]VM, error) {
+func (c *Client) fetch(ctx context.Context) ([]VM, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
 	if err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
-	tag, last := c.tag, c.last
+	etag, last := c.etag, c.last
 	c.mu.Unlock()
-	if tag != "" {
-		req.Header.Set("If-None-Match", tag)
+	if etag != "" {
+		req.Header.Set("If-None-Match", etag)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -65,17 +65,17 @@
 	}
 	defer resp.Body.Close()
 	switch {
-	case resp.StatusCode == http.StatusNotModified && tag != "":
+	case resp.StatusCode == http.StatusNotModified && etag != "":
 		return last, nil
 	case resp.StatusCode != http.StatusOK:
-		return nil, errors.Errorf("answer %s", resp.Status)
+		return nil, errors.Errorf("unexpected status %s", resp.Status)
 	}
 	var list []VM
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxList)).Decode(&list); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxListBytes)).Decode(&list); err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
-	c.tag, c.last = resp.Header.Get("ETag"), list
+	c.etag, c.last = resp.Header.Get("ETag"), list
 	c.mu.Unlock()
 	return list, nil
 }
