--- a/lab/soak/process/daemon.go
+++ b/lab/soak/process/daemon.go
@@ -25,44 +25,44 @@
 	portReady     = 8749
 )
 
-// lastLines of a process's output tell why it ended.
-const lastLines = 12
+// outputTailLines of a process's output tell why it ended.
+const outputTailLines = 12
 
 // daemon is one mallowwind process and the links to it.
 type daemon struct {
-	world    *world
-	settings nodefile.Settings
-	path     string // of the settings file
-	log      *os.File
-	callers  *proxy
-	askers   *proxy // the directory
-	store    *proxy
-
-	life     sync.Mutex // one stop or kill and start at a time
-	mu       sync.Mutex
-	cmd      *exec.Cmd
-	expected bool          // the end of the process was asked for
-	gone     chan struct{} // closed when the process has ended
+	harness        *harness
+	settings       nodefile.Settings
+	path           string // of the settings file
+	log            *os.File
+	callerProxy    *proxy
+	directoryProxy *proxy // the directory
+	storeProxy     *proxy
+
+	lifecycle     sync.Mutex // one stop or kill and start at a time
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	stopRequested bool          // the end of the process was asked for
+	exited        chan struct{} // closed when the process has ended
 }
 
-func (w *world) newDaemon(n int, ip, near, zone, storeAt string) (*daemon, error) {
+func (h *harness) newDaemon(n int, ip, near, zone, storeAt string) (*daemon, error) {
 	at := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
-	d := &daemon{world: w, path: filepath.Join(w.opts.Dir, fmt.Sprintf("entry-%d.conf", n))}
+	d := &daemon{harness: h, path: filepath.Join(h.opts.Dir, fmt.Sprintf("entry-%d.conf", n))}
 	var err error
 	for _, l := range []struct {
 		proxy  **proxy
 		target string
-	}{{&d.callers, at(portCallers)}, {&d.askers, at(portDirectory)}, {&d.store, storeAt}} {
+	}{{&d.callerProxy, at(portCallers)}, {&d.directoryProxy, at(portDirectory)}, {&d.storeProxy, storeAt}} {
 		if *l.proxy, err = newProxy(near+":0", l.target); err != nil {
 			return nil, err
 		}
 	}
 	d.settings = nodefile.Settings{
 		VM: fmt.Sprintf("entry-%d", n), Zone: zone, IP: ip, CallerAddress: at(portCallers), ReadinessAddress: at(portReady),
-		DirectoryAddress: at(portDirectory), PeerAddress: at(portPeers), StoreAddress: d.store.address(),
-		DrainGrace: w.opts.Sort.grace(), KeyRevocationDelay: keyAge, MaxDirectoryTTL: time.Second, RetryRatio: 0.8, RetryWindow: 10 * time.Second, RetrySlack: w.opts.Sort.slack(),
+		DirectoryAddress: at(portDirectory), PeerAddress: at(portPeers), StoreAddress: d.storeProxy.address(),
+		DrainGrace: h.opts.Scenario.drainGrace(), KeyRevocationDelay: keyRevocationDelay, MaxDirectoryTTL: time.Second, RetryRatio: 0.8, RetryWindow: 10 * time.Second, RetrySlack: h.opts.Scenario.retrySlack(),
 	}
-	if d.log, err = os.Create(filepath.Join(w.opts.Dir, fmt.Sprintf("entry-%d.log", n))); err != nil {
+	if d.log, err = os.Create(filepath.Join(h.opts.Dir, fmt.Sprintf("entry-%d.log", n))); err != nil {
 		return nil, errors.Wrap(err, "log")
 	}
 	if err = nodefile.Write(d.path, d.settings); err != nil {
@@ -73,7 +73,7 @@
 
 // start runs the program. Its end without a signal of this run is a violation.
 func (d *daemon) start() error {
-	cmd := exec.Command(d.world.opts.Binary, "forward", "--settings", d.path)
+	cmd := exec.Command(d.harness.opts.Binary, "forward", "--settings", d.path)
 	cmd.Stdout, cmd.Stderr = d.log, d.log
 	cmd.Env = append(os.Environ(), "GORACE=halt_on_error=1")
 	if err := cmd.Start(); err != nil {
@@ -81,15 +81,15 @@
 	}
 	gone := make(chan struct{})
 	d.mu.Lock()
-	d.cmd, d.gone, d.expected = cmd, gone, false
+	d.cmd, d.exited, d.stopRequested = cmd, gone, false
 	d.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
 		d.mu.Lock()
-		expected := d.expected
+		expected := d.stopRequested
 		d.mu.Unlock()
 		if !expected {
-			d.world.ledger.violate("%s ended by itself: %v: %s", d.settings.VM, err, d.outputTail())
+			d.harness.recorder.recordViolation("%s ended by itself: %v: %s", d.settings.VM, err, d.outputTail())
 		}
 		close(gone)
 	}()
@@ -108,7 +108,7 @@
 			tail = append(tail, strings.TrimSpace(line))
 		}
 	}
-	return strings.Join(tail[max(0, len(tail)-lastLines):], " | ")
+	return strings.Join(tail[max(0, len(tail)-outputTailLines):], " | ")
 }
 
 // signal sends sig to the process.
@@ -116,7 +116,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if sig == syscall.SIGKILL || sig == syscall.SIGTERM {
-		d.expected = true
+		d.stopRequested = true
 	}
 	_ = d.cmd.Process.Signal(sig) // one that has ended needs none
 }
@@ -124,34 +124,34 @@
 // kill ends the process at once and waits for that.
 func (d *daemon) kill() {
 	d.signal(syscall.SIGKILL)
-	<-d.ended()
+	<-d.exitChan()
 }
 
-// stopping reports whether the end of the process was asked for.
-func (d *daemon) stopping() bool {
+// isStopping reports whether the end of the process was asked for.
+func (d *daemon) isStopping() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.expected
+	return d.stopRequested
 }
 
-func (d *daemon) ended() chan struct{} {
+func (d *daemon) exitChan() chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.gone
+	return d.exited
 }
 
 // stop is a planned stop: SIGTERM, and SIGKILL after the grace.
 func (d *daemon) stop() {
 	d.signal(syscall.SIGTERM)
 	select {
-	case <-d.ended():
-	case <-time.After(d.world.opts.Sort.grace()):
+	case <-d.exitChan():
+	case <-time.After(d.harness.opts.Scenario.drainGrace()):
 		d.kill()
 	}
 }
 
-// ready asks as the platform does.
-func (d *daemon) ready() bool {
+// isReady asks as the platform does.
+func (d *daemon) isReady() bool {
 	client := http.Client{Timeout: 500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + d.settings.ReadinessAddress + wire.ReadyPath)
 	if err != nil {
@@ -164,7 +164,7 @@
 func (d *daemon) close() {
 	d.signal(syscall.SIGCONT)
 	d.kill()
-	for _, p := range []*proxy{d.callers, d.askers, d.store} {
+	for _, p := range []*proxy{d.callerProxy, d.directoryProxy, d.storeProxy} {
 		p.close()
 	}
 	_ = d.log.Close() // the process that wrote it has ended
--- /dev/null
+++ b/lab/soak/process/daemonlinks.go
@@ -0,0 +1,154 @@
+package process
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"strings"
+
+	"github.com/pkg/errors"
+
+	"mallowwind.dev/external/store"
+	"mallowwind.dev/platform/kv"
+)
+
+// This file gives each daemon a link of its own to all servers and all other daemons:
+// a proxy for each of them, and a store in which their addresses are those proxies.
+
+// historyPartCount is how many prompts an engine tells of that it once held. As much as
+// six engines tell at once then is 1 MB.
+const historyPartCount = 5200
+
+// lowBytesPerSecond is 10 Mbit/s, in bytes.
+const lowBytesPerSecond = 1.25e6
+
+// daemonIP is the address of a daemon's machine.
+func (h *harness) daemonIP(n int) string { return fmt.Sprintf("%s.%d", h.network, n+1) }
+
+// peerAddress is where other daemons reach a daemon.
+func (h *harness) peerAddress(n int) string { return fmt.Sprintf("%s:%d", h.daemonIP(n), portPeers) }
+
+// buildLinks makes the links and paths of all daemons and returns the addresses of their
+// stores.
+func (h *harness) buildLinks(near string) ([]string, error) {
+	for n := range historyPartCount {
+		h.partHistory = append(h.partHistory, fmt.Sprintf("past-%d", n))
+	}
+	for range daemonCount {
+		u := &uplink{}
+		if h.opts.Scenario == LowBandwidthLinks {
+			u.out.bytesPerSecond, u.in.bytesPerSecond = lowBytesPerSecond, lowBytesPerSecond
+		}
+		h.uplinks = append(h.uplinks, u)
+	}
+	var stores []string
+	for n := range daemonCount {
+		at, err := h.buildDaemonLinks(n, near)
+		if err != nil {
+			return nil, err
+		}
+		stores = append(stores, at)
+	}
+	return stores, nil
+}
+
+// buildDaemonLinks lays a daemon's paths and returns the address of its store.
+func (h *harness) buildDaemonLinks(n int, near string) (storeAt string, err error) {
+	u := h.uplinks[n]
+	var names []string // pairs of an address and what the daemon has in its place
+	lay := func(known, target string, out, in []*linkDirection) (string, error) {
+		p, err := newProxyVia(near+":0", target, out, in)
+		if err != nil {
+			return "", err
+		}
+		h.linkProxies = append(h.linkProxies, p)
+		names = append(names, `"`+known+`"`, `"`+p.address()+`"`)
+		return p.address(), nil
+	}
+	for _, s := range h.servers {
+		at, err := lay(s.link.address(), s.listener.Addr().String(), []*linkDirection{&u.out}, []*linkDirection{&u.in})
+		if err != nil {
+			return "", err
+		}
+		s.addresses = append(s.addresses, at)
+	}
+	for m, other := range h.uplinks {
+		if m == n {
+			continue
+		}
+		if _, err := lay(h.peerAddress(m), h.peerAddress(m), []*linkDirection{&u.out, &other.in}, []*linkDirection{&other.out, &u.in}); err != nil {
+			return "", err
+		}
+	}
+	return h.serveStore(near, kv.NewStandIn(rewritingStore{Store: h.memory, addresses: strings.NewReplacer(names...)}))
+}
+
+// serveStore serves the store, of which it returns the address.
+func (h *harness) serveStore(near string, s *kv.StandIn) (string, error) {
+	l, err := net.Listen("tcp", near+":0")
+	if err != nil {
+		return "", errors.Wrap(err, "store")
+	}
+	h.storeListeners = append(h.storeListeners, l)
+	go http.Serve(l, s.Handler())
+	return l.Addr().String(), nil
+}
+
+// rewritingStore is the store with other addresses in its values.
+type rewritingStore struct {
+	store.Store
+	addresses *strings.Replacer
+}
+
+func (s rewritingStore) rewrite(kv store.KV) store.KV {
+	kv.Value = []byte(s.addresses.Replace(string(kv.Value)))
+	return kv
+}
+
+// Get implements store.Store.
+func (s rewritingStore) Get(ctx context.Context, key string) (store.KV, error) {
+	kv, err := s.Store.Get(ctx, key)
+	return s.rewrite(kv), err
+}
+
+// List implements store.Store.
+func (s rewritingStore) List(ctx context.Context, prefix string) ([]store.KV, int64, error) {
+	return s.rewriteAll(s.Store.List(ctx, prefix))
+}
+
+// ListStale implements store.Store.
+func (s rewritingStore) ListStale(ctx context.Context, prefix string) ([]store.KV, int64, error) {
+	return s.rewriteAll(s.Store.ListStale(ctx, prefix))
+}
+
+func (s rewritingStore) rewriteAll(kvs []store.KV, revision int64, err error) ([]store.KV, int64, error) {
+	for i := range kvs {
+		kvs[i] = s.rewrite(kvs[i])
+	}
+	return kvs, revision, err
+}
+
+// Watch implements store.Store.
+func (s rewritingStore) Watch(ctx context.Context, prefix string, from int64) (store.Watcher, error) {
+	w, err := s.Store.Watch(ctx, prefix, from)
+	if err != nil {
+		return nil, err
+	}
+	return rewritingWatcher{Watcher: w, store: s}, nil
+}
+
+type rewritingWatcher struct {
+	store.Watcher
+	store rewritingStore
+}
+
+// Next implements store.Watcher.
+func (w rewritingWatcher) Next(ctx context.Context) ([]store.Event, error) {
+	events, err := w.Watcher.Next(ctx)
+	seen := make([]store.Event, len(events))
+	for i, e := range events {
+		seen[i] = store.Event{Kind: e.Kind, KV: w.store.rewrite(e.KV)}
+	}
+	return seen, err
+}
--- a/lab/soak/process/links.go
+++ b/lab/soak/process/links.go
@@ -10,54 +10,54 @@
 )
 
 const (
-	// parcelSize and window bound what one connection has on its way: together
+	// chunkSizeBytes and window bound what one connection has on its way: together
 	// 192 KB, as much as a sender that is not told to wait has out.
-	parcelSize = 4 << 10
-	window     = 48
+	chunkSizeBytes  = 4 << 10
+	maxQueuedChunks = 48
 )
 
-// lane is one direction of a machine's link. What passes leaves in the order in which
+// linkDirection is one direction of a machine's link. What passes leaves in the order in which
 // it came, at most rate bytes a second, and nothing while the lane is held up. It loses
 // nothing. The zero lane delays nothing.
-type lane struct {
-	mu   sync.Mutex
-	rate float64   // bytes a second, 0 where there is no bound
-	free time.Time // when what comes next may leave
-	held time.Time // nothing leaves before
+type linkDirection struct {
+	mu             sync.Mutex
+	bytesPerSecond float64   // bytes a second, 0 where there is no bound
+	nextDeparture  time.Time // when what comes next may leave
+	stalledUntil   time.Time // nothing leaves before
 }
 
-// take is when n bytes that arrive at a time leave.
-func (l *lane) take(at time.Time, n int) time.Time {
+// schedule is when n bytes that arrive at a time leave.
+func (l *linkDirection) schedule(at time.Time, n int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.free.After(at) {
-		at = l.free
+	if l.nextDeparture.After(at) {
+		at = l.nextDeparture
 	}
-	if l.rate > 0 {
-		at = at.Add(time.Duration(float64(n) / l.rate * float64(time.Second)))
+	if l.bytesPerSecond > 0 {
+		at = at.Add(time.Duration(float64(n) / l.bytesPerSecond * float64(time.Second)))
 	}
-	l.free = at
+	l.nextDeparture = at
 	return at
 }
 
-// hold keeps everything back until a time.
-func (l *lane) hold(until time.Time) {
+// stall keeps everything back until a time.
+func (l *linkDirection) stall(until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.held = until
-	if until.After(l.free) {
-		l.free = until
+	l.stalledUntil = until
+	if until.After(l.nextDeparture) {
+		l.nextDeparture = until
 	}
 }
 
-// await returns when a parcel that is due has left all lanes, which may be held up in
+// waitUntilReleased returns when a parcel that is due has left all lanes, which may be held up in
 // the meantime.
-func await(due time.Time, lanes []*lane) {
+func waitUntilReleased(due time.Time, lanes []*linkDirection) {
 	for {
 		for _, l := range lanes {
 			l.mu.Lock()
-			if l.held.After(due) {
-				due = l.held
+			if l.stalledUntil.After(due) {
+				due = l.stalledUntil
 			}
 			l.mu.Unlock()
 		}
@@ -71,45 +71,45 @@
 
 // uplink is the link of one daemon's machine.
 type uplink struct {
-	out, in lane
-	turn    sync.Mutex // one hold at a time
+	out, in linkDirection
+	stallMu sync.Mutex // one hold at a time
 }
 
-// hold holds both directions up for d.
-func (u *uplink) hold(d time.Duration) {
+// stall holds both directions up for d.
+func (u *uplink) stall(d time.Duration) {
 	until := time.Now().Add(d)
-	u.out.hold(until)
-	u.in.hold(until)
+	u.out.stall(until)
+	u.in.stall(until)
 }
 
-// parcel is what was read from a connection at once, and whether that was its end.
-type parcel struct {
+// chunk is what was read from a connection at once, and whether that was its end.
+type chunk struct {
 	data []byte
 	due  time.Time
 	err  error
 }
 
-// carry copies one way by way of lanes until an end closes. The end passes in its
+// forwardVia copies one way by way of lanes until an end closes. The end passes in its
 // turn, so that what was sent before it arrives.
-func carry(from, to net.Conn, lanes []*lane) {
-	queue := make(chan parcel, window)
+func forwardVia(from, to net.Conn, lanes []*linkDirection) {
+	queue := make(chan chunk, maxQueuedChunks)
 	go func() {
 		defer close(queue)
 		for {
-			buf := make([]byte, parcelSize)
+			buf := make([]byte, chunkSizeBytes)
 			n, err := from.Read(buf)
 			due := time.Now()
 			for _, l := range lanes {
-				due = l.take(due, n)
+				due = l.schedule(due, n)
 			}
-			queue <- parcel{data: buf[:n], due: due, err: err}
+			queue <- chunk{data: buf[:n], due: due, err: err}
 			if err != nil {
 				return
 			}
 		}
 	}()
 	for p := range queue {
-		await(p.due, lanes)
+		waitUntilReleased(p.due, lanes)
 		if !deliver(p, to) {
 			reset(from) // ends the reading
 		}
@@ -117,7 +117,7 @@
 }
 
 // deliver writes a parcel and reports whether the other end takes more.
-func deliver(p parcel, to net.Conn) bool {
+func deliver(p chunk, to net.Conn) bool {
 	if len(p.data) > 0 {
 		if _, err := to.Write(p.data); err != nil {
 			return false
--- a/lab/soak/process/process_test.go
+++ b/lab/soak/process/process_test.go
@@ -20,10 +20,10 @@
 )
 
 // callers of a run of each sort.
-var callers = map[Sort]int{RandomFaults: 12, PlannedWork: 12, HeldLinks: 50, NarrowLinks: 50}
+var callers = map[Scenario]int{RandomFaults: 12, PlannedOperations: 12, StalledLinks: 50, LowBandwidthLinks: 50}
 
-// binary builds the daemon once.
-func binary(t *testing.T) string {
+// buildBinary builds the daemon once.
+func buildBinary(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "mallowwind")
 	args := []string{"build", "-o", path}
@@ -35,15 +35,15 @@
 	return path
 }
 
-func play(t *testing.T, program string, sort Sort) {
+func runSeeds(t *testing.T, program string, sort Scenario) {
 	t.Helper()
 	t.Parallel()
 	for n := range *seeds {
-		t.Run("", func(t *testing.T) { playSeed(t, program, *firstSeed+uint64(n), sort) })
+		t.Run("", func(t *testing.T) { runSeed(t, program, *firstSeed+uint64(n), sort) })
 	}
 }
 
-func playSeed(t *testing.T, program string, seed uint64, sort Sort) {
+func runSeed(t *testing.T, program string, seed uint64, sort Scenario) {
 	t.Helper()
 	dir := t.TempDir()
 	if *keepDir != "" {
@@ -51,11 +51,11 @@
 		must.NoError(t, os.MkdirAll(dir, 0o755))
 	}
 	r, err := Run(t.Context(), Options{
-		Seed: seed, Binary: program, Dir: dir, Sort: sort, Timed: *timed, Length: 8 * time.Second, Callers: callers[sort],
+		Seed: seed, Binary: program, Dir: dir, Scenario: sort, Timed: *timed, Length: 8 * time.Second, Callers: callers[sort],
 	})
 	must.NoError(t, err)
 	t.Logf("seed %d, %v: %v", seed, sort, r.Counts)
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		t.Errorf("seed %d: %s", seed, b)
 	}
 	if t.Failed() {
@@ -69,19 +69,19 @@
 // Processes are killed, paused, stopped and restarted, links are reset, silent or
 // one way, the store fails and servers crash, one after the other and at once.
 // Callers and servers see no promise broken.
-func TestRandomFaults(t *testing.T) { play(t, binary(t), RandomFaults) }
+func TestRandomFaults(t *testing.T) { runSeeds(t, buildBinary(t), RandomFaults) }
 
 // Daemons are stopped and restarted, servers leave, keys and routes change, one
 // after the other and at once. Callers notice nothing.
-func TestPlannedWork(t *testing.T) { play(t, binary(t), PlannedWork) }
+func TestPlannedWork(t *testing.T) { runSeeds(t, buildBinary(t), PlannedOperations) }
 
 // Daemons are stopped and restarted in turn, again and again. For a moment at a time
 // nothing passes between one of them and all servers and other daemons, and then all of
 // it. No server has failed, so a daemon that takes them for dead must still not end an
 // answer that may arrive: callers notice nothing but pauses.
-func TestHeldLinks(t *testing.T) { play(t, binary(t), HeldLinks) }
+func TestHeldLinks(t *testing.T) { runSeeds(t, buildBinary(t), StalledLinks) }
 
 // Daemons are stopped and restarted in turn, again and again. Callers that come back have
 // their prompts looked for at engines with long histories, which fills the link of the
 // daemon. Answers that wait behind them are late, and none is cut.
-func TestNarrowLinks(t *testing.T) { play(t, binary(t), NarrowLinks) }
+func TestNarrowLinks(t *testing.T) { runSeeds(t, buildBinary(t), LowBandwidthLinks) }
--- a/lab/soak/process/proxy.go
+++ b/lab/soak/process/proxy.go
@@ -21,41 +21,41 @@
 	linkRefused          // nobody listens, as where a process has ended
 )
 
-// slowBy is the delay of a slow link for each read.
-const slowBy = 40 * time.Millisecond
+// slowLinkDelay is the delay of a slow link for each read.
+const slowLinkDelay = 40 * time.Millisecond
 
 // proxy passes TCP connections on to one address and misbehaves on demand.
 type proxy struct {
-	at       string  // address
-	out, in  []*lane // that requests and answers pass, where there are any
-	mu       sync.Mutex
-	listener net.Listener // nil while connections are refused
-	target   string
-	mode     linkMode
-	links    map[*proxied]struct{}
+	listenAddress             string           // address
+	requestPath, responsePath []*linkDirection // that requests and answers pass, where there are any
+	mu                        sync.Mutex
+	listener                  net.Listener // nil while connections are refused
+	target                    string
+	mode                      linkMode
+	conns                     map[*proxiedConn]struct{}
 }
 
-// proxied is one connection and its other half.
-type proxied struct {
-	near, far net.Conn
-	mode      linkMode // guarded by the proxy's mutex
+// proxiedConn is one connection and its other half.
+type proxiedConn struct {
+	client, upstream net.Conn
+	mode             linkMode // guarded by the proxy's mutex
 }
 
 // newProxy listens at address and passes connections on to target.
-func newProxy(address, target string) (*proxy, error) { return newProxyOn(address, target, nil, nil) }
+func newProxy(address, target string) (*proxy, error) { return newProxyVia(address, target, nil, nil) }
 
-// newProxyOn is newProxy for connections that pass lanes.
-func newProxyOn(address, target string, out, in []*lane) (*proxy, error) {
+// newProxyVia is newProxy for connections that pass lanes.
+func newProxyVia(address, target string, out, in []*linkDirection) (*proxy, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "proxy")
 	}
-	p := &proxy{at: l.Addr().String(), listener: l, target: target, out: out, in: in, links: map[*proxied]struct{}{}}
+	p := &proxy{listenAddress: l.Addr().String(), listener: l, target: target, requestPath: out, responsePath: in, conns: map[*proxiedConn]struct{}{}}
 	go p.accept(l)
 	return p, nil
 }
 
-func (p *proxy) address() string { return p.at }
+func (p *proxy) address() string { return p.listenAddress }
 
 func (p *proxy) accept(l net.Listener) {
 	for {
@@ -80,34 +80,34 @@
 		reset(near)
 		return
 	}
-	c := &proxied{near: near, far: far, mode: mode}
+	c := &proxiedConn{client: near, upstream: far, mode: mode}
 	p.mu.Lock()
-	p.links[c] = struct{}{}
+	p.conns[c] = struct{}{}
 	p.mu.Unlock()
-	p.both(c)
+	p.forwardBoth(c)
 	p.mu.Lock()
-	delete(p.links, c)
+	delete(p.conns, c)
 	p.mu.Unlock()
 }
 
-// both copies both ways until the connection has ended.
-func (p *proxy) both(c *proxied) {
+// forwardBoth copies both ways until the connection has ended.
+func (p *proxy) forwardBoth(c *proxiedConn) {
 	var ways sync.WaitGroup
-	if len(p.out) == 0 {
-		ways.Go(func() { p.pass(c, c.near, c.far, false) })
-		ways.Go(func() { p.pass(c, c.far, c.near, true) })
+	if len(p.requestPath) == 0 {
+		ways.Go(func() { p.forward(c, c.client, c.upstream, false) })
+		ways.Go(func() { p.forward(c, c.upstream, c.client, true) })
 		ways.Wait()
 		return
 	}
-	ways.Go(func() { carry(c.near, c.far, p.out) })
-	ways.Go(func() { carry(c.far, c.near, p.in) })
+	ways.Go(func() { forwardVia(c.client, c.upstream, p.requestPath) })
+	ways.Go(func() { forwardVia(c.upstream, c.client, p.responsePath) })
 	ways.Wait()
-	_ = c.near.Close() // all has arrived
-	_ = c.far.Close()
+	_ = c.client.Close() // all has arrived
+	_ = c.upstream.Close()
 }
 
-// pass copies one way until an end closes. A silent way reads on and drops.
-func (p *proxy) pass(c *proxied, from, to net.Conn, answers bool) {
+// forward copies one way until an end closes. A silent way reads on and drops.
+func (p *proxy) forward(c *proxiedConn, from, to net.Conn, answers bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
@@ -115,7 +115,7 @@
 		mode := c.mode
 		p.mu.Unlock()
 		if mode == linkSlow {
-			time.Sleep(slowBy)
+			time.Sleep(slowLinkDelay)
 		}
 		quiet := mode == linkSilent || mode == linkOneWay && answers
 		if n > 0 && !quiet {
@@ -138,29 +138,29 @@
 	}
 }
 
-// set changes what happens to new connections, and to those that are open; after
+// setMode changes what happens to new connections, and to those that are open; after
 // a silence open ones stay silent for good.
-func (p *proxy) set(mode linkMode) {
+func (p *proxy) setMode(mode linkMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = mode
-	p.listen(mode != linkRefused)
-	for c := range p.links {
+	p.setListening(mode != linkRefused)
+	for c := range p.conns {
 		switch {
 		case mode == linkReset || mode == linkRefused:
-			reset(c.near)
-			reset(c.far)
+			reset(c.client)
+			reset(c.upstream)
 		case c.mode != linkSilent && c.mode != linkOneWay:
 			c.mode = mode
 		}
 	}
 }
 
-// listen opens or closes the port. It is called under the lock.
-func (p *proxy) listen(open bool) {
+// setListening opens or closes the port. It is called under the lock.
+func (p *proxy) setListening(open bool) {
 	switch {
 	case open && p.listener == nil:
-		l, err := net.Listen("tcp", p.at)
+		l, err := net.Listen("tcp", p.listenAddress)
 		if err != nil {
 			return // connections are refused until the next change
 		}
@@ -172,21 +172,21 @@
 	}
 }
 
-// cut resets the connections that are open.
-func (p *proxy) cut() {
+// resetConns resets the connections that are open.
+func (p *proxy) resetConns() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.links {
-		reset(c.near)
-		reset(c.far)
+	for c := range p.conns {
+		reset(c.client)
+		reset(c.upstream)
 	}
 }
 
 func (p *proxy) close() {
 	p.mu.Lock()
-	p.listen(false)
+	p.setListening(false)
 	p.mu.Unlock()
-	p.cut()
+	p.resetConns()
 }
 
 // reset closes a connection so that its other end sees a reset.
--- a/lab/soak/process/rollout.go
+++ b/lab/soak/process/rollout.go
@@ -15,64 +15,64 @@
 	// rolloutPeriod is the time for a roll-out, rolloutWait how long its end is waited for beyond.
 	rolloutPeriod = 6 * time.Second
 	rolloutWait   = 2 * time.Second
-	// badPart is the part of the answers that fail at a bad version.
-	badPart = 0.4
+	// faultyErrorRatio is the part of the answers that fail at a bad version.
+	faultyErrorRatio = 0.4
 	// A bad version may get this part of its service's requests, and so many more.
-	exposedPart, exposedSlack = 0.1, 50
+	maxExposureRatio, exposureSlackRequests = 0.1, 50
 )
 
-// goodVersion brings in a version that works, badVersion one whose answers fail in part.
-func (w *world) goodVersion(ctx context.Context) { w.rollOut(ctx, 0) }
+// rollOutHealthyVersion brings in a version that works, badVersion one whose answers fail in part.
+func (h *harness) rollOutHealthyVersion(ctx context.Context) { h.rollOut(ctx, 0) }
 
-func (w *world) badVersion(ctx context.Context) { w.rollOut(ctx, badPart) }
+func (h *harness) rollOutFaultyVersion(ctx context.Context) { h.rollOut(ctx, faultyErrorRatio) }
 
 // rollOut starts servers of another version beside those of a service of calls, orders the service
 // to move there, and stops at once those that the end of it leaves.
-func (w *world) rollOut(ctx context.Context, failing float64) {
-	if !w.rolling.TryLock() {
+func (h *harness) rollOut(ctx context.Context, failing float64) {
+	if !h.rolloutMu.TryLock() {
 		return // one at a time
 	}
-	defer w.rolling.Unlock()
-	old := w.ofService(w.busyDesk().service)
+	defer h.rolloutMu.Unlock()
+	old := h.serversOf(h.activePlainServer().service)
 	service, began := old[0].service, time.Now()
 	target := fmt.Sprintf("v%d", began.UnixNano())
 	raw, err := wire.EncodeRolloutOrder(routing.RolloutOrder{Service: service, Target: target, Period: rolloutPeriod})
 	if err != nil {
-		w.ledger.violate("harness: %v", err)
+		h.recorder.recordViolation("harness: %v", err)
 		return
 	}
-	w.write(wire.RolloutOrderKey(service), raw)
-	fresh := w.startVersion(old, target, failing)
-	stage := w.awaitRollout(ctx, service, target)
-	w.note("roll-out of %s to a version that fails %v of its answers: %v", service, failing, stage)
-	w.ledger.count("roll-outs " + stage.String())
+	h.write(wire.RolloutOrderKey(service), raw)
+	fresh := h.startVersion(old, target, failing)
+	stage := h.awaitRollout(ctx, service, target)
+	h.logFault("roll-out of %s to a version that fails %v of its answers: %v", service, failing, stage)
+	h.recorder.count("roll-outs " + stage.String())
 	if stage == rollout.Completed {
-		w.retire(old, false)
+		h.retire(old, false)
 	} else {
-		w.retire(fresh, true)
+		h.retire(fresh, true)
 	}
-	w.checkExposure(service, failing, began, old, fresh, stage)
+	h.checkExposure(service, failing, began, old, fresh, stage)
 }
 
 // checkExposure checks what a bad version got.
-func (w *world) checkExposure(service string, failing float64, began time.Time, old, fresh []*server, stage rollout.Stage) {
-	w.mu.Lock()
-	troubled := w.trouble.After(began)
-	w.mu.Unlock()
-	got, others := arrivedSince(fresh, began), arrivedSince(old, began)
-	if failing > 0 && w.opts.Timed && !troubled && float64(got) > exposedPart*float64(got+others)+exposedSlack {
-		w.ledger.violate("a bad version of %s got %d of %d requests", service, got, got+others)
+func (h *harness) checkExposure(service string, failing float64, began time.Time, old, fresh []*server, stage rollout.Stage) {
+	h.mu.Lock()
+	troubled := h.boundsSuspendedUntil.After(began)
+	h.mu.Unlock()
+	got, others := arrivalsSince(fresh, began), arrivalsSince(old, began)
+	if failing > 0 && h.opts.Timed && !troubled && float64(got) > maxExposureRatio*float64(got+others)+exposureSlackRequests {
+		h.recorder.recordViolation("a bad version of %s got %d of %d requests", service, got, got+others)
 	}
-	if failing == 0 && w.opts.Timed && !troubled && stage != rollout.Completed {
-		w.ledger.violate("a good version of %s is %v after its period", service, stage)
+	if failing == 0 && h.opts.Timed && !troubled && stage != rollout.Completed {
+		h.recorder.recordViolation("a good version of %s is %v after its period", service, stage)
 	}
 }
 
-// ofService are the servers of a service.
-func (w *world) ofService(service string) (list []*server) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, s := range w.servers {
+// serversOf are the servers of a service.
+func (h *harness) serversOf(service string) (list []*server) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, s := range h.servers {
 		if s.service == service {
 			list = append(list, s)
 		}
@@ -81,35 +81,35 @@
 }
 
 // startVersion starts a server of another version beside each of some.
-func (w *world) startVersion(old []*server, version string, failing float64) (fresh []*server) {
+func (h *harness) startVersion(old []*server, version string, failing float64) (fresh []*server) {
 	for _, s := range old {
-		near := w.network + ".200"
-		next, err := w.newServer(s.service, s.zone, near+":0", near+":0")
+		near := h.network + ".200"
+		next, err := h.newServer(s.service, s.zone, near+":0", near+":0")
 		if err != nil {
-			w.ledger.violate("harness: %v", err)
+			h.recorder.recordViolation("harness: %v", err)
 			continue
 		}
-		next.version, next.failing = version, failing
+		next.version, next.errorRatio = version, failing
 		fresh = append(fresh, next)
-		w.mu.Lock()
-		w.servers = append(w.servers, next)
-		w.mu.Unlock()
-		w.register(next, false)
+		h.mu.Lock()
+		h.servers = append(h.servers, next)
+		h.mu.Unlock()
+		h.register(next, false)
 	}
 	return fresh
 }
 
 // awaitRollout waits for the end of a roll-out, as the operator reads it.
-func (w *world) awaitRollout(ctx context.Context, service, target string) rollout.Stage {
+func (h *harness) awaitRollout(ctx context.Context, service, target string) rollout.Stage {
 	stage := rollout.Idle
 	for began := time.Now(); time.Since(began) < rolloutPeriod+rolloutWait && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
-		kv, err := w.memory.Get(ctx, wire.Schema{}.RolloutStatusKey(service))
+		kv, err := h.memory.Get(ctx, wire.Schema{}.RolloutStatusKey(service))
 		if err != nil {
 			continue // there is none yet
 		}
 		status, err := wire.Schema{}.DecodeRolloutStatus(kv.Value)
 		if err != nil {
-			w.ledger.violate("status of a roll-out: %v", err)
+			h.recorder.recordViolation("status of a roll-out: %v", err)
 			return stage
 		}
 		if status.Target != target {
@@ -123,33 +123,33 @@
 }
 
 // retire ends servers for good, at once or after they said that they leave.
-func (w *world) retire(servers []*server, drain bool) {
-	w.mu.Lock()
-	w.servers = slices.DeleteFunc(w.servers, func(s *server) bool { return slices.Contains(servers, s) })
-	w.retired = append(w.retired, servers...)
-	w.mu.Unlock()
+func (h *harness) retire(servers []*server, drain bool) {
+	h.mu.Lock()
+	h.servers = slices.DeleteFunc(h.servers, func(s *server) bool { return slices.Contains(servers, s) })
+	h.retired = append(h.retired, servers...)
+	h.mu.Unlock()
 	for _, s := range servers {
-		s.life.Lock()
+		s.lifecycle.Lock()
 		if drain {
-			w.register(s, true)
+			h.register(s, true)
 		}
 	}
 	if drain {
-		time.Sleep(drainAge + 1500*time.Millisecond)
+		time.Sleep(drainPropagation + 1500*time.Millisecond)
 	}
 	for _, s := range servers {
-		s.gone = true
+		s.retired = true
 		s.crash()
-		w.unregister(s.entry(true).ID)
-		s.life.Unlock()
+		h.unregister(s.entry(true).ID)
+		s.lifecycle.Unlock()
 	}
 }
 
-// arrivedSince is how many requests reached servers since a moment.
-func arrivedSince(servers []*server, began time.Time) (n int) {
+// arrivalsSince is how many requests reached servers since a moment.
+func arrivalsSince(servers []*server, began time.Time) (n int) {
 	for _, s := range servers {
 		s.mu.Lock()
-		for _, at := range s.arrived {
+		for _, at := range s.arrivals {
 			if at.After(began) {
 				n++
 			}
--- a/lab/soak/process/servers.go
+++ b/lab/soak/process/servers.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	readingTime = 150 * time.Millisecond // of a prompt
+	prefillTime = 150 * time.Millisecond // of a prompt
 	eventCount  = 60                     // of one answer
-	workTime    = 8 * time.Millisecond
+	serviceTime = 8 * time.Millisecond
 )
 
 // server is a backend server in this process: a model engine or a plain service.
 // Each start is another life at the same address, under a new id or the one before.
 type server struct {
-	world   *world
+	harness *harness
 	service string
 	zone    string
 	link    *proxy
@@ -36,40 +36,40 @@
 	listener  net.Listener
 	addresses []string // that of link, and then as each daemon has it on a link of its own
 
-	life     sync.Mutex // one end and start at a time
-	gone     bool       // it has ended for good; guarded by life
-	version  string     // of its software; "" for the first
-	mu       sync.Mutex
-	id       string
-	born     int64     // start of this life, Unix milliseconds
-	leaving  time.Time // when that was acknowledged; zero while it serves
-	failing  float64   // share of requests answered with 500
-	losing   float64   // share of answers lost after the run
-	limit    string    // that it names in its answers
-	arrived  []time.Time
-	copies   map[string]copied
-	runs     map[string]*progress
-	parts    map[string]bool
-	started  int
-	shutdown chan struct{} // closed when the life ends
+	lifecycle         sync.Mutex // one end and start at a time
+	retired           bool       // it has ended for good; guarded by life
+	version           string     // of its software; "" for the first
+	mu                sync.Mutex
+	id                string
+	startedAtMS       int64     // start of this life, Unix milliseconds
+	drainingSince     time.Time // when that was acknowledged; zero while it serves
+	errorRatio        float64   // share of requests answered with 500
+	lostResponseRatio float64   // share of answers lost after the run
+	rateLimit         string    // that it names in its answers
+	arrivals          []time.Time
+	replicas          map[string]replica
+	runs              map[string]*activeRun
+	parts             map[string]bool
+	incarnations      int
+	shutdown          chan struct{} // closed when the life ends
 }
 
-// copied is the copy of a run from another engine.
-type copied struct {
+// replica is the copy of a run from another engine.
+type replica struct {
 	part string
 	from *server
 }
 
-// progress is a run under way.
-type progress struct {
-	made   int
-	part   string
-	copyTo string
+// activeRun is a run under way.
+type activeRun struct {
+	eventsSent int
+	part       string
+	copyTo     string
 }
 
-func (w *world) newServer(service, zone, address, near string) (*server, error) {
-	s := &server{world: w, service: service, zone: zone}
-	s.begin(false)
+func (h *harness) newServer(service, zone, address, near string) (*server, error) {
+	s := &server{harness: h, service: service, zone: zone}
+	s.startIncarnation(false)
 	l, err := net.Listen("tcp", near)
 	if err != nil {
 		return nil, errors.Wrap(err, "server")
@@ -83,28 +83,28 @@
 	return s, nil
 }
 
-// begin starts a life, under the id of the one before if sameID.
-func (s *server) begin(sameID bool) {
+// startIncarnation starts a life, under the id of the one before if sameID.
+func (s *server) startIncarnation(sameID bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.started++
-	s.born = max(time.Now().UnixMilli(), s.born+1)
+	s.incarnations++
+	s.startedAtMS = max(time.Now().UnixMilli(), s.startedAtMS+1)
 	if !sameID {
-		s.id = fmt.Sprintf("i-%08x-%d", rand.Uint32(), s.started)
+		s.id = fmt.Sprintf("i-%08x-%d", rand.Uint32(), s.incarnations)
 	}
-	s.leaving = time.Time{}
-	s.copies, s.runs, s.parts = map[string]copied{}, map[string]*progress{}, map[string]bool{}
+	s.drainingSince = time.Time{}
+	s.replicas, s.runs, s.parts = map[string]replica{}, map[string]*activeRun{}, map[string]bool{}
 	s.shutdown = make(chan struct{})
 }
 
 // crash ends the life: its runs, copies and connections are gone.
 func (s *server) crash() {
-	s.end()
-	s.link.set(linkRefused)
+	s.endIncarnation()
+	s.link.setMode(linkRefused)
 }
 
-// end ends the life without a word to anyone.
-func (s *server) end() {
+// endIncarnation ends the life without a word to anyone.
+func (s *server) endIncarnation() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(s.shutdown)
@@ -113,14 +113,14 @@
 func (s *server) entry(leaving bool) routing.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return routing.Server{ID: s.id, StartedAtMS: s.born, Service: s.service, Address: s.link.address(), Zone: s.zone, Slots: 32, Draining: leaving, Version: s.version}
+	return routing.Server{ID: s.id, StartedAtMS: s.startedAtMS, Service: s.service, Address: s.link.address(), Zone: s.zone, Slots: 32, Draining: leaving, Version: s.version}
 }
 
 // Born implements wire.Engine.
 func (s *server) Born() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.born
+	return s.startedAtMS
 }
 
 // Runs implements wire.Engine.
@@ -129,7 +129,7 @@
 	defer s.mu.Unlock()
 	made := map[string]int{}
 	for id, p := range s.runs {
-		made[id] = p.made
+		made[id] = p.eventsSent
 	}
 	return made
 }
@@ -141,7 +141,7 @@
 	for part := range s.parts {
 		parts = append(parts, part)
 	}
-	return append(parts, s.world.history...)
+	return append(parts, s.harness.partHistory...)
 }
 
 // Copy implements wire.Engine.
@@ -153,30 +153,30 @@
 		return "", false
 	}
 	handle := "h-" + id
-	_, as := s.world.at(target)
-	s.world.keep(target, s.addresses[as]+"/"+handle, copied{part: p.part, from: s})
+	_, as := s.harness.serverAt(target)
+	s.harness.storeReplica(target, s.addresses[as]+"/"+handle, replica{part: p.part, from: s})
 	return handle, true
 }
 
 // Drop implements wire.Engine.
 func (s *server) Drop(string) {}
 
-// keep gives the engine at an address a copy under a name.
-func (w *world) keep(address, name string, c copied) {
-	s, _ := w.at(address)
+// storeReplica gives the engine at an address a copy under a name.
+func (h *harness) storeReplica(address, name string, c replica) {
+	s, _ := h.serverAt(address)
 	if s == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.copies[name] = c
+	s.replicas[name] = c
 }
 
-// at is the server at an address, and which of its addresses that is.
-func (w *world) at(address string) (*server, int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, s := range w.servers {
+// serverAt is the server at an address, and which of its addresses that is.
+func (h *harness) serverAt(address string) (*server, int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, s := range h.servers {
 		if as := slices.Index(s.addresses, address); as >= 0 {
 			return s, as
 		}
@@ -188,57 +188,57 @@
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e, part, key := wire.ParseUpstreamRequest(r.Header)
 	s.mu.Lock()
-	id, shutdown, leaving, failing, losing, limit := s.id, s.shutdown, s.leaving, s.failing, s.losing, s.limit
-	s.arrived = append(s.arrived, time.Now())
+	id, shutdown, leaving, failing, losing, limit := s.id, s.shutdown, s.drainingSince, s.errorRatio, s.lostResponseRatio, s.rateLimit
+	s.arrivals = append(s.arrivals, time.Now())
 	s.mu.Unlock()
 	if e.Server.ID != id {
 		wire.SetReplyHeaders(w.Header(), forward.Reply{ID: e.ID, NotRun: true, Instance: id})
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if e.ResumeFrom != "" && !s.use(e.ResumeFrom) {
+	if e.ResumeFrom != "" && !s.takeReplica(e.ResumeFrom) {
 		wire.SetReplyHeaders(w.Header(), forward.Reply{ID: e.ID, NotRun: true})
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	one := &ran{server: id, service: s.service}
-	s.world.judge(e, key, r.URL.Path, s.service, leaving, s.world.ledger.run(e.ID, one))
+	one := &execution{server: id, service: s.service}
+	s.harness.checkRequest(e, key, r.URL.Path, s.service, leaving, s.harness.recorder.startExecution(e.ID, one))
 	wire.SetReplyHeaders(w.Header(), forward.Reply{ID: e.ID, RateLimit: limit})
-	w.Header().Set(wire.SignatureHeader, one.proof)
+	w.Header().Set(wire.SignatureHeader, one.signature)
 	if part != "" {
-		s.stream(w, r, e, part, one, shutdown)
+		s.serveStream(w, r, e, part, one, shutdown)
 		return
 	}
-	s.answer(w, r, one, failing, losing, shutdown)
+	s.serveResponse(w, r, one, failing, losing, shutdown)
 }
 
-// use takes a copy; it can be used once.
-func (s *server) use(name string) bool {
+// takeReplica takes a copy; it can be used once.
+func (s *server) takeReplica(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, ok := s.copies[name]
-	delete(s.copies, name)
+	_, ok := s.replicas[name]
+	delete(s.replicas, name)
 	return ok
 }
 
-// answer is that of a plain service.
-func (s *server) answer(w http.ResponseWriter, r *http.Request, one *ran, failing, losing float64, shutdown <-chan struct{}) {
-	status, body := http.StatusOK, "answer of "+one.proof
+// serveResponse is that of a plain service.
+func (s *server) serveResponse(w http.ResponseWriter, r *http.Request, one *execution, failing, losing float64, shutdown <-chan struct{}) {
+	status, body := http.StatusOK, "answer of "+one.signature
 	if rand.Float64() < failing {
-		status, body = http.StatusInternalServerError, "failure of "+one.proof
+		status, body = http.StatusInternalServerError, "failure of "+one.signature
 	}
 	select {
-	case <-time.After(workTime):
+	case <-time.After(serviceTime):
 	case <-shutdown:
-		s.world.ledger.end(one, 0, "")
+		s.harness.recorder.finishExecution(one, 0, "")
 		panic(http.ErrAbortHandler)
 	case <-r.Context().Done():
 	}
-	if isPoison(r.URL.Path) && s.endUnder(r) {
-		s.world.ledger.end(one, 0, "")
+	if isPoison(r.URL.Path) && s.crashOnPoison(r) {
+		s.harness.recorder.finishExecution(one, 0, "")
 		panic(http.ErrAbortHandler)
 	}
-	s.world.ledger.end(one, status, body)
+	s.harness.recorder.finishExecution(one, status, body)
 	if rand.Float64() < losing {
 		panic(http.ErrAbortHandler)
 	}
@@ -246,10 +246,10 @@
 	fmt.Fprint(w, body)
 }
 
-// stream is the answer of an engine: the same events for the same prompt.
-func (s *server) stream(w http.ResponseWriter, r *http.Request, e forward.UpstreamRequest, part string, one *ran, shutdown <-chan struct{}) {
-	defer s.world.ledger.end(one, http.StatusOK, "")
-	p := &progress{part: part, copyTo: e.CopyTo}
+// serveStream is the answer of an engine: the same events for the same prompt.
+func (s *server) serveStream(w http.ResponseWriter, r *http.Request, e forward.UpstreamRequest, part string, one *execution, shutdown <-chan struct{}) {
+	defer s.harness.recorder.finishExecution(one, http.StatusOK, "")
+	p := &activeRun{part: part, copyTo: e.CopyTo}
 	s.mu.Lock()
 	s.runs[e.ID] = p
 	s.mu.Unlock()
@@ -258,7 +258,7 @@
 		defer s.mu.Unlock()
 		delete(s.runs, e.ID)
 	}()
-	wait := readingTime
+	wait := prefillTime
 	if e.ResumeFrom != "" {
 		wait = 0
 	}
@@ -273,21 +273,21 @@
 		case <-r.Context().Done():
 			return
 		}
-		if n == e.LastEventID+1 && isPoison(r.URL.Path) && s.endUnder(r) {
+		if n == e.LastEventID+1 && isPoison(r.URL.Path) && s.crashOnPoison(r) {
 			panic(http.ErrAbortHandler)
 		}
-		wait = s.world.opts.Sort.pace()
+		wait = s.harness.opts.Scenario.eventInterval()
 		if n == e.LastEventID+1 {
 			w.Header().Set("Content-Type", "text/event-stream")
 			s.mu.Lock()
 			s.parts[part] = true
 			s.mu.Unlock()
-			s.world.keep(p.copyTo, p.copyTo+"/"+e.ID, copied{part: part, from: s})
+			s.harness.storeReplica(p.copyTo, p.copyTo+"/"+e.ID, replica{part: part, from: s})
 		}
 		fmt.Fprint(w, eventText(part, n))
 		w.(http.Flusher).Flush()
 		s.mu.Lock()
-		p.made++
+		p.eventsSent++
 		s.mu.Unlock()
 	}
 }
@@ -297,8 +297,8 @@
 	return "id: " + strconv.FormatInt(n, 10) + "\ndata: " + part + ":" + strconv.FormatInt(n, 10) + "\n\n"
 }
 
-// wholeAnswer is every event after the given one.
-func wholeAnswer(part string, after int64) string {
+// eventsAfter is every event after the given one.
+func eventsAfter(part string, after int64) string {
 	var b strings.Builder
 	for n := after + 1; n <= eventCount; n++ {
 		b.WriteString(eventText(part, n))
