--- a/lab/soak/process/callers.go
+++ b/lab/soak/process/callers.go
@@ -94,11 +94,11 @@
 	c.sent++
 	c.harness.recorder.count("asked")
 	part := fmt.Sprintf("p%d-%d", c.number, c.sent)
-	var held int64
+	var lastEventID int64
 	for try := range c.maxAttempts {
 		id := fmt.Sprintf("r%d-%d-%d", c.number, c.sent, try)
-		got := c.send(ctx, kind, id, part, held)
-		held = c.checkResponse(kind, id, part, held, got)
+		got := c.send(ctx, kind, id, part, lastEventID)
+		lastEventID = c.checkResponse(kind, id, part, lastEventID, got)
 		if got.isServed() {
 			c.harness.recorder.count("served")
 			return true
@@ -130,7 +130,7 @@
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 }
 
-func (c *caller) send(ctx context.Context, kind callKind, id, part string, held int64) (got result) {
+func (c *caller) send(ctx context.Context, kind callKind, id, part string, lastEventID int64) (got result) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeouts[kind])
 	defer cancel()
 	defer func() { got.abandoned, got.timedOut = ctx.Err() != nil, errors.Is(ctx.Err(), context.DeadlineExceeded) }()
@@ -157,7 +157,7 @@
 	}
 	req.GetBody = nil // the client library must not repeat by itself
 	req.Host = host
-	req.Header = wire.CallerHeaders(forward.Call{ID: id, Timeout: callTimeouts[kind], Key: key, LastEventID: held, PromptTokens: 800}, parts)
+	req.Header = wire.CallerHeaders(forward.Call{ID: id, Timeout: callTimeouts[kind], Key: key, LastEventID: lastEventID, PromptTokens: 800}, parts)
 	c.harness.recorder.recordSent(id, sentRequest{account: account, key: key, pathSuffix: name, kind: kind, sentAt: time.Now()})
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -210,62 +210,62 @@
 
 // checkResponse checks one answer against what the servers did, and returns the id of the
 // last event that the caller holds.
-func (c *caller) checkResponse(kind callKind, id, part string, held int64, got result) int64 {
-	l := c.harness.recorder
-	if c.harness.opts.Scenario.requiresWholeAnswers() && l.executionCount(id) > 0 {
+func (c *caller) checkResponse(kind callKind, id, part string, lastEventID int64, got result) int64 {
+	rec := c.harness.recorder
+	if c.harness.opts.Scenario.requiresWholeAnswers() && rec.executionCount(id) > 0 {
 		c.checkNotCut(kind, id, got)
 	}
 	if kind == callResumable && got.status == http.StatusOK {
-		return c.checkStream(id, part, held, got)
+		return c.checkStream(id, part, lastEventID, got)
 	}
 	if got.err != nil {
-		return held
+		return lastEventID
 	}
 	if got.signature == "" {
 		if got.status < 300 {
-			l.recordViolation("%s: a success %d without proof", id, got.status)
+			rec.recordViolation("%s: a success %d without proof", id, got.status)
 		}
 		if notRunStatuses[got.status] {
 			c.harness.checkRefusal(id)
 		}
-		return held
+		return lastEventID
 	}
-	r, ok := l.executionBySignature(got.signature)
+	r, ok := rec.executionBySignature(got.signature)
 	switch {
 	case !ok || !strings.Contains(got.signature, "."+id+"."):
-		l.recordViolation("%s: the proof %q is of no run of it", id, got.signature)
+		rec.recordViolation("%s: the proof %q is of no run of it", id, got.signature)
 	case r.status != got.status || r.body != got.body:
-		l.recordViolation("%s: %d %q, and the server gave %d %q", id, got.status, got.body, r.status, r.body)
+		rec.recordViolation("%s: %d %q, and the server gave %d %q", id, got.status, got.body, r.status, r.body)
 	}
-	return held
+	return lastEventID
 }
 
 // checkNotCut checks that an answer of which a server has begun to make something is not
 // given up.
 func (c *caller) checkNotCut(kind callKind, id string, got result) {
-	l, o := c.harness.recorder, c.harness.opts
+	rec, o := c.harness.recorder, c.harness.opts
 	switch {
 	case o.Timed && got.timedOut && kind == callResumable:
-		l.recordViolation("%s ran, and its answer was not whole in %v", id, callTimeouts[kind])
+		rec.recordViolation("%s ran, and its answer was not whole in %v", id, callTimeouts[kind])
 	case got.abandoned:
 	case got.err != nil:
-		l.recordViolation("%s ran, and its answer was cut although no server failed: %v", id, got.err)
+		rec.recordViolation("%s ran, and its answer was cut although no server failed: %v", id, got.err)
 	case kind == callResumable && got.status != http.StatusOK:
-		l.recordViolation("%s ran, and its caller got %d although no server failed", id, got.status)
+		rec.recordViolation("%s ran, and its caller got %d although no server failed", id, got.status)
 	}
 }
 
 // checkStream checks that what came is the answer from held on, and whole unless
 // it visibly broke off.
-func (c *caller) checkStream(id, part string, held int64, got result) int64 {
-	want := eventsAfter(part, held)
+func (c *caller) checkStream(id, part string, lastEventID int64, got result) int64 {
+	want := eventsAfter(part, lastEventID)
 	switch {
 	case got.err == nil && got.body != want:
-		c.harness.recorder.recordViolation("%s: an answer that looks whole after event %d is not: %d of %d bytes", id, held, len(got.body), len(want))
+		c.harness.recorder.recordViolation("%s: an answer that looks whole after event %d is not: %d of %d bytes", id, lastEventID, len(got.body), len(want))
 	case !strings.HasPrefix(want, got.body):
-		c.harness.recorder.recordViolation("%s: after event %d a piece is missing, twice or another's: ...%q", id, held, tail(got.body))
+		c.harness.recorder.recordViolation("%s: after event %d a piece is missing, twice or another's: ...%q", id, lastEventID, tail(got.body))
 	}
-	return held + int64(strings.Count(got.body, "\n\n"))
+	return lastEventID + int64(strings.Count(got.body, "\n\n"))
 }
 
 func tail(s string) string { return s[max(0, len(s)-80):] }
--- a/lab/soak/process/daemon.go
+++ b/lab/soak/process/daemon.go
@@ -45,7 +45,7 @@
 	exited        chan struct{} // closed when the process has ended
 }
 
-func (h *harness) newDaemon(n int, ip, near, zone, storeAt string) (*daemon, error) {
+func (h *harness) newDaemon(n int, ip, listenIP, zone, storeAt string) (*daemon, error) {
 	at := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
 	d := &daemon{harness: h, path: filepath.Join(h.opts.Dir, fmt.Sprintf("entry-%d.conf", n))}
 	var err error
@@ -53,7 +53,7 @@
 		proxy  **proxy
 		target string
 	}{{&d.callerProxy, at(portCallers)}, {&d.directoryProxy, at(portDirectory)}, {&d.storeProxy, storeAt}} {
-		if *l.proxy, err = newProxy(near+":0", l.target); err != nil {
+		if *l.proxy, err = newProxy(listenIP+":0", l.target); err != nil {
 			return nil, err
 		}
 	}
--- a/lab/soak/process/daemonlinks.go
+++ b/lab/soak/process/daemonlinks.go
@@ -31,7 +31,7 @@
 
 // buildLinks makes the links and paths of all daemons and returns the addresses of their
 // stores.
-func (h *harness) buildLinks(near string) ([]string, error) {
+func (h *harness) buildLinks(listenIP string) ([]string, error) {
 	for n := range historyPartCount {
 		h.partHistory = append(h.partHistory, fmt.Sprintf("past-%d", n))
 	}
@@ -44,49 +44,49 @@
 	}
 	var stores []string
 	for n := range daemonCount {
-		at, err := h.buildDaemonLinks(n, near)
+		address, err := h.buildDaemonLinks(n, listenIP)
 		if err != nil {
 			return nil, err
 		}
-		stores = append(stores, at)
+		stores = append(stores, address)
 	}
 	return stores, nil
 }
 
 // buildDaemonLinks lays a daemon's paths and returns the address of its store.
-func (h *harness) buildDaemonLinks(n int, near string) (storeAt string, err error) {
+func (h *harness) buildDaemonLinks(n int, listenIP string) (storeAt string, err error) {
 	u := h.uplinks[n]
-	var names []string // pairs of an address and what the daemon has in its place
-	lay := func(known, target string, out, in []*linkDirection) (string, error) {
-		p, err := newProxyVia(near+":0", target, out, in)
+	var replacements []string // pairs of an address and what the daemon has in its place
+	addLink := func(known, target string, requestPath, responsePath []*linkDirection) (string, error) {
+		p, err := newProxyVia(listenIP+":0", target, requestPath, responsePath)
 		if err != nil {
 			return "", err
 		}
 		h.linkProxies = append(h.linkProxies, p)
-		names = append(names, `"`+known+`"`, `"`+p.address()+`"`)
+		replacements = append(replacements, `"`+known+`"`, `"`+p.address()+`"`)
 		return p.address(), nil
 	}
 	for _, s := range h.servers {
-		at, err := lay(s.link.address(), s.listener.Addr().String(), []*linkDirection{&u.out}, []*linkDirection{&u.in})
+		address, err := addLink(s.link.address(), s.listener.Addr().String(), []*linkDirection{&u.out}, []*linkDirection{&u.in})
 		if err != nil {
 			return "", err
 		}
-		s.addresses = append(s.addresses, at)
+		s.addresses = append(s.addresses, address)
 	}
 	for m, other := range h.uplinks {
 		if m == n {
 			continue
 		}
-		if _, err := lay(h.peerAddress(m), h.peerAddress(m), []*linkDirection{&u.out, &other.in}, []*linkDirection{&other.out, &u.in}); err != nil {
+		if _, err := addLink(h.peerAddress(m), h.peerAddress(m), []*linkDirection{&u.out, &other.in}, []*linkDirection{&other.out, &u.in}); err != nil {
 			return "", err
 		}
 	}
-	return h.serveStore(near, kv.NewStandIn(rewritingStore{Store: h.memory, addresses: strings.NewReplacer(names...)}))
+	return h.serveStore(listenIP, kv.NewStandIn(rewritingStore{Store: h.memory, addresses: strings.NewReplacer(replacements...)}))
 }
 
 // serveStore serves the store, of which it returns the address.
-func (h *harness) serveStore(near string, s *kv.StandIn) (string, error) {
-	l, err := net.Listen("tcp", near+":0")
+func (h *harness) serveStore(listenIP string, s *kv.StandIn) (string, error) {
+	l, err := net.Listen("tcp", listenIP+":0")
 	if err != nil {
 		return "", errors.Wrap(err, "store")
 	}
--- a/lab/soak/process/faults.go
+++ b/lab/soak/process/faults.go
@@ -52,21 +52,21 @@
 // runScenario runs callers and faults, heals, and checks that all is served again.
 func (h *harness) runScenario(ctx context.Context) {
 	load, stop := context.WithCancel(ctx)
-	var callers, trouble sync.WaitGroup
+	var callers, injections sync.WaitGroup
 	for n := range h.opts.Callers {
 		callers.Go(func() { h.newCaller(n).run(load) })
 	}
 	began := time.Now()
 	if h.opts.Scenario.hasDaemonLinks() {
-		trouble.Go(func() { h.restartDaemonsInTurn(ctx, began) })
+		injections.Go(func() { h.restartDaemonsInTurn(ctx, began) })
 	}
 	for time.Since(began) < h.opts.Length && ctx.Err() == nil {
 		f := h.nextFault()
 		h.logFault("%6.2fs %s", time.Since(began).Seconds(), f.name)
-		trouble.Go(func() { f.inject(h, ctx) })
+		injections.Go(func() { f.inject(h, ctx) })
 		time.Sleep(faultPause/2 + h.randomDuration(faultPause))
 	}
-	trouble.Wait()
+	injections.Wait()
 	h.restarts.Wait()
 	time.Sleep(h.opts.Scenario.settleTime())
 	stop()
@@ -265,10 +265,10 @@
 
 func (h *harness) failServer(ctx context.Context) {
 	s := h.randomServer()
-	set := func(failing, losing float64) {
+	set := func(errorRatio, lostResponseRatio float64) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.errorRatio, s.lostResponseRatio = failing, losing
+		s.errorRatio, s.lostResponseRatio = errorRatio, lostResponseRatio
 	}
 	set(0.3, 0.3)
 	h.suspendBoundsUpTo(ctx, 4*time.Second)
--- a/lab/soak/process/harness.go
+++ b/lab/soak/process/harness.go
@@ -102,17 +102,17 @@
 
 // Run plays one seed.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	w := &harness{
+	h := &harness{
 		opts: o, random: rand.New(rand.NewPCG(o.Seed, 7)), recorder: newRecorder(), memory: store.NewMemory(),
 		callerProxies: map[string]string{}, removedKeys: map[string]time.Time{}, activeService: "desk",
 		crashesByRequest: map[string]int{},
 	}
-	defer w.close()
-	if err := w.start(); err != nil {
+	defer h.close()
+	if err := h.start(); err != nil {
 		return nil, err
 	}
-	w.runScenario(ctx)
-	return &Report{Violations: w.recorder.violations, Counts: w.recorder.counts, Faults: w.faultLog}, nil
+	h.runScenario(ctx)
+	return &Report{Violations: h.recorder.violations, Counts: h.recorder.counts, Faults: h.faultLog}, nil
 }
 
 // runsStarted tells the runs of this process apart.
@@ -126,21 +126,21 @@
 
 func (h *harness) start() error {
 	h.network = network()
-	near := h.network + ".200"
+	listenIP := h.network + ".200"
 	h.standIn = kv.NewStandIn(h.memory)
-	if err := h.startServers(near); err != nil {
+	if err := h.startServers(listenIP); err != nil {
 		return err
 	}
 	for a := range h.keys {
 		h.keys[a] = fmt.Sprintf("key-%d-0", a)
 	}
 	h.writeConfig()
-	stores, err := h.storeAddresses(near)
+	stores, err := h.storeAddresses(listenIP)
 	if err != nil {
 		return err
 	}
 	for n, at := range stores {
-		d, err := h.newDaemon(n, h.daemonIP(n), near, zoneNames[n%len(zoneNames)], at)
+		d, err := h.newDaemon(n, h.daemonIP(n), listenIP, zoneNames[n%len(zoneNames)], at)
 		if err != nil {
 			return err
 		}
@@ -151,13 +151,13 @@
 }
 
 // startServers starts and registers the servers.
-func (h *harness) startServers(near string) error {
+func (h *harness) startServers(listenIP string) error {
 	for n := range engineCount + 2*plainServersPerService {
 		service := "llm"
 		if n >= engineCount {
 			service = []string{"desk", "desk2"}[(n-engineCount)%2]
 		}
-		s, err := h.newServer(service, zoneNames[n%len(zoneNames)], near+":0", near+":0")
+		s, err := h.newServer(service, zoneNames[n%len(zoneNames)], listenIP+":0", listenIP+":0")
 		if err != nil {
 			return err
 		}
@@ -168,11 +168,11 @@
 }
 
 // storeAddresses are the addresses of the store, for each daemon.
-func (h *harness) storeAddresses(near string) ([]string, error) {
+func (h *harness) storeAddresses(listenIP string) ([]string, error) {
 	if h.opts.Scenario.hasDaemonLinks() {
-		return h.buildLinks(near)
+		return h.buildLinks(listenIP)
 	}
-	at, err := h.serveStore(near, h.standIn)
+	at, err := h.serveStore(listenIP, h.standIn)
 	return slices.Repeat([]string{at}, daemonCount), err
 }
 
@@ -233,9 +233,9 @@
 	}
 }
 
-func (h *harness) register(s *server, leaving bool) {
-	h.writeEntry(s.entry(leaving))
-	if leaving {
+func (h *harness) register(s *server, draining bool) {
+	h.writeEntry(s.entry(draining))
+	if draining {
 		s.mu.Lock()
 		s.drainingSince = time.Now()
 		s.mu.Unlock()
@@ -294,32 +294,32 @@
 }
 
 // checkRequest checks a request that a server is about to run.
-func (h *harness) checkRequest(e forward.UpstreamRequest, key, path, service string, leaving time.Time, sent sentRequest) {
+func (h *harness) checkRequest(e forward.UpstreamRequest, key, path, service string, drainingSince time.Time, sent sentRequest) {
 	now := time.Now()
 	h.mu.Lock()
-	removed, desk, moved, trouble := h.removedKeys[sent.key], h.activeService, h.routeMovedAt, h.boundsSuspendedUntil
+	removedAt, activeService, movedAt, suspendedUntil := h.removedKeys[sent.key], h.activeService, h.routeMovedAt, h.boundsSuspendedUntil
 	h.mu.Unlock()
-	l := h.recorder
-	steady := h.opts.Timed && now.After(trouble)
+	rec := h.recorder
+	boundsHold := h.opts.Timed && now.After(suspendedUntil)
 	switch {
 	case sent.sentAt.IsZero():
-		l.recordViolation("%s runs, and no caller sent it", e.ID)
+		rec.recordViolation("%s runs, and no caller sent it", e.ID)
 	case path != routePrefixes[sent.kind]+sent.pathSuffix:
-		l.recordViolation("%s arrives with the path %s", e.ID, path)
+		rec.recordViolation("%s arrives with the path %s", e.ID, path)
 	case key != "":
-		l.recordViolation("%s arrives with its caller's key", e.ID)
+		rec.recordViolation("%s arrives with its caller's key", e.ID)
 	case e.Account != sent.account:
-		l.recordViolation("%s of %s arrives as of %q", e.ID, sent.account, e.Account)
+		rec.recordViolation("%s of %s arrives as of %q", e.ID, sent.account, e.Account)
 	case (sent.kind == callResumable) != (service == "llm"):
-		l.recordViolation("%s runs at %s", e.ID, service)
-	case h.opts.Timed && !removed.IsZero() && sent.sentAt.After(removed.Add(keyRevocationDelay)):
-		l.recordViolation("%s runs with a key removed %v before", e.ID, sent.sentAt.Sub(removed))
-	case sent.kind == callAtMostOnce && l.executionCount(e.ID) > 1:
-		l.recordViolation("%s runs %d times", e.ID, l.executionCount(e.ID))
-	case steady && !leaving.IsZero() && now.After(leaving.Add(drainPropagation)):
-		l.recordViolation("%s reaches a server %v after it began to leave", e.ID, now.Sub(leaving))
-	case steady && sent.kind != callResumable && service != desk && sent.sentAt.After(moved.Add(configPropagation)):
-		l.recordViolation("%s runs at %s %v after the route moved to %s", e.ID, service, sent.sentAt.Sub(moved), desk)
+		rec.recordViolation("%s runs at %s", e.ID, service)
+	case h.opts.Timed && !removedAt.IsZero() && sent.sentAt.After(removedAt.Add(keyRevocationDelay)):
+		rec.recordViolation("%s runs with a key removed %v before", e.ID, sent.sentAt.Sub(removedAt))
+	case sent.kind == callAtMostOnce && rec.executionCount(e.ID) > 1:
+		rec.recordViolation("%s runs %d times", e.ID, rec.executionCount(e.ID))
+	case boundsHold && !drainingSince.IsZero() && now.After(drainingSince.Add(drainPropagation)):
+		rec.recordViolation("%s reaches a server %v after it began to leave", e.ID, now.Sub(drainingSince))
+	case boundsHold && sent.kind != callResumable && service != activeService && sent.sentAt.After(movedAt.Add(configPropagation)):
+		rec.recordViolation("%s runs at %s %v after the route moved to %s", e.ID, service, sent.sentAt.Sub(movedAt), activeService)
 	}
 }
 
--- a/lab/soak/process/links.go
+++ b/lab/soak/process/links.go
@@ -52,9 +52,9 @@
 
 // waitUntilReleased returns when a parcel that is due has left all lanes, which may be held up in
 // the meantime.
-func waitUntilReleased(due time.Time, lanes []*linkDirection) {
+func waitUntilReleased(due time.Time, path []*linkDirection) {
 	for {
-		for _, l := range lanes {
+		for _, l := range path {
 			l.mu.Lock()
 			if l.stalledUntil.After(due) {
 				due = l.stalledUntil
@@ -91,7 +91,7 @@
 
 // forwardVia copies one way by way of lanes until an end closes. The end passes in its
 // turn, so that what was sent before it arrives.
-func forwardVia(from, to net.Conn, lanes []*linkDirection) {
+func forwardVia(from, to net.Conn, path []*linkDirection) {
 	queue := make(chan chunk, maxQueuedChunks)
 	go func() {
 		defer close(queue)
@@ -99,7 +99,7 @@
 			buf := make([]byte, chunkSizeBytes)
 			n, err := from.Read(buf)
 			due := time.Now()
-			for _, l := range lanes {
+			for _, l := range path {
 				due = l.schedule(due, n)
 			}
 			queue <- chunk{data: buf[:n], due: due, err: err}
@@ -109,7 +109,7 @@
 		}
 	}()
 	for p := range queue {
-		waitUntilReleased(p.due, lanes)
+		waitUntilReleased(p.due, path)
 		if !deliver(p, to) {
 			reset(from) // ends the reading
 		}
--- a/lab/soak/process/proxy.go
+++ b/lab/soak/process/proxy.go
@@ -45,12 +45,12 @@
 func newProxy(address, target string) (*proxy, error) { return newProxyVia(address, target, nil, nil) }
 
 // newProxyVia is newProxy for connections that pass lanes.
-func newProxyVia(address, target string, out, in []*linkDirection) (*proxy, error) {
+func newProxyVia(address, target string, requestPath, responsePath []*linkDirection) (*proxy, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "proxy")
 	}
-	p := &proxy{listenAddress: l.Addr().String(), listener: l, target: target, requestPath: out, responsePath: in, conns: map[*proxiedConn]struct{}{}}
+	p := &proxy{listenAddress: l.Addr().String(), listener: l, target: target, requestPath: requestPath, responsePath: responsePath, conns: map[*proxiedConn]struct{}{}}
 	go p.accept(l)
 	return p, nil
 }
@@ -59,28 +59,28 @@
 
 func (p *proxy) accept(l net.Listener) {
 	for {
-		near, err := l.Accept()
+		client, err := l.Accept()
 		if err != nil {
 			return // closed
 		}
-		go p.serve(near)
+		go p.serve(client)
 	}
 }
 
-func (p *proxy) serve(near net.Conn) {
+func (p *proxy) serve(client net.Conn) {
 	p.mu.Lock()
 	mode, target := p.mode, p.target
 	p.mu.Unlock()
 	if mode == linkReset {
-		reset(near)
+		reset(client)
 		return
 	}
-	far, err := net.Dial("tcp", target)
+	upstream, err := net.Dial("tcp", target)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
-	c := &proxiedConn{client: near, upstream: far, mode: mode}
+	c := &proxiedConn{client: client, upstream: upstream, mode: mode}
 	p.mu.Lock()
 	p.conns[c] = struct{}{}
 	p.mu.Unlock()
@@ -92,22 +92,22 @@
 
 // forwardBoth copies both ways until the connection has ended.
 func (p *proxy) forwardBoth(c *proxiedConn) {
-	var ways sync.WaitGroup
+	var directions sync.WaitGroup
 	if len(p.requestPath) == 0 {
-		ways.Go(func() { p.forward(c, c.client, c.upstream, false) })
-		ways.Go(func() { p.forward(c, c.upstream, c.client, true) })
-		ways.Wait()
+		directions.Go(func() { p.forward(c, c.client, c.upstream, false) })
+		directions.Go(func() { p.forward(c, c.upstream, c.client, true) })
+		directions.Wait()
 		return
 	}
-	ways.Go(func() { forwardVia(c.client, c.upstream, p.requestPath) })
-	ways.Go(func() { forwardVia(c.upstream, c.client, p.responsePath) })
-	ways.Wait()
+	directions.Go(func() { forwardVia(c.client, c.upstream, p.requestPath) })
+	directions.Go(func() { forwardVia(c.upstream, c.client, p.responsePath) })
+	directions.Wait()
 	_ = c.client.Close() // all has arrived
 	_ = c.upstream.Close()
 }
 
 // forward copies one way until an end closes. A silent way reads on and drops.
-func (p *proxy) forward(c *proxiedConn, from, to net.Conn, answers bool) {
+func (p *proxy) forward(c *proxiedConn, from, to net.Conn, isResponse bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
@@ -117,14 +117,14 @@
 		if mode == linkSlow {
 			time.Sleep(slowLinkDelay)
 		}
-		quiet := mode == linkSilent || mode == linkOneWay && answers
-		if n > 0 && !quiet {
+		dropped := mode == linkSilent || mode == linkOneWay && isResponse
+		if n > 0 && !dropped {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				err = werr
 			}
 		}
 		if err != nil {
-			if quiet {
+			if dropped {
 				return // the other end hears nothing of it
 			}
 			if half, ok := to.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
--- a/lab/soak/process/ratelimit.go
+++ b/lab/soak/process/ratelimit.go
@@ -28,7 +28,7 @@
 		s.mu.Unlock()
 		return
 	}
-	id, named := s.id, time.Now()
+	id, announcedAt := s.id, time.Now()
 	s.rateLimit = strconv.FormatFloat(rate, 'g', -1, 64)
 	s.arrivals = nil
 	s.mu.Unlock()
@@ -37,12 +37,12 @@
 	case <-ctx.Done():
 	}
 	h.mu.Lock()
-	troubled := h.boundsSuspendedUntil.After(named)
+	boundsSuspended := h.boundsSuspendedUntil.After(announcedAt)
 	h.mu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rateLimit = ""
-	if most := maxArrivalsInWindow(s.arrivals, named.Add(rateLimitPropagation)); h.opts.Timed && !troubled && s.id == id && most > maxRequestsInWindow(rate) {
+	if most := maxArrivalsInWindow(s.arrivals, announcedAt.Add(rateLimitPropagation)); h.opts.Timed && !boundsSuspended && s.id == id && most > maxRequestsInWindow(rate) {
 		h.recorder.recordViolation("%d requests in %v reached %s, which takes %v a second", most, rateWindow, id, rate)
 	}
 }
@@ -52,19 +52,19 @@
 	for {
 		s := h.randomServer()
 		h.mu.Lock()
-		desk := h.activeService
+		active := h.activeService
 		h.mu.Unlock()
-		if s.service == desk {
+		if s.service == active {
 			return s
 		}
 	}
 }
 
 // maxArrivalsInWindow is the most of the arrivals after a moment within limitSpan of each other.
-func maxArrivalsInWindow(arrived []time.Time, after time.Time) (most int) {
+func maxArrivalsInWindow(arrivals []time.Time, after time.Time) (most int) {
 	first := 0
-	for last, at := range arrived {
-		for arrived[first].Before(after) && first < last || at.Sub(arrived[first]) >= rateWindow {
+	for last, at := range arrivals {
+		for arrivals[first].Before(after) && first < last || at.Sub(arrivals[first]) >= rateWindow {
 			first++
 		}
 		if !at.Before(after) {
--- a/lab/soak/process/recorder.go
+++ b/lab/soak/process/recorder.go
@@ -41,48 +41,48 @@
 }
 
 // recordViolation records a broken promise.
-func (l *recorder) recordViolation(format string, args ...any) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.violations = append(l.violations, fmt.Sprintf(format, args...))
+func (rec *recorder) recordViolation(format string, args ...any) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.violations = append(rec.violations, fmt.Sprintf(format, args...))
 }
 
 // count adds to a figure of the report.
-func (l *recorder) count(name string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.counts[name]++
+func (rec *recorder) count(name string) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.counts[name]++
 }
 
 // recordSent records a caller's request before it is sent.
-func (l *recorder) recordSent(id string, c sentRequest) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.sentRequests[id] = c
+func (rec *recorder) recordSent(id string, c sentRequest) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.sentRequests[id] = c
 }
 
 // startExecution records that a server begins a run.
-func (l *recorder) startExecution(id string, r *execution) sentRequest {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (rec *recorder) startExecution(id string, r *execution) sentRequest {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
 	r.startedAt = time.Now()
-	r.signature = fmt.Sprintf("%s.%s.%d", r.server, id, len(l.executions[id]))
-	l.executions[id] = append(l.executions[id], r)
-	l.bySignature[r.signature] = r
-	return l.sentRequests[id]
+	r.signature = fmt.Sprintf("%s.%s.%d", r.server, id, len(rec.executions[id]))
+	rec.executions[id] = append(rec.executions[id], r)
+	rec.bySignature[r.signature] = r
+	return rec.sentRequests[id]
 }
 
-func (l *recorder) finishExecution(r *execution, status int, body string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (rec *recorder) finishExecution(r *execution, status int, body string) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
 	r.status, r.body, r.finished = status, body, true
 }
 
 // executionBySignature returns the run that a proof speaks of.
-func (l *recorder) executionBySignature(proof string) (execution, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	r, ok := l.bySignature[proof]
+func (rec *recorder) executionBySignature(signature string) (execution, bool) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	r, ok := rec.bySignature[signature]
 	if !ok {
 		return execution{}, false
 	}
@@ -90,17 +90,17 @@
 }
 
 // executionCount is how often a request ran.
-func (l *recorder) executionCount(id string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.executions[id])
+func (rec *recorder) executionCount(id string) int {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	return len(rec.executions[id])
 }
 
 // unfinishedRequests are the requests that servers still work on.
-func (l *recorder) unfinishedRequests() (ids []string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for id, runs := range l.executions {
+func (rec *recorder) unfinishedRequests() (ids []string) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	for id, runs := range rec.executions {
 		for _, r := range runs {
 			if !r.finished {
 				ids = append(ids, id+" at "+r.server)
--- a/lab/soak/process/rollout.go
+++ b/lab/soak/process/rollout.go
@@ -28,7 +28,7 @@
 
 // rollOut starts servers of another version beside those of a service of calls, orders the service
 // to move there, and stops at once those that the end of it leaves.
-func (h *harness) rollOut(ctx context.Context, failing float64) {
+func (h *harness) rollOut(ctx context.Context, errorRatio float64) {
 	if !h.rolloutMu.TryLock() {
 		return // one at a time
 	}
@@ -42,54 +42,54 @@
 		return
 	}
 	h.write(wire.RolloutOrderKey(service), raw)
-	fresh := h.startVersion(old, target, failing)
+	fresh := h.startVersion(old, target, errorRatio)
 	stage := h.awaitRollout(ctx, service, target)
-	h.logFault("roll-out of %s to a version that fails %v of its answers: %v", service, failing, stage)
+	h.logFault("roll-out of %s to a version that fails %v of its answers: %v", service, errorRatio, stage)
 	h.recorder.count("roll-outs " + stage.String())
 	if stage == rollout.Completed {
 		h.retire(old, false)
 	} else {
 		h.retire(fresh, true)
 	}
-	h.checkExposure(service, failing, began, old, fresh, stage)
+	h.checkExposure(service, errorRatio, began, old, fresh, stage)
 }
 
 // checkExposure checks what a bad version got.
-func (h *harness) checkExposure(service string, failing float64, began time.Time, old, fresh []*server, stage rollout.Stage) {
+func (h *harness) checkExposure(service string, errorRatio float64, began time.Time, old, fresh []*server, stage rollout.Stage) {
 	h.mu.Lock()
-	troubled := h.boundsSuspendedUntil.After(began)
+	boundsSuspended := h.boundsSuspendedUntil.After(began)
 	h.mu.Unlock()
 	got, others := arrivalsSince(fresh, began), arrivalsSince(old, began)
-	if failing > 0 && h.opts.Timed && !troubled && float64(got) > maxExposureRatio*float64(got+others)+exposureSlackRequests {
+	if errorRatio > 0 && h.opts.Timed && !boundsSuspended && float64(got) > maxExposureRatio*float64(got+others)+exposureSlackRequests {
 		h.recorder.recordViolation("a bad version of %s got %d of %d requests", service, got, got+others)
 	}
-	if failing == 0 && h.opts.Timed && !troubled && stage != rollout.Completed {
+	if errorRatio == 0 && h.opts.Timed && !boundsSuspended && stage != rollout.Completed {
 		h.recorder.recordViolation("a good version of %s is %v after its period", service, stage)
 	}
 }
 
 // serversOf are the servers of a service.
-func (h *harness) serversOf(service string) (list []*server) {
+func (h *harness) serversOf(service string) (servers []*server) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range h.servers {
 		if s.service == service {
-			list = append(list, s)
+			servers = append(servers, s)
 		}
 	}
-	return list
+	return servers
 }
 
 // startVersion starts a server of another version beside each of some.
-func (h *harness) startVersion(old []*server, version string, failing float64) (fresh []*server) {
+func (h *harness) startVersion(old []*server, version string, errorRatio float64) (fresh []*server) {
 	for _, s := range old {
-		near := h.network + ".200"
-		next, err := h.newServer(s.service, s.zone, near+":0", near+":0")
+		listenIP := h.network + ".200"
+		next, err := h.newServer(s.service, s.zone, listenIP+":0", listenIP+":0")
 		if err != nil {
 			h.recorder.recordViolation("harness: %v", err)
 			continue
 		}
-		next.version, next.errorRatio = version, failing
+		next.version, next.errorRatio = version, errorRatio
 		fresh = append(fresh, next)
 		h.mu.Lock()
 		h.servers = append(h.servers, next)
--- a/lab/soak/process/scenarios.go
+++ b/lab/soak/process/scenarios.go
@@ -124,10 +124,10 @@
 // has most answers under way.
 func (h *harness) randomUplink() *uplink {
 	h.mu.Lock()
-	n, any := h.random.IntN(daemonCount), h.random.IntN(2) == 0
+	n, anyDaemon := h.random.IntN(daemonCount), h.random.IntN(2) == 0
 	h.mu.Unlock()
 	for range daemonCount {
-		if any || !h.daemons[n].isStopping() {
+		if anyDaemon || !h.daemons[n].isStopping() {
 			break
 		}
 		n = (n + 1) % daemonCount
--- a/lab/soak/process/servers.go
+++ b/lab/soak/process/servers.go
@@ -67,10 +67,10 @@
 	copyTo     string
 }
 
-func (h *harness) newServer(service, zone, address, near string) (*server, error) {
+func (h *harness) newServer(service, zone, address, listenIP string) (*server, error) {
 	s := &server{harness: h, service: service, zone: zone}
 	s.startIncarnation(false)
-	l, err := net.Listen("tcp", near)
+	l, err := net.Listen("tcp", listenIP)
 	if err != nil {
 		return nil, errors.Wrap(err, "server")
 	}
@@ -110,10 +110,10 @@
 	close(s.shutdown)
 }
 
-func (s *server) entry(leaving bool) routing.Server {
+func (s *server) entry(draining bool) routing.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return routing.Server{ID: s.id, StartedAtMS: s.startedAtMS, Service: s.service, Address: s.link.address(), Zone: s.zone, Slots: 32, Draining: leaving, Version: s.version}
+	return routing.Server{ID: s.id, StartedAtMS: s.startedAtMS, Service: s.service, Address: s.link.address(), Zone: s.zone, Slots: 32, Draining: draining, Version: s.version}
 }
 
 // Born implements wire.Engine.
@@ -153,8 +153,8 @@
 		return "", false
 	}
 	handle := "h-" + id
-	_, as := s.harness.serverAt(target)
-	s.harness.storeReplica(target, s.addresses[as]+"/"+handle, replica{part: p.part, from: s})
+	_, addressIndex := s.harness.serverAt(target)
+	s.harness.storeReplica(target, s.addresses[addressIndex]+"/"+handle, replica{part: p.part, from: s})
 	return handle, true
 }
 
@@ -177,8 +177,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range h.servers {
-		if as := slices.Index(s.addresses, address); as >= 0 {
-			return s, as
+		if addressIndex := slices.Index(s.addresses, address); addressIndex >= 0 {
+			return s, addressIndex
 		}
 	}
 	return nil, 0
@@ -188,7 +188,7 @@
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e, part, key := wire.ParseUpstreamRequest(r.Header)
 	s.mu.Lock()
-	id, shutdown, leaving, failing, losing, limit := s.id, s.shutdown, s.drainingSince, s.errorRatio, s.lostResponseRatio, s.rateLimit
+	id, shutdown, drainingSince, errorRatio, lostResponseRatio, rateLimit := s.id, s.shutdown, s.drainingSince, s.errorRatio, s.lostResponseRatio, s.rateLimit
 	s.arrivals = append(s.arrivals, time.Now())
 	s.mu.Unlock()
 	if e.Server.ID != id {
@@ -201,15 +201,15 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	one := &execution{server: id, service: s.service}
-	s.harness.checkRequest(e, key, r.URL.Path, s.service, leaving, s.harness.recorder.startExecution(e.ID, one))
-	wire.SetReplyHeaders(w.Header(), forward.Reply{ID: e.ID, RateLimit: limit})
-	w.Header().Set(wire.SignatureHeader, one.signature)
+	exec := &execution{server: id, service: s.service}
+	s.harness.checkRequest(e, key, r.URL.Path, s.service, drainingSince, s.harness.recorder.startExecution(e.ID, exec))
+	wire.SetReplyHeaders(w.Header(), forward.Reply{ID: e.ID, RateLimit: rateLimit})
+	w.Header().Set(wire.SignatureHeader, exec.signature)
 	if part != "" {
-		s.serveStream(w, r, e, part, one, shutdown)
+		s.serveStream(w, r, e, part, exec, shutdown)
 		return
 	}
-	s.serveResponse(w, r, one, failing, losing, shutdown)
+	s.serveResponse(w, r, exec, errorRatio, lostResponseRatio, shutdown)
 }
 
 // takeReplica takes a copy; it can be used once.
@@ -222,24 +222,24 @@
 }
 
 // serveResponse is that of a plain service.
-func (s *server) serveResponse(w http.ResponseWriter, r *http.Request, one *execution, failing, losing float64, shutdown <-chan struct{}) {
-	status, body := http.StatusOK, "answer of "+one.signature
-	if rand.Float64() < failing {
-		status, body = http.StatusInternalServerError, "failure of "+one.signature
+func (s *server) serveResponse(w http.ResponseWriter, r *http.Request, exec *execution, errorRatio, lostResponseRatio float64, shutdown <-chan struct{}) {
+	status, body := http.StatusOK, "answer of "+exec.signature
+	if rand.Float64() < errorRatio {
+		status, body = http.StatusInternalServerError, "failure of "+exec.signature
 	}
 	select {
 	case <-time.After(serviceTime):
 	case <-shutdown:
-		s.harness.recorder.finishExecution(one, 0, "")
+		s.harness.recorder.finishExecution(exec, 0, "")
 		panic(http.ErrAbortHandler)
 	case <-r.Context().Done():
 	}
 	if isPoison(r.URL.Path) && s.crashOnPoison(r) {
-		s.harness.recorder.finishExecution(one, 0, "")
+		s.harness.recorder.finishExecution(exec, 0, "")
 		panic(http.ErrAbortHandler)
 	}
-	s.harness.recorder.finishExecution(one, status, body)
-	if rand.Float64() < losing {
+	s.harness.recorder.finishExecution(exec, status, body)
+	if rand.Float64() < lostResponseRatio {
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(status)
@@ -247,8 +247,8 @@
 }
 
 // serveStream is the answer of an engine: the same events for the same prompt.
-func (s *server) serveStream(w http.ResponseWriter, r *http.Request, e forward.UpstreamRequest, part string, one *execution, shutdown <-chan struct{}) {
-	defer s.harness.recorder.finishExecution(one, http.StatusOK, "")
+func (s *server) serveStream(w http.ResponseWriter, r *http.Request, e forward.UpstreamRequest, part string, exec *execution, shutdown <-chan struct{}) {
+	defer s.harness.recorder.finishExecution(exec, http.StatusOK, "")
 	p := &activeRun{part: part, copyTo: e.CopyTo}
 	s.mu.Lock()
 	s.runs[e.ID] = p
