--- a/lab/soak/process/callers.go
+++ b/lab/soak/process/callers.go
@@ -16,55 +16,55 @@
 	"mallowwind.dev/serve/forward"
 )
 
-// callKind is what may be done with a request.
+// callKind says whether and how a request may be repeated.
 type callKind uint8
 
 const (
-	callResumable  callKind = iota // a long answer that may be resumed
-	callAtMostOnce                 // at most once
-	callIdempotent                 // idempotent
+	callResumable  callKind = iota // a long streamed response that may be resumed
+	callAtMostOnce                 // must not run twice
+	callIdempotent                 // may be retried freely
 	callKindCount
 )
 
-// prefixes of the routes, and how long callers of each wait.
+// Route prefix and caller timeout of each kind of request.
 var (
 	routePrefixes = [callKindCount]string{"/review/", "/once/", "/again/"}
 	callTimeouts  = [callKindCount]time.Duration{10 * time.Second, 2 * time.Second, 2 * time.Second}
 )
 
-// result is what a caller got for one request.
+// result is the outcome of one attempt of a request.
 type result struct {
 	status     int
 	signature  string
 	body       string
-	retryAfter string // Retry-After
-	err        error  // the answer did not come, or not whole
-	abandoned  bool   // the caller left, or its time was over
-	timedOut   bool   // its time was over
+	retryAfter string // value of the Retry-After header
+	err        error  // no response, or an incomplete one
+	abandoned  bool   // the caller cancelled the request, or it timed out
+	timedOut   bool   // the request reached its timeout
 }
 
-// isServed reports whether the caller has what it asked for.
+// isServed reports whether the caller received a complete response with status 200.
 func (r result) isServed() bool { return r.err == nil && r.status == http.StatusOK }
 
-// caller asks the directory where to connect, keeps the answer and its connections,
-// and repeats a request once.
+// caller resolves addresses through the directory, reuses the result and its connections, and
+// retries failed requests.
 type caller struct {
 	harness     *harness
 	number      int
 	sent        int
 	http        *http.Client
-	addresses   []string // addresses to connect to
+	addresses   []string // daemons to connect to
 	resolvedAt  time.Time
-	requestName string // of all requests, in path and body; "" where each has its own
+	requestName string // used in the path and body of all requests; "" if each has its own
 	callerProfile
 }
 
-// callerProfile are what callers of one sort of run do.
+// callerProfile describes how the callers of a scenario behave.
 type callerProfile struct {
-	resumableRatio float64       // share of long answers beside their part of the other kinds
-	abandonRatio   float64       // share of requests given up early
-	abandonWithin  time.Duration // of their start
-	maxAttempts    int           // of one request at most
+	resumableRatio float64       // probability of a resumable request in place of a random kind
+	abandonRatio   float64       // share of requests that the caller cancels early
+	abandonWithin  time.Duration // latest cancellation, from the start of the request
+	maxAttempts    int           // per request
 }
 
 func (h *harness) newCaller(n int) *caller {
@@ -79,7 +79,7 @@
 			kind = callResumable
 		}
 		if c.harness.opts.Scenario.requiresWholeAnswers() {
-			c.request(context.WithoutCancel(ctx), kind) // to its end, which is judged too
+			c.request(context.WithoutCancel(ctx), kind) // runs to its end, so that the whole response is checked
 		} else {
 			c.request(ctx, kind)
 		}
@@ -88,8 +88,8 @@
 	c.http.CloseIdleConnections()
 }
 
-// request sends one request, once more after a failure that allows it, and judges
-// both answers. It reports whether the caller was served.
+// request sends one request, retries it after a failure that allows a retry, and checks every
+// response. It reports whether the caller was served.
 func (c *caller) request(ctx context.Context, kind callKind) bool {
 	c.sent++
 	c.harness.recorder.count("asked")
@@ -103,7 +103,7 @@
 			c.harness.recorder.count("served")
 			return true
 		}
-		c.addresses = nil // another address next time
+		c.addresses = nil // resolve again before the next attempt
 		promised := got.err == nil && notRunStatuses[got.status]
 		if kind == callAtMostOnce && !promised {
 			break
@@ -124,7 +124,7 @@
 	return d
 }
 
-// notRunStatuses are the statuses that say that a request has not run and never will.
+// notRunStatuses are the statuses that promise that a request has not run and never will.
 var notRunStatuses = map[int]bool{
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
@@ -155,7 +155,7 @@
 	if err != nil {
 		return result{err: errors.Wrap(err, "request")}
 	}
-	req.GetBody = nil // the client library must not repeat by itself
+	req.GetBody = nil // the HTTP client must not retry by itself
 	req.Host = host
 	req.Header = wire.CallerHeaders(forward.Call{ID: id, Timeout: callTimeouts[kind], Key: key, LastEventID: lastEventID, PromptTokens: 800}, parts)
 	c.harness.recorder.recordSent(id, sentRequest{account: account, key: key, pathSuffix: name, kind: kind, sentAt: time.Now()})
@@ -170,7 +170,7 @@
 	}
 }
 
-// address is one of those that the directory names, by way of the proxy before it.
+// address returns the proxy in front of one of the daemons that the directory lists.
 func (c *caller) address(ctx context.Context) (string, error) {
 	if len(c.addresses) == 0 || time.Since(c.resolvedAt) > 2*time.Second {
 		known, err := c.resolve(ctx)
@@ -208,8 +208,8 @@
 	return list, err
 }
 
-// checkResponse checks one answer against what the servers did, and returns the id of the
-// last event that the caller holds.
+// checkResponse compares a response with the executions at the servers, and returns the ID of
+// the last event that the caller holds.
 func (c *caller) checkResponse(kind callKind, id, part string, lastEventID int64, got result) int64 {
 	rec := c.harness.recorder
 	if c.harness.opts.Scenario.requiresWholeAnswers() && rec.executionCount(id) > 0 {
@@ -223,7 +223,7 @@
 	}
 	if got.signature == "" {
 		if got.status < 300 {
-			rec.recordViolation("%s: a success %d without proof", id, got.status)
+			rec.recordViolation("%s: status %d without a signature", id, got.status)
 		}
 		if notRunStatuses[got.status] {
 			c.harness.checkRefusal(id)
@@ -233,37 +233,36 @@
 	r, ok := rec.executionBySignature(got.signature)
 	switch {
 	case !ok || !strings.Contains(got.signature, "."+id+"."):
-		rec.recordViolation("%s: the proof %q is of no run of it", id, got.signature)
+		rec.recordViolation("%s: signature %q belongs to no execution of the request", id, got.signature)
 	case r.status != got.status || r.body != got.body:
-		rec.recordViolation("%s: %d %q, and the server gave %d %q", id, got.status, got.body, r.status, r.body)
+		rec.recordViolation("%s: the caller got %d %q, the server sent %d %q", id, got.status, got.body, r.status, r.body)
 	}
 	return lastEventID
 }
 
-// checkNotCut checks that an answer of which a server has begun to make something is not
-// given up.
+// checkNotCut checks that the response of a request that has started to run is not cut short.
 func (c *caller) checkNotCut(kind callKind, id string, got result) {
 	rec, o := c.harness.recorder, c.harness.opts
 	switch {
 	case o.Timed && got.timedOut && kind == callResumable:
-		rec.recordViolation("%s ran, and its answer was not whole in %v", id, callTimeouts[kind])
+		rec.recordViolation("%s ran, but its response was not complete within %v", id, callTimeouts[kind])
 	case got.abandoned:
 	case got.err != nil:
-		rec.recordViolation("%s ran, and its answer was cut although no server failed: %v", id, got.err)
+		rec.recordViolation("%s ran, but its response was cut although no server failed: %v", id, got.err)
 	case kind == callResumable && got.status != http.StatusOK:
-		rec.recordViolation("%s ran, and its caller got %d although no server failed", id, got.status)
+		rec.recordViolation("%s ran, but its caller got status %d although no server failed", id, got.status)
 	}
 }
 
-// checkStream checks that what came is the answer from held on, and whole unless
-// it visibly broke off.
+// checkStream checks that the received events follow lastEventID without gaps, and that they
+// are complete unless the stream ended with an error.
 func (c *caller) checkStream(id, part string, lastEventID int64, got result) int64 {
 	want := eventsAfter(part, lastEventID)
 	switch {
 	case got.err == nil && got.body != want:
-		c.harness.recorder.recordViolation("%s: an answer that looks whole after event %d is not: %d of %d bytes", id, lastEventID, len(got.body), len(want))
+		c.harness.recorder.recordViolation("%s: the response after event %d ended normally but is wrong: %d of %d bytes", id, lastEventID, len(got.body), len(want))
 	case !strings.HasPrefix(want, got.body):
-		c.harness.recorder.recordViolation("%s: after event %d a piece is missing, twice or another's: ...%q", id, lastEventID, tail(got.body))
+		c.harness.recorder.recordViolation("%s: after event %d an event is missing, duplicated or of another response: ...%q", id, lastEventID, tail(got.body))
 	}
 	return lastEventID + int64(strings.Count(got.body, "\n\n"))
 }
--- a/lab/soak/process/daemon.go
+++ b/lab/soak/process/daemon.go
@@ -17,7 +17,7 @@
 	"mallowwind.dev/platform/wire"
 )
 
-// Ports of a daemon at its own loopback address.
+// Ports of a daemon on its own loopback address.
 const (
 	portCallers   = 8740
 	portDirectory = 8746
@@ -25,24 +25,24 @@
 	portReady     = 8749
 )
 
-// outputTailLines of a process's output tell why it ended.
+// outputTailLines is how many lines of a process's output explain an unexpected exit.
 const outputTailLines = 12
 
-// daemon is one mallowwind process and the links to it.
+// daemon is one mallowwind process with the proxies on its links.
 type daemon struct {
 	harness        *harness
 	settings       nodefile.Settings
-	path           string // of the settings file
+	path           string // settings file
 	log            *os.File
 	callerProxy    *proxy
-	directoryProxy *proxy // the directory
+	directoryProxy *proxy // to the directory port
 	storeProxy     *proxy
 
-	lifecycle     sync.Mutex // one stop or kill and start at a time
+	lifecycle     sync.Mutex // serializes stops, kills and starts
 	mu            sync.Mutex
 	cmd           *exec.Cmd
-	stopRequested bool          // the end of the process was asked for
-	exited        chan struct{} // closed when the process has ended
+	stopRequested bool          // SIGTERM or SIGKILL was sent
+	exited        chan struct{} // closed when the process has exited
 }
 
 func (h *harness) newDaemon(n int, ip, listenIP, zone, storeAt string) (*daemon, error) {
@@ -71,7 +71,7 @@
 	return d, d.start()
 }
 
-// start runs the program. Its end without a signal of this run is a violation.
+// start runs the program. An exit that the harness did not ask for is a violation.
 func (d *daemon) start() error {
 	cmd := exec.Command(d.harness.opts.Binary, "forward", "--settings", d.path)
 	cmd.Stdout, cmd.Stderr = d.log, d.log
@@ -89,14 +89,14 @@
 		expected := d.stopRequested
 		d.mu.Unlock()
 		if !expected {
-			d.harness.recorder.recordViolation("%s ended by itself: %v: %s", d.settings.VM, err, d.outputTail())
+			d.harness.recorder.recordViolation("%s exited unexpectedly: %v: %s", d.settings.VM, err, d.outputTail())
 		}
 		close(gone)
 	}()
 	return nil
 }
 
-// outputTail is what the process wrote last beside its events.
+// outputTail returns the last lines that the process wrote, without its JSON events.
 func (d *daemon) outputTail() string {
 	raw, err := os.ReadFile(d.log.Name())
 	if err != nil {
@@ -111,23 +111,23 @@
 	return strings.Join(tail[max(0, len(tail)-outputTailLines):], " | ")
 }
 
-// signal sends sig to the process.
+// signal sends sig to the process and notes whether that asks it to exit.
 func (d *daemon) signal(sig syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if sig == syscall.SIGKILL || sig == syscall.SIGTERM {
 		d.stopRequested = true
 	}
-	_ = d.cmd.Process.Signal(sig) // one that has ended needs none
+	_ = d.cmd.Process.Signal(sig) // fails only if the process has exited
 }
 
-// kill ends the process at once and waits for that.
+// kill sends SIGKILL and waits until the process has exited.
 func (d *daemon) kill() {
 	d.signal(syscall.SIGKILL)
 	<-d.exitChan()
 }
 
-// isStopping reports whether the end of the process was asked for.
+// isStopping reports whether the process was asked to exit.
 func (d *daemon) isStopping() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -140,7 +140,7 @@
 	return d.exited
 }
 
-// stop is a planned stop: SIGTERM, and SIGKILL after the grace.
+// stop is a planned stop: SIGTERM, then SIGKILL after the drain grace period.
 func (d *daemon) stop() {
 	d.signal(syscall.SIGTERM)
 	select {
@@ -150,7 +150,7 @@
 	}
 }
 
-// isReady asks as the platform does.
+// isReady queries the readiness endpoint, as the platform does.
 func (d *daemon) isReady() bool {
 	client := http.Client{Timeout: 500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + d.settings.ReadinessAddress + wire.ReadyPath)
@@ -167,5 +167,5 @@
 	for _, p := range []*proxy{d.callerProxy, d.directoryProxy, d.storeProxy} {
 		p.close()
 	}
-	_ = d.log.Close() // the process that wrote it has ended
+	_ = d.log.Close() // the process that wrote to it has exited
 }
--- a/lab/soak/process/daemonlinks.go
+++ b/lab/soak/process/daemonlinks.go
@@ -13,24 +13,24 @@
 	"mallowwind.dev/platform/kv"
 )
 
-// This file gives each daemon a link of its own to all servers and all other daemons:
-// a proxy for each of them, and a store in which their addresses are those proxies.
+// This file gives each daemon its own link to all servers and all other daemons: one proxy for
+// each of them, and a view of the store in which their addresses are those of the proxies.
 
-// historyPartCount is how many prompts an engine tells of that it once held. As much as
-// six engines tell at once then is 1 MB.
+// historyPartCount is how many prompt parts an engine reports from earlier requests. The reports
+// of six engines at once then take 1 MB.
 const historyPartCount = 5200
 
-// lowBytesPerSecond is 10 Mbit/s, in bytes.
+// lowBytesPerSecond is 10 Mbit/s in bytes.
 const lowBytesPerSecond = 1.25e6
 
-// daemonIP is the address of a daemon's machine.
+// daemonIP returns the address of a daemon's machine.
 func (h *harness) daemonIP(n int) string { return fmt.Sprintf("%s.%d", h.network, n+1) }
 
-// peerAddress is where other daemons reach a daemon.
+// peerAddress returns the address at which other daemons reach a daemon.
 func (h *harness) peerAddress(n int) string { return fmt.Sprintf("%s:%d", h.daemonIP(n), portPeers) }
 
-// buildLinks makes the links and paths of all daemons and returns the addresses of their
-// stores.
+// buildLinks creates the links and proxies of all daemons and returns the addresses of their views
+// of the store.
 func (h *harness) buildLinks(listenIP string) ([]string, error) {
 	for n := range historyPartCount {
 		h.partHistory = append(h.partHistory, fmt.Sprintf("past-%d", n))
@@ -53,10 +53,10 @@
 	return stores, nil
 }
 
-// buildDaemonLinks lays a daemon's paths and returns the address of its store.
+// buildDaemonLinks creates a daemon's proxies and returns the address of its view of the store.
 func (h *harness) buildDaemonLinks(n int, listenIP string) (storeAt string, err error) {
 	u := h.uplinks[n]
-	var replacements []string // pairs of an address and what the daemon has in its place
+	var replacements []string // pairs: an address and the proxy that the daemon sees in its place
 	addLink := func(known, target string, requestPath, responsePath []*linkDirection) (string, error) {
 		p, err := newProxyVia(listenIP+":0", target, requestPath, responsePath)
 		if err != nil {
@@ -84,7 +84,7 @@
 	return h.serveStore(listenIP, kv.NewStandIn(rewritingStore{Store: h.memory, addresses: strings.NewReplacer(replacements...)}))
 }
 
-// serveStore serves the store, of which it returns the address.
+// serveStore serves a store and returns its address.
 func (h *harness) serveStore(listenIP string, s *kv.StandIn) (string, error) {
 	l, err := net.Listen("tcp", listenIP+":0")
 	if err != nil {
@@ -95,7 +95,7 @@
 	return l.Addr().String(), nil
 }
 
-// rewritingStore is the store with other addresses in its values.
+// rewritingStore is a store.Store that replaces addresses in the values it returns.
 type rewritingStore struct {
 	store.Store
 	addresses *strings.Replacer
--- a/lab/soak/process/faults.go
+++ b/lab/soak/process/faults.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// fault is one kind of trouble.
+// fault is a failure or a planned operation that the harness injects.
 type fault struct {
 	name    string
-	planned bool // it must cut nothing
+	planned bool // must not cut any response
 	inject  func(h *harness, ctx context.Context)
 }
 
@@ -20,36 +20,36 @@
 	{"daemon killed", false, (*harness).killDaemon},
 	{"daemon paused", false, (*harness).pauseDaemon},
 	{"daemon stopped", true, (*harness).restartRandomDaemon},
-	{"settings read again", true, (*harness).reloadSettings},
-	{"callers cut off a daemon", false, func(h *harness, ctx context.Context) { h.disturbLink(ctx, h.randomDaemon().callerProxy) }},
-	{"daemon cut off the store", false, func(h *harness, ctx context.Context) { h.disturbLink(ctx, h.randomDaemon().storeProxy) }},
-	{"store refuses", false, (*harness).refuseStoreCalls},
-	{"key removed while the store refuses", false, (*harness).removeKeyInOutage},
-	{"store loses answers", false, (*harness).dropStoreResponses},
+	{"settings reloaded", true, (*harness).reloadSettings},
+	{"callers cut off from a daemon", false, func(h *harness, ctx context.Context) { h.disturbLink(ctx, h.randomDaemon().callerProxy) }},
+	{"daemon cut off from the store", false, func(h *harness, ctx context.Context) { h.disturbLink(ctx, h.randomDaemon().storeProxy) }},
+	{"store refuses calls", false, (*harness).refuseStoreCalls},
+	{"key removed while the store refuses calls", false, (*harness).removeKeyInOutage},
+	{"store loses responses", false, (*harness).dropStoreResponses},
 	{"server crashes", false, (*harness).crashServer},
-	{"server restarts under its id", false, (*harness).restartServer},
+	{"server restarts under the same ID", false, (*harness).restartServer},
 	{"server cut off", false, func(h *harness, ctx context.Context) { h.disturbLink(ctx, h.randomServer().link) }},
-	{"server fails", false, (*harness).failServer},
-	{"request that ends its servers", false, (*harness).sendPoisonRequests},
-	{"server names a limit", true, (*harness).announceRateLimit},
-	{"new version", true, (*harness).rollOutHealthyVersion},
-	{"new version that fails in part", false, (*harness).rollOutFaultyVersion},
-	{"server leaves", true, (*harness).drainServer},
+	{"server fails part of its requests", false, (*harness).failServer},
+	{"poison request", false, (*harness).sendPoisonRequests},
+	{"server announces a rate limit", true, (*harness).announceRateLimit},
+	{"healthy version rolled out", true, (*harness).rollOutHealthyVersion},
+	{"faulty version rolled out", false, (*harness).rollOutFaultyVersion},
+	{"server drained", true, (*harness).drainServer},
 	{"key removed", true, (*harness).removeKey},
 	{"route moved", true, (*harness).moveRoute},
 }
 
-// Pauses between faults, so that they overlap.
+// Times between faults, short enough that faults overlap, and after them.
 const (
 	faultPause = 700 * time.Millisecond
 	settleTime = 6 * time.Second
-	// maxWatchLifetime is longer than a watch that began before an outage may last.
+	// maxWatchLifetime is longer than a watch lasts that began before an outage of the store.
 	maxWatchLifetime          = 1200 * time.Millisecond
-	recoveryCallers           = 12 // that ask after all is healed
-	recoveryRequestsPerCaller = 6  // requests of each
+	recoveryCallers           = 12 // callers that send requests after recovery
+	recoveryRequestsPerCaller = 6
 )
 
-// runScenario runs callers and faults, heals, and checks that all is served again.
+// runScenario runs callers and faults, lets the deployment recover, and checks that it serves.
 func (h *harness) runScenario(ctx context.Context) {
 	load, stop := context.WithCancel(ctx)
 	var callers, injections sync.WaitGroup
@@ -83,7 +83,7 @@
 	h.faultLog = append(h.faultLog, fmt.Sprintf(format, args...))
 }
 
-// checkRecovered asks again now that all is healed.
+// checkRecovered sends requests after all faults have ended.
 func (h *harness) checkRecovered(ctx context.Context) {
 	var all sync.WaitGroup
 	var failed atomic.Int64
@@ -99,13 +99,13 @@
 		})
 	}
 	all.Wait()
-	// Some bring keys that were removed.
+	// Some requests carry removed keys and fail.
 	if n := failed.Load(); n > recoveryCallers*recoveryRequestsPerCaller/3 {
-		h.recorder.recordViolation("%d of %d requests failed after all was healed", n, recoveryCallers*recoveryRequestsPerCaller)
+		h.recorder.recordViolation("%d of %d requests failed after all faults had ended", n, recoveryCallers*recoveryRequestsPerCaller)
 	}
 }
 
-// checkNothingRunning looks for runs whose callers have left.
+// checkNothingRunning checks that no request still runs after all callers have left.
 func (h *harness) checkNothingRunning() {
 	time.Sleep(time.Second)
 	for _, id := range h.recorder.unfinishedRequests() {
@@ -125,19 +125,19 @@
 	return h.servers[h.random.IntN(len(h.servers))]
 }
 
-// randomDuration is a time from the seed, below limit.
+// randomDuration returns a duration below limit, drawn from the seed.
 func (h *harness) randomDuration(limit time.Duration) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return time.Duration(h.random.Int64N(int64(limit)))
 }
 
-// suspendBoundsUpTo is a time of trouble of a length up to limit.
+// suspendBoundsUpTo suspends time bounds for a random duration between a quarter of limit and limit.
 func (h *harness) suspendBoundsUpTo(ctx context.Context, limit time.Duration) {
 	h.suspendBounds(ctx, limit/4+h.randomDuration(limit*3/4))
 }
 
-// suspendBounds waits for d, in which bounds do not hold; they hold again a while later.
+// suspendBounds waits for d. Time bounds are not checked until recoveryTime after that.
 func (h *harness) suspendBounds(ctx context.Context, d time.Duration) {
 	h.mu.Lock()
 	if end := time.Now().Add(d + recoveryTime); end.After(h.boundsSuspendedUntil) {
@@ -182,8 +182,8 @@
 	}
 }
 
-// reloadSettings tells a daemon that is up to read its settings again. The signal ends a
-// process that has not got so far as to take it, for its first 6 ms.
+// reloadSettings sends SIGHUP to a daemon that is ready. In its first 6 ms a process has not
+// installed its handler, and the signal would end it.
 func (h *harness) reloadSettings(context.Context) {
 	d := h.randomDaemon()
 	d.lifecycle.Lock()
@@ -214,8 +214,8 @@
 	h.standIn.DropResponses(0)
 }
 
-// crashServer ends a server without a word; another starts at its address, and the
-// old entry goes when its lease runs out.
+// crashServer crashes a server without a deregistration. A new server starts at its address, and
+// the old entry is removed later, as by the expiry of its lease.
 func (h *harness) crashServer(ctx context.Context) {
 	s := h.randomServer()
 	s.lifecycle.Lock()
@@ -233,8 +233,8 @@
 	h.unregister(old)
 }
 
-// restartServer ends a server, behind resets or behind silence, and starts it again under
-// its id. The write of the earlier life may arrive after the first of the new one.
+// restartServer ends a server, with connection resets or silently, and restarts it under the same
+// ID. The entry of the earlier incarnation may be written after that of the new one.
 func (h *harness) restartServer(ctx context.Context) {
 	s := h.randomServer()
 	s.lifecycle.Lock()
@@ -275,7 +275,7 @@
 	set(0, 0)
 }
 
-// drainServer empties a server and replaces it.
+// drainServer drains a server and replaces it.
 func (h *harness) drainServer(context.Context) {
 	s := h.randomServer()
 	s.lifecycle.Lock()
@@ -287,7 +287,7 @@
 	old := s.entry(true).ID
 	time.Sleep(drainPropagation + 1500*time.Millisecond)
 	for h.opts.Scenario.hasDaemonLinks() && len(s.Runs()) > 0 {
-		time.Sleep(minEventInterval) // answers take long there
+		time.Sleep(minEventInterval) // responses take longer in these scenarios
 	}
 	h.unregister(old)
 	s.crash()
@@ -308,8 +308,8 @@
 	h.removedKeys[old] = time.Now()
 }
 
-// removeKeyInOutage removes a key that no daemon hears of for longer than the key
-// may be used.
+// removeKeyInOutage removes a key while the store is unavailable, and keeps it unavailable for
+// longer than keyRevocationDelay, so that no daemon learns of the removal in time.
 func (h *harness) removeKeyInOutage(ctx context.Context) {
 	h.standIn.Refuse(503)
 	h.suspendBounds(ctx, maxWatchLifetime)
@@ -322,7 +322,7 @@
 func (h *harness) moveRoute(context.Context) {
 	h.mu.Lock()
 	h.activeService = map[string]string{"desk": "desk2", "desk2": "desk"}[h.activeService]
-	h.routeMovedAt = time.Now().Add(time.Hour) // not in force before it is acknowledged
+	h.routeMovedAt = time.Now().Add(time.Hour) // no bound applies before the write is acknowledged
 	h.mu.Unlock()
 	h.writeConfig()
 	h.mu.Lock()
--- a/lab/soak/process/harness.go
+++ b/lab/soak/process/harness.go
@@ -1,10 +1,9 @@
-// Package process plays seeded random faults against the real programs: mallowwind
-// daemons as separate processes on one machine, before a stand-in of the platform's
-// store, model engines and plain services in this process. Faults come from outside
-// the daemons: signals, proxies on every link, a store that fails. It checks what
-// callers and backend servers see while that happens.
+// Package process injects seeded random faults into real mallowwind processes. Several daemons run
+// on one machine, against a stand-in of the platform's store, model engines and plain services in
+// the test process. Faults come from outside the daemons: signals, proxies on every link, and a
+// store that fails. The harness checks what callers and backend servers observe meanwhile.
 //
-// A seed fixes which faults come when; when they meet a request it does not.
+// A seed fixes which faults occur and when, but not which requests they hit.
 package process
 
 import (
@@ -28,47 +27,47 @@
 	"mallowwind.dev/serve/forward"
 )
 
-// Bounds that the daemons are given or promise.
+// Time bounds that the daemons are configured with or guarantee.
 const (
-	keyRevocationDelay = 5 * time.Second // in which a removed key ceases to work
-	drainPropagation   = 2 * time.Second // in which a server that leaves gets no more requests
-	configPropagation  = 2 * time.Second // of a configuration
-	recoveryTime       = 3 * time.Second // after a fault before bounds hold again
+	keyRevocationDelay = 5 * time.Second // until a removed key no longer works
+	drainPropagation   = 2 * time.Second // until a draining server gets no more requests
+	configPropagation  = 2 * time.Second // until a configuration is in force
+	recoveryTime       = 3 * time.Second // after a fault until time bounds apply again
 )
 
-// Size of a deployment.
+// Size of the deployment.
 const (
 	daemonCount            = 5
 	engineCount            = 6
 	plainServersPerService = 3
 	accountCount           = 3
-	staleKeyInterval       = 8 // one in so many requests brings a key that was removed, if there is one
+	staleKeyInterval       = 8 // one in this many requests carries a removed key, if there is one
 	host                   = "soak.example"
 )
 
 var zoneNames = []string{"a", "b", "c"}
 
-// Options of a run.
+// Options configure a run.
 type Options struct {
 	Seed     uint64
-	Binary   string // the daemon's program
-	Dir      string // for settings and logs
+	Binary   string // path of the daemon's executable
+	Dir      string // directory for settings and logs
 	Scenario Scenario
-	// Timed checks promises that have a bound in time too. On a machine that is too
-	// busy to run the processes in time these do not hold.
+	// Timed also checks time bounds. They do not hold on a machine that is too busy to schedule
+	// the processes in time.
 	Timed   bool
 	Length  time.Duration
 	Callers int
 }
 
-// Report is what a run showed.
+// Report is the result of a run.
 type Report struct {
-	Violations []string       // promises
-	Counts     map[string]int // requests asked, served, failed
-	Faults     []string       // what was done, in order
+	Violations []string       // guarantees that did not hold
+	Counts     map[string]int // e.g. requests asked, served, failed
+	Faults     []string       // injected faults, in order
 }
 
-// harness is one run.
+// harness is the state of one run.
 type harness struct {
 	opts           Options
 	random         *rand.Rand
@@ -76,31 +75,31 @@
 	memory         *store.Memory
 	standIn        *kv.StandIn
 	storeListeners []net.Listener
-	network        string // the first three bytes of its addresses
+	network        string // first three bytes of its addresses
 	uplinks        []*uplink
-	linkProxies    []*proxy // on uplinks
-	partHistory    []string // parts that every engine says it held
+	linkProxies    []*proxy // proxies that pass uplinks
+	partHistory    []string // prompt parts that every engine reports
 	daemons        []*daemon
-	callerProxies  map[string]string // addresses of daemons to proxies before them
+	callerProxies  map[string]string // proxy addresses by the daemon's caller address
 
-	rolloutMu            sync.Mutex // held while a roll-out is under way
+	rolloutMu            sync.Mutex // held while a roll-out is in progress
 	mu                   sync.Mutex
 	servers              []*server
-	retired              []*server // that have ended for good
+	retired              []*server // ended for good
 	faultLog             []string
 	configVersion        int64
 	keys                 [accountCount]string
-	removedKeys          map[string]time.Time // keys, by when that was acknowledged
-	activeService        string               // service of the calls
-	routeMovedAt         time.Time            // when the last move of them was acknowledged
-	boundsSuspendedUntil time.Time            // until when bounds do not hold
-	poisonRequests       int                  // requests that end their servers
-	// crashesByRequest counts the servers that ended under each of those.
+	removedKeys          map[string]time.Time // when the removal of a key was acknowledged
+	activeService        string               // plain service that routes target
+	routeMovedAt         time.Time            // when the last change of target was acknowledged
+	boundsSuspendedUntil time.Time            // time bounds are not checked before
+	poisonRequests       int                  // number of poison requests so far
+	// crashesByRequest counts the servers that crashed on each poison request.
 	crashesByRequest map[string]int
-	restarts         sync.WaitGroup // servers that are to start again
+	restarts         sync.WaitGroup // servers that are about to restart
 }
 
-// Run plays one seed.
+// Run runs one scenario with one seed.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	h := &harness{
 		opts: o, random: rand.New(rand.NewPCG(o.Seed, 7)), recorder: newRecorder(), memory: store.NewMemory(),
@@ -115,10 +114,11 @@
 	return &Report{Violations: h.recorder.violations, Counts: h.recorder.counts, Faults: h.faultLog}, nil
 }
 
-// runsStarted tells the runs of this process apart.
+// runsStarted gives each run of this process its own network.
 var runsStarted atomic.Int64
 
-// network is a loopback network for one run: runs at the same time do not meet.
+// network returns the prefix of a loopback network for one run, so that concurrent runs do not
+// share addresses.
 func network() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d", 20+pid%200, (pid/200+37*int(runsStarted.Add(1)))%250)
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// storeAddresses are the addresses of the store, for each daemon.
+// storeAddresses returns the address of the store for each daemon.
 func (h *harness) storeAddresses(listenIP string) ([]string, error) {
 	if h.opts.Scenario.hasDaemonLinks() {
 		return h.buildLinks(listenIP)
@@ -182,7 +182,7 @@
 			return nil
 		}
 	}
-	return errors.New("the daemons were not ready in time")
+	return errors.New("the daemons did not become ready in time")
 }
 
 func (h *harness) close() {
@@ -201,10 +201,10 @@
 	}
 }
 
-// callerProxy is the proxy before a daemon's address.
+// callerProxy returns the proxy in front of a daemon's caller address.
 func (h *harness) callerProxy(address string) string { return h.callerProxies[address] }
 
-// requestKey is a key for a caller: mostly one that holds, at times one that was removed.
+// requestKey returns a key for a request: mostly a valid one, sometimes a removed one.
 func (h *harness) requestKey(account int) (name, key string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -219,7 +219,8 @@
 	return name, key
 }
 
-// write puts a value into the store past all faults, as the operator and servers do.
+// write writes a value to the store directly, unaffected by injected faults, on behalf of the
+// operator or a server.
 func (h *harness) write(key string, value []byte) {
 	ctx := context.Background()
 	for {
@@ -251,11 +252,11 @@
 	h.write(wire.ServerKey(entry.ID), raw)
 }
 
-// unregister removes an entry.
+// unregister removes a server's entry.
 func (h *harness) unregister(id string) {
 	ctx := context.Background()
 	if kv, err := h.memory.Get(ctx, wire.ServerKey(id)); err == nil {
-		_ = h.memory.Delete(ctx, kv.Key, kv.Version) // gone already is as good
+		_ = h.memory.Delete(ctx, kv.Key, kv.Version) // fails only if the entry has changed or is gone
 	}
 }
 
@@ -303,30 +304,30 @@
 	boundsHold := h.opts.Timed && now.After(suspendedUntil)
 	switch {
 	case sent.sentAt.IsZero():
-		rec.recordViolation("%s runs, and no caller sent it", e.ID)
+		rec.recordViolation("%s runs, but no caller sent it", e.ID)
 	case path != routePrefixes[sent.kind]+sent.pathSuffix:
 		rec.recordViolation("%s arrives with the path %s", e.ID, path)
 	case key != "":
 		rec.recordViolation("%s arrives with its caller's key", e.ID)
 	case e.Account != sent.account:
-		rec.recordViolation("%s of %s arrives as of %q", e.ID, sent.account, e.Account)
+		rec.recordViolation("%s of %s arrives as a request of %q", e.ID, sent.account, e.Account)
 	case (sent.kind == callResumable) != (service == "llm"):
 		rec.recordViolation("%s runs at %s", e.ID, service)
 	case h.opts.Timed && !removedAt.IsZero() && sent.sentAt.After(removedAt.Add(keyRevocationDelay)):
-		rec.recordViolation("%s runs with a key removed %v before", e.ID, sent.sentAt.Sub(removedAt))
+		rec.recordViolation("%s runs with a key that was removed %v earlier", e.ID, sent.sentAt.Sub(removedAt))
 	case sent.kind == callAtMostOnce && rec.executionCount(e.ID) > 1:
 		rec.recordViolation("%s runs %d times", e.ID, rec.executionCount(e.ID))
 	case boundsHold && !drainingSince.IsZero() && now.After(drainingSince.Add(drainPropagation)):
-		rec.recordViolation("%s reaches a server %v after it began to leave", e.ID, now.Sub(drainingSince))
+		rec.recordViolation("%s reaches a server %v after it began to drain", e.ID, now.Sub(drainingSince))
 	case boundsHold && sent.kind != callResumable && service != activeService && sent.sentAt.After(movedAt.Add(configPropagation)):
 		rec.recordViolation("%s runs at %s %v after the route moved to %s", e.ID, service, sent.sentAt.Sub(movedAt), activeService)
 	}
 }
 
-// checkRefusal checks the promise that a request has not run, now and at the end.
+// checkRefusal checks that a request refused as not run has not run, unless it may be retried.
 func (h *harness) checkRefusal(id string) {
 	if h.recorder.executionCount(id) > 0 && !h.canRetry(id) {
-		h.recorder.recordViolation("%s was refused as not run, and ran", id)
+		h.recorder.recordViolation("%s was refused as not run, but ran", id)
 	}
 	h.recorder.mu.Lock()
 	defer h.recorder.mu.Unlock()
--- a/lab/soak/process/links.go
+++ b/lab/soak/process/links.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// chunkSizeBytes and window bound what one connection has on its way: together
-	// 192 KB, as much as a sender that is not told to wait has out.
+	// chunkSizeBytes and maxQueuedChunks bound the data that one connection has in flight:
+	// together 192 KB, as much as a sender without backpressure has outstanding.
 	chunkSizeBytes  = 4 << 10
 	maxQueuedChunks = 48
 )
 
-// linkDirection is one direction of a machine's link. What passes leaves in the order in which
-// it came, at most rate bytes a second, and nothing while the lane is held up. It loses
-// nothing. The zero lane delays nothing.
+// linkDirection is one direction of a machine's link. Data leaves in order of arrival, at most
+// bytesPerSecond, and not at all while the direction is stalled. Nothing is lost. The zero value
+// delays nothing.
 type linkDirection struct {
 	mu             sync.Mutex
-	bytesPerSecond float64   // bytes a second, 0 where there is no bound
-	nextDeparture  time.Time // when what comes next may leave
-	stalledUntil   time.Time // nothing leaves before
+	bytesPerSecond float64   // 0 if unlimited
+	nextDeparture  time.Time // earliest departure of the next data
+	stalledUntil   time.Time // nothing leaves before this time
 }
 
-// schedule is when n bytes that arrive at a time leave.
+// schedule returns the time at which n bytes leave that arrive at the given time.
 func (l *linkDirection) schedule(at time.Time, n int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -40,7 +40,7 @@
 	return at
 }
 
-// stall keeps everything back until a time.
+// stall holds back all data until the given time.
 func (l *linkDirection) stall(until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,8 +50,8 @@
 	}
 }
 
-// waitUntilReleased returns when a parcel that is due has left all lanes, which may be held up in
-// the meantime.
+// waitUntilReleased returns when a chunk that is due has left every direction on its path; each
+// may be stalled in the meantime.
 func waitUntilReleased(due time.Time, path []*linkDirection) {
 	for {
 		for _, l := range path {
@@ -72,25 +72,25 @@
 // uplink is the link of one daemon's machine.
 type uplink struct {
 	out, in linkDirection
-	stallMu sync.Mutex // one hold at a time
+	stallMu sync.Mutex // serializes stalls
 }
 
-// stall holds both directions up for d.
+// stall stalls both directions for d.
 func (u *uplink) stall(d time.Duration) {
 	until := time.Now().Add(d)
 	u.out.stall(until)
 	u.in.stall(until)
 }
 
-// chunk is what was read from a connection at once, and whether that was its end.
+// chunk is the result of one read from a connection: its data and its error, if any.
 type chunk struct {
 	data []byte
 	due  time.Time
 	err  error
 }
 
-// forwardVia copies one way by way of lanes until an end closes. The end passes in its
-// turn, so that what was sent before it arrives.
+// forwardVia copies data one way along path until a connection closes. The end of the stream is
+// queued behind the data, so that everything sent before it arrives.
 func forwardVia(from, to net.Conn, path []*linkDirection) {
 	queue := make(chan chunk, maxQueuedChunks)
 	go func() {
@@ -111,12 +111,12 @@
 	for p := range queue {
 		waitUntilReleased(p.due, path)
 		if !deliver(p, to) {
-			reset(from) // ends the reading
+			reset(from) // ends the reading goroutine
 		}
 	}
 }
 
-// deliver writes a parcel and reports whether the other end takes more.
+// deliver writes a chunk and reports whether the receiver accepts more.
 func deliver(p chunk, to net.Conn) bool {
 	if len(p.data) > 0 {
 		if _, err := to.Write(p.data); err != nil {
@@ -124,7 +124,7 @@
 		}
 	}
 	if half, ok := to.(*net.TCPConn); ok && errors.Is(p.err, io.EOF) {
-		_ = half.CloseWrite() // the other end may be gone already
+		_ = half.CloseWrite() // fails only if the peer has closed
 	} else if p.err != nil {
 		reset(to)
 	}
--- a/lab/soak/process/poison.go
+++ b/lab/soak/process/poison.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// poisonPrefix begins the names of requests that end the server which runs them.
+	// poisonPrefix begins the names of requests that crash the server that runs them.
 	poisonPrefix = "poison-"
-	// poisonInterval is the time between two attempts, poisonFor how long they come.
+	// poisonInterval is the time between two attempts, poisonDuration the time over which they come.
 	poisonInterval = 150 * time.Millisecond
 	poisonDuration = 5 * time.Second
-	// poisonRestartDelay is how long a server is away that ended so.
+	// poisonRestartDelay is the downtime of a server that crashed on a poison request.
 	poisonRestartDelay = 800 * time.Millisecond
-	// maxPoisonCrashes is how many servers may end under one: the third end has to be known, while
-	// daemons start again or are cut off.
+	// maxPoisonCrashes bounds the servers that crash on one request: daemons have to learn of the
+	// third crash, also those that are restarting or cut off.
 	maxPoisonCrashes = 15
 )
 
 func isPoison(path string) bool { return strings.Contains(path, poisonPrefix) }
 
-// sendPoisonRequests has a request that ends its servers come again and again, at all daemons.
+// sendPoisonRequests sends a request that crashes its servers again and again, to all daemons.
 func (h *harness) sendPoisonRequests(ctx context.Context) {
 	h.mu.Lock()
 	h.poisonRequests++
@@ -46,16 +46,16 @@
 	ends := h.crashesByRequest[name]
 	h.mu.Unlock()
 	if ends > maxPoisonCrashes {
-		h.recorder.recordViolation("%d servers ended under %s", ends, name)
+		h.recorder.recordViolation("%d servers crashed on %s", ends, name)
 	}
-	h.logFault("%s ended %d servers", name, ends)
+	h.logFault("%s crashed %d servers", name, ends)
 }
 
-// firstPoisonCaller are above the numbers of other callers.
+// firstPoisonCaller is above the numbers of all other callers.
 const firstPoisonCaller = 1000
 
-// crashOnPoison ends a server under a request, and starts it again. It reports whether it did: a
-// server that another fault has in hand goes on.
+// crashOnPoison crashes the server on a poison request and restarts it later. It returns false if
+// the server is retired or another fault controls its lifecycle; the server then goes on.
 func (s *server) crashOnPoison(r *http.Request) bool {
 	if !s.lifecycle.TryLock() {
 		return false
--- a/lab/soak/process/process_test.go
+++ b/lab/soak/process/process_test.go
@@ -13,16 +13,16 @@
 
 var (
 	firstSeed = flag.Uint64("process.seed", 1, "first seed of the random runs")
-	seeds     = flag.Int("process.runs", 1, "how many random runs of each sort")
-	timed     = flag.Bool("process.timed", false, "check promises with a bound in time too; wants a machine that is not busy")
-	race      = flag.Bool("process.race", false, "build the daemon with the race detector; a race ends it")
-	keepDir   = flag.String("process.dir", "", "where settings and logs are kept")
+	seeds     = flag.Int("process.runs", 1, "number of random runs of each scenario")
+	timed     = flag.Bool("process.timed", false, "also check time bounds; needs a machine that is not busy")
+	race      = flag.Bool("process.race", false, "build the daemon with the race detector; a race ends the daemon")
+	keepDir   = flag.String("process.dir", "", "directory to keep settings and logs in")
 )
 
-// callers of a run of each sort.
+// callers is the number of concurrent callers in each scenario.
 var callers = map[Scenario]int{RandomFaults: 12, PlannedOperations: 12, StalledLinks: 50, LowBandwidthLinks: 50}
 
-// buildBinary builds the daemon once.
+// buildBinary builds the daemon.
 func buildBinary(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "mallowwind")
@@ -66,22 +66,22 @@
 	must.Positive(t, r.Counts["served"])
 }
 
-// Processes are killed, paused, stopped and restarted, links are reset, silent or
-// one way, the store fails and servers crash, one after the other and at once.
-// Callers and servers see no promise broken.
+// Guards against broken guarantees under faults, singly and overlapping: processes are killed,
+// paused, stopped and restarted, links are reset, silent or one-way, the store fails and servers
+// crash.
 func TestRandomFaults(t *testing.T) { runSeeds(t, buildBinary(t), RandomFaults) }
 
-// Daemons are stopped and restarted, servers leave, keys and routes change, one
-// after the other and at once. Callers notice nothing.
-func TestPlannedWork(t *testing.T) { runSeeds(t, buildBinary(t), PlannedOperations) }
+// Guards against responses cut by planned work, singly and overlapping: daemons restart, servers
+// drain, and keys and routes change.
+func TestPlannedOperations(t *testing.T) { runSeeds(t, buildBinary(t), PlannedOperations) }
 
-// Daemons are stopped and restarted in turn, again and again. For a moment at a time
-// nothing passes between one of them and all servers and other daemons, and then all of
-// it. No server has failed, so a daemon that takes them for dead must still not end an
-// answer that may arrive: callers notice nothing but pauses.
-func TestHeldLinks(t *testing.T) { runSeeds(t, buildBinary(t), StalledLinks) }
+// Guards against responses cut because a link stalls. Daemons restart in turn, and now and then the
+// link between one daemon and all servers and other daemons stalls and then delivers everything.
+// The daemon may take the servers for dead, but none has failed, so it must not end a response
+// that may still arrive: callers notice only pauses.
+func TestStalledLinks(t *testing.T) { runSeeds(t, buildBinary(t), StalledLinks) }
 
-// Daemons are stopped and restarted in turn, again and again. Callers that come back have
-// their prompts looked for at engines with long histories, which fills the link of the
-// daemon. Answers that wait behind them are late, and none is cut.
-func TestNarrowLinks(t *testing.T) { runSeeds(t, buildBinary(t), LowBandwidthLinks) }
+// Guards against responses cut because a link is saturated. Daemons restart in turn. For returning
+// callers a daemon looks for their prompts at engines with long histories, which fills its link.
+// Responses queued behind that traffic are late, but none may be cut.
+func TestLowBandwidthLinks(t *testing.T) { runSeeds(t, buildBinary(t), LowBandwidthLinks) }
--- a/lab/soak/process/proxy.go
+++ b/lab/soak/process/proxy.go
@@ -9,25 +9,25 @@
 	"github.com/pkg/errors"
 )
 
-// linkMode is how a proxy treats what passes.
+// linkMode is how a proxy treats connections and data.
 type linkMode uint8
 
 const (
 	linkPass    linkMode = iota
 	linkReset            // new connections are reset
-	linkSilent           // new connections are taken and nothing passes
-	linkOneWay           // requests pass and answers do not
-	linkSlow             // each read waits
-	linkRefused          // nobody listens, as where a process has ended
+	linkSilent           // new connections are accepted, and no data passes
+	linkOneWay           // requests pass, responses do not
+	linkSlow             // each read is delayed
+	linkRefused          // the port is closed, as after a process has exited
 )
 
-// slowLinkDelay is the delay of a slow link for each read.
+// slowLinkDelay is the delay of each read on a slow link.
 const slowLinkDelay = 40 * time.Millisecond
 
-// proxy passes TCP connections on to one address and misbehaves on demand.
+// proxy forwards TCP connections to one address and injects link faults.
 type proxy struct {
-	listenAddress             string           // address
-	requestPath, responsePath []*linkDirection // that requests and answers pass, where there are any
+	listenAddress             string
+	requestPath, responsePath []*linkDirection // simulated links on the way; may be empty
 	mu                        sync.Mutex
 	listener                  net.Listener // nil while connections are refused
 	target                    string
@@ -35,16 +35,16 @@
 	conns                     map[*proxiedConn]struct{}
 }
 
-// proxiedConn is one connection and its other half.
+// proxiedConn is a client connection with its upstream connection.
 type proxiedConn struct {
 	client, upstream net.Conn
 	mode             linkMode // guarded by the proxy's mutex
 }
 
-// newProxy listens at address and passes connections on to target.
+// newProxy listens on address and forwards connections to target.
 func newProxy(address, target string) (*proxy, error) { return newProxyVia(address, target, nil, nil) }
 
-// newProxyVia is newProxy for connections that pass lanes.
+// newProxyVia is newProxy for connections that pass simulated links.
 func newProxyVia(address, target string, requestPath, responsePath []*linkDirection) (*proxy, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -61,7 +61,7 @@
 	for {
 		client, err := l.Accept()
 		if err != nil {
-			return // closed
+			return // listener closed
 		}
 		go p.serve(client)
 	}
@@ -90,7 +90,7 @@
 	p.mu.Unlock()
 }
 
-// forwardBoth copies both ways until the connection has ended.
+// forwardBoth copies data both ways until the connection has ended.
 func (p *proxy) forwardBoth(c *proxiedConn) {
 	var directions sync.WaitGroup
 	if len(p.requestPath) == 0 {
@@ -102,11 +102,11 @@
 	directions.Go(func() { forwardVia(c.client, c.upstream, p.requestPath) })
 	directions.Go(func() { forwardVia(c.upstream, c.client, p.responsePath) })
 	directions.Wait()
-	_ = c.client.Close() // all has arrived
+	_ = c.client.Close() // all data has been delivered
 	_ = c.upstream.Close()
 }
 
-// forward copies one way until an end closes. A silent way reads on and drops.
+// forward copies data one way until a connection closes. A silent link reads on and drops the data.
 func (p *proxy) forward(c *proxiedConn, from, to net.Conn, isResponse bool) {
 	buf := make([]byte, 16<<10)
 	for {
@@ -125,10 +125,10 @@
 		}
 		if err != nil {
 			if dropped {
-				return // the other end hears nothing of it
+				return // the other end does not learn of it
 			}
 			if half, ok := to.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
-				_ = half.CloseWrite() // the other end may be gone already
+				_ = half.CloseWrite() // fails only if the peer has closed
 				return
 			}
 			reset(from)
@@ -138,8 +138,8 @@
 	}
 }
 
-// setMode changes what happens to new connections, and to those that are open; after
-// a silence open ones stay silent for good.
+// setMode changes the treatment of new and open connections. Open connections that were silent or
+// one-way stay so until they are reset.
 func (p *proxy) setMode(mode linkMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -156,23 +156,23 @@
 	}
 }
 
-// setListening opens or closes the port. It is called under the lock.
+// setListening opens or closes the port. The caller holds p.mu.
 func (p *proxy) setListening(open bool) {
 	switch {
 	case open && p.listener == nil:
 		l, err := net.Listen("tcp", p.listenAddress)
 		if err != nil {
-			return // connections are refused until the next change
+			return // connections are refused until the next change of mode
 		}
 		p.listener = l
 		go p.accept(l)
 	case !open && p.listener != nil:
-		_ = p.listener.Close() // it has no other end
+		_ = p.listener.Close() // the port is closed either way
 		p.listener = nil
 	}
 }
 
-// resetConns resets the connections that are open.
+// resetConns resets all open connections.
 func (p *proxy) resetConns() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -189,10 +189,10 @@
 	p.resetConns()
 }
 
-// reset closes a connection so that its other end sees a reset.
+// reset closes a connection so that its peer sees a TCP reset.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // a closed connection needs none
+		_ = tcp.SetLinger(0) // fails only if the connection is closed
 	}
 	_ = c.Close()
 }
--- a/lab/soak/process/ratelimit.go
+++ b/lab/soak/process/ratelimit.go
@@ -7,24 +7,25 @@
 )
 
 const (
-	// rateLimitDuration is how long a server names a limit, limitKnown after what time all daemons keep
-	// to it, and limitSpan the time in which its requests are counted.
+	// A server announces a rate limit for rateLimitDuration. All daemons keep to it after
+	// rateLimitPropagation; requests are counted in sliding windows of rateWindow.
 	rateLimitDuration    = 8 * time.Second
 	rateLimitPropagation = 3 * time.Second
 	rateWindow           = 4 * time.Second
 )
 
-// maxRequestsInWindow is what may reach a server in limitSpan that takes rate requests a second.
+// maxRequestsInWindow returns how many requests may reach a server within rateWindow if it
+// accepts rate requests a second.
 func maxRequestsInWindow(rate float64) int { return int(1.5*rate*rateWindow.Seconds()) + 5 }
 
-// announceRateLimit has a server name a limit for a while, and counts what reaches it.
+// announceRateLimit makes a server announce a rate limit for a while and checks its arrivals.
 func (h *harness) announceRateLimit(ctx context.Context) {
 	s := h.activePlainServer()
 	h.mu.Lock()
 	rate := float64(h.random.IntN(40)) / 10
 	h.mu.Unlock()
 	s.mu.Lock()
-	if s.rateLimit != "" { // it names one already, and would cease to with the end of the first
+	if s.rateLimit != "" { // the first announcement would end the second one early
 		s.mu.Unlock()
 		return
 	}
@@ -43,11 +44,11 @@
 	defer s.mu.Unlock()
 	s.rateLimit = ""
 	if most := maxArrivalsInWindow(s.arrivals, announcedAt.Add(rateLimitPropagation)); h.opts.Timed && !boundsSuspended && s.id == id && most > maxRequestsInWindow(rate) {
-		h.recorder.recordViolation("%d requests in %v reached %s, which takes %v a second", most, rateWindow, id, rate)
+		h.recorder.recordViolation("%d requests in %v reached %s, which accepts %v a second", most, rateWindow, id, rate)
 	}
 }
 
-// activePlainServer is a server of the service that calls go to now.
+// activePlainServer returns a random server of the plain service that routes currently target.
 func (h *harness) activePlainServer() *server {
 	for {
 		s := h.randomServer()
@@ -60,7 +61,8 @@
 	}
 }
 
-// maxArrivalsInWindow is the most of the arrivals after a moment within limitSpan of each other.
+// maxArrivalsInWindow returns the largest number of arrivals after the given time that lie within
+// rateWindow.
 func maxArrivalsInWindow(arrivals []time.Time, after time.Time) (most int) {
 	first := 0
 	for last, at := range arrivals {
--- a/lab/soak/process/recorder.go
+++ b/lab/soak/process/recorder.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// execution is one run of a request at a server.
+// execution is one execution of a request at a server.
 type execution struct {
 	server    string
 	service   string
@@ -17,21 +17,21 @@
 	finished  bool
 }
 
-// recorder holds what the servers did and which promises were broken.
+// recorder collects the executions at the servers, the requests sent and the violations found.
 type recorder struct {
 	mu           sync.Mutex
-	executions   map[string][]*execution // by request
+	executions   map[string][]*execution // by request ID
 	bySignature  map[string]*execution
 	sentRequests map[string]sentRequest
 	violations   []string
 	counts       map[string]int
 }
 
-// sentRequest is what a caller sent.
+// sentRequest is a request as its caller sent it.
 type sentRequest struct {
-	account    string // holder of the key when it was sent
+	account    string // owner of the key when the request was sent
 	key        string
-	pathSuffix string // what follows the route's prefix in its path
+	pathSuffix string // path after the route prefix
 	kind       callKind
 	sentAt     time.Time
 }
@@ -40,28 +40,28 @@
 	return &recorder{executions: map[string][]*execution{}, bySignature: map[string]*execution{}, sentRequests: map[string]sentRequest{}, counts: map[string]int{}}
 }
 
-// recordViolation records a broken promise.
+// recordViolation records that a guarantee did not hold.
 func (rec *recorder) recordViolation(format string, args ...any) {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
 	rec.violations = append(rec.violations, fmt.Sprintf(format, args...))
 }
 
-// count adds to a figure of the report.
+// count increments a counter of the report.
 func (rec *recorder) count(name string) {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
 	rec.counts[name]++
 }
 
-// recordSent records a caller's request before it is sent.
+// recordSent records a request before its caller sends it.
 func (rec *recorder) recordSent(id string, c sentRequest) {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
 	rec.sentRequests[id] = c
 }
 
-// startExecution records that a server begins a run.
+// startExecution records that a server starts to run a request, and returns the request as sent.
 func (rec *recorder) startExecution(id string, r *execution) sentRequest {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
@@ -78,7 +78,7 @@
 	r.status, r.body, r.finished = status, body, true
 }
 
-// executionBySignature returns the run that a proof speaks of.
+// executionBySignature returns the execution with the given signature.
 func (rec *recorder) executionBySignature(signature string) (execution, bool) {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
@@ -89,14 +89,14 @@
 	return *r, true
 }
 
-// executionCount is how often a request ran.
+// executionCount returns how often a request has run.
 func (rec *recorder) executionCount(id string) int {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
 	return len(rec.executions[id])
 }
 
-// unfinishedRequests are the requests that servers still work on.
+// unfinishedRequests lists the requests that servers are still running.
 func (rec *recorder) unfinishedRequests() (ids []string) {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
--- a/lab/soak/process/rollout.go
+++ b/lab/soak/process/rollout.go
@@ -12,25 +12,27 @@
 )
 
 const (
-	// rolloutPeriod is the time for a roll-out, rolloutWait how long its end is waited for beyond.
+	// rolloutPeriod is the period of a roll-out, rolloutWait the extra time to wait for its end.
 	rolloutPeriod = 6 * time.Second
 	rolloutWait   = 2 * time.Second
-	// faultyErrorRatio is the part of the answers that fail at a bad version.
+	// faultyErrorRatio is the share of responses of a faulty version that fail.
 	faultyErrorRatio = 0.4
-	// A bad version may get this part of its service's requests, and so many more.
+	// A faulty version may get this share of its service's requests plus a fixed number.
 	maxExposureRatio, exposureSlackRequests = 0.1, 50
 )
 
-// rollOutHealthyVersion brings in a version that works, badVersion one whose answers fail in part.
+// rollOutHealthyVersion rolls out a version that works; rollOutFaultyVersion rolls out one that
+// fails part of its requests.
 func (h *harness) rollOutHealthyVersion(ctx context.Context) { h.rollOut(ctx, 0) }
 
 func (h *harness) rollOutFaultyVersion(ctx context.Context) { h.rollOut(ctx, faultyErrorRatio) }
 
-// rollOut starts servers of another version beside those of a service of calls, orders the service
-// to move there, and stops at once those that the end of it leaves.
+// rollOut starts servers of another version beside those of the active plain service and orders a
+// roll-out to them. At its end it retires the old servers at once if the roll-out completed;
+// otherwise it drains and retires the new ones.
 func (h *harness) rollOut(ctx context.Context, errorRatio float64) {
 	if !h.rolloutMu.TryLock() {
-		return // one at a time
+		return // one roll-out at a time
 	}
 	defer h.rolloutMu.Unlock()
 	old := h.serversOf(h.activePlainServer().service)
@@ -44,7 +46,7 @@
 	h.write(wire.RolloutOrderKey(service), raw)
 	fresh := h.startVersion(old, target, errorRatio)
 	stage := h.awaitRollout(ctx, service, target)
-	h.logFault("roll-out of %s to a version that fails %v of its answers: %v", service, errorRatio, stage)
+	h.logFault("roll-out of %s to a version with error ratio %v: %v", service, errorRatio, stage)
 	h.recorder.count("roll-outs " + stage.String())
 	if stage == rollout.Completed {
 		h.retire(old, false)
@@ -54,21 +56,21 @@
 	h.checkExposure(service, errorRatio, began, old, fresh, stage)
 }
 
-// checkExposure checks what a bad version got.
+// checkExposure checks that a faulty version got few requests and that a healthy one completed.
 func (h *harness) checkExposure(service string, errorRatio float64, began time.Time, old, fresh []*server, stage rollout.Stage) {
 	h.mu.Lock()
 	boundsSuspended := h.boundsSuspendedUntil.After(began)
 	h.mu.Unlock()
 	got, others := arrivalsSince(fresh, began), arrivalsSince(old, began)
 	if errorRatio > 0 && h.opts.Timed && !boundsSuspended && float64(got) > maxExposureRatio*float64(got+others)+exposureSlackRequests {
-		h.recorder.recordViolation("a bad version of %s got %d of %d requests", service, got, got+others)
+		h.recorder.recordViolation("a faulty version of %s got %d of %d requests", service, got, got+others)
 	}
 	if errorRatio == 0 && h.opts.Timed && !boundsSuspended && stage != rollout.Completed {
-		h.recorder.recordViolation("a good version of %s is %v after its period", service, stage)
+		h.recorder.recordViolation("a healthy version of %s is %v after its period", service, stage)
 	}
 }
 
-// serversOf are the servers of a service.
+// serversOf returns the servers of a service.
 func (h *harness) serversOf(service string) (servers []*server) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -80,7 +82,7 @@
 	return servers
 }
 
-// startVersion starts a server of another version beside each of some.
+// startVersion starts a server of another version beside each of the old ones.
 func (h *harness) startVersion(old []*server, version string, errorRatio float64) (fresh []*server) {
 	for _, s := range old {
 		listenIP := h.network + ".200"
@@ -99,17 +101,17 @@
 	return fresh
 }
 
-// awaitRollout waits for the end of a roll-out, as the operator reads it.
+// awaitRollout waits until the published status of a roll-out is terminal, and returns its stage.
 func (h *harness) awaitRollout(ctx context.Context, service, target string) rollout.Stage {
 	stage := rollout.Idle
 	for began := time.Now(); time.Since(began) < rolloutPeriod+rolloutWait && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
 		kv, err := h.memory.Get(ctx, wire.Schema{}.RolloutStatusKey(service))
 		if err != nil {
-			continue // there is none yet
+			continue // not published yet
 		}
 		status, err := wire.Schema{}.DecodeRolloutStatus(kv.Value)
 		if err != nil {
-			h.recorder.recordViolation("status of a roll-out: %v", err)
+			h.recorder.recordViolation("roll-out status: %v", err)
 			return stage
 		}
 		if status.Target != target {
@@ -122,7 +124,7 @@
 	return stage
 }
 
-// retire ends servers for good, at once or after they said that they leave.
+// retire ends servers for good, at once or after a drain.
 func (h *harness) retire(servers []*server, drain bool) {
 	h.mu.Lock()
 	h.servers = slices.DeleteFunc(h.servers, func(s *server) bool { return slices.Contains(servers, s) })
@@ -145,7 +147,7 @@
 	}
 }
 
-// arrivalsSince is how many requests reached servers since a moment.
+// arrivalsSince counts the requests that reached servers after the given time.
 func arrivalsSince(servers []*server, began time.Time) (n int) {
 	for _, s := range servers {
 		s.mu.Lock()
--- a/lab/soak/process/scenarios.go
+++ b/lab/soak/process/scenarios.go
@@ -9,37 +9,36 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Scenario is what a run plays.
+// Scenario selects the faults and the load of a run.
 type Scenario uint8
 
 const (
-	// RandomFaults is every fault, singly and together.
+	// RandomFaults injects every fault, singly and overlapping.
 	RandomFaults Scenario = iota
-	// PlannedOperations leaves out faults: only stops, changes of the configuration and
-	// servers that leave, which must cut nothing.
+	// PlannedOperations injects no failures, only planned work such as restarts, configuration
+	// changes and draining servers. No response may be cut.
 	PlannedOperations
-	// StalledLinks is planned work with stops in a series, while the link of a daemon to
-	// everything beside its callers and the store is held up for a moment at a time.
-	// Nothing is lost, so nothing may be cut.
+	// StalledLinks restarts daemons in turn with other planned work, while the link between a daemon
+	// and everything except its callers and the store stalls for a moment at a time. No data is
+	// lost, so no response may be cut.
 	StalledLinks
-	// LowBandwidthLinks is the same with links that carry little, and never held up
-	// otherwise.
+	// LowBandwidthLinks is StalledLinks with links of low bandwidth in place of stalls.
 	LowBandwidthLinks
 )
 
-// String returns the word used in reports.
+// String returns the name used in reports.
 func (s Scenario) String() string {
 	return [...]string{"random faults", "planned work", "held links", "narrow links"}[s]
 }
 
-// hasDaemonLinks reports whether each daemon has a link of its own.
+// hasDaemonLinks reports whether each daemon has its own simulated link.
 func (s Scenario) hasDaemonLinks() bool { return s == StalledLinks || s == LowBandwidthLinks }
 
-// requiresWholeAnswers reports whether no answer that a server makes may be cut.
+// requiresWholeAnswers reports whether no response that a server has started may be cut.
 func (s Scenario) requiresWholeAnswers() bool { return s != RandomFaults }
 
-// drainGrace is the time between SIGTERM and SIGKILL. With links that delay answers it is
-// longer than callers wait, so that no answer outlasts it.
+// drainGrace returns the time between SIGTERM and SIGKILL. With links that delay responses it is
+// longer than the callers' timeout, so that no response outlasts it.
 func (s Scenario) drainGrace() time.Duration {
 	if s.hasDaemonLinks() {
 		return callTimeouts[callResumable] + 2*time.Second
@@ -47,8 +46,8 @@
 	return 5 * time.Second
 }
 
-// retrySlack is what the fleet may repeat beside its share of the requests. Five of ninety
-// daemons that divide 150 have 8.
+// retrySlack returns the number of retries that the fleet may make beyond its ratio. 8 is the share
+// of five daemons if ninety divide 150.
 func (s Scenario) retrySlack() float64 {
 	if s.hasDaemonLinks() {
 		return 8
@@ -56,10 +55,10 @@
 	return 150
 }
 
-// minEventInterval is the least time between two events of an answer.
+// minEventInterval is the shortest time between two events of a response.
 const minEventInterval = 20 * time.Millisecond
 
-// eventInterval is the time between two events of an answer.
+// eventInterval returns the time between two events of a response.
 func (s Scenario) eventInterval() time.Duration {
 	if s.hasDaemonLinks() {
 		return 3 * minEventInterval
@@ -67,7 +66,7 @@
 	return minEventInterval
 }
 
-// settleTime is how long callers go on after all is healed.
+// settleTime returns how long callers go on after all faults have ended.
 func (s Scenario) settleTime() time.Duration {
 	if s.hasDaemonLinks() {
 		return 0
@@ -75,8 +74,8 @@
 	return settleTime
 }
 
-// callerProfile of callers. Those that leave come back elsewhere with the id of the last event
-// that they hold.
+// callerProfile returns the behaviour of callers. A caller that cancels a request may resume it
+// through another daemon with the ID of the last event that it holds.
 func (s Scenario) callerProfile() callerProfile {
 	if s.hasDaemonLinks() {
 		return callerProfile{resumableRatio: 0.7, abandonRatio: 0.25, abandonWithin: 2 * time.Second, maxAttempts: 3}
@@ -84,16 +83,16 @@
 	return callerProfile{abandonRatio: 0.05, abandonWithin: 400 * time.Millisecond, maxAttempts: 2}
 }
 
-// linkFaults are those of runs in which daemons have links of their own, beside the stops.
-// Most are links held up, so that some of them meet a daemon with many answers under way.
-var linkFaults = append(slices.Repeat([]fault{{"link held up", false, (*harness).stallLink}}, 10),
-	fault{"settings read again", true, (*harness).reloadSettings},
+// linkFaults are the faults of scenarios with daemon links, besides the restarts in turn. Most are
+// stalls, so that some of them hit a daemon with many responses in flight.
+var linkFaults = append(slices.Repeat([]fault{{"link stalled", false, (*harness).stallLink}}, 10),
+	fault{"settings reloaded", true, (*harness).reloadSettings},
 	fault{"key removed", true, (*harness).removeKey},
-	fault{"server leaves", true, (*harness).drainServer},
+	fault{"server drained", true, (*harness).drainServer},
 	fault{"route moved", true, (*harness).moveRoute},
 )
 
-// nextFault is the next fault.
+// nextFault draws the next fault of the scenario.
 func (h *harness) nextFault() fault {
 	list := faults
 	if h.opts.Scenario.hasDaemonLinks() {
@@ -110,18 +109,18 @@
 }
 
 const (
-	// A link is held up for a half to one and a half seconds, and then passes for a while.
+	// A link stalls for 0.5 to 1.5 seconds and then passes data for a while.
 	minStall   = 500 * time.Millisecond
 	maxStall   = 1500 * time.Millisecond
 	stallPause = 500 * time.Millisecond
 	// meanStopPause is the mean time between two stops; each takes three seconds.
 	meanStopPause = 900 * time.Millisecond
-	// maxConcurrentStops leaves a daemon that serves.
+	// maxConcurrentStops leaves one daemon that serves.
 	maxConcurrentStops = daemonCount - 1
 )
 
-// randomUplink is a daemon's link: of any or, as often, of one that is not being stopped, which
-// has most answers under way.
+// randomUplink returns the uplink of any daemon or, equally often, of one that is not being
+// stopped, which has the most responses in flight.
 func (h *harness) randomUplink() *uplink {
 	h.mu.Lock()
 	n, anyDaemon := h.random.IntN(daemonCount), h.random.IntN(2) == 0
@@ -135,7 +134,7 @@
 	return h.uplinks[n]
 }
 
-// stallLink holds up the link of a daemon.
+// stallLink stalls the uplink of a daemon.
 func (h *harness) stallLink(ctx context.Context) {
 	u := h.randomUplink()
 	d := minStall + h.randomDuration(maxStall-minStall)
@@ -145,13 +144,13 @@
 	h.suspendBounds(ctx, d+stallPause)
 }
 
-// restartDaemonsInTurn stops one daemon after the other, round after round. The next is stopped
-// while answers of those before are under way.
+// restartDaemonsInTurn restarts one daemon after another, round after round. The next one stops
+// while responses of earlier ones are still in flight.
 func (h *harness) restartDaemonsInTurn(ctx context.Context, began time.Time) {
 	random := rand.New(rand.NewPCG(h.opts.Seed, 8))
 	var stops errgroup.Group
 	stops.SetLimit(maxConcurrentStops)
-	defer func() { _ = stops.Wait() }() // none returns an error
+	defer func() { _ = stops.Wait() }() // the functions return no errors
 	for {
 		for _, n := range random.Perm(len(h.daemons)) {
 			time.Sleep(meanStopPause/2 + time.Duration(random.Int64N(int64(meanStopPause))))
--- a/lab/soak/process/servers.go
+++ b/lab/soak/process/servers.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	prefillTime = 150 * time.Millisecond // of a prompt
-	eventCount  = 60                     // of one answer
+	prefillTime = 150 * time.Millisecond
+	eventCount  = 60 // per response
 	serviceTime = 8 * time.Millisecond
 )
 
-// server is a backend server in this process: a model engine or a plain service.
-// Each start is another life at the same address, under a new id or the one before.
+// server is a simulated backend server: a model engine or a plain service. Each start is a new
+// incarnation at the same address, under a new ID or the previous one.
 type server struct {
 	harness *harness
 	service string
@@ -34,33 +34,33 @@
 	http    *http.Server
 
 	listener  net.Listener
-	addresses []string // that of link, and then as each daemon has it on a link of its own
+	addresses []string // the address of link, then that of each daemon's own proxy
 
-	lifecycle         sync.Mutex // one end and start at a time
-	retired           bool       // it has ended for good; guarded by life
-	version           string     // of its software; "" for the first
+	lifecycle         sync.Mutex // serializes ends and starts
+	retired           bool       // ended for good; guarded by lifecycle
+	version           string     // software version; "" for the first
 	mu                sync.Mutex
 	id                string
-	startedAtMS       int64     // start of this life, Unix milliseconds
-	drainingSince     time.Time // when that was acknowledged; zero while it serves
-	errorRatio        float64   // share of requests answered with 500
-	lostResponseRatio float64   // share of answers lost after the run
-	rateLimit         string    // that it names in its answers
+	startedAtMS       int64     // start of this incarnation, Unix milliseconds
+	drainingSince     time.Time // when the draining entry was acknowledged; zero while it serves
+	errorRatio        float64   // share of requests answered with status 500
+	lostResponseRatio float64   // share of responses lost after the request ran
+	rateLimit         string    // announced in responses; "" if none
 	arrivals          []time.Time
 	replicas          map[string]replica
 	runs              map[string]*activeRun
 	parts             map[string]bool
 	incarnations      int
-	shutdown          chan struct{} // closed when the life ends
+	shutdown          chan struct{} // closed when the incarnation ends
 }
 
-// replica is the copy of a run from another engine.
+// replica is a copy of a run's KV cache from another engine.
 type replica struct {
 	part string
 	from *server
 }
 
-// activeRun is a run under way.
+// activeRun is a run in progress.
 type activeRun struct {
 	eventsSent int
 	part       string
@@ -83,7 +83,7 @@
 	return s, nil
 }
 
-// startIncarnation starts a life, under the id of the one before if sameID.
+// startIncarnation starts an incarnation, under the previous ID if sameID.
 func (s *server) startIncarnation(sameID bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,13 +97,13 @@
 	s.shutdown = make(chan struct{})
 }
 
-// crash ends the life: its runs, copies and connections are gone.
+// crash ends the incarnation, closes its port and resets its connections.
 func (s *server) crash() {
 	s.endIncarnation()
 	s.link.setMode(linkRefused)
 }
 
-// endIncarnation ends the life without a word to anyone.
+// endIncarnation ends the incarnation without a deregistration.
 func (s *server) endIncarnation() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,7 +161,7 @@
 // Drop implements wire.Engine.
 func (s *server) Drop(string) {}
 
-// storeReplica gives the engine at an address a copy under a name.
+// storeReplica stores a replica at the engine with the given address.
 func (h *harness) storeReplica(address, name string, c replica) {
 	s, _ := h.serverAt(address)
 	if s == nil {
@@ -172,7 +172,7 @@
 	s.replicas[name] = c
 }
 
-// serverAt is the server at an address, and which of its addresses that is.
+// serverAt returns the server at an address and the index of that address.
 func (h *harness) serverAt(address string) (*server, int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -184,7 +184,7 @@
 	return nil, 0
 }
 
-// ServeHTTP implements http.Handler: one request of a daemon.
+// ServeHTTP implements http.Handler. It handles one request from a daemon.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e, part, key := wire.ParseUpstreamRequest(r.Header)
 	s.mu.Lock()
@@ -212,7 +212,7 @@
 	s.serveResponse(w, r, exec, errorRatio, lostResponseRatio, shutdown)
 }
 
-// takeReplica takes a copy; it can be used once.
+// takeReplica removes a replica and reports whether there was one: each can be used once.
 func (s *server) takeReplica(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -221,7 +221,7 @@
 	return ok
 }
 
-// serveResponse is that of a plain service.
+// serveResponse writes the response of a plain service.
 func (s *server) serveResponse(w http.ResponseWriter, r *http.Request, exec *execution, errorRatio, lostResponseRatio float64, shutdown <-chan struct{}) {
 	status, body := http.StatusOK, "answer of "+exec.signature
 	if rand.Float64() < errorRatio {
@@ -246,7 +246,7 @@
 	fmt.Fprint(w, body)
 }
 
-// serveStream is the answer of an engine: the same events for the same prompt.
+// serveStream writes the response of an engine: the same events for the same prompt.
 func (s *server) serveStream(w http.ResponseWriter, r *http.Request, e forward.UpstreamRequest, part string, exec *execution, shutdown <-chan struct{}) {
 	defer s.harness.recorder.finishExecution(exec, http.StatusOK, "")
 	p := &activeRun{part: part, copyTo: e.CopyTo}
@@ -267,7 +267,7 @@
 		case <-time.After(wait):
 		case <-shutdown:
 			if n%2 == 0 {
-				fmt.Fprintf(w, "id: %d\nda", n) // broken off in the middle of an event
+				fmt.Fprintf(w, "id: %d\nda", n) // ends in the middle of an event
 			}
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
@@ -292,12 +292,12 @@
 	}
 }
 
-// eventText is event n of the answer to a prompt.
+// eventText returns event n of the response to a prompt.
 func eventText(part string, n int64) string {
 	return "id: " + strconv.FormatInt(n, 10) + "\ndata: " + part + ":" + strconv.FormatInt(n, 10) + "\n\n"
 }
 
-// eventsAfter is every event after the given one.
+// eventsAfter returns all events after the given one.
 func eventsAfter(part string, after int64) string {
 	var b strings.Builder
 	for n := after + 1; n <= eventCount; n++ {
