--- a/lab/soak/caller.go
+++ b/lab/soak/caller.go
@@ -16,57 +16,57 @@
 )
 
 const (
-	// askLimit bounds one question for addresses.
-	askLimit = 2 * time.Second
-	// tryAgain spaces attempts that reached nobody.
-	tryAgain = 300 * time.Millisecond
-	// silenceLimit is how long a caller waits on a connection that says nothing:
+	// resolveTimeout bounds one question for addresses.
+	resolveTimeout = 2 * time.Second
+	// retryDelay spaces attempts that reached nobody.
+	retryDelay = 300 * time.Millisecond
+	// idleTimeout is how long a caller waits on a connection that says nothing:
 	// streams send a comment every 5 s, so two were missed.
-	silenceLimit = 12 * time.Second
-	// requestLimit bounds a request that is answered at once.
-	requestLimit = 6 * time.Second
+	idleTimeout = 12 * time.Second
+	// requestTimeout bounds a request that is answered at once.
+	requestTimeout = 6 * time.Second
 )
 
 // caller is one program of the account. It keeps the addresses it was told
 // until they run out, as the address answer allows.
 type caller struct {
-	r    *run
-	rng  *rand.Rand
-	http *http.Client
-	name string
-	made int
+	run          *run
+	rng          *rand.Rand
+	http         *http.Client
+	name         string
+	requestCount int
 
 	addresses []string
-	until     time.Time
-	turn      int
+	expiresAt time.Time
+	nextIndex int
 }
 
 func (r *run) newCaller(rng *rand.Rand, n int) *caller {
-	return &caller{r: r, rng: rng, http: r.stand.HTTP(), name: fmt.Sprintf("caller-%d", n)}
+	return &caller{run: r, rng: rng, http: r.deployment.HTTP(), name: fmt.Sprintf("caller-%d", n)}
 }
 
-// unique names the next request of this caller; it serves as prompt and key.
-func (c *caller) unique(kind string) string {
-	c.made++
-	return fmt.Sprintf("%s %s %d", kind, c.name, c.made)
+// uniqueName names the next request of this caller; it serves as prompt and key.
+func (c *caller) uniqueName(kind string) string {
+	c.requestCount++
+	return fmt.Sprintf("%s %s %d", kind, c.name, c.requestCount)
 }
 
 func (c *caller) chance(percent int) bool { return c.rng.IntN(100) < percent }
 
-func (c *caller) between(low, high time.Duration) time.Duration {
-	return between(c.rng, low, high)
+func (c *caller) randomDuration(low, high time.Duration) time.Duration {
+	return randomDuration(c.rng, low, high)
 }
 
-// entry returns a client of an entry VM that the caller was told to use. Each
+// nextEntry returns a client of an entry VM that the caller was told to use. Each
 // call takes the next one of the answer. It returns nil when ctx ends.
-func (c *caller) entry(ctx context.Context) *stand.Client {
+func (c *caller) nextEntry(ctx context.Context) *stand.Client {
 	for ctx.Err() == nil {
-		if time.Now().Before(c.until) && len(c.addresses) > 0 {
-			c.turn++
-			return c.client(c.addresses[c.turn%len(c.addresses)])
+		if time.Now().Before(c.expiresAt) && len(c.addresses) > 0 {
+			c.nextIndex++
+			return c.client(c.addresses[c.nextIndex%len(c.addresses)])
 		}
-		if c.ask(ctx) != nil {
-			pause.For(ctx, tryAgain)
+		if c.resolve(ctx) != nil {
+			pause.For(ctx, retryDelay)
 		}
 	}
 	return nil
@@ -76,11 +76,11 @@
 	return &stand.Client{Base: "http://" + address, Token: stand.DemoToken, HTTP: c.http}
 }
 
-// ask learns the addresses anew from an entry VM, whichever answers.
-func (c *caller) ask(ctx context.Context) error {
-	known := c.r.fleet.all()
+// resolve learns the addresses anew from an entry VM, whichever answers.
+func (c *caller) resolve(ctx context.Context) error {
+	known := c.run.fleet.allEntries()
 	e := known[c.rng.IntN(len(known))]
-	ctx, cancel := context.WithTimeout(ctx, askLimit)
+	ctx, cancel := context.WithTimeout(ctx, resolveTimeout)
 	defer cancel()
 	asked := time.Now()
 	response, err := c.client(e.Address).Do(ctx, http.MethodGet, "/v1/entries", nil, nil)
@@ -105,22 +105,22 @@
 	for _, n := range body.Entries {
 		c.addresses = append(c.addresses, n.Address)
 	}
-	c.until = asked.Add(time.Duration(body.TTLSeconds) * time.Second)
+	c.expiresAt = asked.Add(time.Duration(body.TTLSeconds) * time.Second)
 	return nil
 }
 
-// forget drops an answer whose entry VMs do not answer.
-func (c *caller) forget() { c.until = time.Time{} }
+// invalidateAddresses drops an answer whose entry VMs do not answer.
+func (c *caller) invalidateAddresses() { c.expiresAt = time.Time{} }
 
-// watched ends a request whose connection says nothing for silenceLimit.
-type watched struct {
+// idleTimeoutReader ends a request whose connection says nothing for silenceLimit.
+type idleTimeoutReader struct {
 	io.Reader
 	timer *time.Timer
 }
 
 // Read implements io.Reader; any byte counts, also a comment.
-func (w watched) Read(p []byte) (int, error) {
+func (w idleTimeoutReader) Read(p []byte) (int, error) {
 	n, err := w.Reader.Read(p)
-	w.timer.Reset(silenceLimit)
+	w.timer.Reset(idleTimeout)
 	return n, err
 }
--- a/lab/soak/calls.go
+++ b/lab/soak/calls.go
@@ -15,85 +15,85 @@
 )
 
 const (
-	maxWaves  = 4
-	maxCopies = 3
-	// noAnswer is the outcome of a copy whose connection broke or was silent.
-	noAnswer = "no answer"
+	maxRounds     = 4
+	maxDuplicates = 3
+	// noResponse is the outcome of a copy whose connection broke or was silent.
+	noResponse = "no answer"
 )
 
-// confirmations makes calls that may not be repeated: waves of one to three
+// makeConfirmations makes calls that may not be repeated: waves of one to three
 // copies under one key, at different entry VMs, at about the same time; later
 // waves follow while the outcome is not known.
-func (r *run) confirmations(ctx context.Context, c *caller) {
-	for r.pause(ctx, c.between(0, 700*time.Millisecond)) {
-		key := strings.ReplaceAll(c.unique("confirm"), " ", "-")
-		said := r.confirm(ctx, c, key)
-		r.count("call " + said)
-		r.calls.heard(key, said)
-		if r.opts.Plan.Planned() && said != "ran" {
-			r.violate("call %q ended %q under planned changes alone", key, said)
+func (r *run) makeConfirmations(ctx context.Context, c *caller) {
+	for r.shouldContinueAfter(ctx, c.randomDuration(0, 700*time.Millisecond)) {
+		key := strings.ReplaceAll(c.uniqueName("confirm"), " ", "-")
+		outcome := r.confirm(ctx, c, key)
+		r.count("call " + outcome)
+		r.calls.record(key, outcome)
+		if r.opts.Plan.IsPlanned() && outcome != "ran" {
+			r.recordViolation("call %q ended %q under planned changes alone", key, outcome)
 		}
 	}
 }
 
 // confirm returns the last word on a call: a verdict or noAnswer.
-func (r *run) confirm(ctx context.Context, c *caller, key string) (said string) {
+func (r *run) confirm(ctx context.Context, c *caller, key string) (outcome string) {
 	sentBefore := false
-	for range 1 + c.rng.IntN(maxWaves) {
-		said = r.wave(ctx, c, key, sentBefore)
-		if said == "ran" || said == "not_run" && c.chance(50) || ctx.Err() != nil {
-			return said
+	for range 1 + c.rng.IntN(maxRounds) {
+		outcome = r.sendDuplicates(ctx, c, key, sentBefore)
+		if outcome == "ran" || outcome == "not_run" && c.chance(50) || ctx.Err() != nil {
+			return outcome
 		}
 		sentBefore = true
-		pause.For(ctx, c.between(0, 2*time.Second))
+		pause.For(ctx, c.randomDuration(0, 2*time.Second))
 	}
-	return said
+	return outcome
 }
 
-// wave sends copies at the same time and returns the strongest answer. A copy
+// sendDuplicates sends copies at the same time and returns the strongest answer. A copy
 // that is told not_run speaks for all: none of them runs, unless the caller
 // sends the call again.
-func (r *run) wave(ctx context.Context, c *caller, key string, sentBefore bool) string {
-	said := make([]string, 1+c.rng.IntN(maxCopies))
+func (r *run) sendDuplicates(ctx context.Context, c *caller, key string, sentBefore bool) string {
+	outcomes := make([]string, 1+c.rng.IntN(maxDuplicates))
 	var wg sync.WaitGroup
-	for i := range said {
-		to := c.entry(ctx)
+	for i := range outcomes {
+		to := c.nextEntry(ctx)
 		if to == nil {
-			said[i] = noAnswer
+			outcomes[i] = noResponse
 			continue
 		}
-		delay := c.between(0, 50*time.Millisecond)
+		delay := c.randomDuration(0, 50*time.Millisecond)
 		wg.Go(func() {
 			pause.For(ctx, delay)
-			said[i] = r.copyOf(ctx, to, key)
+			outcomes[i] = r.sendDuplicate(ctx, to, key)
 		})
 	}
 	wg.Wait()
-	best := noAnswer
-	for _, s := range said {
-		best = stronger(best, s)
-		if s == noAnswer {
-			c.forget()
+	best := noResponse
+	for _, s := range outcomes {
+		best = strongerOutcome(best, s)
+		if s == noResponse {
+			c.invalidateAddresses()
 		}
 	}
 	if best == "ran" {
-		for _, s := range said {
+		for _, s := range outcomes {
 			if s == "not_run" {
-				r.violate("call %q: of copies sent together one was told not_run and one that it ran (%v)", key, said)
+				r.recordViolation("call %q: of copies sent together one was told not_run and one that it ran (%v)", key, outcomes)
 			}
 		}
 	}
 	return best
 }
 
-// copyOf sends one copy.
-func (r *run) copyOf(ctx context.Context, to *stand.Client, key string) string {
-	ctx, cancel := context.WithTimeout(ctx, requestLimit)
+// sendDuplicate sends one copy.
+func (r *run) sendDuplicate(ctx context.Context, to *stand.Client, key string) string {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	began := time.Now()
 	refused, err := r.send(ctx, to, key)
 	if err != nil {
-		return noAnswer
+		return noResponse
 	}
 	verdict := "ran"
 	if refused != nil {
@@ -103,12 +103,12 @@
 		r.count("call answered late")
 	}
 	if verdict == "not_run" {
-		if n := r.stand.Desk.Runs(key); n > 0 {
-			r.violate("call %q was told not_run after it had run %d time(s)", key, n)
+		if n := r.deployment.Desk.Runs(key); n > 0 {
+			r.recordViolation("call %q was told not_run after it had run %d time(s)", key, n)
 		}
 	}
-	if verdict == "ran" && r.stand.Desk.Runs(key) == 0 {
-		r.violate("call %q was told that it ran, and it had not", key)
+	if verdict == "ran" && r.deployment.Desk.Runs(key) == 0 {
+		r.recordViolation("call %q was told that it ran, and it had not", key)
 	}
 	return verdict
 }
@@ -130,17 +130,17 @@
 		return nil, err
 	}
 	r.count("call refused: " + refused.Code + " " + refused.Verdict)
-	if r.opts.Plan.Planned() {
-		r.note("call %q at %s: %s", key, to.Base, refused)
+	if r.opts.Plan.IsPlanned() {
+		r.logEvent("call %q at %s: %s", key, to.Base, refused)
 	}
 	if refused.Verdict == "" {
-		r.violate("call %q: %s without a verdict", key, refused)
+		r.recordViolation("call %q: %s without a verdict", key, refused)
 	}
 	return refused, nil
 }
 
-// stronger orders answers by what they promise.
-func stronger(a, b string) string {
+// strongerOutcome orders answers by what they promise.
+func strongerOutcome(a, b string) string {
 	for _, s := range []string{"ran", "not_run", "may_have_run"} {
 		if a == s || b == s {
 			return s
@@ -149,25 +149,25 @@
 	return a
 }
 
-// callBook remembers the last word on each call.
-type callBook struct{ book }
+// callOutcomes remembers the last word on each call.
+type callOutcomes struct{ lastOutcomes }
 
-// judge compares what callers were told with what the plain service ran.
-func (b *callBook) judge(r *run) {
+// check compares what callers were told with what the plain service ran.
+func (b *callOutcomes) check(r *run) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for key, runs := range r.stand.Desk.All() {
+	for key, runs := range r.deployment.Desk.All() {
 		if runs > 1 {
-			r.violate("call %q ran %d times", key, runs)
+			r.recordViolation("call %q ran %d times", key, runs)
 		}
 	}
-	for key, said := range b.last {
-		runs := r.stand.Desk.Runs(key)
-		if said == "not_run" && runs > 0 {
-			r.violate("call %q was last told not_run, and it ran %d time(s)", key, runs)
+	for key, outcome := range b.byKey {
+		runs := r.deployment.Desk.Runs(key)
+		if outcome == "not_run" && runs > 0 {
+			r.recordViolation("call %q was last told not_run, and it ran %d time(s)", key, runs)
 		}
-		if said == "ran" && runs != 1 {
-			r.violate("call %q was told that it ran, and it ran %d time(s)", key, runs)
+		if outcome == "ran" && runs != 1 {
+			r.recordViolation("call %q was told that it ran, and it ran %d time(s)", key, runs)
 		}
 	}
 }
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	slowFactor = 12 // of a straggling engine
-	storeDelay = 1500 * time.Millisecond
-	deskDelay  = 3 * time.Second // over the calls' deadline
-	deskWork   = 10 * time.Millisecond
-	lostCalls  = 3
-	// leaveBefore is how long an engine stays after it was marked leaving at
+	slowdownFactor = 12 // of a straggling engine
+	storeDelay     = 1500 * time.Millisecond
+	deskSlowWork   = 3 * time.Second // over the calls' deadline
+	deskNormalWork = 10 * time.Millisecond
+	lostResponses  = 3
+	// minDrainTime is how long an engine stays after it was marked leaving at
 	// least; the platform ends it when its work has ended.
-	leaveBefore = 8 * time.Second
-	leavePoll   = 500 * time.Millisecond
+	minDrainTime      = 8 * time.Second
+	drainPollInterval = 500 * time.Millisecond
 )
 
-// healing is what ends a fault, at its time.
-type healing struct {
+// activeFault is what ends a fault, at its time.
+type activeFault struct {
 	at   time.Duration
-	what Kind
+	kind Kind
 	heal func()
 }
 
-// faults carries out the plan and returns when all is healed. It alone changes
+// injectFaults carries out the plan and returns when all is healed. It alone changes
 // the deployment, so that no two changes meet half way.
-func (r *run) faults(ctx context.Context) {
+func (r *run) injectFaults(ctx context.Context) {
 	began := time.Now()
-	var open []healing
+	var open []activeFault
 	steps := r.opts.Plan.Steps
 	for {
 		next, isStep := r.opts.Plan.Length, false
@@ -46,20 +46,20 @@
 		time.Sleep(next - time.Since(began))
 		switch {
 		case due >= 0:
-			r.note("healed: %s", open[due].what)
+			r.logEvent("healed: %s", open[due].kind)
 			open[due].heal()
 			open = append(open[:due], open[due+1:]...)
 		case isStep:
 			s := steps[0]
 			steps = steps[1:]
 			if heal := r.apply(ctx, s); heal != nil {
-				open = append(open, healing{s.At + s.For, s.Kind, heal})
+				open = append(open, activeFault{s.At + s.For, s.Kind, heal})
 			}
 		case len(open) == 0:
 			return
 		default: // what outlasts the plan is healed at its end
 			for _, h := range open {
-				r.note("healed: %s", h.what)
+				r.logEvent("healed: %s", h.kind)
 				h.heal()
 			}
 			return
@@ -69,7 +69,7 @@
 
 // apply begins one step and returns what ends it, or nil.
 func (r *run) apply(ctx context.Context, s Step) (heal func()) {
-	r.note("%s target=%d other=%d for %v", s.Kind, s.Target, s.Other, s.For)
+	r.logEvent("%s target=%d other=%d for %v", s.Kind, s.Target, s.Other, s.For)
 	if heal, known := r.applyEngine(s); known {
 		return heal
 	}
@@ -83,28 +83,28 @@
 }
 
 func (r *run) applyEngine(s Step) (heal func(), known bool) {
-	id := r.fleet.engine(s.Target)
-	sim := r.stand.Engines[id]
+	id := r.fleet.engineAt(s.Target)
+	sim := r.deployment.Engines[id]
 	switch s.Kind {
-	case EngineDie:
+	case EngineCrash:
 		sim.Die()
 		return sim.Revive, true
 	case EnginePause:
 		sim.Pause()
 		return sim.Unpause, true
 	case EngineSlow:
-		sim.Slow(slowFactor)
+		sim.Slow(slowdownFactor)
 		return func() { sim.Slow(1) }, true
-	case EngineSilence:
+	case EngineStreamsSilent:
 		sim.Silence()
 		return nil, true
-	case EngineCutOff:
-		r.stand.EngineNet(id).Silence()
+	case EngineConnsSilent:
+		r.deployment.EngineNet(id).Silence()
 		return nil, true
 	case EngineRefuse:
 		sim.RefuseNew(true)
 		return func() { sim.RefuseNew(false) }, true
-	case EngineLeave:
+	case EngineDrain:
 		r.replaceEngine(id)
 		return nil, true
 	}
@@ -114,26 +114,26 @@
 // replaceEngine starts another engine, marks this one leaving, and ends it when
 // nothing runs on it any more.
 func (r *run) replaceEngine(id string) {
-	if !r.fleet.loseEngine(id) {
+	if !r.fleet.removeEngine(id) {
 		return
 	}
 	if _, err := r.fleet.startEngine(r.fleet.zoneOf[id]); err != nil {
-		r.violate("harness: %v", err)
+		r.recordViolation("harness: %v", err)
 		return
 	}
-	r.stand.LeaveEngine(id)
-	sim := r.stand.Engines[id]
+	r.deployment.LeaveEngine(id)
+	sim := r.deployment.Engines[id]
 	r.fleet.stops.Go(func() {
-		time.Sleep(leaveBefore)
+		time.Sleep(minDrainTime)
 		for sim.Busy() {
-			time.Sleep(leavePoll)
+			time.Sleep(drainPollInterval)
 		}
-		r.stand.EndEngine(id, sim)
+		r.deployment.EndEngine(id, sim)
 	})
 }
 
 func (r *run) applyPlatform(s Step) (heal func(), known bool) {
-	d := r.stand
+	d := r.deployment
 	switch s.Kind {
 	case StoreDown:
 		d.Store.SetDown(true)
@@ -141,30 +141,30 @@
 	case StoreSlow:
 		d.Store.SetDelay(storeDelay)
 		return func() { d.Store.SetDelay(0) }, true
-	case StoreLoseWrite:
+	case StoreLoseWriteResponse:
 		d.Store.LoseNextWrite()
 		return nil, true
 	case StoreDropWrite:
 		d.Store.DropNextWrite()
 		return nil, true
-	case ListDown:
+	case VMListDown:
 		d.VMs.SetDown(true)
 		return func() { d.VMs.SetDown(false) }, true
-	case DeskLose:
-		d.Desk.LoseAnswers(lostCalls)
+	case DeskLoseResponses:
+		d.Desk.LoseAnswers(lostResponses)
 		return func() { d.Desk.LoseAnswers(0) }, true
 	case DeskSilent:
 		d.Desk.Silence(true)
 		return func() { d.Desk.Silence(false) }, true
 	case DeskSlow:
-		d.Desk.SetWork(deskDelay)
-		return func() { d.Desk.SetWork(deskWork) }, true
+		d.Desk.SetWork(deskSlowWork)
+		return func() { d.Desk.SetWork(deskNormalWork) }, true
 	}
 	return nil, false
 }
 
 func (r *run) applyLinks(s Step) (heal func(), known bool) {
-	d, zones := r.stand, stand.DemoZones()
+	d, zones := r.deployment, stand.DemoZones()
 	from := zones[s.Target%len(zones)]
 	to := zones[(s.Target+1+s.Other%(len(zones)-1))%len(zones)]
 	switch s.Kind {
@@ -188,26 +188,26 @@
 		e.Cut()
 	}
 	for _, id := range engines {
-		r.stand.Engines[id].Die()
+		r.deployment.Engines[id].Die()
 	}
 	return func() {
 		for _, e := range entries {
 			r.restore(e)
 		}
 		for _, id := range engines {
-			r.stand.Engines[id].Revive()
+			r.deployment.Engines[id].Revive()
 		}
 	}
 }
 
 func (r *run) restore(e *stand.Entry) {
 	if err := e.Restore(); err != nil {
-		r.violate("harness: %v", err)
+		r.recordViolation("harness: %v", err)
 	}
 }
 
 func (r *run) applyEntry(_ context.Context, s Step) (heal func()) {
-	e := r.fleet.entry(s.Target)
+	e := r.fleet.entryAt(s.Target)
 	switch s.Kind {
 	case EntryCut:
 		e.Cut()
@@ -229,7 +229,7 @@
 
 // replaceLost loses an entry VM for good; another one starts when it heals.
 func (r *run) replaceLost(e *stand.Entry) (heal func()) {
-	if len(r.fleet.all()) == 1 || !r.fleet.lose(e) {
+	if len(r.fleet.allEntries()) == 1 || !r.fleet.removeEntry(e) {
 		return nil
 	}
 	e.Cut()
@@ -237,7 +237,7 @@
 		e.Remove()
 		r.fleet.stops.Go(e.Abandon)
 		if err := r.fleet.startEntry(e.Zone); err != nil {
-			r.violate("harness: %v", err)
+			r.recordViolation("harness: %v", err)
 		}
 	}
 }
@@ -245,17 +245,17 @@
 // stopEntry replaces an entry VM as planned: the new one starts first.
 func (r *run) stopEntry(e *stand.Entry) {
 	if err := r.fleet.startEntry(e.Zone); err != nil {
-		r.violate("harness: %v", err)
+		r.recordViolation("harness: %v", err)
 		return
 	}
-	if !r.fleet.lose(e) {
+	if !r.fleet.removeEntry(e) {
 		return
 	}
 	r.fleet.stops.Go(func() {
 		if err := e.Stop(); err != nil {
-			r.violate("%s stopped with an error: %v", e.ID, err)
+			r.recordViolation("%s stopped with an error: %v", e.ID, err)
 		}
-		r.note("%s has stopped", e.ID)
+		r.logEvent("%s has stopped", e.ID)
 		e.Remove()
 	})
 }
--- a/lab/soak/fleet.go
+++ b/lab/soak/fleet.go
@@ -9,7 +9,7 @@
 
 // fleet is the entry VMs and engines there are now, without those lost for good.
 type fleet struct {
-	d *stand.Deployment
+	deployment *stand.Deployment
 
 	stops sync.WaitGroup // VMs on their way out
 
@@ -20,7 +20,7 @@
 }
 
 func newFleet(d *stand.Deployment) *fleet {
-	f := &fleet{d: d, entries: slices.Clone(d.Entries), zoneOf: make(map[string]string)}
+	f := &fleet{deployment: d, entries: slices.Clone(d.Entries), zoneOf: make(map[string]string)}
 	for id := range d.Engines {
 		f.engines = append(f.engines, id)
 		vm, _ := d.VMs.Latest(id)
@@ -30,25 +30,25 @@
 	return f
 }
 
-func (f *fleet) all() []*stand.Entry {
+func (f *fleet) allEntries() []*stand.Entry {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.entries)
 }
 
-func (f *fleet) entry(target int) *stand.Entry {
-	all := f.all()
+func (f *fleet) entryAt(target int) *stand.Entry {
+	all := f.allEntries()
 	return all[target%len(all)]
 }
 
-// engine chooses an engine that works, if one does: a fault of an idle one
+// engineAt chooses an engine that works, if one does: a fault of an idle one
 // shows little.
-func (f *fleet) engine(target int) string {
+func (f *fleet) engineAt(target int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var busy []string
 	for _, id := range f.engines {
-		if f.d.Engines[id].Busy() {
+		if f.deployment.Engines[id].Busy() {
 			busy = append(busy, id)
 		}
 	}
@@ -70,7 +70,7 @@
 }
 
 func (f *fleet) entriesOf(zone string) (in []*stand.Entry) {
-	for _, e := range f.all() {
+	for _, e := range f.allEntries() {
 		if e.Zone == zone {
 			in = append(in, e)
 		}
@@ -80,7 +80,7 @@
 
 // startEntry adds an entry VM.
 func (f *fleet) startEntry(zone string) error {
-	e, err := f.d.StartEntry(zone)
+	e, err := f.deployment.StartEntry(zone)
 	if err != nil {
 		return err
 	}
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// lose takes an entry VM off; it reports whether it was there.
-func (f *fleet) lose(e *stand.Entry) bool {
+// removeEntry takes an entry VM off; it reports whether it was there.
+func (f *fleet) removeEntry(e *stand.Entry) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before := len(f.entries)
@@ -101,7 +101,7 @@
 
 // startEngine adds an engine and returns its id.
 func (f *fleet) startEngine(zone string) (string, error) {
-	id, err := f.d.AddEngine(zone)
+	id, err := f.deployment.AddEngine(zone)
 	if err != nil {
 		return "", err
 	}
@@ -112,7 +112,7 @@
 	return id, nil
 }
 
-func (f *fleet) loseEngine(id string) bool {
+func (f *fleet) removeEngine(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	i := slices.Index(f.engines, id)
--- a/lab/soak/generations.go
+++ b/lab/soak/generations.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	minReview, maxReview = 50, 450 // tokens
-	wholeTokens          = 60
-	lookupTokens         = 6
-	lookupTries          = 3
-	// unreachable is the code of an answer that a caller should come back for.
-	unreachable = "generation_unreachable"
-	comeBack    = time.Second
-	// maxMoves bounds the attempts of one answer that reach nobody or break.
-	maxMoves = 40
+	minReviewTokens, maxReviewTokens = 50, 450 // tokens
+	shortReviewTokens                = 60
+	lookupTokens                     = 6
+	lookupAttempts                   = 3
+	// codeUnreachable is the code of an answer that a caller should come back for.
+	codeUnreachable       = "generation_unreachable"
+	unreachableRetryDelay = time.Second
+	// maxCompletionAttempts bounds the attempts of one answer that reach nobody or break.
+	maxCompletionAttempts = 40
 )
 
-// reviews reads long streamed answers and goes on elsewhere with Last-Event-ID.
-func (r *run) reviews(ctx context.Context, c *caller) {
-	for r.pause(ctx, c.between(0, time.Second)) {
-		a := &answer{c: c, service: "reviews", prompt: c.unique("review"), tokens: minReview + c.rng.IntN(maxReview-minReview)}
+// readReviews reads long streamed answers and goes on elsewhere with Last-Event-ID.
+func (r *run) readReviews(ctx context.Context, c *caller) {
+	for r.shouldContinueAfter(ctx, c.randomDuration(0, time.Second)) {
+		a := &completion{caller: c, service: "reviews", prompt: c.uniqueName("review"), maxTokens: minReviewTokens + c.rng.IntN(maxReviewTokens-minReviewTokens)}
 		if c.chance(50) {
 			a.key = a.prompt
 		}
-		r.finish(ctx, "review", a, r.untilWhole(ctx, a, func(to *stand.Client) error {
+		r.recordResult(ctx, "review", a, r.retryUntilComplete(ctx, a, func(to *stand.Client) error {
 			if a.id != "" {
 				return a.resume(ctx, to)
 			}
@@ -38,61 +38,61 @@
 	}
 }
 
-// resubmissions sends the same request with its key again when the connection
+// resubmitReviews sends the same request with its key again when the connection
 // breaks, and wants the whole answer from its first token.
-func (r *run) resubmissions(ctx context.Context, c *caller) {
-	for r.pause(ctx, c.between(0, time.Second)) {
-		a := &answer{c: c, service: "reviews", prompt: c.unique("resubmission"), tokens: minReview + c.rng.IntN(maxReview-minReview)}
+func (r *run) resubmitReviews(ctx context.Context, c *caller) {
+	for r.shouldContinueAfter(ctx, c.randomDuration(0, time.Second)) {
+		a := &completion{caller: c, service: "reviews", prompt: c.uniqueName("resubmission"), maxTokens: minReviewTokens + c.rng.IntN(maxReviewTokens-minReviewTokens)}
 		a.key = a.prompt
-		r.finish(ctx, "resubmission", a, r.untilWhole(ctx, a, func(to *stand.Client) error { return a.post(ctx, to) }))
+		r.recordResult(ctx, "resubmission", a, r.retryUntilComplete(ctx, a, func(to *stand.Client) error { return a.post(ctx, to) }))
 	}
 }
 
-// wholes asks for answers that are not streamed.
-func (r *run) wholes(ctx context.Context, c *caller) {
-	for r.pause(ctx, c.between(200*time.Millisecond, 2*time.Second)) {
-		a := &answer{c: c, service: "reviews", prompt: c.unique("whole"), tokens: wholeTokens}
+// readUnstreamed asks for answers that are not streamed.
+func (r *run) readUnstreamed(ctx context.Context, c *caller) {
+	for r.shouldContinueAfter(ctx, c.randomDuration(200*time.Millisecond, 2*time.Second)) {
+		a := &completion{caller: c, service: "reviews", prompt: c.uniqueName("whole"), maxTokens: shortReviewTokens}
 		a.key = a.prompt
-		r.finish(ctx, "whole", a, r.untilWhole(ctx, a, func(to *stand.Client) error { return a.wait(ctx, to) }))
+		r.recordResult(ctx, "whole", a, r.retryUntilComplete(ctx, a, func(to *stand.Client) error { return a.postUnstreamed(ctx, to) }))
 	}
 }
 
-// lookups are urgent and short; a caller tries a few entry VMs.
-func (r *run) lookups(ctx context.Context, c *caller) {
-	for r.pause(ctx, c.between(50*time.Millisecond, 600*time.Millisecond)) {
-		a := &answer{c: c, service: "orders", prompt: c.unique("lookup"), tokens: lookupTokens}
+// makeLookups are urgent and short; a caller tries a few entry VMs.
+func (r *run) makeLookups(ctx context.Context, c *caller) {
+	for r.shouldContinueAfter(ctx, c.randomDuration(50*time.Millisecond, 600*time.Millisecond)) {
+		a := &completion{caller: c, service: "orders", prompt: c.uniqueName("lookup"), maxTokens: lookupTokens}
 		began := time.Now()
 		err := r.lookup(ctx, a)
 		if err == nil && time.Since(began) > 2*time.Second {
 			r.count("lookup late")
 		}
-		r.finish(ctx, "lookup", a, err)
+		r.recordResult(ctx, "lookup", a, err)
 	}
 }
 
-func (r *run) lookup(ctx context.Context, a *answer) (err error) {
-	for range lookupTries {
-		to := a.c.entry(ctx)
+func (r *run) lookup(ctx context.Context, a *completion) (err error) {
+	for range lookupAttempts {
+		to := a.caller.nextEntry(ctx)
 		if to == nil {
 			return ctx.Err()
 		}
-		once, cancel := context.WithTimeout(ctx, requestLimit)
+		once, cancel := context.WithTimeout(ctx, requestTimeout)
 		err = a.post(once, to)
 		cancel()
 		if err == nil {
 			return nil
 		}
-		a.c.forget()
+		a.caller.invalidateAddresses()
 	}
 	return err
 }
 
-// untilWhole repeats send, elsewhere each time, until the answer is whole or
+// retryUntilComplete repeats send, elsewhere each time, until the answer is whole or
 // has failed visibly.
-func (r *run) untilWhole(ctx context.Context, a *answer, send func(to *stand.Client) error) error {
+func (r *run) retryUntilComplete(ctx context.Context, a *completion, send func(to *stand.Client) error) error {
 	var err error
-	for range maxMoves {
-		to := a.c.entry(ctx)
+	for range maxCompletionAttempts {
+		to := a.caller.nextEntry(ctx)
 		if to == nil {
 			return ctx.Err()
 		}
@@ -103,39 +103,39 @@
 			return nil
 		case !errors.As(err, &refused):
 			r.count("moved")
-			a.c.forget()
-		case refused.Code == unreachable:
+			a.caller.invalidateAddresses()
+		case refused.Code == codeUnreachable:
 			r.count("told to come back")
-			pause.For(ctx, comeBack)
-		case a.goesOn(refused):
+			pause.For(ctx, unreachableRetryDelay)
+		case a.shouldRetry(refused):
 			if refused.Verdict == "not_run" {
-				r.notRun(a, refused)
+				r.checkNotRun(a, refused)
 			}
-			a.c.forget()
+			a.caller.invalidateAddresses()
 		default:
 			return err
 		}
-		pause.For(ctx, tryAgain)
+		pause.For(ctx, retryDelay)
 	}
 	return err
 }
 
-// goesOn reports whether the caller sends a refused request again: what was
+// shouldRetry reports whether the caller sends a refused request again: what was
 // not run, or what it can repeat under its key.
-func (a *answer) goesOn(refused *stand.Refusal) bool {
+func (a *completion) shouldRetry(refused *stand.Refusal) bool {
 	return (refused.Verdict == "not_run" || a.key != "") && a.text.Len() == 0 &&
-		(a.c.r.opts.MustServe || a.c.chance(60))
+		(a.caller.run.opts.MustServe || a.caller.chance(60))
 }
 
-// notRun checks a not_run verdict at the time at which it is heard.
-func (r *run) notRun(a *answer, refused *stand.Refusal) {
-	if n := r.stand.Starts(a.prompt); n > 0 {
-		r.violate("%q was told %s, and an engine had begun it %d time(s)", a.prompt, refused, n)
+// checkNotRun checks a not_run verdict at the time at which it is heard.
+func (r *run) checkNotRun(a *completion, refused *stand.Refusal) {
+	if n := r.deployment.Starts(a.prompt); n > 0 {
+		r.recordViolation("%q was told %s, and an engine had begun it %d time(s)", a.prompt, refused, n)
 	}
 }
 
-// finish judges how an answer ended.
-func (r *run) finish(ctx context.Context, kind string, a *answer, err error) {
+// recordResult judges how an answer ended.
+func (r *run) recordResult(ctx context.Context, kind string, a *completion, err error) {
 	var refused *stand.Refusal
 	switch {
 	case err == nil:
@@ -143,34 +143,34 @@
 		return
 	case errors.As(err, &refused):
 		r.count(kind + " failed: " + refused.Code + " " + refused.Verdict)
-		r.note("%q (%s) holding %d bytes: %s", a.prompt, a.id, a.text.Len(), refused)
+		r.logEvent("%q (%s) holding %d bytes: %s", a.prompt, a.id, a.text.Len(), refused)
 		if refused.Verdict == "" {
-			r.violate("%q failed without a verdict: %v", a.prompt, err)
+			r.recordViolation("%q failed without a verdict: %v", a.prompt, err)
 		}
 		if refused.Verdict == "not_run" {
-			r.notRun(a, refused)
-			r.owed.heard(a.prompt, refused.Error())
+			r.checkNotRun(a, refused)
+			r.notRun.record(a.prompt, refused.Error())
 		}
 	case ctx.Err() != nil:
 		r.count(kind + " hung")
 	default:
 		r.count(kind + " unreachable")
 	}
-	if r.opts.Plan.Planned() || r.opts.MustServe && kind != "lookup" {
-		r.violate("%q failed where it must not: %v", a.prompt, err)
+	if r.opts.Plan.IsPlanned() || r.opts.MustServe && kind != "lookup" {
+		r.recordViolation("%q failed where it must not: %v", a.prompt, err)
 	}
 }
 
-// owedBook remembers what was promised not to run, by prompt.
-type owedBook struct{ book }
+// notRunVerdicts remembers what was promised not to run, by prompt.
+type notRunVerdicts struct{ lastOutcomes }
 
-// judge checks the promises at the end of the run.
-func (o *owedBook) judge(r *run) {
+// check checks the promises at the end of the run.
+func (o *notRunVerdicts) check(r *run) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for prompt, said := range o.last {
-		if n := r.stand.Starts(prompt); n > 0 {
-			r.violate("%q was told %s and not sent again, and engines began it %d time(s)", prompt, said, n)
+	for prompt, verdict := range o.byKey {
+		if n := r.deployment.Starts(prompt); n > 0 {
+			r.recordViolation("%q was told %s and not sent again, and engines began it %d time(s)", prompt, verdict, n)
 		}
 	}
 }
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -14,40 +14,40 @@
 // The kinds. Those of a VM or link have a target; the others concern the one
 // store, VM list or plain service.
 const (
-	EngineDie      Kind = "engine_die"        // and revive
-	EnginePause    Kind = "engine_pause"      // stops, connections stay open
-	EngineSlow     Kind = "engine_slow"       // a straggler
-	EngineSilence  Kind = "engine_silence"    // its open streams never say another word
-	EngineCutOff   Kind = "engine_net_silent" // all its open connections do
-	EngineRefuse   Kind = "engine_refuse"     // takes nothing new
-	EntryCut       Kind = "entry_cut"         // off the network, then back
-	EntryPause     Kind = "entry_pause"       // no traffic, then on as before
-	EntryReplace   Kind = "entry_replace"     // lost; another VM takes its place
-	CallersSilent  Kind = "callers_silent"    // callers' open connections to an entry VM
-	PeersSilent    Kind = "peers_silent"      // entry VMs' open connections to one
-	ZonesCutOneWay Kind = "zones_cut_one_way"
-	ZonesCut       Kind = "zones_cut"
-	ZoneLost       Kind = "zone_lost" // every entry VM and engine of a zone
-	StoreDown      Kind = "store_down"
-	StoreSlow      Kind = "store_slow"
-	StoreLoseWrite Kind = "store_lose_write" // takes effect, its answer is lost
-	StoreDropWrite Kind = "store_drop_write" // lost on its way
-	ListDown       Kind = "list_down"
-	DeskLose       Kind = "desk_lose_answers"
-	DeskSilent     Kind = "desk_silent"
-	DeskSlow       Kind = "desk_slow"
+	EngineCrash            Kind = "engine_die"        // and revive
+	EnginePause            Kind = "engine_pause"      // stops, connections stay open
+	EngineSlow             Kind = "engine_slow"       // a straggler
+	EngineStreamsSilent    Kind = "engine_silence"    // its open streams never say another word
+	EngineConnsSilent      Kind = "engine_net_silent" // all its open connections do
+	EngineRefuse           Kind = "engine_refuse"     // takes nothing new
+	EntryCut               Kind = "entry_cut"         // off the network, then back
+	EntryPause             Kind = "entry_pause"       // no traffic, then on as before
+	EntryReplace           Kind = "entry_replace"     // lost; another VM takes its place
+	CallersSilent          Kind = "callers_silent"    // callers' open connections to an entry VM
+	PeersSilent            Kind = "peers_silent"      // entry VMs' open connections to one
+	ZonesCutOneWay         Kind = "zones_cut_one_way"
+	ZonesCut               Kind = "zones_cut"
+	ZoneLost               Kind = "zone_lost" // every entry VM and engine of a zone
+	StoreDown              Kind = "store_down"
+	StoreSlow              Kind = "store_slow"
+	StoreLoseWriteResponse Kind = "store_lose_write" // takes effect, its answer is lost
+	StoreDropWrite         Kind = "store_drop_write" // lost on its way
+	VMListDown             Kind = "list_down"
+	DeskLoseResponses      Kind = "desk_lose_answers"
+	DeskSilent             Kind = "desk_silent"
+	DeskSlow               Kind = "desk_slow"
 
 	EntryStop   Kind = "entry_stop"   // planned: another VM starts, this one drains
-	EngineLeave Kind = "engine_leave" // planned: another VM starts, this one is marked leaving
+	EngineDrain Kind = "engine_leave" // planned: another VM starts, this one is marked leaving
 )
 
 // faultKinds are drawn with equal weight.
 var faultKinds = []Kind{
-	EngineDie, EnginePause, EngineSlow, EngineSilence, EngineCutOff, EngineRefuse,
+	EngineCrash, EnginePause, EngineSlow, EngineStreamsSilent, EngineConnsSilent, EngineRefuse,
 	EntryCut, EntryPause, EntryReplace, CallersSilent, PeersSilent,
 	ZonesCutOneWay, ZonesCut, ZoneLost,
-	StoreDown, StoreSlow, StoreLoseWrite, StoreDropWrite, ListDown,
-	DeskLose, DeskSilent, DeskSlow, EntryStop,
+	StoreDown, StoreSlow, StoreLoseWriteResponse, StoreDropWrite, VMListDown,
+	DeskLoseResponses, DeskSilent, DeskSlow, EntryStop,
 }
 
 // Step is one fault with its healing, or one planned change.
@@ -75,18 +75,18 @@
 	IgnoreFence    bool
 }
 
-// Planned reports whether the plan holds planned changes alone: then nothing
+// IsPlanned reports whether the plan holds planned changes alone: then nothing
 // may be cut.
-func (p Plan) Planned() bool {
+func (p Plan) IsPlanned() bool {
 	return !slices.ContainsFunc(p.Steps, func(s Step) bool {
-		return s.Kind != EntryStop && s.Kind != EngineLeave
+		return s.Kind != EntryStop && s.Kind != EngineDrain
 	})
 }
 
-// losesKeys reports whether two entry VMs or more are lost for good. Both that
+// mayLoseKeys reports whether two entry VMs or more are lost for good. Both that
 // knew a slot of idempotency keys may be among them: its keys are undecided
 // then until their retention ends, by design, because any of them may have run.
-func (p Plan) losesKeys() bool {
+func (p Plan) mayLoseKeys() bool {
 	lost := 0
 	for _, s := range p.Steps {
 		if s.Kind == EntryReplace {
@@ -111,13 +111,13 @@
 	ShortRun = 8 * time.Second
 	minFault = 200 * time.Millisecond
 	maxFault = 6 * time.Second
-	// together is how far apart the faults of a pair begin at most: within the
+	// maxPairGap is how far apart the faults of a pair begin at most: within the
 	// time in which the first is noticed.
-	together   = 800 * time.Millisecond
+	maxPairGap = 800 * time.Millisecond
 	maxTargets = 12
-	// groupEvery is the time for one group of faults: in a long run up to six.
-	groupEvery = 2500 * time.Millisecond
-	maxRepeats = 3
+	// groupInterval is the time for one group of faults: in a long run up to six.
+	groupInterval = 2500 * time.Millisecond
+	maxRepeats    = 3
 )
 
 // Draw makes the plan of a seed: groups of one fault, of two at about the same
@@ -129,8 +129,8 @@
 	if rng.IntN(4) == 0 {
 		p.EntriesPerZone = 2
 	}
-	for range 1 + rng.IntN(int(length/groupEvery)) {
-		p.Steps = append(p.Steps, group(rng, length)...)
+	for range 1 + rng.IntN(int(length/groupInterval)) {
+		p.Steps = append(p.Steps, drawGroup(rng, length)...)
 	}
 	slices.SortStableFunc(p.Steps, func(a, b Step) int { return int(a.At - b.At) })
 	return p
@@ -143,46 +143,46 @@
 	callStream = 2
 )
 
-func group(rng *rand.Rand, length time.Duration) []Step {
-	first := draw(rng, time.Second+between(rng, 0, max(length-maxFault, time.Second)))
+func drawGroup(rng *rand.Rand, length time.Duration) []Step {
+	first := drawStep(rng, time.Second+randomDuration(rng, 0, max(length-maxFault, time.Second)))
 	switch rng.IntN(3) {
 	case 0:
 		return []Step{first}
 	case 1:
-		return []Step{first, draw(rng, first.At+between(rng, 0, together))}
+		return []Step{first, drawStep(rng, first.At+randomDuration(rng, 0, maxPairGap))}
 	}
 	steps := []Step{first}
 	for range 1 + rng.IntN(maxRepeats-1) {
 		again := steps[len(steps)-1]
-		again.At += again.For + between(rng, 0, time.Second)
+		again.At += again.For + randomDuration(rng, 0, time.Second)
 		steps = append(steps, again)
 	}
 	return steps
 }
 
-func draw(rng *rand.Rand, at time.Duration) Step {
+func drawStep(rng *rand.Rand, at time.Duration) Step {
 	return Step{
-		At: at, For: between(rng, minFault, maxFault), Kind: faultKinds[rng.IntN(len(faultKinds))],
+		At: at, For: randomDuration(rng, minFault, maxFault), Kind: faultKinds[rng.IntN(len(faultKinds))],
 		Target: rng.IntN(maxTargets), Other: rng.IntN(maxTargets),
 	}
 }
 
-func between(rng *rand.Rand, low, high time.Duration) time.Duration {
+func randomDuration(rng *rand.Rand, low, high time.Duration) time.Duration {
 	return low + time.Duration(rng.Int64N(int64(high-low))).Truncate(time.Millisecond)
 }
 
-// minGap is the least time between two planned changes: operators replace one
+// minPlannedGap is the least time between two planned changes: operators replace one
 // VM after another.
-const minGap = 500 * time.Millisecond
+const minPlannedGap = 500 * time.Millisecond
 
 // DrawPlanned makes a plan of planned changes alone: stops of entry VMs and
 // engines that leave, some before the one before has ended.
 func DrawPlanned(seed uint64, length time.Duration) Plan {
 	rng := rand.New(rand.NewPCG(seed, planStream))
 	p := Plan{Seed: seed, Length: length, EntriesPerZone: 1 + rng.IntN(2)}
-	for at := time.Second; at < length-2*time.Second; at += between(rng, minGap, 3*time.Second) {
-		s := draw(rng, at)
-		s.Kind = []Kind{EntryStop, EngineLeave}[rng.IntN(2)]
+	for at := time.Second; at < length-2*time.Second; at += randomDuration(rng, minPlannedGap, 3*time.Second) {
+		s := drawStep(rng, at)
+		s.Kind = []Kind{EntryStop, EngineDrain}[rng.IntN(2)]
 		p.Steps = append(p.Steps, s)
 	}
 	return p
--- a/lab/soak/found_test.go
+++ b/lab/soak/regressions_test.go
@@ -7,7 +7,7 @@
 
 // Plans of seeds that broke an invariant, as they were drawn then, so that they
 // stay the same when plans are drawn in another way.
-func TestFoundBySeeds(t *testing.T) {
+func TestRegressionPlans(t *testing.T) {
 	for _, p := range []Plan{
 		{ // a new entry VM asked the order desk for an engine's status
 			Seed: 1, Length: LongRun, IgnoreFence: true, EntriesPerZone: 1,
@@ -29,8 +29,8 @@
 				{At: seconds(1.711), For: seconds(3.246), Kind: EntryReplace, Target: 3, Other: 1},
 				{At: seconds(2.208), For: seconds(0.51), Kind: EntryPause, Target: 1, Other: 2},
 				{At: seconds(2.291), For: seconds(5.386), Kind: CallersSilent, Target: 9, Other: 10},
-				{At: seconds(2.394), For: seconds(1.03), Kind: StoreLoseWrite, Target: 5, Other: 6},
-				{At: seconds(2.553), For: seconds(4.414), Kind: EngineCutOff, Target: 9, Other: 1},
+				{At: seconds(2.394), For: seconds(1.03), Kind: StoreLoseWriteResponse, Target: 5, Other: 6},
+				{At: seconds(2.553), For: seconds(4.414), Kind: EngineConnsSilent, Target: 9, Other: 1},
 				{At: seconds(5.355), For: seconds(3.246), Kind: EntryReplace, Target: 3, Other: 1},
 				{At: seconds(9.46), For: seconds(3.246), Kind: EntryReplace, Target: 3, Other: 1},
 			},
--- a/lab/soak/stories_test.go
+++ b/lab/soak/scenarios_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// play runs steps in virtual time and fails on what broke.
-func play(t *testing.T, seed uint64, mustServe bool, steps ...Step) {
+// runSteps runs steps in virtual time and fails on what broke.
+func runSteps(t *testing.T, seed uint64, mustServe bool, steps ...Step) {
 	t.Helper()
 	t.Parallel()
 	p := Plan{Seed: seed, Steps: steps, Length: steps[len(steps)-1].At + 6*time.Second, EntriesPerZone: 1}
@@ -22,7 +22,7 @@
 // while callers read answers and operators change the text. Callers see
 // nothing of it. Each VM leaves the answers, serves what it has and stops.
 func TestEveryEntryReplaced(t *testing.T) {
-	play(
+	runSteps(
 		t, 101, true,
 		Step{At: seconds(2), Kind: EntryStop},
 		Step{At: seconds(7), Kind: EntryStop},
@@ -35,16 +35,16 @@
 func TestEveryEngineReplaced(t *testing.T) {
 	steps := make([]Step, 6)
 	for i := range steps {
-		steps[i] = Step{At: seconds(1 + 3*float64(i)), Kind: EngineLeave}
+		steps[i] = Step{At: seconds(1 + 3*float64(i)), Kind: EngineDrain}
 	}
-	play(t, 102, true, steps...)
+	runSteps(t, 102, true, steps...)
 }
 
 // A whole availability zone is lost in the middle of everything: its entry VM
 // and its engines at once. Callers go on elsewhere with what they hold; every
 // answer is copied to another zone before it is shown.
 func TestZoneLost(t *testing.T) {
-	play(t, 103, true, Step{At: seconds(3), For: seconds(6), Kind: ZoneLost})
+	runSteps(t, 103, true, Step{At: seconds(3), For: seconds(6), Kind: ZoneLost})
 }
 
 // Something between the ends loses track of all open connections: those of
@@ -61,9 +61,9 @@
 		)
 	}
 	for i := range 6 {
-		steps = append(steps, Step{At: seconds(4), Kind: EngineCutOff, Target: i})
+		steps = append(steps, Step{At: seconds(4), Kind: EngineConnsSilent, Target: i})
 	}
-	play(t, 104, true, steps...)
+	runSteps(t, 104, true, steps...)
 }
 
 // One fault at a time, each kind in turn: an answer that a caller has begun to
@@ -71,7 +71,7 @@
 func TestSingleFaults(t *testing.T) {
 	for i, kind := range faultKinds {
 		t.Run(string(kind), func(t *testing.T) {
-			play(t, uint64(300+i), true, Step{At: seconds(2), For: seconds(4), Kind: kind, Target: i, Other: i})
+			runSteps(t, uint64(300+i), true, Step{At: seconds(2), For: seconds(4), Kind: kind, Target: i, Other: i})
 		})
 	}
 }
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -23,13 +23,13 @@
 )
 
 const (
-	// settleLimit bounds callers after all is healed: whatever was begun has a
+	// completionLimit bounds callers after all is healed: whatever was begun has a
 	// whole answer or a visible failure then.
-	settleLimit = 60 * time.Second
+	completionLimit = 60 * time.Second
 	// inForceLimit is how long an accepted text may take to every daemon.
 	inForceLimit = 9 * time.Second
-	// lookupsBack is when urgent lookups must be answered again after healing.
-	lookupsBack = 12 * time.Second
+	// lookupRecoveryLimit is when urgent lookups must be answered again after healing.
+	lookupRecoveryLimit = 12 * time.Second
 )
 
 // Options of a run.
@@ -65,33 +65,33 @@
 	}
 	defer d.Close()
 	r := newRun(o, d)
-	r.play(ctx)
+	r.execute(ctx)
 	return r.report(o.Plan), nil
 }
 
 // run is one run under way.
 type run struct {
-	*ledger
-	opts  Options
-	stand *stand.Deployment
-	fleet *fleet
-	texts *texts
-	calls *callBook
-	owed  *owedBook
+	*recorder
+	opts       Options
+	deployment *stand.Deployment
+	fleet      *fleet
+	texts      *siteTexts
+	calls      *callOutcomes
+	notRun     *notRunVerdicts
 
 	planOver chan struct{} // closed when all is healed; callers begin nothing new
 }
 
 func newRun(o Options, d *stand.Deployment) *run {
 	r := &run{
-		ledger: newLedger(), opts: o, stand: d, planOver: make(chan struct{}),
-		texts: newTexts(), calls: &callBook{}, owed: &owedBook{},
+		recorder: newRecorder(), opts: o, deployment: d, planOver: make(chan struct{}),
+		texts: newSiteTexts(), calls: &callOutcomes{}, notRun: &notRunVerdicts{},
 	}
 	r.fleet = newFleet(d)
 	return r
 }
 
-func (r *run) over() bool {
+func (r *run) isOver() bool {
 	select {
 	case <-r.planOver:
 		return true
@@ -100,39 +100,39 @@
 	}
 }
 
-// play runs everybody until the plan is over and then lets the system settle.
-func (r *run) play(ctx context.Context) {
+// execute runs everybody until the plan is over and then lets the system settle.
+func (r *run) execute(ctx context.Context) {
 	callers, stop := context.WithCancel(ctx)
 	defer stop()
 	watching, stopWatching := context.WithCancel(ctx)
 	var watchers, actors sync.WaitGroup
-	watchers.Go(func() { r.watch(watching) })
-	r.startActors(callers, &actors)
-	r.faults(ctx)
+	watchers.Go(func() { r.watchRevisions(watching) })
+	r.startClients(callers, &actors)
+	r.injectFaults(ctx)
 	close(r.planOver)
-	r.note("all is healed")
+	r.logEvent("all is healed")
 	ended := make(chan struct{})
 	go func() {
 		actors.Wait()
 		close(ended)
 	}()
-	r.settle(ctx)
+	r.checkRecovery(ctx)
 	select {
 	case <-ended:
-	case <-time.After(settleLimit):
+	case <-time.After(completionLimit):
 		stop()
-		r.violate("callers had neither a whole answer nor a failure %v after all was healed", settleLimit)
+		r.recordViolation("callers had neither a whole answer nor a failure %v after all was healed", completionLimit)
 		<-ended
 	}
 	r.awaitStops()
 	stopWatching()
 	watchers.Wait()
-	r.judge(ctx)
+	r.checkFinal(ctx)
 }
 
-// startActors starts callers of each kind and two operators.
-func (r *run) startActors(ctx context.Context, wg *sync.WaitGroup) {
-	kinds := []func(context.Context, *caller){r.reviews, r.resubmissions, r.wholes, r.lookups, r.confirmations}
+// startClients starts callers of each kind and two operators.
+func (r *run) startClients(ctx context.Context, wg *sync.WaitGroup) {
+	kinds := []func(context.Context, *caller){r.readReviews, r.resubmitReviews, r.readUnstreamed, r.makeLookups, r.makeConfirmations}
 	stream := uint64(callStream)
 	for _, kind := range kinds {
 		for range r.opts.Callers {
@@ -141,18 +141,18 @@
 			wg.Go(func() { kind(ctx, c) })
 		}
 	}
-	for i := range operators {
+	for i := range operatorCount {
 		stream++
 		rng := rand.New(rand.NewPCG(r.opts.Plan.Seed, stream))
-		wg.Go(func() { r.operate(ctx, i, rng) })
+		wg.Go(func() { r.runOperator(ctx, i, rng) })
 	}
 }
 
-// pause waits unless the plan is over or ctx ends; it reports whether to go on.
-func (r *run) pause(ctx context.Context, d time.Duration) bool {
+// shouldContinueAfter waits unless the plan is over or ctx ends; it reports whether to go on.
+func (r *run) shouldContinueAfter(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
-		return !r.over()
+		return !r.isOver()
 	case <-r.planOver:
 	case <-ctx.Done():
 	}
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -39,27 +39,27 @@
 // Random runs, a few dozen short ones in the usual check. By hand more and
 // longer ones: go test ./lab/soak -run RandomRuns -soak.runs=100 -soak.long.
 func TestRandomRuns(t *testing.T) {
-	length, _ := size()
+	length, _ := runSize()
 	for i := range uint64(*runs) {
 		seed := *first + i
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			random(t, seed, length)
+			runRandom(t, seed, length)
 		})
 	}
 }
 
-// size returns the length of runs and the callers of each kind.
-func size() (time.Duration, int) {
+// runSize returns the length of runs and the callers of each kind.
+func runSize() (time.Duration, int) {
 	if *long {
 		return LongRun, defaultCallers
 	}
 	return ShortRun, 1
 }
 
-func random(t *testing.T, seed uint64, length time.Duration) {
+func runRandom(t *testing.T, seed uint64, length time.Duration) {
 	t.Helper()
-	_, callers := size()
+	_, callers := runSize()
 	o := Options{Plan: Draw(seed, length), Callers: callers}
 	if *logs != "" {
 		f, err := os.Create(*logs)
@@ -80,7 +80,7 @@
 // Planned changes alone, also several at once, cut nothing: any failure that a
 // caller sees is a violation.
 func TestRandomPlannedChanges(t *testing.T) {
-	length, callers := size()
+	length, callers := runSize()
 	for i := range uint64(*planned) {
 		seed := *first + i
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
