--- a/lab/soak/caller.go
+++ b/lab/soak/caller.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// resolveTimeout bounds one question for addresses.
+	// resolveTimeout bounds one request for the list of entry VMs.
 	resolveTimeout = 2 * time.Second
-	// retryDelay spaces attempts that reached nobody.
+	// retryDelay is the pause after an attempt that did not succeed.
 	retryDelay = 300 * time.Millisecond
-	// idleTimeout is how long a caller waits on a connection that says nothing:
-	// streams send a comment every 5 s, so two were missed.
+	// idleTimeout is how long a caller waits on an idle connection. Streams send a comment every
+	// 5 s, so two of them were missed by then.
 	idleTimeout = 12 * time.Second
-	// requestTimeout bounds a request that is answered at once.
+	// requestTimeout bounds a short request.
 	requestTimeout = 6 * time.Second
 )
 
-// caller is one program of the account. It keeps the addresses it was told
-// until they run out, as the address answer allows.
+// caller is one client program of the account. It keeps the list of entry VMs until the TTL of the
+// list ends.
 type caller struct {
 	run          *run
 	rng          *rand.Rand
@@ -45,7 +45,7 @@
 	return &caller{run: r, rng: rng, http: r.deployment.HTTP(), name: fmt.Sprintf("caller-%d", n)}
 }
 
-// uniqueName names the next request of this caller; it serves as prompt and key.
+// uniqueName returns a new name, which serves as prompt and as idempotency key.
 func (c *caller) uniqueName(kind string) string {
 	c.requestCount++
 	return fmt.Sprintf("%s %s %d", kind, c.name, c.requestCount)
@@ -57,8 +57,8 @@
 	return randomDuration(c.rng, low, high)
 }
 
-// nextEntry returns a client of an entry VM that the caller was told to use. Each
-// call takes the next one of the answer. It returns nil when ctx ends.
+// nextEntry returns a client of one of the listed entry VMs, in rotation. It returns nil when ctx
+// ends.
 func (c *caller) nextEntry(ctx context.Context) *stand.Client {
 	for ctx.Err() == nil {
 		if time.Now().Before(c.expiresAt) && len(c.addresses) > 0 {
@@ -76,7 +76,7 @@
 	return &stand.Client{Base: "http://" + address, Token: stand.DemoToken, HTTP: c.http}
 }
 
-// resolve learns the addresses anew from an entry VM, whichever answers.
+// resolve fetches the list of entry VMs from a random one.
 func (c *caller) resolve(ctx context.Context) error {
 	known := c.run.fleet.allEntries()
 	e := known[c.rng.IntN(len(known))]
@@ -99,7 +99,7 @@
 		return err
 	}
 	if len(body.Entries) == 0 {
-		return errors.New("no entry VM was named")
+		return errors.New("the list of entry VMs is empty")
 	}
 	c.addresses = nil
 	for _, n := range body.Entries {
@@ -109,16 +109,16 @@
 	return nil
 }
 
-// invalidateAddresses drops an answer whose entry VMs do not answer.
+// invalidateAddresses expires the list after an entry VM on it failed to respond.
 func (c *caller) invalidateAddresses() { c.expiresAt = time.Time{} }
 
-// idleTimeoutReader ends a request whose connection says nothing for silenceLimit.
+// idleTimeoutReader resets a timer, which ends the request, on every read.
 type idleTimeoutReader struct {
 	io.Reader
 	timer *time.Timer
 }
 
-// Read implements io.Reader; any byte counts, also a comment.
+// Read implements io.Reader. Any byte resets the timer, also that of a comment.
 func (w idleTimeoutReader) Read(p []byte) (int, error) {
 	n, err := w.Reader.Read(p)
 	w.timer.Reset(idleTimeout)
--- a/lab/soak/calls.go
+++ b/lab/soak/calls.go
@@ -17,13 +17,13 @@
 const (
 	maxRounds     = 4
 	maxDuplicates = 3
-	// noResponse is the outcome of a copy whose connection broke or was silent.
+	// noResponse is the outcome of a duplicate whose connection broke or timed out.
 	noResponse = "no answer"
 )
 
-// makeConfirmations makes calls that may not be repeated: waves of one to three
-// copies under one key, at different entry VMs, at about the same time; later
-// waves follow while the outcome is not known.
+// makeConfirmations makes calls that must run at most once. It sends rounds of one to three
+// duplicates under one idempotency key, to different entry VMs at about the same time; further
+// rounds follow while the outcome is unknown, and after some not_run verdicts.
 func (r *run) makeConfirmations(ctx context.Context, c *caller) {
 	for r.shouldContinueAfter(ctx, c.randomDuration(0, 700*time.Millisecond)) {
 		key := strings.ReplaceAll(c.uniqueName("confirm"), " ", "-")
@@ -31,12 +31,12 @@
 		r.count("call " + outcome)
 		r.calls.record(key, outcome)
 		if r.opts.Plan.IsPlanned() && outcome != "ran" {
-			r.recordViolation("call %q ended %q under planned changes alone", key, outcome)
+			r.recordViolation("call %q ended %q although all changes were planned", key, outcome)
 		}
 	}
 }
 
-// confirm returns the last word on a call: a verdict or noAnswer.
+// confirm returns the last outcome of a call: "ran", a verdict or noResponse.
 func (r *run) confirm(ctx context.Context, c *caller, key string) (outcome string) {
 	sentBefore := false
 	for range 1 + c.rng.IntN(maxRounds) {
@@ -50,9 +50,8 @@
 	return outcome
 }
 
-// sendDuplicates sends copies at the same time and returns the strongest answer. A copy
-// that is told not_run speaks for all: none of them runs, unless the caller
-// sends the call again.
+// sendDuplicates sends duplicates at about the same time and returns their strongest outcome. A
+// not_run verdict for one applies to all of them: none runs unless the caller sends the call again.
 func (r *run) sendDuplicates(ctx context.Context, c *caller, key string, sentBefore bool) string {
 	outcomes := make([]string, 1+c.rng.IntN(maxDuplicates))
 	var wg sync.WaitGroup
@@ -79,14 +78,14 @@
 	if best == "ran" {
 		for _, s := range outcomes {
 			if s == "not_run" {
-				r.recordViolation("call %q: of copies sent together one was told not_run and one that it ran (%v)", key, outcomes)
+				r.recordViolation("call %q: duplicates of one round ended with both not_run and ran (%v)", key, outcomes)
 			}
 		}
 	}
 	return best
 }
 
-// sendDuplicate sends one copy.
+// sendDuplicate sends one duplicate, checks its verdict and returns the outcome.
 func (r *run) sendDuplicate(ctx context.Context, to *stand.Client, key string) string {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -104,16 +103,16 @@
 	}
 	if verdict == "not_run" {
 		if n := r.deployment.Desk.Runs(key); n > 0 {
-			r.recordViolation("call %q was told not_run after it had run %d time(s)", key, n)
+			r.recordViolation("call %q got not_run after it had run %d time(s)", key, n)
 		}
 	}
 	if verdict == "ran" && r.deployment.Desk.Runs(key) == 0 {
-		r.recordViolation("call %q was told that it ran, and it had not", key)
+		r.recordViolation("call %q was reported as run, but has not run", key)
 	}
 	return verdict
 }
 
-// send posts one copy. It returns nil, nil when the call ran.
+// send posts a call once. It returns nil, nil if the call ran.
 func (r *run) send(ctx context.Context, to *stand.Client, key string) (*stand.Refusal, error) {
 	header := map[string]string{"Idempotency-Key": key}
 	response, err := to.Do(ctx, http.MethodPost, "/services/confirmations/confirm", []byte(`{"sacks":40}`), header)
@@ -139,7 +138,7 @@
 	return refused, nil
 }
 
-// strongerOutcome orders answers by what they promise.
+// strongerOutcome returns the outcome that guarantees more.
 func strongerOutcome(a, b string) string {
 	for _, s := range []string{"ran", "not_run", "may_have_run"} {
 		if a == s || b == s {
@@ -149,10 +148,10 @@
 	return a
 }
 
-// callOutcomes remembers the last word on each call.
+// callOutcomes records the last outcome of each call, by idempotency key.
 type callOutcomes struct{ lastOutcomes }
 
-// check compares what callers were told with what the plain service ran.
+// check compares the outcomes that callers saw with the executions at the plain service.
 func (b *callOutcomes) check(r *run) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -164,10 +163,10 @@
 	for key, outcome := range b.byKey {
 		runs := r.deployment.Desk.Runs(key)
 		if outcome == "not_run" && runs > 0 {
-			r.recordViolation("call %q was last told not_run, and it ran %d time(s)", key, runs)
+			r.recordViolation("call %q ended with not_run, but ran %d time(s)", key, runs)
 		}
 		if outcome == "ran" && runs != 1 {
-			r.recordViolation("call %q was told that it ran, and it ran %d time(s)", key, runs)
+			r.recordViolation("call %q was reported as run, but ran %d time(s)", key, runs)
 		}
 	}
 }
--- a/lab/soak/completion.go
+++ b/lab/soak/completion.go
@@ -14,26 +14,26 @@
 	"mallowwind.dev/lab/stand"
 )
 
-// completion is one completion as its caller holds it.
+// completion is a completion request and the part of its response that the caller holds.
 type completion struct {
 	caller    *caller
 	service   string
 	prompt    string
 	key       string
-	maxTokens int // wanted
+	maxTokens int
 
 	id, lastID  string
 	text        strings.Builder
-	earlierText string // the most that an earlier copy of the request brought
+	earlierText string // longest text that an earlier attempt returned
 	complete    bool
-	attempts    int // times the request was sent
+	attempts    int // how often the request was sent
 }
 
-// errConnectionBroken is a connection that broke or fell silent before the end.
+// errConnectionBroken reports a connection that broke or timed out before the end of the response.
 var errConnectionBroken = errors.New("the connection broke")
 
-// post sends the request and reads what comes. The caller gives up what an
-// earlier copy brought it.
+// post sends the request and reads the response from its start, discarding the text of earlier
+// attempts.
 func (a *completion) post(ctx context.Context, to *stand.Client) error {
 	a.attempts++
 	a.id, a.lastID = "", ""
@@ -52,7 +52,7 @@
 	return map[string]any{"model": a.service, "prompt": a.prompt, "max_tokens": a.maxTokens, "stream": stream}
 }
 
-// resume goes on after the last event the caller holds.
+// resume continues after the last event that the caller holds.
 func (a *completion) resume(ctx context.Context, to *stand.Client) error {
 	header := map[string]string{}
 	if a.lastID != "" {
@@ -61,7 +61,7 @@
 	return a.exchange(ctx, to, http.MethodGet, "/v1/generations/"+a.id, nil, header)
 }
 
-// exchange returns nil with the terminal event, errBroken, or a *stand.Refusal.
+// exchange returns nil at the terminal event, errConnectionBroken or a *stand.Refusal.
 func (a *completion) exchange(ctx context.Context, to *stand.Client, method, path string, body any, header map[string]string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -79,7 +79,7 @@
 	return a.read(idleTimeoutReader{response.Body, timer})
 }
 
-// refusal reads an error answer; one cut short is a broken connection.
+// refusal reads an error response. A truncated one counts as a broken connection.
 func refusal(response *http.Response) error {
 	var refused *stand.Refusal
 	if err := stand.ReadRefusal(response); errors.As(err, &refused) {
@@ -108,7 +108,7 @@
 	return errors.Wrap(errConnectionBroken, "the stream ended without its terminal event")
 }
 
-// handleError reads the error event that ends a visibly incomplete answer.
+// handleError handles the error event that ends an incomplete response.
 func (a *completion) handleError(data string) error {
 	var body struct {
 		Error stand.Refusal `json:"error"`
@@ -117,43 +117,43 @@
 		a.caller.run.recordViolation("%q: an error event without a verdict: %s", a.prompt, data)
 	}
 	if body.Error.Verdict == "not_run" && a.text.Len() > 0 {
-		a.caller.run.recordViolation("%q: not_run after %d bytes of the answer: %s", a.prompt, a.text.Len(), data)
+		a.caller.run.recordViolation("%q: not_run after %d bytes of the response: %s", a.prompt, a.text.Len(), data)
 	}
 	return &body.Error
 }
 
-// appendEvent appends one event. The text must be a prefix of one generation always.
+// appendEvent appends one event. The text must always be a prefix of a single generation.
 func (a *completion) appendEvent(data string) error {
 	text, err := stand.EventText(data)
 	if err != nil {
-		return errors.Wrap(errConnectionBroken, "an event cut short")
+		return errors.Wrap(errConnectionBroken, "truncated event")
 	}
 	a.text.WriteString(text)
 	if _, err := tokencheck.Check(stand.DemoModel, a.prompt, a.text.String()); err != nil {
-		a.caller.run.recordViolation("%q (%s): what the caller holds is not one generation: %v", a.prompt, a.id, err)
+		a.caller.run.recordViolation("%q (%s): the received text is not from a single generation: %v", a.prompt, a.id, err)
 		return &stand.Refusal{Code: "mixed", Verdict: "may_have_run"}
 	}
 	return nil
 }
 
-// checkComplete checks an answer at its terminal event.
+// checkComplete checks a response at its terminal event.
 func (a *completion) checkComplete() error {
 	a.complete = true
 	err := tokencheck.CheckWhole(stand.DemoModel, a.prompt, a.text.String(), a.maxTokens)
 	if err != nil {
-		a.caller.run.recordViolation("%q (%s): the terminal event came without the whole answer: %v", a.prompt, a.id, err)
+		a.caller.run.recordViolation("%q (%s): the terminal event ended an incomplete response: %v", a.prompt, a.id, err)
 	}
 	if a.key != "" && !strings.HasPrefix(a.text.String(), a.earlierText) {
 		a.caller.run.count("another generation for the same key")
-		a.caller.run.logEvent("%q (%s): another generation for the same key, %d bytes were held", a.prompt, a.id, len(a.earlierText))
+		a.caller.run.logEvent("%q (%s): another generation for the same key, after %d bytes of the first", a.prompt, a.id, len(a.earlierText))
 		if a.caller.run.opts.MustServe {
-			a.caller.run.recordViolation("%q (%s): the same key brought another generation than the one begun", a.prompt, a.id)
+			a.caller.run.recordViolation("%q (%s): the same key returned a different generation", a.prompt, a.id)
 		}
 	}
 	return nil
 }
 
-// postUnstreamed asks for the answer at once, not streamed.
+// postUnstreamed requests the complete response without streaming.
 func (a *completion) postUnstreamed(ctx context.Context, to *stand.Client) error {
 	a.attempts++
 	a.text.Reset()
@@ -174,13 +174,13 @@
 		} `json:"choices"`
 	}
 	if err := json.NewDecoder(response.Body).Decode(&body); err != nil || len(body.Choices) != 1 {
-		return errors.Wrap(errConnectionBroken, "an answer cut short")
+		return errors.Wrap(errConnectionBroken, "truncated response")
 	}
 	a.id = body.ID
 	a.text.WriteString(body.Choices[0].Text)
 	return a.checkComplete()
 }
 
-// unstreamedTimeout is how long a caller of an answer that is not streamed waits
-// before it asks elsewhere; such answers are short here.
+// unstreamedTimeout is how long a caller waits for an unstreamed response before it retries at
+// another entry VM; these responses are short.
 const unstreamedTimeout = 20 * time.Second
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -10,24 +10,24 @@
 const (
 	slowdownFactor = 12 // of a straggling engine
 	storeDelay     = 1500 * time.Millisecond
-	deskSlowWork   = 3 * time.Second // over the calls' deadline
+	deskSlowWork   = 3 * time.Second // exceeds the deadline of calls
 	deskNormalWork = 10 * time.Millisecond
 	lostResponses  = 3
-	// minDrainTime is how long an engine stays after it was marked leaving at
-	// least; the platform ends it when its work has ended.
+	// minDrainTime is the shortest time between marking an engine as draining and ending it. The
+	// platform ends it once it is idle.
 	minDrainTime      = 8 * time.Second
 	drainPollInterval = 500 * time.Millisecond
 )
 
-// activeFault is what ends a fault, at its time.
+// activeFault is an injected fault and how and when it is healed.
 type activeFault struct {
 	at   time.Duration
 	kind Kind
 	heal func()
 }
 
-// injectFaults carries out the plan and returns when all is healed. It alone changes
-// the deployment, so that no two changes meet half way.
+// injectFaults executes the plan and returns when all faults are healed. Only this goroutine
+// changes the deployment, so that changes do not interleave.
 func (r *run) injectFaults(ctx context.Context) {
 	began := time.Now()
 	var open []activeFault
@@ -57,7 +57,7 @@
 			}
 		case len(open) == 0:
 			return
-		default: // what outlasts the plan is healed at its end
+		default: // heal what outlasts the plan
 			for _, h := range open {
 				r.logEvent("healed: %s", h.kind)
 				h.heal()
@@ -67,7 +67,7 @@
 	}
 }
 
-// apply begins one step and returns what ends it, or nil.
+// apply starts one step and returns the function that heals it, or nil.
 func (r *run) apply(ctx context.Context, s Step) (heal func()) {
 	r.logEvent("%s target=%d other=%d for %v", s.Kind, s.Target, s.Other, s.For)
 	if heal, known := r.applyEngine(s); known {
@@ -111,8 +111,7 @@
 	return nil, false
 }
 
-// replaceEngine starts another engine, marks this one leaving, and ends it when
-// nothing runs on it any more.
+// replaceEngine starts another engine, marks this one as draining, and ends it once it is idle.
 func (r *run) replaceEngine(id string) {
 	if !r.fleet.removeEngine(id) {
 		return
@@ -181,7 +180,7 @@
 	return nil, false
 }
 
-// loseZone cuts every VM of a zone off at once.
+// loseZone disconnects every entry VM of a zone and crashes its engines at once.
 func (r *run) loseZone(zone string) (heal func()) {
 	entries, engines := r.fleet.entriesOf(zone), r.fleet.enginesOf(zone)
 	for _, e := range entries {
@@ -227,7 +226,7 @@
 	return nil
 }
 
-// replaceLost loses an entry VM for good; another one starts when it heals.
+// replaceLost loses an entry VM for good. Another one starts when the fault is healed.
 func (r *run) replaceLost(e *stand.Entry) (heal func()) {
 	if len(r.fleet.allEntries()) == 1 || !r.fleet.removeEntry(e) {
 		return nil
@@ -242,7 +241,7 @@
 	}
 }
 
-// stopEntry replaces an entry VM as planned: the new one starts first.
+// stopEntry replaces an entry VM as planned: the replacement starts first.
 func (r *run) stopEntry(e *stand.Entry) {
 	if err := r.fleet.startEntry(e.Zone); err != nil {
 		r.recordViolation("harness: %v", err)
@@ -260,5 +259,5 @@
 	})
 }
 
-// awaitStops waits for VMs that are on their way out.
+// awaitStops waits for the VMs that are being stopped.
 func (r *run) awaitStops() { r.fleet.stops.Wait() }
--- a/lab/soak/fleet.go
+++ b/lab/soak/fleet.go
@@ -7,16 +7,16 @@
 	"mallowwind.dev/lab/stand"
 )
 
-// fleet is the entry VMs and engines there are now, without those lost for good.
+// fleet tracks the current entry VMs and engines, without those that are lost for good or stopping.
 type fleet struct {
 	deployment *stand.Deployment
 
-	stops sync.WaitGroup // VMs on their way out
+	stops sync.WaitGroup // VMs that are being stopped
 
 	mu      sync.Mutex
 	entries []*stand.Entry
 	engines []string
-	zoneOf  map[string]string // of engines
+	zoneOf  map[string]string // by engine ID
 }
 
 func newFleet(d *stand.Deployment) *fleet {
@@ -41,8 +41,7 @@
 	return all[target%len(all)]
 }
 
-// engineAt chooses an engine that works, if one does: a fault of an idle one
-// shows little.
+// engineAt chooses a busy engine if there is one, because a fault of an idle one has little effect.
 func (f *fleet) engineAt(target int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,7 +89,7 @@
 	return nil
 }
 
-// removeEntry takes an entry VM off; it reports whether it was there.
+// removeEntry removes an entry VM from the fleet and reports whether it was there.
 func (f *fleet) removeEntry(e *stand.Entry) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,7 +98,7 @@
 	return len(f.entries) < before
 }
 
-// startEngine adds an engine and returns its id.
+// startEngine adds an engine and returns its ID.
 func (f *fleet) startEngine(zone string) (string, error) {
 	id, err := f.deployment.AddEngine(zone)
 	if err != nil {
--- a/lab/soak/generations.go
+++ b/lab/soak/generations.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	minReviewTokens, maxReviewTokens = 50, 450 // tokens
+	minReviewTokens, maxReviewTokens = 50, 450
 	shortReviewTokens                = 60
 	lookupTokens                     = 6
 	lookupAttempts                   = 3
-	// codeUnreachable is the code of an answer that a caller should come back for.
+	// codeUnreachable is the code of a refusal after which the caller should come back later.
 	codeUnreachable       = "generation_unreachable"
 	unreachableRetryDelay = time.Second
-	// maxCompletionAttempts bounds the attempts of one answer that reach nobody or break.
+	// maxCompletionAttempts bounds the attempts of one completion.
 	maxCompletionAttempts = 40
 )
 
-// readReviews reads long streamed answers and goes on elsewhere with Last-Event-ID.
+// readReviews reads long streams and resumes them elsewhere with Last-Event-ID.
 func (r *run) readReviews(ctx context.Context, c *caller) {
 	for r.shouldContinueAfter(ctx, c.randomDuration(0, time.Second)) {
 		a := &completion{caller: c, service: "reviews", prompt: c.uniqueName("review"), maxTokens: minReviewTokens + c.rng.IntN(maxReviewTokens-minReviewTokens)}
@@ -38,8 +38,8 @@
 	}
 }
 
-// resubmitReviews sends the same request with its key again when the connection
-// breaks, and wants the whole answer from its first token.
+// resubmitReviews sends the same request with its idempotency key again when the connection
+// breaks, and expects the complete response from its first token.
 func (r *run) resubmitReviews(ctx context.Context, c *caller) {
 	for r.shouldContinueAfter(ctx, c.randomDuration(0, time.Second)) {
 		a := &completion{caller: c, service: "reviews", prompt: c.uniqueName("resubmission"), maxTokens: minReviewTokens + c.rng.IntN(maxReviewTokens-minReviewTokens)}
@@ -48,7 +48,7 @@
 	}
 }
 
-// readUnstreamed asks for answers that are not streamed.
+// readUnstreamed requests responses without streaming.
 func (r *run) readUnstreamed(ctx context.Context, c *caller) {
 	for r.shouldContinueAfter(ctx, c.randomDuration(200*time.Millisecond, 2*time.Second)) {
 		a := &completion{caller: c, service: "reviews", prompt: c.uniqueName("whole"), maxTokens: shortReviewTokens}
@@ -57,7 +57,7 @@
 	}
 }
 
-// makeLookups are urgent and short; a caller tries a few entry VMs.
+// makeLookups makes short urgent requests, each with a few attempts at different entry VMs.
 func (r *run) makeLookups(ctx context.Context, c *caller) {
 	for r.shouldContinueAfter(ctx, c.randomDuration(50*time.Millisecond, 600*time.Millisecond)) {
 		a := &completion{caller: c, service: "orders", prompt: c.uniqueName("lookup"), maxTokens: lookupTokens}
@@ -87,8 +87,8 @@
 	return err
 }
 
-// retryUntilComplete repeats send, elsewhere each time, until the answer is whole or
-// has failed visibly.
+// retryUntilComplete repeats send, each time at the next entry VM, until the response is complete
+// or the request has failed with an error that the caller does not retry.
 func (r *run) retryUntilComplete(ctx context.Context, a *completion, send func(to *stand.Client) error) error {
 	var err error
 	for range maxCompletionAttempts {
@@ -120,21 +120,21 @@
 	return err
 }
 
-// shouldRetry reports whether the caller sends a refused request again: what was
-// not run, or what it can repeat under its key.
+// shouldRetry reports whether the caller retries a refused request. It may if the request has not
+// run or has an idempotency key, and no text has arrived.
 func (a *completion) shouldRetry(refused *stand.Refusal) bool {
 	return (refused.Verdict == "not_run" || a.key != "") && a.text.Len() == 0 &&
 		(a.caller.run.opts.MustServe || a.caller.chance(60))
 }
 
-// checkNotRun checks a not_run verdict at the time at which it is heard.
+// checkNotRun checks a not_run verdict when the caller receives it.
 func (r *run) checkNotRun(a *completion, refused *stand.Refusal) {
 	if n := r.deployment.Starts(a.prompt); n > 0 {
-		r.recordViolation("%q was told %s, and an engine had begun it %d time(s)", a.prompt, refused, n)
+		r.recordViolation("%q got %s, but engines had started it %d time(s)", a.prompt, refused, n)
 	}
 }
 
-// recordResult judges how an answer ended.
+// recordResult counts and checks how a request ended.
 func (r *run) recordResult(ctx context.Context, kind string, a *completion, err error) {
 	var refused *stand.Refusal
 	switch {
@@ -157,20 +157,20 @@
 		r.count(kind + " unreachable")
 	}
 	if r.opts.Plan.IsPlanned() || r.opts.MustServe && kind != "lookup" {
-		r.recordViolation("%q failed where it must not: %v", a.prompt, err)
+		r.recordViolation("%q failed although it must be served: %v", a.prompt, err)
 	}
 }
 
-// notRunVerdicts remembers what was promised not to run, by prompt.
+// notRunVerdicts records the requests that ended with a not_run verdict, by prompt.
 type notRunVerdicts struct{ lastOutcomes }
 
-// check checks the promises at the end of the run.
+// check checks at the end of the run that none of these requests has run.
 func (o *notRunVerdicts) check(r *run) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for prompt, verdict := range o.byKey {
 		if n := r.deployment.Starts(prompt); n > 0 {
-			r.recordViolation("%q was told %s and not sent again, and engines began it %d time(s)", prompt, verdict, n)
+			r.recordViolation("%q got %s and was not retried, but engines started it %d time(s)", prompt, verdict, n)
 		}
 	}
 }
--- a/lab/soak/operators.go
+++ b/lab/soak/operators.go
@@ -24,13 +24,13 @@
 
 var markPattern = regexp.MustCompile(`(?m)^# change .*\n`)
 
-// siteTexts follows site texts by the mark in their first line.
+// siteTexts tracks site texts by the mark in their first line.
 type siteTexts struct {
 	mu               sync.Mutex
-	acceptedRevision int64            // highest revision an operator was told is accepted
-	refusedMarks     map[string]bool  // marks that operators were told are not
-	marksByRevision  map[int64]string // mark in force, by revision
-	revisionByVM     map[string]int64 // revision in force
+	acceptedRevision int64            // highest revision that an operator was told is accepted
+	refusedMarks     map[string]bool  // marks of texts that operators were told are not accepted
+	marksByRevision  map[int64]string // mark of each revision seen in force
+	revisionByVM     map[string]int64 // revision last seen in force
 }
 
 func newSiteTexts() *siteTexts {
@@ -56,7 +56,7 @@
 		}
 		line := fmt.Sprintf("%s%d of %s", markPrefix, n, client.Who)
 		if rng.IntN(2) == 0 {
-			pause.For(ctx, randomDuration(rng, 0, 500*time.Millisecond)) // the other one may be faster
+			pause.For(ctx, randomDuration(rng, 0, 500*time.Millisecond)) // lets the other operator apply first at times
 		}
 		r.applyText(ctx, client, current, line, rng)
 	}
@@ -89,11 +89,11 @@
 	case errors.As(err, &failed):
 		r.count("text unknown")
 	default:
-		r.recordViolation("apply failed otherwise: %v", err)
+		r.recordViolation("apply failed with an unexpected error: %v", err)
 	}
 }
 
-// withChange is text with a new mark and another weight of resume latency.
+// withChange returns text with a new mark and another weight of resume latency.
 func withChange(text, line string, rng *rand.Rand) string {
 	text = markPattern.ReplaceAllString(text, "")
 	weight := fmt.Sprintf("latency_weight = 0.%d", 1+rng.IntN(9))
@@ -113,7 +113,7 @@
 	t.refusedMarks[line] = true
 }
 
-// watchRevisions looks at every daemon's text all along.
+// watchRevisions polls the text in force at every daemon.
 func (r *run) watchRevisions(ctx context.Context) {
 	const every = 100 * time.Millisecond
 	for ctx.Err() == nil {
@@ -130,7 +130,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if before := t.revisionByVM[vm]; revision < before {
-		r.recordViolation("%s went back from revision %d to %d", vm, before, revision)
+		r.recordViolation("%s reverted from revision %d to %d", vm, before, revision)
 	}
 	t.revisionByVM[vm] = revision
 	if other, ok := t.marksByRevision[revision]; ok && other != line {
@@ -139,8 +139,8 @@
 	t.marksByRevision[revision] = line
 }
 
-// checkInForce checks that every entry VM that serves all the time follows an
-// accepted text in time.
+// checkInForce checks that every entry VM of the current fleet follows an accepted text within
+// inForceLimit.
 func (r *run) checkInForce(revision int64) {
 	entries := r.fleet.allEntries()
 	time.Sleep(inForceLimit)
@@ -151,17 +151,16 @@
 	}
 }
 
-// check checks at the end that nothing refused was in force and nothing
-// accepted was lost.
+// check checks at the end that no refused text was in force and no accepted text was lost.
 func (t *siteTexts) check(r *run, head int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if head < t.acceptedRevision {
-		r.recordViolation("revision %d was accepted, and the store knows only %d", t.acceptedRevision, head)
+		r.recordViolation("revision %d was accepted, but the store is at revision %d", t.acceptedRevision, head)
 	}
 	for revision, line := range maps.All(t.marksByRevision) {
 		if t.refusedMarks[line] {
-			r.recordViolation("%q was said not to be accepted, and it was in force as revision %d", line, revision)
+			r.recordViolation("%q was reported as not accepted, but was in force as revision %d", line, revision)
 		}
 	}
 }
--- a/lab/soak/outcomes.go
+++ b/lab/soak/outcomes.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// lastOutcomes remembers the last word that callers heard, by key. The zero value is empty.
+// lastOutcomes records the last outcome that callers saw, by key. The zero value is empty.
 type lastOutcomes struct {
 	mu    sync.Mutex
 	byKey map[string]string
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -8,40 +8,40 @@
 	"time"
 )
 
-// Kind names a fault or a planned change.
+// Kind is the kind of a fault or a planned change.
 type Kind string
 
-// The kinds. Those of a VM or link have a target; the others concern the one
-// store, VM list or plain service.
+// The kinds. Those of a VM or link have a target; the others affect the single store, VM list or
+// plain service.
 const (
-	EngineCrash            Kind = "engine_die"        // and revive
-	EnginePause            Kind = "engine_pause"      // stops, connections stay open
-	EngineSlow             Kind = "engine_slow"       // a straggler
-	EngineStreamsSilent    Kind = "engine_silence"    // its open streams never say another word
-	EngineConnsSilent      Kind = "engine_net_silent" // all its open connections do
-	EngineRefuse           Kind = "engine_refuse"     // takes nothing new
-	EntryCut               Kind = "entry_cut"         // off the network, then back
-	EntryPause             Kind = "entry_pause"       // no traffic, then on as before
-	EntryReplace           Kind = "entry_replace"     // lost; another VM takes its place
-	CallersSilent          Kind = "callers_silent"    // callers' open connections to an entry VM
-	PeersSilent            Kind = "peers_silent"      // entry VMs' open connections to one
+	EngineCrash            Kind = "engine_die"        // crashes, later restarts
+	EnginePause            Kind = "engine_pause"      // stops working, connections stay open
+	EngineSlow             Kind = "engine_slow"       // becomes a straggler
+	EngineStreamsSilent    Kind = "engine_silence"    // its open streams go silent for good
+	EngineConnsSilent      Kind = "engine_net_silent" // all its open connections go silent for good
+	EngineRefuse           Kind = "engine_refuse"     // refuses new requests
+	EntryCut               Kind = "entry_cut"         // off the network, later back
+	EntryPause             Kind = "entry_pause"       // handles no traffic, then continues
+	EntryReplace           Kind = "entry_replace"     // lost; another VM replaces it
+	CallersSilent          Kind = "callers_silent"    // open connections from callers to an entry VM go silent
+	PeersSilent            Kind = "peers_silent"      // open connections from entry VMs to one of them go silent
 	ZonesCutOneWay         Kind = "zones_cut_one_way"
 	ZonesCut               Kind = "zones_cut"
-	ZoneLost               Kind = "zone_lost" // every entry VM and engine of a zone
+	ZoneLost               Kind = "zone_lost" // all entry VMs and engines of a zone
 	StoreDown              Kind = "store_down"
 	StoreSlow              Kind = "store_slow"
-	StoreLoseWriteResponse Kind = "store_lose_write" // takes effect, its answer is lost
-	StoreDropWrite         Kind = "store_drop_write" // lost on its way
+	StoreLoseWriteResponse Kind = "store_lose_write" // takes effect, its response is lost
+	StoreDropWrite         Kind = "store_drop_write" // lost before it takes effect
 	VMListDown             Kind = "list_down"
 	DeskLoseResponses      Kind = "desk_lose_answers"
 	DeskSilent             Kind = "desk_silent"
 	DeskSlow               Kind = "desk_slow"
 
 	EntryStop   Kind = "entry_stop"   // planned: another VM starts, this one drains
-	EngineDrain Kind = "engine_leave" // planned: another VM starts, this one is marked leaving
+	EngineDrain Kind = "engine_leave" // planned: another VM starts, this one is marked as draining
 )
 
-// faultKinds are drawn with equal weight.
+// faultKinds are drawn with equal probability.
 var faultKinds = []Kind{
 	EngineCrash, EnginePause, EngineSlow, EngineStreamsSilent, EngineConnsSilent, EngineRefuse,
 	EntryCut, EntryPause, EntryReplace, CallersSilent, PeersSilent,
@@ -50,42 +50,41 @@
 	DeskLoseResponses, DeskSilent, DeskSlow, EntryStop,
 }
 
-// Step is one fault with its healing, or one planned change.
+// Step is one fault, which is healed later, or one planned change.
 type Step struct {
-	At   time.Duration // after the start of the run
-	For  time.Duration // until it heals
+	At   time.Duration // from the start of the run
+	For  time.Duration // until the fault is healed
 	Kind Kind
-	// Target and Other choose among the VMs or zones there are then, modulo
-	// their number.
+	// Target and Other select among the VMs or zones that exist at that time, modulo their number.
 	Target, Other int
 }
 
-// String is one line of a report.
+// String returns the step as one line of a report.
 func (s Step) String() string {
 	return fmt.Sprintf("%v %s target=%d other=%d for %v", s.At, s.Kind, s.Target, s.Other, s.For)
 }
 
-// Plan is what happens in a run, in order of time.
+// Plan lists the steps of a run in order of time.
 type Plan struct {
 	Seed   uint64
 	Steps  []Step
-	Length time.Duration // everything is healed then
+	Length time.Duration // all faults are healed at its end
 	// EntriesPerZone and IgnoreFence vary the deployment.
 	EntriesPerZone int
 	IgnoreFence    bool
 }
 
-// IsPlanned reports whether the plan holds planned changes alone: then nothing
-// may be cut.
+// IsPlanned reports whether the plan consists of planned changes only, which must not make any
+// request fail.
 func (p Plan) IsPlanned() bool {
 	return !slices.ContainsFunc(p.Steps, func(s Step) bool {
 		return s.Kind != EntryStop && s.Kind != EngineDrain
 	})
 }
 
-// mayLoseKeys reports whether two entry VMs or more are lost for good. Both that
-// knew a slot of idempotency keys may be among them: its keys are undecided
-// then until their retention ends, by design, because any of them may have run.
+// mayLoseKeys reports whether two or more entry VMs are lost for good. Both VMs that knew a slot
+// of idempotency keys may be among them. The keys of that slot are then undecided until their
+// retention ends, by design, because any of them may have run.
 func (p Plan) mayLoseKeys() bool {
 	lost := 0
 	for _, s := range p.Steps {
@@ -96,7 +95,7 @@
 	return lost > 1
 }
 
-// String lists the steps.
+// String returns the deployment and the steps, one a line.
 func (p Plan) String() string {
 	lines := []string{fmt.Sprintf("seed %d, %d entry VMs per zone, engines ignore fences: %t", p.Seed, p.EntriesPerZone, p.IgnoreFence)}
 	for _, s := range p.Steps {
@@ -106,23 +105,22 @@
 }
 
 const (
-	// LongRun leaves room for faults that follow each other; ShortRun is for many seeds.
+	// LongRun has room for successive faults; ShortRun allows many seeds.
 	LongRun  = 16 * time.Second
 	ShortRun = 8 * time.Second
 	minFault = 200 * time.Millisecond
 	maxFault = 6 * time.Second
-	// maxPairGap is how far apart the faults of a pair begin at most: within the
-	// time in which the first is noticed.
+	// maxPairGap is the longest time between the starts of a pair of faults, within the time in
+	// which the first one is detected.
 	maxPairGap = 800 * time.Millisecond
 	maxTargets = 12
-	// groupInterval is the time for one group of faults: in a long run up to six.
+	// groupInterval is the time per group of faults: a long run has up to six.
 	groupInterval = 2500 * time.Millisecond
 	maxRepeats    = 3
 )
 
-// Draw makes the plan of a seed: groups of one fault, of two at about the same
-// time, or of one fault that comes again right after it healed.
-// Seeds keep their meaning as long as length is the same.
+// Draw draws the plan of a seed: groups of one fault, of two at about the same time, or of one
+// fault that recurs right after it was healed. The same seed and length give the same plan.
 func Draw(seed uint64, length time.Duration) Plan {
 	rng := rand.New(rand.NewPCG(seed, planStream))
 	p := Plan{Seed: seed, Length: length, EntriesPerZone: 1, IgnoreFence: rng.IntN(4) == 0}
@@ -136,8 +134,7 @@
 	return p
 }
 
-// planStream and callStream keep the random choices of the plan apart from
-// those of the callers.
+// planStream and callStream separate the random choices of the plan from those of the callers.
 const (
 	planStream = 1
 	callStream = 2
@@ -171,12 +168,12 @@
 	return low + time.Duration(rng.Int64N(int64(high-low))).Truncate(time.Millisecond)
 }
 
-// minPlannedGap is the least time between two planned changes: operators replace one
-// VM after another.
+// minPlannedGap is the shortest time between two planned changes: operators replace VMs one after
+// another.
 const minPlannedGap = 500 * time.Millisecond
 
-// DrawPlanned makes a plan of planned changes alone: stops of entry VMs and
-// engines that leave, some before the one before has ended.
+// DrawPlanned draws a plan of planned changes only: stops of entry VMs and replacements of engines,
+// some of which overlap.
 func DrawPlanned(seed uint64, length time.Duration) Plan {
 	rng := rand.New(rand.NewPCG(seed, planStream))
 	p := Plan{Seed: seed, Length: length, EntriesPerZone: 1 + rng.IntN(2)}
--- a/lab/soak/recorder.go
+++ b/lab/soak/recorder.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// reportedEvents is how many events of a run a report shows.
+// reportedEvents is the number of events that a report shows.
 const reportedEvents = 40
 
-// recorder collects what happened in a run and what broke.
+// recorder collects the events, violations and outcomes of a run.
 type recorder struct {
 	startedAt time.Time
 
@@ -24,21 +24,21 @@
 	return &recorder{startedAt: time.Now(), counts: make(map[string]int)}
 }
 
-// logEvent adds an event of the plan or of the operators.
+// logEvent adds an event to the log of the run.
 func (l *recorder) logEvent(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.events = append(l.events, l.timestamped(fmt.Sprintf(format, args...)))
 }
 
-// recordViolation notes that an invariant did not hold.
+// recordViolation records that an invariant did not hold.
 func (l *recorder) recordViolation(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.violations = append(l.violations, l.timestamped(fmt.Sprintf(format, args...)))
 }
 
-// count counts an outcome that a caller saw.
+// count counts an outcome.
 func (l *recorder) count(outcome string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,12 +49,12 @@
 	return fmt.Sprintf("%9.3fs %s", time.Since(l.startedAt).Seconds(), s)
 }
 
-// Report is the outcome of one run.
+// Report is the result of one run.
 type Report struct {
 	Plan       Plan
-	Events     []string       // the last of the run
+	Events     []string       // last events of the run
 	Violations []string       // invariants that did not hold
-	Counts     map[string]int // outcomes that callers saw
+	Counts     map[string]int // by outcome
 }
 
 func (l *recorder) report(p Plan) *Report {
@@ -64,7 +64,7 @@
 	return &Report{Plan: p, Events: events, Violations: l.violations, Counts: l.counts}
 }
 
-// Err is nil when every invariant held.
+// Err returns nil if all invariants held.
 func (r *Report) Err() error {
 	if len(r.Violations) == 0 {
 		return nil
--- a/lab/soak/recovery.go
+++ b/lab/soak/recovery.go
@@ -11,12 +11,11 @@
 	"mallowwind.dev/lab/stand"
 )
 
-// recoveryPollInterval is how often the system is looked at while it may settle.
+// recoveryPollInterval is the time between checks of the recovery.
 const recoveryPollInterval = 500 * time.Millisecond
 
-// checkRecovery checks that the system comes back to normal after all is healed: that
-// every daemon follows the last accepted text, and that every entry VM answers
-// each kind of request.
+// checkRecovery checks that the deployment recovers after all faults are healed: every daemon
+// follows the last accepted text, and every entry VM serves each kind of request.
 func (r *run) checkRecovery(ctx context.Context) {
 	healed := time.Now()
 	r.eventually(healed, inForceLimit, func() error { return r.checkAllInForce(ctx) })
@@ -26,7 +25,7 @@
 	}
 }
 
-// eventually repeats check until it holds; it is broken when the limit passes first.
+// eventually repeats check until it succeeds, and records a violation if limit passes first.
 func (r *run) eventually(since time.Time, limit time.Duration, check func() error) {
 	for {
 		err := check()
@@ -34,7 +33,7 @@
 			return
 		}
 		if time.Since(since) >= limit {
-			r.recordViolation("%v after all was healed: %v", limit, err)
+			r.recordViolation("not recovered %v after all faults were healed: %v", limit, err)
 			return
 		}
 		time.Sleep(recoveryPollInterval)
@@ -69,7 +68,7 @@
 	key := strings.ReplaceAll(c.uniqueName("after"), " ", "-")
 	refused, err := r.send(ctx, to, key)
 	if err == nil && refused != nil && r.opts.Plan.mayLoseKeys() {
-		return nil // an honest refusal with its verdict is all that can be had
+		return nil // the key may be undecided, so a refusal with a verdict is allowed
 	}
 	if err != nil || refused != nil {
 		return errors.Errorf("a call at %s: %v, %v", e.ID, refused, err)
@@ -77,7 +76,7 @@
 	return nil
 }
 
-// checkFinal checks what can only be known at the end.
+// checkFinal checks the invariants that can only be decided at the end of a run.
 func (r *run) checkFinal(ctx context.Context) {
 	r.calls.check(r)
 	r.notRun.check(r)
--- a/lab/soak/regressions_test.go
+++ b/lab/soak/regressions_test.go
@@ -5,25 +5,25 @@
 	"testing"
 )
 
-// Plans of seeds that broke an invariant, as they were drawn then, so that they
-// stay the same when plans are drawn in another way.
+// Replays the plans of seeds that broke an invariant. The steps are written out, so that they do
+// not depend on how plans are drawn.
 func TestRegressionPlans(t *testing.T) {
 	for _, p := range []Plan{
-		{ // a new entry VM asked the order desk for an engine's status
+		{ // a new entry VM asked the plain service for an engine's status
 			Seed: 1, Length: LongRun, IgnoreFence: true, EntriesPerZone: 1,
 			Steps: []Step{
 				{At: seconds(10.129), For: seconds(1.855), Kind: DeskSlow, Target: 9, Other: 1},
 				{At: seconds(10.366), For: seconds(2.401), Kind: EntryStop, Target: 4, Other: 5},
 			},
 		},
-		{ // a new entry VM said not_run of a key that ran elsewhere
+		{ // a new entry VM returned not_run for a key that had run elsewhere
 			Seed: 10, Length: LongRun, EntriesPerZone: 1,
 			Steps: []Step{
 				{At: seconds(7.247), For: seconds(3.934), Kind: EntryStop, Target: 0, Other: 7},
 				{At: seconds(7.302), For: seconds(0.258), Kind: EntryCut, Target: 3, Other: 10},
 			},
 		},
-		{ // all entry VMs replaced in turn: new ones waited for the dead on the list
+		{ // all entry VMs were replaced in turn, and new ones waited for lost ones still on the VM list
 			Seed: 20, Length: ShortRun, IgnoreFence: true, EntriesPerZone: 1,
 			Steps: []Step{
 				{At: seconds(1.711), For: seconds(3.246), Kind: EntryReplace, Target: 3, Other: 1},
@@ -35,7 +35,7 @@
 				{At: seconds(9.46), For: seconds(3.246), Kind: EntryReplace, Target: 3, Other: 1},
 			},
 		},
-		{ // callers were told that nobody knows their answer while two VMs were cut off
+		{ // while two VMs were cut off, callers were told that no VM knew their generation
 			Seed: 3069, Length: LongRun, EntriesPerZone: 1,
 			Steps: []Step{
 				{At: seconds(2.443), For: seconds(1.364), Kind: StoreDropWrite, Target: 11, Other: 7},
--- a/lab/soak/scenarios_test.go
+++ b/lab/soak/scenarios_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// runSteps runs steps in virtual time and fails on what broke.
+// runSteps runs steps in virtual time and fails on any violation.
 func runSteps(t *testing.T, seed uint64, mustServe bool, steps ...Step) {
 	t.Helper()
 	t.Parallel()
@@ -18,9 +18,9 @@
 
 func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
 
-// A new image is rolled out: every entry VM is replaced, one after another,
-// while callers read answers and operators change the text. Callers see
-// nothing of it. Each VM leaves the answers, serves what it has and stops.
+// Guards against failures during a rollout that replaces every entry VM in turn, while callers
+// read responses and operators change the text. Each VM is taken off the list of entry VMs, serves
+// its in-flight requests and stops; callers notice nothing.
 func TestEveryEntryReplaced(t *testing.T) {
 	runSteps(
 		t, 101, true,
@@ -30,8 +30,8 @@
 	)
 }
 
-// The platform replaces the engines' VMs one by one and marks each as leaving
-// before. Long answers that run there end there or move; callers see nothing.
+// Guards against failures while the platform replaces the engines' VMs one by one, each marked as
+// draining first. Long responses on them finish there or move; callers notice nothing.
 func TestEveryEngineReplaced(t *testing.T) {
 	steps := make([]Step, 6)
 	for i := range steps {
@@ -40,17 +40,16 @@
 	runSteps(t, 102, true, steps...)
 }
 
-// A whole availability zone is lost in the middle of everything: its entry VM
-// and its engines at once. Callers go on elsewhere with what they hold; every
-// answer is copied to another zone before it is shown.
+// Guards against lost responses when an availability zone fails, its entry VM and engines at once.
+// Callers continue elsewhere with what they hold: every response is copied to another zone before
+// it is shown.
 func TestZoneLost(t *testing.T) {
 	runSteps(t, 103, true, Step{At: seconds(3), For: seconds(6), Kind: ZoneLost})
 }
 
-// Something between the ends loses track of all open connections: those of
-// callers to entry VMs, and those of entry VMs to engines and to each other.
-// New connections work. Callers notice the silence and go on elsewhere; entry
-// VMs notice it and attach anew.
+// Guards against hanging on connections whose state a middlebox has lost: those from callers to
+// entry VMs, and those from entry VMs to engines and to each other. New connections work. Callers
+// detect the silence and continue elsewhere; entry VMs detect it and reconnect.
 func TestConnectionsSilentForGood(t *testing.T) {
 	var steps []Step
 	for i := range 3 {
@@ -66,8 +65,8 @@
 	runSteps(t, 104, true, steps...)
 }
 
-// One fault at a time, each kind in turn: an answer that a caller has begun to
-// read becomes whole whatever single thing fails, for each reviews caller.
+// Guards against responses lost to a single fault, each kind in turn: every response that a
+// reviews caller has begun to read becomes complete.
 func TestSingleFaults(t *testing.T) {
 	for i, kind := range faultKinds {
 		t.Run(string(kind), func(t *testing.T) {
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -1,12 +1,11 @@
-// Package soak plays seeded random runs of a whole deployment and asserts the
-// product's invariants while it runs.
+// Package soak runs seeded random tests of a whole deployment and checks the product's invariants
+// meanwhile.
 //
-// A run has callers of each kind, operators who apply texts against each other,
-// and faults drawn singly, in pairs and again right after they healed. Parts are
-// tested alone elsewhere; this finds what only shows when several fail at once.
-// It runs over loopback in real time (mallowctl soak) or in memory in virtual
-// time (the package's tests). A seed fixes the plan and what callers ask for;
-// the order in which goroutines meet is not fixed by it.
+// A run has callers of each kind, operators who apply competing texts, and faults that occur singly,
+// in pairs and again right after they were healed. Other tests cover the parts in isolation; this
+// package finds failures that need several faults at once. It runs over loopback in real time
+// (mallowctl soak) or in memory in virtual time (the package's tests). A seed fixes the plan and
+// the requests of the callers, but not the scheduling of goroutines.
 package soak
 
 import (
@@ -23,31 +22,31 @@
 )
 
 const (
-	// completionLimit bounds callers after all is healed: whatever was begun has a
-	// whole answer or a visible failure then.
+	// completionLimit is how long after all faults are healed every request must have a complete
+	// response or a visible failure.
 	completionLimit = 60 * time.Second
-	// inForceLimit is how long an accepted text may take to every daemon.
+	// inForceLimit is how long an accepted text may take to be in force at every daemon.
 	inForceLimit = 9 * time.Second
-	// lookupRecoveryLimit is when urgent lookups must be answered again after healing.
+	// lookupRecoveryLimit is how long after all faults are healed entry VMs must serve again.
 	lookupRecoveryLimit = 12 * time.Second
 )
 
-// Options of a run.
+// Options configure a run.
 type Options struct {
 	Plan   Plan
-	Memory bool // pipes in memory, for virtual time
+	Memory bool // in-memory pipes, for virtual time
 	Logs   io.Writer
-	// Callers is how many callers of each kind run; zero means the default.
+	// Callers is the number of callers of each kind; zero means the default.
 	Callers int
-	// MustServe makes a failed answer a violation, also where faults would
-	// allow it: for stories that must cost nothing.
+	// MustServe makes a failed request a violation even where faults would allow it, except for
+	// lookups: for scenarios that must not make requests fail.
 	MustServe bool
 }
 
 const defaultCallers = 3
 
-// Run plays one plan and reports. The error is of the harness: a deployment
-// that did not start, not an invariant that broke.
+// Run executes one plan and returns its report. An error means that the deployment did not start,
+// not that an invariant was broken.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if o.Callers == 0 {
 		o.Callers = defaultCallers
@@ -69,7 +68,7 @@
 	return r.report(o.Plan), nil
 }
 
-// run is one run under way.
+// run is the state of one run.
 type run struct {
 	*recorder
 	opts       Options
@@ -79,7 +78,7 @@
 	calls      *callOutcomes
 	notRun     *notRunVerdicts
 
-	planOver chan struct{} // closed when all is healed; callers begin nothing new
+	planOver chan struct{} // closed when all faults are healed; callers then start no new requests
 }
 
 func newRun(o Options, d *stand.Deployment) *run {
@@ -100,7 +99,7 @@
 	}
 }
 
-// execute runs everybody until the plan is over and then lets the system settle.
+// execute runs all clients until the plan is over, and then checks the recovery.
 func (r *run) execute(ctx context.Context) {
 	callers, stop := context.WithCancel(ctx)
 	defer stop()
@@ -110,7 +109,7 @@
 	r.startClients(callers, &actors)
 	r.injectFaults(ctx)
 	close(r.planOver)
-	r.logEvent("all is healed")
+	r.logEvent("all faults are healed")
 	ended := make(chan struct{})
 	go func() {
 		actors.Wait()
@@ -121,7 +120,7 @@
 	case <-ended:
 	case <-time.After(completionLimit):
 		stop()
-		r.recordViolation("callers had neither a whole answer nor a failure %v after all was healed", completionLimit)
+		r.recordViolation("requests had neither completed nor failed %v after all faults were healed", completionLimit)
 		<-ended
 	}
 	r.awaitStops()
@@ -130,7 +129,7 @@
 	r.checkFinal(ctx)
 }
 
-// startClients starts callers of each kind and two operators.
+// startClients starts the callers of each kind and the operators.
 func (r *run) startClients(ctx context.Context, wg *sync.WaitGroup) {
 	kinds := []func(context.Context, *caller){r.readReviews, r.resubmitReviews, r.readUnstreamed, r.makeLookups, r.makeConfirmations}
 	stream := uint64(callStream)
@@ -148,7 +147,7 @@
 	}
 }
 
-// shouldContinueAfter waits unless the plan is over or ctx ends; it reports whether to go on.
+// shouldContinueAfter waits for d. It returns false if the plan is over or ctx ends.
 func (r *run) shouldContinueAfter(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -15,29 +15,29 @@
 var (
 	runs    = flag.Int("soak.runs", 24, "random runs of TestRandomRuns")
 	long    = flag.Bool("soak.long", false, "long runs with more callers")
-	events  = flag.Bool("soak.events", false, "show each run's plan and events")
+	events  = flag.Bool("soak.events", false, "log each run's plan and events")
 	logs    = flag.String("soak.logs", "", "file for the daemons' logs")
 	planned = flag.Int("soak.planned", 6, "runs of TestRandomPlannedChanges")
-	first   = flag.Uint64("soak.seed", 1, "seed of the first one")
+	first   = flag.Uint64("soak.seed", 1, "seed of the first run")
 )
 
-// inVirtualTime plays a plan in memory.
+// inVirtualTime executes a plan in memory and in virtual time.
 func inVirtualTime(t *testing.T, o Options) (report *Report) {
 	t.Helper()
 	o.Memory = true
 	synctest.Test(t, func(t *testing.T) {
 		r, err := Run(t.Context(), o)
 		must.NoError(t, err)
-		// Fetches of weights and idle connections end by themselves; what is left
-		// over then is a goroutine leak, which synctest reports.
+		// Weight fetches and idle connections end by themselves within this time. Any goroutine
+		// left then is a leak, which synctest reports.
 		time.Sleep(3 * time.Minute)
 		report = r
 	})
 	return report
 }
 
-// Random runs, a few dozen short ones in the usual check. By hand more and
-// longer ones: go test ./lab/soak -run RandomRuns -soak.runs=100 -soak.long.
+// Runs random plans; the defaults are a few dozen short runs. For more and longer ones:
+// go test ./lab/soak -run RandomRuns -soak.runs=100 -soak.long.
 func TestRandomRuns(t *testing.T) {
 	length, _ := runSize()
 	for i := range uint64(*runs) {
@@ -49,7 +49,7 @@
 	}
 }
 
-// runSize returns the length of runs and the callers of each kind.
+// runSize returns the length of runs and the number of callers of each kind.
 func runSize() (time.Duration, int) {
 	if *long {
 		return LongRun, defaultCallers
@@ -77,7 +77,7 @@
 	}
 }
 
-// Planned changes alone, also several at once, cut nothing: any failure that a
+// Guards against failures caused by planned changes, singly and overlapping: any failure that a
 // caller sees is a violation.
 func TestRandomPlannedChanges(t *testing.T) {
 	length, callers := runSize()
