--- a/lab/soak/calls.go
+++ b/lab/soak/calls.go
@@ -152,15 +152,15 @@
 type callOutcomes struct{ lastOutcomes }
 
 // check compares the outcomes that callers saw with the executions at the plain service.
-func (b *callOutcomes) check(r *run) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (o *callOutcomes) check(r *run) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	for key, runs := range r.deployment.Desk.All() {
 		if runs > 1 {
 			r.recordViolation("call %q ran %d times", key, runs)
 		}
 	}
-	for key, outcome := range b.byKey {
+	for key, outcome := range o.byKey {
 		runs := r.deployment.Desk.Runs(key)
 		if outcome == "not_run" && runs > 0 {
 			r.recordViolation("call %q ended with not_run, but ran %d time(s)", key, runs)
--- a/lab/soak/generations.go
+++ b/lab/soak/generations.go
@@ -25,15 +25,15 @@
 // readReviews reads long streams and resumes them elsewhere with Last-Event-ID.
 func (r *run) readReviews(ctx context.Context, c *caller) {
 	for r.shouldContinueAfter(ctx, c.randomDuration(0, time.Second)) {
-		a := &completion{caller: c, service: "reviews", prompt: c.uniqueName("review"), maxTokens: minReviewTokens + c.rng.IntN(maxReviewTokens-minReviewTokens)}
+		req := &completion{caller: c, service: "reviews", prompt: c.uniqueName("review"), maxTokens: minReviewTokens + c.rng.IntN(maxReviewTokens-minReviewTokens)}
 		if c.chance(50) {
-			a.key = a.prompt
+			req.key = req.prompt
 		}
-		r.recordResult(ctx, "review", a, r.retryUntilComplete(ctx, a, func(to *stand.Client) error {
-			if a.id != "" {
-				return a.resume(ctx, to)
+		r.recordResult(ctx, "review", req, r.retryUntilComplete(ctx, req, func(to *stand.Client) error {
+			if req.id != "" {
+				return req.resume(ctx, to)
 			}
-			return a.post(ctx, to)
+			return req.post(ctx, to)
 		}))
 	}
 }
@@ -42,57 +42,57 @@
 // breaks, and expects the complete response from its first token.
 func (r *run) resubmitReviews(ctx context.Context, c *caller) {
 	for r.shouldContinueAfter(ctx, c.randomDuration(0, time.Second)) {
-		a := &completion{caller: c, service: "reviews", prompt: c.uniqueName("resubmission"), maxTokens: minReviewTokens + c.rng.IntN(maxReviewTokens-minReviewTokens)}
-		a.key = a.prompt
-		r.recordResult(ctx, "resubmission", a, r.retryUntilComplete(ctx, a, func(to *stand.Client) error { return a.post(ctx, to) }))
+		req := &completion{caller: c, service: "reviews", prompt: c.uniqueName("resubmission"), maxTokens: minReviewTokens + c.rng.IntN(maxReviewTokens-minReviewTokens)}
+		req.key = req.prompt
+		r.recordResult(ctx, "resubmission", req, r.retryUntilComplete(ctx, req, func(to *stand.Client) error { return req.post(ctx, to) }))
 	}
 }
 
 // readUnstreamed requests responses without streaming.
 func (r *run) readUnstreamed(ctx context.Context, c *caller) {
 	for r.shouldContinueAfter(ctx, c.randomDuration(200*time.Millisecond, 2*time.Second)) {
-		a := &completion{caller: c, service: "reviews", prompt: c.uniqueName("whole"), maxTokens: shortReviewTokens}
-		a.key = a.prompt
-		r.recordResult(ctx, "whole", a, r.retryUntilComplete(ctx, a, func(to *stand.Client) error { return a.postUnstreamed(ctx, to) }))
+		req := &completion{caller: c, service: "reviews", prompt: c.uniqueName("whole"), maxTokens: shortReviewTokens}
+		req.key = req.prompt
+		r.recordResult(ctx, "whole", req, r.retryUntilComplete(ctx, req, func(to *stand.Client) error { return req.postUnstreamed(ctx, to) }))
 	}
 }
 
 // makeLookups makes short urgent requests, each with a few attempts at different entry VMs.
 func (r *run) makeLookups(ctx context.Context, c *caller) {
 	for r.shouldContinueAfter(ctx, c.randomDuration(50*time.Millisecond, 600*time.Millisecond)) {
-		a := &completion{caller: c, service: "orders", prompt: c.uniqueName("lookup"), maxTokens: lookupTokens}
+		req := &completion{caller: c, service: "orders", prompt: c.uniqueName("lookup"), maxTokens: lookupTokens}
 		began := time.Now()
-		err := r.lookup(ctx, a)
+		err := r.lookup(ctx, req)
 		if err == nil && time.Since(began) > 2*time.Second {
 			r.count("lookup late")
 		}
-		r.recordResult(ctx, "lookup", a, err)
+		r.recordResult(ctx, "lookup", req, err)
 	}
 }
 
-func (r *run) lookup(ctx context.Context, a *completion) (err error) {
+func (r *run) lookup(ctx context.Context, req *completion) (err error) {
 	for range lookupAttempts {
-		to := a.caller.nextEntry(ctx)
+		to := req.caller.nextEntry(ctx)
 		if to == nil {
 			return ctx.Err()
 		}
 		once, cancel := context.WithTimeout(ctx, requestTimeout)
-		err = a.post(once, to)
+		err = req.post(once, to)
 		cancel()
 		if err == nil {
 			return nil
 		}
-		a.caller.invalidateAddresses()
+		req.caller.invalidateAddresses()
 	}
 	return err
 }
 
 // retryUntilComplete repeats send, each time at the next entry VM, until the response is complete
 // or the request has failed with an error that the caller does not retry.
-func (r *run) retryUntilComplete(ctx context.Context, a *completion, send func(to *stand.Client) error) error {
+func (r *run) retryUntilComplete(ctx context.Context, req *completion, send func(to *stand.Client) error) error {
 	var err error
 	for range maxCompletionAttempts {
-		to := a.caller.nextEntry(ctx)
+		to := req.caller.nextEntry(ctx)
 		if to == nil {
 			return ctx.Err()
 		}
@@ -103,15 +103,15 @@
 			return nil
 		case !errors.As(err, &refused):
 			r.count("moved")
-			a.caller.invalidateAddresses()
+			req.caller.invalidateAddresses()
 		case refused.Code == codeUnreachable:
 			r.count("told to come back")
 			pause.For(ctx, unreachableRetryDelay)
-		case a.shouldRetry(refused):
+		case req.shouldRetry(refused):
 			if refused.Verdict == "not_run" {
-				r.checkNotRun(a, refused)
+				r.checkNotRun(req, refused)
 			}
-			a.caller.invalidateAddresses()
+			req.caller.invalidateAddresses()
 		default:
 			return err
 		}
@@ -122,20 +122,20 @@
 
 // shouldRetry reports whether the caller retries a refused request. It may if the request has not
 // run or has an idempotency key, and no text has arrived.
-func (a *completion) shouldRetry(refused *stand.Refusal) bool {
-	return (refused.Verdict == "not_run" || a.key != "") && a.text.Len() == 0 &&
-		(a.caller.run.opts.MustServe || a.caller.chance(60))
+func (req *completion) shouldRetry(refused *stand.Refusal) bool {
+	return (refused.Verdict == "not_run" || req.key != "") && req.text.Len() == 0 &&
+		(req.caller.run.opts.MustServe || req.caller.chance(60))
 }
 
 // checkNotRun checks a not_run verdict when the caller receives it.
-func (r *run) checkNotRun(a *completion, refused *stand.Refusal) {
-	if n := r.deployment.Starts(a.prompt); n > 0 {
-		r.recordViolation("%q got %s, but engines had started it %d time(s)", a.prompt, refused, n)
+func (r *run) checkNotRun(req *completion, refused *stand.Refusal) {
+	if n := r.deployment.Starts(req.prompt); n > 0 {
+		r.recordViolation("%q got %s, but engines had started it %d time(s)", req.prompt, refused, n)
 	}
 }
 
 // recordResult counts and checks how a request ended.
-func (r *run) recordResult(ctx context.Context, kind string, a *completion, err error) {
+func (r *run) recordResult(ctx context.Context, kind string, req *completion, err error) {
 	var refused *stand.Refusal
 	switch {
 	case err == nil:
@@ -143,13 +143,13 @@
 		return
 	case errors.As(err, &refused):
 		r.count(kind + " failed: " + refused.Code + " " + refused.Verdict)
-		r.logEvent("%q (%s) holding %d bytes: %s", a.prompt, a.id, a.text.Len(), refused)
+		r.logEvent("%q (%s) holding %d bytes: %s", req.prompt, req.id, req.text.Len(), refused)
 		if refused.Verdict == "" {
-			r.recordViolation("%q failed without a verdict: %v", a.prompt, err)
+			r.recordViolation("%q failed without a verdict: %v", req.prompt, err)
 		}
 		if refused.Verdict == "not_run" {
-			r.checkNotRun(a, refused)
-			r.notRun.record(a.prompt, refused.Error())
+			r.checkNotRun(req, refused)
+			r.notRun.record(req.prompt, refused.Error())
 		}
 	case ctx.Err() != nil:
 		r.count(kind + " hung")
@@ -157,7 +157,7 @@
 		r.count(kind + " unreachable")
 	}
 	if r.opts.Plan.IsPlanned() || r.opts.MustServe && kind != "lookup" {
-		r.recordViolation("%q failed although it must be served: %v", a.prompt, err)
+		r.recordViolation("%q failed although it must be served: %v", req.prompt, err)
 	}
 }
 
@@ -165,10 +165,10 @@
 type notRunVerdicts struct{ lastOutcomes }
 
 // check checks at the end of the run that none of these requests has run.
-func (o *notRunVerdicts) check(r *run) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for prompt, verdict := range o.byKey {
+func (v *notRunVerdicts) check(r *run) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	for prompt, verdict := range v.byKey {
 		if n := r.deployment.Starts(prompt); n > 0 {
 			r.recordViolation("%q got %s and was not retried, but engines started it %d time(s)", prompt, verdict, n)
 		}
--- a/lab/soak/operators.go
+++ b/lab/soak/operators.go
@@ -54,19 +54,19 @@
 		if err != nil {
 			continue
 		}
-		line := fmt.Sprintf("%s%d of %s", markPrefix, n, client.Who)
+		mark := fmt.Sprintf("%s%d of %s", markPrefix, n, client.Who)
 		if rng.IntN(2) == 0 {
 			pause.For(ctx, randomDuration(rng, 0, 500*time.Millisecond)) // lets the other operator apply first at times
 		}
-		r.applyText(ctx, client, current, line, rng)
+		r.applyText(ctx, client, current, mark, rng)
 	}
 }
 
-func (r *run) applyText(ctx context.Context, client *operate.Client, current *operate.Current, line string, rng *rand.Rand) {
+func (r *run) applyText(ctx context.Context, client *operate.Client, current *operate.Current, mark string, rng *rand.Rand) {
 	once, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
 	record, err := client.Apply(once, operate.Request{
-		Text: withChange(current.Text, line, rng), Against: current.Revision, Comment: line,
+		Text: withChange(current.Text, mark, rng), Against: current.Revision, Comment: mark,
 	})
 	var (
 		conflict *operate.ConflictError
@@ -75,17 +75,17 @@
 	switch {
 	case err == nil:
 		r.count("text accepted")
-		r.logEvent("%s accepted as revision %d", line, record.Revision)
+		r.logEvent("%s accepted as revision %d", mark, record.Revision)
 		r.texts.recordAccepted(record.Revision)
 		if r.opts.Plan.IsPlanned() {
 			r.fleet.stops.Go(func() { r.checkInForce(record.Revision) })
 		}
 	case errors.As(err, &conflict):
 		r.count("text conflict")
-		r.texts.recordRefused(line)
+		r.texts.recordRefused(mark)
 	case errors.As(err, &failed) && !failed.Unknown:
 		r.count("text not changed")
-		r.texts.recordRefused(line)
+		r.texts.recordRefused(mark)
 	case errors.As(err, &failed):
 		r.count("text unknown")
 	default:
@@ -94,11 +94,11 @@
 }
 
 // withChange returns text with a new mark and another weight of resume latency.
-func withChange(text, line string, rng *rand.Rand) string {
+func withChange(text, mark string, rng *rand.Rand) string {
 	text = markPattern.ReplaceAllString(text, "")
 	weight := fmt.Sprintf("latency_weight = 0.%d", 1+rng.IntN(9))
 	text = regexp.MustCompile(`latency_weight = 0\.\d`).ReplaceAllString(text, weight)
-	return line + "\n" + text
+	return mark + "\n" + text
 }
 
 func (t *siteTexts) recordAccepted(revision int64) {
@@ -107,10 +107,10 @@
 	t.acceptedRevision = max(t.acceptedRevision, revision)
 }
 
-func (t *siteTexts) recordRefused(line string) {
+func (t *siteTexts) recordRefused(mark string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.refusedMarks[line] = true
+	t.refusedMarks[mark] = true
 }
 
 // watchRevisions polls the text in force at every daemon.
@@ -126,17 +126,17 @@
 	}
 }
 
-func (t *siteTexts) observe(r *run, vm string, revision int64, line string) {
+func (t *siteTexts) observe(r *run, vm string, revision int64, mark string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if before := t.revisionByVM[vm]; revision < before {
 		r.recordViolation("%s reverted from revision %d to %d", vm, before, revision)
 	}
 	t.revisionByVM[vm] = revision
-	if other, ok := t.marksByRevision[revision]; ok && other != line {
-		r.recordViolation("revision %d is %q at %s and %q elsewhere", revision, line, vm, other)
+	if other, ok := t.marksByRevision[revision]; ok && other != mark {
+		r.recordViolation("revision %d is %q at %s and %q elsewhere", revision, mark, vm, other)
 	}
-	t.marksByRevision[revision] = line
+	t.marksByRevision[revision] = mark
 }
 
 // checkInForce checks that every entry VM of the current fleet follows an accepted text within
@@ -158,9 +158,9 @@
 	if head < t.acceptedRevision {
 		r.recordViolation("revision %d was accepted, but the store is at revision %d", t.acceptedRevision, head)
 	}
-	for revision, line := range maps.All(t.marksByRevision) {
-		if t.refusedMarks[line] {
-			r.recordViolation("%q was reported as not accepted, but was in force as revision %d", line, revision)
+	for revision, mark := range maps.All(t.marksByRevision) {
+		if t.refusedMarks[mark] {
+			r.recordViolation("%q was reported as not accepted, but was in force as revision %d", mark, revision)
 		}
 	}
 }
--- a/lab/soak/outcomes.go
+++ b/lab/soak/outcomes.go
@@ -8,11 +8,11 @@
 	byKey map[string]string
 }
 
-func (b *lastOutcomes) record(key, outcome string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.byKey == nil {
-		b.byKey = make(map[string]string)
+func (o *lastOutcomes) record(key, outcome string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.byKey == nil {
+		o.byKey = make(map[string]string)
 	}
-	b.byKey[key] = outcome
+	o.byKey[key] = outcome
 }
--- a/lab/soak/process/daemon.go
+++ b/lab/soak/process/daemon.go
@@ -79,19 +79,19 @@
 	if err := cmd.Start(); err != nil {
 		return errors.Wrap(err, "daemon")
 	}
-	gone := make(chan struct{})
+	exited := make(chan struct{})
 	d.mu.Lock()
-	d.cmd, d.exited, d.stopRequested = cmd, gone, false
+	d.cmd, d.exited, d.stopRequested = cmd, exited, false
 	d.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
 		d.mu.Lock()
-		expected := d.stopRequested
+		stopRequested := d.stopRequested
 		d.mu.Unlock()
-		if !expected {
+		if !stopRequested {
 			d.harness.recorder.recordViolation("%s exited unexpectedly: %v: %s", d.settings.VM, err, d.outputTail())
 		}
-		close(gone)
+		close(exited)
 	}()
 	return nil
 }
--- a/lab/soak/recorder.go
+++ b/lab/soak/recorder.go
@@ -25,28 +25,28 @@
 }
 
 // logEvent adds an event to the log of the run.
-func (l *recorder) logEvent(format string, args ...any) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.events = append(l.events, l.timestamped(fmt.Sprintf(format, args...)))
+func (rec *recorder) logEvent(format string, args ...any) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.events = append(rec.events, rec.timestamped(fmt.Sprintf(format, args...)))
 }
 
 // recordViolation records that an invariant did not hold.
-func (l *recorder) recordViolation(format string, args ...any) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.violations = append(l.violations, l.timestamped(fmt.Sprintf(format, args...)))
+func (rec *recorder) recordViolation(format string, args ...any) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.violations = append(rec.violations, rec.timestamped(fmt.Sprintf(format, args...)))
 }
 
 // count counts an outcome.
-func (l *recorder) count(outcome string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.counts[outcome]++
+func (rec *recorder) count(outcome string) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.counts[outcome]++
 }
 
-func (l *recorder) timestamped(s string) string {
-	return fmt.Sprintf("%9.3fs %s", time.Since(l.startedAt).Seconds(), s)
+func (rec *recorder) timestamped(s string) string {
+	return fmt.Sprintf("%9.3fs %s", time.Since(rec.startedAt).Seconds(), s)
 }
 
 // Report is the result of one run.
@@ -57,11 +57,11 @@
 	Counts     map[string]int // by outcome
 }
 
-func (l *recorder) report(p Plan) *Report {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	events := l.events[max(0, len(l.events)-reportedEvents):]
-	return &Report{Plan: p, Events: events, Violations: l.violations, Counts: l.counts}
+func (rec *recorder) report(p Plan) *Report {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	events := rec.events[max(0, len(rec.events)-reportedEvents):]
+	return &Report{Plan: p, Events: events, Violations: rec.violations, Counts: rec.counts}
 }
 
 // Err returns nil if all invariants held.
