--- a/lab/world/loss_test.go
+++ b/lab/world/loss_test.go
@@ -166,7 +166,7 @@
 
 // holder is the entry VM that holds the copy of an answer that another serves.
 func (w *World) holder(owner int, c *Caller) string {
-	m, _ := journal.Pick(c.ID, w.vm(owner).Current(), func(membership.Member) bool { return false })
+	m, _ := journal.PickHolder(c.ID, w.vm(owner).Current(), func(membership.Member) bool { return false })
 	return m.ID
 }
 
