--- a/lab/capacity/constants.go
+++ b/lab/capacity/constants.go
@@ -27,7 +27,7 @@
 	// base64Growth is how much values grow in the store's JSON form.
 	base64Growth = 4.0 / 3
 	// rosterReads is how often all daemons together read the roster, a second.
-	rosterReads = float64(time.Second) / float64(roster.PollPerMember)
+	rosterReads = float64(time.Second) / float64(roster.PollIntervalPerMember)
 )
 
 func perSecond(every time.Duration) float64 { return 1 / every.Seconds() }
--- a/lab/capacity/peers.go
+++ b/lab/capacity/peers.go
@@ -69,7 +69,7 @@
 		},
 		{
 			Role: Holder, Kind: Messages, What: "renewals of the lease", Unit: PerS, Carrier: "`control/lease`",
-			Factors: []Factor{given(perSecond(leasing.Renew), "renewals/s")},
+			Factors: []Factor{given(perSecond(leasing.RenewInterval), "renewals/s")},
 		},
 	}
 }
--- a/lab/soak/operators.go
+++ b/lab/soak/operators.go
@@ -118,7 +118,7 @@
 	const every = 100 * time.Millisecond
 	for ctx.Err() == nil {
 		for _, e := range r.fleet.allEntries() {
-			if s := e.Daemon.InForce(); s != nil {
+			if s := e.Daemon.CurrentSite(); s != nil {
 				r.texts.observe(r, e.ID, s.Revision, markOf(s.Text))
 			}
 		}
@@ -145,7 +145,7 @@
 	entries := r.fleet.allEntries()
 	time.Sleep(inForceLimit)
 	for _, e := range entries {
-		if s := e.Daemon.InForce(); s == nil || s.Revision < revision {
+		if s := e.Daemon.CurrentSite(); s == nil || s.Revision < revision {
 			r.recordViolation("revision %d was not in force at %s after %v", revision, e.ID, inForceLimit)
 		}
 	}
--- a/lab/stand/stand.go
+++ b/lab/stand/stand.go
@@ -188,7 +188,7 @@
 			return false
 		}
 	}
-	return e.Daemon.Knows(len(d.Entries))
+	return e.Daemon.SeesAlive(len(d.Entries))
 }
 
 // Close ends everything at once.
