--- a/lab/capacity/peers.go
+++ b/lab/capacity/peers.go
@@ -57,7 +57,7 @@
 		},
 		{
 			Role: Holder, Kind: Processor, What: "comparing wanted and observed", Unit: Core, Carrier: carrier, Control: true,
-			Factors: []Factor{given(perSecond(placing.Tick), "plans/s"), m.at(slopePlacement, replicas, micro)},
+			Factors: []Factor{given(perSecond(placing.TickInterval), "plans/s"), m.at(slopePlacement, replicas, micro)},
 		},
 		{
 			Role: Holder, Kind: Processor, What: "status polls of the zone, both ends", Unit: Core, Carrier: carrier, Control: true,
--- a/lab/capacity/roles.go
+++ b/lab/capacity/roles.go
@@ -127,7 +127,7 @@
 	share := given(1/daemons, "of all daemons")
 	known := m.at(slopeKnown, float64(s.Replicas), 1)
 	polls := given(polling.PollsPerSecond, "polls/s")
-	reads := given(perSecond(polling.ListRest), "whole reads/s")
+	reads := given(perSecond(polling.NonReaderListInterval), "whole reads/s")
 	const backends, all = "`control/backends`", "`control/membership`, `control/inforce`, `control/backends`, `control/lease`"
 	return []Row{
 		{
