--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -87,14 +87,14 @@
 	sim := r.deployment.Engines[id]
 	switch s.Kind {
 	case EngineCrash:
-		sim.Die()
-		return sim.Revive, true
+		sim.Crash()
+		return sim.Restart, true
 	case EnginePause:
 		sim.Pause()
 		return sim.Unpause, true
 	case EngineSlow:
-		sim.Slow(slowdownFactor)
-		return func() { sim.Slow(1) }, true
+		sim.SetSlowdown(slowdownFactor)
+		return func() { sim.SetSlowdown(1) }, true
 	case EngineStreamsSilent:
 		sim.Silence()
 		return nil, true
@@ -102,8 +102,8 @@
 		r.deployment.EngineNet(id).Silence()
 		return nil, true
 	case EngineRefuse:
-		sim.RefuseNew(true)
-		return func() { sim.RefuseNew(false) }, true
+		sim.SetRefusing(true)
+		return func() { sim.SetRefusing(false) }, true
 	case EngineDrain:
 		r.replaceEngine(id)
 		return nil, true
@@ -124,7 +124,7 @@
 	sim := r.deployment.Engines[id]
 	r.fleet.stops.Go(func() {
 		time.Sleep(minDrainTime)
-		for sim.Busy() {
+		for sim.IsBusy() {
 			time.Sleep(drainPollInterval)
 		}
 		r.deployment.EndEngine(id, sim)
@@ -187,14 +187,14 @@
 		e.Cut()
 	}
 	for _, id := range engines {
-		r.deployment.Engines[id].Die()
+		r.deployment.Engines[id].Crash()
 	}
 	return func() {
 		for _, e := range entries {
 			r.restore(e)
 		}
 		for _, id := range engines {
-			r.deployment.Engines[id].Revive()
+			r.deployment.Engines[id].Restart()
 		}
 	}
 }
--- a/lab/soak/fleet.go
+++ b/lab/soak/fleet.go
@@ -47,7 +47,7 @@
 	defer f.mu.Unlock()
 	var busy []string
 	for _, id := range f.engines {
-		if f.deployment.Engines[id].Busy() {
+		if f.deployment.Engines[id].IsBusy() {
 			busy = append(busy, id)
 		}
 	}
