--- a/lab/soak/operators.go
+++ b/lab/soak/operators.go
@@ -48,13 +48,13 @@
 // runOperator applies changes until the plan is over.
 func (r *run) runOperator(ctx context.Context, number int, rng *rand.Rand) {
 	client := r.deployment.Operator()
-	client.Who = fmt.Sprintf("operator-%d", number)
+	client.Author = fmt.Sprintf("operator-%d", number)
 	for n := 0; r.shouldContinueAfter(ctx, randomDuration(rng, 300*time.Millisecond, 3*time.Second)); n++ {
 		current, err := client.Get(ctx)
 		if err != nil {
 			continue
 		}
-		mark := fmt.Sprintf("%s%d of %s", markPrefix, n, client.Who)
+		mark := fmt.Sprintf("%s%d of %s", markPrefix, n, client.Author)
 		if rng.IntN(2) == 0 {
 			pause.For(ctx, randomDuration(rng, 0, 500*time.Millisecond)) // lets the other operator apply first at times
 		}
@@ -66,7 +66,7 @@
 	once, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
 	record, err := client.Apply(once, operate.Request{
-		Text: withChange(current.Text, mark, rng), Against: current.Revision, Comment: mark,
+		Text: withChange(current.Text, mark, rng), BaseRevision: current.Revision, Comment: mark,
 	})
 	var (
 		conflict *operate.ConflictError
@@ -83,7 +83,7 @@
 	case errors.As(err, &conflict):
 		r.count("text conflict")
 		r.texts.recordRefused(mark)
-	case errors.As(err, &failed) && !failed.Unknown:
+	case errors.As(err, &failed) && !failed.OutcomeUnknown:
 		r.count("text not changed")
 		r.texts.recordRefused(mark)
 	case errors.As(err, &failed):
