--- a/lab/soak/calls.go
+++ b/lab/soak/calls.go
@@ -155,7 +155,7 @@
 func (o *callOutcomes) check(r *run) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for key, runs := range r.deployment.Desk.All() {
+	for key, runs := range r.deployment.Desk.AllRuns() {
 		if runs > 1 {
 			r.recordViolation("call %q ran %d times", key, runs)
 		}
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -141,7 +141,7 @@
 		d.Store.SetDelay(storeDelay)
 		return func() { d.Store.SetDelay(0) }, true
 	case StoreLoseWriteResponse:
-		d.Store.LoseNextWrite()
+		d.Store.LoseNextWriteResponse()
 		return nil, true
 	case StoreDropWrite:
 		d.Store.DropNextWrite()
@@ -150,14 +150,14 @@
 		d.VMs.SetDown(true)
 		return func() { d.VMs.SetDown(false) }, true
 	case DeskLoseResponses:
-		d.Desk.LoseAnswers(lostResponses)
-		return func() { d.Desk.LoseAnswers(0) }, true
+		d.Desk.LoseResponses(lostResponses)
+		return func() { d.Desk.LoseResponses(0) }, true
 	case DeskSilent:
-		d.Desk.Silence(true)
-		return func() { d.Desk.Silence(false) }, true
+		d.Desk.SetSilent(true)
+		return func() { d.Desk.SetSilent(false) }, true
 	case DeskSlow:
-		d.Desk.SetWork(deskSlowWork)
-		return func() { d.Desk.SetWork(deskNormalWork) }, true
+		d.Desk.SetServiceTime(deskSlowWork)
+		return func() { d.Desk.SetServiceTime(deskNormalWork) }, true
 	}
 	return nil, false
 }
