--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	slowFactor = 12 // of a straggling engine
-	storeDelay = 1500 * time.Millisecond
-	deskDelay  = 3 * time.Second // over the calls' deadline
-	deskWork   = 10 * time.Millisecond
-	lostCalls  = 3
-	// leaveBefore is how long an engine stays after it was marked leaving at
-	// least; the platform ends it when its work has ended.
-	leaveBefore = 8 * time.Second
-	leavePoll   = 500 * time.Millisecond
+	slowdownFactor = 12 // of a straggling engine
+	storeDelay     = 1500 * time.Millisecond
+	deskSlowWork   = 3 * time.Second // exceeds the deadline of calls
+	deskNormalWork = 10 * time.Millisecond
+	lostResponses  = 3
+	// minDrainTime is the shortest time between marking an engine as draining and ending it. The
+	// platform ends it once it is idle.
+	minDrainTime      = 8 * time.Second
+	drainPollInterval = 500 * time.Millisecond
 )
 
-// healing is what ends a fault, at its time.
-type healing struct {
+// activeFault is an injected fault and how and when it is healed.
+type activeFault struct {
 	at   time.Duration
-	what Kind
+	kind Kind
 	heal func()
 }
 
-// faults carries out the plan and returns when all is healed. It alone changes
-// the deployment, so that no two changes meet half way.
-func (r *run) faults(ctx context.Context) {
+// injectFaults executes the plan and returns when all faults are healed. Only this goroutine
+// changes the deployment, so that changes do not interleave.
+func (r *run) injectFaults(ctx context.Context) {
 	began := time.Now()
-	var open []healing
+	var open []activeFault
 	steps := r.opts.Plan.Steps
 	for {
 		next, isStep := r.opts.Plan.Length, false
@@ -46,20 +46,20 @@
 		time.Sleep(next - time.Since(began))
 		switch {
 		case due >= 0:
-			r.note("healed: %s", open[due].what)
+			r.logEvent("healed: %s", open[due].kind)
 			open[due].heal()
 			open = append(open[:due], open[due+1:]...)
 		case isStep:
 			s := steps[0]
 			steps = steps[1:]
 			if heal := r.apply(ctx, s); heal != nil {
-				open = append(open, healing{s.At + s.For, s.Kind, heal})
+				open = append(open, activeFault{s.At + s.For, s.Kind, heal})
 			}
 		case len(open) == 0:
 			return
-		default: // what outlasts the plan is healed at its end
+		default: // heal what outlasts the plan
 			for _, h := range open {
-				r.note("healed: %s", h.what)
+				r.logEvent("healed: %s", h.kind)
 				h.heal()
 			}
 			return
@@ -67,9 +67,9 @@
 	}
 }
 
-// apply begins one step and returns what ends it, or nil.
+// apply starts one step and returns the function that heals it, or nil.
 func (r *run) apply(ctx context.Context, s Step) (heal func()) {
-	r.note("%s target=%d other=%d for %v", s.Kind, s.Target, s.Other, s.For)
+	r.logEvent("%s target=%d other=%d for %v", s.Kind, s.Target, s.Other, s.For)
 	if heal, known := r.applyEngine(s); known {
 		return heal
 	}
@@ -83,57 +83,56 @@
 }
 
 func (r *run) applyEngine(s Step) (heal func(), known bool) {
-	id := r.fleet.engine(s.Target)
-	sim := r.stand.Engines[id]
+	id := r.fleet.engineAt(s.Target)
+	sim := r.deployment.Engines[id]
 	switch s.Kind {
-	case EngineDie:
+	case EngineCrash:
 		sim.Crash()
 		return sim.Restart, true
 	case EnginePause:
 		sim.Pause()
 		return sim.Unpause, true
 	case EngineSlow:
-		sim.SetSlowdown(slowFactor)
+		sim.SetSlowdown(slowdownFactor)
 		return func() { sim.SetSlowdown(1) }, true
-	case EngineSilence:
+	case EngineStreamsSilent:
 		sim.Silence()
 		return nil, true
-	case EngineCutOff:
-		r.stand.EngineNet(id).Silence()
+	case EngineConnsSilent:
+		r.deployment.EngineNet(id).Silence()
 		return nil, true
 	case EngineRefuse:
 		sim.SetRefusing(true)
 		return func() { sim.SetRefusing(false) }, true
-	case EngineLeave:
+	case EngineDrain:
 		r.replaceEngine(id)
 		return nil, true
 	}
 	return nil, false
 }
 
-// replaceEngine starts another engine, marks this one leaving, and ends it when
-// nothing runs on it any more.
+// replaceEngine starts another engine, marks this one as draining, and ends it once it is idle.
 func (r *run) replaceEngine(id string) {
-	if !r.fleet.loseEngine(id) {
+	if !r.fleet.removeEngine(id) {
 		return
 	}
 	if _, err := r.fleet.startEngine(r.fleet.zoneOf[id]); err != nil {
-		r.violate("harness: %v", err)
+		r.recordViolation("harness: %v", err)
 		return
 	}
-	r.stand.LeaveEngine(id)
-	sim := r.stand.Engines[id]
+	r.deployment.LeaveEngine(id)
+	sim := r.deployment.Engines[id]
 	r.fleet.stops.Go(func() {
-		time.Sleep(leaveBefore)
+		time.Sleep(minDrainTime)
 		for sim.IsBusy() {
-			time.Sleep(leavePoll)
+			time.Sleep(drainPollInterval)
 		}
-		r.stand.EndEngine(id, sim)
+		r.deployment.EndEngine(id, sim)
 	})
 }
 
 func (r *run) applyPlatform(s Step) (heal func(), known bool) {
-	d := r.stand
+	d := r.deployment
 	switch s.Kind {
 	case StoreDown:
 		d.Store.SetDown(true)
@@ -141,30 +140,30 @@
 	case StoreSlow:
 		d.Store.SetDelay(storeDelay)
 		return func() { d.Store.SetDelay(0) }, true
-	case StoreLoseWrite:
+	case StoreLoseWriteResponse:
 		d.Store.LoseNextWriteResponse()
 		return nil, true
 	case StoreDropWrite:
 		d.Store.DropNextWrite()
 		return nil, true
-	case ListDown:
+	case VMListDown:
 		d.VMs.SetDown(true)
 		return func() { d.VMs.SetDown(false) }, true
-	case DeskLose:
-		d.Desk.LoseResponses(lostCalls)
+	case DeskLoseResponses:
+		d.Desk.LoseResponses(lostResponses)
 		return func() { d.Desk.LoseResponses(0) }, true
 	case DeskSilent:
 		d.Desk.SetSilent(true)
 		return func() { d.Desk.SetSilent(false) }, true
 	case DeskSlow:
-		d.Desk.SetServiceTime(deskDelay)
-		return func() { d.Desk.SetServiceTime(deskWork) }, true
+		d.Desk.SetServiceTime(deskSlowWork)
+		return func() { d.Desk.SetServiceTime(deskNormalWork) }, true
 	}
 	return nil, false
 }
 
 func (r *run) applyLinks(s Step) (heal func(), known bool) {
-	d, zones := r.stand, stand.DemoZones()
+	d, zones := r.deployment, stand.DemoZones()
 	from := zones[s.Target%len(zones)]
 	to := zones[(s.Target+1+s.Other%(len(zones)-1))%len(zones)]
 	switch s.Kind {
@@ -181,33 +180,33 @@
 	return nil, false
 }
 
-// loseZone cuts every VM of a zone off at once.
+// loseZone disconnects every entry VM of a zone and crashes its engines at once.
 func (r *run) loseZone(zone string) (heal func()) {
 	entries, engines := r.fleet.entriesOf(zone), r.fleet.enginesOf(zone)
 	for _, e := range entries {
 		e.Cut()
 	}
 	for _, id := range engines {
-		r.stand.Engines[id].Crash()
+		r.deployment.Engines[id].Crash()
 	}
 	return func() {
 		for _, e := range entries {
 			r.restore(e)
 		}
 		for _, id := range engines {
-			r.stand.Engines[id].Restart()
+			r.deployment.Engines[id].Restart()
 		}
 	}
 }
 
 func (r *run) restore(e *stand.Entry) {
 	if err := e.Restore(); err != nil {
-		r.violate("harness: %v", err)
+		r.recordViolation("harness: %v", err)
 	}
 }
 
 func (r *run) applyEntry(_ context.Context, s Step) (heal func()) {
-	e := r.fleet.entry(s.Target)
+	e := r.fleet.entryAt(s.Target)
 	switch s.Kind {
 	case EntryCut:
 		e.Cut()
@@ -227,9 +226,9 @@
 	return nil
 }
 
-// replaceLost loses an entry VM for good; another one starts when it heals.
+// replaceLost loses an entry VM for good. Another one starts when the fault is healed.
 func (r *run) replaceLost(e *stand.Entry) (heal func()) {
-	if len(r.fleet.all()) == 1 || !r.fleet.lose(e) {
+	if len(r.fleet.allEntries()) == 1 || !r.fleet.removeEntry(e) {
 		return nil
 	}
 	e.Cut()
@@ -237,28 +236,28 @@
 		e.Remove()
 		r.fleet.stops.Go(e.Abandon)
 		if err := r.fleet.startEntry(e.Zone); err != nil {
-			r.violate("harness: %v", err)
+			r.recordViolation("harness: %v", err)
 		}
 	}
 }
 
-// stopEntry replaces an entry VM as planned: the new one starts first.
+// stopEntry replaces an entry VM as planned: the replacement starts first.
 func (r *run) stopEntry(e *stand.Entry) {
 	if err := r.fleet.startEntry(e.Zone); err != nil {
-		r.violate("harness: %v", err)
+		r.recordViolation("harness: %v", err)
 		return
 	}
-	if !r.fleet.lose(e) {
+	if !r.fleet.removeEntry(e) {
 		return
 	}
 	r.fleet.stops.Go(func() {
 		if err := e.Stop(); err != nil {
-			r.violate("%s stopped with an error: %v", e.ID, err)
+			r.recordViolation("%s stopped with an error: %v", e.ID, err)
 		}
-		r.note("%s has stopped", e.ID)
+		r.logEvent("%s has stopped", e.ID)
 		e.Remove()
 	})
 }
 
-// awaitStops waits for VMs that are on their way out.
+// awaitStops waits for the VMs that are being stopped.
 func (r *run) awaitStops() { r.fleet.stops.Wait() }
--- a/lab/soak/generations.go
+++ b/lab/soak/generations.go
@@ -11,88 +11,88 @@
 )
 
 const (
-	minReview, maxReview = 50, 450 // tokens
-	wholeTokens          = 60
-	lookupTokens         = 6
-	lookupTries          = 3
-	// unreachable is the code of an answer that a caller should come back for.
-	unreachable = "generation_unreachable"
-	comeBack    = time.Second
-	// maxMoves bounds the attempts of one answer that reach nobody or break.
-	maxMoves = 40
+	minReviewTokens, maxReviewTokens = 50, 450
+	shortReviewTokens                = 60
+	lookupTokens                     = 6
+	lookupAttempts                   = 3
+	// codeUnreachable is the code of a refusal after which the caller should come back later.
+	codeUnreachable       = "generation_unreachable"
+	unreachableRetryDelay = time.Second
+	// maxCompletionAttempts bounds the attempts of one completion.
+	maxCompletionAttempts = 40
 )
 
-// reviews reads long streamed answers and goes on elsewhere with Last-Event-ID.
-func (r *run) reviews(ctx context.Context, c *caller) {
-	for r.pause(ctx, c.between(0, time.Second)) {
-		a := &answer{c: c, service: "reviews", prompt: c.unique("review"), tokens: minReview + c.rng.IntN(maxReview-minReview)}
+// readReviews reads long streams and resumes them elsewhere with Last-Event-ID.
+func (r *run) readReviews(ctx context.Context, c *caller) {
+	for r.shouldContinueAfter(ctx, c.randomDuration(0, time.Second)) {
+		req := &completion{caller: c, service: "reviews", prompt: c.uniqueName("review"), maxTokens: minReviewTokens + c.rng.IntN(maxReviewTokens-minReviewTokens)}
 		if c.chance(50) {
-			a.key = a.prompt
+			req.key = req.prompt
 		}
-		r.finish(ctx, "review", a, r.untilWhole(ctx, a, func(to *stand.Client) error {
-			if a.id != "" {
-				return a.resume(ctx, to)
+		r.recordResult(ctx, "review", req, r.retryUntilComplete(ctx, req, func(to *stand.Client) error {
+			if req.id != "" {
+				return req.resume(ctx, to)
 			}
-			return a.post(ctx, to)
+			return req.post(ctx, to)
 		}))
 	}
 }
 
-// resubmissions sends the same request with its key again when the connection
-// breaks, and wants the whole answer from its first token.
-func (r *run) resubmissions(ctx context.Context, c *caller) {
-	for r.pause(ctx, c.between(0, time.Second)) {
-		a := &answer{c: c, service: "reviews", prompt: c.unique("resubmission"), tokens: minReview + c.rng.IntN(maxReview-minReview)}
-		a.key = a.prompt
-		r.finish(ctx, "resubmission", a, r.untilWhole(ctx, a, func(to *stand.Client) error { return a.post(ctx, to) }))
+// resubmitReviews sends the same request with its idempotency key again when the connection
+// breaks, and expects the complete response from its first token.
+func (r *run) resubmitReviews(ctx context.Context, c *caller) {
+	for r.shouldContinueAfter(ctx, c.randomDuration(0, time.Second)) {
+		req := &completion{caller: c, service: "reviews", prompt: c.uniqueName("resubmission"), maxTokens: minReviewTokens + c.rng.IntN(maxReviewTokens-minReviewTokens)}
+		req.key = req.prompt
+		r.recordResult(ctx, "resubmission", req, r.retryUntilComplete(ctx, req, func(to *stand.Client) error { return req.post(ctx, to) }))
 	}
 }
 
-// wholes asks for answers that are not streamed.
-func (r *run) wholes(ctx context.Context, c *caller) {
-	for r.pause(ctx, c.between(200*time.Millisecond, 2*time.Second)) {
-		a := &answer{c: c, service: "reviews", prompt: c.unique("whole"), tokens: wholeTokens}
-		a.key = a.prompt
-		r.finish(ctx, "whole", a, r.untilWhole(ctx, a, func(to *stand.Client) error { return a.wait(ctx, to) }))
+// readUnstreamed requests responses without streaming.
+func (r *run) readUnstreamed(ctx context.Context, c *caller) {
+	for r.shouldContinueAfter(ctx, c.randomDuration(200*time.Millisecond, 2*time.Second)) {
+		req := &completion{caller: c, service: "reviews", prompt: c.uniqueName("whole"), maxTokens: shortReviewTokens}
+		req.key = req.prompt
+		r.recordResult(ctx, "whole", req, r.retryUntilComplete(ctx, req, func(to *stand.Client) error { return req.postUnstreamed(ctx, to) }))
 	}
 }
 
-// lookups are urgent and short; a caller tries a few entry VMs.
-func (r *run) lookups(ctx context.Context, c *caller) {
-	for r.pause(ctx, c.between(50*time.Millisecond, 600*time.Millisecond)) {
-		a := &answer{c: c, service: "orders", prompt: c.unique("lookup"), tokens: lookupTokens}
+// makeLookups makes short urgent requests, each with a few attempts at different entry VMs.
+func (r *run) makeLookups(ctx context.Context, c *caller) {
+	for r.shouldContinueAfter(ctx, c.randomDuration(50*time.Millisecond, 600*time.Millisecond)) {
+		req := &completion{caller: c, service: "orders", prompt: c.uniqueName("lookup"), maxTokens: lookupTokens}
 		began := time.Now()
-		err := r.lookup(ctx, a)
+		err := r.lookup(ctx, req)
 		if err == nil && time.Since(began) > 2*time.Second {
 			r.count("lookup late")
 		}
-		r.finish(ctx, "lookup", a, err)
+		r.recordResult(ctx, "lookup", req, err)
 	}
 }
 
-func (r *run) lookup(ctx context.Context, a *answer) (err error) {
-	for range lookupTries {
-		to := a.c.entry(ctx)
+func (r *run) lookup(ctx context.Context, req *completion) (err error) {
+	for range lookupAttempts {
+		to := req.caller.nextEntry(ctx)
 		if to == nil {
 			return ctx.Err()
 		}
-		once, cancel := context.WithTimeout(ctx, requestLimit)
-		err = a.post(once, to)
+		once, cancel := context.WithTimeout(ctx, requestTimeout)
+		err = req.post(once, to)
 		cancel()
 		if err == nil {
 			return nil
 		}
-		a.c.forget()
+		req.caller.invalidateAddresses()
 	}
 	return err
 }
 
-// untilWhole repeats send, elsewhere each time, until the answer is whole or
-// has failed visibly.
-func (r *run) untilWhole(ctx context.Context, a *answer, send func(to *stand.Client) error) error {
+// retryUntilComplete repeats send, each time at the next entry VM, until the response is complete
+// or the request has failed with an error that the caller does not retry.
+func (r *run) retryUntilComplete(ctx context.Context, req *completion, send func(to *stand.Client) error) error {
 	var err error
-	for range maxMoves {
-		to := a.c.entry(ctx)
+	for range maxCompletionAttempts {
+		to := req.caller.nextEntry(ctx)
 		if to == nil {
 			return ctx.Err()
 		}
@@ -103,39 +103,39 @@
 			return nil
 		case !errors.As(err, &refused):
 			r.count("moved")
-			a.c.forget()
-		case refused.Code == unreachable:
+			req.caller.invalidateAddresses()
+		case refused.Code == codeUnreachable:
 			r.count("told to come back")
-			pause.For(ctx, comeBack)
-		case a.goesOn(refused):
+			pause.For(ctx, unreachableRetryDelay)
+		case req.shouldRetry(refused):
 			if refused.Verdict == "not_run" {
-				r.notRun(a, refused)
+				r.checkNotRun(req, refused)
 			}
-			a.c.forget()
+			req.caller.invalidateAddresses()
 		default:
 			return err
 		}
-		pause.For(ctx, tryAgain)
+		pause.For(ctx, retryDelay)
 	}
 	return err
 }
 
-// goesOn reports whether the caller sends a refused request again: what was
-// not run, or what it can repeat under its key.
-func (a *answer) goesOn(refused *stand.Refusal) bool {
-	return (refused.Verdict == "not_run" || a.key != "") && a.text.Len() == 0 &&
-		(a.c.r.opts.MustServe || a.c.chance(60))
+// shouldRetry reports whether the caller retries a refused request. It may if the request has not
+// run or has an idempotency key, and no text has arrived.
+func (req *completion) shouldRetry(refused *stand.Refusal) bool {
+	return (refused.Verdict == "not_run" || req.key != "") && req.text.Len() == 0 &&
+		(req.caller.run.opts.MustServe || req.caller.chance(60))
 }
 
-// notRun checks a not_run verdict at the time at which it is heard.
-func (r *run) notRun(a *answer, refused *stand.Refusal) {
-	if n := r.stand.Starts(a.prompt); n > 0 {
-		r.violate("%q was told %s, and an engine had begun it %d time(s)", a.prompt, refused, n)
+// checkNotRun checks a not_run verdict when the caller receives it.
+func (r *run) checkNotRun(req *completion, refused *stand.Refusal) {
+	if n := r.deployment.Starts(req.prompt); n > 0 {
+		r.recordViolation("%q got %s, but engines had started it %d time(s)", req.prompt, refused, n)
 	}
 }
 
-// finish judges how an answer ended.
-func (r *run) finish(ctx context.Context, kind string, a *answer, err error) {
+// recordResult counts and checks how a request ended.
+func (r *run) recordResult(ctx context.Context, kind string, req *completion, err error) {
 	var refused *stand.Refusal
 	switch {
 	case err == nil:
@@ -143,34 +143,34 @@
 		return
 	case errors.As(err, &refused):
 		r.count(kind + " failed: " + refused.Code + " " + refused.Verdict)
-		r.note("%q (%s) holding %d bytes: %s", a.prompt, a.id, a.text.Len(), refused)
+		r.logEvent("%q (%s) holding %d bytes: %s", req.prompt, req.id, req.text.Len(), refused)
 		if refused.Verdict == "" {
-			r.violate("%q failed without a verdict: %v", a.prompt, err)
+			r.recordViolation("%q failed without a verdict: %v", req.prompt, err)
 		}
 		if refused.Verdict == "not_run" {
-			r.notRun(a, refused)
-			r.owed.heard(a.prompt, refused.Error())
+			r.checkNotRun(req, refused)
+			r.notRun.record(req.prompt, refused.Error())
 		}
 	case ctx.Err() != nil:
 		r.count(kind + " hung")
 	default:
 		r.count(kind + " unreachable")
 	}
-	if r.opts.Plan.Planned() || r.opts.MustServe && kind != "lookup" {
-		r.violate("%q failed where it must not: %v", a.prompt, err)
+	if r.opts.Plan.IsPlanned() || r.opts.MustServe && kind != "lookup" {
+		r.recordViolation("%q failed although it must be served: %v", req.prompt, err)
 	}
 }
 
-// owedBook remembers what was promised not to run, by prompt.
-type owedBook struct{ book }
+// notRunVerdicts records the requests that ended with a not_run verdict, by prompt.
+type notRunVerdicts struct{ lastOutcomes }
 
-// judge checks the promises at the end of the run.
-func (o *owedBook) judge(r *run) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for prompt, said := range o.last {
-		if n := r.stand.Starts(prompt); n > 0 {
-			r.violate("%q was told %s and not sent again, and engines began it %d time(s)", prompt, said, n)
+// check checks at the end of the run that none of these requests has run.
+func (v *notRunVerdicts) check(r *run) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	for prompt, verdict := range v.byKey {
+		if n := r.deployment.Starts(prompt); n > 0 {
+			r.recordViolation("%q got %s and was not retried, but engines started it %d time(s)", prompt, verdict, n)
 		}
 	}
 }
--- a/lab/soak/process/proxy.go
+++ b/lab/soak/process/proxy.go
@@ -9,105 +9,105 @@
 	"github.com/pkg/errors"
 )
 
-// linkMode is how a proxy treats what passes.
+// linkMode is how a proxy treats connections and data.
 type linkMode uint8
 
 const (
 	linkPass    linkMode = iota
 	linkReset            // new connections are reset
-	linkSilent           // new connections are taken and nothing passes
-	linkOneWay           // requests pass and answers do not
-	linkSlow             // each read waits
-	linkRefused          // nobody listens, as where a process has ended
+	linkSilent           // new connections are accepted, and no data passes
+	linkOneWay           // requests pass, responses do not
+	linkSlow             // each read is delayed
+	linkRefused          // the port is closed, as after a process has exited
 )
 
-// slowBy is the delay of a slow link for each read.
-const slowBy = 40 * time.Millisecond
+// slowLinkDelay is the delay of each read on a slow link.
+const slowLinkDelay = 40 * time.Millisecond
 
-// proxy passes TCP connections on to one address and misbehaves on demand.
+// proxy forwards TCP connections to one address and injects link faults.
 type proxy struct {
-	at       string  // address
-	out, in  []*lane // that requests and answers pass, where there are any
-	mu       sync.Mutex
-	listener net.Listener // nil while connections are refused
-	target   string
-	mode     linkMode
-	links    map[*proxied]struct{}
+	listenAddress             string
+	requestPath, responsePath []*linkDirection // simulated links on the way; may be empty
+	mu                        sync.Mutex
+	listener                  net.Listener // nil while connections are refused
+	target                    string
+	mode                      linkMode
+	conns                     map[*proxiedConn]struct{}
 }
 
-// proxied is one connection and its other half.
-type proxied struct {
-	near, far net.Conn
-	mode      linkMode // guarded by the proxy's mutex
+// proxiedConn is a client connection with its upstream connection.
+type proxiedConn struct {
+	client, upstream net.Conn
+	mode             linkMode // guarded by the proxy's mutex
 }
 
-// newProxy listens at address and passes connections on to target.
-func newProxy(address, target string) (*proxy, error) { return newProxyOn(address, target, nil, nil) }
+// newProxy listens on address and forwards connections to target.
+func newProxy(address, target string) (*proxy, error) { return newProxyVia(address, target, nil, nil) }
 
-// newProxyOn is newProxy for connections that pass lanes.
-func newProxyOn(address, target string, out, in []*lane) (*proxy, error) {
+// newProxyVia is newProxy for connections that pass simulated links.
+func newProxyVia(address, target string, requestPath, responsePath []*linkDirection) (*proxy, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "proxy")
 	}
-	p := &proxy{at: l.Addr().String(), listener: l, target: target, out: out, in: in, links: map[*proxied]struct{}{}}
+	p := &proxy{listenAddress: l.Addr().String(), listener: l, target: target, requestPath: requestPath, responsePath: responsePath, conns: map[*proxiedConn]struct{}{}}
 	go p.accept(l)
 	return p, nil
 }
 
-func (p *proxy) address() string { return p.at }
+func (p *proxy) address() string { return p.listenAddress }
 
 func (p *proxy) accept(l net.Listener) {
 	for {
-		near, err := l.Accept()
+		client, err := l.Accept()
 		if err != nil {
-			return // closed
+			return // listener closed
 		}
-		go p.serve(near)
+		go p.serve(client)
 	}
 }
 
-func (p *proxy) serve(near net.Conn) {
+func (p *proxy) serve(client net.Conn) {
 	p.mu.Lock()
 	mode, target := p.mode, p.target
 	p.mu.Unlock()
 	if mode == linkReset {
-		reset(near)
+		reset(client)
 		return
 	}
-	far, err := net.Dial("tcp", target)
+	upstream, err := net.Dial("tcp", target)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
-	c := &proxied{near: near, far: far, mode: mode}
+	c := &proxiedConn{client: client, upstream: upstream, mode: mode}
 	p.mu.Lock()
-	p.links[c] = struct{}{}
+	p.conns[c] = struct{}{}
 	p.mu.Unlock()
-	p.both(c)
+	p.forwardBoth(c)
 	p.mu.Lock()
-	delete(p.links, c)
+	delete(p.conns, c)
 	p.mu.Unlock()
 }
 
-// both copies both ways until the connection has ended.
-func (p *proxy) both(c *proxied) {
-	var ways sync.WaitGroup
-	if len(p.out) == 0 {
-		ways.Go(func() { p.pass(c, c.near, c.far, false) })
-		ways.Go(func() { p.pass(c, c.far, c.near, true) })
-		ways.Wait()
+// forwardBoth copies data both ways until the connection has ended.
+func (p *proxy) forwardBoth(c *proxiedConn) {
+	var directions sync.WaitGroup
+	if len(p.requestPath) == 0 {
+		directions.Go(func() { p.forward(c, c.client, c.upstream, false) })
+		directions.Go(func() { p.forward(c, c.upstream, c.client, true) })
+		directions.Wait()
 		return
 	}
-	ways.Go(func() { carry(c.near, c.far, p.out) })
-	ways.Go(func() { carry(c.far, c.near, p.in) })
-	ways.Wait()
-	_ = c.near.Close() // all has arrived
-	_ = c.far.Close()
+	directions.Go(func() { forwardVia(c.client, c.upstream, p.requestPath) })
+	directions.Go(func() { forwardVia(c.upstream, c.client, p.responsePath) })
+	directions.Wait()
+	_ = c.client.Close() // all data has been delivered
+	_ = c.upstream.Close()
 }
 
-// pass copies one way until an end closes. A silent way reads on and drops.
-func (p *proxy) pass(c *proxied, from, to net.Conn, answers bool) {
+// forward copies data one way until a connection closes. A silent link reads on and drops the data.
+func (p *proxy) forward(c *proxiedConn, from, to net.Conn, isResponse bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
@@ -115,20 +115,20 @@
 		mode := c.mode
 		p.mu.Unlock()
 		if mode == linkSlow {
-			time.Sleep(slowBy)
+			time.Sleep(slowLinkDelay)
 		}
-		quiet := mode == linkSilent || mode == linkOneWay && answers
-		if n > 0 && !quiet {
+		dropped := mode == linkSilent || mode == linkOneWay && isResponse
+		if n > 0 && !dropped {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				err = werr
 			}
 		}
 		if err != nil {
-			if quiet {
-				return // the other end hears nothing of it
+			if dropped {
+				return // the other end does not learn of it
 			}
 			if half, ok := to.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
-				_ = half.CloseWrite() // the other end may be gone already
+				_ = half.CloseWrite() // fails only if the peer has closed
 				return
 			}
 			reset(from)
@@ -138,61 +138,61 @@
 	}
 }
 
-// set changes what happens to new connections, and to those that are open; after
-// a silence open ones stay silent for good.
-func (p *proxy) set(mode linkMode) {
+// setMode changes the treatment of new and open connections. Open connections that were silent or
+// one-way stay so until they are reset.
+func (p *proxy) setMode(mode linkMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = mode
-	p.listen(mode != linkRefused)
-	for c := range p.links {
+	p.setListening(mode != linkRefused)
+	for c := range p.conns {
 		switch {
 		case mode == linkReset || mode == linkRefused:
-			reset(c.near)
-			reset(c.far)
+			reset(c.client)
+			reset(c.upstream)
 		case c.mode != linkSilent && c.mode != linkOneWay:
 			c.mode = mode
 		}
 	}
 }
 
-// listen opens or closes the port. It is called under the lock.
-func (p *proxy) listen(open bool) {
+// setListening opens or closes the port. The caller holds p.mu.
+func (p *proxy) setListening(open bool) {
 	switch {
 	case open && p.listener == nil:
-		l, err := net.Listen("tcp", p.at)
+		l, err := net.Listen("tcp", p.listenAddress)
 		if err != nil {
-			return // connections are refused until the next change
+			return // connections are refused until the next change of mode
 		}
 		p.listener = l
 		go p.accept(l)
 	case !open && p.listener != nil:
-		_ = p.listener.Close() // it has no other end
+		_ = p.listener.Close() // the port is closed either way
 		p.listener = nil
 	}
 }
 
-// cut resets the connections that are open.
-func (p *proxy) cut() {
+// resetConns resets all open connections.
+func (p *proxy) resetConns() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.links {
-		reset(c.near)
-		reset(c.far)
+	for c := range p.conns {
+		reset(c.client)
+		reset(c.upstream)
 	}
 }
 
 func (p *proxy) close() {
 	p.mu.Lock()
-	p.listen(false)
+	p.setListening(false)
 	p.mu.Unlock()
-	p.cut()
+	p.resetConns()
 }
 
-// reset closes a connection so that its other end sees a reset.
+// reset closes a connection so that its peer sees a TCP reset.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // a closed connection needs none
+		_ = tcp.SetLinger(0) // fails only if the connection is closed
 	}
 	_ = c.Close()
 }
--- /dev/null
+++ b/lab/soak/process/recorder.go
@@ -0,0 +1,111 @@
+package process
+
+import (
+	"fmt"
+	"sync"
+	"time"
+)
+
+// execution is one execution of a request at a server.
+type execution struct {
+	server    string
+	service   string
+	signature string
+	status    int
+	body      string // "" for streams
+	startedAt time.Time
+	finished  bool
+}
+
+// recorder collects the executions at the servers, the requests sent and the violations found.
+type recorder struct {
+	mu           sync.Mutex
+	executions   map[string][]*execution // by request ID
+	bySignature  map[string]*execution
+	sentRequests map[string]sentRequest
+	violations   []string
+	counts       map[string]int
+}
+
+// sentRequest is a request as its caller sent it.
+type sentRequest struct {
+	account    string // owner of the key when the request was sent
+	key        string
+	pathSuffix string // path after the route prefix
+	kind       callKind
+	sentAt     time.Time
+}
+
+func newRecorder() *recorder {
+	return &recorder{executions: map[string][]*execution{}, bySignature: map[string]*execution{}, sentRequests: map[string]sentRequest{}, counts: map[string]int{}}
+}
+
+// recordViolation records that a guarantee did not hold.
+func (rec *recorder) recordViolation(format string, args ...any) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.violations = append(rec.violations, fmt.Sprintf(format, args...))
+}
+
+// count increments a counter of the report.
+func (rec *recorder) count(name string) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.counts[name]++
+}
+
+// recordSent records a request before its caller sends it.
+func (rec *recorder) recordSent(id string, c sentRequest) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.sentRequests[id] = c
+}
+
+// startExecution records that a server starts to run a request, and returns the request as sent.
+func (rec *recorder) startExecution(id string, r *execution) sentRequest {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	r.startedAt = time.Now()
+	r.signature = fmt.Sprintf("%s.%s.%d", r.server, id, len(rec.executions[id]))
+	rec.executions[id] = append(rec.executions[id], r)
+	rec.bySignature[r.signature] = r
+	return rec.sentRequests[id]
+}
+
+func (rec *recorder) finishExecution(r *execution, status int, body string) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	r.status, r.body, r.finished = status, body, true
+}
+
+// executionBySignature returns the execution with the given signature.
+func (rec *recorder) executionBySignature(signature string) (execution, bool) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	r, ok := rec.bySignature[signature]
+	if !ok {
+		return execution{}, false
+	}
+	return *r, true
+}
+
+// executionCount returns how often a request has run.
+func (rec *recorder) executionCount(id string) int {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	return len(rec.executions[id])
+}
+
+// unfinishedRequests lists the requests that servers are still running.
+func (rec *recorder) unfinishedRequests() (ids []string) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	for id, runs := range rec.executions {
+		for _, r := range runs {
+			if !r.finished {
+				ids = append(ids, id+" at "+r.server)
+			}
+		}
+	}
+	return ids
+}
--- a/lab/soak/process/rollout.go
+++ b/lab/soak/process/rollout.go
@@ -12,104 +12,106 @@
 )
 
 const (
-	// rolloutPeriod is the time for a roll-out, rolloutWait how long its end is waited for beyond.
+	// rolloutPeriod is the period of a roll-out, rolloutWait the extra time to wait for its end.
 	rolloutPeriod = 6 * time.Second
 	rolloutWait   = 2 * time.Second
-	// badPart is the part of the answers that fail at a bad version.
-	badPart = 0.4
-	// A bad version may get this part of its service's requests, and so many more.
-	exposedPart, exposedSlack = 0.1, 50
+	// faultyErrorRatio is the share of responses of a faulty version that fail.
+	faultyErrorRatio = 0.4
+	// A faulty version may get this share of its service's requests plus a fixed number.
+	maxExposureRatio, exposureSlackRequests = 0.1, 50
 )
 
-// goodVersion brings in a version that works, badVersion one whose answers fail in part.
-func (w *world) goodVersion(ctx context.Context) { w.rollOut(ctx, 0) }
+// rollOutHealthyVersion rolls out a version that works; rollOutFaultyVersion rolls out one that
+// fails part of its requests.
+func (h *harness) rollOutHealthyVersion(ctx context.Context) { h.rollOut(ctx, 0) }
 
-func (w *world) badVersion(ctx context.Context) { w.rollOut(ctx, badPart) }
+func (h *harness) rollOutFaultyVersion(ctx context.Context) { h.rollOut(ctx, faultyErrorRatio) }
 
-// rollOut starts servers of another version beside those of a service of calls, orders the service
-// to move there, and stops at once those that the end of it leaves.
-func (w *world) rollOut(ctx context.Context, failing float64) {
-	if !w.rolling.TryLock() {
-		return // one at a time
+// rollOut starts servers of another version beside those of the active plain service and orders a
+// roll-out to them. At its end it retires the old servers at once if the roll-out completed;
+// otherwise it drains and retires the new ones.
+func (h *harness) rollOut(ctx context.Context, errorRatio float64) {
+	if !h.rolloutMu.TryLock() {
+		return // one roll-out at a time
 	}
-	defer w.rolling.Unlock()
-	old := w.ofService(w.busyDesk().service)
+	defer h.rolloutMu.Unlock()
+	old := h.serversOf(h.activePlainServer().service)
 	service, began := old[0].service, time.Now()
 	target := fmt.Sprintf("v%d", began.UnixNano())
 	raw, err := wire.EncodeRolloutOrder(routing.RolloutOrder{Service: service, Target: target, Period: rolloutPeriod})
 	if err != nil {
-		w.ledger.violate("harness: %v", err)
+		h.recorder.recordViolation("harness: %v", err)
 		return
 	}
-	w.write(wire.RolloutOrderKey(service), raw)
-	fresh := w.startVersion(old, target, failing)
-	stage := w.awaitRollout(ctx, service, target)
-	w.note("roll-out of %s to a version that fails %v of its answers: %v", service, failing, stage)
-	w.ledger.count("roll-outs " + stage.String())
+	h.write(wire.RolloutOrderKey(service), raw)
+	fresh := h.startVersion(old, target, errorRatio)
+	stage := h.awaitRollout(ctx, service, target)
+	h.logFault("roll-out of %s to a version with error ratio %v: %v", service, errorRatio, stage)
+	h.recorder.count("roll-outs " + stage.String())
 	if stage == rollout.Completed {
-		w.retire(old, false)
+		h.retire(old, false)
 	} else {
-		w.retire(fresh, true)
+		h.retire(fresh, true)
 	}
-	w.checkExposure(service, failing, began, old, fresh, stage)
+	h.checkExposure(service, errorRatio, began, old, fresh, stage)
 }
 
-// checkExposure checks what a bad version got.
-func (w *world) checkExposure(service string, failing float64, began time.Time, old, fresh []*server, stage rollout.Stage) {
-	w.mu.Lock()
-	troubled := w.trouble.After(began)
-	w.mu.Unlock()
-	got, others := arrivedSince(fresh, began), arrivedSince(old, began)
-	if failing > 0 && w.opts.Timed && !troubled && float64(got) > exposedPart*float64(got+others)+exposedSlack {
-		w.ledger.violate("a bad version of %s got %d of %d requests", service, got, got+others)
+// checkExposure checks that a faulty version got few requests and that a healthy one completed.
+func (h *harness) checkExposure(service string, errorRatio float64, began time.Time, old, fresh []*server, stage rollout.Stage) {
+	h.mu.Lock()
+	boundsSuspended := h.boundsSuspendedUntil.After(began)
+	h.mu.Unlock()
+	got, others := arrivalsSince(fresh, began), arrivalsSince(old, began)
+	if errorRatio > 0 && h.opts.Timed && !boundsSuspended && float64(got) > maxExposureRatio*float64(got+others)+exposureSlackRequests {
+		h.recorder.recordViolation("a faulty version of %s got %d of %d requests", service, got, got+others)
 	}
-	if failing == 0 && w.opts.Timed && !troubled && stage != rollout.Completed {
-		w.ledger.violate("a good version of %s is %v after its period", service, stage)
+	if errorRatio == 0 && h.opts.Timed && !boundsSuspended && stage != rollout.Completed {
+		h.recorder.recordViolation("a healthy version of %s is %v after its period", service, stage)
 	}
 }
 
-// ofService are the servers of a service.
-func (w *world) ofService(service string) (list []*server) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, s := range w.servers {
+// serversOf returns the servers of a service.
+func (h *harness) serversOf(service string) (servers []*server) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, s := range h.servers {
 		if s.service == service {
-			list = append(list, s)
+			servers = append(servers, s)
 		}
 	}
-	return list
+	return servers
 }
 
-// startVersion starts a server of another version beside each of some.
-func (w *world) startVersion(old []*server, version string, failing float64) (fresh []*server) {
+// startVersion starts a server of another version beside each of the old ones.
+func (h *harness) startVersion(old []*server, version string, errorRatio float64) (fresh []*server) {
 	for _, s := range old {
-		near := w.network + ".200"
-		next, err := w.newServer(s.service, s.zone, near+":0", near+":0")
+		listenIP := h.network + ".200"
+		next, err := h.newServer(s.service, s.zone, listenIP+":0", listenIP+":0")
 		if err != nil {
-			w.ledger.violate("harness: %v", err)
+			h.recorder.recordViolation("harness: %v", err)
 			continue
 		}
-		next.version, next.failing = version, failing
+		next.version, next.errorRatio = version, errorRatio
 		fresh = append(fresh, next)
-		w.mu.Lock()
-		w.servers = append(w.servers, next)
-		w.mu.Unlock()
-		w.register(next, false)
+		h.mu.Lock()
+		h.servers = append(h.servers, next)
+		h.mu.Unlock()
+		h.register(next, false)
 	}
 	return fresh
 }
 
-// awaitRollout waits for the end of a roll-out, as the operator reads it.
-func (w *world) awaitRollout(ctx context.Context, service, target string) rollout.Stage {
+// awaitRollout waits until the published status of a roll-out is terminal, and returns its stage.
+func (h *harness) awaitRollout(ctx context.Context, service, target string) rollout.Stage {
 	stage := rollout.Idle
 	for began := time.Now(); time.Since(began) < rolloutPeriod+rolloutWait && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
-		kv, err := w.memory.Get(ctx, wire.Schema{}.RolloutStatusKey(service))
+		kv, err := h.memory.Get(ctx, wire.Schema{}.RolloutStatusKey(service))
 		if err != nil {
-			continue // there is none yet
+			continue // not published yet
 		}
 		status, err := wire.Schema{}.DecodeRolloutStatus(kv.Value)
 		if err != nil {
-			w.ledger.violate("status of a roll-out: %v", err)
+			h.recorder.recordViolation("roll-out status: %v", err)
 			return stage
 		}
 		if status.Target != target {
@@ -122,34 +124,34 @@
 	return stage
 }
 
-// retire ends servers for good, at once or after they said that they leave.
-func (w *world) retire(servers []*server, drain bool) {
-	w.mu.Lock()
-	w.servers = slices.DeleteFunc(w.servers, func(s *server) bool { return slices.Contains(servers, s) })
-	w.retired = append(w.retired, servers...)
-	w.mu.Unlock()
+// retire ends servers for good, at once or after a drain.
+func (h *harness) retire(servers []*server, drain bool) {
+	h.mu.Lock()
+	h.servers = slices.DeleteFunc(h.servers, func(s *server) bool { return slices.Contains(servers, s) })
+	h.retired = append(h.retired, servers...)
+	h.mu.Unlock()
 	for _, s := range servers {
-		s.life.Lock()
+		s.lifecycle.Lock()
 		if drain {
-			w.register(s, true)
+			h.register(s, true)
 		}
 	}
 	if drain {
-		time.Sleep(drainAge + 1500*time.Millisecond)
+		time.Sleep(drainPropagation + 1500*time.Millisecond)
 	}
 	for _, s := range servers {
-		s.gone = true
+		s.retired = true
 		s.crash()
-		w.unregister(s.entry(true).ID)
-		s.life.Unlock()
+		h.unregister(s.entry(true).ID)
+		s.lifecycle.Unlock()
 	}
 }
 
-// arrivedSince is how many requests reached servers since a moment.
-func arrivedSince(servers []*server, began time.Time) (n int) {
+// arrivalsSince counts the requests that reached servers after the given time.
+func arrivalsSince(servers []*server, began time.Time) (n int) {
 	for _, s := range servers {
 		s.mu.Lock()
-		for _, at := range s.arrived {
+		for _, at := range s.arrivals {
 			if at.After(began) {
 				n++
 			}
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -1,12 +1,11 @@
-// Package soak plays seeded random runs of a whole deployment and asserts the
-// product's invariants while it runs.
+// Package soak runs seeded random tests of a whole deployment and checks the product's invariants
+// meanwhile.
 //
-// A run has callers of each kind, operators who apply texts against each other,
-// and faults drawn singly, in pairs and again right after they healed. Parts are
-// tested alone elsewhere; this finds what only shows when several fail at once.
-// It runs over loopback in real time (mallowctl soak) or in memory in virtual
-// time (the package's tests). A seed fixes the plan and what callers ask for;
-// the order in which goroutines meet is not fixed by it.
+// A run has callers of each kind, operators who apply competing texts, and faults that occur singly,
+// in pairs and again right after they were healed. Other tests cover the parts in isolation; this
+// package finds failures that need several faults at once. It runs over loopback in real time
+// (mallowctl soak) or in memory in virtual time (the package's tests). A seed fixes the plan and
+// the requests of the callers, but not the scheduling of goroutines.
 package soak
 
 import (
@@ -23,31 +22,31 @@
 )
 
 const (
-	// settleLimit bounds callers after all is healed: whatever was begun has a
-	// whole answer or a visible failure then.
-	settleLimit = 60 * time.Second
-	// inForceLimit is how long an accepted text may take to every daemon.
+	// completionLimit is how long after all faults are healed every request must have a complete
+	// response or a visible failure.
+	completionLimit = 60 * time.Second
+	// inForceLimit is how long an accepted text may take to be in force at every daemon.
 	inForceLimit = 9 * time.Second
-	// lookupsBack is when urgent lookups must be answered again after healing.
-	lookupsBack = 12 * time.Second
+	// lookupRecoveryLimit is how long after all faults are healed entry VMs must serve again.
+	lookupRecoveryLimit = 12 * time.Second
 )
 
-// Options of a run.
+// Options configure a run.
 type Options struct {
 	Plan   Plan
-	Memory bool // pipes in memory, for virtual time
+	Memory bool // in-memory pipes, for virtual time
 	Logs   io.Writer
-	// Callers is how many callers of each kind run; zero means the default.
+	// Callers is the number of callers of each kind; zero means the default.
 	Callers int
-	// MustServe makes a failed answer a violation, also where faults would
-	// allow it: for stories that must cost nothing.
+	// MustServe makes a failed request a violation even where faults would allow it, except for
+	// lookups: for scenarios that must not make requests fail.
 	MustServe bool
 }
 
 const defaultCallers = 3
 
-// Run plays one plan and reports. The error is of the harness: a deployment
-// that did not start, not an invariant that broke.
+// Run executes one plan and returns its report. An error means that the deployment did not start,
+// not that an invariant was broken.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if o.Callers == 0 {
 		o.Callers = defaultCallers
@@ -65,33 +64,33 @@
 	}
 	defer d.Close()
 	r := newRun(o, d)
-	r.play(ctx)
+	r.execute(ctx)
 	return r.report(o.Plan), nil
 }
 
-// run is one run under way.
+// run is the state of one run.
 type run struct {
-	*ledger
-	opts  Options
-	stand *stand.Deployment
-	fleet *fleet
-	texts *texts
-	calls *callBook
-	owed  *owedBook
+	*recorder
+	opts       Options
+	deployment *stand.Deployment
+	fleet      *fleet
+	texts      *siteTexts
+	calls      *callOutcomes
+	notRun     *notRunVerdicts
 
-	planOver chan struct{} // closed when all is healed; callers begin nothing new
+	planOver chan struct{} // closed when all faults are healed; callers then start no new requests
 }
 
 func newRun(o Options, d *stand.Deployment) *run {
 	r := &run{
-		ledger: newLedger(), opts: o, stand: d, planOver: make(chan struct{}),
-		texts: newTexts(), calls: &callBook{}, owed: &owedBook{},
+		recorder: newRecorder(), opts: o, deployment: d, planOver: make(chan struct{}),
+		texts: newSiteTexts(), calls: &callOutcomes{}, notRun: &notRunVerdicts{},
 	}
 	r.fleet = newFleet(d)
 	return r
 }
 
-func (r *run) over() bool {
+func (r *run) isOver() bool {
 	select {
 	case <-r.planOver:
 		return true
@@ -100,39 +99,39 @@
 	}
 }
 
-// play runs everybody until the plan is over and then lets the system settle.
-func (r *run) play(ctx context.Context) {
+// execute runs all clients until the plan is over, and then checks the recovery.
+func (r *run) execute(ctx context.Context) {
 	callers, stop := context.WithCancel(ctx)
 	defer stop()
 	watching, stopWatching := context.WithCancel(ctx)
 	var watchers, actors sync.WaitGroup
-	watchers.Go(func() { r.watch(watching) })
-	r.startActors(callers, &actors)
-	r.faults(ctx)
+	watchers.Go(func() { r.watchRevisions(watching) })
+	r.startClients(callers, &actors)
+	r.injectFaults(ctx)
 	close(r.planOver)
-	r.note("all is healed")
+	r.logEvent("all faults are healed")
 	ended := make(chan struct{})
 	go func() {
 		actors.Wait()
 		close(ended)
 	}()
-	r.settle(ctx)
+	r.checkRecovery(ctx)
 	select {
 	case <-ended:
-	case <-time.After(settleLimit):
+	case <-time.After(completionLimit):
 		stop()
-		r.violate("callers had neither a whole answer nor a failure %v after all was healed", settleLimit)
+		r.recordViolation("requests had neither completed nor failed %v after all faults were healed", completionLimit)
 		<-ended
 	}
 	r.awaitStops()
 	stopWatching()
 	watchers.Wait()
-	r.judge(ctx)
+	r.checkFinal(ctx)
 }
 
-// startActors starts callers of each kind and two operators.
-func (r *run) startActors(ctx context.Context, wg *sync.WaitGroup) {
-	kinds := []func(context.Context, *caller){r.reviews, r.resubmissions, r.wholes, r.lookups, r.confirmations}
+// startClients starts the callers of each kind and the operators.
+func (r *run) startClients(ctx context.Context, wg *sync.WaitGroup) {
+	kinds := []func(context.Context, *caller){r.readReviews, r.resubmitReviews, r.readUnstreamed, r.makeLookups, r.makeConfirmations}
 	stream := uint64(callStream)
 	for _, kind := range kinds {
 		for range r.opts.Callers {
@@ -141,18 +140,18 @@
 			wg.Go(func() { kind(ctx, c) })
 		}
 	}
-	for i := range operators {
+	for i := range operatorCount {
 		stream++
 		rng := rand.New(rand.NewPCG(r.opts.Plan.Seed, stream))
-		wg.Go(func() { r.operate(ctx, i, rng) })
+		wg.Go(func() { r.runOperator(ctx, i, rng) })
 	}
 }
 
-// pause waits unless the plan is over or ctx ends; it reports whether to go on.
-func (r *run) pause(ctx context.Context, d time.Duration) bool {
+// shouldContinueAfter waits for d. It returns false if the plan is over or ctx ends.
+func (r *run) shouldContinueAfter(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
-		return !r.over()
+		return !r.isOver()
 	case <-r.planOver:
 	case <-ctx.Done():
 	}
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -15,51 +15,51 @@
 var (
 	runs    = flag.Int("soak.runs", 24, "random runs of TestRandomRuns")
 	long    = flag.Bool("soak.long", false, "long runs with more callers")
-	events  = flag.Bool("soak.events", false, "show each run's plan and events")
+	events  = flag.Bool("soak.events", false, "log each run's plan and events")
 	logs    = flag.String("soak.logs", "", "file for the daemons' logs")
 	planned = flag.Int("soak.planned", 6, "runs of TestRandomPlannedChanges")
-	first   = flag.Uint64("soak.seed", 1, "seed of the first one")
+	first   = flag.Uint64("soak.seed", 1, "seed of the first run")
 )
 
-// inVirtualTime plays a plan in memory.
+// inVirtualTime executes a plan in memory and in virtual time.
 func inVirtualTime(t *testing.T, o Options) (report *Report) {
 	t.Helper()
 	o.Memory = true
 	synctest.Test(t, func(t *testing.T) {
 		r, err := Run(t.Context(), o)
 		must.NoError(t, err)
-		// Fetches of weights and idle connections end by themselves; what is left
-		// over then is a goroutine leak, which synctest reports.
+		// Weight fetches and idle connections end by themselves within this time. Any goroutine
+		// left then is a leak, which synctest reports.
 		time.Sleep(3 * time.Minute)
 		report = r
 	})
 	return report
 }
 
-// Random runs, a few dozen short ones in the usual check. By hand more and
-// longer ones: go test ./lab/soak -run RandomRuns -soak.runs=100 -soak.long.
+// Runs random plans; the defaults are a few dozen short runs. For more and longer ones:
+// go test ./lab/soak -run RandomRuns -soak.runs=100 -soak.long.
 func TestRandomRuns(t *testing.T) {
-	length, _ := size()
+	length, _ := runSize()
 	for i := range uint64(*runs) {
 		seed := *first + i
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			random(t, seed, length)
+			runRandom(t, seed, length)
 		})
 	}
 }
 
-// size returns the length of runs and the callers of each kind.
-func size() (time.Duration, int) {
+// runSize returns the length of runs and the number of callers of each kind.
+func runSize() (time.Duration, int) {
 	if *long {
 		return LongRun, defaultCallers
 	}
 	return ShortRun, 1
 }
 
-func random(t *testing.T, seed uint64, length time.Duration) {
+func runRandom(t *testing.T, seed uint64, length time.Duration) {
 	t.Helper()
-	_, callers := size()
+	_, callers := runSize()
 	o := Options{Plan: Draw(seed, length), Callers: callers}
 	if *logs != "" {
 		f, err := os.Create(*logs)
@@ -77,10 +77,10 @@
 	}
 }
 
-// Planned changes alone, also several at once, cut nothing: any failure that a
+// Guards against failures caused by planned changes, singly and overlapping: any failure that a
 // caller sees is a violation.
 func TestRandomPlannedChanges(t *testing.T) {
-	length, callers := size()
+	length, callers := runSize()
 	for i := range uint64(*planned) {
 		seed := *first + i
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
