--- a/lab/bench/control/bench.go
+++ b/lab/bench/control/bench.go
@@ -41,7 +41,7 @@
 func Run(ctx context.Context, o Options) error {
 	r := report.New("The site text: time to in force and cost", o.Command, 1, o.Now())
 	r.Param("accounts in the text", strconv.Itoa(o.Accounts))
-	r.Param("bytes of the text", strconv.Itoa(len(text(o.Accounts, 0))))
+	r.Param("bytes of the text", strconv.Itoa(len(siteText(o.Accounts, 0))))
 	r.Param("zones", strconv.Itoa(zones))
 	r.Param("window", o.Window.String())
 	r.Note("All daemons run in one process over loopback TCP: membership and configuration in force, no serving. " +
--- a/lab/bench/control/cost.go
+++ b/lab/bench/control/cost.go
@@ -22,7 +22,7 @@
 // point is one size of a series.
 type point struct {
 	daemons, accounts int
-	every             time.Duration // between changes, 0 for none
+	changeInterval    time.Duration // between changes, 0 for none
 }
 
 // series is how cost grows with one size.
@@ -33,12 +33,12 @@
 }
 
 const (
-	costDaemons  = 28
-	costAccounts = 200
-	secondsOfDay = 86400
-	// settlePerDaemon is how much longer news of the members' joining is given
+	costDaemons   = 28
+	costAccounts  = 200
+	secondsPerDay = 86400
+	// joinSettlePerDaemon is how much longer news of the members' joining is given
 	// to end before a window, for each daemon.
-	settlePerDaemon = 200 * time.Millisecond
+	joinSettlePerDaemon = 200 * time.Millisecond
 )
 
 func allSeries(o Options) []series {
@@ -60,10 +60,10 @@
 }
 
 func changesPerDay(p point) float64 {
-	if p.every == 0 {
+	if p.changeInterval == 0 {
 		return 0
 	}
-	return secondsOfDay / p.every.Seconds()
+	return secondsPerDay / p.changeInterval.Seconds()
 }
 
 // measureCost measures one series and fits a line to each quantity.
@@ -76,7 +76,7 @@
 	var x []float64
 	var used []usage
 	for _, p := range s.points {
-		u, err := measure(ctx, o, p)
+		u, err := measureUsage(ctx, o, p)
 		if err != nil {
 			return errors.Wrapf(err, "%d daemons", p.daemons)
 		}
@@ -112,26 +112,26 @@
 	return nil
 }
 
-// measure runs one fleet for a window and returns what a daemon used.
-func measure(ctx context.Context, o Options, p point) (usage, error) {
-	before := memory()
-	f, err := start(ctx, p.daemons, text(p.accounts, 0))
+// measureUsage runs one fleet for a window and returns what a daemon used.
+func measureUsage(ctx context.Context, o Options, p point) (usage, error) {
+	before := memoryInUseBytes()
+	f, err := startFleet(ctx, p.daemons, siteText(p.accounts, 0))
 	if err != nil {
 		return usage{}, err
 	}
 	defer f.close()
 	// Changes before the window fill the memory of texts served as differences.
 	for range o.Warm {
-		if err := f.apply(ctx, text(p.accounts, int(f.revision))); err != nil {
+		if err := f.apply(ctx, siteText(p.accounts, int(f.revision))); err != nil {
 			return usage{}, err
 		}
-		f.await(f.revision, time.Now())
+		f.waitInForce(f.revision, time.Now())
 	}
-	time.Sleep(max(o.Window/4, time.Duration(p.daemons)*settlePerDaemon))
-	held := memory() - before
+	time.Sleep(max(o.Window/4, time.Duration(p.daemons)*joinSettlePerDaemon))
+	held := memoryInUseBytes() - before
 	start := time.Now()
 	cpu, peer, stored := cpuTime(), f.peerWire.bytes.Load(), f.storeWire.bytes.Load()
-	if err := f.keepChanging(ctx, p, o.Window); err != nil {
+	if err := f.applyPeriodically(ctx, p, o.Window); err != nil {
 		return usage{}, err
 	}
 	seconds, n := time.Since(start).Seconds(), float64(p.daemons)
@@ -144,25 +144,25 @@
 	}, nil
 }
 
-// keepChanging accepts a text at the point's rate for a window.
-func (f *fleet) keepChanging(ctx context.Context, p point, window time.Duration) error {
-	if p.every == 0 {
+// applyPeriodically accepts a text at the point's rate for a window.
+func (f *fleet) applyPeriodically(ctx context.Context, p point, window time.Duration) error {
+	if p.changeInterval == 0 {
 		time.Sleep(window)
 		return nil
 	}
-	ticker := time.NewTicker(p.every)
+	ticker := time.NewTicker(p.changeInterval)
 	defer ticker.Stop()
 	for end := time.Now().Add(window); time.Now().Before(end); <-ticker.C {
-		if err := f.apply(ctx, text(p.accounts, int(f.revision))); err != nil {
+		if err := f.apply(ctx, siteText(p.accounts, int(f.revision))); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// memory returns the live heap and the stacks, in bytes. Two collections also
+// memoryInUseBytes returns the live heap and the stacks, in bytes. Two collections also
 // free what finalizers held.
-func memory() int64 {
+func memoryInUseBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/lab/bench/control/fleet.go
+++ b/lab/bench/control/fleet.go
@@ -33,23 +33,23 @@
 
 const (
 	zones = 7
-	// readyLimit bounds the start of a fleet.
-	readyLimit = 3 * time.Minute
-	// look is how often revisions are looked at; it bounds the precision of a time.
-	look = time.Millisecond
-	site = "bench"
+	// readyTimeout bounds the start of a fleet.
+	readyTimeout = 3 * time.Minute
+	// pollInterval is how often revisions are looked at; it bounds the precision of a time.
+	pollInterval = time.Millisecond
+	site         = "bench"
 )
 
 // fleet is daemons' control stacks with their store.
 type fleet struct {
 	store     *store.Faulty
-	storeWire *counter
-	peerWire  counter // all peer listeners together
+	storeWire *byteCounter
+	peerWire  byteCounter // all peer listeners together
 	daemons   []*daemon
 	operator  *operate.Client
 	revision  int64
 	servers   []*http.Server
-	stop      context.CancelFunc
+	cancel    context.CancelFunc
 	wg        sync.WaitGroup
 }
 
@@ -58,13 +58,13 @@
 	members *membership.Manager
 }
 
-// counter counts the bytes of connections in both directions, with the headers
+// byteCounter counts the bytes of connections in both directions, with the headers
 // of HTTP and without the frames of TCP and IP.
-type counter struct{ bytes atomic.Int64 }
+type byteCounter struct{ bytes atomic.Int64 }
 
 type countedListener struct {
 	net.Listener
-	*counter
+	*byteCounter
 }
 
 func (l countedListener) Accept() (net.Conn, error) {
@@ -72,19 +72,19 @@
 	if err != nil {
 		return nil, err
 	}
-	return wire.Count(conn, &l.counter.bytes), nil
+	return wire.Count(conn, &l.byteCounter.bytes), nil
 }
 
-// start runs n daemons with text accepted and in force.
-func start(ctx context.Context, n int, text string) (*fleet, error) {
-	f := &fleet{store: store.NewFaulty(store.NewMemory()), storeWire: &counter{}}
-	ctx, f.stop = context.WithCancel(ctx)
+// startFleet runs n daemons with text accepted and in force.
+func startFleet(ctx context.Context, n int, text string) (*fleet, error) {
+	f := &fleet{store: store.NewFaulty(store.NewMemory()), storeWire: &byteCounter{}}
+	ctx, f.cancel = context.WithCancel(ctx)
 	storeAddress, err := f.serve(storesim.Handler(f.store), f.storeWire)
 	if err != nil {
 		return nil, err
 	}
 	// The operator has a listener of its own, so that its bytes are not counted.
-	operatorAddress, err := f.serve(storesim.Handler(f.store), &counter{})
+	operatorAddress, err := f.serve(storesim.Handler(f.store), &byteCounter{})
 	if err != nil {
 		return nil, err
 	}
@@ -98,14 +98,14 @@
 	}
 	vms := vmlist.NewMemory(0)
 	for i := range n {
-		if err := f.add(ctx, i, storeAddress, vms); err != nil {
+		if err := f.addDaemon(ctx, i, storeAddress, vms); err != nil {
 			return nil, err
 		}
 	}
-	return f, f.ready(ctx)
+	return f, f.waitReady(ctx)
 }
 
-func (f *fleet) add(ctx context.Context, i int, storeAddress string, vms *vmlist.Memory) error {
+func (f *fleet) addDaemon(ctx context.Context, i int, storeAddress string, vms *vmlist.Memory) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -142,7 +142,7 @@
 	return nil
 }
 
-func (f *fleet) serve(h http.Handler, c *counter) (address string, err error) {
+func (f *fleet) serve(h http.Handler, c *byteCounter) (address string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -157,19 +157,19 @@
 	f.wg.Go(func() { _ = s.Serve(l) })
 }
 
-// ready waits until every daemon knows all others and has the text in force.
-func (f *fleet) ready(ctx context.Context) error {
-	deadline := time.Now().Add(readyLimit)
+// waitReady waits until every daemon knows all others and has the text in force.
+func (f *fleet) waitReady(ctx context.Context) error {
+	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
-		if f.complete() && f.reached(f.revision) == len(f.daemons) {
+		if f.hasFullMembership() && f.countInForce(f.revision) == len(f.daemons) {
 			return nil
 		}
-		time.Sleep(100 * look)
+		time.Sleep(100 * pollInterval)
 	}
-	return errors.Errorf("the fleet of %d daemons was not ready in %s", len(f.daemons), readyLimit)
+	return errors.Errorf("the fleet of %d daemons was not ready in %s", len(f.daemons), readyTimeout)
 }
 
-func (f *fleet) complete() bool {
+func (f *fleet) hasFullMembership() bool {
 	for _, d := range f.daemons {
 		if len(d.members.Current().Members) < len(f.daemons) {
 			return false
@@ -178,8 +178,8 @@
 	return true
 }
 
-// reached counts the daemons that have revision in force.
-func (f *fleet) reached(revision int64) int {
+// countInForce counts the daemons that have revision in force.
+func (f *fleet) countInForce(revision int64) int {
 	n := 0
 	for _, d := range f.daemons {
 		if int64(d.config.Digest()) >= revision {
@@ -200,7 +200,7 @@
 
 // close ends everything that start began.
 func (f *fleet) close() {
-	f.stop()
+	f.cancel()
 	for _, s := range f.servers {
 		s.Close()
 	}
--- a/lab/bench/control/text.go
+++ b/lab/bench/control/text.go
@@ -7,14 +7,14 @@
 	"mallowwind.dev/control/inforce/record"
 )
 
-const services = 15
+const serviceCount = 15
 
-// text returns a site text with this many accounts; change makes it differ in
+// siteText returns a site text with this many accounts; change makes it differ in
 // two of them, as an operator's edit does.
-func text(accounts, change int) string {
+func siteText(accounts, change int) string {
 	var b strings.Builder
 	b.WriteString("[site]\nname = " + site + "\nzones = " + zoneNames() + "\n\n[pool engines]\n")
-	for i := range services {
+	for i := range serviceCount {
 		fmt.Fprintf(&b, "\n[service model-%d]\nkind = generation\npool = engines\nmodel = model-%d\nversion = 1\n", i, i)
 		for z := range zones {
 			fmt.Fprintf(&b, "replicas.zone-%d = 18\n", z)
--- a/lab/bench/losses/losses.go
+++ b/lab/bench/losses/losses.go
@@ -30,34 +30,34 @@
 	Now      func() time.Time
 }
 
-// weights are those of the curve.
-var weights = []float64{0, CostWeight, 0.5, LatencyWeight, 1}
+// curveWeights are those of the curve.
+var curveWeights = []float64{0, CostWeight, 0.5, LatencyWeight, 1}
 
-// cell is one trial of the comparison.
-type cell struct {
+// trial is one trial of the comparison.
+type trial struct {
 	variant variant
-	kind    kind
+	kind    faultKind
 	result  *result
 }
 
 // Run compares the policies and writes the report into o.Dir.
 func Run(ctx context.Context, o Options) error {
-	var cells []*cell
-	for _, v := range variants(o.Fixed, weights) {
-		for _, k := range kinds {
+	var cells []*trial
+	for _, v := range variants(o.Fixed, curveWeights) {
+		for _, k := range faultKinds {
 			if o.Only != "" && o.Only != string(k) {
 				continue
 			}
-			cells = append(cells, &cell{variant: v, kind: k})
+			cells = append(cells, &trial{variant: v, kind: k})
 		}
 	}
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(o.Parallel)
 	for _, c := range cells {
 		g.Go(func() (err error) {
-			c.result, err = run(ctx, c.variant, c.kind, o.Seed, o.Duration)
+			c.result, err = runTrial(ctx, c.variant, c.kind, o.Seed, o.Duration)
 			if err == nil {
-				fmt.Fprintf(o.Log, "%s, %s: %d answers met\n", c.variant, c.kind, c.result.losses)
+				fmt.Fprintf(o.Log, "%s, %s: %d answers met\n", c.variant, c.kind, c.result.affectedAnswers)
 			}
 			return err
 		})
@@ -65,26 +65,26 @@
 	if err := g.Wait(); err != nil {
 		return err
 	}
-	return write(o, cells)
+	return writeReport(o, cells)
 }
 
-func write(o Options, cells []*cell) error {
+func writeReport(o Options, cells []*trial) error {
 	r := report.New("Resume latency against extra resources", o.Command, o.Seed, o.Now())
 	r.Param("trial", fmt.Sprintf("%s of load by %d callers on %d entry VMs and %d engines", o.Duration, callers, vms, engines))
 	r.Param("fixed timeout", o.Fixed.String())
 	r.Param("trials at once", fmt.Sprint(o.Parallel))
-	for _, k := range kinds {
+	for _, k := range faultKinds {
 		if o.Only == "" || o.Only == string(k) {
-			table(r, k, cells)
+			addTable(r, k, cells)
 		}
 	}
-	curve(r, cells)
+	plotCurves(r, cells)
 	r.Note("Latency is the longest time in which an answer that depended on what failed did not grow. " +
 		"Extra tokens are tokens that no caller received, and a tenth of the prompt and answer tokens read again.")
 	return r.Write(o.Dir)
 }
 
-func table(r *report.Report, k kind, cells []*cell) {
+func addTable(r *report.Report, k faultKind, cells []*trial) {
 	t := r.Table(string(k),
 		report.Col("policy", ""), report.Col("answers met", ""),
 		report.Col("p50", "ms"), report.Col("p99", "ms"), report.Col("max", "ms"),
@@ -96,28 +96,28 @@
 			continue
 		}
 		x := c.result
-		t.Add(report.Text(c.variant.String()), report.Count(x.losses),
-			millis(x, 50), millis(x, 99), millis(x, 100),
-			report.Num(round(x.extraShare())), report.Num(round(x.perLoss())),
-			report.Count(int(x.begun)-x.requests-int(x.primings)),
+		t.Add(report.Text(c.variant.String()), report.Count(x.affectedAnswers),
+			latencyCell(x, 50), latencyCell(x, 99), latencyCell(x, 100),
+			report.Num(roundDown(x.extraTokensPercent())), report.Num(roundDown(x.extraTokensPerAffected())),
+			report.Count(int(x.attempts)-x.requests-int(x.primings)),
 			report.Num(x.suspected), report.Num(x.falseSuspicions),
-			report.Num(round(x.journalBytes/float64(x.tokens))), report.Num(x.primings), report.Count(x.failed))
+			report.Num(roundDown(x.journalBytes/float64(x.tokens))), report.Num(x.primings), report.Count(x.failed))
 	}
 }
 
-func millis(x *result, quantile float64) report.Cell {
+func latencyCell(x *result, quantile float64) report.Cell {
 	return report.Num(float64(x.latency.ValueAtQuantile(quantile)/100) / 10)
 }
 
-// round keeps two decimals.
-func round(f float64) float64 { return float64(int(f*100)) / 100 }
+// roundDown keeps two decimals.
+func roundDown(f float64) float64 { return float64(int(f*100)) / 100 }
 
-// curve draws p99 against extra tokens over the weights, for the losses that
+// plotCurves draws p99 against extra tokens over the weights, for the losses that
 // are found by silence.
-func curve(r *report.Report, cells []*cell) {
+func plotCurves(r *report.Report, cells []*trial) {
 	p := r.Plot("resume", "Resume latency by weight", "weight of resume latency", "p99 (ms)")
 	e := r.Plot("extra", "Extra tokens by weight", "weight of resume latency", "extra tokens (%)")
-	for _, k := range kinds {
+	for _, k := range faultKinds {
 		var x, latency, extra []float64
 		for _, c := range cells {
 			if c.kind != k || c.variant.name != "takeover" {
@@ -125,7 +125,7 @@
 			}
 			x = append(x, c.variant.weight)
 			latency = append(latency, float64(c.result.latency.ValueAtQuantile(99))/1000)
-			extra = append(extra, c.result.extraShare())
+			extra = append(extra, c.result.extraTokensPercent())
 		}
 		p.Line(string(k), x, latency)
 		e.Line(string(k), x, extra)
--- a/lab/bench/losses/policy.go
+++ b/lab/bench/losses/policy.go
@@ -22,19 +22,19 @@
 	policy resume.Policy
 }
 
-// standbyEvery is how many tokens apart the standby engine reads the answer:
+// standbyIntervalTokens is how many tokens apart the standby engine reads the answer:
 // two to four times in an answer of this experiment.
-const standbyEvery = 64
+const standbyIntervalTokens = 64
 
-// fixed suspects after the same time always.
-func fixed(timeout time.Duration) silence.Config {
+// fixedTimeout suspects after the same time always.
+func fixedTimeout(timeout time.Duration) silence.Config {
 	return silence.Config{Floor: timeout, Ceiling: timeout, FirstChunkFloor: timeout, FirstChunkCeiling: timeout, Deviations: 1}
 }
 
 // variants are the baselines and, at each weight, what is built on them.
 func variants(timeout time.Duration, weights []float64) []variant {
 	base := resume.PolicyForService(0, time.Minute)
-	base.MaxConcurrentAttempts, base.Reattach, base.Silence = 1, false, fixed(timeout)
+	base.MaxConcurrentAttempts, base.Reattach, base.Silence = 1, false, fixedTimeout(timeout)
 	// No attempt follows a lost one: the caller sends its request again.
 	restart := base
 	restart.MaxAttempts, restart.Deadline = 0, timeout
@@ -49,13 +49,13 @@
 	}
 	for _, w := range []float64{CostWeight, LatencyWeight} {
 		standby := resume.PolicyForService(w, time.Minute)
-		standby.StandbyIntervalTokens = standbyEvery
+		standby.StandbyIntervalTokens = standbyIntervalTokens
 		list = append(list, variant{"takeover, standby", w, standby})
 	}
 	return list
 }
 
-func (v variant) of(*site.Service) resume.Policy { return v.policy }
+func (v variant) policyFor(*site.Service) resume.Policy { return v.policy }
 
 func (v variant) String() string {
 	if v.weight == 0 && v.name != "takeover" {
--- a/lab/bench/losses/trial.go
+++ b/lab/bench/losses/trial.go
@@ -24,94 +24,94 @@
 )
 
 const (
-	firstFault = 2 * time.Second
-	faultEvery = 1500 * time.Millisecond
-	faultLasts = time.Second
-	pauseLasts = 6 * time.Second
-	// drainLimit ends a trial whose last answers do not.
-	drainLimit = 30 * time.Second
+	firstFaultDelay = 2 * time.Second
+	faultSpacing    = 1500 * time.Millisecond
+	faultLength     = time.Second
+	pauseLength     = 6 * time.Second
+	// drainTimeout ends a trial whose last answers do not.
+	drainTimeout = 30 * time.Second
 )
 
-// kind is a kind of loss.
-type kind string
+// faultKind is a kind of loss.
+type faultKind string
 
 // The losses of the experiment. A slow engine is no loss: whatever is done
 // about it is needless.
 const (
-	engineDeath  kind = "engine death"
-	enginePause  kind = "engine pause"
-	silentStream kind = "silent connection"
-	routerDeath  kind = "router death"
-	slowEngine   kind = "slow engine"
+	engineCrash  faultKind = "engine death"
+	enginePause  faultKind = "engine pause"
+	silentStream faultKind = "silent connection"
+	routerCrash  faultKind = "router death"
+	slowEngine   faultKind = "slow engine"
 )
 
-var kinds = []kind{engineDeath, enginePause, silentStream, routerDeath, slowEngine}
+var faultKinds = []faultKind{engineCrash, enginePause, silentStream, routerCrash, slowEngine}
 
-// hit is one fault and the callers whose answers it met.
-type hit struct {
-	at  time.Time
-	met []*caller
+// fault is one fault and the callers whose answers it met.
+type fault struct {
+	at       time.Time
+	affected []*caller
 }
 
 // result is what a trial gave.
 type result struct {
-	latency  *hdrhistogram.Histogram // microseconds, of the answers met
-	losses   int                     // answers met
-	requests int
-	reads    int // prompt tokens of the requests
-	failed   int
-	tokens   int // received by callers, each once
+	latency         *hdrhistogram.Histogram // microseconds, of the answers met
+	affectedAnswers int                     // answers met
+	requests        int
+	promptTokens    int // prompt tokens of the requests
+	failed          int
+	tokens          int // received by callers, each once
 	// generated, prefilled and begun are the engines' work.
-	generated, prefilled, begun int64
-	journalBytes, primings      float64
-	suspected, falseSuspicions  float64
+	generated, prefilled, attempts int64
+	journalBytes, primings         float64
+	suspected, falseSuspicions     float64
 }
 
-// run plays one trial in real time.
-func run(ctx context.Context, v variant, k kind, seed uint64, duration time.Duration) (*result, error) {
+// runTrial plays one trial in real time.
+func runTrial(ctx context.Context, v variant, k faultKind, seed uint64, duration time.Duration) (*result, error) {
 	w := world.New(ctx, world.Config{
-		Seed: seed, VMs: vms, Engines: engines, Weight: v.weight, Policy: v.of,
-		Engine: enginesim.Config{StepBase: 25 * time.Millisecond, LoadTime: faultLasts / 2},
+		Seed: seed, VMs: vms, Engines: engines, Weight: v.weight, Policy: v.policyFor,
+		Engine: enginesim.Config{StepBase: 25 * time.Millisecond, LoadTime: faultLength / 2},
 	})
 	defer w.Close()
-	ctx, cancel := context.WithTimeout(ctx, duration+drainLimit)
+	ctx, cancel := context.WithTimeout(ctx, duration+drainTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	list := make([]*caller, callers)
 	until := time.Now().Add(duration)
 	for i := range list {
-		c := &caller{number: i, w: w, random: rand.New(rand.NewPCG(seed, uint64(i)))}
+		c := &caller{index: i, world: w, rng: rand.New(rand.NewPCG(seed, uint64(i)))}
 		list[i] = c
 		wg.Go(func() { c.run(ctx, until) })
 	}
-	hits := strike(ctx, w, k, list, until)
+	hits := injectFaults(ctx, w, k, list, until)
 	wg.Wait()
-	return collect(w, list, hits)
+	return collectResult(w, list, hits)
 }
 
-// strike injects a fault every now and then until the given time. Each is
+// injectFaults injects a fault every now and then until the given time. Each is
 // undone while the experiment goes on.
-func strike(ctx context.Context, w *world.World, k kind, list []*caller, until time.Time) []hit {
-	var hits []hit
-	pause.For(ctx, firstFault)
+func injectFaults(ctx context.Context, w *world.World, k faultKind, list []*caller, until time.Time) []fault {
+	var hits []fault
+	pause.For(ctx, firstFaultDelay)
 	for i := 0; time.Now().Before(until) && ctx.Err() == nil; i++ {
-		h, undo := inject(w, k, i, list)
+		h, undo := injectFault(w, k, i, list)
 		hits = append(hits, h)
-		time.AfterFunc(lasts(k), undo)
-		pause.For(ctx, every(k))
+		time.AfterFunc(faultDuration(k), undo)
+		pause.For(ctx, faultInterval(k))
 	}
-	pause.For(ctx, lasts(k))
+	pause.For(ctx, faultDuration(k))
 	return hits
 }
 
-// inject carries out the i-th fault and returns what undoes it.
-func inject(w *world.World, k kind, i int, list []*caller) (h hit, undo func()) {
+// injectFault carries out the i-th fault and returns what undoes it.
+func injectFault(w *world.World, k faultKind, i int, list []*caller) (h fault, undo func()) {
 	n := i % engines
-	h = hit{at: time.Now(), met: meets(w, k, n, list)}
+	h = fault{at: time.Now(), affected: affectedCallers(w, k, n, list)}
 	e := w.Engines[n]
 	undo = func() {}
 	switch k {
-	case engineDeath:
+	case engineCrash:
 		e.Die()
 		undo = e.Revive
 	case enginePause:
@@ -119,7 +119,7 @@
 		undo = e.Unpause
 	case silentStream:
 		e.Silence()
-	case routerDeath:
+	case routerCrash:
 		w.Kill(i % vms)
 		undo = func() { w.Replace(i % vms) }
 	case slowEngine:
@@ -129,56 +129,56 @@
 	return h, undo
 }
 
-// lasts is how long a fault of a kind lasts. A pause outlasts the fixed timeout.
-func lasts(k kind) time.Duration {
+// faultDuration is how long a fault of a kind lasts. A pause outlasts the fixed timeout.
+func faultDuration(k faultKind) time.Duration {
 	if k == enginePause {
-		return pauseLasts
+		return pauseLength
 	}
-	return faultLasts
+	return faultLength
 }
 
-// every spaces the faults; of paused engines there are two at most at a time.
-func every(k kind) time.Duration {
+// faultInterval spaces the faults; of paused engines there are two at most at a time.
+func faultInterval(k faultKind) time.Duration {
 	if k == enginePause {
-		return pauseLasts / 2
+		return pauseLength / 2
 	}
-	return faultEvery
+	return faultSpacing
 }
 
-// meets finds the callers whose answers depend on what is about to fail.
-func meets(w *world.World, k kind, n int, list []*caller) []*caller {
+// affectedCallers finds the callers whose answers depend on what is about to fail.
+func affectedCallers(w *world.World, k faultKind, n int, list []*caller) []*caller {
 	var met []*caller
 	read := w.Read(n)
 	for _, c := range list {
-		id, vm := c.at()
-		if k == routerDeath && vm == n%vms || k != routerDeath && slices.Contains(read, id) {
+		id, vm := c.current()
+		if k == routerCrash && vm == n%vms || k != routerCrash && slices.Contains(read, id) {
 			met = append(met, c)
 		}
 	}
 	return met
 }
 
-func collect(w *world.World, list []*caller, hits []hit) (*result, error) {
+func collectResult(w *world.World, list []*caller, hits []fault) (*result, error) {
 	r := &result{latency: hdrhistogram.New(1, time.Minute.Microseconds(), 3)}
 	for _, h := range hits {
-		for _, c := range h.met {
-			if d := c.waited(h.at); d > 0 {
+		for _, c := range h.affected {
+			if d := c.longestStall(h.at); d > 0 {
 				_ = r.latency.RecordValue(d.Microseconds()) // within a minute by drainLimit
-				r.losses++
+				r.affectedAnswers++
 			}
 		}
 	}
 	for _, c := range list {
-		if c.broken != nil {
-			return nil, c.broken
+		if c.violation != nil {
+			return nil, c.violation
 		}
 		r.requests += c.requests
-		r.reads += c.reads
+		r.promptTokens += c.promptTokens
 		r.tokens += c.tokens
 		r.failed += c.failed
 	}
 	s := w.Stats()
-	r.generated, r.prefilled, r.begun = s.Tokens, s.Prefilled, s.Started
+	r.generated, r.prefilled, r.attempts = s.Tokens, s.Prefilled, s.Started
 	r.journalBytes = w.Sum("generation_journal_bytes_total")
 	r.primings = w.Sum("generation_primings_total")
 	r.suspected = w.Sum("generation_attempts_suspected_total")
@@ -189,12 +189,14 @@
 // extraTokens is the work beyond what each request needs once, in generated
 // tokens: tokens that no caller received, and what had to be read again.
 func (r *result) extraTokens() float64 {
-	again := int(r.prefilled) - r.reads
+	again := int(r.prefilled) - r.promptTokens
 	return float64(int(r.generated)-r.tokens) + budget.TakeoverCost(again)
 }
 
-// extraShare is extraTokens for each hundred tokens received.
-func (r *result) extraShare() float64 { return 100 * r.extraTokens() / float64(r.tokens) }
+// extraTokensPercent is extraTokens for each hundred tokens received.
+func (r *result) extraTokensPercent() float64 { return 100 * r.extraTokens() / float64(r.tokens) }
 
-// perLoss is extraTokens for each answer met.
-func (r *result) perLoss() float64 { return r.extraTokens() / float64(max(r.losses, 1)) }
+// extraTokensPerAffected is extraTokens for each answer met.
+func (r *result) extraTokensPerAffected() float64 {
+	return r.extraTokens() / float64(max(r.affectedAnswers, 1))
+}
--- a/lab/bench/members/fleet.go
+++ b/lab/bench/members/fleet.go
@@ -37,12 +37,12 @@
 
 // fleet is n daemons on loopback, as far as membership and leases go.
 type fleet struct {
-	list    []vmlist.VM
-	store   *store.Faulty
-	daemons []*daemon
-	bytes   atomic.Int64 // of all connections, both directions, each byte once
-	loss    atomic.Uint64
-	rng     *lockedRand
+	vms          []vmlist.VM
+	store        *store.Faulty
+	daemons      []*daemon
+	trafficBytes atomic.Int64 // of all connections, both directions, each byte once
+	lossPPM      atomic.Uint64
+	rng          *lockedRand
 }
 
 type daemon struct {
@@ -52,8 +52,8 @@
 	server   *http.Server
 	listener net.Listener
 	cancel   context.CancelFunc
-	running  sync.WaitGroup
-	dead     bool
+	wg       sync.WaitGroup
+	isKilled bool
 }
 
 // lockedRand is a seeded source for use by many goroutines.
@@ -62,7 +62,7 @@
 	rng *rand.Rand
 }
 
-func (l *lockedRand) below(perMillion uint64) bool {
+func (l *lockedRand) chance(perMillion uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rng.Uint64N(1_000_000) < perMillion
@@ -80,9 +80,9 @@
 			f.stop()
 			return nil, errors.Wrap(err, "bench members")
 		}
-		d := &daemon{id: fmt.Sprintf("vm%03d", i), listener: &counted{Listener: l, bytes: &f.bytes}}
+		d := &daemon{id: fmt.Sprintf("vm%03d", i), listener: &countedListener{Listener: l, bytes: &f.trafficBytes}}
 		f.daemons = append(f.daemons, d)
-		f.list = append(f.list, vmlist.VM{
+		f.vms = append(f.vms, vmlist.VM{
 			ID: d.id, Address: l.Addr().String(), Zone: fmt.Sprint("z", i%zones), Region: fmt.Sprint("r", i%zones%regions),
 			Role: vmlist.RoleEntry, State: vmlist.Live,
 		})
@@ -92,15 +92,15 @@
 
 // List implements vmlist.Source: the platform's list, which lags too far to
 // notice a death.
-func (f *fleet) List(context.Context) ([]vmlist.VM, error) { return f.list, nil }
+func (f *fleet) List(context.Context) ([]vmlist.VM, error) { return f.vms, nil }
 
 func (f *fleet) start(ctx context.Context) {
 	for i, d := range f.daemons {
-		f.startOne(ctx, d, f.list[i])
+		f.startDaemon(ctx, d, f.vms[i])
 	}
 }
 
-func (f *fleet) startOne(ctx context.Context, d *daemon, vm vmlist.VM) {
+func (f *fleet) startDaemon(ctx context.Context, d *daemon, vm vmlist.VM) {
 	ctx, d.cancel = context.WithCancel(ctx)
 	d.registry = prometheus.NewRegistry()
 	transport := &http.Transport{
@@ -112,19 +112,19 @@
 			CallerAddr: vm.Address, PeerAddr: vm.Address,
 		},
 		VMs:        f,
-		Dialer:     link.NewDialerWith(&http.Client{Transport: &lossy{RoundTripper: transport, f: f}}),
+		Dialer:     link.NewDialerWith(&http.Client{Transport: &lossyTransport{RoundTripper: transport, f: f}}),
 		Registerer: d.registry,
 	})
 	holder := lease.NewManager(lease.Deps{Store: f.store, Members: d.members})
 	d.server = &http.Server{Handler: peerpb.NewMembershipServer(d.members), ReadHeaderTimeout: 10 * time.Second, ErrorLog: log.New(io.Discard, "", 0)}
-	d.running.Go(func() { _ = d.server.Serve(d.listener) })
-	d.running.Go(func() { _ = d.members.Run(ctx) })
-	d.running.Go(func() { _ = holder.Run(ctx) })
+	d.wg.Go(func() { _ = d.server.Serve(d.listener) })
+	d.wg.Go(func() { _ = d.members.Run(ctx) })
+	d.wg.Go(func() { _ = holder.Run(ctx) })
 }
 
 // kill ends a daemon without a word to the others.
 func (d *daemon) kill() {
-	d.dead = true
+	d.isKilled = true
 	if d.server != nil {
 		_ = d.server.Close()
 	}
@@ -132,37 +132,37 @@
 		d.cancel()
 	}
 	_ = d.listener.Close()
-	d.running.Wait()
+	d.wg.Wait()
 }
 
 func (f *fleet) stop() {
 	var wg sync.WaitGroup
 	for _, d := range f.daemons {
-		if !d.dead {
+		if !d.isKilled {
 			wg.Go(d.kill)
 		}
 	}
 	wg.Wait()
 }
 
-// whole reports whether every running daemon believes all running ones alive
+// hasConverged reports whether every running daemon believes all running ones alive
 // and no other.
-func (f *fleet) whole() bool {
+func (f *fleet) hasConverged() bool {
 	running := 0
 	for _, d := range f.daemons {
-		if !d.dead {
+		if !d.isKilled {
 			running++
 		}
 	}
 	for _, d := range f.daemons {
-		if !d.dead && alive(d.members.Current()) != running {
+		if !d.isKilled && countAlive(d.members.Current()) != running {
 			return false
 		}
 	}
 	return true
 }
 
-func alive(v *membership.View) int {
+func countAlive(v *membership.View) int {
 	n := 0
 	for _, m := range v.Members {
 		if m.State == membership.Alive {
@@ -172,11 +172,11 @@
 	return n
 }
 
-// believers counts the running daemons to which id is a member.
-func (f *fleet) believers(id string) int {
+// countListing counts the running daemons to which id is a member.
+func (f *fleet) countListing(id string) int {
 	n := 0
 	for _, d := range f.daemons {
-		if d.dead {
+		if d.isKilled {
 			continue
 		}
 		if _, ok := d.members.Current().Find(id); ok {
@@ -186,8 +186,8 @@
 	return n
 }
 
-// changes returns how often some daemon came to believe state of another.
-func (f *fleet) changes(state string) float64 {
+// countStateChanges returns how often some daemon came to believe state of another.
+func (f *fleet) countStateChanges(state string) float64 {
 	var sum float64
 	for _, d := range f.daemons {
 		families, err := d.registry.Gather()
@@ -208,21 +208,21 @@
 	return sum
 }
 
-// lossy loses requests and answers with the fleet's present probability.
-type lossy struct {
+// lossyTransport loses requests and answers with the fleet's present probability.
+type lossyTransport struct {
 	http.RoundTripper
 	f *fleet
 }
 
 // RoundTrip implements http.RoundTripper.
-func (l *lossy) RoundTrip(r *http.Request) (*http.Response, error) {
-	p := l.f.loss.Load()
-	if p > 0 && l.f.rng.below(p) {
+func (l *lossyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	p := l.f.lossPPM.Load()
+	if p > 0 && l.f.rng.chance(p) {
 		<-r.Context().Done()
 		return nil, r.Context().Err()
 	}
 	resp, err := l.RoundTripper.RoundTrip(r)
-	if err == nil && p > 0 && l.f.rng.below(p) {
+	if err == nil && p > 0 && l.f.rng.chance(p) {
 		_ = resp.Body.Close()
 		<-r.Context().Done()
 		return nil, r.Context().Err()
@@ -230,14 +230,14 @@
 	return resp, err
 }
 
-// counted counts the bytes of the connections that a listener accepts.
-type counted struct {
+// countedListener counts the bytes of the connections that a listener accepts.
+type countedListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
 // Accept implements net.Listener.
-func (c *counted) Accept() (net.Conn, error) {
+func (c *countedListener) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
--- a/lab/bench/members/members.go
+++ b/lab/bench/members/members.go
@@ -25,25 +25,25 @@
 
 // result is what one size showed.
 type result struct {
-	daemons  int
-	join     time.Duration
-	bytes    float64 // a second and daemon, sent and received
-	cpu      float64 // µs a second and daemon
-	memory   float64 // kB a daemon
-	reads    float64 // store reads a second, all daemons
-	writes   float64
-	detect   []time.Duration // from a death until all others know
-	first    []time.Duration // until the first other knows
-	suspects float64         // beliefs of suspicion during the phase with loss
-	gone     float64         // beliefs of death during the phase with loss
+	daemons              int
+	joinTime             time.Duration
+	bytesPerSecond       float64 // a second and daemon, sent and received
+	cpuMicrosPerSecond   float64 // µs a second and daemon
+	memoryKB             float64 // kB a daemon
+	storeReadsPerSecond  float64 // store reads a second, all daemons
+	storeWritesPerSecond float64
+	lastDetection        []time.Duration // from a death until all others know
+	firstDetection       []time.Duration // until the first other knows
+	suspicions           float64         // beliefs of suspicion during the phase with loss
+	removals             float64         // beliefs of death during the phase with loss
 }
 
 const (
-	joinLimit   = 2 * time.Minute
-	settle      = 12 * time.Second // covers the repair of differing tables
-	detectLimit = time.Minute
-	lossPPM     = 10_000 // 1% of requests, and of answers
-	poll        = 50 * time.Millisecond
+	joinTimeout   = 2 * time.Minute
+	settleTime    = 12 * time.Second // covers the repair of differing tables
+	detectTimeout = time.Minute
+	lossPPM       = 10_000 // 1% of requests, and of answers
+	pollInterval  = 50 * time.Millisecond
 )
 
 // Run measures all sizes and writes members.json, members.md and the slopes.
@@ -55,23 +55,23 @@
 			return errors.Wrapf(err, "bench members: %d daemons", n)
 		}
 		results = append(results, r)
-		fmt.Fprintf(o.Log, "%d daemons: joined in %s, %.0f B/s, %.0f µs/s, %.0f kB, detected in %v\n", n, r.join.Round(poll), r.bytes, r.cpu, r.memory, r.detect)
+		fmt.Fprintf(o.Log, "%d daemons: joined in %s, %.0f B/s, %.0f µs/s, %.0f kB, detected in %v\n", n, r.joinTime.Round(pollInterval), r.bytesPerSecond, r.cpuMicrosPerSecond, r.memoryKB, r.lastDetection)
 	}
-	if err := write(results, o); err != nil {
+	if err := writeReport(results, o); err != nil {
 		return err
 	}
-	if len(results) < fewestForSlope {
+	if len(results) < minSizesForSlope {
 		return nil
 	}
-	return slopes(results, o)
+	return writeSlopes(results, o)
 }
 
-// fewestForSlope is how many sizes a slope is worked out from.
-const fewestForSlope = 4
+// minSizesForSlope is how many sizes a slope is worked out from.
+const minSizesForSlope = 4
 
 func measure(ctx context.Context, n int, o Options) (result, error) {
 	r := result{daemons: n}
-	before := heap()
+	before := memoryInUseBytes()
 	f, err := newFleet(n, o.Seed)
 	if err != nil {
 		return r, err
@@ -79,86 +79,86 @@
 	defer f.stop()
 	begin := time.Now()
 	f.start(ctx)
-	if err := until(ctx, joinLimit, f.whole); err != nil {
+	if err := waitUntil(ctx, joinTimeout, f.hasConverged); err != nil {
 		return r, errors.Wrap(err, "join")
 	}
-	r.join = time.Since(begin)
-	if err := rest(ctx, settle); err != nil {
+	r.joinTime = time.Since(begin)
+	if err := sleep(ctx, settleTime); err != nil {
 		return r, err
 	}
-	if err := f.steady(ctx, o, &r); err != nil {
+	if err := f.measureSteadyState(ctx, o, &r); err != nil {
 		return r, err
 	}
-	r.memory = float64(heap()-before) / float64(n) / 1000
-	if err := f.withLoss(ctx, o, &r); err != nil {
+	r.memoryKB = float64(memoryInUseBytes()-before) / float64(n) / 1000
+	if err := f.measureLoss(ctx, o, &r); err != nil {
 		return r, err
 	}
-	return r, f.deaths(ctx, o, &r)
+	return r, f.measureDetection(ctx, o, &r)
 }
 
-// steady measures the cost while nothing happens.
-func (f *fleet) steady(ctx context.Context, o Options, r *result) error {
-	calls, bytes, cpu, begin := f.store.Counts(), f.bytes.Load(), cpuTime(), time.Now()
-	if err := rest(ctx, o.Window); err != nil {
+// measureSteadyState measures the cost while nothing happens.
+func (f *fleet) measureSteadyState(ctx context.Context, o Options, r *result) error {
+	calls, bytes, cpu, begin := f.store.Counts(), f.trafficBytes.Load(), cpuTime(), time.Now()
+	if err := sleep(ctx, o.Window); err != nil {
 		return err
 	}
 	seconds := time.Since(begin).Seconds()
 	perDaemon := seconds * float64(r.daemons)
 	after := f.store.Counts()
 	const ends = 2 // each byte is sent by one daemon and received by another
-	r.bytes = ends * float64(f.bytes.Load()-bytes) / perDaemon
-	r.cpu = float64((cpuTime() - cpu).Microseconds()) / perDaemon
-	r.reads = float64(after.Reads()-calls.Reads()) / seconds
-	r.writes = float64(after.Writes()-calls.Writes()) / seconds
+	r.bytesPerSecond = ends * float64(f.trafficBytes.Load()-bytes) / perDaemon
+	r.cpuMicrosPerSecond = float64((cpuTime() - cpu).Microseconds()) / perDaemon
+	r.storeReadsPerSecond = float64(after.Reads()-calls.Reads()) / seconds
+	r.storeWritesPerSecond = float64(after.Writes()-calls.Writes()) / seconds
 	return nil
 }
 
-// withLoss counts suspicions while messages are lost.
-func (f *fleet) withLoss(ctx context.Context, o Options, r *result) error {
-	suspects, gone := f.changes("suspect"), f.changes("gone")
-	f.loss.Store(lossPPM)
-	defer f.loss.Store(0)
-	err := rest(ctx, o.Window)
-	r.suspects, r.gone = f.changes("suspect")-suspects, f.changes("gone")-gone
+// measureLoss counts suspicions while messages are lost.
+func (f *fleet) measureLoss(ctx context.Context, o Options, r *result) error {
+	suspects, gone := f.countStateChanges("suspect"), f.countStateChanges("gone")
+	f.lossPPM.Store(lossPPM)
+	defer f.lossPPM.Store(0)
+	err := sleep(ctx, o.Window)
+	r.suspicions, r.removals = f.countStateChanges("suspect")-suspects, f.countStateChanges("gone")-gone
 	return err
 }
 
-// deaths kills daemons one after the other and measures until all know.
-func (f *fleet) deaths(ctx context.Context, o Options, r *result) error {
-	f.loss.Store(0)
-	if err := until(ctx, joinLimit, f.whole); err != nil {
+// measureDetection kills daemons one after the other and measures until all know.
+func (f *fleet) measureDetection(ctx context.Context, o Options, r *result) error {
+	f.lossPPM.Store(0)
+	if err := waitUntil(ctx, joinTimeout, f.hasConverged); err != nil {
 		return errors.Wrap(err, "after the loss")
 	}
 	for i := range o.Kills {
 		d := f.daemons[(i+1)*len(f.daemons)/(o.Kills+1)]
 		begin := time.Now()
 		d.kill()
-		others := f.believers(d.id)
-		if err := until(ctx, detectLimit, func() bool { return f.believers(d.id) < others }); err != nil {
+		others := f.countListing(d.id)
+		if err := waitUntil(ctx, detectTimeout, func() bool { return f.countListing(d.id) < others }); err != nil {
 			return errors.Wrap(err, "detection")
 		}
-		r.first = append(r.first, time.Since(begin).Round(poll))
-		if err := until(ctx, detectLimit, func() bool { return f.believers(d.id) == 0 }); err != nil {
+		r.firstDetection = append(r.firstDetection, time.Since(begin).Round(pollInterval))
+		if err := waitUntil(ctx, detectTimeout, func() bool { return f.countListing(d.id) == 0 }); err != nil {
 			return errors.Wrap(err, "detection by all")
 		}
-		r.detect = append(r.detect, time.Since(begin).Round(poll))
+		r.lastDetection = append(r.lastDetection, time.Since(begin).Round(pollInterval))
 	}
 	return nil
 }
 
-// until waits until ok, looking often.
-func until(ctx context.Context, limit time.Duration, ok func() bool) error {
+// waitUntil waits until ok, looking often.
+func waitUntil(ctx context.Context, limit time.Duration, ok func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for !ok() {
-		if err := rest(ctx, poll); err != nil {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func rest(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -178,8 +178,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// heap returns the memory in use after a collection, stacks included.
-func heap() int64 {
+// memoryInUseBytes returns the memory in use after a collection, stacks included.
+func memoryInUseBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/lab/bench/members/write.go
+++ b/lab/bench/members/write.go
@@ -8,8 +8,8 @@
 	"mallowwind.dev/lab/report"
 )
 
-// write writes the report.
-func write(results []result, o Options) error {
+// writeReport writes the report.
+func writeReport(results []result, o Options) error {
 	r := newReport(o)
 	cost := r.Table("Cost in a steady state",
 		report.Col("daemons", ""), report.Col("joined in", "s"), report.Col("traffic of a daemon", "B/s"),
@@ -19,10 +19,10 @@
 		report.Col("daemons", ""), report.Col("a death: first knows, median", "s"), report.Col("a death: all know, median", "s"),
 		report.Col("all know, longest", "s"), report.Col("false suspicions under loss", ""), report.Col("given up under loss", ""))
 	for _, x := range results {
-		cost.Add(report.Count(x.daemons), seconds(x.join), report.Num(x.bytes), report.Num(x.cpu), report.Num(x.memory),
-			report.Num(x.reads), report.Num(x.writes))
-		faults.Add(report.Count(x.daemons), seconds(median(x.first)), seconds(median(x.detect)), seconds(slices.Max(x.detect)),
-			report.Num(x.suspects), report.Num(x.gone))
+		cost.Add(report.Count(x.daemons), secondsCell(x.joinTime), report.Num(x.bytesPerSecond), report.Num(x.cpuMicrosPerSecond), report.Num(x.memoryKB),
+			report.Num(x.storeReadsPerSecond), report.Num(x.storeWritesPerSecond))
+		faults.Add(report.Count(x.daemons), secondsCell(median(x.firstDetection)), secondsCell(median(x.lastDetection)), secondsCell(slices.Max(x.lastDetection)),
+			report.Num(x.suspicions), report.Num(x.removals))
 	}
 	r.Note("Traffic is what a daemon sends and receives for membership, HTTP headers included and TCP and IP headers left out, without TLS.")
 	r.Note("Processor time is that of the whole process over the daemons in it; both ends of each exchange and the lease are in it.")
@@ -30,15 +30,15 @@
 	return r.Write(filepath.Join(o.Dir, "members"))
 }
 
-func seconds(d time.Duration) report.Cell { return report.Num(d.Seconds()) }
+func secondsCell(d time.Duration) report.Cell { return report.Num(d.Seconds()) }
 
 func median(d []time.Duration) time.Duration {
 	sorted := slices.Sorted(slices.Values(d))
 	return sorted[(len(sorted)-1)/2]
 }
 
-// slopes records how the costs grow with the number of daemons.
-func slopes(results []result, o Options) error {
+// writeSlopes records how the costs grow with the number of daemons.
+func writeSlopes(results []result, o Options) error {
 	kinds := []struct {
 		name, help string
 		y          report.Column
@@ -46,21 +46,21 @@
 	}{
 		{
 			"gossip_bytes", "Bytes a daemon sends and receives for membership in a steady state, HTTP headers included, on loopback.",
-			report.Col("bytes", "B/s"), func(r result) []float64 { return []float64{r.bytes} },
+			report.Col("bytes", "B/s"), func(r result) []float64 { return []float64{r.bytesPerSecond} },
 		},
 		{
 			"gossip_cpu", "Processor time of a daemon for membership and its zone's lease in a steady state, both ends of each exchange.",
-			report.Col("CPU", "µs/s"), func(r result) []float64 { return []float64{r.cpu} },
+			report.Col("CPU", "µs/s"), func(r result) []float64 { return []float64{r.cpuMicrosPerSecond} },
 		},
 		{
 			"membership_memory", "Heap and stacks in use of a daemon's membership, its server and its connections.",
-			report.Col("memory", "kB"), func(r result) []float64 { return []float64{r.memory} },
+			report.Col("memory", "kB"), func(r result) []float64 { return []float64{r.memoryKB} },
 		},
 		{
 			"detection_time", "From the death of a daemon until no other believes it a member.",
 			report.Col("time", "s"), func(r result) []float64 {
 				var out []float64
-				for _, d := range r.detect {
+				for _, d := range r.lastDetection {
 					out = append(out, d.Seconds())
 				}
 				return out
--- a/lab/bench/prompts/prompts.go
+++ b/lab/bench/prompts/prompts.go
@@ -31,33 +31,35 @@
 
 // policy is one way to place prompts and copies.
 type policy struct {
-	name   string
-	homes  bool
-	copies bool
-	// split lets half of the engines read prompts and the others make the answers.
-	split bool
-	// remakes lets a run whose copy was lost get another.
-	remakes bool
-	// told lets the daemons of a small fleet ask each other what they have under way.
-	told bool
-	// admits lets daemons refuse prompts that engines have no room for.
-	admits bool
-	choose func(*world, []decide.Engine, *request) int
+	name               string
+	prefersHomeEngines bool
+	makesCopies        bool
+	// splitsPrefill lets half of the engines read prompts and the others make the answers.
+	splitsPrefill bool
+	// recreatesCopies lets a run whose copy was lost get another.
+	recreatesCopies bool
+	// pollsPeers lets the daemons of a small fleet ask each other what they have under way.
+	pollsPeers bool
+	// hasAdmissionControl lets daemons refuse prompts that engines have no room for.
+	hasAdmissionControl bool
+	choose              func(*world, []decide.Engine, *request) int
 }
 
-func byRank(w *world, engines []decide.Engine, _ *request) int {
-	return decide.ChoosePrefillEngines(engines, 1, false, w.random.Uint64())[0].Index
+func chooseByRank(w *world, engines []decide.Engine, _ *request) int {
+	return decide.ChoosePrefillEngines(engines, 1, false, w.rng.Uint64())[0].Index
 }
 
-func anywhere(w *world, engines []decide.Engine, _ *request) int { return w.random.IntN(len(engines)) }
+func chooseAtRandom(w *world, engines []decide.Engine, _ *request) int {
+	return w.rng.IntN(len(engines))
+}
 
-// byReport asks the first few of the rank what they do. Engines that are down do
+// chooseByReport asks the first few of the rank what they do. Engines that are down do
 // not answer.
-func byReport(w *world, engines []decide.Engine, r *request) int {
+func chooseByReport(w *world, engines []decide.Engine, r *request) int {
 	var order []int
 	var reports []decide.Report
-	for _, c := range decide.ChoosePrefillEngines(engines, 3*forward.SampleSize, false, w.random.Uint64()) {
-		if len(order) >= forward.SampleSize && reports[decide.LeastLoaded(reports, r.prompt)].CanPrefillNow(r.prompt) {
+	for _, c := range decide.ChoosePrefillEngines(engines, 3*forward.SampleSize, false, w.rng.Uint64()) {
+		if len(order) >= forward.SampleSize && reports[decide.LeastLoaded(reports, r.promptTokens)].CanPrefillNow(r.promptTokens) {
 			break
 		}
 		if !w.engines[c.Index].down {
@@ -66,94 +68,94 @@
 		}
 	}
 	if len(order) == 0 {
-		return byRank(w, engines, r)
+		return chooseByRank(w, engines, r)
 	}
-	return order[decide.LeastLoaded(reports, r.prompt)]
+	return order[decide.LeastLoaded(reports, r.promptTokens)]
 }
 
-// asTold takes the engine that reads nothing and makes the fewest answers, if it says so
+// chooseByPeerLoad takes the engine that reads nothing and makes the fewest answers, if it says so
 // itself, and else one of those that are asked for their reports.
-func asTold(w *world, engines []decide.Engine, r *request) int {
-	if w.told() {
-		for _, c := range decide.ChoosePrefillEngines(engines, 3, true, w.random.Uint64()) {
-			if !w.engines[c.Index].down && w.reports[c.Index].CanPrefillNow(r.prompt) {
+func chooseByPeerLoad(w *world, engines []decide.Engine, r *request) int {
+	if w.pollsPeers() {
+		for _, c := range decide.ChoosePrefillEngines(engines, 3, true, w.rng.Uint64()) {
+			if !w.engines[c.Index].down && w.reports[c.Index].CanPrefillNow(r.promptTokens) {
 				return c.Index
 			}
 		}
 	}
-	return byReport(w, engines, r)
+	return chooseByReport(w, engines, r)
 }
 
-// inUse is what the daemons do.
-var inUse = policy{
-	name:  "daemons ask each other or engines, copy in another zone, made again when lost, prompts without room refused",
-	homes: true, copies: true, remakes: true, admits: true, told: true, choose: asTold,
+// currentPolicy is what the daemons do.
+var currentPolicy = policy{
+	name:               "daemons ask each other or engines, copy in another zone, made again when lost, prompts without room refused",
+	prefersHomeEngines: true, makesCopies: true, recreatesCopies: true, hasAdmissionControl: true, pollsPeers: true, choose: chooseByPeerLoad,
 }
 
-// untold is inUse where daemons ask engines only.
-var untold = policy{
-	name:  "home engines that are asked, copy in another zone, made again when lost, prompts without room refused",
-	homes: true, copies: true, remakes: true, admits: true, choose: byReport,
+// withoutPeerLoad is inUse where daemons ask engines only.
+var withoutPeerLoad = policy{
+	name:               "home engines that are asked, copy in another zone, made again when lost, prompts without room refused",
+	prefersHomeEngines: true, makesCopies: true, recreatesCopies: true, hasAdmissionControl: true, choose: chooseByReport,
 }
 
-// sendsAll is inUse without refusals.
-var sendsAll = policy{
-	name:  "home engines that are asked, copy in another zone, made again when lost",
-	homes: true, copies: true, remakes: true, choose: byReport,
+// withoutAdmission is inUse without refusals.
+var withoutAdmission = policy{
+	name:               "home engines that are asked, copy in another zone, made again when lost",
+	prefersHomeEngines: true, makesCopies: true, recreatesCopies: true, choose: chooseByReport,
 }
 
 var policies = []policy{
-	{name: "anywhere, no copy", choose: anywhere},
-	{name: "least of its own, no copy", choose: byRank},
-	{name: "least of its own, copy in another zone", copies: true, choose: byRank},
-	{name: "home engines, copy in another zone", homes: true, copies: true, choose: byRank},
-	{name: "home engines that are asked, copy in another zone", homes: true, copies: true, choose: byReport},
-	sendsAll,
-	untold,
-	inUse,
-	{name: "the same, half of the engines only read", homes: true, copies: true, split: true, remakes: true, admits: true, choose: byReport},
+	{name: "anywhere, no copy", choose: chooseAtRandom},
+	{name: "least of its own, no copy", choose: chooseByRank},
+	{name: "least of its own, copy in another zone", makesCopies: true, choose: chooseByRank},
+	{name: "home engines, copy in another zone", prefersHomeEngines: true, makesCopies: true, choose: chooseByRank},
+	{name: "home engines that are asked, copy in another zone", prefersHomeEngines: true, makesCopies: true, choose: chooseByReport},
+	withoutAdmission,
+	withoutPeerLoad,
+	currentPolicy,
+	{name: "the same, half of the engines only read", prefersHomeEngines: true, makesCopies: true, splitsPrefill: true, recreatesCopies: true, hasAdmissionControl: true, choose: chooseByReport},
 }
 
 var deployments = []deployment{
-	{name: "Association", engines: 36, daemons: 7, rate: 9.35, lossEvery: 6 * time.Second},
-	{name: "Tharaka", engines: 18, daemons: 6, rate: 4.68, lossEvery: 6 * time.Second},
+	{name: "Association", engines: 36, daemons: 7, requestsPerSecond: 9.35, lossInterval: 6 * time.Second},
+	{name: "Tharaka", engines: 18, daemons: 6, requestsPerSecond: 4.68, lossInterval: 6 * time.Second},
 	{
-		name: "Merrimack Valley", engines: 24, daemons: 6, rate: 6.24, lossEvery: 6500 * time.Millisecond,
-		kind: physics.Slower, prompt: 5200, paired: true,
+		name: "Merrimack Valley", engines: 24, daemons: 6, requestsPerSecond: 6.24, lossInterval: 6500 * time.Millisecond,
+		engineKind: physics.Slower, meanPromptTokens: 5200, pairedLoad: true,
 	},
-	{name: "Association, twice the load", engines: 36, daemons: 7, rate: 18.7, lossEvery: 6 * time.Second},
-	{name: "Association grown", engines: 120, daemons: 73, rate: 36, lossEvery: 3 * time.Second, lossShare: 0.55},
+	{name: "Association, twice the load", engines: 36, daemons: 7, requestsPerSecond: 18.7, lossInterval: 6 * time.Second},
+	{name: "Association grown", engines: 120, daemons: 73, requestsPerSecond: 36, lossInterval: 3 * time.Second, lossRatio: 0.55},
 	{
-		name: "Association, four times the load for 8 s", engines: 36, daemons: 7, rate: 9.35, lossEvery: 6 * time.Second,
-		burst: burst{from: 10 * time.Second, length: 8 * time.Second, factor: 4},
+		name: "Association, four times the load for 8 s", engines: 36, daemons: 7, requestsPerSecond: 9.35, lossInterval: 6 * time.Second,
+		burst: burst{start: 10 * time.Second, duration: 8 * time.Second, factor: 4},
 	},
 }
 
 // result is what the callers of one trial got.
 type result struct {
-	answers, onTime, whole int
-	refused, thrownOut     int // callers turned away for good, and runs
-	firstP50, firstP99     time.Duration
-	tookP50, pauseP99      time.Duration
-	wasted                 int // prompt tokens read in vain, for each request
+	requests, onTime, completed  int
+	refused, preemptions         int // callers turned away for good, and runs
+	firstEventP50, firstEventP99 time.Duration
+	answerTimeP50, pauseP99      time.Duration
+	wastedPromptTokens           int // prompt tokens read in vain, for each request
 }
 
 // Run plays every policy on every deployment and writes the report into o.Dir.
 func Run(o Options) error {
 	r := report.New("Placing long prompts while zones are lost", o.Command, o.Seed, o.Now())
 	r.Param("load of each trial", o.Duration.String())
-	r.Param("losses", fmt.Sprintf("one zone of %d for %v, every other without a sign", zones, lossFor))
+	r.Param("losses", fmt.Sprintf("one zone of %d for %v, every other without a sign", zones, outageDuration))
 	for _, d := range deployments {
-		title := fmt.Sprintf("%s, a loss every %v", d.name, d.lossEvery)
+		title := fmt.Sprintf("%s, a loss every %v", d.name, d.lossInterval)
 		t := r.Table(title, report.Col("policy", ""), report.Col("on time", "%"), report.Col("whole", "%"), report.Col("refused", "%"),
 			report.Col("first p50", "ms"), report.Col("first p99", "ms"), report.Col("answer p50", "ms"),
 			report.Col("pause p99", "ms"), report.Col("read in vain", "tokens a request"))
 		for _, p := range policies {
 			got := Trial(d, p, o.Seed, o.Duration)
-			fmt.Fprintf(o.Log, "%s, %s: %d of %d on time\n", d.name, p.name, got.onTime, got.answers)
-			t.Add(report.Text(p.name), percent(got.onTime, got.answers), percent(got.whole, got.answers), percent(got.refused, got.answers),
-				report.Millis(got.firstP50), report.Millis(got.firstP99), report.Millis(got.tookP50),
-				report.Millis(got.pauseP99), report.Count(got.wasted))
+			fmt.Fprintf(o.Log, "%s, %s: %d of %d on time\n", d.name, p.name, got.onTime, got.requests)
+			t.Add(report.Text(p.name), percent(got.onTime, got.requests), percent(got.completed, got.requests), percent(got.refused, got.requests),
+				report.Millis(got.firstEventP50), report.Millis(got.firstEventP99), report.Millis(got.answerTimeP50),
+				report.Millis(got.pauseP99), report.Count(got.wastedPromptTokens))
 		}
 	}
 	r.Note("An answer is on time if its first event comes within 4.5 s and no pause is above 0.7 s.")
@@ -165,35 +167,35 @@
 // Trial plays one policy on one deployment.
 func Trial(d deployment, p policy, seed uint64, length time.Duration) result {
 	w := newWorld(d, p, seed)
-	w.play(length)
+	w.simulate(length)
 	return w.result()
 }
 
 func (w *world) result() result {
-	out := result{answers: len(w.requests), thrownOut: w.thrownOut}
+	out := result{requests: len(w.requests), preemptions: w.preemptions}
 	var first, took, pause []time.Duration
 	for _, r := range w.requests {
-		out.wasted += r.wasted
-		if r.refused >= tries {
+		out.wastedPromptTokens += r.wastedPromptTokens
+		if r.refusals >= maxAttempts {
 			out.refused++
 		}
-		if r.onTime() {
+		if r.isOnTime() {
 			out.onTime++
 		}
-		if r.first > 0 {
-			first = append(first, r.first-r.arrived)
+		if r.firstEventAt > 0 {
+			first = append(first, r.firstEventAt-r.arrivedAt)
 		}
-		if r.end > 0 {
-			out.whole++
-			took = append(took, r.end-r.arrived)
-			pause = append(pause, r.pause)
+		if r.endedAt > 0 {
+			out.completed++
+			took = append(took, r.endedAt-r.arrivedAt)
+			pause = append(pause, r.longestPause)
 		}
 	}
-	if out.answers > 0 {
-		out.wasted /= out.answers
+	if out.requests > 0 {
+		out.wastedPromptTokens /= out.requests
 	}
-	out.firstP50, out.firstP99 = quantile(first, 0.5), quantile(first, 0.99)
-	out.tookP50, out.pauseP99 = quantile(took, 0.5), quantile(pause, 0.99)
+	out.firstEventP50, out.firstEventP99 = quantile(first, 0.5), quantile(first, 0.99)
+	out.answerTimeP50, out.pauseP99 = quantile(took, 0.5), quantile(pause, 0.99)
 	return out
 }
 
--- a/lab/bench/prompts/prompts_test.go
+++ b/lab/bench/prompts/prompts_test.go
@@ -15,11 +15,11 @@
 	const length = 40 * time.Second
 	for _, d := range deployments[:2] {
 		baseline := Trial(d, policies[0], 1, length)
-		ours := Trial(d, inUse, 1, length)
-		must.Eq(t, ours.answers, ours.whole)
-		must.GreaterEq(t, 95, 100*ours.onTime/ours.answers)
+		ours := Trial(d, currentPolicy, 1, length)
+		must.Eq(t, ours.requests, ours.completed)
+		must.GreaterEq(t, 95, 100*ours.onTime/ours.requests)
 		must.Greater(t, baseline.onTime, ours.onTime)
-		must.Less(t, baseline.wasted/3, ours.wasted)
+		must.Less(t, baseline.wastedPromptTokens/3, ours.wastedPromptTokens)
 		must.Less(t, 700*time.Millisecond, ours.pauseP99)
 	}
 }
@@ -31,11 +31,11 @@
 func TestDaemonsThatTellEachOther(t *testing.T) {
 	const length = 60 * time.Second
 	for seed := range uint64(3) {
-		before := Trial(deployments[2], untold, seed, length)
-		ours := Trial(deployments[2], inUse, seed, length)
-		must.Eq(t, ours.answers, ours.whole)
-		must.Less(t, before.tookP50-200*time.Millisecond, ours.tookP50)
-		must.Less(t, before.firstP99, ours.firstP99)
+		before := Trial(deployments[2], withoutPeerLoad, seed, length)
+		ours := Trial(deployments[2], currentPolicy, seed, length)
+		must.Eq(t, ours.requests, ours.completed)
+		must.Less(t, before.answerTimeP50-200*time.Millisecond, ours.answerTimeP50)
+		must.Less(t, before.firstEventP99, ours.firstEventP99)
 		must.GreaterEq(t, before.onTime, ours.onTime)
 	}
 }
@@ -47,15 +47,15 @@
 func TestLostCopiesAreMadeAgain(t *testing.T) {
 	const length = 30 * time.Second
 	grown := deployments[4]
-	grown.lossShare, grown.memory, grown.patience = 0, 1<<30, time.Hour
-	once := sendsAll
-	once.remakes = false
+	grown.lossRatio, grown.memoryTokens, grown.callerTimeout = 0, 1<<30, time.Hour
+	once := withoutAdmission
+	once.recreatesCopies = false
 	before := Trial(grown, once, 1, length)
-	ours := Trial(grown, sendsAll, 1, length)
-	must.Eq(t, ours.answers, ours.whole)
-	must.GreaterEq(t, 85, 100*ours.onTime/ours.answers)
-	must.Less(t, 50, 100*before.onTime/before.answers)
-	must.Less(t, before.wasted/3, ours.wasted)
+	ours := Trial(grown, withoutAdmission, 1, length)
+	must.Eq(t, ours.requests, ours.completed)
+	must.GreaterEq(t, 85, 100*ours.onTime/ours.requests)
+	must.Less(t, 50, 100*before.onTime/before.requests)
+	must.Less(t, before.wastedPromptTokens/3, ours.wastedPromptTokens)
 }
 
 // Seventy daemons before engines whose memory is half full of runs and copies. After
@@ -64,12 +64,12 @@
 // Callers that are turned away for some seconds instead are answered when they return.
 func TestRefusalsKeepRoomForCopies(t *testing.T) {
 	const length = 60 * time.Second
-	all := Trial(deployments[4], sendsAll, 1, length)
-	ours := Trial(deployments[4], inUse, 1, length)
-	must.GreaterEq(t, 70, 100*ours.onTime/ours.answers)
-	must.GreaterEq(t, 95, 100*ours.whole/ours.answers)
-	must.Less(t, 65, 100*all.onTime/all.answers)
-	must.Less(t, all.wasted*2/3, ours.wasted)
+	all := Trial(deployments[4], withoutAdmission, 1, length)
+	ours := Trial(deployments[4], currentPolicy, 1, length)
+	must.GreaterEq(t, 70, 100*ours.onTime/ours.requests)
+	must.GreaterEq(t, 95, 100*ours.completed/ours.requests)
+	must.Less(t, 65, 100*all.onTime/all.requests)
+	must.Less(t, all.wastedPromptTokens*2/3, ours.wastedPromptTokens)
 }
 
 // Four times the load comes for eight seconds while zones are lost. Where all prompts
@@ -79,19 +79,19 @@
 func TestBurstBesideLosses(t *testing.T) {
 	const length = 60 * time.Second
 	for seed := range uint64(3) {
-		all := Trial(deployments[5], sendsAll, seed, length)
-		ours := Trial(deployments[5], inUse, seed, length)
-		must.Greater(t, 100*all.onTime/all.answers, 100*ours.onTime/ours.answers)
-		must.Greater(t, 100*all.whole/all.answers, 100*ours.whole/ours.answers)
-		must.Less(t, all.wasted, ours.wasted)
-		lost := func(r result) int { return 100 * (r.answers - r.whole - r.refused) / r.answers }
+		all := Trial(deployments[5], withoutAdmission, seed, length)
+		ours := Trial(deployments[5], currentPolicy, seed, length)
+		must.Greater(t, 100*all.onTime/all.requests, 100*ours.onTime/ours.requests)
+		must.Greater(t, 100*all.completed/all.requests, 100*ours.completed/ours.requests)
+		must.Less(t, all.wastedPromptTokens, ours.wastedPromptTokens)
+		lost := func(r result) int { return 100 * (r.requests - r.completed - r.refused) / r.requests }
 		must.Less(t, lost(all)*3/4, lost(ours))
 	}
 }
 
 func TestUsualLoadRefusesNobody(t *testing.T) {
 	for _, d := range deployments[:2] {
-		must.Eq(t, 0, Trial(d, inUse, 1, 60*time.Second).refused)
+		must.Eq(t, 0, Trial(d, currentPolicy, 1, 60*time.Second).refused)
 	}
 }
 
@@ -100,11 +100,11 @@
 func TestAskedEnginesReadSooner(t *testing.T) {
 	const length = 30 * time.Second
 	grown := deployments[4]
-	grown.lossEvery = time.Hour
-	blind := inUse
-	blind.choose = byRank
+	grown.lossInterval = time.Hour
+	blind := currentPolicy
+	blind.choose = chooseByRank
 	before := Trial(grown, blind, 1, length)
-	ours := Trial(grown, inUse, 1, length)
-	must.Less(t, before.firstP99*19/20, ours.firstP99)
-	must.Less(t, before.firstP50, ours.firstP50)
+	ours := Trial(grown, currentPolicy, 1, length)
+	must.Less(t, before.firstEventP99*19/20, ours.firstEventP99)
+	must.Less(t, before.firstEventP50, ours.firstEventP50)
 }
