--- a/lab/bench/control/spread.go
+++ b/lab/bench/control/spread.go
@@ -21,7 +21,7 @@
 var scenarios = []scenario{
 	{name: "up", changes: func(o Options) int { return o.Changes }},
 	{name: "slow, 300 ms a call", storeDelay: 300 * time.Millisecond, changes: func(o Options) int { return o.Changes / 2 }},
-	{name: "fails right after acceptance", storeFails: true, changes: func(o Options) int { return o.Failures }},
+	{name: "fails right after acceptance", storeFails: true, changes: func(o Options) int { return o.FailureChanges }},
 }
 
 const (
--- a/lab/bench/prompts/deployment.go
+++ b/lab/bench/prompts/deployment.go
@@ -32,9 +32,9 @@
 
 // withDefaults returns d with zero fields set that have a default.
 func (d deployment) withDefaults() deployment {
-	d.engineKind = cmp.Or(d.engineKind, physics.Chunked)
+	d.engineKind = cmp.Or(d.engineKind, physics.ChunkedPrefill)
 	d.meanPromptTokens = cmp.Or(d.meanPromptTokens, defaultMeanPromptTokens)
-	d.memoryTokens = cmp.Or(d.memoryTokens, d.engineKind.Memory)
+	d.memoryTokens = cmp.Or(d.memoryTokens, d.engineKind.MemoryTokens)
 	d.callerTimeout = cmp.Or(d.callerTimeout, defaultCallerTimeout)
 	return d
 }
--- a/lab/bench/prompts/engine.go
+++ b/lab/bench/prompts/engine.go
@@ -52,7 +52,7 @@
 
 // step makes one step that begins at now, and returns when it ends.
 func (e *engine) step(now time.Duration, w *world) time.Duration {
-	took := e.kind.Step(len(e.running), false)
+	took := e.kind.StepTime(len(e.running), false)
 	took += e.prefillChunk(now)
 	took = time.Duration(float64(took) * e.slowdown)
 	end := now + took
@@ -104,14 +104,14 @@
 	if r.memoryTokens() == 0 && e.usedTokens()+r.pendingPromptTokens > e.capacityTokens {
 		return 0 // it waits for room
 	}
-	n := min(e.kind.Chunk, r.pendingPromptTokens)
+	n := min(e.kind.ChunkTokens, r.pendingPromptTokens)
 	r.pendingPromptTokens -= n
 	if r.pendingPromptTokens == 0 {
 		e.prefilling = e.prefilling[1:]
 		r.tokensSinceEvent = tokensPerEvent - 1 // the next step gives the first event
 		e.running = append(e.running, r)
 	}
-	return time.Duration(n) * time.Second / time.Duration(e.kind.PrefillRate)
+	return time.Duration(n) * time.Second / time.Duration(e.kind.PrefillTokensPerSecond)
 }
 
 // fail loses everything on the engine and returns it.
--- a/lab/bench/prompts/prompts.go
+++ b/lab/bench/prompts/prompts.go
@@ -121,7 +121,7 @@
 	{name: "Tharaka", engines: 18, daemons: 6, requestsPerSecond: 4.68, lossInterval: 6 * time.Second},
 	{
 		name: "Merrimack Valley", engines: 24, daemons: 6, requestsPerSecond: 6.24, lossInterval: 6500 * time.Millisecond,
-		engineKind: physics.Slower, meanPromptTokens: 5200, pairedLoad: true,
+		engineKind: physics.SlowChunkedPrefill, meanPromptTokens: 5200, pairedLoad: true,
 	},
 	{name: "Association, twice the load", engines: 36, daemons: 7, requestsPerSecond: 18.7, lossInterval: 6 * time.Second},
 	{name: "Association grown", engines: 120, daemons: 73, requestsPerSecond: 36, lossInterval: 3 * time.Second, lossRatio: 0.55},
