--- a/lab/bench/control/bench.go
+++ b/lab/bench/control/bench.go
@@ -11,23 +11,23 @@
 	"mallowwind.dev/lab/report"
 )
 
-// Options of a run.
+// Options configures a run of the benchmark.
 type Options struct {
-	Dir            string // where the report goes
+	Dir            string // directory of the report
 	Command        string
-	Only           string // spread, daemons, accounts or changes; empty for all
-	SpreadDaemons  []int  // daemons, for the time to in force
-	CostDaemons    []int  // daemons, for the slopes; four sizes at least
-	Accounts       int    // in the text, for the time to in force
-	Changes        int    // accepted with the store up
-	FailureChanges int    // accepted with the store failing
-	WarmupChanges  int    // changes before a window
+	Only           string // measure only this part: spread, daemons, accounts or changes; empty for all
+	SpreadDaemons  []int  // fleet sizes for the time to in force
+	CostDaemons    []int  // fleet sizes for the slopes, at least four
+	Accounts       int    // in the site text, for the time to in force
+	Changes        int    // accepted in the scenario with the store up
+	FailureChanges int    // accepted in the scenario with the store failing
+	WarmupChanges  int    // accepted before a measured window
 	Window         time.Duration
 	Log            io.Writer
 	Now            func() time.Time
 }
 
-// Defaults returns the options of the recorded run, some seven minutes.
+// Defaults returns the options of the recorded benchmark, which takes about seven minutes.
 func Defaults() Options {
 	return Options{
 		SpreadDaemons: []int{7, 56, 112}, CostDaemons: []int{7, 28, 56, 112},
@@ -37,7 +37,7 @@
 
 func (o Options) logf(format string, values ...any) { fmt.Fprintf(o.Log, format+"\n", values...) }
 
-// Run measures and writes the report.
+// Run runs the benchmark and writes the report to o.Dir.
 func Run(ctx context.Context, o Options) error {
 	r := report.New("The site text: time to in force and cost", o.Command, 1, o.Now())
 	r.Param("accounts in the text", strconv.Itoa(o.Accounts))
--- a/lab/bench/control/cost.go
+++ b/lab/bench/control/cost.go
@@ -11,21 +11,21 @@
 	"mallowwind.dev/lab/report"
 )
 
-// usage is what one daemon used, on average.
+// usage is the average resource usage of one daemon.
 type usage struct {
-	cpu        float64 // share of a core, in percent
+	cpu        float64 // percent of a core
 	memory     float64 // heap and stacks, MB
-	peerBytes  float64 // sent and received, per second
-	storeBytes float64 // per second, on average over all daemons
+	peerBytes  float64 // per second, sent and received
+	storeBytes float64 // per second, sent and received
 }
 
-// point is one size of a series.
+// point is one measured configuration of a series.
 type point struct {
 	daemons, accounts int
-	changeInterval    time.Duration // between changes, 0 for none
+	changeInterval    time.Duration // 0 for no changes
 }
 
-// series is how cost grows with one size.
+// series measures how the cost grows with one quantity, which x returns for a point.
 type series struct {
 	name   string
 	x      func(point) float64
@@ -36,8 +36,8 @@
 	costDaemons   = 28
 	costAccounts  = 200
 	secondsPerDay = 86400
-	// joinSettlePerDaemon is how much longer news of the members' joining is given
-	// to end before a window, for each daemon.
+	// joinSettlePerDaemon is the time per daemon that gossip about joining members gets to
+	// die down before a measured window.
 	joinSettlePerDaemon = 200 * time.Millisecond
 )
 
@@ -66,7 +66,7 @@
 	return secondsPerDay / p.changeInterval.Seconds()
 }
 
-// measureCost measures one series and fits a line to each quantity.
+// measureCost measures one series and fits a line to each resource.
 func measureCost(ctx context.Context, o Options, s series, r *report.Report) error {
 	columns := []report.Column{
 		report.Col("daemons", ""), report.Col("accounts", ""), report.Col("changes", "1/day"), report.Col("CPU", "% of a core"),
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// measureUsage runs one fleet for a window and returns what a daemon used.
+// measureUsage runs a fleet for a window and returns the average usage of a daemon.
 func measureUsage(ctx context.Context, o Options, p point) (usage, error) {
 	before := memoryInUseBytes()
 	f, err := startFleet(ctx, p.daemons, siteText(p.accounts, 0))
@@ -120,7 +120,7 @@
 		return usage{}, err
 	}
 	defer f.close()
-	// Changes before the window fill the memory of texts served as differences.
+	// Changes before the window fill the history of texts from which daemons serve diffs.
 	for range o.WarmupChanges {
 		if err := f.apply(ctx, siteText(p.accounts, int(f.revision))); err != nil {
 			return usage{}, err
@@ -138,13 +138,13 @@
 	return usage{
 		cpu:    100 * (cpuTime() - cpu).Seconds() / seconds / n,
 		memory: float64(held) / n / (1 << 20),
-		// Each byte between two daemons is one's sending and the other's receiving.
+		// Each byte between two daemons is sent by one and received by the other.
 		peerBytes:  2 * float64(f.peerWire.bytes.Load()-peer) / seconds / n,
 		storeBytes: float64(f.storeWire.bytes.Load()-stored) / seconds / n,
 	}, nil
 }
 
-// applyPeriodically accepts a text at the point's rate for a window.
+// applyPeriodically applies changed texts at the point's interval for a window.
 func (f *fleet) applyPeriodically(ctx context.Context, p point, window time.Duration) error {
 	if p.changeInterval == 0 {
 		time.Sleep(window)
@@ -160,8 +160,8 @@
 	return nil
 }
 
-// memoryInUseBytes returns the live heap and the stacks, in bytes. Two collections also
-// free what finalizers held.
+// memoryInUseBytes returns the size of the live heap and the stacks. A second collection frees what
+// finalizers kept alive in the first.
 func memoryInUseBytes() int64 {
 	runtime.GC()
 	runtime.GC()
--- a/lab/bench/control/fleet.go
+++ b/lab/bench/control/fleet.go
@@ -1,11 +1,10 @@
-// Package control measures what spreading the site text takes: how long from
-// acceptance until it is in force at every daemon, and what it costs them.
+// Package control benchmarks the distribution of the site text: the time from its acceptance until it
+// is in force at every daemon, and the resources this costs the daemons.
 //
-// All daemons' control stacks (membership and configuration in force) run in
-// one process over loopback TCP, with a stand-in of the platform's store behind
-// its wire form. A process starts no process, and this way many of them fit one
-// machine; processor time and memory are the process's divided by the number
-// of daemons, the store stand-in's share included.
+// The control stacks of all daemons (membership and configuration in force) run in one process over
+// loopback TCP, with a simulation of the platform's store behind its wire protocol. No further
+// processes are started, and many daemons fit on one machine. CPU time and memory are those of the
+// process divided by the number of daemons, including the share of the simulated store.
 package control
 
 import (
@@ -33,18 +32,19 @@
 
 const (
 	zones = 7
-	// readyTimeout bounds the start of a fleet.
+	// readyTimeout bounds the start-up of a fleet.
 	readyTimeout = 3 * time.Minute
-	// pollInterval is how often revisions are looked at; it bounds the precision of a time.
+	// pollInterval is the interval at which revisions are polled; it bounds the precision of
+	// measured times.
 	pollInterval = time.Millisecond
 	site         = "bench"
 )
 
-// fleet is daemons' control stacks with their store.
+// fleet is the control stacks of a number of daemons with their store.
 type fleet struct {
 	store     *store.Faulty
 	storeWire *byteCounter
-	peerWire  byteCounter // all peer listeners together
+	peerWire  byteCounter // of all peer listeners
 	daemons   []*daemon
 	operator  *operate.Client
 	revision  int64
@@ -58,8 +58,8 @@
 	members *membership.Manager
 }
 
-// byteCounter counts the bytes of connections in both directions, with the headers
-// of HTTP and without the frames of TCP and IP.
+// byteCounter counts the bytes of connections in both directions, including HTTP headers and
+// excluding TCP and IP headers.
 type byteCounter struct{ bytes atomic.Int64 }
 
 type countedListener struct {
@@ -75,7 +75,7 @@
 	return wire.Count(conn, &l.byteCounter.bytes), nil
 }
 
-// startFleet runs n daemons with text accepted and in force.
+// startFleet starts n daemons and waits until text is accepted and in force at all of them.
 func startFleet(ctx context.Context, n int, text string) (*fleet, error) {
 	f := &fleet{store: store.NewFaulty(store.NewMemory()), storeWire: &byteCounter{}}
 	ctx, f.cancel = context.WithCancel(ctx)
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The operator has a listener of its own, so that its bytes are not counted.
+	// The operator uses a listener of its own, so that its bytes are not counted.
 	operatorAddress, err := f.serve(storesim.Handler(f.store), &byteCounter{})
 	if err != nil {
 		return nil, err
@@ -157,7 +157,7 @@
 	f.wg.Go(func() { _ = s.Serve(l) })
 }
 
-// waitReady waits until every daemon knows all others and has the text in force.
+// waitReady waits until every daemon lists all members and has the text in force.
 func (f *fleet) waitReady(ctx context.Context) error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
@@ -178,7 +178,7 @@
 	return true
 }
 
-// countInForce counts the daemons that have revision in force.
+// countInForce returns the number of daemons that have revision or a later one in force.
 func (f *fleet) countInForce(revision int64) int {
 	n := 0
 	for _, d := range f.daemons {
@@ -189,7 +189,7 @@
 	return n
 }
 
-// apply accepts text as an operator would.
+// apply submits text through the operator client, and records the accepted revision.
 func (f *fleet) apply(ctx context.Context, text string) error {
 	r, err := f.operator.Apply(ctx, operate.Request{Text: text, Against: f.revision})
 	if err == nil {
@@ -198,7 +198,7 @@
 	return err
 }
 
-// close ends everything that start began.
+// close stops the daemons and servers that startFleet started.
 func (f *fleet) close() {
 	f.cancel()
 	for _, s := range f.servers {
--- a/lab/bench/control/spread.go
+++ b/lab/bench/control/spread.go
@@ -10,11 +10,11 @@
 	"mallowwind.dev/lab/report"
 )
 
-// scenario is what the store does around an acceptance.
+// scenario is the store's behavior around the acceptance of a change.
 type scenario struct {
 	name       string
-	storeDelay time.Duration // of each call
-	storeFails bool          // goes down the moment the operator's answer is there
+	storeDelay time.Duration // added to each call
+	storeFails bool          // right after the operator's request is answered
 	changes    func(Options) int
 }
 
@@ -25,19 +25,19 @@
 }
 
 const (
-	// spreadTimeout ends the wait for a change; the goal with a failing store is 9 s.
+	// spreadTimeout bounds the wait for a change; the objective with a failing store is 9 s.
 	spreadTimeout = 9 * time.Second
-	// outageSettleTime is longer than watchers need to come back after an outage: their
-	// longest wait is half as long again as 5 s.
+	// outageSettleTime exceeds the longest backoff of watchers reconnecting after an outage,
+	// which is 5 s plus half of that.
 	outageSettleTime = 8 * time.Second
-	// gossipSettleTime between changes lets gossip of the last one end.
+	// gossipSettleTime is the pause between changes, for gossip about the last one to end.
 	gossipSettleTime = 100 * time.Millisecond
 )
 
 // spread is the result of one scenario at one size.
 type spread struct {
 	times    []time.Duration // sorted, of the changes that reached every daemon
-	timedOut int             // changes that did not within spreadLimit
+	timedOut int             // changes that did not within spreadTimeout
 }
 
 func (s spread) quantile(q float64) time.Duration {
@@ -47,7 +47,7 @@
 	return s.times[min(int(q*float64(len(s.times))), len(s.times)-1)]
 }
 
-// measureSpread runs all scenarios at one size.
+// measureSpread runs all scenarios on a fleet of n daemons.
 func measureSpread(ctx context.Context, o Options, n int, table *report.Table) error {
 	f, err := startFleet(ctx, n, siteText(o.Accounts, 0))
 	if err != nil {
@@ -86,8 +86,8 @@
 	return result, nil
 }
 
-// measureChange accepts one text and returns how long it took from the operator's
-// answer until every daemon had it in force, or more than spreadLimit.
+// measureChange applies one changed text and returns the time from the answer to the operator until
+// every daemon has it in force, or more than spreadTimeout.
 func (f *fleet) measureChange(ctx context.Context, o Options, s scenario) (time.Duration, error) {
 	if err := f.apply(ctx, siteText(o.Accounts, int(f.revision))); err != nil {
 		return 0, err
@@ -104,7 +104,7 @@
 	f.store.SetDown(false)
 	time.Sleep(outageSettleTime)
 	if n := f.countInForce(f.revision); n < len(f.daemons) {
-		return 0, errors.Errorf("%d of %d daemons have the text after the outage", n, len(f.daemons))
+		return 0, errors.Errorf("only %d of %d daemons have the site text in force after the store outage", n, len(f.daemons))
 	}
 	return took, nil
 }
--- a/lab/bench/control/text.go
+++ b/lab/bench/control/text.go
@@ -9,8 +9,8 @@
 
 const serviceCount = 15
 
-// siteText returns a site text with this many accounts; change makes it differ in
-// two of them, as an operator's edit does.
+// siteText returns a site text with the given number of accounts. Texts with different values of
+// change differ in a few accounts, as after an operator's edit.
 func siteText(accounts, change int) string {
 	var b strings.Builder
 	b.WriteString("[site]\nname = " + site + "\nzones = " + zoneNames() + "\n\n[pool engines]\n")
--- a/lab/bench/members/fleet.go
+++ b/lab/bench/members/fleet.go
@@ -1,6 +1,6 @@
-// Package members measures what membership and the zones' leases cost and how
-// fast they are: real Managers over twirp on loopback, in one process and real
-// time, with a platform in memory.
+// Package members benchmarks the cost of membership and zone leases and the speed of failure
+// detection. It runs the production managers over twirp on loopback, in one process and in real time,
+// with an in-memory platform.
 package members
 
 import (
@@ -30,12 +30,12 @@
 const (
 	zones   = 7
 	regions = 3
-	// idleConns bounds a daemon's idle connections: all daemons share this
-	// process's file descriptors.
+	// idleConns bounds a daemon's idle connections, because all daemons share the file
+	// descriptors of this process.
 	idleConns = 16
 )
 
-// fleet is n daemons on loopback, as far as membership and leases go.
+// fleet is a number of daemons on loopback that run only membership and leases.
 type fleet struct {
 	vms          []vmlist.VM
 	store        *store.Faulty
@@ -56,19 +56,20 @@
 	isKilled bool
 }
 
-// lockedRand is a seeded source for use by many goroutines.
+// lockedRand is a seeded random source that is safe for concurrent use.
 type lockedRand struct {
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
+// chance returns true with the given probability.
 func (l *lockedRand) chance(perMillion uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rng.Uint64N(1_000_000) < perMillion
 }
 
-// newFleet opens n listeners; start runs the daemons on them.
+// newFleet opens n listeners, on which start runs the daemons.
 func newFleet(n int, seed uint64) (*fleet, error) {
 	f := &fleet{
 		store: store.NewFaulty(store.NewMemory()),
@@ -90,8 +91,8 @@
 	return f, nil
 }
 
-// List implements vmlist.Source: the platform's list, which lags too far to
-// notice a death.
+// List implements vmlist.Source. The list keeps killed daemons, because the platform's list lags too
+// far behind to reflect a crash in time.
 func (f *fleet) List(context.Context) ([]vmlist.VM, error) { return f.vms, nil }
 
 func (f *fleet) start(ctx context.Context) {
@@ -122,7 +123,7 @@
 	d.wg.Go(func() { _ = holder.Run(ctx) })
 }
 
-// kill ends a daemon without a word to the others.
+// kill stops a daemon without notice to the others.
 func (d *daemon) kill() {
 	d.isKilled = true
 	if d.server != nil {
@@ -145,8 +146,8 @@
 	wg.Wait()
 }
 
-// hasConverged reports whether every running daemon believes all running ones alive
-// and no other.
+// hasConverged reports whether every running daemon counts as many members alive as there are running
+// daemons.
 func (f *fleet) hasConverged() bool {
 	running := 0
 	for _, d := range f.daemons {
@@ -172,7 +173,7 @@
 	return n
 }
 
-// countListing counts the running daemons to which id is a member.
+// countListing returns the number of running daemons that list id as a member.
 func (f *fleet) countListing(id string) int {
 	n := 0
 	for _, d := range f.daemons {
@@ -186,7 +187,7 @@
 	return n
 }
 
-// countStateChanges returns how often some daemon came to believe state of another.
+// countStateChanges returns how often daemons changed a member to state, summed over all daemons.
 func (f *fleet) countStateChanges(state string) float64 {
 	var sum float64
 	for _, d := range f.daemons {
@@ -208,7 +209,7 @@
 	return sum
 }
 
-// lossyTransport loses requests and answers with the fleet's present probability.
+// lossyTransport drops requests and responses with the fleet's current loss probability.
 type lossyTransport struct {
 	http.RoundTripper
 	f *fleet
@@ -230,7 +231,7 @@
 	return resp, err
 }
 
-// countedListener counts the bytes of the connections that a listener accepts.
+// countedListener counts the bytes of the connections it accepts.
 type countedListener struct {
 	net.Listener
 	bytes *atomic.Int64
--- a/lab/bench/members/members.go
+++ b/lab/bench/members/members.go
@@ -13,40 +13,41 @@
 	"mallowwind.dev/lab/report"
 )
 
-// Options of a run.
+// Options configures a run of the benchmark.
 type Options struct {
-	Dir    string // where the report and the slopes are written
+	Dir    string // directory of the report and the slopes
 	Seed   uint64
-	Sizes  []int         // numbers of daemons
-	Window time.Duration // length of each phase that is measured
-	Kills  int           // daemons killed one after the other, at each size
-	Log    io.Writer     // progress, one line a size
+	Sizes  []int         // fleet sizes
+	Window time.Duration // length of each measured phase
+	Kills  int           // daemons killed one after the other at each size
+	Log    io.Writer     // progress, one line per size
 }
 
-// result is what one size showed.
+// result holds the measurements at one fleet size.
 type result struct {
 	daemons              int
 	joinTime             time.Duration
-	bytesPerSecond       float64 // a second and daemon, sent and received
-	cpuMicrosPerSecond   float64 // µs a second and daemon
-	memoryKB             float64 // kB a daemon
-	storeReadsPerSecond  float64 // store reads a second, all daemons
+	bytesPerSecond       float64 // per daemon, sent and received
+	cpuMicrosPerSecond   float64 // per daemon
+	memoryKB             float64 // per daemon
+	storeReadsPerSecond  float64 // of all daemons
 	storeWritesPerSecond float64
-	lastDetection        []time.Duration // from a death until all others know
-	firstDetection       []time.Duration // until the first other knows
-	suspicions           float64         // beliefs of suspicion during the phase with loss
-	removals             float64         // beliefs of death during the phase with loss
+	lastDetection        []time.Duration // from a crash until no other daemon lists the member
+	firstDetection       []time.Duration // from a crash until the first other daemon removes the member
+	suspicions           float64         // changes to suspect during the phase with loss, over all daemons
+	removals             float64         // changes to gone during the phase with loss, over all daemons
 }
 
 const (
 	joinTimeout   = 2 * time.Minute
-	settleTime    = 12 * time.Second // covers the repair of differing tables
+	settleTime    = 12 * time.Second // covers the repair of differing membership tables
 	detectTimeout = time.Minute
-	lossPPM       = 10_000 // 1% of requests, and of answers
+	lossPPM       = 10_000 // 1% of requests and 1% of responses
 	pollInterval  = 50 * time.Millisecond
 )
 
-// Run measures all sizes and writes members.json, members.md and the slopes.
+// Run measures all sizes and writes members.json and members.md, and the slopes if there are enough
+// sizes.
 func Run(ctx context.Context, o Options) error {
 	var results []result
 	for _, n := range o.Sizes {
@@ -66,7 +67,7 @@
 	return writeSlopes(results, o)
 }
 
-// minSizesForSlope is how many sizes a slope is worked out from.
+// minSizesForSlope is the minimum number of sizes to fit a slope to.
 const minSizesForSlope = 4
 
 func measure(ctx context.Context, n int, o Options) (result, error) {
@@ -80,7 +81,7 @@
 	begin := time.Now()
 	f.start(ctx)
 	if err := waitUntil(ctx, joinTimeout, f.hasConverged); err != nil {
-		return r, errors.Wrap(err, "join")
+		return r, errors.Wrap(err, "wait for all daemons to join")
 	}
 	r.joinTime = time.Since(begin)
 	if err := sleep(ctx, settleTime); err != nil {
@@ -96,7 +97,7 @@
 	return r, f.measureDetection(ctx, o, &r)
 }
 
-// measureSteadyState measures the cost while nothing happens.
+// measureSteadyState measures the cost without membership changes.
 func (f *fleet) measureSteadyState(ctx context.Context, o Options, r *result) error {
 	calls, bytes, cpu, begin := f.store.Counts(), f.trafficBytes.Load(), cpuTime(), time.Now()
 	if err := sleep(ctx, o.Window); err != nil {
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// measureLoss counts suspicions while messages are lost.
+// measureLoss counts false suspicions and removals while messages are lost.
 func (f *fleet) measureLoss(ctx context.Context, o Options, r *result) error {
 	suspects, gone := f.countStateChanges("suspect"), f.countStateChanges("gone")
 	f.lossPPM.Store(lossPPM)
@@ -123,11 +124,12 @@
 	return err
 }
 
-// measureDetection kills daemons one after the other and measures until all know.
+// measureDetection kills daemons one after the other and measures how long the others take to remove
+// them.
 func (f *fleet) measureDetection(ctx context.Context, o Options, r *result) error {
 	f.lossPPM.Store(0)
 	if err := waitUntil(ctx, joinTimeout, f.hasConverged); err != nil {
-		return errors.Wrap(err, "after the loss")
+		return errors.Wrap(err, "wait for convergence after message loss")
 	}
 	for i := range o.Kills {
 		d := f.daemons[(i+1)*len(f.daemons)/(o.Kills+1)]
@@ -135,18 +137,18 @@
 		d.kill()
 		others := f.countListing(d.id)
 		if err := waitUntil(ctx, detectTimeout, func() bool { return f.countListing(d.id) < others }); err != nil {
-			return errors.Wrap(err, "detection")
+			return errors.Wrap(err, "wait for the first daemon to detect a crash")
 		}
 		r.firstDetection = append(r.firstDetection, time.Since(begin).Round(pollInterval))
 		if err := waitUntil(ctx, detectTimeout, func() bool { return f.countListing(d.id) == 0 }); err != nil {
-			return errors.Wrap(err, "detection by all")
+			return errors.Wrap(err, "wait for all daemons to detect a crash")
 		}
 		r.lastDetection = append(r.lastDetection, time.Since(begin).Round(pollInterval))
 	}
 	return nil
 }
 
-// waitUntil waits until ok, looking often.
+// waitUntil polls ok until it returns true or limit has passed.
 func waitUntil(ctx context.Context, limit time.Duration, ok func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -169,7 +171,7 @@
 	}
 }
 
-// cpuTime returns the processor time this process has used.
+// cpuTime returns the CPU time this process has used.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -178,7 +180,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// memoryInUseBytes returns the memory in use after a collection, stacks included.
+// memoryInUseBytes returns the heap and stack memory in use after a garbage collection.
 func memoryInUseBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -186,7 +188,7 @@
 	return int64(m.HeapInuse + m.StackInuse)
 }
 
-// command gives the run again.
+// command returns the command line that repeats the run.
 func (o Options) command() string {
 	return fmt.Sprintf("go run ./cmd/mallowctl bench members --seed %d --window %s --kills %d", o.Seed, o.Window, o.Kills)
 }
--- a/lab/bench/members/write.go
+++ b/lab/bench/members/write.go
@@ -8,7 +8,7 @@
 	"mallowwind.dev/lab/report"
 )
 
-// writeReport writes the report.
+// writeReport writes the tables of cost and detection to the members folder of o.Dir.
 func writeReport(results []result, o Options) error {
 	r := newReport(o)
 	cost := r.Table("Cost in a steady state",
@@ -37,7 +37,7 @@
 	return sorted[(len(sorted)-1)/2]
 }
 
-// writeSlopes records how the costs grow with the number of daemons.
+// writeSlopes saves how cost and detection time grow with the number of daemons.
 func writeSlopes(results []result, o Options) error {
 	kinds := []struct {
 		name, help string
--- a/lab/bench/prompts/deployment.go
+++ b/lab/bench/prompts/deployment.go
@@ -7,30 +7,31 @@
 	"mallowwind.dev/lab/bench/physics"
 )
 
-// deployment is the size of a site and its load.
+// deployment describes the size of a simulated site, its load and its zone losses.
 type deployment struct {
 	name              string
 	engines           int
 	daemons           int
-	requestsPerSecond float64 // requests a second
-	// engineKind of the engines, and the mean length of prompts in tokens; those of the users'
-	// first platform if they are left out.
+	requestsPerSecond float64
+	// engineKind and meanPromptTokens default to physics.ChunkedPrefill and
+	// defaultMeanPromptTokens, those of the users' first platform.
 	engineKind       physics.Engine
 	meanPromptTokens float64
-	// pairedLoad draws the requests apart from all else, so that all policies meet the same.
+	// pairedLoad draws the requests from a random source of their own, so that all policies
+	// are compared on the same requests.
 	pairedLoad bool
-	// lossInterval is the time between the losses of two zones, of which every other
-	// takes only a share of the zone's engines where that is not 0.
+	// lossInterval is the time between two zone losses. If lossRatio is not 0, every other loss
+	// takes each engine of the zone down with that probability instead of all of them.
 	lossInterval time.Duration
 	lossRatio    float64
 	burst        burst
-	// memoryTokens is that of an engine in tokens, and patience how long a caller waits; 0
-	// means that of the kind of engines and usualPatience.
+	// memoryTokens is the capacity of each engine and callerTimeout how long a caller waits for
+	// its whole answer. They default to the capacity of engineKind and defaultCallerTimeout.
 	memoryTokens  int
 	callerTimeout time.Duration
 }
 
-// withDefaults returns d with zero fields set that have a default.
+// withDefaults returns d with each zero field that has a default set to it.
 func (d deployment) withDefaults() deployment {
 	d.engineKind = cmp.Or(d.engineKind, physics.ChunkedPrefill)
 	d.meanPromptTokens = cmp.Or(d.meanPromptTokens, defaultMeanPromptTokens)
@@ -39,13 +40,13 @@
 	return d
 }
 
-// burst is a time of more requests.
+// burst is an interval in which the request rate is multiplied by factor.
 type burst struct {
 	start, duration time.Duration
 	factor          float64
 }
 
-// factorAt is the factor on the load at a time.
+// factorAt returns the factor on the request rate at now.
 func (b burst) factorAt(now time.Duration) float64 {
 	if now < b.start || now >= b.start+b.duration {
 		return 1
--- a/lab/bench/prompts/prompts.go
+++ b/lab/bench/prompts/prompts.go
@@ -1,9 +1,9 @@
-// Package prompts is the experiment on placing long prompts and the copies of
-// their runs: several daemons that know only their own requests send to engines
-// which read prompts in chunks between the steps of their batch, while the
-// engines of one zone after the other are lost.
+// Package prompts simulates policies for placing long prompts and the copies of their runs:
+// several daemons, which by default know only their own requests, send to engines that prefill
+// prompts in chunks between the steps of their batch, while the engines of one zone after the
+// other are lost.
 //
-// It runs in virtual time on the decisions of decision/prompts themselves.
+// It runs in virtual time and calls the production code of decision/prompts.
 package prompts
 
 import (
@@ -19,28 +19,28 @@
 	"mallowwind.dev/serve/forward"
 )
 
-// Options of a run.
+// Options configures a run of the experiment.
 type Options struct {
 	Dir      string
 	Seed     uint64
-	Duration time.Duration // of the load in each trial, in virtual time
+	Duration time.Duration // virtual time for which each trial generates requests
 	Command  string
 	Log      io.Writer
 	Now      func() time.Time
 }
 
-// policy is one way to place prompts and copies.
+// policy is one policy for placing prompts and copies.
 type policy struct {
 	name               string
 	prefersHomeEngines bool
 	makesCopies        bool
-	// splitsPrefill lets half of the engines read prompts and the others make the answers.
+	// splitsPrefill uses half of the engines for prefill and the others for decoding.
 	splitsPrefill bool
-	// recreatesCopies lets a run whose copy was lost get another.
+	// recreatesCopies makes another copy of a run whose copy was lost.
 	recreatesCopies bool
-	// pollsPeers lets the daemons of a small fleet ask each other what they have under way.
+	// pollsPeers has the daemons of a small fleet poll each other for their load on each engine.
 	pollsPeers bool
-	// hasAdmissionControl lets daemons refuse prompts that engines have no room for.
+	// hasAdmissionControl has daemons refuse prompts that decision/prompts does not admit.
 	hasAdmissionControl bool
 	choose              func(*world, []decide.Engine, *request) int
 }
@@ -53,8 +53,8 @@
 	return w.rng.IntN(len(engines))
 }
 
-// chooseByReport asks the first few of the rank what they do. Engines that are down do
-// not answer.
+// chooseByReport requests load reports from the highest-ranked engines and takes the least loaded.
+// Engines that are down don't answer.
 func chooseByReport(w *world, engines []decide.Engine, r *request) int {
 	var order []int
 	var reports []decide.Report
@@ -73,8 +73,9 @@
 	return order[decide.LeastLoaded(reports, r.promptTokens)]
 }
 
-// chooseByPeerLoad takes the engine that reads nothing and makes the fewest answers, if it says so
-// itself, and else one of those that are asked for their reports.
+// chooseByPeerLoad takes the first of the three highest-ranked engines whose own report confirms
+// that it can prefill the prompt at once. It falls back to chooseByReport if there is none or
+// daemons don't poll each other.
 func chooseByPeerLoad(w *world, engines []decide.Engine, r *request) int {
 	if w.pollsPeers() {
 		for _, c := range decide.ChoosePrefillEngines(engines, 3, true, w.rng.Uint64()) {
@@ -86,19 +87,19 @@
 	return chooseByReport(w, engines, r)
 }
 
-// currentPolicy is what the daemons do.
+// currentPolicy is the policy that the daemons implement.
 var currentPolicy = policy{
 	name:               "daemons ask each other or engines, copy in another zone, made again when lost, prompts without room refused",
 	prefersHomeEngines: true, makesCopies: true, recreatesCopies: true, hasAdmissionControl: true, pollsPeers: true, choose: chooseByPeerLoad,
 }
 
-// withoutPeerLoad is inUse where daemons ask engines only.
+// withoutPeerLoad is currentPolicy with reports from engines only.
 var withoutPeerLoad = policy{
 	name:               "home engines that are asked, copy in another zone, made again when lost, prompts without room refused",
 	prefersHomeEngines: true, makesCopies: true, recreatesCopies: true, hasAdmissionControl: true, choose: chooseByReport,
 }
 
-// withoutAdmission is inUse without refusals.
+// withoutAdmission is withoutPeerLoad without admission control.
 var withoutAdmission = policy{
 	name:               "home engines that are asked, copy in another zone, made again when lost",
 	prefersHomeEngines: true, makesCopies: true, recreatesCopies: true, choose: chooseByReport,
@@ -131,16 +132,16 @@
 	},
 }
 
-// result is what the callers of one trial got.
+// result summarizes one trial.
 type result struct {
 	requests, onTime, completed  int
-	refused, preemptions         int // callers turned away for good, and runs
+	refused, preemptions         int // requests refused maxAttempts times; runs preempted
 	firstEventP50, firstEventP99 time.Duration
 	answerTimeP50, pauseP99      time.Duration
-	wastedPromptTokens           int // prompt tokens read in vain, for each request
+	wastedPromptTokens           int // prefilled in vain, per request
 }
 
-// Run plays every policy on every deployment and writes the report into o.Dir.
+// Run simulates every policy on every deployment and writes the report to o.Dir.
 func Run(o Options) error {
 	r := report.New("Placing long prompts while zones are lost", o.Command, o.Seed, o.Now())
 	r.Param("load of each trial", o.Duration.String())
@@ -164,7 +165,7 @@
 	return r.Write(o.Dir)
 }
 
-// Trial plays one policy on one deployment.
+// Trial simulates one policy on one deployment.
 func Trial(d deployment, p policy, seed uint64, length time.Duration) result {
 	w := newWorld(d, p, seed)
 	w.simulate(length)
--- a/lab/bench/prompts/prompts_test.go
+++ b/lab/bench/prompts/prompts_test.go
@@ -7,11 +7,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// Several daemons place long prompts without knowing of each other, and every
-// six seconds the engines of a zone die. Callers get nearly all answers in time
-// with home engines and copies; without copies each loss makes answers late and
-// prompts are read twice.
-func TestPlacingHoldsUnderLosses(t *testing.T) {
+// Guards against late answers and repeated prefill while a zone's engines fail every six seconds.
+// Without copies, each loss makes answers late and has prompts prefilled twice; with home engines and
+// copies nearly all answers are on time.
+func TestPlacementMeetsObjectivesUnderZoneLosses(t *testing.T) {
 	const length = 40 * time.Second
 	for _, d := range deployments[:2] {
 		baseline := Trial(d, policies[0], 1, length)
@@ -24,11 +23,11 @@
 	}
 }
 
-// Six daemons stand before two dozen engines, each of which runs an answer or two. Where
-// daemons know their own requests and three reports, prompts meet at an engine and are read
-// beside answers while others idle: each answer waits a second longer. Told by each other
-// what is under way, they have answers whole sooner, and fewer prompts read in vain.
-func TestDaemonsThatTellEachOther(t *testing.T) {
+// Six daemons share 24 engines that run an answer or two each. With only their own requests and three
+// load reports, daemons send several prompts to one engine, which prefills them beside its answers
+// while other engines idle: each answer takes a second longer. Polling each other, daemons get answers
+// completed sooner and waste less prefill.
+func TestPeerPollingReducesAnswerTime(t *testing.T) {
 	const length = 60 * time.Second
 	for seed := range uint64(3) {
 		before := Trial(deployments[2], withoutPeerLoad, seed, length)
@@ -40,11 +39,11 @@
 	}
 }
 
-// Seventy daemons stand before 120 engines, and a zone is lost every three seconds:
-// the engine that keeps the copy of a run often dies before the one that runs it.
-// Without another copy the prompt is read anew, which slows all answers, more of
-// them are there at the next loss, and hardly any comes in time.
-func TestLostCopiesAreMadeAgain(t *testing.T) {
+// Some seventy daemons share 120 engines and a zone is lost every three seconds, so the engine that
+// holds the copy of a run often fails before the one that runs it. Unless the copy is recreated, the
+// prompt is prefilled again, which slows all answers; more of them are running at the next loss, and
+// fewer than half are on time.
+func TestLostCopiesAreRecreated(t *testing.T) {
 	const length = 30 * time.Second
 	grown := deployments[4]
 	grown.lossRatio, grown.memoryTokens, grown.callerTimeout = 0, 1<<30, time.Hour
@@ -58,11 +57,11 @@
 	must.Less(t, before.wastedPromptTokens/3, ours.wastedPromptTokens)
 }
 
-// Seventy daemons before engines whose memory is half full of runs and copies. After
-// the loss of a zone the others are full: prompts sent there all the same have runs
-// thrown out and leave no room for copies, and the next loss has all of them read again.
-// Callers that are turned away for some seconds instead are answered when they return.
-func TestRefusalsKeepRoomForCopies(t *testing.T) {
+// Some seventy daemons share engines whose memory is half full of runs and copies. After the loss of a
+// zone the other engines are full: prompts sent there regardless have runs preempted and leave no
+// memory for copies, and the next loss has all of them prefilled again. Callers that are refused for
+// some seconds instead get their answer when they retry.
+func TestAdmissionControlKeepsMemoryForCopies(t *testing.T) {
 	const length = 60 * time.Second
 	all := Trial(deployments[4], withoutAdmission, 1, length)
 	ours := Trial(deployments[4], currentPolicy, 1, length)
@@ -72,11 +71,10 @@
 	must.Less(t, all.wastedPromptTokens*2/3, ours.wastedPromptTokens)
 }
 
-// Four times the load comes for eight seconds while zones are lost. Where all prompts
-// are sent, half of the callers wait for 25 s and get no whole answer, for engines read
-// prompts in every step and throw runs out. With refusals more answers arrive, and more
-// of them on time.
-func TestBurstBesideLosses(t *testing.T) {
+// The load is four times as high for eight seconds while zones are lost. Without admission control,
+// half of the callers wait for 25 s and get no complete answer, because engines prefill in every step
+// and preempt runs. With it, more answers are completed, and more of them on time.
+func TestAdmissionControlUnderBurstAndZoneLosses(t *testing.T) {
 	const length = 60 * time.Second
 	for seed := range uint64(3) {
 		all := Trial(deployments[5], withoutAdmission, seed, length)
@@ -89,15 +87,15 @@
 	}
 }
 
-func TestUsualLoadRefusesNobody(t *testing.T) {
+func TestNormalLoadIsNotRefused(t *testing.T) {
 	for _, d := range deployments[:2] {
 		must.Eq(t, 0, Trial(d, currentPolicy, 1, 60*time.Second).refused)
 	}
 }
 
-// Daemons that know one in seventy of the prompts being read send several to one
-// engine. Asked what they do, engines say so, and first events come earlier.
-func TestAskedEnginesReadSooner(t *testing.T) {
+// Daemons that know only one in seventy of the prompts in prefill send several to one engine. With
+// load reports from the engines, first events arrive earlier.
+func TestLoadReportsReduceTimeToFirstEvent(t *testing.T) {
 	const length = 30 * time.Second
 	grown := deployments[4]
 	grown.lossInterval = time.Hour
--- a/lab/bench/prompts/request.go
+++ b/lab/bench/prompts/request.go
@@ -4,33 +4,33 @@
 	"time"
 )
 
-// request is one long answer.
+// request is one generation request of a caller.
 type request struct {
 	daemon             int
-	promptTokens       int // tokens
-	events             int // of the whole answer
+	promptTokens       int
+	events             int // in the complete answer
 	emittedEvents      int
 	arrivedAt          time.Duration
-	firstEventAt       time.Duration // 0 before it
-	lastEventAt        time.Duration // of the last event
-	longestPause       time.Duration // longest
+	firstEventAt       time.Duration // 0 until then
+	lastEventAt        time.Duration
+	longestPause       time.Duration // between two events
 	endedAt            time.Duration
 	engine             *engine
-	prefilling         bool // at that engine, for the first time or again
-	wasSent            bool // was sent to an engine
+	prefilling         bool // on that engine, for the first time or again
+	wasSent            bool // to an engine, at least once
 	sentAt             time.Duration
 	copyEngine         *engine
-	wastedPromptTokens int // prompt tokens read in vain
-	// refusals is how often it was turned away before it ran, and over that its caller
-	// waits no more, or came back once already.
+	wastedPromptTokens int // prefilled in vain
+	// refusals counts how often admission control refused the request. abandoned is set once
+	// the caller has timed out or was refused maxAttempts times.
 	refusals  int
 	abandoned bool
 }
 
-// contextTokens is how many tokens of memory the request takes so far.
+// contextTokens returns the tokens of the prompt and of the events emitted so far.
 func (r *request) contextTokens() int { return r.promptTokens + r.emittedEvents*tokensPerEvent }
 
-// isOnTime reports whether the answer met both objectives.
+// isOnTime reports whether the answer is complete and met both latency objectives.
 func (r *request) isOnTime() bool {
 	return r.endedAt > 0 && r.firstEventAt-r.arrivedAt <= firstEventObjective && r.longestPause <= pauseObjective
 }
--- a/lab/bench/prompts/view.go
+++ b/lab/bench/prompts/view.go
@@ -7,7 +7,7 @@
 	"mallowwind.dev/decision/route"
 )
 
-// chooseHomeEngines marks a daemon's home engines of each zone.
+// chooseHomeEngines marks a daemon's preferred engines in each zone.
 func (w *world) chooseHomeEngines(daemon int) []bool {
 	var daemons []uint64
 	for n := range w.deployment.daemons {
@@ -28,7 +28,8 @@
 	return home
 }
 
-// engineView is what a daemon knows of the engines.
+// engineView returns the state of the engines as a daemon knows it, for choosing where to prefill
+// (reads) or where to place a copy.
 func (w *world) engineView(now time.Duration, daemon int, reads bool) []decide.Engine {
 	engines := make([]decide.Engine, len(w.engines))
 	for i, e := range w.engines {
@@ -47,12 +48,12 @@
 	return engines
 }
 
-// pollsPeers reports whether daemons ask each other what they have under way.
+// pollsPeers reports whether daemons poll each other for their load on each engine.
 func (w *world) pollsPeers() bool {
 	return w.policy.pollsPeers && decide.ShouldPollPeers(w.deployment.daemons)
 }
 
-// totalLoad is what all daemons have under way at an engine.
+// totalLoad returns the runs of all daemons on engine i.
 func (w *world) totalLoad(i int) (reading, running int) {
 	for n := range w.deployment.daemons {
 		reading += w.prefilling[n][i]
@@ -61,7 +62,8 @@
 	return reading, running
 }
 
-// addLoad and leave count a daemon's work at an engine.
+// addLoad assigns r to engine e and counts it in the daemon's load there; removeLoad undoes the
+// count.
 func (w *world) addLoad(r *request, e *engine, reading bool) {
 	r.engine, r.prefilling = e, reading
 	w.adjustLoad(r, 1)
@@ -77,7 +79,8 @@
 	}
 }
 
-// refreshReports takes down what the engines do. One that is down answers nothing.
+// refreshReports records every engine's load report. Those of engines that are down aren't read
+// by chooseByReport and chooseByPeerLoad.
 func (w *world) refreshReports() {
 	for _, e := range w.engines {
 		e.copyTokens = 0
--- a/lab/bench/prompts/world.go
+++ b/lab/bench/prompts/world.go
@@ -9,73 +9,75 @@
 	"mallowwind.dev/decision/retryafter"
 )
 
-// Times of the losses: the engines of one zone die together for lossFor, the
-// zones in turn, every other time without a sign.
+// Timing of the zone losses: the engines of one zone fail together for outageDuration, the zones in
+// turn. In every other loss the engines fall silent instead of resetting connections.
 const (
 	zones          = 3
 	outageDuration = 1200 * time.Millisecond
-	// reportInterval is how old an engine's report of itself may be.
+	// reportInterval is the maximum age of an engine's load report.
 	reportInterval = 200 * time.Millisecond
-	// copyLossDetectionTime is how long a daemon takes to see that the engine with a copy has
-	// started anew, and to have another copy made.
+	// copyLossDetectionTime is how long a daemon takes to notice that the engine with a copy has
+	// restarted and to have another copy made.
 	copyLossDetectionTime = 800 * time.Millisecond
-	// resetDetectionTime and darkSeen are how long a daemon takes to notice.
+	// resetDetectionTime and silentDetectionTime are how long a daemon takes to notice a failed
+	// engine that resets its connections or falls silent.
 	resetDetectionTime  = 5 * time.Millisecond
 	silentDetectionTime = 350 * time.Millisecond
-	// silentPrefillDetectionTime holds for a dark engine before the first event, found by probes.
+	// silentPrefillDetectionTime is the detection time by probes, for a silent engine that has
+	// not sent the first event.
 	silentPrefillDetectionTime = 700 * time.Millisecond
-	// suspectDuration is how long an engine that failed is a last resort.
+	// suspectDuration is how long a daemon uses a failed engine only as a last resort.
 	suspectDuration = 2 * time.Second
-	// splitEvents is how many events an engine that reads makes before the run goes
-	// on elsewhere: the copy is whole after about 300 ms.
+	// splitEvents is how many events a prefill engine emits before the run moves to its copy,
+	// which is complete after about 300 ms.
 	splitEvents = 8
-	// copyResumeTime is what going on from a copy takes beside the next step.
+	// copyResumeTime is the overhead of resuming from a copy.
 	copyResumeTime = 20 * time.Millisecond
 )
 
-// startTime is the time of day at which trials begin.
+// startTime is the virtual wall-clock time at which trials begin.
 var startTime = time.Unix(1, 0)
 
-// Objectives of the answers.
+// Latency objectives and caller behavior.
 const (
 	firstEventObjective = 4500 * time.Millisecond
 	pauseObjective      = 700 * time.Millisecond
-	// defaultCallerTimeout is how long a caller waits for the end of its answer.
+	// defaultCallerTimeout is how long a caller waits for its complete answer.
 	defaultCallerTimeout = 25 * time.Second
-	// defaultMeanPromptTokens is the mean length of a prompt in tokens.
+	// defaultMeanPromptTokens is the mean prompt length of the users' first platform.
 	defaultMeanPromptTokens = 8200
-	// maxAttempts is how often a caller asks that is told to come back.
+	// maxAttempts is how often a caller sends a request that is refused with a retry-after.
 	maxAttempts = 2
 )
 
-// world is one trial in virtual time. Daemons know their own requests only, unless the
-// policy has them ask each other.
+// world is the state of one trial in virtual time. Daemons know only their own requests, unless the
+// policy has them poll each other.
 type world struct {
 	deployment      deployment
 	policy          policy
 	rng             *rand.Rand
-	loadRNG         *rand.Rand // of the requests
+	loadRNG         *rand.Rand // draws the requests
 	engines         []*engine
-	homeEngines     [][]bool // by daemon and engine
+	homeEngines     [][]bool // by daemon and engine, like the next four fields
 	suspectUntil    [][]time.Duration
 	prefilling      [][]int
 	running         [][]int
 	copies          [][]int
-	reports         []decide.Report     // of the engines
-	estimators      []*decide.Estimator // of the daemons
+	reports         []decide.Report     // by engine
+	estimators      []*decide.Estimator // by daemon
 	overloadStreaks []*retryafter.Streak
 	scheduled       []scheduledResume
 	requests        []*request
-	// preemptions counts runs that an engine without memory took out of its batch.
+	// preemptions counts runs that engines took out of their batch because memory was full.
 	preemptions int
 }
 
-// scheduledResume is a request that goes on at a time.
+// scheduledResume is a request that is sent or resumed at a later time.
 type scheduledResume struct {
 	at          time.Duration
 	request     *request
-	fromCopy    bool // from its copy
-	callerRetry bool // the caller comes back that was refused
+	fromCopy    bool // resumes from its copy
+	callerRetry bool // the caller retries after a refusal
 }
 
 func newWorld(d deployment, p policy, seed uint64) *world {
@@ -103,7 +105,7 @@
 	return w
 }
 
-// simulate runs the trial for a time and lets what runs end.
+// simulate generates requests for length and runs the trial 20 s longer, for running requests to end.
 func (w *world) simulate(length time.Duration) {
 	w.refreshReports()
 	next := w.nextArrivalGap(0)
@@ -143,7 +145,7 @@
 	return time.Duration(w.loadRNG.ExpFloat64() / (w.deployment.requestsPerSecond * w.deployment.burst.factorAt(now)) * float64(time.Second))
 }
 
-// expireRequests ends the requests whose callers wait no more.
+// expireRequests ends the requests whose callers have timed out.
 func (w *world) expireRequests(now time.Duration) {
 	for _, r := range w.requests {
 		if r.endedAt > 0 || r.abandoned || now-r.arrivedAt < w.deployment.callerTimeout {
@@ -170,8 +172,9 @@
 	w.sendPrompt(now, r)
 }
 
-// rejectIfOverloaded reports whether a request that has not run is turned away by its daemon, and
-// has its caller come back if it has not before.
+// rejectIfOverloaded applies admission control to a request that has not been sent to an engine yet,
+// and reports whether the daemon refuses it. It schedules the caller's retry unless the request was
+// refused maxAttempts times.
 func (w *world) rejectIfOverloaded(now time.Duration, r *request, e int) bool {
 	if !w.policy.hasAdmissionControl || r.wasSent {
 		return false
@@ -191,8 +194,8 @@
 	return true
 }
 
-// sendPrompt sends a prompt to the engine that the policy chooses. An answer that had
-// begun goes on after its last event.
+// sendPrompt sends a prompt, with the answer so far, to the engine that the policy chooses. An answer
+// that has begun continues after its last event.
 func (w *world) sendPrompt(now time.Duration, r *request) {
 	i := w.policy.choose(w, w.engineView(now, r.daemon, true), r)
 	e := w.engines[i]
@@ -210,7 +213,7 @@
 	w.placeCopy(now, r)
 }
 
-// placeCopy chooses where the copy of a run lies.
+// placeCopy chooses the engine that holds the copy of a run.
 func (w *world) placeCopy(now time.Duration, r *request) {
 	if !w.policy.makesCopies {
 		return
@@ -227,7 +230,8 @@
 	}
 }
 
-// recordEvent records one event; it reports whether the answer is whole.
+// recordEvent records one event and reports whether the run leaves the engine: the answer is
+// complete or the run moved to its copy.
 func (w *world) recordEvent(now time.Duration, r *request) bool {
 	if r.firstEventAt == 0 {
 		r.firstEventAt = now
@@ -250,7 +254,7 @@
 	return true
 }
 
-// moveToCopy moves a run to its copy once the copy is whole.
+// moveToCopy moves a run to the engine with its copy and reports whether that engine is up.
 func (w *world) moveToCopy(now time.Duration, r *request) bool {
 	if r.copyEngine == nil || r.copyEngine.down {
 		return false
--- a/lab/bench/prompts/zoneloss.go
+++ b/lab/bench/prompts/zoneloss.go
@@ -12,7 +12,7 @@
 	}
 }
 
-// recreateCopies makes a copy of each run whose copy was lost.
+// recreateCopies makes another copy of each run whose copy was lost.
 func (w *world) recreateCopies(now time.Duration) {
 	for _, r := range w.requests {
 		if w.policy.recreatesCopies && r.firstEventAt > 0 && r.endedAt == 0 && r.engine != nil && !r.engine.down && r.copyEngine == nil {
@@ -21,43 +21,43 @@
 	}
 }
 
-// failZone takes a zone's engines down, and the copies there.
-func (w *world) failZone(now time.Duration, zone int, dark bool) {
-	struck := w.enginesToFail(zone, dark)
+// failZone takes engines of a zone down, with the runs and the copies they hold.
+func (w *world) failZone(now time.Duration, zone int, silent bool) {
+	failing := w.enginesToFail(zone, silent)
 	for _, r := range w.requests {
-		if r.copyEngine != nil && struck[r.copyEngine.id] {
+		if r.copyEngine != nil && failing[r.copyEngine.id] {
 			w.dropCopy(r)
 		}
 	}
 	for _, e := range w.engines {
-		if !struck[e.id] {
+		if !failing[e.id] {
 			continue
 		}
 		for _, lost := range e.fail() {
-			w.scheduleLostRun(now, lost, dark)
+			w.scheduleLostRun(now, lost, silent)
 		}
 	}
 }
 
-// enginesToFail marks the engines that a loss takes: those of a zone, or of every other loss
-// a share of them.
+// enginesToFail marks the engines that a loss takes down: all of the zone, or each with probability
+// lossRatio if the loss is not whole and the deployment sets one.
 func (w *world) enginesToFail(zone int, whole bool) []bool {
-	struck := make([]bool, len(w.engines))
+	failing := make([]bool, len(w.engines))
 	for i, e := range w.engines {
 		all := whole || w.deployment.lossRatio == 0
-		struck[i] = e.zone == zone && (all || w.rng.Float64() < w.deployment.lossRatio)
+		failing[i] = e.zone == zone && (all || w.rng.Float64() < w.deployment.lossRatio)
 	}
-	return struck
+	return failing
 }
 
-// scheduleLostRun lets a lost run go on once its daemon has noticed.
-func (w *world) scheduleLostRun(now time.Duration, lost *run, dark bool) {
+// scheduleLostRun schedules a lost run to resume once its daemon has detected the failure.
+func (w *world) scheduleLostRun(now time.Duration, lost *run, silent bool) {
 	r := lost.request
 	seen := resetDetectionTime
 	switch {
-	case dark && r.firstEventAt == 0:
+	case silent && r.firstEventAt == 0:
 		seen = silentPrefillDetectionTime
-	case dark:
+	case silent:
 		seen = silentDetectionTime
 	}
 	w.suspectUntil[r.daemon][r.engine.id] = now + seen + suspectDuration
@@ -70,7 +70,7 @@
 	w.scheduled = append(w.scheduled, scheduledResume{at: now + seen, request: r, fromCopy: fromCopy})
 }
 
-// resumeDue continues the requests whose time has come.
+// resumeDue resumes the scheduled requests that are due.
 func (w *world) resumeDue(now time.Duration) {
 	due := w.scheduled
 	w.scheduled = nil
@@ -90,7 +90,7 @@
 	}
 }
 
-// resumeFromCopy goes on from the copy.
+// resumeFromCopy resumes a run on the engine that holds its copy.
 func (w *world) resumeFromCopy(now time.Duration, r *request) {
 	e := r.copyEngine
 	w.dropCopy(r)
@@ -99,7 +99,7 @@
 	w.placeCopy(now, r)
 }
 
-// restoreZone brings a zone's engines up again, empty.
+// restoreZone brings a zone's engines up again, without any runs.
 func (w *world) restoreZone(zone int) {
 	for _, e := range w.engines {
 		if e.zone == zone {
