--- a/lab/bench/losses/caller.go
+++ b/lab/bench/losses/caller.go
@@ -14,19 +14,19 @@
 	"mallowwind.dev/lab/world"
 )
 
-// The sizes of requests. Prompts differ from their first character on, so that
-// no prefix is cached but that of the answer's own earlier attempts.
+// Request sizes. Prompts differ from their first character on, so that an attempt finds no cached
+// prefix except that of earlier attempts at the same answer.
 const (
 	promptBytes          = 6000
 	minTokens, maxTokens = 120, 240
-	// maxMoves bounds connecting to another entry VM.
+	// maxMoves bounds the entry VMs that a caller tries, and how often it reconnects while reading.
 	maxMoves = 12
 )
 
-// stall is a time in which a caller's answer did not grow.
+// stall is an interval in which a caller received no tokens of its answer.
 type stall struct{ from, to time.Time }
 
-// caller sends one request after the other and notes every wait.
+// caller sends one request after the other and records every stall.
 type caller struct {
 	index int
 	world *world.World
@@ -37,20 +37,20 @@
 	vm           int
 	stalls       []stall
 	requests     int
-	promptTokens int // tokens of prompts, each request once
+	promptTokens int // of each request once
 	tokens       int
 	failed       int
-	violation    error // a promise that did not hold
+	violation    error // a guarantee of the answer that did not hold
 }
 
-// current returns the answer being read and through which entry VM.
+// current returns the id of the answer being read and the index of the entry VM it is read from.
 func (c *caller) current() (id string, vm int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.answerID, c.vm
 }
 
-// run sends requests until the given time and finishes the last.
+// run sends requests until the given time and reads the last answer to its end.
 func (c *caller) run(ctx context.Context, until time.Time) {
 	for n := 0; time.Now().Before(until) && ctx.Err() == nil; n++ {
 		if err := c.request(ctx, n); err != nil {
@@ -62,7 +62,7 @@
 	}
 }
 
-// request reads one answer. The wait for its first token is not counted.
+// request sends one request and reads its answer. The time to the first token is not a stall.
 func (c *caller) request(ctx context.Context, n int) error {
 	prompt := strings.Repeat(fmt.Sprintf("%d/%d/%d ", c.index, n, c.rng.Uint32()), promptBytes/16)
 	want := minTokens + c.rng.IntN(maxTokens-minTokens)
@@ -70,7 +70,7 @@
 	a := c.world.Caller(prompt, "", want)
 	defer func() { a.Close() }()
 	var last time.Time
-	held := 0 // most tokens of this request held at any time
+	held := 0 // most tokens of the answer received by any submission
 	for vm, try := c.index, 0; !a.Done && try < maxMoves; try++ {
 		if err := a.Submit(ctx, vm%vms); err != nil {
 			vm++
@@ -109,7 +109,7 @@
 	c.promptTokens += (len(prompt) + engine.BytesPerToken - 1) / engine.BytesPerToken
 }
 
-// readAnswer reads an answer to its end, moving on when an entry VM is lost.
+// readAnswer reads an answer to its end, and continues at the next entry VM when the connection is lost.
 func (c *caller) readAnswer(ctx context.Context, a *world.Caller, held *int, last *time.Time) error {
 	for moves := 0; !a.Done; {
 		err := a.Read(ctx)
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// recordTokens notes n more tokens after a wait since last, which is zero at first.
+// recordTokens counts n new tokens and the stall since last. last is zero for the first tokens.
 func (c *caller) recordTokens(n int, last time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,15 +143,15 @@
 	}
 }
 
-// longestStall returns how long the answer stood still because of what happened at t:
-// the longest wait that began at t or shortly after and had not ended then.
+// longestStall returns how long a fault at t stalled the answer: the longest stall that ended after t
+// and began before or shortly after t.
 func (c *caller) longestStall(t time.Time) time.Duration {
-	const soon = 100 * time.Millisecond // tokens under way still arrive
+	const inFlightGrace = 100 * time.Millisecond // in-flight tokens still arrive
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var longest time.Duration
 	for _, w := range c.stalls {
-		if w.to.After(t) && w.from.Before(t.Add(soon)) {
+		if w.to.After(t) && w.from.Before(t.Add(inFlightGrace)) {
 			longest = max(longest, w.to.Sub(w.from))
 		}
 	}
--- a/lab/bench/losses/policy.go
+++ b/lab/bench/losses/policy.go
@@ -9,33 +9,33 @@
 	"mallowwind.dev/decision/silence"
 )
 
-// The weights of resume latency in the two deployments' examples.
+// The weights of resume latency in the examples for the two deployments.
 const (
 	CostWeight    = 0.2
 	LatencyWeight = 0.9
 )
 
-// variant is one policy under comparison.
+// variant is one of the compared policies.
 type variant struct {
 	name   string
 	weight float64
 	policy resume.Policy
 }
 
-// standbyIntervalTokens is how many tokens apart the standby engine reads the answer:
-// two to four times in an answer of this experiment.
+// standbyIntervalTokens is the number of tokens after which the standby engine prefills the answer so
+// far. With it an answer of this benchmark is prefilled two to four times.
 const standbyIntervalTokens = 64
 
-// fixedTimeout suspects after the same time always.
+// fixedTimeout returns a configuration that suspects an attempt after a constant silence.
 func fixedTimeout(timeout time.Duration) silence.Config {
 	return silence.Config{Floor: timeout, Ceiling: timeout, FirstChunkFloor: timeout, FirstChunkCeiling: timeout, Deviations: 1}
 }
 
-// variants are the baselines and, at each weight, what is built on them.
+// variants returns the baselines, and the policies built on them at several weights.
 func variants(timeout time.Duration, weights []float64) []variant {
 	base := resume.PolicyForService(0, time.Minute)
 	base.MaxConcurrentAttempts, base.Reattach, base.Silence = 1, false, fixedTimeout(timeout)
-	// No attempt follows a lost one: the caller sends its request again.
+	// A lost attempt is not replaced: the caller has to send its request again.
 	restart := base
 	restart.MaxAttempts, restart.Deadline = 0, timeout
 	list := []variant{{"restart", 0, restart}, {"cold, fixed", 0, base}}
--- a/lab/bench/losses/trial.go
+++ b/lab/bench/losses/trial.go
@@ -15,8 +15,8 @@
 	"mallowwind.dev/lab/world"
 )
 
-// The sizes of a trial: an engine gives a token each 30 ms or so, the aim for
-// the size to come, and works on about seven answers.
+// Trial sizes. Each engine runs about seven answers and generates a token of each about every 30 ms,
+// the target for the planned deployment size.
 const (
 	vms     = 6
 	engines = 9
@@ -28,15 +28,14 @@
 	faultSpacing    = 1500 * time.Millisecond
 	faultLength     = time.Second
 	pauseLength     = 6 * time.Second
-	// drainTimeout ends a trial whose last answers do not.
+	// drainTimeout bounds the time after the load in which the last answers have to end.
 	drainTimeout = 30 * time.Second
 )
 
-// faultKind is a kind of loss.
+// faultKind is a kind of injected fault.
 type faultKind string
 
-// The losses of the experiment. A slow engine is no loss: whatever is done
-// about it is needless.
+// The kinds of faults. A slow engine loses nothing: any takeover from it is unnecessary.
 const (
 	engineCrash  faultKind = "engine death"
 	enginePause  faultKind = "engine pause"
@@ -47,27 +46,27 @@
 
 var faultKinds = []faultKind{engineCrash, enginePause, silentStream, routerCrash, slowEngine}
 
-// fault is one fault and the callers whose answers it met.
+// fault is an injected fault and the callers whose answers it affects.
 type fault struct {
 	at       time.Time
 	affected []*caller
 }
 
-// result is what a trial gave.
+// result holds the measurements of a trial.
 type result struct {
-	latency         *hdrhistogram.Histogram // microseconds, of the answers met
-	affectedAnswers int                     // answers met
+	latency         *hdrhistogram.Histogram // stalls of the affected answers, in microseconds
+	affectedAnswers int                     // answers stalled by a fault, once per fault
 	requests        int
-	promptTokens    int // prompt tokens of the requests
+	promptTokens    int // of each request once
 	failed          int
-	tokens          int // received by callers, each once
-	// generated, prefilled and begun are the engines' work.
+	tokens          int // received by callers, without repeats
+	// Tokens generated and prefilled, and attempts started, by all engines.
 	generated, prefilled, attempts int64
 	journalBytes, primings         float64
 	suspected, falseSuspicions     float64
 }
 
-// runTrial plays one trial in real time.
+// runTrial runs one trial in real time.
 func runTrial(ctx context.Context, v variant, k faultKind, seed uint64, duration time.Duration) (*result, error) {
 	w := world.New(ctx, world.Config{
 		Seed: seed, VMs: vms, Engines: engines, Weight: v.weight, Policy: v.policyFor,
@@ -84,27 +83,27 @@
 		list[i] = c
 		wg.Go(func() { c.run(ctx, until) })
 	}
-	hits := injectFaults(ctx, w, k, list, until)
+	faults := injectFaults(ctx, w, k, list, until)
 	wg.Wait()
-	return collectResult(w, list, hits)
+	return collectResult(w, list, faults)
 }
 
-// injectFaults injects a fault every now and then until the given time. Each is
-// undone while the experiment goes on.
+// injectFaults injects faults at the interval of their kind until the given time. Each fault is undone
+// after its duration, while the trial continues.
 func injectFaults(ctx context.Context, w *world.World, k faultKind, list []*caller, until time.Time) []fault {
-	var hits []fault
+	var faults []fault
 	pause.For(ctx, firstFaultDelay)
 	for i := 0; time.Now().Before(until) && ctx.Err() == nil; i++ {
 		h, undo := injectFault(w, k, i, list)
-		hits = append(hits, h)
+		faults = append(faults, h)
 		time.AfterFunc(faultDuration(k), undo)
 		pause.For(ctx, faultInterval(k))
 	}
 	pause.For(ctx, faultDuration(k))
-	return hits
+	return faults
 }
 
-// injectFault carries out the i-th fault and returns what undoes it.
+// injectFault injects the i-th fault and returns a function that undoes it.
 func injectFault(w *world.World, k faultKind, i int, list []*caller) (h fault, undo func()) {
 	n := i % engines
 	h = fault{at: time.Now(), affected: affectedCallers(w, k, n, list)}
@@ -129,7 +128,8 @@
 	return h, undo
 }
 
-// faultDuration is how long a fault of a kind lasts. A pause outlasts the fixed timeout.
+// faultDuration returns how long a fault of a kind lasts. An engine pause lasts longer than the default
+// fixed timeout of the baselines.
 func faultDuration(k faultKind) time.Duration {
 	if k == enginePause {
 		return pauseLength
@@ -137,7 +137,7 @@
 	return faultLength
 }
 
-// faultInterval spaces the faults; of paused engines there are two at most at a time.
+// faultInterval returns the time between two faults. At most two engines are paused at a time.
 func faultInterval(k faultKind) time.Duration {
 	if k == enginePause {
 		return pauseLength / 2
@@ -145,25 +145,25 @@
 	return faultSpacing
 }
 
-// affectedCallers finds the callers whose answers depend on what is about to fail.
+// affectedCallers returns the callers whose answers depend on the engine or entry VM about to fail.
 func affectedCallers(w *world.World, k faultKind, n int, list []*caller) []*caller {
-	var met []*caller
+	var affected []*caller
 	read := w.Read(n)
 	for _, c := range list {
 		id, vm := c.current()
 		if k == routerCrash && vm == n%vms || k != routerCrash && slices.Contains(read, id) {
-			met = append(met, c)
+			affected = append(affected, c)
 		}
 	}
-	return met
+	return affected
 }
 
-func collectResult(w *world.World, list []*caller, hits []fault) (*result, error) {
+func collectResult(w *world.World, list []*caller, faults []fault) (*result, error) {
 	r := &result{latency: hdrhistogram.New(1, time.Minute.Microseconds(), 3)}
-	for _, h := range hits {
+	for _, h := range faults {
 		for _, c := range h.affected {
 			if d := c.longestStall(h.at); d > 0 {
-				_ = r.latency.RecordValue(d.Microseconds()) // within a minute by drainLimit
+				_ = r.latency.RecordValue(d.Microseconds()) // drainTimeout keeps stalls below the maximum of a minute
 				r.affectedAnswers++
 			}
 		}
@@ -186,17 +186,17 @@
 	return r, nil
 }
 
-// extraTokens is the work beyond what each request needs once, in generated
-// tokens: tokens that no caller received, and what had to be read again.
+// extraTokens returns the work beyond what each request needs once, in units of generated tokens:
+// tokens that no caller received and the cost of repeated prefill.
 func (r *result) extraTokens() float64 {
 	again := int(r.prefilled) - r.promptTokens
 	return float64(int(r.generated)-r.tokens) + budget.TakeoverCost(again)
 }
 
-// extraTokensPercent is extraTokens for each hundred tokens received.
+// extraTokensPercent returns the extra tokens in percent of the tokens received.
 func (r *result) extraTokensPercent() float64 { return 100 * r.extraTokens() / float64(r.tokens) }
 
-// extraTokensPerAffected is extraTokens for each answer met.
+// extraTokensPerAffected returns the extra tokens per affected answer.
 func (r *result) extraTokensPerAffected() float64 {
 	return r.extraTokens() / float64(max(r.affectedAnswers, 1))
 }
--- a/lab/bench/wire/wire.go
+++ b/lab/bench/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire counts the bytes that cross connections, both ways, headers
-// included and the frames of TCP and IP left out.
+// Package wire counts the bytes that connections carry in both directions, including HTTP headers and
+// excluding TCP and IP headers.
 package wire
 
 import (
@@ -7,7 +7,7 @@
 	"sync/atomic"
 )
 
-// Count returns a connection that adds what it reads and writes to bytes.
+// Count wraps c in a connection that adds the number of bytes read and written to bytes.
 func Count(c net.Conn, bytes *atomic.Int64) net.Conn { return &conn{Conn: c, bytes: bytes} }
 
 type conn struct {
