--- a/lab/bench/control/spread.go
+++ b/lab/bench/control/spread.go
@@ -28,7 +28,7 @@
 	// spreadTimeout bounds the wait for a change; the objective with a failing store is 9 s.
 	spreadTimeout = 9 * time.Second
 	// outageSettleTime exceeds the longest backoff of watchers reconnecting after an outage,
-	// which is 5 s plus half of that.
+	// which is one and a half times 5 s.
 	outageSettleTime = 8 * time.Second
 	// gossipSettleTime is the pause between changes, for gossip about the last one to end.
 	gossipSettleTime = 100 * time.Millisecond
--- a/lab/bench/losses/caller.go
+++ b/lab/bench/losses/caller.go
@@ -109,7 +109,8 @@
 	c.promptTokens += (len(prompt) + engine.BytesPerToken - 1) / engine.BytesPerToken
 }
 
-// readAnswer reads an answer to its end, and continues at the next entry VM when the connection is lost.
+// readAnswer reads an answer to its end. When the connection is lost it continues at the next entry
+// VM.
 func (c *caller) readAnswer(ctx context.Context, a *world.Caller, held *int, last *time.Time) error {
 	for moves := 0; !a.Done; {
 		err := a.Read(ctx)
--- a/lab/bench/members/members.go
+++ b/lab/bench/members/members.go
@@ -137,11 +137,11 @@
 		d.kill()
 		others := f.countListing(d.id)
 		if err := waitUntil(ctx, detectTimeout, func() bool { return f.countListing(d.id) < others }); err != nil {
-			return errors.Wrap(err, "wait for the first daemon to detect a crash")
+			return errors.Wrap(err, "crash detection by the first daemon")
 		}
 		r.firstDetection = append(r.firstDetection, time.Since(begin).Round(pollInterval))
 		if err := waitUntil(ctx, detectTimeout, func() bool { return f.countListing(d.id) == 0 }); err != nil {
-			return errors.Wrap(err, "wait for all daemons to detect a crash")
+			return errors.Wrap(err, "crash detection by all daemons")
 		}
 		r.lastDetection = append(r.lastDetection, time.Since(begin).Round(pollInterval))
 	}
--- a/lab/bench/physics/physics.go
+++ b/lab/bench/physics/physics.go
@@ -54,7 +54,7 @@
 			return p, nil
 		}
 	}
-	return Engine{}, errors.Errorf("unknown kind of engine %q: want beside, chunked or slower", name)
+	return Engine{}, errors.Errorf("unknown kind of engines %q: none of beside, chunked, slower", name)
 }
 
 // StepTime returns the time of a step of the given number of streams, with or without a prefill.
--- a/lab/bench/prompts/engine.go
+++ b/lab/bench/prompts/engine.go
@@ -28,7 +28,7 @@
 type engine struct {
 	id             int
 	zone           int
-	slowdown       float64 // factor on the time of a step
+	slowdown       float64 // factor on the time of a step; 1 is normal, more is slower
 	prefilling     []*run
 	running        []*run
 	nextStepAt     time.Duration // end of the current step
--- a/lab/bench/prompts/prompts.go
+++ b/lab/bench/prompts/prompts.go
@@ -53,8 +53,9 @@
 	return w.rng.IntN(len(engines))
 }
 
-// chooseByReport requests load reports from the highest-ranked engines and takes the least loaded.
-// Engines that are down don't answer.
+// chooseByReport requests load reports from the forward.SampleSize highest-ranked engines and takes
+// the least loaded. It goes on to up to three times as many while none of them can prefill the prompt
+// at once. Engines that are down don't answer.
 func chooseByReport(w *world, engines []decide.Engine, r *request) int {
 	var order []int
 	var reports []decide.Report
