--- a/control/reconcile/harness_test.go
+++ b/control/reconcile/harness_test.go
@@ -146,7 +146,7 @@
 
 func (h *zoneHarness) addEngineIn(id, zone string) {
 	h.sims[id] = enginesim.New(enginesim.Config{
-		Name: id, RespectFence: h.fencing, MaxModels: h.maxModels, LoadTime: time.Second, Weights: h,
+		Name: id, EnforceFencing: h.fencing, MaxModels: h.maxModels, LoadTime: time.Second, Weights: h,
 	})
 	h.vms.Put(vmlist.VM{ID: id, Address: id, Zone: zone, Role: vmlist.RoleBackend, Pool: "p", State: vmlist.Live})
 }
--- a/control/reconcile/manager_test.go
+++ b/control/reconcile/manager_test.go
@@ -144,10 +144,10 @@
 		h.waitUntil("all engines serve version 1", 2*time.Minute, func() bool { return h.countReady(v1) == 3 })
 		h.applySite(2, v2, 3, 2)
 		h.waitUntil("version 2 is ready on some engine", time.Minute, func() bool { return h.countReady(v2) > 0 })
-		h.sims["b0"].Die()
+		h.sims["b0"].Crash()
 		h.addEngine("b9")
 		h.waitUntil("three engines serve version 2", 5*time.Minute, func() bool { return h.countReady(v2) == 3 })
-		h.sims["b0"].Revive()
+		h.sims["b0"].Restart()
 		h.vms.Put(vmlist.VM{ID: "b0", Address: "b0", Zone: "a", Role: vmlist.RoleBackend, Pool: "p", State: vmlist.Leaving})
 		time.Sleep(time.Minute)
 		must.Eq(t, 3, h.countReady(v2))
@@ -165,11 +165,11 @@
 		h.applySite(1, v1, 3, 2)
 		h.waitUntil("all engines serve version 1", 2*time.Minute, func() bool { return h.countReady(v1) == 3 })
 		time.Sleep(24 * time.Second) // not a multiple of SteadyPollInterval, so that the last poll is old
-		h.sims["b0"].Die()
+		h.sims["b0"].Crash()
 		h.applySite(2, v2, 3, 2)
 		time.Sleep(time.Minute)
 		must.Eq(t, 2, h.countReady(v1))
-		h.sims["b0"].Revive()
+		h.sims["b0"].Restart()
 		h.waitUntil("all engines serve version 2", 5*time.Minute, func() bool { return h.countReady(v2) == 3 })
 	})
 }
@@ -201,8 +201,8 @@
 		h.applySite(1, v1, 30, 1)
 		h.waitUntil("all engines serve version 1", 10*time.Minute, func() bool { return h.countReady(v1) == 30 })
 		time.Sleep(5 * time.Minute)
-		h.sims["b7"].Die()
-		h.sims["b7"].Revive()
+		h.sims["b7"].Crash()
+		h.sims["b7"].Restart()
 		h.holder().reconciler.PollSoon("b7")
 		h.waitUntil("all engines serve version 1 again", 15*time.Second, func() bool { return h.countReady(v1) == 30 })
 	})
@@ -286,9 +286,9 @@
 	case 3:
 		h.store.SetDown(rng.IntN(2) == 0)
 	case 4:
-		sim.Die()
+		sim.Crash()
 	case 5:
-		sim.Revive()
+		sim.Restart()
 	case 6:
 		sim.Pause()
 	case 7:
@@ -305,7 +305,7 @@
 		d.unpause()
 	}
 	for _, sim := range h.sims {
-		sim.Revive()
+		sim.Restart()
 		sim.Unpause()
 	}
 }
--- a/lab/bench/losses/trial.go
+++ b/lab/bench/losses/trial.go
@@ -111,8 +111,8 @@
 	undo = func() {}
 	switch k {
 	case engineCrash:
-		e.Die()
-		undo = e.Revive
+		e.Crash()
+		undo = e.Restart
 	case enginePause:
 		e.Pause()
 		undo = e.Unpause
@@ -122,8 +122,8 @@
 		w.Kill(i % vms)
 		undo = func() { w.Replace(i % vms) }
 	case slowEngine:
-		e.Slow(6)
-		undo = func() { e.Slow(1) }
+		e.SetSlowdown(6)
+		undo = func() { e.SetSlowdown(1) }
 	}
 	return h, undo
 }
--- a/lab/stand/faults.go
+++ b/lab/stand/faults.go
@@ -93,7 +93,7 @@
 
 // EndEngine ends an engine for good and takes it off the list.
 func (d *Deployment) EndEngine(id string, sim *enginesim.Sim) {
-	sim.Die()
+	sim.Crash()
 	d.EngineNet(id).Cut()
 	d.VMs.Remove(id)
 }
--- a/lab/stand/stand_test.go
+++ b/lab/stand/stand_test.go
@@ -33,8 +33,8 @@
 // kill makes the engine die that runs a generation.
 func (d *Deployment) kill(id string) (killed int) {
 	for _, e := range d.Engines {
-		if e.Runs(id) {
-			e.Die()
+		if e.HasUnfinished(id) {
+			e.Crash()
 			killed++
 		}
 	}
--- a/lab/world/loss_test.go
+++ b/lab/world/loss_test.go
@@ -50,9 +50,9 @@
 refused at once; the answer goes on elsewhere without waiting for anything.`,
 	fault: func(w *World, _ *Caller) {
 		w.killBusy()
-		w.Engines[1].Die()
-		w.Engines[2].Die()
-		w.Engines[4].Die()
+		w.Engines[1].Crash()
+		w.Engines[2].Crash()
+		w.Engines[4].Crash()
 	},
 	within: 200 * time.Millisecond, fresh: 4,
 }, {
@@ -90,7 +90,7 @@
 loss: at most one other attempt races it, and the answer is whole.`,
 	fault: func(w *World, _ *Caller) {
 		for _, i := range w.Busy() {
-			w.Engines[i].Slow(5)
+			w.Engines[i].SetSlowdown(5)
 		}
 	},
 	within: 500 * time.Millisecond, fresh: 2,
@@ -173,7 +173,7 @@
 // killBusy kills the engines that run something.
 func (w *World) killBusy() {
 	for _, i := range w.Busy() {
-		w.Engines[i].Die()
+		w.Engines[i].Crash()
 	}
 }
 
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -285,7 +285,7 @@
 func (w *World) Close() {
 	for _, e := range w.Engines {
 		e.Unpause()
-		e.Die()
+		e.Crash()
 	}
 	w.stop()
 	w.Net.close()
