--- a/serve/flow/precheck.go
+++ b/serve/flow/precheck.go
@@ -28,7 +28,7 @@
 		return c.chargeBudget(now, w)
 	}
 	a := w.request.Account
-	if a == nil || a.TokensPerS <= 0 {
+	if a == nil || a.TokensPerSecond <= 0 {
 		return nil
 	}
 	bucket, ok := c.accounts[a.Name]
@@ -39,10 +39,10 @@
 	if bucket.fleetVersion != c.fleetVersion {
 		bucket.limitShare, bucket.fleetVersion = c.accountShare(a.Name), c.fleetVersion
 	}
-	rate := a.TokensPerS * bucket.limitShare
+	rate := a.TokensPerSecond * bucket.limitShare
 	if wait := bucket.Take(now, w.item.Cost, rate); wait > 0 {
 		return verdict.New(verdict.NotRun, verdict.CodeAccountLimit,
-			"account %s is above its limit of %g tokens a second", a.Name, a.TokensPerS).WithRetryAfter(wait)
+			"account %s is above its limit of %g tokens a second", a.Name, a.TokensPerSecond).WithRetryAfter(wait)
 	}
 	return nil
 }
--- a/serve/generation/copier.go
+++ b/serve/generation/copier.go
@@ -84,7 +84,7 @@
 		switch {
 		case err != nil:
 			// The connection may stay silent although new connections would work.
-			c.m.dialer.DropIdle()
+			c.m.dialer.CloseIdleConnections()
 			c.leaveHolder("unreachable")
 		case res.Accepted:
 			c.hasCopy = true
--- a/serve/generation/handle.go
+++ b/serve/generation/handle.go
@@ -258,7 +258,7 @@
 		})
 		cancel()
 		if err != nil {
-			h.m.dialer.DropIdle()
+			h.m.dialer.CloseIdleConnections()
 			return Batch{}, errors.Join(errFenced{}, err)
 		}
 		b, err := parseFollowReply(r, pos)
--- a/serve/generation/version_test.go
+++ b/serve/generation/version_test.go
@@ -47,7 +47,7 @@
 func newLaggingDaemon(t *testing.T, reported, actual map[string][]string) *laggingDaemon {
 	service := &site.Service{
 		Name: "reviews", Kind: site.KindGeneration, Pool: testPool, Model: testModel, Version: newVersion,
-		Class: site.ClassLong, Deadline: 30 * time.Second, MaxTokens: 100, Repeatable: true,
+		Class: site.ClassLong, Deadline: 30 * time.Second, MaxTokens: 100, Idempotent: true,
 	}
 	account := &site.Account{Name: "mill", Share: 1}
 	source := staticSite{&site.Site{
--- a/serve/once/cluster_test.go
+++ b/serve/once/cluster_test.go
@@ -103,7 +103,7 @@
 	manager := roster.NewManager(faulty, d, event.Discard())
 	d.Service = NewService(Deps{
 		Members: d, Roster: manager, Site: cl, Flow: &d.flow, Caller: &fakeCaller{d},
-		Dialer: link.NewDialerWith(&http.Client{Transport: &fakeTransport{d}}),
+		Dialer: link.NewDialerWithClient(&http.Client{Transport: &fakeTransport{d}}),
 		Log:    event.Discard(), Registry: prometheus.NewRegistry(), VMs: cl,
 	})
 	_, d.handler = d.Handler()
--- a/serve/once/entry.go
+++ b/serve/once/entry.go
@@ -76,7 +76,7 @@
 		Service: e.service, Call: callToWire(e.call), Seen: e.knownSeq, WaitMs: maxExecuteWait.Milliseconds(),
 	})
 	if err != nil {
-		s.Dialer.DropIdle()
+		s.Dialer.CloseIdleConnections()
 		return executeReply{outcome: outcome{moved: true}}
 	}
 	s.Roster.MergeAssignment(assignmentFromWire(w.GetAssignment()))
--- a/serve/once/transfer.go
+++ b/serve/once/transfer.go
@@ -140,7 +140,7 @@
 	}
 	reply, err := s.client(from).Seal(ctx, w)
 	if err != nil || len(reply.GetSlots()) != len(group) {
-		s.Dialer.DropIdle()
+		s.Dialer.CloseIdleConnections()
 		return
 	}
 	now := time.Now()
@@ -191,7 +191,7 @@
 		err = errWitnessRefused
 	}
 	if err != nil {
-		s.Dialer.DropIdle()
+		s.Dialer.CloseIdleConnections()
 		s.unresponsive.add(witness.ID, now)
 	} else {
 		s.unresponsive.clear(witness.ID)
