--- a/control/lease/manager_test.go
+++ b/control/lease/manager_test.go
@@ -186,7 +186,7 @@
 // Either the answer to the write that acquires the lease is lost, or the write itself. The daemon
 // must find out which before it acts as the holder.
 func TestLostAnswerOnAcquire(t *testing.T) {
-	for _, lose := range []func(*store.Faulty){(*store.Faulty).LoseNextWrite, (*store.Faulty).DropNextWrite} {
+	for _, lose := range []func(*store.Faulty){(*store.Faulty).LoseNextWriteResponse, (*store.Faulty).DropNextWrite} {
 		synctest.Test(t, func(t *testing.T) {
 			w := newTestZone(t, 3)
 			lose(w.store)
--- a/control/reconcile/manager_test.go
+++ b/control/reconcile/manager_test.go
@@ -186,7 +186,7 @@
 		h.applySite(2, v2, 3, 1)
 		time.Sleep(time.Hour)
 		must.Eq(t, 2, h.countReady(v1))
-		must.LessEq(t, 20, h.weights.Fetches(v2))
+		must.LessEq(t, 20, h.weights.FetchCount(v2))
 		h.version2Broken.Store(false)
 		h.waitUntil("all engines serve version 2", 10*time.Minute, func() bool { return h.countReady(v2) == 3 })
 	})
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -142,7 +142,7 @@
 		d.Store.SetDelay(storeDelay)
 		return func() { d.Store.SetDelay(0) }, true
 	case StoreLoseWrite:
-		d.Store.LoseNextWrite()
+		d.Store.LoseNextWriteResponse()
 		return nil, true
 	case StoreDropWrite:
 		d.Store.DropNextWrite()
@@ -151,14 +151,14 @@
 		d.VMs.SetDown(true)
 		return func() { d.VMs.SetDown(false) }, true
 	case DeskLose:
-		d.Desk.LoseAnswers(lostCalls)
-		return func() { d.Desk.LoseAnswers(0) }, true
+		d.Desk.LoseResponses(lostCalls)
+		return func() { d.Desk.LoseResponses(0) }, true
 	case DeskSilent:
-		d.Desk.Silence(true)
-		return func() { d.Desk.Silence(false) }, true
+		d.Desk.SetSilent(true)
+		return func() { d.Desk.SetSilent(false) }, true
 	case DeskSlow:
-		d.Desk.SetWork(deskDelay)
-		return func() { d.Desk.SetWork(deskWork) }, true
+		d.Desk.SetServiceTime(deskDelay)
+		return func() { d.Desk.SetServiceTime(deskWork) }, true
 	}
 	return nil, false
 }
--- a/serve/api/api.go
+++ b/serve/api/api.go
@@ -33,7 +33,7 @@
 
 // ServiceCaller performs calls to plain services. Errors are of type *verdict.Error.
 type ServiceCaller interface {
-	Call(ctx context.Context, account *site.Account, service *site.Service, key string, call plain.Call) (plain.Answer, error)
+	Call(ctx context.Context, account *site.Account, service *site.Service, key string, call plain.Call) (plain.Response, error)
 }
 
 // Config holds the dependencies of an API.
--- a/serve/once/bench_test.go
+++ b/serve/once/bench_test.go
@@ -44,8 +44,8 @@
 // instantCaller is a backend server that answers immediately.
 type instantCaller struct{}
 
-func (instantCaller) Do(context.Context, string, plain.Call) (plain.Answer, error) {
-	return plain.Answer{Status: http.StatusOK, Body: []byte("confirmed")}, nil
+func (instantCaller) Do(context.Context, string, plain.Call) (plain.Response, error) {
+	return plain.Response{Status: http.StatusOK, Body: []byte("confirmed")}, nil
 }
 
 // benchDaemons starts three daemons on loopback and waits until their slots are assigned.
--- a/serve/once/cluster_test.go
+++ b/serve/once/cluster_test.go
@@ -446,15 +446,15 @@
 // fakeCaller is one daemon's access to the backend server.
 type fakeCaller struct{ d *daemon }
 
-func (c *fakeCaller) Do(ctx context.Context, _ string, call plain.Call) (plain.Answer, error) {
+func (c *fakeCaller) Do(ctx context.Context, _ string, call plain.Call) (plain.Response, error) {
 	// A paused process sends late: between the daemon's last check and the send nothing checks
 	// the time.
 	if err := c.d.waitRunnable(); err != nil {
-		return plain.Answer{}, errors.Wrap(plain.ErrNotSent, err.Error())
+		return plain.Response{}, errors.Wrap(plain.ErrNotSent, err.Error())
 	}
 	answer, lost, failed, takes := c.d.cluster.backend.run(string(call.Body))
 	if failed {
-		return plain.Answer{}, plain.ErrNotSent
+		return plain.Response{}, plain.ErrNotSent
 	}
 	select {
 	case <-ctx.Done():
@@ -462,9 +462,9 @@
 	case <-time.After(takes + time.Millisecond):
 	}
 	if err := c.d.waitRunnable(); err != nil || lost {
-		return plain.Answer{}, plain.ErrNoAnswer
+		return plain.Response{}, plain.ErrNoResponse
 	}
-	return plain.Answer{Status: http.StatusOK, Body: []byte(answer)}, nil
+	return plain.Response{Status: http.StatusOK, Body: []byte(answer)}, nil
 }
 
 // showLeaving marks a daemon as leaving in every view.
--- a/serve/once/dispatch.go
+++ b/serve/once/dispatch.go
@@ -165,7 +165,7 @@
 
 // handleRepeatable runs a call that may be repeated safely: no key is bound, and after any
 // failed send another backend server is tried.
-func (s *Service) handleRepeatable(ctx context.Context, req Request) (plain.Answer, error) {
+func (s *Service) handleRepeatable(ctx context.Context, req Request) (plain.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, callDeadline(req.Service))
 	defer cancel()
 	var exclude []string
@@ -193,7 +193,7 @@
 		// A later refusal does not undo what an earlier attempt sent.
 		last = verdict.New(verdict.MayHaveRun, last.Code, "%s", last.Message).WithRetryAfter(last.RetryAfter)
 	}
-	return plain.Answer{}, last
+	return plain.Response{}, last
 }
 
 // logOutcome logs the outcome of a bound call, in one line for each call.
--- a/serve/once/record.go
+++ b/serve/once/record.go
@@ -36,9 +36,9 @@
 
 // outcome is how a call ended, or what its caller is told.
 type outcome struct {
-	answer *plain.Answer  // nil unless the call ran and the answer is kept
-	err    *verdict.Error // nil if answer is set
-	moved  bool           // another daemon serves the slot
+	answer *plain.Response // nil unless the call ran and the answer is kept
+	err    *verdict.Error  // nil if answer is set
+	moved  bool            // another daemon serves the slot
 }
 
 // asError returns the error that is reported to the flow dispatcher, a plain nil if there is
