--- a/lab/bench/losses/policy.go
+++ b/lab/bench/losses/policy.go
@@ -9,33 +9,33 @@
 	"mallowwind.dev/decision/silence"
 )
 
-// The weights of resume latency in the two deployments' examples.
+// The weights of resume latency in the examples for the two deployments.
 const (
 	CostWeight    = 0.2
 	LatencyWeight = 0.9
 )
 
-// variant is one policy under comparison.
+// variant is one of the compared policies.
 type variant struct {
 	name   string
 	weight float64
 	policy resume.Policy
 }
 
-// standbyEvery is how many tokens apart the standby engine reads the answer:
-// two to four times in an answer of this experiment.
-const standbyEvery = 64
+// standbyIntervalTokens is the number of tokens after which the standby engine prefills the answer so
+// far. With it an answer of this benchmark is prefilled two to four times.
+const standbyIntervalTokens = 64
 
-// fixed suspects after the same time always.
-func fixed(timeout time.Duration) silence.Config {
+// fixedTimeout returns a configuration that suspects an attempt after a constant silence.
+func fixedTimeout(timeout time.Duration) silence.Config {
 	return silence.Config{Floor: timeout, Ceiling: timeout, FirstChunkFloor: timeout, FirstChunkCeiling: timeout, Deviations: 1}
 }
 
-// variants are the baselines and, at each weight, what is built on them.
+// variants returns the baselines, and the policies built on them at several weights.
 func variants(timeout time.Duration, weights []float64) []variant {
 	base := resume.PolicyForService(0, time.Minute)
-	base.MaxConcurrentAttempts, base.Reattach, base.Silence = 1, false, fixed(timeout)
-	// No attempt follows a lost one: the caller sends its request again.
+	base.MaxConcurrentAttempts, base.Reattach, base.Silence = 1, false, fixedTimeout(timeout)
+	// A lost attempt is not replaced: the caller has to send its request again.
 	restart := base
 	restart.MaxAttempts, restart.Deadline = 0, timeout
 	list := []variant{{"restart", 0, restart}, {"cold, fixed", 0, base}}
@@ -49,13 +49,13 @@
 	}
 	for _, w := range []float64{CostWeight, LatencyWeight} {
 		standby := resume.PolicyForService(w, time.Minute)
-		standby.StandbyIntervalTokens = standbyEvery
+		standby.StandbyIntervalTokens = standbyIntervalTokens
 		list = append(list, variant{"takeover, standby", w, standby})
 	}
 	return list
 }
 
-func (v variant) of(*site.Service) resume.Policy { return v.policy }
+func (v variant) policyFor(*site.Service) resume.Policy { return v.policy }
 
 func (v variant) String() string {
 	if v.weight == 0 && v.name != "takeover" {
--- a/lab/bench/prompts/deployment.go
+++ b/lab/bench/prompts/deployment.go
@@ -7,47 +7,48 @@
 	"mallowwind.dev/lab/bench/physics"
 )
 
-// deployment is the size of a site and its load.
+// deployment describes the size of a simulated site, its load and its zone losses.
 type deployment struct {
-	name    string
-	engines int
-	daemons int
-	rate    float64 // requests a second
-	// kind of the engines, and the mean length of prompts in tokens; those of the users'
-	// first platform if they are left out.
-	kind   physics.Engine
-	prompt float64
-	// paired draws the requests apart from all else, so that all policies meet the same.
-	paired bool
-	// lossEvery is the time between the losses of two zones, of which every other
-	// takes only a share of the zone's engines where that is not 0.
-	lossEvery time.Duration
-	lossShare float64
-	burst     burst
-	// memory is that of an engine in tokens, and patience how long a caller waits; 0
-	// means that of the kind of engines and usualPatience.
-	memory   int
-	patience time.Duration
+	name              string
+	engines           int
+	daemons           int
+	requestsPerSecond float64
+	// engineKind and meanPromptTokens default to physics.ChunkedPrefill and
+	// defaultMeanPromptTokens, those of the users' first platform.
+	engineKind       physics.Engine
+	meanPromptTokens float64
+	// pairedLoad draws the requests from a random source of their own, so that all policies
+	// are compared on the same requests.
+	pairedLoad bool
+	// lossInterval is the time between two zone losses. If lossRatio is not 0, every other loss
+	// takes each engine of the zone down with that probability instead of all of them.
+	lossInterval time.Duration
+	lossRatio    float64
+	burst        burst
+	// memoryTokens is the capacity of each engine and callerTimeout how long a caller waits for
+	// its whole answer. They default to the capacity of engineKind and defaultCallerTimeout.
+	memoryTokens  int
+	callerTimeout time.Duration
 }
 
-// withDefaults returns d with zero fields set that have a default.
+// withDefaults returns d with each zero field that has a default set to it.
 func (d deployment) withDefaults() deployment {
-	d.kind = cmp.Or(d.kind, physics.ChunkedPrefill)
-	d.prompt = cmp.Or(d.prompt, usualPrompt)
-	d.memory = cmp.Or(d.memory, d.kind.MemoryTokens)
-	d.patience = cmp.Or(d.patience, usualPatience)
+	d.engineKind = cmp.Or(d.engineKind, physics.ChunkedPrefill)
+	d.meanPromptTokens = cmp.Or(d.meanPromptTokens, defaultMeanPromptTokens)
+	d.memoryTokens = cmp.Or(d.memoryTokens, d.engineKind.MemoryTokens)
+	d.callerTimeout = cmp.Or(d.callerTimeout, defaultCallerTimeout)
 	return d
 }
 
-// burst is a time of more requests.
+// burst is an interval in which the request rate is multiplied by factor.
 type burst struct {
-	from, length time.Duration
-	factor       float64
+	start, duration time.Duration
+	factor          float64
 }
 
-// at is the factor on the load at a time.
-func (b burst) at(now time.Duration) float64 {
-	if now < b.from || now >= b.from+b.length {
+// factorAt returns the factor on the request rate at now.
+func (b burst) factorAt(now time.Duration) float64 {
+	if now < b.start || now >= b.start+b.duration {
 		return 1
 	}
 	return b.factor
--- a/lab/bench/prompts/prompts_test.go
+++ b/lab/bench/prompts/prompts_test.go
@@ -7,104 +7,102 @@
 	"github.com/shoenig/test/must"
 )
 
-// Several daemons place long prompts without knowing of each other, and every
-// six seconds the engines of a zone die. Callers get nearly all answers in time
-// with home engines and copies; without copies each loss makes answers late and
-// prompts are read twice.
-func TestPlacingHoldsUnderLosses(t *testing.T) {
+// Guards against late answers and repeated prefill while a zone's engines fail every six seconds.
+// Without copies, each loss makes answers late and has prompts prefilled twice; with home engines and
+// copies nearly all answers are on time.
+func TestPlacementMeetsObjectivesUnderZoneLosses(t *testing.T) {
 	const length = 40 * time.Second
 	for _, d := range deployments[:2] {
 		baseline := Trial(d, policies[0], 1, length)
-		ours := Trial(d, inUse, 1, length)
-		must.Eq(t, ours.answers, ours.whole)
-		must.GreaterEq(t, 95, 100*ours.onTime/ours.answers)
+		ours := Trial(d, currentPolicy, 1, length)
+		must.Eq(t, ours.requests, ours.completed)
+		must.GreaterEq(t, 95, 100*ours.onTime/ours.requests)
 		must.Greater(t, baseline.onTime, ours.onTime)
-		must.Less(t, baseline.wasted/3, ours.wasted)
+		must.Less(t, baseline.wastedPromptTokens/3, ours.wastedPromptTokens)
 		must.Less(t, 700*time.Millisecond, ours.pauseP99)
 	}
 }
 
-// Six daemons stand before two dozen engines, each of which runs an answer or two. Where
-// daemons know their own requests and three reports, prompts meet at an engine and are read
-// beside answers while others idle: each answer waits a second longer. Told by each other
-// what is under way, they have answers whole sooner, and fewer prompts read in vain.
-func TestDaemonsThatTellEachOther(t *testing.T) {
+// Six daemons share 24 engines that run an answer or two each. With only their own requests and three
+// load reports, daemons send several prompts to one engine, which prefills them beside its answers
+// while other engines idle: each answer takes a second longer. Polling each other, daemons get answers
+// completed sooner and waste less prefill.
+func TestPeerPollingReducesAnswerTime(t *testing.T) {
 	const length = 60 * time.Second
 	for seed := range uint64(3) {
-		before := Trial(deployments[2], untold, seed, length)
-		ours := Trial(deployments[2], inUse, seed, length)
-		must.Eq(t, ours.answers, ours.whole)
-		must.Less(t, before.tookP50-200*time.Millisecond, ours.tookP50)
-		must.Less(t, before.firstP99, ours.firstP99)
+		before := Trial(deployments[2], withoutPeerLoad, seed, length)
+		ours := Trial(deployments[2], currentPolicy, seed, length)
+		must.Eq(t, ours.requests, ours.completed)
+		must.Less(t, before.answerTimeP50-200*time.Millisecond, ours.answerTimeP50)
+		must.Less(t, before.firstEventP99, ours.firstEventP99)
 		must.GreaterEq(t, before.onTime, ours.onTime)
 	}
 }
 
-// Seventy daemons stand before 120 engines, and a zone is lost every three seconds:
-// the engine that keeps the copy of a run often dies before the one that runs it.
-// Without another copy the prompt is read anew, which slows all answers, more of
-// them are there at the next loss, and hardly any comes in time.
-func TestLostCopiesAreMadeAgain(t *testing.T) {
+// Some seventy daemons share 120 engines and a zone is lost every three seconds, so the engine that
+// holds the copy of a run often fails before the one that runs it. Unless the copy is recreated, the
+// prompt is prefilled again, which slows all answers; more of them are running at the next loss, and
+// fewer than half are on time.
+func TestLostCopiesAreRecreated(t *testing.T) {
 	const length = 30 * time.Second
 	grown := deployments[4]
-	grown.lossShare, grown.memory, grown.patience = 0, 1<<30, time.Hour
-	once := sendsAll
-	once.remakes = false
+	grown.lossRatio, grown.memoryTokens, grown.callerTimeout = 0, 1<<30, time.Hour
+	once := withoutAdmission
+	once.recreatesCopies = false
 	before := Trial(grown, once, 1, length)
-	ours := Trial(grown, sendsAll, 1, length)
-	must.Eq(t, ours.answers, ours.whole)
-	must.GreaterEq(t, 85, 100*ours.onTime/ours.answers)
-	must.Less(t, 50, 100*before.onTime/before.answers)
-	must.Less(t, before.wasted/3, ours.wasted)
+	ours := Trial(grown, withoutAdmission, 1, length)
+	must.Eq(t, ours.requests, ours.completed)
+	must.GreaterEq(t, 85, 100*ours.onTime/ours.requests)
+	must.Less(t, 50, 100*before.onTime/before.requests)
+	must.Less(t, before.wastedPromptTokens/3, ours.wastedPromptTokens)
 }
 
-// Seventy daemons before engines whose memory is half full of runs and copies. After
-// the loss of a zone the others are full: prompts sent there all the same have runs
-// thrown out and leave no room for copies, and the next loss has all of them read again.
-// Callers that are turned away for some seconds instead are answered when they return.
-func TestRefusalsKeepRoomForCopies(t *testing.T) {
+// Some seventy daemons share engines whose memory is half full of runs and copies. After the loss of a
+// zone the other engines are full: prompts sent there regardless have runs preempted and leave no
+// memory for copies, and the next loss has all of them prefilled again. Callers that are refused for
+// some seconds instead get their answer when they retry.
+func TestAdmissionControlKeepsMemoryForCopies(t *testing.T) {
 	const length = 60 * time.Second
-	all := Trial(deployments[4], sendsAll, 1, length)
-	ours := Trial(deployments[4], inUse, 1, length)
-	must.GreaterEq(t, 70, 100*ours.onTime/ours.answers)
-	must.GreaterEq(t, 95, 100*ours.whole/ours.answers)
-	must.Less(t, 65, 100*all.onTime/all.answers)
-	must.Less(t, all.wasted*2/3, ours.wasted)
+	all := Trial(deployments[4], withoutAdmission, 1, length)
+	ours := Trial(deployments[4], currentPolicy, 1, length)
+	must.GreaterEq(t, 70, 100*ours.onTime/ours.requests)
+	must.GreaterEq(t, 95, 100*ours.completed/ours.requests)
+	must.Less(t, 65, 100*all.onTime/all.requests)
+	must.Less(t, all.wastedPromptTokens*2/3, ours.wastedPromptTokens)
 }
 
-// Four times the load comes for eight seconds while zones are lost. Where all prompts
-// are sent, half of the callers wait for 25 s and get no whole answer, for engines read
-// prompts in every step and throw runs out. With refusals more answers arrive, and more
-// of them on time.
-func TestBurstBesideLosses(t *testing.T) {
+// The load is four times as high for eight seconds while zones are lost. Without admission control,
+// half of the callers wait for 25 s and get no complete answer, because engines prefill in every step
+// and preempt runs. With it, more answers are completed, and more of them on time.
+func TestAdmissionControlUnderBurstAndZoneLosses(t *testing.T) {
 	const length = 60 * time.Second
 	for seed := range uint64(3) {
-		all := Trial(deployments[5], sendsAll, seed, length)
-		ours := Trial(deployments[5], inUse, seed, length)
-		must.Greater(t, 100*all.onTime/all.answers, 100*ours.onTime/ours.answers)
-		must.Greater(t, 100*all.whole/all.answers, 100*ours.whole/ours.answers)
-		must.Less(t, all.wasted, ours.wasted)
-		lost := func(r result) int { return 100 * (r.answers - r.whole - r.refused) / r.answers }
+		all := Trial(deployments[5], withoutAdmission, seed, length)
+		ours := Trial(deployments[5], currentPolicy, seed, length)
+		must.Greater(t, 100*all.onTime/all.requests, 100*ours.onTime/ours.requests)
+		must.Greater(t, 100*all.completed/all.requests, 100*ours.completed/ours.requests)
+		must.Less(t, all.wastedPromptTokens, ours.wastedPromptTokens)
+		lost := func(r result) int { return 100 * (r.requests - r.completed - r.refused) / r.requests }
 		must.Less(t, lost(all)*3/4, lost(ours))
 	}
 }
 
-func TestUsualLoadRefusesNobody(t *testing.T) {
+func TestNormalLoadIsNotRefused(t *testing.T) {
 	for _, d := range deployments[:2] {
-		must.Eq(t, 0, Trial(d, inUse, 1, 60*time.Second).refused)
+		must.Eq(t, 0, Trial(d, currentPolicy, 1, 60*time.Second).refused)
 	}
 }
 
-// Daemons that know one in seventy of the prompts being read send several to one
-// engine. Asked what they do, engines say so, and first events come earlier.
-func TestAskedEnginesReadSooner(t *testing.T) {
+// Daemons that know only one in seventy of the prompts in prefill send several to one engine. With
+// load reports from the engines, first events arrive earlier.
+func TestLoadReportsReduceTimeToFirstEvent(t *testing.T) {
 	const length = 30 * time.Second
 	grown := deployments[4]
-	grown.lossEvery = time.Hour
-	blind := inUse
-	blind.choose = byRank
+	grown.lossInterval = time.Hour
+	blind := currentPolicy
+	blind.choose = chooseByRank
 	before := Trial(grown, blind, 1, length)
-	ours := Trial(grown, inUse, 1, length)
-	must.Less(t, before.firstP99*19/20, ours.firstP99)
-	must.Less(t, before.firstP50, ours.firstP50)
+	ours := Trial(grown, currentPolicy, 1, length)
+	must.Less(t, before.firstEventP99*19/20, ours.firstEventP99)
+	must.Less(t, before.firstEventP50, ours.firstEventP50)
 }
