--- a/lab/bench/losses/trial.go
+++ b/lab/bench/losses/trial.go
@@ -148,7 +148,7 @@
 // affectedCallers returns the callers whose answers depend on the engine or entry VM about to fail.
 func affectedCallers(w *world.World, k faultKind, n int, list []*caller) []*caller {
 	var affected []*caller
-	read := w.Read(n)
+	read := w.StreamingGenerations(n)
 	for _, c := range list {
 		id, vm := c.current()
 		if k == routerCrash && vm == n%vms || k != routerCrash && slices.Contains(read, id) {
@@ -179,10 +179,10 @@
 	}
 	s := w.Stats()
 	r.generated, r.prefilled, r.attempts = s.Tokens, s.Prefilled, s.Started
-	r.journalBytes = w.Sum("generation_journal_bytes_total")
-	r.primings = w.Sum("generation_primings_total")
-	r.suspected = w.Sum("generation_attempts_suspected_total")
-	r.falseSuspicions = w.Sum("generation_false_suspicions_total")
+	r.journalBytes = w.SumCounter("generation_journal_bytes_total")
+	r.primings = w.SumCounter("generation_primings_total")
+	r.suspected = w.SumCounter("generation_attempts_suspected_total")
+	r.falseSuspicions = w.SumCounter("generation_false_suspicions_total")
 	return r, nil
 }
 
--- a/lab/world/answer_test.go
+++ b/lab/world/answer_test.go
@@ -48,8 +48,8 @@
 		must.NoError(t, c.Continue(other))
 		must.Eq(t, verdict.CodeGenerationUnreachable, codeOf(t, c.Finish(ctx)))
 		must.NoError(t, c.Check())
-		w.Believe(0, membership.Gone)
-		w.Believe(holder, membership.Gone)
+		w.SetMemberState(0, membership.Gone)
+		w.SetMemberState(holder, membership.Gone)
 		must.NoError(t, c.Continue(other))
 		code := codeOf(t, c.Finish(ctx))
 		must.SliceContains(t, []verdict.Code{verdict.CodeUnknownGeneration, verdict.CodeGenerationLost}, code)
@@ -99,7 +99,7 @@
 // believes that it owns the answer and has a text of its own: it releases
 // nothing of it, its caller follows the new owner, and the copy is not spoilt.
 func TestPausedOwnerReturns(t *testing.T) {
-	c := Config{Seed: 20, Weight: 1, Patience: time.Second, MaxTokens: 2000}
+	c := Config{Seed: 20, Weight: 1, CallerTimeout: time.Second, MaxTokens: 2000}
 	inWorld(t, c, func(t *testing.T, ctx context.Context, w *World) {
 		a, b := w.Caller(prompt, "order-5", 1500), w.Caller(prompt, "order-5", 1500)
 		for _, c := range []*Caller{a, b} {
@@ -145,7 +145,7 @@
 			must.NoError(t, c.Finish(ctx))
 			must.NoError(t, c.Check())
 		}
-		must.Eq(t, 40, w.Sum("generation_prefills_total"))
+		must.Eq(t, 40, w.SumCounter("generation_prefills_total"))
 	})
 }
 
@@ -158,7 +158,7 @@
 		must.NoError(t, c.ReadTo(ctx, 100))
 		c.Close()
 		time.Sleep(35 * time.Second)
-		must.SliceEmpty(t, w.Busy())
+		must.SliceEmpty(t, w.BusyEngines())
 		must.Eq(t, 1, w.Stats().Cancelled)
 	})
 }
@@ -171,11 +171,11 @@
 		must.NoError(t, c.Submit(ctx, 0))
 		must.NoError(t, c.ReadTo(ctx, 10))
 		time.Sleep(time.Minute)
-		must.LessEq(t, 4200, w.Sum("generation_tokens_total"))
+		must.LessEq(t, 4200, w.SumCounter("generation_tokens_total"))
 		must.NoError(t, c.Finish(ctx))
 		must.NoError(t, c.Check())
-		must.Zero(t, w.Sum("generation_attempts_suspected_total"))
-		must.Eq(t, 1, w.Sum("generation_prefills_total"))
+		must.Zero(t, w.SumCounter("generation_attempts_suspected_total"))
+		must.Eq(t, 1, w.SumCounter("generation_prefills_total"))
 	})
 }
 
--- a/lab/world/caller.go
+++ b/lab/world/caller.go
@@ -87,7 +87,7 @@
 // connection returns a context that ends with the entry VM's life or the
 // caller's patience.
 func (c *Caller) connection(ctx context.Context) (context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithTimeoutCause(ctx, c.w.config.Patience, ErrConnection)
+	ctx, cancel := context.WithTimeoutCause(ctx, c.w.config.CallerTimeout, ErrConnection)
 	f, changed := c.w.Net.vm(VMID(c.vm))
 	if f == Cut {
 		cancel()
--- a/lab/world/engine.go
+++ b/lab/world/engine.go
@@ -87,8 +87,8 @@
 	return s.Stream.Close()
 }
 
-// Read returns the generations that are read from an engine now.
-func (w *World) Read(engine int) []string {
+// StreamingGenerations returns the generations that are read from an engine now.
+func (w *World) StreamingGenerations(engine int) []string {
 	w.Net.mu.Lock()
 	defer w.Net.mu.Unlock()
 	var out []string
--- a/lab/world/loss_test.go
+++ b/lab/world/loss_test.go
@@ -23,7 +23,7 @@
 		w := New(t.Context(), c)
 		defer w.Close()
 		f(t, t.Context(), w)
-		must.Eq(t, 0, w.Sum("generation_invariant_violations_total"))
+		must.Eq(t, 0, w.SumCounter("generation_invariant_violations_total"))
 	})
 }
 
@@ -79,7 +79,7 @@
 	story: `Something between daemon and engine loses track of the open connection. The
 engine works on; a fresh connection reads the same attempt, without a prefill.`,
 	fault: func(w *World, _ *Caller) {
-		for _, i := range w.Busy() {
+		for _, i := range w.BusyEngines() {
 			w.Engines[i].Silence()
 		}
 	},
@@ -89,7 +89,7 @@
 	story: `The engine's batch grows and each token takes five times as long. That is no
 loss: at most one other attempt races it, and the answer is whole.`,
 	fault: func(w *World, _ *Caller) {
-		for _, i := range w.Busy() {
+		for _, i := range w.BusyEngines() {
 			w.Engines[i].SetSlowdown(5)
 		}
 	},
@@ -172,14 +172,14 @@
 
 // killBusy kills the engines that run something.
 func (w *World) killBusy() {
-	for _, i := range w.Busy() {
+	for _, i := range w.BusyEngines() {
 		w.Engines[i].Crash()
 	}
 }
 
 // pauseBusy pauses the engines that run something and returns them.
 func (w *World) pauseBusy() []int {
-	busy := w.Busy()
+	busy := w.BusyEngines()
 	for _, i := range busy {
 		w.Engines[i].Pause()
 	}
--- a/lab/world/random_test.go
+++ b/lab/world/random_test.go
@@ -97,7 +97,7 @@
 // aim turns the drawn numbers into an engine that is at work and an entry VM
 // that a caller began at, where there are such: other faults teach little.
 func (w *World) aim(f fault, p plan) fault {
-	if busy := w.Busy(); len(busy) > 0 {
+	if busy := w.BusyEngines(); len(busy) > 0 {
 		f.Engine = busy[f.A%len(busy)]
 	}
 	f.A = p.Callers[f.A%len(p.Callers)].VM
@@ -142,8 +142,8 @@
 	case "vm replaced":
 		w.Replace(f.A)
 	case "vm believed gone":
-		w.Believe(f.A, membership.Gone)
-		undo = func() { w.Believe(f.A, membership.Alive) }
+		w.SetMemberState(f.A, membership.Gone)
+		undo = func() { w.SetMemberState(f.A, membership.Alive) }
 	case "vm isolated and engine dies":
 		e.Crash()
 		fallthrough
@@ -269,7 +269,7 @@
 func play(t *testing.T, p plan) (out outcome) {
 	cryptotest.SetGlobalRandom(t, p.Seed)
 	synctest.Test(t, func(t *testing.T) {
-		w := New(t.Context(), Config{Seed: p.Seed, Weight: p.Weight, Patience: p.Patience})
+		w := New(t.Context(), Config{Seed: p.Seed, Weight: p.Weight, CallerTimeout: p.Patience})
 		defer w.Close()
 		for _, f := range p.Faults {
 			time.AfterFunc(f.At, func() { w.inject(w.aim(f, p)) })
@@ -295,9 +295,9 @@
 		}
 		wg.Wait()
 		for i, name := range counted {
-			out.counts[i] = w.Sum(name)
+			out.counts[i] = w.SumCounter(name)
 		}
-		if n := w.Sum("generation_invariant_violations_total"); n > 0 && out.err == nil {
+		if n := w.SumCounter("generation_invariant_violations_total"); n > 0 && out.err == nil {
 			out.err = fmt.Errorf("%g invariants violated inside", n)
 		}
 		time.Sleep(20 * time.Second) // every fault and restart ends before the world does
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -47,9 +47,9 @@
 	// MaxTokens is the most that a request may ask for; 4000.
 	MaxTokens int
 	Engine    enginesim.Config // the name and seed are set for each engine
-	// Patience is how long callers wait on a silent connection; somewhat more
+	// CallerTimeout is how long callers wait on a silent connection; somewhat more
 	// than the interval of keep-alives.
-	Patience time.Duration
+	CallerTimeout time.Duration
 	// Policy overrides the resume policy; nil means the one of the weight.
 	Policy func(*site.Service) resume.Policy
 }
@@ -60,8 +60,8 @@
 			*field = value
 		}
 	}
-	if c.Patience == 0 {
-		c.Patience = defaultPatience
+	if c.CallerTimeout == 0 {
+		c.CallerTimeout = defaultPatience
 	}
 	c.Engine.Models = []engine.ModelRef{{Model: Model}}
 	return c
@@ -214,8 +214,8 @@
 	w.Net.SetVM(VMID(i), Healthy)
 }
 
-// Believe makes every entry VM's membership say this of the i-th.
-func (w *World) Believe(i int, s membership.State) {
+// SetMemberState makes every entry VM's membership say this of the i-th.
+func (w *World) SetMemberState(i int, s membership.State) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.members[i].State = s
@@ -229,8 +229,8 @@
 	}
 }
 
-// Busy returns the engines that run something now.
-func (w *World) Busy() []int {
+// BusyEngines returns the engines that run something now.
+func (w *World) BusyEngines() []int {
 	var busy []int
 	for i, e := range w.Engines {
 		if s, err := e.Status(w.ctx); err == nil && s.Running > 0 {
@@ -240,8 +240,8 @@
 	return busy
 }
 
-// Sum adds up a counter over all entry VMs.
-func (w *World) Sum(name string) float64 {
+// SumCounter adds up a counter over all entry VMs.
+func (w *World) SumCounter(name string) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	total := 0.0
