--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -97,10 +97,10 @@
 	}
 	err = a.Run(ctx)
 	if err == nil {
-		r.logf("the long answer is complete: %d tokens, longest gap %s", longTokens, a.Gap.Round(time.Millisecond))
+		r.logf("the long answer is complete: %d tokens, longest gap %s", longTokens, a.MaxGap.Round(time.Millisecond))
 	}
 	r.mu.Lock()
-	r.result.ResumeMS = a.Gap.Milliseconds()
+	r.result.ResumeMS = a.MaxGap.Milliseconds()
 	r.mu.Unlock()
 	r.recordAnswer(err)
 }
@@ -127,7 +127,7 @@
 			}
 			err := a.Run(ctx)
 			r.mu.Lock()
-			r.result.LookupMaxMS = max(r.result.LookupMaxMS, a.First.Milliseconds())
+			r.result.LookupMaxMS = max(r.result.LookupMaxMS, a.TimeToFirstToken.Milliseconds())
 			r.mu.Unlock()
 			r.recordAnswer(err)
 		})
@@ -141,7 +141,7 @@
 // the same idempotency key on another entry VM.
 func (r *run) sendConfirmation(ctx context.Context) {
 	const key = "confirm-thies-0042"
-	r.stand.Desk.LoseResponses(1)
+	r.stand.PlainBackend.LoseResponses(1)
 	var verdicts []string
 	for _, entry := range r.stand.Entries[:2] {
 		_, verdict, err := entry.Client().Call(ctx, "confirmations", "/confirm", key)
@@ -151,7 +151,7 @@
 		}
 		verdicts = append(verdicts, verdict)
 	}
-	runs := r.stand.Desk.Runs(key)
+	runs := r.stand.PlainBackend.Runs(key)
 	r.logf("the response to the confirmation was lost; the caller received %v, the call ran %d time(s)", verdicts, runs)
 	r.mu.Lock()
 	r.result.KeyedCalls, r.result.KeyedRuns, r.result.KeyedVerdict = len(verdicts), runs, verdicts[len(verdicts)-1]
--- a/lab/soak/calls.go
+++ b/lab/soak/calls.go
@@ -102,18 +102,18 @@
 		r.count("call answered late")
 	}
 	if verdict == "not_run" {
-		if n := r.deployment.Desk.Runs(key); n > 0 {
+		if n := r.deployment.PlainBackend.Runs(key); n > 0 {
 			r.recordViolation("call %q got not_run after it had run %d time(s)", key, n)
 		}
 	}
-	if verdict == "ran" && r.deployment.Desk.Runs(key) == 0 {
+	if verdict == "ran" && r.deployment.PlainBackend.Runs(key) == 0 {
 		r.recordViolation("call %q was reported as run, but has not run", key)
 	}
 	return verdict
 }
 
 // send posts a call once. It returns nil, nil if the call ran.
-func (r *run) send(ctx context.Context, to *stand.Client, key string) (*stand.Refusal, error) {
+func (r *run) send(ctx context.Context, to *stand.Client, key string) (*stand.ErrorResponse, error) {
 	header := map[string]string{"Idempotency-Key": key}
 	response, err := to.Do(ctx, http.MethodPost, "/services/confirmations/confirm", []byte(`{"sacks":40}`), header)
 	if err != nil {
@@ -124,7 +124,7 @@
 		_, err := io.Copy(io.Discard, response.Body)
 		return nil, err
 	}
-	var refused *stand.Refusal
+	var refused *stand.ErrorResponse
 	if err := refusal(response); !errors.As(err, &refused) {
 		return nil, err
 	}
@@ -155,13 +155,13 @@
 func (o *callOutcomes) check(r *run) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for key, runs := range r.deployment.Desk.AllRuns() {
+	for key, runs := range r.deployment.PlainBackend.AllRuns() {
 		if runs > 1 {
 			r.recordViolation("call %q ran %d times", key, runs)
 		}
 	}
 	for key, outcome := range o.byKey {
-		runs := r.deployment.Desk.Runs(key)
+		runs := r.deployment.PlainBackend.Runs(key)
 		if outcome == "not_run" && runs > 0 {
 			r.recordViolation("call %q ended with not_run, but ran %d time(s)", key, runs)
 		}
--- a/lab/soak/completion.go
+++ b/lab/soak/completion.go
@@ -81,8 +81,8 @@
 
 // refusal reads an error response. A truncated one counts as a broken connection.
 func refusal(response *http.Response) error {
-	var refused *stand.Refusal
-	if err := stand.ReadRefusal(response); errors.As(err, &refused) {
+	var refused *stand.ErrorResponse
+	if err := stand.ReadErrorResponse(response); errors.As(err, &refused) {
 		return refused
 	}
 	return errors.Wrapf(errConnectionBroken, "status %d without a refusal", response.StatusCode)
@@ -111,7 +111,7 @@
 // handleError handles the error event that ends an incomplete response.
 func (req *completion) handleError(data string) error {
 	var body struct {
-		Error stand.Refusal `json:"error"`
+		Error stand.ErrorResponse `json:"error"`
 	}
 	if err := json.Unmarshal([]byte(data), &body); err != nil || body.Error.Verdict == "" {
 		req.caller.run.recordViolation("%q: an error event without a verdict: %s", req.prompt, data)
@@ -131,7 +131,7 @@
 	req.text.WriteString(text)
 	if _, err := tokencheck.Check(stand.DemoModel, req.prompt, req.text.String()); err != nil {
 		req.caller.run.recordViolation("%q (%s): the received text is not from a single generation: %v", req.prompt, req.id, err)
-		return &stand.Refusal{Code: "mixed", Verdict: "may_have_run"}
+		return &stand.ErrorResponse{Code: "mixed", Verdict: "may_have_run"}
 	}
 	return nil
 }
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -120,14 +120,14 @@
 		r.recordViolation("harness: %v", err)
 		return
 	}
-	r.deployment.LeaveEngine(id)
+	r.deployment.DrainEngine(id)
 	sim := r.deployment.Engines[id]
 	r.fleet.stops.Go(func() {
 		time.Sleep(minDrainTime)
 		for sim.IsBusy() {
 			time.Sleep(drainPollInterval)
 		}
-		r.deployment.EndEngine(id, sim)
+		r.deployment.RemoveEngine(id, sim)
 	})
 }
 
@@ -150,14 +150,14 @@
 		d.VMs.SetDown(true)
 		return func() { d.VMs.SetDown(false) }, true
 	case DeskLoseResponses:
-		d.Desk.LoseResponses(lostResponses)
-		return func() { d.Desk.LoseResponses(0) }, true
+		d.PlainBackend.LoseResponses(lostResponses)
+		return func() { d.PlainBackend.LoseResponses(0) }, true
 	case DeskSilent:
-		d.Desk.SetSilent(true)
-		return func() { d.Desk.SetSilent(false) }, true
+		d.PlainBackend.SetSilent(true)
+		return func() { d.PlainBackend.SetSilent(false) }, true
 	case DeskSlow:
-		d.Desk.SetServiceTime(deskSlowWork)
-		return func() { d.Desk.SetServiceTime(deskNormalWork) }, true
+		d.PlainBackend.SetServiceTime(deskSlowWork)
+		return func() { d.PlainBackend.SetServiceTime(deskNormalWork) }, true
 	}
 	return nil, false
 }
@@ -234,7 +234,7 @@
 	e.Cut()
 	return func() {
 		e.Remove()
-		r.fleet.stops.Go(e.Abandon)
+		r.fleet.stops.Go(e.Kill)
 		if err := r.fleet.startEntry(e.Zone); err != nil {
 			r.recordViolation("harness: %v", err)
 		}
--- a/lab/soak/generations.go
+++ b/lab/soak/generations.go
@@ -97,7 +97,7 @@
 			return ctx.Err()
 		}
 		err = send(to)
-		var refused *stand.Refusal
+		var refused *stand.ErrorResponse
 		switch {
 		case err == nil:
 			return nil
@@ -122,21 +122,21 @@
 
 // shouldRetry reports whether the caller retries a refused request. It may if the request has not
 // run or has an idempotency key, and no text has arrived.
-func (req *completion) shouldRetry(refused *stand.Refusal) bool {
+func (req *completion) shouldRetry(refused *stand.ErrorResponse) bool {
 	return (refused.Verdict == "not_run" || req.key != "") && req.text.Len() == 0 &&
 		(req.caller.run.opts.MustServe || req.caller.chance(60))
 }
 
 // checkNotRun checks a not_run verdict when the caller receives it.
-func (r *run) checkNotRun(req *completion, refused *stand.Refusal) {
-	if n := r.deployment.Starts(req.prompt); n > 0 {
+func (r *run) checkNotRun(req *completion, refused *stand.ErrorResponse) {
+	if n := r.deployment.AttemptsStarted(req.prompt); n > 0 {
 		r.recordViolation("%q got %s, but engines had started it %d time(s)", req.prompt, refused, n)
 	}
 }
 
 // recordResult counts and checks how a request ended.
 func (r *run) recordResult(ctx context.Context, kind string, req *completion, err error) {
-	var refused *stand.Refusal
+	var refused *stand.ErrorResponse
 	switch {
 	case err == nil:
 		r.count(kind + " whole")
@@ -169,7 +169,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for prompt, verdict := range v.byKey {
-		if n := r.deployment.Starts(prompt); n > 0 {
+		if n := r.deployment.AttemptsStarted(prompt); n > 0 {
 			r.recordViolation("%q got %s and was not retried, but engines started it %d time(s)", prompt, verdict, n)
 		}
 	}
--- a/lab/stand/entry.go
+++ b/lab/stand/entry.go
@@ -97,10 +97,10 @@
 		Weights: d.Weights,
 		Engine: func(address string) engine.Engine {
 			e := engine.Engine(engine.NewClient("http://"+address, fresh()))
-			if d.opts.Wrap == nil {
+			if d.opts.WrapEngine == nil {
 				return e
 			}
-			return d.opts.Wrap(d.engineAt(address), e)
+			return d.opts.WrapEngine(d.engineAt(address), e)
 		},
 		Plain: plain.NewClient(sent.NewTransportWith(dial, true), 0),
 	}, nil
--- a/lab/stand/faults.go
+++ b/lab/stand/faults.go
@@ -55,8 +55,8 @@
 // Remove takes the entry VM off the platform's list, as after its end.
 func (e *Entry) Remove() { e.d.VMs.Remove(e.ID) }
 
-// Abandon ends the process of an entry VM that is cut off, without a drain.
-func (e *Entry) Abandon() {
+// Kill ends the process of an entry VM that is cut off, without a drain.
+func (e *Entry) Kill() {
 	e.kill()
 	e.soft()
 	<-e.done
@@ -78,11 +78,11 @@
 	return d.fabric.at(vm.Address)
 }
 
-// DeskNet is the network at the plain service's address.
-func (d *Deployment) DeskNet() *faultnet.Listener { return d.fabric.at(d.deskAddress) }
+// PlainBackendNet is the network at the plain service's address.
+func (d *Deployment) PlainBackendNet() *faultnet.Listener { return d.fabric.at(d.deskAddress) }
 
-// LeaveEngine marks an engine as leaving on the platform's list.
-func (d *Deployment) LeaveEngine(id string) {
+// DrainEngine marks an engine as leaving on the platform's list.
+func (d *Deployment) DrainEngine(id string) {
 	vm, ok := d.VMs.Latest(id)
 	if !ok {
 		return
@@ -91,12 +91,12 @@
 	d.VMs.Put(vm)
 }
 
-// EndEngine ends an engine for good and takes it off the list.
-func (d *Deployment) EndEngine(id string, sim *enginesim.Sim) {
+// RemoveEngine ends an engine for good and takes it off the list.
+func (d *Deployment) RemoveEngine(id string, sim *enginesim.Sim) {
 	sim.Crash()
 	d.EngineNet(id).Cut()
 	d.VMs.Remove(id)
 }
 
-// Ready reports whether an entry VM answers every generation service.
-func (d *Deployment) Ready(ctx context.Context, e *Entry) bool { return d.ready(ctx, e) }
+// IsReady reports whether an entry VM answers every generation service.
+func (d *Deployment) IsReady(ctx context.Context, e *Entry) bool { return d.ready(ctx, e) }
--- a/lab/stand/golden_test.go
+++ b/lab/stand/golden_test.go
@@ -113,7 +113,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		d, err := Start(t.Context(), Options{
 			Seed: 11, Memory: true, EnginesPerZone: 1, Text: strings.Replace(goldenText, "HASH", tokenHash(DemoToken), 1),
-			Site: "golden", Zones: []string{"Rufisque", "Pikine"}, Wrap: func(id string, e engine.Engine) engine.Engine {
+			Site: "golden", Zones: []string{"Rufisque", "Pikine"}, WrapEngine: func(id string, e engine.Engine) engine.Engine {
 				return recordedEngine{e, id, &engines}
 			},
 		})
--- a/lab/stand/platform.go
+++ b/lab/stand/platform.go
@@ -39,7 +39,7 @@
 			}
 		}
 	}
-	deskAt, err := d.serve(d.Desk)
+	deskAt, err := d.serve(d.PlainBackend)
 	if err != nil {
 		return err
 	}
@@ -58,7 +58,7 @@
 func (d *Deployment) AddEngine(zone string) (string, error) {
 	id := fmt.Sprintf("engine-%d", len(d.Engines)+1)
 	sim := enginesim.New(enginesim.Config{
-		Name: id, Seed: d.opts.Seed + uint64(len(d.Engines)), EnforceFencing: !d.opts.IgnoreFence,
+		Name: id, Seed: d.opts.Seed + uint64(len(d.Engines)), EnforceFencing: !d.opts.IgnoreFencing,
 		Weights: d.Weights, LoadTime: loadTime,
 	})
 	at, err := d.serve(d.starts.counting(enginesim.Handler(sim)))
--- a/lab/stand/stand.go
+++ b/lab/stand/stand.go
@@ -56,9 +56,9 @@
 	Logs           io.Writer // of the daemons
 	DrainLimit     time.Duration
 	// Wrap, if set, stands between daemons and the engine with this VM id.
-	Wrap func(id string, e engine.Engine) engine.Engine
-	// IgnoreFence makes engines take orders with old fencing numbers.
-	IgnoreFence bool
+	WrapEngine func(id string, e engine.Engine) engine.Engine
+	// IgnoreFencing makes engines take orders with old fencing numbers.
+	IgnoreFencing bool
 }
 
 func (o Options) withDefaults() Options {
@@ -82,12 +82,12 @@
 
 // Deployment is the running whole.
 type Deployment struct {
-	Engines map[string]*enginesim.Sim // by VM id
-	Desk    *plainsim.Sim
-	Store   *store.Faulty
-	VMs     *vmlist.Memory
-	Weights *weightsim.Sim
-	Entries []*Entry
+	Engines      map[string]*enginesim.Sim // by VM id
+	PlainBackend *plainsim.Sim
+	Store        *store.Faulty
+	VMs          *vmlist.Memory
+	Weights      *weightsim.Sim
+	Entries      []*Entry
 
 	opts     Options
 	fabric   *fabric
@@ -106,13 +106,13 @@
 // returns when every entry VM serves every service.
 func Start(ctx context.Context, o Options) (*Deployment, error) {
 	d := &Deployment{
-		opts:    o.withDefaults(),
-		fabric:  newFabric(o.Memory),
-		Engines: make(map[string]*enginesim.Sim),
-		Desk:    plainsim.New("desk", deskWork),
-		Store:   store.NewFaulty(store.NewMemory()),
-		VMs:     vmlist.NewMemory(listLag),
-		Weights: weightsim.New(fetches, fetchTime),
+		opts:         o.withDefaults(),
+		fabric:       newFabric(o.Memory),
+		Engines:      make(map[string]*enginesim.Sim),
+		PlainBackend: plainsim.New("desk", deskWork),
+		Store:        store.NewFaulty(store.NewMemory()),
+		VMs:          vmlist.NewMemory(listLag),
+		Weights:      weightsim.New(fetches, fetchTime),
 	}
 	d.ctx, d.stop = context.WithCancel(ctx)
 	if err := d.start(); err != nil {
@@ -159,7 +159,7 @@
 // demo's text and knows all others.
 func (d *Deployment) awaitReady() error {
 	limit := readyLimit
-	if d.opts.IgnoreFence {
+	if d.opts.IgnoreFencing {
 		limit += waitOut
 	}
 	ctx, cancel := context.WithTimeout(d.ctx, limit)
--- a/lab/stand/starts.go
+++ b/lab/stand/starts.go
@@ -67,5 +67,5 @@
 // Unwrap lets http.ResponseController reach the connection.
 func (w *startWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// Starts returns how many attempts for a prompt engines have taken in.
-func (d *Deployment) Starts(prompt string) int { return d.starts.of(prompt) }
+// AttemptsStarted returns how many attempts for a prompt engines have taken in.
+func (d *Deployment) AttemptsStarted(prompt string) int { return d.starts.of(prompt) }
