--- a/lab/bench/losses/trial.go
+++ b/lab/bench/losses/trial.go
@@ -148,7 +148,7 @@
 // meets finds the callers whose answers depend on what is about to fail.
 func meets(w *world.World, k kind, n int, list []*caller) []*caller {
 	var met []*caller
-	read := w.Read(n)
+	read := w.StreamingGenerations(n)
 	for _, c := range list {
 		id, vm := c.at()
 		if k == routerDeath && vm == n%vms || k != routerDeath && slices.Contains(read, id) {
@@ -179,10 +179,10 @@
 	}
 	s := w.Stats()
 	r.generated, r.prefilled, r.begun = s.Tokens, s.Prefilled, s.Started
-	r.journalBytes = w.Sum("generation_journal_bytes_total")
-	r.primings = w.Sum("generation_primings_total")
-	r.suspected = w.Sum("generation_attempts_suspected_total")
-	r.falseSuspicions = w.Sum("generation_false_suspicions_total")
+	r.journalBytes = w.SumCounter("generation_journal_bytes_total")
+	r.primings = w.SumCounter("generation_primings_total")
+	r.suspected = w.SumCounter("generation_attempts_suspected_total")
+	r.falseSuspicions = w.SumCounter("generation_false_suspicions_total")
 	return r, nil
 }
 
--- a/lab/world/answer_test.go
+++ b/lab/world/answer_test.go
@@ -23,8 +23,8 @@
 	return e.Code
 }
 
-// number returns the index of an entry VM.
-func number(t *testing.T, id string) (i int) {
+// vmIndex returns the index of an entry VM.
+func vmIndex(t *testing.T, id string) (i int) {
 	t.Helper()
 	_, err := fmt.Sscanf(id, "vm%d", &i)
 	must.NoError(t, err)
@@ -41,15 +41,15 @@
 		c := w.Caller(prompt, "order-1", 300)
 		must.NoError(t, c.Submit(ctx, 0))
 		must.NoError(t, c.ReadTo(ctx, 100))
-		holder := number(t, w.holder(0, c))
+		holder := vmIndex(t, w.replicaVM(0, c))
 		w.Kill(0)
 		w.Kill(holder)
 		other := 1 + holder%5
 		must.NoError(t, c.Continue(other))
 		must.Eq(t, verdict.CodeGenerationUnreachable, codeOf(t, c.Finish(ctx)))
 		must.NoError(t, c.Check())
-		w.Believe(0, membership.Gone)
-		w.Believe(holder, membership.Gone)
+		w.SetMemberState(0, membership.Gone)
+		w.SetMemberState(holder, membership.Gone)
 		must.NoError(t, c.Continue(other))
 		code := codeOf(t, c.Finish(ctx))
 		must.SliceContains(t, []verdict.Code{verdict.CodeUnknownGeneration, verdict.CodeGenerationLost}, code)
@@ -70,12 +70,12 @@
 		must.NoError(t, a.Submit(ctx, 0))
 		must.NoError(t, a.ReadTo(ctx, 100))
 		for i := 1; i < 6; i++ {
-			if VMID(i) != w.holder(0, a) {
-				w.Net.Partition(w.holder(0, a), VMID(i), Cut)
+			if VMID(i) != w.replicaVM(0, a) {
+				w.Net.Partition(w.replicaVM(0, a), VMID(i), Cut)
 			}
 		}
-		w.Net.Partition(w.holder(0, a), VMID(0), Cut)
-		must.NoError(t, b.Submit(ctx, number(t, w.holder(0, a))))
+		w.Net.Partition(w.replicaVM(0, a), VMID(0), Cut)
+		must.NoError(t, b.Submit(ctx, vmIndex(t, w.replicaVM(0, a))))
 		must.NoError(t, b.ReadTo(ctx, 200))
 		w.killBusy()
 		must.NoError(t, b.ReadTo(ctx, 300))
@@ -84,9 +84,9 @@
 		must.NoError(t, a.Check())
 		must.NoError(t, b.Check())
 		for i := range 6 {
-			w.Net.Partition(w.holder(0, a), VMID(i), Healthy)
+			w.Net.Partition(w.replicaVM(0, a), VMID(i), Healthy)
 		}
-		must.NoError(t, a.Continue(number(t, w.holder(0, a))))
+		must.NoError(t, a.Continue(vmIndex(t, w.replicaVM(0, a))))
 		must.NoError(t, a.Finish(ctx))
 		must.NoError(t, b.Finish(ctx))
 		must.NoError(t, a.Check())
@@ -99,7 +99,7 @@
 // believes that it owns the answer and has a text of its own: it releases
 // nothing of it, its caller follows the new owner, and the copy is not spoilt.
 func TestPausedOwnerReturns(t *testing.T) {
-	c := Config{Seed: 20, Weight: 1, Patience: time.Second, MaxTokens: 2000}
+	c := Config{Seed: 20, Weight: 1, CallerTimeout: time.Second, MaxTokens: 2000}
 	inWorld(t, c, func(t *testing.T, ctx context.Context, w *World) {
 		a, b := w.Caller(prompt, "order-5", 1500), w.Caller(prompt, "order-5", 1500)
 		for _, c := range []*Caller{a, b} {
@@ -145,7 +145,7 @@
 			must.NoError(t, c.Finish(ctx))
 			must.NoError(t, c.Check())
 		}
-		must.Eq(t, 40, w.Sum("generation_prefills_total"))
+		must.Eq(t, 40, w.SumCounter("generation_prefills_total"))
 	})
 }
 
@@ -158,7 +158,7 @@
 		must.NoError(t, c.ReadTo(ctx, 100))
 		c.Close()
 		time.Sleep(35 * time.Second)
-		must.SliceEmpty(t, w.Busy())
+		must.SliceEmpty(t, w.BusyEngines())
 		must.Eq(t, 1, w.Stats().Cancelled)
 	})
 }
@@ -171,11 +171,11 @@
 		must.NoError(t, c.Submit(ctx, 0))
 		must.NoError(t, c.ReadTo(ctx, 10))
 		time.Sleep(time.Minute)
-		must.LessEq(t, 4200, w.Sum("generation_tokens_total"))
+		must.LessEq(t, 4200, w.SumCounter("generation_tokens_total"))
 		must.NoError(t, c.Finish(ctx))
 		must.NoError(t, c.Check())
-		must.Zero(t, w.Sum("generation_attempts_suspected_total"))
-		must.Eq(t, 1, w.Sum("generation_prefills_total"))
+		must.Zero(t, w.SumCounter("generation_attempts_suspected_total"))
+		must.Eq(t, 1, w.SumCounter("generation_prefills_total"))
 	})
 }
 
--- a/lab/world/caller.go
+++ b/lab/world/caller.go
@@ -16,9 +16,9 @@
 // ErrConnection is what a caller sees when its entry VM dies or stays silent.
 var ErrConnection = errors.New("connection to the entry VM lost")
 
-// defaultPatience is how long a caller waits on a connection without any sign of life
+// defaultCallerTimeout is how long a caller waits on a connection without any sign of life
 // before it takes it to be lost: somewhat more than the keep-alive interval.
-const defaultPatience = 6 * time.Second
+const defaultCallerTimeout = 6 * time.Second
 
 // Caller holds what one caller has of one answer. It is not safe for
 // concurrent use.
@@ -45,7 +45,7 @@
 func (c *Caller) Submit(ctx context.Context, vm int) error {
 	c.Close()
 	c.vm = vm
-	h, err := c.reach(ctx, func(ctx context.Context) (*generation.Handle, error) {
+	h, err := c.callWithTimeout(ctx, func(ctx context.Context) (*generation.Handle, error) {
 		return c.w.Manager(vm).Submit(ctx, &generation.Spec{
 			Account: c.w.Site.Accounts[c.Account], Service: c.w.Site.Services[Service],
 			Prompt: c.Prompt, MaxTokens: c.Tokens, Temperature: 1, Key: c.Key,
@@ -71,23 +71,23 @@
 	return nil
 }
 
-func (c *Caller) reach(ctx context.Context, call func(context.Context) (*generation.Handle, error)) (*generation.Handle, error) {
-	ctx, cancel := c.connection(ctx)
+func (c *Caller) callWithTimeout(ctx context.Context, call func(context.Context) (*generation.Handle, error)) (*generation.Handle, error) {
+	ctx, cancel := c.connectionContext(ctx)
 	defer cancel()
 	if ctx.Err() != nil {
 		return nil, ErrConnection
 	}
 	h, err := call(ctx)
-	if c.lost(ctx) {
+	if c.isLost(ctx) {
 		return nil, ErrConnection
 	}
 	return h, err
 }
 
-// connection returns a context that ends with the entry VM's life or the
+// connectionContext returns a context that ends with the entry VM's life or the
 // caller's patience.
-func (c *Caller) connection(ctx context.Context) (context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithTimeoutCause(ctx, c.w.config.Patience, ErrConnection)
+func (c *Caller) connectionContext(ctx context.Context) (context.Context, context.CancelFunc) {
+	ctx, cancel := context.WithTimeoutCause(ctx, c.w.config.CallerTimeout, ErrConnection)
 	f, changed := c.w.Net.vm(VMID(c.vm))
 	if f == Cut {
 		cancel()
@@ -107,9 +107,9 @@
 	return ctx, cancel
 }
 
-// lost reports whether nothing from the entry VM reaches the caller: it is
+// isLost reports whether nothing from the entry VM reaches the caller: it is
 // dead, or paused until the caller's patience is over.
-func (c *Caller) lost(ctx context.Context) bool {
+func (c *Caller) isLost(ctx context.Context) bool {
 	f, _ := c.w.Net.vm(VMID(c.vm))
 	if f == Hang {
 		<-ctx.Done()
@@ -121,10 +121,10 @@
 // a *verdict.Error when the answer ends without being whole. While nothing
 // comes for the caller's patience it returns nil: keep-alives come.
 func (c *Caller) Read(ctx context.Context) error {
-	conn, cancel := c.connection(ctx)
+	conn, cancel := c.connectionContext(ctx)
 	defer cancel()
 	b, err := c.h.Read(conn, c.Pos)
-	if c.lost(conn) {
+	if c.isLost(conn) {
 		return ErrConnection
 	}
 	if err != nil {
--- a/lab/world/engine.go
+++ b/lab/world/engine.go
@@ -22,14 +22,14 @@
 // still. A call that it makes all the same is never sent.
 func (b *backend) call(ctx context.Context) error {
 	paused, _ := b.net.vm(b.vm)
-	err := b.net.pass(ctx, b.vm, b.id)
+	err := b.net.awaitLink(ctx, b.vm, b.id)
 	if paused == Hang {
 		return errors.Wrap(engine.ErrNotSent, "made while the entry VM stood still")
 	}
 	switch {
 	case err == nil:
 		return nil
-	case errors.Is(err, errCut):
+	case errors.Is(err, errRefused):
 		return errors.Wrap(engine.ErrNotSent, "connection refused")
 	}
 	return errors.Wrapf(engine.ErrBroken, "%v", err)
@@ -87,8 +87,8 @@
 	return s.Stream.Close()
 }
 
-// Read returns the generations that are read from an engine now.
-func (w *World) Read(engine int) []string {
+// StreamingGenerations returns the generations that are read from an engine now.
+func (w *World) StreamingGenerations(engine int) []string {
 	w.Net.mu.Lock()
 	defer w.Net.mu.Unlock()
 	var out []string
@@ -104,7 +104,7 @@
 func (s *stream) Next(ctx context.Context) (engine.Chunk, error) {
 	b := s.backend
 	for {
-		if err := b.net.pass(ctx, b.id, b.vm); err != nil {
+		if err := b.net.awaitLink(ctx, b.id, b.vm); err != nil {
 			return engine.Chunk{}, s.broken(ctx)
 		}
 		f, changed := b.net.link(b.id, b.vm)
@@ -130,7 +130,7 @@
 			return c, err
 		}
 		// A chunk under way waits like any message.
-		if b.net.pass(ctx, b.id, b.vm) != nil {
+		if b.net.awaitLink(ctx, b.id, b.vm) != nil {
 			return engine.Chunk{}, s.broken(ctx)
 		}
 		return c, nil
--- a/lab/world/network.go
+++ b/lab/world/network.go
@@ -24,8 +24,8 @@
 // latency is the usual one-way delay between two VMs.
 const latency = time.Millisecond
 
-// errCut is what a caller sees of a dead peer or a refused connection.
-var errCut = errors.New("connection refused")
+// errRefused is what a caller sees of a dead peer or a refused connection.
+var errRefused = errors.New("connection refused")
 
 type pair struct{ from, to string }
 
@@ -110,36 +110,36 @@
 	return f, n.changed
 }
 
-// pass waits until a message may go from one VM to another.
-func (n *Network) pass(ctx context.Context, from, to string) error {
+// awaitLink waits until a message may go from one VM to another.
+func (n *Network) awaitLink(ctx context.Context, from, to string) error {
 	for {
 		f, changed := n.link(from, to)
 		switch f {
 		case Healthy:
 			return nil
 		case Cut:
-			return errCut
+			return errRefused
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-n.closed:
-			return errCut
+			return errRefused
 		}
 	}
 }
 
-// port is the network as one entry VM sees it.
-type port struct {
+// vmTransport is the network as one entry VM sees it.
+type vmTransport struct {
 	net  *Network
 	self string
 }
 
-var _ http.RoundTripper = port{}
+var _ http.RoundTripper = vmTransport{}
 
 // CloseIdleConnections makes the next message to each peer use a new connection.
-func (p port) CloseIdleConnections() {
+func (p vmTransport) CloseIdleConnections() {
 	p.net.update(func() {
 		for l := range p.net.silent {
 			if l.from == p.self {
@@ -151,10 +151,10 @@
 
 // RoundTrip implements http.RoundTripper. The message goes on when its sender
 // gives up waiting, as one in the buffers of a connection does.
-func (p port) RoundTrip(r *http.Request) (*http.Response, error) {
+func (p vmTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	to := r.URL.Host
 	if f, _ := p.net.link(p.self, to); f == Cut {
-		return nil, errCut
+		return nil, errRefused
 	}
 	p.net.mu.Lock()
 	silent := p.net.silent[pair{p.self, to}]
@@ -172,7 +172,7 @@
 	select {
 	case a := <-answer:
 		if a == nil {
-			return nil, errCut
+			return nil, errRefused
 		}
 		return a.response(r), nil
 	case <-r.Context().Done():
@@ -181,24 +181,24 @@
 }
 
 // deliver carries a message there and its answer back; nil if the link broke.
-func (p port) deliver(r *http.Request, to string, body []byte) *recorder {
+func (p vmTransport) deliver(r *http.Request, to string, body []byte) *recorder {
 	ctx := context.WithoutCancel(r.Context())
 	n := p.net
 	n.mu.Lock()
 	h, delay := n.handlers[to], latency+n.delays[pair{p.self, to}]
 	n.mu.Unlock()
-	if n.pass(ctx, p.self, to) != nil || h == nil || !n.sleep(delay) {
+	if n.awaitLink(ctx, p.self, to) != nil || h == nil || !n.sleep(delay) {
 		return nil
 	}
 	// A VM that died or paused meanwhile does not take the message.
-	if n.pass(ctx, p.self, to) != nil {
+	if n.awaitLink(ctx, p.self, to) != nil {
 		return nil
 	}
 	w := &recorder{header: make(http.Header), status: http.StatusOK}
 	copied := r.Clone(ctx)
 	copied.Body = io.NopCloser(bytes.NewReader(body))
 	h.ServeHTTP(w, copied)
-	if n.pass(ctx, to, p.self) != nil {
+	if n.awaitLink(ctx, to, p.self) != nil {
 		return nil
 	}
 	return w
--- a/lab/world/random_test.go
+++ b/lab/world/random_test.go
@@ -32,20 +32,20 @@
 
 // fault is one drawn fault: what, where, when, and for how long.
 type fault struct {
-	Kind     string
-	A, B     int
-	Engine   int // set when the fault strikes
-	At, Long time.Duration
+	Kind         string
+	A, B         int
+	Engine       int // set when the fault strikes
+	At, Duration time.Duration
 }
 
 // plan is one drawn scenario.
 type plan struct {
 	Seed   uint64
 	Weight float64
-	// Patience is short, so that callers move while their answer still runs.
-	Patience time.Duration
-	Faults   []fault
-	Callers  []request
+	// CallerTimeout is short, so that callers move while their answer still runs.
+	CallerTimeout time.Duration
+	Faults        []fault
+	Callers       []request
 }
 
 // request is one drawn caller.
@@ -57,47 +57,47 @@
 	Slow       bool
 }
 
-var kinds = []string{
+var faultKinds = []string{
 	"engine dies", "engine restarts", "engine pauses", "streams go silent", "engine slow", "engine refuses",
 	"vm dies", "vm pauses", "vm replaced", "vm believed gone", "vm isolated", "vm isolated and engine dies",
 	"peers cut", "peers hang", "one way", "late", "peer silent", "engine cut off", "engine hangs", "all stall",
 }
 
-// dice draws evenly; rapid itself prefers small numbers, which makes most
+// uniform draws evenly; rapid itself prefers small numbers, which makes most
 // faults strike before the answer begins. It still shrinks how many there are.
-type dice struct{ *rand.Rand }
+type uniform struct{ *rand.Rand }
 
-func (d dice) millis(lo, hi int) time.Duration {
+func (d uniform) millis(lo, hi int) time.Duration {
 	return time.Duration(lo+d.IntN(hi-lo)) * time.Millisecond
 }
 
-func (d dice) bool() bool { return d.IntN(2) == 0 }
+func (d uniform) bool() bool { return d.IntN(2) == 0 }
 
 func drawPlan(t *rapid.T) plan {
 	p := plan{Seed: rapid.Uint64().Draw(t, "seed")}
-	d := dice{rand.New(rand.NewPCG(p.Seed, 1))}
+	d := uniform{rand.New(rand.NewPCG(p.Seed, 1))}
 	p.Weight = []float64{0.2, 0.9}[d.IntN(2)]
-	p.Patience = d.millis(200, 1200)
+	p.CallerTimeout = d.millis(200, 1200)
 	for range rapid.IntRange(1, 4).Draw(t, "callers") {
 		p.Callers = append(p.Callers, request{
 			VM: d.IntN(4), Tokens: 20 + d.IntN(280), Key: []string{"", "k1", "k1", "k1"}[d.IntN(4)],
 			At: d.millis(0, 1500), Moves: d.bool(), Slow: d.bool(),
 		})
 	}
-	d = dice{rand.New(rand.NewPCG(p.Seed, 2))}
+	d = uniform{rand.New(rand.NewPCG(p.Seed, 2))}
 	for range rapid.IntRange(2, 10).Draw(t, "faults") {
 		p.Faults = append(p.Faults, fault{
-			Kind: kinds[d.IntN(len(kinds))], A: d.IntN(6), B: d.IntN(6),
-			At: d.millis(0, 4000), Long: d.millis(20, 3000),
+			Kind: faultKinds[d.IntN(len(faultKinds))], A: d.IntN(6), B: d.IntN(6),
+			At: d.millis(0, 4000), Duration: d.millis(20, 3000),
 		})
 	}
 	return p
 }
 
-// aim turns the drawn numbers into an engine that is at work and an entry VM
+// targetActive turns the drawn numbers into an engine that is at work and an entry VM
 // that a caller began at, where there are such: other faults teach little.
-func (w *World) aim(f fault, p plan) fault {
-	if busy := w.Busy(); len(busy) > 0 {
+func (w *World) targetActive(f fault, p plan) fault {
+	if busy := w.BusyEngines(); len(busy) > 0 {
 		f.Engine = busy[f.A%len(busy)]
 	}
 	f.A = p.Callers[f.A%len(p.Callers)].VM
@@ -138,12 +138,12 @@
 		w.Kill(f.A)
 	case "vm pauses":
 		w.Net.SetVM(a, Hang)
-		undo = func() { w.Net.recover(a) }
+		undo = func() { w.Net.endPause(a) }
 	case "vm replaced":
 		w.Replace(f.A)
 	case "vm believed gone":
-		w.Believe(f.A, membership.Gone)
-		undo = func() { w.Believe(f.A, membership.Alive) }
+		w.SetMemberState(f.A, membership.Gone)
+		undo = func() { w.SetMemberState(f.A, membership.Alive) }
 	case "vm isolated and engine dies":
 		e.Die()
 		fallthrough
@@ -158,7 +158,7 @@
 		w.Net.SetLink(a, b, Hang)
 		undo = func() { w.Net.SetLink(a, b, Healthy) }
 	case "late":
-		w.Net.Delay(a, b, f.Long/4)
+		w.Net.Delay(a, b, f.Duration/4)
 		undo = func() { w.Net.Delay(a, b, 0) }
 	case "peer silent":
 		w.Net.Silence(a, b)
@@ -176,21 +176,21 @@
 			}
 		}
 	}
-	time.AfterFunc(f.Long, undo)
+	time.AfterFunc(f.Duration, undo)
 }
 
-// recover ends a pause, unless the VM died in the meantime.
-func (n *Network) recover(id string) {
+// endPause ends a pause, unless the VM died in the meantime.
+func (n *Network) endPause(id string) {
 	if f, _ := n.vm(id); f == Hang {
 		n.SetVM(id, Healthy)
 	}
 }
 
-// tries is how often a caller sends its request before it gives up.
-const tries = 4
+// maxSubmits is how often a caller sends its request before it gives up.
+const maxSubmits = 4
 
-// serve plays one caller to its end. It returns an error only when a promise was broken.
-func (w *World) serve(ctx context.Context, p plan, r request) (whole bool, err error) {
+// runCaller plays one caller to its end. It returns an error only when a promise was broken.
+func (w *World) runCaller(ctx context.Context, p plan, r request) (whole bool, err error) {
 	random := rand.New(rand.NewPCG(p.Seed, uint64(r.VM)))
 	// The body belongs to the key, as a repeated key with another body is refused.
 	c := w.Caller("contract "+r.Key, r.Key, r.Tokens)
@@ -200,7 +200,7 @@
 	defer func() { c.Close() }()
 	time.Sleep(r.At)
 	vm := r.VM
-	for range tries {
+	for range maxSubmits {
 		if err := c.Submit(ctx, vm); err == nil {
 			if err := w.readAll(ctx, c, r, random); err != nil || c.Done {
 				return c.Done, err
@@ -260,19 +260,19 @@
 	counts        [6]float64 // of the counters counted
 }
 
-// counted are summed over a run, to show that the faults strike.
-var counted = [...]string{
+// summedCounters are summed over a run, to show that the faults strike.
+var summedCounters = [...]string{
 	"generation_adopted_total", "generation_attempts_failed_total", "generation_attempts_suspected_total",
 	"generation_reattached_total", "generation_journal_moves_total", "generation_uncopied_tokens_total",
 }
 
-func play(t *testing.T, p plan) (out outcome) {
+func runPlan(t *testing.T, p plan) (out outcome) {
 	cryptotest.SetGlobalRandom(t, p.Seed)
 	synctest.Test(t, func(t *testing.T) {
-		w := New(t.Context(), Config{Seed: p.Seed, Weight: p.Weight, Patience: p.Patience})
+		w := New(t.Context(), Config{Seed: p.Seed, Weight: p.Weight, CallerTimeout: p.CallerTimeout})
 		defer w.Close()
 		for _, f := range p.Faults {
-			time.AfterFunc(f.At, func() { w.inject(w.aim(f, p)) })
+			time.AfterFunc(f.At, func() { w.inject(w.targetActive(f, p)) })
 		}
 		var (
 			mu sync.Mutex
@@ -280,7 +280,7 @@
 		)
 		for _, r := range p.Callers {
 			wg.Go(func() {
-				whole, err := w.serve(t.Context(), p, r)
+				whole, err := w.runCaller(t.Context(), p, r)
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
@@ -294,10 +294,10 @@
 			})
 		}
 		wg.Wait()
-		for i, name := range counted {
-			out.counts[i] = w.Sum(name)
+		for i, name := range summedCounters {
+			out.counts[i] = w.SumCounter(name)
 		}
-		if n := w.Sum("generation_invariant_violations_total"); n > 0 && out.err == nil {
+		if n := w.SumCounter("generation_invariant_violations_total"); n > 0 && out.err == nil {
 			out.err = fmt.Errorf("%g invariants violated inside", n)
 		}
 		time.Sleep(20 * time.Second) // every fault and restart ends before the world does
@@ -311,10 +311,10 @@
 // whole answer.
 func TestRandomFaults(t *testing.T) {
 	var whole, failed int
-	var counts [len(counted)]float64
+	var counts [len(summedCounters)]float64
 	rapid.Check(t, func(rt *rapid.T) {
 		p := drawPlan(rt)
-		out := play(t, p)
+		out := runPlan(t, p)
 		if out.err != nil {
 			rt.Fatalf("%v\n%+v", out.err, p)
 		}
@@ -324,7 +324,7 @@
 		}
 	})
 	for i, n := range counts {
-		t.Logf("%s: %g", counted[i], n)
+		t.Logf("%s: %g", summedCounters[i], n)
 	}
 	t.Logf("%d answers whole, %d failed honestly", whole, failed)
 }
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -47,9 +47,9 @@
 	// MaxTokens is the most that a request may ask for; 4000.
 	MaxTokens int
 	Engine    enginesim.Config // the name and seed are set for each engine
-	// Patience is how long callers wait on a silent connection; somewhat more
+	// CallerTimeout is how long callers wait on a silent connection; somewhat more
 	// than the interval of keep-alives.
-	Patience time.Duration
+	CallerTimeout time.Duration
 	// Policy overrides the resume policy; nil means the one of the weight.
 	Policy func(*site.Service) resume.Policy
 }
@@ -60,8 +60,8 @@
 			*field = value
 		}
 	}
-	if c.Patience == 0 {
-		c.Patience = defaultPatience
+	if c.CallerTimeout == 0 {
+		c.CallerTimeout = defaultCallerTimeout
 	}
 	c.Engine.Models = []engine.ModelRef{{Model: Model}}
 	return c
@@ -116,7 +116,7 @@
 		})
 	}
 	for i := range c.VMs {
-		w.vms = append(w.vms, w.boot(i))
+		w.vms = append(w.vms, w.startVM(i))
 	}
 	return w
 }
@@ -143,8 +143,8 @@
 	}
 }
 
-// boot starts the daemon's parts that serve generations on the i-th entry VM.
-func (w *World) boot(i int) *vm {
+// startVM starts the daemon's parts that serve generations on the i-th entry VM.
+func (w *World) startVM(i int) *vm {
 	self := w.members[i]
 	ctx, stop := context.WithCancel(w.ctx)
 	v := &vm{id: self.ID, registry: prometheus.NewRegistry(), stop: stop}
@@ -156,7 +156,7 @@
 	})
 	v.manager = generation.NewManager(generation.Config{
 		Site: fixedSite{w.Site}, Members: v, Flow: f, Log: event.Discard(), Metrics: v.registry,
-		Dialer: link.NewDialerWith(&http.Client{Transport: port{w.Net, self.ID}}),
+		Dialer: link.NewDialerWith(&http.Client{Transport: vmTransport{w.Net, self.ID}}),
 		Policy: w.config.Policy,
 	})
 	w.metrics = append(w.metrics, v.registry)
@@ -209,13 +209,13 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.members[i].Incarnation++
-	w.vms[i] = w.boot(i)
+	w.vms[i] = w.startVM(i)
 	w.publish()
 	w.Net.SetVM(VMID(i), Healthy)
 }
 
-// Believe makes every entry VM's membership say this of the i-th.
-func (w *World) Believe(i int, s membership.State) {
+// SetMemberState makes every entry VM's membership say this of the i-th.
+func (w *World) SetMemberState(i int, s membership.State) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.members[i].State = s
@@ -229,8 +229,8 @@
 	}
 }
 
-// Busy returns the engines that run something now.
-func (w *World) Busy() []int {
+// BusyEngines returns the engines that run something now.
+func (w *World) BusyEngines() []int {
 	var busy []int
 	for i, e := range w.Engines {
 		if s, err := e.Status(w.ctx); err == nil && s.Running > 0 {
@@ -240,8 +240,8 @@
 	return busy
 }
 
-// Sum adds up a counter over all entry VMs.
-func (w *World) Sum(name string) float64 {
+// SumCounter adds up a counter over all entry VMs.
+func (w *World) SumCounter(name string) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	total := 0.0
@@ -278,8 +278,8 @@
 	return total
 }
 
-// lastStep is longer than any step of an engine, which may be in one when it dies.
-const lastStep = time.Second
+// maxEngineStep is longer than any step of an engine, which may be in one when it dies.
+const maxEngineStep = time.Second
 
 // Close ends everything and waits for it.
 func (w *World) Close() {
@@ -290,5 +290,5 @@
 	w.stop()
 	w.Net.close()
 	w.wg.Wait()
-	time.Sleep(lastStep)
+	time.Sleep(maxEngineStep)
 }
