--- a/lab/world/answer_test.go
+++ b/lab/world/answer_test.go
@@ -31,11 +31,10 @@
 	return i
 }
 
-// A caller's entry VM and the holder of its copy lose power together. No other
-// VM knows the text it holds. While nobody knows that the two are dead they may
-// be cut off only, and the caller is told to come back; then it is told that the
-// answer is lost, keeps a clean prefix, and gets a whole new answer when it sends
-// the request again.
+// The owner and the VM with its replica die together, so that no VM has the generation's
+// state. While the membership still shows both as alive, they may only be unreachable: the
+// caller gets CodeGenerationUnreachable. Once they are gone it gets a final error, keeps a
+// valid prefix, and gets a complete new generation when it submits again.
 func TestOwnerAndHolderDieTogether(t *testing.T) {
 	inWorld(t, Config{Seed: 11, Weight: 1}, func(t *testing.T, ctx context.Context, w *World) {
 		c := w.Caller(prompt, "order-1", 300)
@@ -60,10 +59,10 @@
 	})
 }
 
-// The owner and its copy's holder lose each other while a second caller asks
-// for the same key at the holder's side, and their engine dies. Two different
-// continuations arise. Each caller holds one of them, also when the first one
-// moves to the other's entry VM.
+// The VM with the replica is partitioned from all others, a second caller submits the same
+// key there, and the engine dies. Both sides continue the generation differently (split
+// brain). No caller may get a mix of the two, even when the first caller connects to
+// the other side after the partition has healed.
 func TestPartitionBetweenOwnerAndHolder(t *testing.T) {
 	inWorld(t, Config{Seed: 12, Weight: 1}, func(t *testing.T, ctx context.Context, w *World) {
 		a, b := w.Caller(prompt, "order-2", 600), w.Caller(prompt, "order-2", 600)
@@ -94,10 +93,10 @@
 	})
 }
 
-// An entry VM pauses with two callers. One moves on; its answer is taken over
-// and, as the engine dies, goes on elsewhere. The paused VM comes back, still
-// believes that it owns the answer and has a text of its own: it releases
-// nothing of it, its caller follows the new owner, and the copy is not spoilt.
+// An entry VM with two callers of one generation pauses. One caller fails over, another VM
+// takes over, and the engine dies, so that the continuation differs. When the paused VM
+// resumes as a stale owner with tokens of its own, it must release none of them, its caller
+// must follow the new owner, and the replica must stay valid.
 func TestPausedOwnerReturns(t *testing.T) {
 	c := Config{Seed: 20, Weight: 1, CallerTimeout: time.Second, MaxTokens: 2000}
 	inWorld(t, c, func(t *testing.T, ctx context.Context, w *World) {
@@ -124,8 +123,8 @@
 	})
 }
 
-// Every engine stands still for a moment, as when their network hangs. Nobody
-// starts anything anew: many prompts would be read again by engines that just go on.
+// All engines pause briefly, as when their network hangs. No attempt may be started
+// again: that would repeat many prefills on engines that recover by themselves.
 func TestGlobalStallStartsNoStorm(t *testing.T) {
 	inWorld(t, Config{Seed: 13, Weight: 1}, func(t *testing.T, ctx context.Context, w *World) {
 		callers := make([]*Caller, 40)
@@ -149,8 +148,8 @@
 	})
 }
 
-// A caller hangs up and does not return. Its answer is cancelled at the engine,
-// which would otherwise write it to the end for nobody.
+// A caller disconnects and does not return. Its generation must be cancelled at the
+// engine, which would otherwise run it to the end.
 func TestCallerGone(t *testing.T) {
 	inWorld(t, Config{Seed: 14}, func(t *testing.T, ctx context.Context, w *World) {
 		c := w.Caller(prompt, "", 4000)
@@ -163,8 +162,8 @@
 	})
 }
 
-// A caller on a poor line takes nothing for a minute. What is kept for it stays
-// bounded, its engine is not suspected, and it gets the whole answer.
+// A caller reads nothing for a minute. The tokens buffered for it must stay bounded, its
+// engine must not be suspected, and it must still get the complete generation.
 func TestSlowReader(t *testing.T) {
 	inWorld(t, Config{Seed: 15, MaxTokens: 9000, Weight: 1}, func(t *testing.T, ctx context.Context, w *World) {
 		c := w.Caller(prompt, "", 9000)
@@ -179,8 +178,9 @@
 	})
 }
 
-// A caller sends the same request again, with its key, to another entry VM. It
-// gets the same answer from the first token, not a second one.
+// A caller sends the same request with the same key to another entry VM. It must get the
+// same generation from the first token; no second attempt may start. The key with another
+// body is refused.
 func TestSameKeyElsewhere(t *testing.T) {
 	inWorld(t, Config{Seed: 16}, func(t *testing.T, ctx context.Context, w *World) {
 		a, b := w.Caller(prompt, "order-3", 300), w.Caller(prompt, "order-3", 300)
@@ -198,8 +198,8 @@
 	})
 }
 
-// A caller's library sends one request to several entry VMs at the same time.
-// Each copy is answered whole, and no answer mixes two of them.
+// A caller sends one request to several entry VMs at the same time. Each submission must
+// be answered completely, and no answer may mix two generations.
 func TestSameKeyAtOnce(t *testing.T) {
 	for seed := range uint64(20) {
 		inWorld(t, Config{Seed: 100 + seed}, func(t *testing.T, ctx context.Context, w *World) {
@@ -225,8 +225,8 @@
 	}
 }
 
-// All engines are down when a request comes; it is refused at once. After they
-// are back the same key is answered.
+// All engines are down when a request arrives, so that it must fail within a second. After
+// they have recovered, a request with the same key must succeed.
 func TestKeyReusedAfterFailure(t *testing.T) {
 	inWorld(t, Config{Seed: 17}, func(t *testing.T, ctx context.Context, w *World) {
 		for _, e := range w.Engines {
@@ -247,8 +247,8 @@
 	})
 }
 
-// An answer is finished but its last bytes are lost with the entry VM. Another
-// entry VM still owes them, and ends the stream properly.
+// A generation is complete, but the entry VM dies before the caller has read the last
+// tokens. Another entry VM must deliver them and the terminal event.
 func TestLastBytesLost(t *testing.T) {
 	inWorld(t, Config{Seed: 18}, func(t *testing.T, ctx context.Context, w *World) {
 		c := w.Caller(prompt, "", 200)
@@ -263,8 +263,8 @@
 	})
 }
 
-// A client account guesses or learns the id of another account's answer. On
-// every entry VM it is told the same as for an id that never was.
+// An account uses the id of another account's generation. Every entry VM must answer as
+// for an id that never existed.
 func TestAccountIsolation(t *testing.T) {
 	inWorld(t, Config{Seed: 19}, func(t *testing.T, ctx context.Context, w *World) {
 		c := w.Caller(prompt, "", 300)
@@ -279,10 +279,9 @@
 	})
 }
 
-// A caller sends a key that another entry VM works on already, and is led there. That VM is
-// replaced before the first token. Nobody knows the generation any more, and the caller holds
-// nothing of it: it gets a new one in place of being told that what it just asked for is
-// unknown.
+// A caller submits a key whose generation another entry VM serves, and is attached to it. That
+// VM is replaced before the first token, so that the generation is unknown everywhere. The caller
+// has received nothing of it and must get a new generation instead of an unknown-generation error.
 func TestKeyWhoseGenerationIsGoneBeforeItsFirstToken(t *testing.T) {
 	inWorld(t, Config{Seed: 140}, func(t *testing.T, ctx context.Context, w *World) {
 		first, second := w.Caller(prompt, "order-6", 200), w.Caller(prompt, "order-6", 200)
--- a/lab/world/caller.go
+++ b/lab/world/caller.go
@@ -13,22 +13,22 @@
 	"mallowwind.dev/serve/generation"
 )
 
-// ErrConnection is what a caller sees when its entry VM dies or stays silent.
+// ErrConnection is returned to a caller when its entry VM dies or stays silent.
 var ErrConnection = errors.New("connection to the entry VM lost")
 
-// defaultCallerTimeout is how long a caller waits on a connection without any sign of life
-// before it takes it to be lost: somewhat more than the keep-alive interval.
+// defaultCallerTimeout is how long a caller waits on a silent connection before it treats it as
+// lost: somewhat longer than the keep-alive interval.
 const defaultCallerTimeout = 6 * time.Second
 
-// Caller holds what one caller has of one answer. It is not safe for
-// concurrent use.
+// Caller is the client side of one generation and holds the tokens received so far.
+// It is not safe for concurrent use.
 type Caller struct {
 	Prompt, Key string
-	Tokens      int // asked for
+	Tokens      int // requested
 	Account     string
 	ID          string // of the generation, once known
 	Pos         epochs.Position
-	Done        bool // the terminal event came
+	Done        bool // the terminal event was received
 
 	w    *World
 	vm   int
@@ -41,7 +41,7 @@
 	return &Caller{w: w, Prompt: prompt, Key: key, Tokens: tokens, Account: Account}
 }
 
-// Submit sends the request to an entry VM; the answer comes from its first token.
+// Submit sends the request to an entry VM and reads from the first token of its generation.
 func (c *Caller) Submit(ctx context.Context, vm int) error {
 	c.Close()
 	c.vm = vm
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// Continue connects to an entry VM with the id of the last event.
+// Continue connects to an entry VM to read on from the last position received.
 func (c *Caller) Continue(vm int) error {
 	c.Close()
 	c.vm = vm
@@ -84,8 +84,7 @@
 	return h, err
 }
 
-// connectionContext returns a context that ends with the entry VM's life or the
-// caller's patience.
+// connectionContext returns a context that ends when the entry VM dies or CallerTimeout is over.
 func (c *Caller) connectionContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeoutCause(ctx, c.w.config.CallerTimeout, ErrConnection)
 	f, changed := c.w.Net.vm(VMID(c.vm))
@@ -107,8 +106,8 @@
 	return ctx, cancel
 }
 
-// isLost reports whether nothing from the entry VM reaches the caller: it is
-// dead, or paused until the caller's patience is over.
+// isLost reports whether the entry VM is dead or paused. If it is paused, isLost
+// first waits for the end of ctx.
 func (c *Caller) isLost(ctx context.Context) bool {
 	f, _ := c.w.Net.vm(VMID(c.vm))
 	if f == Hang {
@@ -117,9 +116,9 @@
 	return f != Healthy
 }
 
-// Read takes one batch. It returns ErrConnection when the entry VM is lost and
-// a *verdict.Error when the answer ends without being whole. While nothing
-// comes for the caller's patience it returns nil: keep-alives come.
+// Read reads one batch. It returns ErrConnection when the entry VM is lost and a
+// *verdict.Error when the generation ends incomplete. If no token arrives within
+// CallerTimeout it returns nil, since a live entry VM still sends keep-alives.
 func (c *Caller) Read(ctx context.Context) error {
 	conn, cancel := c.connectionContext(ctx)
 	defer cancel()
@@ -140,7 +139,7 @@
 	return nil
 }
 
-// ReadTo reads until n tokens are held or the answer is whole.
+// ReadTo reads until the caller holds n tokens or the generation is complete.
 func (c *Caller) ReadTo(ctx context.Context, n int) error {
 	for c.Pos.Offset < n && !c.Done {
 		if err := c.Read(ctx); err != nil {
@@ -150,7 +149,7 @@
 	return nil
 }
 
-// Finish reads to the end, moving through the entry VMs in order when one is lost.
+// Finish reads to the end. When an entry VM is lost it continues on the next one in order.
 func (c *Caller) Finish(ctx context.Context) error {
 	for moves := 0; !c.Done; {
 		err := c.Read(ctx)
@@ -167,25 +166,25 @@
 	return nil
 }
 
-// Check verifies that what the caller holds is a prefix of one generation, and
-// the whole of it if the terminal event came.
+// Check verifies that the received text is a prefix of a single generation, and is
+// complete if the terminal event was received.
 func (c *Caller) Check() error {
 	n, err := tokencheck.Check(Model, c.Prompt, c.text.String())
 	switch {
 	case err != nil:
 		return err
 	case n != c.Pos.Offset:
-		return errors.Errorf("%d tokens held at position %d", n, c.Pos.Offset)
+		return errors.Errorf("%d tokens received, but the position is %d", n, c.Pos.Offset)
 	case c.Done && n != c.Tokens:
-		return errors.Errorf("terminal event after %d of %d tokens", n, c.Tokens)
+		return errors.Errorf("terminal event received after %d of %d tokens", n, c.Tokens)
 	}
 	return nil
 }
 
-// VM returns the number of the entry VM that the caller is connected to.
+// VM returns the index of the entry VM that the caller is connected to.
 func (c *Caller) VM() int { return c.vm }
 
-// Text returns what the caller holds.
+// Text returns the text received so far.
 func (c *Caller) Text() string { return c.text.String() }
 
 // Close drops the connection.
--- a/lab/world/engine.go
+++ b/lab/world/engine.go
@@ -8,23 +8,23 @@
 	"mallowwind.dev/external/engine"
 )
 
-// backend is a backend server as one entry VM reaches it.
+// backend wraps a backend server's engine with the link faults that one entry VM sees.
 type backend struct {
-	engine.Engine // calls that carry no answer go straight through
+	engine.Engine // methods not overridden here bypass the network
 	net           *Network
 	vm, id        string
 }
 
-// call waits for the link and classifies its failure: what a cut link refused
-// was not sent, what hung until the caller gave up may have been.
+// call waits for the link and classifies its failure: a call refused by a cut
+// link was not sent; a call that hung until its context ended may have been sent.
 //
-// Timers of a paused entry VM run on here, unlike in a process that stands
-// still. A call that it makes all the same is never sent.
+// Unlike in a really paused process, the timers of a paused entry VM keep
+// running here. Calls that it makes while paused are never sent.
 func (b *backend) call(ctx context.Context) error {
 	paused, _ := b.net.vm(b.vm)
 	err := b.net.awaitLink(ctx, b.vm, b.id)
 	if paused == Hang {
-		return errors.Wrap(engine.ErrNotSent, "made while the entry VM stood still")
+		return errors.Wrap(engine.ErrNotSent, "call made while the entry VM was paused")
 	}
 	switch {
 	case err == nil:
@@ -72,7 +72,7 @@
 	return out
 }
 
-// stream is an engine's stream under the faults of its link.
+// stream is an engine's stream with the faults of its link applied.
 type stream struct {
 	engine.Stream
 	backend *backend
@@ -87,7 +87,7 @@
 	return s.Stream.Close()
 }
 
-// StreamingGenerations returns the generations that are read from an engine now.
+// StreamingGenerations returns the ids of the generations with an open stream from an engine.
 func (w *World) StreamingGenerations(engine int) []string {
 	w.Net.mu.Lock()
 	defer w.Net.mu.Unlock()
@@ -124,12 +124,12 @@
 		close(stop)
 		cancel()
 		if err != nil && wait.Err() != nil && ctx.Err() == nil && errors.Is(err, context.Canceled) {
-			continue // the network changed
+			continue // a fault changed; check the link again
 		}
 		if err != nil {
 			return c, err
 		}
-		// A chunk under way waits like any message.
+		// A chunk in flight waits for the link like any other message.
 		if b.net.awaitLink(ctx, b.id, b.vm) != nil {
 			return engine.Chunk{}, s.broken(ctx)
 		}
--- a/lab/world/loss_test.go
+++ b/lab/world/loss_test.go
@@ -14,8 +14,8 @@
 	"mallowwind.dev/serve/journal"
 )
 
-// inWorld runs f on a deployment in virtual time and checks that no invariant
-// inside the program was violated.
+// inWorld runs f on a deployment in virtual time and checks that no generation
+// manager counted an invariant violation.
 func inWorld(t *testing.T, c Config, f func(t *testing.T, ctx context.Context, w *World)) {
 	t.Helper()
 	cryptotest.SetGlobalRandom(t, c.Seed)
@@ -27,27 +27,27 @@
 	})
 }
 
-// faultCase is a fault that hits an answer of which the caller holds some tokens.
+// faultCase is a fault injected after the caller has received some tokens.
 type faultCase struct {
 	name        string
-	description string // what a user sees, in which order, and the cause
+	description string // the cause and what the caller sees
 	fault       func(w *World, c *Caller)
-	// maxWait bounds the wait for the next token after the fault.
+	// maxWait bounds the wait between two reads that bring tokens or the end, after the fault.
 	maxWait time.Duration
-	// maxExtraAttempts is the most attempts, after the first, that may read the prompt anew.
+	// maxExtraAttempts bounds the attempts started at engines after the first; each repeats the prefill.
 	maxExtraAttempts int
 }
 
 var faultCases = []faultCase{{
 	name: "engine dies",
-	description: `A contract summary is half written when its engine's connections are reset.
+	description: `The engine's connections are reset in the middle of a generation.
 The caller sees a short pause and then the rest, each token once.`,
 	fault:   func(w *World, _ *Caller) { w.killBusy() },
 	maxWait: 200 * time.Millisecond, maxExtraAttempts: 1,
 }, {
 	name: "engine dies and the next one refuses connections",
-	description: `Two engines share a rack whose switch fails. The second connection is
-refused at once; the answer goes on elsewhere without waiting for anything.`,
+	description: `Several engines fail together. New connections to them are refused at
+once; the generation continues on another engine without waiting for a timeout.`,
 	fault: func(w *World, _ *Caller) {
 		w.killBusy()
 		w.Engines[1].Die()
@@ -57,14 +57,14 @@
 	maxWait: 200 * time.Millisecond, maxExtraAttempts: 4,
 }, {
 	name: "engine pauses for good",
-	description: `The engine stops in the middle while its connections stay open. The caller
-sees a pause as long as the learned suspicion, then the rest from another engine.`,
+	description: `The engine stops producing tokens while its connections stay open. The caller
+sees a pause as long as the learned suspicion timeout, then the rest from another engine.`,
 	fault:   func(w *World, _ *Caller) { w.pauseBusy() },
 	maxWait: 500 * time.Millisecond, maxExtraAttempts: 1,
 }, {
 	name: "engine pauses and returns",
-	description: `The engine comes back after the answer went on elsewhere and delivers what
-it had. Its late tokens continue another text; the caller sees none of them.`,
+	description: `The engine resumes after the generation continued on another engine and
+delivers its pending tokens. They belong to a different continuation; the caller sees none.`,
 	fault: func(w *World, _ *Caller) {
 		paused := w.pauseBusy()
 		time.AfterFunc(700*time.Millisecond, func() {
@@ -76,8 +76,8 @@
 	maxWait: 500 * time.Millisecond, maxExtraAttempts: 1,
 }, {
 	name: "connection goes silent",
-	description: `Something between daemon and engine loses track of the open connection. The
-engine works on; a fresh connection reads the same attempt, without a prefill.`,
+	description: `The open connection between daemon and engine silently drops all data. The
+engine keeps running; a new connection attaches to the same attempt, without a prefill.`,
 	fault: func(w *World, _ *Caller) {
 		for _, i := range w.BusyEngines() {
 			w.Engines[i].Silence()
@@ -86,8 +86,8 @@
 	maxWait: 300 * time.Millisecond, maxExtraAttempts: 0,
 }, {
 	name: "engine turns slow",
-	description: `The engine's batch grows and each token takes five times as long. That is no
-loss: at most one other attempt races it, and the answer is whole.`,
+	description: `Each token takes five times as long, as in a larger batch. The engine is
+not lost: a limited number of other attempts race it, and the generation is complete.`,
 	fault: func(w *World, _ *Caller) {
 		for _, i := range w.BusyEngines() {
 			w.Engines[i].Slow(5)
@@ -96,14 +96,14 @@
 	maxWait: 500 * time.Millisecond, maxExtraAttempts: 2,
 }, {
 	name: "entry VM dies",
-	description: `The caller's entry VM dies. It connects to another one with its last event's
-id; that VM takes the copy and attaches to the engine, which works on.`,
+	description: `The caller's entry VM dies. The caller connects to another one with its last
+event id; that VM takes over from the replica and attaches to the running attempt.`,
 	fault:   func(w *World, _ *Caller) { w.Kill(0) },
 	maxWait: time.Second, maxExtraAttempts: 0,
 }, {
 	name: "entry VM and engine die together",
-	description: `A power failure takes the entry VM and the engine. The answer continues from
-the copy on a third machine, on another engine.`,
+	description: `The entry VM and the engine fail at the same time. The generation continues
+from the replica on another entry VM, on another engine.`,
 	fault: func(w *World, _ *Caller) {
 		w.Kill(0)
 		w.killBusy()
@@ -111,9 +111,9 @@
 	maxWait: time.Second, maxExtraAttempts: 1,
 }, {
 	name: "entry VM pauses and returns",
-	description: `The entry VM stalls; the caller moves on after a silence. When the VM comes
-back it still believes it owns the answer: it releases nothing new, and does not
-cancel the attempt that its successor reads.`,
+	description: `The entry VM pauses and the caller fails over after its timeout. When the VM
+resumes it still considers itself the owner: it must release no new tokens and must
+not cancel the attempt that the new owner reads.`,
 	fault: func(w *World, _ *Caller) {
 		w.Net.SetVM(VMID(0), Hang)
 		time.AfterFunc(defaultCallerTimeout+2*time.Second, func() { w.Net.SetVM(VMID(0), Healthy) })
@@ -121,16 +121,16 @@
 	maxWait: defaultCallerTimeout + 4*time.Second, maxExtraAttempts: 1,
 }, {
 	name: "holder is cut off",
-	description: `The network between the owner and its copy's holder breaks. The caller sees
-at most a short pause while the copy moves to another zone.`,
+	description: `The link between the owner and the VM with the replica fails. The caller sees
+at most a short pause while the replica moves to another VM.`,
 	fault: func(w *World, c *Caller) {
 		w.Net.Partition(VMID(0), w.replicaVM(0, c), Hang)
 	},
 	maxWait: 1500 * time.Millisecond, maxExtraAttempts: 0,
 }, {
 	name: "holder is replaced",
-	description: `Each VM but the caller's is replaced by one that holds nothing. The owner
-sends its copy whole again; the caller sees nothing.`,
+	description: `Every VM except the caller's is replaced by a new incarnation without state.
+The owner sends the full replica again; the caller notices nothing.`,
 	fault: func(w *World, _ *Caller) {
 		for i := 1; i < 6; i++ {
 			w.Replace(i)
@@ -139,8 +139,8 @@
 	maxWait: 600 * time.Millisecond, maxExtraAttempts: 0,
 }, {
 	name: "connection to the holder goes silent",
-	description: `The owner's connection to the copy's holder goes silent while new ones
-work. A fresh one is used after a single missed write.`,
+	description: `The owner's open connections to its peers drop all messages while new
+connections work. A new one is opened after a single write timed out.`,
 	fault: func(w *World, _ *Caller) {
 		for i := 1; i < 6; i++ {
 			w.Net.Silence(VMID(0), VMID(i))
@@ -149,9 +149,9 @@
 	maxWait: time.Second, maxExtraAttempts: 0,
 }, {
 	name: "writes of the copy arrive late",
-	description: `Messages to all holders take longer than their sender waits and arrive after
-their successors, those of an earlier attempt too. The engine and the entry VM
-die then: nothing late may have spoilt the copies.`,
+	description: `Messages to all peers take longer than the sender's timeout and arrive after
+later messages, possibly out of order across attempts. Late writes must not
+corrupt the replica.`,
 	fault: func(w *World, _ *Caller) {
 		for i := 1; i < 6; i++ {
 			w.Net.Delay(VMID(0), VMID(i), 700*time.Millisecond)
@@ -164,20 +164,20 @@
 	maxWait: 3 * time.Second, maxExtraAttempts: 1,
 }}
 
-// replicaVM is the entry VM that holds the copy of an answer that another serves.
+// replicaVM returns the id of the entry VM with the replica of the generation that owner serves.
 func (w *World) replicaVM(owner int, c *Caller) string {
 	m, _ := journal.Pick(c.ID, w.vm(owner).Current(), func(membership.Member) bool { return false })
 	return m.ID
 }
 
-// killBusy kills the engines that run something.
+// killBusy kills the engines with running attempts.
 func (w *World) killBusy() {
 	for _, i := range w.BusyEngines() {
 		w.Engines[i].Die()
 	}
 }
 
-// pauseBusy pauses the engines that run something and returns them.
+// pauseBusy pauses the engines with running attempts and returns their indexes.
 func (w *World) pauseBusy() []int {
 	busy := w.BusyEngines()
 	for _, i := range busy {
@@ -186,8 +186,8 @@
 	return busy
 }
 
-// Each loss hits an answer at its hundredth token. The caller gets the whole
-// answer, each token once, and waits no longer than the loss's bound.
+// Injects each fault after 100 tokens. The caller must get the complete generation,
+// each token once, and never wait longer than the case's maxWait.
 func TestLosses(t *testing.T) {
 	for i, l := range faultCases {
 		t.Run(strings.ReplaceAll(l.name, " ", "_"), func(t *testing.T) {
@@ -208,7 +208,7 @@
 				}
 				must.NoError(t, c.Check())
 				started := int(w.Stats().Started)
-				t.Logf("longest wait %v, %d attempts begun at engines", longest, started)
+				t.Logf("longest wait %v, %d attempts started at engines", longest, started)
 				must.LessEq(t, l.maxWait, longest)
 				must.LessEq(t, 1+l.maxExtraAttempts, started)
 			})
@@ -216,7 +216,7 @@
 	}
 }
 
-// step reads one batch, moving on when the entry VM is lost.
+// step reads one batch and continues on another entry VM when the current one is lost.
 func (c *Caller) step(ctx context.Context) error {
 	err := c.Read(ctx)
 	if err == ErrConnection {
--- a/lab/world/network.go
+++ b/lab/world/network.go
@@ -11,33 +11,33 @@
 	"github.com/pkg/errors"
 )
 
-// Fault is what a directed link does to messages.
+// Fault is the state of a VM or of one direction of a link.
 type Fault uint8
 
-// The faults of a link.
+// States of a link or VM.
 const (
 	Healthy Fault = iota
-	Cut           // refuses at once, and resets what is open
-	Hang          // messages are kept back until the link heals
+	Cut           // refuses at once and resets open connections
+	Hang          // holds messages until the link is healthy again
 )
 
 // latency is the usual one-way delay between two VMs.
 const latency = time.Millisecond
 
-// errRefused is what a caller sees of a dead peer or a refused connection.
+// errRefused is returned to the sender when the peer is dead or the link is cut.
 var errRefused = errors.New("connection refused")
 
 type pair struct{ from, to string }
 
-// Network carries messages between entry VMs and to backend servers, with
-// faults for each directed link and each VM. It is safe for concurrent use.
+// Network carries messages between entry VMs and to backend servers and injects
+// faults for each VM and each direction of a link. It is safe for concurrent use.
 type Network struct {
 	mu       sync.Mutex
 	handlers map[string]http.Handler
 	vms      map[string]Fault
 	links    map[pair]Fault
 	delays   map[pair]time.Duration
-	silent   map[pair]bool      // the connection open now has lost its track
+	silent   map[pair]bool      // the current connection drops all messages
 	streams  map[*stream]string // generations by open stream
 	changed  chan struct{}      // closed and replaced at every change
 	closed   chan struct{}
@@ -71,32 +71,33 @@
 // SetLink sets the fault of one direction of a link.
 func (n *Network) SetLink(from, to string, f Fault) { n.update(func() { n.links[pair{from, to}] = f }) }
 
-// Partition cuts or heals both directions between two VMs.
+// Partition sets the fault of both directions between two VMs.
 func (n *Network) Partition(a, b string, f Fault) {
 	n.SetLink(a, b, f)
 	n.SetLink(b, a, f)
 }
 
-// Delay makes messages from one VM to another late. A message later than its
-// sender waits still arrives.
+// Delay adds a delay to messages from one VM to another. A message still arrives
+// after its sender has timed out.
 func (n *Network) Delay(from, to string, d time.Duration) {
 	n.update(func() { n.delays[pair{from, to}] = d })
 }
 
-// Silence makes the connection that is open now from one entry VM to another
-// silent for good; connections opened later work.
+// Silence makes the current connection from one entry VM to another drop all
+// messages permanently; connections opened later work.
 func (n *Network) Silence(from, to string) { n.update(func() { n.silent[pair{from, to}] = true }) }
 
 func (n *Network) handle(id string, h http.Handler) { n.update(func() { n.handlers[id] = h }) }
 
-// vm returns the fault of a VM and a channel closed at the next change.
+// vm returns the fault of a VM and a channel that is closed at the next change of any fault.
 func (n *Network) vm(id string) (Fault, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.vms[id], n.changed
 }
 
-// link returns the fault that a message from one VM to another meets now.
+// link returns the combined fault of the link and both VMs for messages between them, and a
+// channel that is closed at the next change of any fault.
 func (n *Network) link(from, to string) (Fault, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -110,7 +111,7 @@
 	return f, n.changed
 }
 
-// awaitLink waits until a message may go from one VM to another.
+// awaitLink waits until messages can pass from one VM to another.
 func (n *Network) awaitLink(ctx context.Context, from, to string) error {
 	for {
 		f, changed := n.link(from, to)
@@ -130,7 +131,7 @@
 	}
 }
 
-// vmTransport is the network as one entry VM sees it.
+// vmTransport is the HTTP transport of one entry VM over the Network.
 type vmTransport struct {
 	net  *Network
 	self string
@@ -149,8 +150,8 @@
 	})
 }
 
-// RoundTrip implements http.RoundTripper. The message goes on when its sender
-// gives up waiting, as one in the buffers of a connection does.
+// RoundTrip implements http.RoundTripper. The message is still delivered after its
+// sender times out, like data in the buffers of a connection.
 func (p vmTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	to := r.URL.Host
 	if f, _ := p.net.link(p.self, to); f == Cut {
@@ -180,7 +181,7 @@
 	}
 }
 
-// deliver carries a message there and its answer back; nil if the link broke.
+// deliver delivers a request and returns the response, or nil if the link failed.
 func (p vmTransport) deliver(r *http.Request, to string, body []byte) *recorder {
 	ctx := context.WithoutCancel(r.Context())
 	n := p.net
@@ -190,7 +191,7 @@
 	if n.awaitLink(ctx, p.self, to) != nil || h == nil || !n.sleep(delay) {
 		return nil
 	}
-	// A VM that died or paused meanwhile does not take the message.
+	// The state of the link or VM may have changed during the delay.
 	if n.awaitLink(ctx, p.self, to) != nil {
 		return nil
 	}
@@ -213,13 +214,13 @@
 	}
 }
 
-// close ends every message under way and waits for it.
+// close aborts the waits of messages in flight and waits for their goroutines.
 func (n *Network) close() {
 	close(n.closed)
 	n.wg.Wait()
 }
 
-// recorder keeps a handler's answer.
+// recorder records a handler's response.
 type recorder struct {
 	header http.Header
 	status int
--- a/lab/world/random_test.go
+++ b/lab/world/random_test.go
@@ -19,8 +19,8 @@
 	"mallowwind.dev/decision/verdict"
 )
 
-// The same scenarios run every time, unless -rapid.seed and -rapid.checks say
-// otherwise: go test ./world -run Random -rapid.checks=10000 -rapid.seed=7.
+// Fixes the seed and the number of scenarios, so that every run is the same. They can be set on
+// the command line: go test ./world -run Random -rapid.checks=10000 -rapid.seed=7.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "250", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -30,30 +30,30 @@
 	os.Exit(m.Run())
 }
 
-// fault is one drawn fault: what, where, when, and for how long.
+// fault is one generated fault.
 type fault struct {
 	Kind         string
 	A, B         int
-	Engine       int // set when the fault strikes
+	Engine       int // set when the fault is injected
 	At, Duration time.Duration
 }
 
-// plan is one drawn scenario.
+// plan is one generated scenario.
 type plan struct {
 	Seed   uint64
 	Weight float64
-	// CallerTimeout is short, so that callers move while their answer still runs.
+	// CallerTimeout is short, so that callers fail over while their generation still runs.
 	CallerTimeout time.Duration
 	Faults        []fault
 	Callers       []request
 }
 
-// request is one drawn caller.
+// request is one generated caller.
 type request struct {
 	VM, Tokens int
 	Key        string
 	At         time.Duration
-	Moves      bool // changes its entry VM without need
+	Moves      bool // also changes its entry VM when that one works
 	Slow       bool
 }
 
@@ -63,8 +63,9 @@
 	"peers cut", "peers hang", "one way", "late", "peer silent", "engine cut off", "engine hangs", "all stall",
 }
 
-// uniform draws evenly; rapid itself prefers small numbers, which makes most
-// faults strike before the answer begins. It still shrinks how many there are.
+// uniform draws from a uniform distribution. rapid itself prefers small numbers, which
+// would inject most faults before the generation starts. rapid still draws and shrinks
+// the numbers of callers and faults.
 type uniform struct{ *rand.Rand }
 
 func (d uniform) millis(lo, hi int) time.Duration {
@@ -94,8 +95,8 @@
 	return p
 }
 
-// targetActive turns the drawn numbers into an engine that is at work and an entry VM
-// that a caller began at, where there are such: other faults teach little.
+// targetActive maps the drawn numbers to a busy engine, if there is one, and to an entry
+// VM where a caller started, since faults elsewhere rarely affect a generation.
 func (w *World) targetActive(f fault, p plan) fault {
 	if busy := w.BusyEngines(); len(busy) > 0 {
 		f.Engine = busy[f.A%len(busy)]
@@ -104,7 +105,7 @@
 	return f
 }
 
-// isolate makes all links between an entry VM and the others do this.
+// isolate sets the fault of all links between an entry VM and the other entry VMs.
 func (w *World) isolate(vm int, how Fault) {
 	for i := range w.config.VMs {
 		if i != vm {
@@ -113,7 +114,7 @@
 	}
 }
 
-// inject carries out f now and undoes it later.
+// inject applies f and reverts it after f.Duration.
 func (w *World) inject(f fault) {
 	e, a, b := w.Engines[f.Engine], VMID(f.A), VMID(f.B)
 	undo := func() {}
@@ -179,20 +180,21 @@
 	time.AfterFunc(f.Duration, undo)
 }
 
-// endPause ends a pause, unless the VM died in the meantime.
+// endPause makes a paused VM healthy again, unless it has died in the meantime.
 func (n *Network) endPause(id string) {
 	if f, _ := n.vm(id); f == Hang {
 		n.SetVM(id, Healthy)
 	}
 }
 
-// maxSubmits is how often a caller sends its request before it gives up.
+// maxSubmits is how many times a caller sends its request before it gives up.
 const maxSubmits = 4
 
-// runCaller plays one caller to its end. It returns an error only when a promise was broken.
+// runCaller runs one caller to its end. It returns an error only for a violated guarantee, not for
+// a failure that faults explain.
 func (w *World) runCaller(ctx context.Context, p plan, r request) (whole bool, err error) {
 	random := rand.New(rand.NewPCG(p.Seed, uint64(r.VM)))
-	// The body belongs to the key, as a repeated key with another body is refused.
+	// Callers with the same key send the same body, since a key reused with another body is refused.
 	c := w.Caller("contract "+r.Key, r.Key, r.Tokens)
 	if r.Key != "" {
 		c.Tokens = 200
@@ -214,7 +216,7 @@
 	return false, nil
 }
 
-// readAll reads one answer; nil without c.Done means an honest failure.
+// readAll reads one generation. It returns nil without c.Done for a failure that faults explain.
 func (w *World) readAll(ctx context.Context, c *Caller, r request, random *rand.Rand) error {
 	for moves := 0; !c.Done; {
 		err := c.Read(ctx)
@@ -241,7 +243,7 @@
 	return nil
 }
 
-// unexpected passes on errors that no fault explains.
+// unexpected returns err if no fault explains it, otherwise nil.
 func unexpected(err error) error {
 	var e *verdict.Error
 	switch {
@@ -253,14 +255,14 @@
 	return nil
 }
 
-// outcome is what became of one scenario.
+// outcome is the result of one scenario.
 type outcome struct {
 	whole, failed int
 	err           error
-	counts        [6]float64 // of the counters counted
+	counts        [6]float64 // values of summedCounters
 }
 
-// summedCounters are summed over a run, to show that the faults strike.
+// summedCounters are logged as sums over all scenarios, to show that the faults take effect.
 var summedCounters = [...]string{
 	"generation_adopted_total", "generation_attempts_failed_total", "generation_attempts_suspected_total",
 	"generation_reattached_total", "generation_journal_moves_total", "generation_uncopied_tokens_total",
@@ -298,17 +300,16 @@
 			out.counts[i] = w.SumCounter(name)
 		}
 		if n := w.SumCounter("generation_invariant_violations_total"); n > 0 && out.err == nil {
-			out.err = fmt.Errorf("%g invariants violated inside", n)
+			out.err = fmt.Errorf("the generation managers counted %g invariant violations", n)
 		}
-		time.Sleep(20 * time.Second) // every fault and restart ends before the world does
+		time.Sleep(20 * time.Second) // lets every fault and restart end before the deployment is closed
 	})
 	return out
 }
 
-// Callers ask, move between entry VMs and repeat themselves while up to six
-// faults hit engines, entry VMs and the links between. Whatever happens, each
-// holds a prefix of exactly one generation, and a terminal event only with the
-// whole answer.
+// Callers submit, change entry VMs and retry while 2 to 10 random faults hit engines,
+// entry VMs and links. Each caller must hold a prefix of exactly one generation, and
+// get a terminal event only with the complete generation.
 func TestRandomFaults(t *testing.T) {
 	var whole, failed int
 	var counts [len(summedCounters)]float64
@@ -326,5 +327,5 @@
 	for i, n := range counts {
 		t.Logf("%s: %g", summedCounters[i], n)
 	}
-	t.Logf("%d answers whole, %d failed honestly", whole, failed)
+	t.Logf("%d generations complete, %d failed as the faults allow", whole, failed)
 }
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -1,6 +1,6 @@
-// Package world is a deployment in memory: the managers of several entry VMs
-// over a network with faults, and stand-in engines. Under testing/synctest it
-// runs in virtual time; an experiment runs it in real time.
+// Package world runs a deployment in memory: the generation managers of several
+// entry VMs, connected by a network with fault injection, and simulated engines.
+// Under testing/synctest it runs in virtual time; an experiment runs it in real time.
 package world
 
 import (
@@ -27,7 +27,7 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// The names that every world uses.
+// Names of the model, service, account and pool in every World.
 const (
 	Model   = "m"
 	Service = "reviews"
@@ -47,10 +47,10 @@
 	// MaxTokens is the most that a request may ask for; 4000.
 	MaxTokens int
 	Engine    enginesim.Config // the name and seed are set for each engine
-	// CallerTimeout is how long callers wait on a silent connection; somewhat more
-	// than the interval of keep-alives.
+	// CallerTimeout is how long callers wait on a silent connection. It is somewhat
+	// longer than the keep-alive interval.
 	CallerTimeout time.Duration
-	// Policy overrides the resume policy; nil means the one of the weight.
+	// Policy overrides the resume policy; nil means the policy that follows from Weight.
 	Policy func(*site.Service) resume.Policy
 }
 
@@ -80,7 +80,7 @@
 
 	mu      sync.Mutex
 	vms     []*vm
-	metrics []*prometheus.Registry // of every entry VM there ever was
+	metrics []*prometheus.Registry // of every entry VM, including replaced ones
 	members []membership.Member
 }
 
@@ -167,7 +167,7 @@
 	return v
 }
 
-// snapshot is the pool as an entry VM reaches it.
+// snapshot returns the pool with the engines reached over the links of one entry VM.
 func (w *World) snapshot(self string) *backends.Snapshot {
 	s := &backends.Snapshot{Version: 1, Pools: map[string][]*backends.Backend{}}
 	for i, sim := range w.Engines {
@@ -194,16 +194,16 @@
 	return w.vms[i]
 }
 
-// Manager returns the generations of the i-th entry VM.
+// Manager returns the generation manager of the i-th entry VM.
 func (w *World) Manager(i int) *generation.Manager { return w.vm(i).manager }
 
-// Kill ends the i-th entry VM at once. The others' membership does not notice.
+// Kill stops the i-th entry VM at once. The membership views of the other VMs do not change.
 func (w *World) Kill(i int) {
 	w.Net.SetVM(VMID(i), Cut)
 	w.vm(i).stop()
 }
 
-// Replace starts the i-th entry VM anew with nothing kept.
+// Replace restarts the i-th entry VM as a new incarnation without its state.
 func (w *World) Replace(i int) {
 	w.Kill(i)
 	w.mu.Lock()
@@ -214,7 +214,7 @@
 	w.Net.SetVM(VMID(i), Healthy)
 }
 
-// SetMemberState makes every entry VM's membership say this of the i-th.
+// SetMemberState sets the state of the i-th entry VM in every entry VM's membership view.
 func (w *World) SetMemberState(i int, s membership.State) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -222,14 +222,14 @@
 	w.publish()
 }
 
-// publish hands the members to every entry VM; w.mu is held.
+// publish updates the membership view of every entry VM. The caller holds w.mu.
 func (w *World) publish() {
 	for i, v := range w.vms {
 		v.view.Store(&membership.View{Self: w.members[i], Members: slices.Clone(w.members)})
 	}
 }
 
-// BusyEngines returns the engines that run something now.
+// BusyEngines returns the indexes of the engines with running attempts.
 func (w *World) BusyEngines() []int {
 	var busy []int
 	for i, e := range w.Engines {
@@ -240,7 +240,7 @@
 	return busy
 }
 
-// SumCounter adds up a counter over all entry VMs.
+// SumCounter returns the sum of a counter over all entry VMs, including replaced ones.
 func (w *World) SumCounter(name string) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -262,7 +262,7 @@
 	return total
 }
 
-// Stats adds up the engines' counts of work.
+// Stats returns the sum of the engines' statistics.
 func (w *World) Stats() enginesim.Stats {
 	var total enginesim.Stats
 	for _, e := range w.Engines {
@@ -278,10 +278,11 @@
 	return total
 }
 
-// maxEngineStep is longer than any step of an engine, which may be in one when it dies.
+// maxEngineStep is longer than any step of an engine. Close waits this long, since an engine may
+// be in the middle of a step when it dies.
 const maxEngineStep = time.Second
 
-// Close ends everything and waits for it.
+// Close stops the engines, the entry VMs and the network and waits for their goroutines.
 func (w *World) Close() {
 	for _, e := range w.Engines {
 		e.Unpause()
