--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -97,10 +97,10 @@
 	}
 	err = a.Run(ctx)
 	if err == nil {
-		r.say("the long answer is whole: %d tokens, longest wait %s", longTokens, a.Gap.Round(time.Millisecond))
+		r.say("the long answer is whole: %d tokens, longest wait %s", longTokens, a.MaxGap.Round(time.Millisecond))
 	}
 	r.mu.Lock()
-	r.result.ResumeMS = a.Gap.Milliseconds()
+	r.result.ResumeMS = a.MaxGap.Milliseconds()
 	r.mu.Unlock()
 	r.done(err)
 }
@@ -127,7 +127,7 @@
 			}
 			err := a.Run(ctx)
 			r.mu.Lock()
-			r.result.LookupMaxMS = max(r.result.LookupMaxMS, a.First.Milliseconds())
+			r.result.LookupMaxMS = max(r.result.LookupMaxMS, a.TimeToFirstToken.Milliseconds())
 			r.mu.Unlock()
 			r.done(err)
 		})
@@ -141,7 +141,7 @@
 // caller tries again with the same key on another entry VM.
 func (r *run) confirmation(ctx context.Context) {
 	const key = "confirm-thies-0042"
-	r.stand.Desk.LoseAnswers(1)
+	r.stand.PlainBackend.LoseAnswers(1)
 	var verdicts []string
 	for _, entry := range r.stand.Entries[:2] {
 		_, verdict, err := entry.Client().Call(ctx, "confirmations", "/confirm", key)
@@ -151,7 +151,7 @@
 		}
 		verdicts = append(verdicts, verdict)
 	}
-	runs := r.stand.Desk.Runs(key)
+	runs := r.stand.PlainBackend.Runs(key)
 	r.say("the confirmation's answer was lost; the caller heard %v, it ran %d time(s)", verdicts, runs)
 	r.mu.Lock()
 	r.result.KeyedCalls, r.result.KeyedRuns, r.result.KeyedVerdict = len(verdicts), runs, verdicts[len(verdicts)-1]
--- a/lab/soak/answer.go
+++ b/lab/soak/answer.go
@@ -81,8 +81,8 @@
 
 // refusal reads an error answer; one cut short is a broken connection.
 func refusal(response *http.Response) error {
-	var refused *stand.Refusal
-	if err := stand.ReadRefusal(response); errors.As(err, &refused) {
+	var refused *stand.ErrorResponse
+	if err := stand.ReadErrorResponse(response); errors.As(err, &refused) {
 		return refused
 	}
 	return errors.Wrapf(errBroken, "status %d without a refusal", response.StatusCode)
@@ -111,7 +111,7 @@
 // failed reads the error event that ends a visibly incomplete answer.
 func (a *answer) failed(data string) error {
 	var body struct {
-		Error stand.Refusal `json:"error"`
+		Error stand.ErrorResponse `json:"error"`
 	}
 	if err := json.Unmarshal([]byte(data), &body); err != nil || body.Error.Verdict == "" {
 		a.c.r.violate("%q: an error event without a verdict: %s", a.prompt, data)
@@ -131,7 +131,7 @@
 	a.text.WriteString(text)
 	if _, err := tokencheck.Check(stand.DemoModel, a.prompt, a.text.String()); err != nil {
 		a.c.r.violate("%q (%s): what the caller holds is not one generation: %v", a.prompt, a.id, err)
-		return &stand.Refusal{Code: "mixed", Verdict: "may_have_run"}
+		return &stand.ErrorResponse{Code: "mixed", Verdict: "may_have_run"}
 	}
 	return nil
 }
--- a/lab/soak/caller.go
+++ b/lab/soak/caller.go
@@ -89,8 +89,8 @@
 	}
 	defer response.Body.Close()
 	var body struct {
-		Entries    []stand.Named `json:"entries"`
-		TTLSeconds int           `json:"ttl_seconds"`
+		Entries    []stand.EntryAddress `json:"entries"`
+		TTLSeconds int                  `json:"ttl_seconds"`
 	}
 	if response.StatusCode != http.StatusOK {
 		return errors.Errorf("status %d", response.StatusCode)
--- a/lab/soak/calls.go
+++ b/lab/soak/calls.go
@@ -103,18 +103,18 @@
 		r.count("call answered late")
 	}
 	if verdict == "not_run" {
-		if n := r.stand.Desk.Runs(key); n > 0 {
+		if n := r.stand.PlainBackend.Runs(key); n > 0 {
 			r.violate("call %q was told not_run after it had run %d time(s)", key, n)
 		}
 	}
-	if verdict == "ran" && r.stand.Desk.Runs(key) == 0 {
+	if verdict == "ran" && r.stand.PlainBackend.Runs(key) == 0 {
 		r.violate("call %q was told that it ran, and it had not", key)
 	}
 	return verdict
 }
 
 // send posts one copy. It returns nil, nil when the call ran.
-func (r *run) send(ctx context.Context, to *stand.Client, key string) (*stand.Refusal, error) {
+func (r *run) send(ctx context.Context, to *stand.Client, key string) (*stand.ErrorResponse, error) {
 	header := map[string]string{"Idempotency-Key": key}
 	response, err := to.Do(ctx, http.MethodPost, "/services/confirmations/confirm", []byte(`{"sacks":40}`), header)
 	if err != nil {
@@ -125,7 +125,7 @@
 		_, err := io.Copy(io.Discard, response.Body)
 		return nil, err
 	}
-	var refused *stand.Refusal
+	var refused *stand.ErrorResponse
 	if err := refusal(response); !errors.As(err, &refused) {
 		return nil, err
 	}
@@ -156,13 +156,13 @@
 func (b *callBook) judge(r *run) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for key, runs := range r.stand.Desk.All() {
+	for key, runs := range r.stand.PlainBackend.All() {
 		if runs > 1 {
 			r.violate("call %q ran %d times", key, runs)
 		}
 	}
 	for key, said := range b.last {
-		runs := r.stand.Desk.Runs(key)
+		runs := r.stand.PlainBackend.Runs(key)
 		if said == "not_run" && runs > 0 {
 			r.violate("call %q was last told not_run, and it ran %d time(s)", key, runs)
 		}
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -121,14 +121,14 @@
 		r.violate("harness: %v", err)
 		return
 	}
-	r.stand.LeaveEngine(id)
+	r.stand.DrainEngine(id)
 	sim := r.stand.Engines[id]
 	r.fleet.stops.Go(func() {
 		time.Sleep(leaveBefore)
 		for sim.Busy() {
 			time.Sleep(leavePoll)
 		}
-		r.stand.EndEngine(id, sim)
+		r.stand.RemoveEngine(id, sim)
 	})
 }
 
@@ -151,14 +151,14 @@
 		d.VMs.SetDown(true)
 		return func() { d.VMs.SetDown(false) }, true
 	case DeskLose:
-		d.Desk.LoseAnswers(lostCalls)
-		return func() { d.Desk.LoseAnswers(0) }, true
+		d.PlainBackend.LoseAnswers(lostCalls)
+		return func() { d.PlainBackend.LoseAnswers(0) }, true
 	case DeskSilent:
-		d.Desk.Silence(true)
-		return func() { d.Desk.Silence(false) }, true
+		d.PlainBackend.Silence(true)
+		return func() { d.PlainBackend.Silence(false) }, true
 	case DeskSlow:
-		d.Desk.SetWork(deskDelay)
-		return func() { d.Desk.SetWork(deskWork) }, true
+		d.PlainBackend.SetWork(deskDelay)
+		return func() { d.PlainBackend.SetWork(deskWork) }, true
 	}
 	return nil, false
 }
@@ -235,7 +235,7 @@
 	e.Cut()
 	return func() {
 		e.Remove()
-		r.fleet.stops.Go(e.Abandon)
+		r.fleet.stops.Go(e.Kill)
 		if err := r.fleet.startEntry(e.Zone); err != nil {
 			r.violate("harness: %v", err)
 		}
--- a/lab/soak/generations.go
+++ b/lab/soak/generations.go
@@ -97,7 +97,7 @@
 			return ctx.Err()
 		}
 		err = send(to)
-		var refused *stand.Refusal
+		var refused *stand.ErrorResponse
 		switch {
 		case err == nil:
 			return nil
@@ -122,21 +122,21 @@
 
 // goesOn reports whether the caller sends a refused request again: what was
 // not run, or what it can repeat under its key.
-func (a *answer) goesOn(refused *stand.Refusal) bool {
+func (a *answer) goesOn(refused *stand.ErrorResponse) bool {
 	return (refused.Verdict == "not_run" || a.key != "") && a.text.Len() == 0 &&
 		(a.c.r.opts.MustServe || a.c.chance(60))
 }
 
 // notRun checks a not_run verdict at the time at which it is heard.
-func (r *run) notRun(a *answer, refused *stand.Refusal) {
-	if n := r.stand.Starts(a.prompt); n > 0 {
+func (r *run) notRun(a *answer, refused *stand.ErrorResponse) {
+	if n := r.stand.AttemptsStarted(a.prompt); n > 0 {
 		r.violate("%q was told %s, and an engine had begun it %d time(s)", a.prompt, refused, n)
 	}
 }
 
 // finish judges how an answer ended.
 func (r *run) finish(ctx context.Context, kind string, a *answer, err error) {
-	var refused *stand.Refusal
+	var refused *stand.ErrorResponse
 	switch {
 	case err == nil:
 		r.count(kind + " whole")
@@ -169,7 +169,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for prompt, said := range o.last {
-		if n := r.stand.Starts(prompt); n > 0 {
+		if n := r.stand.AttemptsStarted(prompt); n > 0 {
 			r.violate("%q was told %s and not sent again, and engines began it %d time(s)", prompt, said, n)
 		}
 	}
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -58,7 +58,7 @@
 	}
 	d, err := stand.Start(ctx, stand.Options{
 		Seed: o.Plan.Seed, Memory: o.Memory, Logs: o.Logs, Text: text, Site: "demo", Zones: stand.DemoZones(),
-		EntriesPerZone: o.Plan.EntriesPerZone, IgnoreFence: o.Plan.IgnoreFence,
+		EntriesPerZone: o.Plan.EntriesPerZone, IgnoreFencing: o.Plan.IgnoreFence,
 	})
 	if err != nil {
 		return nil, errors.Wrap(err, "start")
--- a/lab/stand/client.go
+++ b/lab/stand/client.go
@@ -47,8 +47,8 @@
 	return c.HTTP.Do(r)
 }
 
-// Refusal is an error answer of the system.
-type Refusal struct {
+// ErrorResponse is an error answer of the system.
+type ErrorResponse struct {
 	Status  int
 	Code    string `json:"code"`
 	Verdict string `json:"verdict"`
@@ -56,14 +56,14 @@
 }
 
 // Error implements error.
-func (r *Refusal) Error() string {
+func (r *ErrorResponse) Error() string {
 	return fmt.Sprintf("status %d, %s (%s): %s", r.Status, r.Code, r.Verdict, r.Message)
 }
 
-// ReadRefusal reads an error answer.
-func ReadRefusal(r *http.Response) error {
+// ReadErrorResponse reads an error answer.
+func ReadErrorResponse(r *http.Response) error {
 	var body struct {
-		Error Refusal `json:"error"`
+		Error ErrorResponse `json:"error"`
 	}
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
 		return errors.Wrapf(err, "status %d without a refusal", r.StatusCode)
@@ -72,8 +72,8 @@
 	return &body.Error
 }
 
-// Named is one row of the address answer.
-type Named struct {
+// EntryAddress is one row of the address answer.
+type EntryAddress struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
@@ -87,15 +87,15 @@
 	}
 	defer r.Body.Close()
 	if r.StatusCode != http.StatusOK {
-		return ReadRefusal(r)
+		return ReadErrorResponse(r)
 	}
 	return json.NewDecoder(r.Body).Decode(to)
 }
 
 // Entries asks which entry VMs to use.
-func (c *Client) Entries(ctx context.Context) ([]Named, error) {
+func (c *Client) Entries(ctx context.Context) ([]EntryAddress, error) {
 	var body struct {
-		Entries []Named `json:"entries"`
+		Entries []EntryAddress `json:"entries"`
 	}
 	err := c.get(ctx, "/v1/entries", &body)
 	return body.Entries, err
@@ -128,8 +128,8 @@
 	if r.StatusCode == http.StatusOK {
 		return r.StatusCode, "ran", nil
 	}
-	var refused *Refusal
-	if err := ReadRefusal(r); !errors.As(err, &refused) {
+	var refused *ErrorResponse
+	if err := ReadErrorResponse(r); !errors.As(err, &refused) {
 		return r.StatusCode, "", err
 	}
 	return r.StatusCode, refused.Verdict, nil
@@ -144,18 +144,18 @@
 	Header  map[string]string
 	// OnEvent is called after each event with the number of events so far.
 	OnEvent func(n int)
-	// MoveTo are the clients to continue with, one by one, when the connection
+	// FailoverTo are the clients to continue with, one by one, when the connection
 	// breaks before the terminal event.
-	MoveTo []*Client
+	FailoverTo []*Client
 
-	ID     string // of the generation
-	lastID string
-	text   strings.Builder
-	events int
-	done   bool
-	First  time.Duration // until the first token
-	Gap    time.Duration // longest wait between two events
-	Moves  int
+	ID               string // of the generation
+	lastID           string
+	text             strings.Builder
+	events           int
+	done             bool
+	TimeToFirstToken time.Duration // until the first token
+	MaxGap           time.Duration // longest wait between two events
+	Failovers        int
 }
 
 // Text returns what the caller holds.
@@ -172,11 +172,11 @@
 		if err == nil {
 			err = a.read(r, began, &last)
 		}
-		if err == nil || len(a.MoveTo) == 0 || a.lastID == "" || ctx.Err() != nil {
+		if err == nil || len(a.FailoverTo) == 0 || a.lastID == "" || ctx.Err() != nil {
 			break
 		}
-		a.Client, a.MoveTo = a.MoveTo[0], a.MoveTo[1:]
-		a.Moves++
+		a.Client, a.FailoverTo = a.FailoverTo[0], a.FailoverTo[1:]
+		a.Failovers++
 		r, err = a.Client.Do(ctx, http.MethodGet, "/v1/generations/"+a.ID, nil, map[string]string{"Last-Event-ID": a.lastID})
 	}
 	if err != nil {
@@ -189,7 +189,7 @@
 func (a *Answer) read(r *http.Response, began time.Time, last *time.Time) error {
 	defer r.Body.Close()
 	if r.StatusCode != http.StatusOK {
-		return ReadRefusal(r)
+		return ReadErrorResponse(r)
 	}
 	a.ID = r.Header.Get("X-Generation-Id")
 	for ev, err := range sse.Read(r.Body, nil) {
@@ -203,14 +203,14 @@
 			a.done = true
 			return nil
 		}
-		if err := a.take(ev.Data); err != nil {
+		if err := a.appendText(ev.Data); err != nil {
 			return err
 		}
 		now := time.Now()
 		if a.events == 0 {
-			a.First = now.Sub(began)
+			a.TimeToFirstToken = now.Sub(began)
 		} else {
-			a.Gap = max(a.Gap, now.Sub(*last))
+			a.MaxGap = max(a.MaxGap, now.Sub(*last))
 		}
 		*last = now
 		a.lastID = ev.LastEventID
@@ -222,7 +222,7 @@
 	return errors.New("the stream ended without its terminal event")
 }
 
-func (a *Answer) take(data string) error {
+func (a *Answer) appendText(data string) error {
 	text, err := EventText(data)
 	a.text.WriteString(text)
 	return err
--- a/lab/stand/entry.go
+++ b/lab/stand/entry.go
@@ -26,7 +26,7 @@
 
 	peer, admin string
 	d           *Deployment
-	soft, kill  context.CancelFunc
+	drain, kill context.CancelFunc
 	done        chan error
 }
 
@@ -37,30 +37,30 @@
 	if err != nil {
 		return nil, err
 	}
-	platform, err := d.platform(place{e.ID, zone})
+	platform, err := d.platform(location{e.ID, zone})
 	if err != nil {
 		return nil, err
 	}
 	logger := logrus.New()
 	logger.SetOutput(d.opts.Logs)
 	watch := backends.DefaultConfig()
-	watch.ListEvery, watch.StatusEvery = watchEvery, watchEvery
+	watch.ListEvery, watch.StatusEvery = watchInterval, watchInterval
 	e.Daemon = daemon.New(daemon.Options{
 		Settings:  &settings.Settings{Site: d.opts.Site, VM: e.ID, Zone: zone, DrainLimit: d.opts.DrainLimit},
 		Listeners: listeners,
-		Dialer:    link.NewDialerWith(d.httpFrom(place{e.ID, zone})),
+		Dialer:    link.NewDialerWith(d.httpFrom(location{e.ID, zone})),
 		Logger:    logger,
 		Version:   "stand",
 		Backends:  &watch,
 		Platform:  platform,
 	})
 	e.Address, e.peer, e.admin = listeners.Callers.Addr().String(), listeners.Peers.Addr().String(), listeners.Admin.Addr().String()
-	d.fabric.name(e.peer, place{e.ID, zone})
+	d.fabric.setLocation(e.peer, location{e.ID, zone})
 	d.Entries = append(d.Entries, e)
 	d.VMs.Put(vmlist.VM{ID: e.ID, Address: e.peer, Zone: zone, Role: vmlist.RoleEntry, State: vmlist.Live})
 	soft, cancel := context.WithCancel(context.Background())
 	hard, kill := context.WithCancel(d.ctx)
-	e.soft, e.kill = cancel, kill
+	e.drain, e.kill = cancel, kill
 	d.wg.Go(func() { e.done <- e.Daemon.Run(soft, hard) })
 	return e, nil
 }
@@ -77,12 +77,12 @@
 }
 
 // httpFrom returns a client of a VM, whose faults it shares.
-func (d *Deployment) httpFrom(at place) *http.Client {
+func (d *Deployment) httpFrom(at location) *http.Client {
 	return &http.Client{Transport: sent.NewTransportWith(d.fabric.dialFrom(at), false), CheckRedirect: sent.NoRedirect}
 }
 
 // platform returns the platform as the VM at a place reaches it.
-func (d *Deployment) platform(at place) (daemon.Platform, error) {
+func (d *Deployment) platform(at location) (daemon.Platform, error) {
 	dial := d.fabric.dialFrom(at)
 	kv, err := store.NewEtcdClient([]string{d.storeURL}, d.httpFrom(at))
 	if err != nil {
@@ -97,10 +97,10 @@
 		Weights: d.Weights,
 		Engine: func(address string) engine.Engine {
 			e := engine.Engine(engine.NewClient("http://"+address, fresh()))
-			if d.opts.Wrap == nil {
+			if d.opts.WrapEngine == nil {
 				return e
 			}
-			return d.opts.Wrap(d.engineAt(address), e)
+			return d.opts.WrapEngine(d.engineAt(address), e)
 		},
 		Plain: plain.NewClient(sent.NewTransportWith(dial, true), 0),
 	}, nil
@@ -108,22 +108,22 @@
 
 // engineAt returns the VM id of the engine at an address.
 func (d *Deployment) engineAt(address string) string {
-	return d.fabric.placeAt(address).id
+	return d.fabric.locationOf(address).id
 }
 
 // Stop begins a graceful shutdown, as SIGTERM does, and waits for its end.
 func (e *Entry) Stop() error {
 	e.d.VMs.Put(vmlist.VM{ID: e.ID, Address: e.peer, Zone: e.Zone, Role: vmlist.RoleEntry, State: vmlist.Leaving})
-	e.soft()
+	e.drain()
 	return <-e.done
 }
 
 // Callers is the network at the entry VM's address for callers, and Peers at
 // the one for other daemons.
-func (e *Entry) Callers() *faultnet.Listener { return e.d.fabric.at(e.Address) }
+func (e *Entry) Callers() *faultnet.Listener { return e.d.fabric.listenerAt(e.Address) }
 
 // Peers is the network at the entry VM's address for other daemons.
-func (e *Entry) Peers() *faultnet.Listener { return e.d.fabric.at(e.peer) }
+func (e *Entry) Peers() *faultnet.Listener { return e.d.fabric.listenerAt(e.peer) }
 
 // Client returns a caller of the demo's account that uses this entry VM.
 func (e *Entry) Client() *Client { return e.d.Client(e.Address) }
--- a/lab/stand/fabric.go
+++ b/lab/stand/fabric.go
@@ -18,7 +18,7 @@
 
 	mu        sync.Mutex
 	listeners map[string]*faultnet.Listener
-	places    map[string]place // by address
+	locations map[string]location // by address
 	gates     map[string]*gate
 	dialed    map[string]map[*gatedConn]struct{} // by VM id
 }
@@ -27,17 +27,17 @@
 	return &fabric{
 		memory:    memory,
 		listeners: make(map[string]*faultnet.Listener),
-		places:    make(map[string]place),
+		locations: make(map[string]location),
 		gates:     make(map[string]*gate),
 		dialed:    make(map[string]map[*gatedConn]struct{}),
 	}
 }
 
-// name notes which VM an address belongs to.
-func (f *fabric) name(address string, at place) {
+// setLocation notes which VM an address belongs to.
+func (f *fabric) setLocation(address string, at location) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.places[address] = at
+	f.locations[address] = at
 }
 
 // listen opens the next address.
@@ -73,8 +73,8 @@
 	return l.Dial(ctx, network, address)
 }
 
-// at returns the listener at an address, to make it fail.
-func (f *fabric) at(address string) *faultnet.Listener {
+// listenerAt returns the listener at an address, to make it fail.
+func (f *fabric) listenerAt(address string) *faultnet.Listener {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.listeners[address]
--- a/lab/stand/faults.go
+++ b/lab/stand/faults.go
@@ -9,15 +9,15 @@
 )
 
 // listeners are the entry VM's addresses.
-func (e *Entry) nets() []*faultnet.Listener {
-	return []*faultnet.Listener{e.Callers(), e.Peers(), e.d.fabric.at(e.admin)}
+func (e *Entry) listeners() []*faultnet.Listener {
+	return []*faultnet.Listener{e.Callers(), e.Peers(), e.d.fabric.listenerAt(e.admin)}
 }
 
 // Cut takes the entry VM off the network at once: its connections are reset in
 // both directions and new ones refused. Seen from outside it has died; its
 // process goes on and knows nothing.
 func (e *Entry) Cut() {
-	for _, l := range e.nets() {
+	for _, l := range e.listeners() {
 		l.Cut()
 	}
 	e.d.fabric.gateOf(vmGate(e.ID)).setCut(true)
@@ -27,7 +27,7 @@
 // Restore ends Cut.
 func (e *Entry) Restore() error {
 	e.d.fabric.gateOf(vmGate(e.ID)).setCut(false)
-	for _, l := range e.nets() {
+	for _, l := range e.listeners() {
 		if err := l.Restore(); err != nil {
 			return err
 		}
@@ -38,27 +38,27 @@
 // Pause stops all traffic of the entry VM, open connections included, and
 // reports nothing to either end.
 func (e *Entry) Pause() {
-	e.d.fabric.gateOf(vmGate(e.ID)).shut()
-	for _, l := range e.nets() {
+	e.d.fabric.gateOf(vmGate(e.ID)).block()
+	for _, l := range e.listeners() {
 		l.Stall()
 	}
 }
 
 // Unpause ends Pause.
 func (e *Entry) Unpause() {
-	for _, l := range e.nets() {
+	for _, l := range e.listeners() {
 		l.Unstall()
 	}
-	e.d.fabric.gateOf(vmGate(e.ID)).unshut()
+	e.d.fabric.gateOf(vmGate(e.ID)).unblock()
 }
 
 // Remove takes the entry VM off the platform's list, as after its end.
 func (e *Entry) Remove() { e.d.VMs.Remove(e.ID) }
 
-// Abandon ends the process of an entry VM that is cut off, without a drain.
-func (e *Entry) Abandon() {
+// Kill ends the process of an entry VM that is cut off, without a drain.
+func (e *Entry) Kill() {
 	e.kill()
-	e.soft()
+	e.drain()
 	<-e.done
 }
 
@@ -67,22 +67,24 @@
 
 // CutZones loses all traffic over connections opened from one availability
 // zone to the other, until HealZones.
-func (d *Deployment) CutZones(from, to string) { d.fabric.gateOf(zonesGate(from, to)).shut() }
+func (d *Deployment) CutZones(from, to string) { d.fabric.gateOf(zonesGate(from, to)).block() }
 
 // HealZones ends CutZones.
-func (d *Deployment) HealZones(from, to string) { d.fabric.gateOf(zonesGate(from, to)).unshut() }
+func (d *Deployment) HealZones(from, to string) { d.fabric.gateOf(zonesGate(from, to)).unblock() }
 
 // EngineNet is the network at an engine's address.
 func (d *Deployment) EngineNet(id string) *faultnet.Listener {
 	vm, _ := d.VMs.Latest(id)
-	return d.fabric.at(vm.Address)
+	return d.fabric.listenerAt(vm.Address)
 }
 
-// DeskNet is the network at the plain service's address.
-func (d *Deployment) DeskNet() *faultnet.Listener { return d.fabric.at(d.deskAddress) }
+// PlainBackendNet is the network at the plain service's address.
+func (d *Deployment) PlainBackendNet() *faultnet.Listener {
+	return d.fabric.listenerAt(d.plainBackendAddress)
+}
 
-// LeaveEngine marks an engine as leaving on the platform's list.
-func (d *Deployment) LeaveEngine(id string) {
+// DrainEngine marks an engine as leaving on the platform's list.
+func (d *Deployment) DrainEngine(id string) {
 	vm, ok := d.VMs.Latest(id)
 	if !ok {
 		return
@@ -91,12 +93,12 @@
 	d.VMs.Put(vm)
 }
 
-// EndEngine ends an engine for good and takes it off the list.
-func (d *Deployment) EndEngine(id string, sim *enginesim.Sim) {
+// RemoveEngine ends an engine for good and takes it off the list.
+func (d *Deployment) RemoveEngine(id string, sim *enginesim.Sim) {
 	sim.Die()
 	d.EngineNet(id).Cut()
 	d.VMs.Remove(id)
 }
 
-// Ready reports whether an entry VM answers every generation service.
-func (d *Deployment) Ready(ctx context.Context, e *Entry) bool { return d.ready(ctx, e) }
+// IsReady reports whether an entry VM answers every generation service.
+func (d *Deployment) IsReady(ctx context.Context, e *Entry) bool { return d.isReady(ctx, e) }
--- a/lab/stand/golden_test.go
+++ b/lab/stand/golden_test.go
@@ -20,38 +20,38 @@
 	"mallowwind.dev/external/standin/tokencheck"
 )
 
-// transcript collects what engines were asked, in order and for one generation.
-type transcript struct {
+// callLog collects what engines were asked, in order and for one generation.
+type callLog struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-func (r *transcript) add(format string, args ...any) {
+func (r *callLog) add(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lines = append(r.lines, fmt.Sprintf(format, args...))
 }
 
-// recordedEngine notes what daemons ask of an engine.
-type recordedEngine struct {
+// recordingEngine notes what daemons ask of an engine.
+type recordingEngine struct {
 	engine.Engine
 	id string
-	to *transcript
+	to *callLog
 }
 
-func (e recordedEngine) Generate(ctx context.Context, r engine.Request) (engine.Stream, error) {
+func (e recordingEngine) Generate(ctx context.Context, r engine.Request) (engine.Stream, error) {
 	if r.MaxTokens > 1 {
 		e.to.add("%s generate attempt=%d prefix=%d max=%d priority=%d", e.id, r.Attempt&0xffff, len(r.Prefix), r.MaxTokens, r.Priority)
 	}
 	return e.Engine.Generate(ctx, r)
 }
 
-func (e recordedEngine) Attach(ctx context.Context, id string, attempt uint64, from int) (engine.Stream, error) {
+func (e recordingEngine) Attach(ctx context.Context, id string, attempt uint64, from int) (engine.Stream, error) {
 	e.to.add("%s attach attempt=%d from=%d", e.id, attempt&0xffff, from)
 	return e.Engine.Attach(ctx, id, attempt, from)
 }
 
-func (e recordedEngine) Cancel(ctx context.Context, id string, attempt uint64) error {
+func (e recordingEngine) Cancel(ctx context.Context, id string, attempt uint64) error {
 	e.to.add("%s cancel attempt=%d", e.id, attempt&0xffff)
 	return e.Engine.Cancel(ctx, id, attempt)
 }
@@ -74,9 +74,9 @@
 	return createdAt.ReplaceAllString(s, `"created":0`)
 }
 
-// goldenText has one engine in each of two zones, so that there is one choice
+// goldenSiteText has one engine in each of two zones, so that there is one choice
 // at each step and the file does not depend on when engines are polled.
-const goldenText = `[site]
+const goldenSiteText = `[site]
 name = golden
 zones = Rufisque, Pikine
 
@@ -107,14 +107,14 @@
 func TestGoldenSession(t *testing.T) {
 	var (
 		caller  strings.Builder
-		engines transcript
+		engines callLog
 		keys    []string
 	)
 	synctest.Test(t, func(t *testing.T) {
 		d, err := Start(t.Context(), Options{
-			Seed: 11, Memory: true, EnginesPerZone: 1, Text: strings.Replace(goldenText, "HASH", tokenHash(DemoToken), 1),
-			Site: "golden", Zones: []string{"Rufisque", "Pikine"}, Wrap: func(id string, e engine.Engine) engine.Engine {
-				return recordedEngine{e, id, &engines}
+			Seed: 11, Memory: true, EnginesPerZone: 1, Text: strings.Replace(goldenSiteText, "HASH", tokenHash(DemoToken), 1),
+			Site: "golden", Zones: []string{"Rufisque", "Pikine"}, WrapEngine: func(id string, e engine.Engine) engine.Engine {
+				return recordingEngine{e, id, &engines}
 			},
 		})
 		must.NoError(t, err)
--- a/lab/stand/links.go
+++ b/lab/stand/links.go
@@ -26,7 +26,7 @@
 	return g
 }
 
-func (g *gate) shut() {
+func (g *gate) block() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
@@ -36,7 +36,7 @@
 	}
 }
 
-func (g *gate) unshut() {
+func (g *gate) unblock() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
@@ -58,14 +58,14 @@
 	return g.cut
 }
 
-func (g *gate) flowing() <-chan struct{} {
+func (g *gate) unblocked() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.open
 }
 
-// place is where a VM stands.
-type place struct{ id, zone string }
+// location is where a VM stands.
+type location struct{ id, zone string }
 
 // gateOf returns the gate of a name, open at first.
 func (f *fabric) gateOf(name string) *gate {
@@ -79,16 +79,20 @@
 	return g
 }
 
-func vmGate(id string) string            { return "vm " + id }
-func zonesGate(from, to string) string   { return "zones " + from + " " + to }
-func (f *fabric) placeAt(a string) place { f.mu.Lock(); defer f.mu.Unlock(); return f.places[a] }
+func vmGate(id string) string          { return "vm " + id }
+func zonesGate(from, to string) string { return "zones " + from + " " + to }
+func (f *fabric) locationOf(a string) location {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.locations[a]
+}
 
 // dialFrom returns a dialer for a VM: its connections pass the VM's own gate
 // and the one from its zone to the zone of the address.
-func (f *fabric) dialFrom(from place) func(ctx context.Context, network, address string) (net.Conn, error) {
+func (f *fabric) dialFrom(from location) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		gates := []*gate{f.gateOf(vmGate(from.id))}
-		if to := f.placeAt(address); to.zone != "" && to.zone != from.zone {
+		if to := f.locationOf(address); to.zone != "" && to.zone != from.zone {
 			gates = append(gates, f.gateOf(zonesGate(from.zone, to.zone)))
 		}
 		for _, g := range gates {
@@ -96,7 +100,7 @@
 				return nil, errUnreachable
 			}
 			select {
-			case <-g.flowing():
+			case <-g.unblocked():
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
@@ -106,13 +110,13 @@
 			return nil, err
 		}
 		c := &gatedConn{Conn: inner, gates: gates, closed: make(chan struct{})}
-		c.forget = f.keep(from.id, c)
+		c.forget = f.track(from.id, c)
 		return c, nil
 	}
 }
 
-// keep notes an open connection of a VM and returns what forgets it.
-func (f *fabric) keep(id string, c *gatedConn) func() {
+// track notes an open connection of a VM and returns what forgets it.
+func (f *fabric) track(id string, c *gatedConn) func() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.dialed[id] == nil {
@@ -150,7 +154,7 @@
 func (c *gatedConn) pass() error {
 	for _, g := range c.gates {
 		select {
-		case <-g.flowing():
+		case <-g.unblocked():
 		case <-c.closed:
 			return net.ErrClosed
 		}
@@ -182,7 +186,7 @@
 		c.forget()
 		go func() {
 			for _, g := range c.gates {
-				<-g.flowing()
+				<-g.unblocked()
 			}
 			_ = c.Conn.Close() // both ends are done with it
 		}()
--- a/lab/stand/platform.go
+++ b/lab/stand/platform.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		return "", err
 	}
-	srv := &http.Server{Handler: h, ReadHeaderTimeout: readyLimit}
+	srv := &http.Server{Handler: h, ReadHeaderTimeout: readyTimeout}
 	d.servers = append(d.servers, srv)
 	d.wg.Go(func() { _ = srv.Serve(l) }) // ends with ErrServerClosed
 	return l.Addr().String(), nil
@@ -39,11 +39,11 @@
 			}
 		}
 	}
-	deskAt, err := d.serve(d.Desk)
+	deskAt, err := d.serve(d.PlainBackend)
 	if err != nil {
 		return err
 	}
-	d.deskAddress = deskAt
+	d.plainBackendAddress = deskAt
 	d.VMs.Put(vmlist.VM{ID: "desk-1", Address: deskAt, Zone: d.opts.Zones[0], Role: vmlist.RoleBackend, Pool: "desks", State: vmlist.Live})
 	return nil
 }
@@ -58,15 +58,15 @@
 func (d *Deployment) AddEngine(zone string) (string, error) {
 	id := fmt.Sprintf("engine-%d", len(d.Engines)+1)
 	sim := enginesim.New(enginesim.Config{
-		Name: id, Seed: d.opts.Seed + uint64(len(d.Engines)), RespectFence: !d.opts.IgnoreFence,
+		Name: id, Seed: d.opts.Seed + uint64(len(d.Engines)), RespectFence: !d.opts.IgnoreFencing,
 		Weights: d.Weights, LoadTime: loadTime,
 	})
-	at, err := d.serve(d.starts.counting(enginesim.Handler(sim)))
+	at, err := d.serve(d.attempts.wrap(enginesim.Handler(sim)))
 	if err != nil {
 		return "", err
 	}
 	d.Engines[id] = sim
-	d.fabric.name(at, place{id, zone})
+	d.fabric.setLocation(at, location{id, zone})
 	d.VMs.Put(vmlist.VM{ID: id, Address: at, Zone: zone, Role: vmlist.RoleBackend, Pool: "engines", State: vmlist.Live})
 	return id, nil
 }
--- a/lab/stand/stand.go
+++ b/lab/stand/stand.go
@@ -24,22 +24,22 @@
 )
 
 const (
-	// listLag is how late the stand-in VM list shows changes.
-	listLag = 300 * time.Millisecond
-	// watchEvery is how often daemons read the list and poll engines: faster
+	// vmListDelay is how late the stand-in VM list shows changes.
+	vmListDelay = 300 * time.Millisecond
+	// watchInterval is how often daemons read the list and poll engines: faster
 	// than in a real deployment, so that a short run sees changes.
-	watchEvery = 500 * time.Millisecond
-	// readyLimit bounds the start of the deployment.
-	readyLimit = 15 * time.Second
-	// waitOut is added where engines ignore fences: a holder of the zone's lease
+	watchInterval = 500 * time.Millisecond
+	// readyTimeout bounds the start of the deployment.
+	readyTimeout = 15 * time.Second
+	// fenceWait is added where engines ignore fences: a holder of the zone's lease
 	// then waits out what the one before may still send.
-	waitOut   = 45 * time.Second
-	readyPoll = 200 * time.Millisecond
-	loadTime  = 200 * time.Millisecond
-	fetchTime = 500 * time.Millisecond
-	// fetches is how many fetches the stand-in weight store runs at once.
-	fetches  = 4
-	deskWork = 10 * time.Millisecond
+	fenceWait         = 45 * time.Second
+	readyPollInterval = 200 * time.Millisecond
+	loadTime          = 200 * time.Millisecond
+	fetchTime         = 500 * time.Millisecond
+	// maxFetches is how many fetches the stand-in weight store runs at once.
+	maxFetches       = 4
+	plainServiceTime = 10 * time.Millisecond
 )
 
 // Options describe a deployment. Zero fields take the demo's values.
@@ -56,9 +56,9 @@
 	Logs           io.Writer // of the daemons
 	DrainLimit     time.Duration
 	// Wrap, if set, stands between daemons and the engine with this VM id.
-	Wrap func(id string, e engine.Engine) engine.Engine
-	// IgnoreFence makes engines take orders with old fencing numbers.
-	IgnoreFence bool
+	WrapEngine func(id string, e engine.Engine) engine.Engine
+	// IgnoreFencing makes engines take orders with old fencing numbers.
+	IgnoreFencing bool
 }
 
 func (o Options) withDefaults() Options {
@@ -82,12 +82,12 @@
 
 // Deployment is the running whole.
 type Deployment struct {
-	Engines map[string]*enginesim.Sim // by VM id
-	Desk    *plainsim.Sim
-	Store   *store.Faulty
-	VMs     *vmlist.Memory
-	Weights *weightsim.Sim
-	Entries []*Entry
+	Engines      map[string]*enginesim.Sim // by VM id
+	PlainBackend *plainsim.Sim
+	Store        *store.Faulty
+	VMs          *vmlist.Memory
+	Weights      *weightsim.Sim
+	Entries      []*Entry
 
 	opts     Options
 	fabric   *fabric
@@ -98,21 +98,21 @@
 	stop     context.CancelFunc
 	wg       sync.WaitGroup
 
-	starts      starts
-	deskAddress string
+	attempts            attemptCounter
+	plainBackendAddress string
 }
 
 // Start runs everything and applies the site text as an operator would. It
 // returns when every entry VM serves every service.
 func Start(ctx context.Context, o Options) (*Deployment, error) {
 	d := &Deployment{
-		opts:    o.withDefaults(),
-		fabric:  newFabric(o.Memory),
-		Engines: make(map[string]*enginesim.Sim),
-		Desk:    plainsim.New("desk", deskWork),
-		Store:   store.NewFaulty(store.NewMemory()),
-		VMs:     vmlist.NewMemory(listLag),
-		Weights: weightsim.New(fetches, fetchTime),
+		opts:         o.withDefaults(),
+		fabric:       newFabric(o.Memory),
+		Engines:      make(map[string]*enginesim.Sim),
+		PlainBackend: plainsim.New("desk", plainServiceTime),
+		Store:        store.NewFaulty(store.NewMemory()),
+		VMs:          vmlist.NewMemory(vmListDelay),
+		Weights:      weightsim.New(maxFetches, fetchTime),
 	}
 	d.ctx, d.stop = context.WithCancel(ctx)
 	if err := d.start(); err != nil {
@@ -158,16 +158,16 @@
 // awaitReady waits until every entry VM serves each generation service of the
 // demo's text and knows all others.
 func (d *Deployment) awaitReady() error {
-	limit := readyLimit
-	if d.opts.IgnoreFence {
-		limit += waitOut
+	limit := readyTimeout
+	if d.opts.IgnoreFencing {
+		limit += fenceWait
 	}
 	ctx, cancel := context.WithTimeout(d.ctx, limit)
 	defer cancel()
 	for _, e := range d.Entries {
-		for !d.ready(ctx, e) {
+		for !d.isReady(ctx, e) {
 			select {
-			case <-time.After(readyPoll):
+			case <-time.After(readyPollInterval):
 			case <-ctx.Done():
 				return errors.Errorf("%s was not ready within %s", e.ID, limit)
 			}
@@ -176,7 +176,7 @@
 	return nil
 }
 
-func (d *Deployment) ready(ctx context.Context, e *Entry) bool {
+func (d *Deployment) isReady(ctx context.Context, e *Entry) bool {
 	c := e.Client()
 	models, err := c.Models(ctx)
 	if err != nil {
@@ -195,7 +195,7 @@
 func (d *Deployment) Close() {
 	d.stop()
 	for _, e := range d.Entries {
-		e.soft()
+		e.drain()
 	}
 	for _, srv := range d.servers {
 		_ = srv.Close() // the deployment is over
--- a/lab/stand/stand_test.go
+++ b/lab/stand/stand_test.go
@@ -130,8 +130,8 @@
 			}
 			r, err := client.Do(t.Context(), c.method, c.path, c.body, c.header)
 			must.NoError(t, err, must.Sprint(c.name))
-			var refused *Refusal
-			must.True(t, errors.As(ReadRefusal(r), &refused), must.Sprint(c.name))
+			var refused *ErrorResponse
+			must.True(t, errors.As(ReadErrorResponse(r), &refused), must.Sprint(c.name))
 			r.Body.Close()
 			must.Eq(t, c.status, refused.Status, must.Sprint(c.name))
 			must.Eq(t, c.code, refused.Code, must.Sprint(c.name))
@@ -157,7 +157,7 @@
 		must.NoError(t, err)
 		must.Eq(t, first, again)
 		_, err = read(d.Entries[2], "two")
-		var refused *Refusal
+		var refused *ErrorResponse
 		must.True(t, errors.As(err, &refused))
 		must.Eq(t, "idempotency_key_reused", refused.Code)
 		must.Eq(t, "not_run", refused.Verdict)
@@ -204,7 +204,7 @@
 	inMemory(t, Options{Seed: 6}, func(t *testing.T, d *Deployment) {
 		a := &Answer{
 			Client: d.Entries[0].Client(), Service: "reviews", Prompt: "dispute", Tokens: 300,
-			MoveTo: []*Client{d.Entries[1].Client(), d.Entries[2].Client()},
+			FailoverTo: []*Client{d.Entries[1].Client(), d.Entries[2].Client()},
 		}
 		a.OnEvent = func(n int) {
 			if n == 100 {
@@ -214,7 +214,7 @@
 			}
 		}
 		must.NoError(t, a.Run(t.Context()))
-		must.Eq(t, 1, a.Moves)
+		must.Eq(t, 1, a.Failovers)
 	})
 }
 
--- a/lab/stand/starts.go
+++ b/lab/stand/starts.go
@@ -10,14 +10,14 @@
 	"mallowwind.dev/external/engine"
 )
 
-// starts counts the attempts that engines took in, by prompt. It stands at the
+// attemptCounter counts the attempts that engines took in, by prompt. It stands at the
 // engines' side of the network, so that it knows what daemons may not know.
-type starts struct {
+type attemptCounter struct {
 	mu       sync.Mutex
 	byPrompt map[string]int
 }
 
-func (s *starts) add(prompt string) {
+func (s *attemptCounter) add(prompt string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.byPrompt == nil {
@@ -26,14 +26,14 @@
 	s.byPrompt[prompt]++
 }
 
-func (s *starts) of(prompt string) int {
+func (s *attemptCounter) count(prompt string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.byPrompt[prompt]
 }
 
-// counting counts the completions that h answers with 200.
-func (s *starts) counting(h http.Handler) http.Handler {
+// wrap counts the completions that h answers with 200.
+func (s *attemptCounter) wrap(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != engine.PathCompletions {
 			h.ServeHTTP(w, r)
@@ -67,5 +67,5 @@
 // Unwrap lets http.ResponseController reach the connection.
 func (w *startWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// Starts returns how many attempts for a prompt engines have taken in.
-func (d *Deployment) Starts(prompt string) int { return d.starts.of(prompt) }
+// AttemptsStarted returns how many attempts for a prompt engines have taken in.
+func (d *Deployment) AttemptsStarted(prompt string) int { return d.attempts.count(prompt) }
