--- a/lab/stand/client.go
+++ b/lab/stand/client.go
@@ -16,14 +16,14 @@
 	"mallowwind.dev/external/standin/tokencheck"
 )
 
-// Client is a caller with one account's token.
+// Client is an HTTP client with one account's token.
 type Client struct {
-	Base  string // http://address of the entry VM
+	Base  string // URL of the entry VM, http://address
 	Token string
 	HTTP  *http.Client
 }
 
-// Do sends one request; body is encoded as JSON unless it is nil or bytes.
+// Do sends one request. A body that is not a []byte is encoded as JSON; nil sends none.
 func (c *Client) Do(ctx context.Context, method, path string, body any, header map[string]string) (*http.Response, error) {
 	var content io.Reader
 	if body != nil {
@@ -47,7 +47,7 @@
 	return c.HTTP.Do(r)
 }
 
-// ErrorResponse is an error answer of the system.
+// ErrorResponse is an error response of the entry VM.
 type ErrorResponse struct {
 	Status  int
 	Code    string `json:"code"`
@@ -60,26 +60,26 @@
 	return fmt.Sprintf("status %d, %s (%s): %s", r.Status, r.Code, r.Verdict, r.Message)
 }
 
-// ReadErrorResponse reads an error answer.
+// ReadErrorResponse decodes an error response into an *ErrorResponse.
 func ReadErrorResponse(r *http.Response) error {
 	var body struct {
 		Error ErrorResponse `json:"error"`
 	}
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
-		return errors.Wrapf(err, "status %d without a refusal", r.StatusCode)
+		return errors.Wrapf(err, "status %d without an error body", r.StatusCode)
 	}
 	body.Error.Status = r.StatusCode
 	return &body.Error
 }
 
-// EntryAddress is one row of the address answer.
+// EntryAddress is one entry VM of the /v1/entries response.
 type EntryAddress struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 }
 
-// get reads a JSON answer.
+// get sends a GET request and decodes the JSON response into to.
 func (c *Client) get(ctx context.Context, path string, to any) error {
 	r, err := c.Do(ctx, http.MethodGet, path, nil, nil)
 	if err != nil {
@@ -92,7 +92,7 @@
 	return json.NewDecoder(r.Body).Decode(to)
 }
 
-// Entries asks which entry VMs to use.
+// Entries returns the entry VMs that the account should use.
 func (c *Client) Entries(ctx context.Context) ([]EntryAddress, error) {
 	var body struct {
 		Entries []EntryAddress `json:"entries"`
@@ -101,7 +101,7 @@
 	return body.Entries, err
 }
 
-// Models lists the generation services.
+// Models returns the names of the generation services.
 func (c *Client) Models(ctx context.Context) ([]string, error) {
 	var body struct {
 		Data []struct {
@@ -118,7 +118,8 @@
 	return names, nil
 }
 
-// Call posts to a plain service and returns the verdict.
+// Call posts to a plain service. It returns the verdict "ran" for status 200, otherwise the one
+// of the error response.
 func (c *Client) Call(ctx context.Context, service, path, key string) (status int, verdict string, err error) {
 	r, err := c.Do(ctx, http.MethodPost, "/services/"+service+path, map[string]int{"sacks": 40}, map[string]string{"Idempotency-Key": key})
 	if err != nil {
@@ -135,17 +136,17 @@
 	return r.StatusCode, refused.Verdict, nil
 }
 
-// Answer is one streamed completion as its caller sees it.
+// Answer is the client side of one streamed completion.
 type Answer struct {
 	Client  *Client
 	Service string
 	Prompt  string
-	Tokens  int // wanted
+	Tokens  int // requested
 	Header  map[string]string
 	// OnEvent is called after each event with the number of events so far.
 	OnEvent func(n int)
-	// FailoverTo are the clients to continue with, one by one, when the connection
-	// breaks before the terminal event.
+	// FailoverTo are the clients to continue with, in order, when reading fails after
+	// the first event and before the terminal event.
 	FailoverTo []*Client
 
 	ID               string // of the generation
@@ -153,15 +154,15 @@
 	text             strings.Builder
 	events           int
 	done             bool
-	TimeToFirstToken time.Duration // until the first token
-	MaxGap           time.Duration // longest wait between two events
+	TimeToFirstToken time.Duration // from the request to the first event
+	MaxGap           time.Duration // longest time between two events
 	Failovers        int
 }
 
-// Text returns what the caller holds.
+// Text returns the text received so far.
 func (a *Answer) Text() string { return a.text.String() }
 
-// Run posts the request and reads the answer to its terminal event.
+// Run posts the request, reads up to the terminal event and checks the text.
 func (a *Answer) Run(ctx context.Context) error {
 	began := time.Now()
 	last := began
@@ -185,7 +186,7 @@
 	return a.check()
 }
 
-// read takes events until the terminal one.
+// read reads events up to the terminal one.
 func (a *Answer) read(r *http.Response, began time.Time, last *time.Time) error {
 	defer r.Body.Close()
 	if r.StatusCode != http.StatusOK {
@@ -194,10 +195,10 @@
 	a.ID = r.Header.Get("X-Generation-Id")
 	for ev, err := range sse.Read(r.Body, nil) {
 		if err != nil {
-			return errors.Wrap(err, "the stream broke")
+			return errors.Wrap(err, "read event stream")
 		}
 		if ev.Type == "error" {
-			return errors.Errorf("the answer failed: %s", ev.Data)
+			return errors.Errorf("generation failed: %s", ev.Data)
 		}
 		if ev.Data == "[DONE]" {
 			a.done = true
@@ -219,7 +220,7 @@
 			a.OnEvent(a.events)
 		}
 	}
-	return errors.New("the stream ended without its terminal event")
+	return errors.New("stream ended without a terminal event")
 }
 
 func (a *Answer) appendText(data string) error {
@@ -228,7 +229,7 @@
 	return err
 }
 
-// EventText returns the text that an event of an answer adds.
+// EventText returns the text in the data of one completion event.
 func EventText(data string) (string, error) {
 	var chunk struct {
 		Choices []struct {
@@ -236,7 +237,7 @@
 		} `json:"choices"`
 	}
 	if err := json.Unmarshal([]byte(data), &chunk); err != nil {
-		return "", errors.Wrap(err, "event")
+		return "", errors.Wrap(err, "decode event")
 	}
 	text := ""
 	for _, c := range chunk.Choices {
@@ -245,15 +246,15 @@
 	return text, nil
 }
 
-// check verifies that the text is one whole generation: each token carries its
-// index and a hash of everything before it.
+// check verifies that the text is one complete generation: each token contains its
+// index and a hash of the text before it.
 func (a *Answer) check() error {
 	n, err := tokencheck.Check(DemoModel, a.Prompt, a.text.String())
 	switch {
 	case err != nil:
-		return errors.Wrap(err, "the answer is not one generation")
+		return errors.Wrap(err, "text is not a single generation")
 	case n != a.Tokens || !a.done:
-		return fmt.Errorf("the answer has %d of %d tokens", n, a.Tokens)
+		return fmt.Errorf("got %d of %d tokens", n, a.Tokens)
 	}
 	return nil
 }
--- a/lab/stand/entry.go
+++ b/lab/stand/entry.go
@@ -76,12 +76,13 @@
 	return l, err
 }
 
-// httpFrom returns a client of a VM, whose faults it shares.
+// httpFrom returns an HTTP client whose connections are subject to the faults of the VM at a
+// location.
 func (d *Deployment) httpFrom(at location) *http.Client {
 	return &http.Client{Transport: sent.NewTransportWith(d.fabric.dialFrom(at), false), CheckRedirect: sent.NoRedirect}
 }
 
-// platform returns the platform as the VM at a place reaches it.
+// platform returns clients of the platform services for the VM at a location.
 func (d *Deployment) platform(at location) (daemon.Platform, error) {
 	dial := d.fabric.dialFrom(at)
 	kv, err := store.NewEtcdClient([]string{d.storeURL}, d.httpFrom(at))
@@ -118,12 +119,11 @@
 	return <-e.done
 }
 
-// Callers is the network at the entry VM's address for callers, and Peers at
-// the one for other daemons.
+// Callers returns the fault-injecting listener at the entry VM's address for callers.
 func (e *Entry) Callers() *faultnet.Listener { return e.d.fabric.listenerAt(e.Address) }
 
-// Peers is the network at the entry VM's address for other daemons.
+// Peers returns the fault-injecting listener at the entry VM's address for other daemons.
 func (e *Entry) Peers() *faultnet.Listener { return e.d.fabric.listenerAt(e.peer) }
 
-// Client returns a caller of the demo's account that uses this entry VM.
+// Client returns a client of the demo's account for this entry VM.
 func (e *Entry) Client() *Client { return e.d.Client(e.Address) }
--- a/lab/stand/fabric.go
+++ b/lab/stand/fabric.go
@@ -11,8 +11,8 @@
 	"mallowwind.dev/external/standin/faultnet"
 )
 
-// fabric is the network between callers, daemons and stand-ins: loopback TCP,
-// or pipes in memory for runs in virtual time. Faults are injected by address.
+// fabric is the network between callers, daemons and simulated services: loopback TCP,
+// or in-memory pipes for runs in virtual time. Faults are injected by address, VM or zone.
 type fabric struct {
 	memory bool
 
@@ -33,14 +33,14 @@
 	}
 }
 
-// setLocation notes which VM an address belongs to.
+// setLocation records the VM and zone of an address.
 func (f *fabric) setLocation(address string, at location) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.locations[address] = at
 }
 
-// listen opens the next address.
+// listen opens a listener at a new address.
 func (f *fabric) listen() (net.Listener, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -58,7 +58,7 @@
 	return namedListener{l, at}, nil
 }
 
-// dial connects to an address; it has the form of http.Transport.DialContext.
+// dial connects to an address. It has the signature of http.Transport.DialContext.
 func (f *fabric) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if !f.memory {
 		var d net.Dialer
@@ -68,19 +68,19 @@
 	l := f.listeners[address]
 	f.mu.Unlock()
 	if l == nil {
-		return nil, errors.Errorf("nothing listens at %s", address)
+		return nil, errors.Errorf("no listener at %s", address)
 	}
 	return l.Dial(ctx, network, address)
 }
 
-// listenerAt returns the listener at an address, to make it fail.
+// listenerAt returns the listener at an address, for fault injection.
 func (f *fabric) listenerAt(address string) *faultnet.Listener {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.listeners[address]
 }
 
-// pipeAddr is an address in memory, written like one on a network.
+// pipeAddr is the address of an in-memory listener, in the form host:port.
 type pipeAddr string
 
 func (pipeAddr) Network() string  { return "pipe" }
--- a/lab/stand/faults.go
+++ b/lab/stand/faults.go
@@ -8,14 +8,14 @@
 	"mallowwind.dev/external/vmlist"
 )
 
-// listeners are the entry VM's addresses.
+// listeners returns the listeners at the entry VM's addresses.
 func (e *Entry) listeners() []*faultnet.Listener {
 	return []*faultnet.Listener{e.Callers(), e.Peers(), e.d.fabric.listenerAt(e.admin)}
 }
 
-// Cut takes the entry VM off the network at once: its connections are reset in
-// both directions and new ones refused. Seen from outside it has died; its
-// process goes on and knows nothing.
+// Cut disconnects the entry VM from the network: its connections are reset in
+// both directions and new ones refused. To others it looks crashed, but its
+// process keeps running.
 func (e *Entry) Cut() {
 	for _, l := range e.listeners() {
 		l.Cut()
@@ -24,7 +24,7 @@
 	e.d.fabric.reset(e.ID)
 }
 
-// Restore ends Cut.
+// Restore reverts Cut.
 func (e *Entry) Restore() error {
 	e.d.fabric.gateOf(vmGate(e.ID)).setCut(false)
 	for _, l := range e.listeners() {
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// Pause stops all traffic of the entry VM, open connections included, and
-// reports nothing to either end.
+// Pause blocks all traffic of the entry VM, including open connections, without an
+// error at either end.
 func (e *Entry) Pause() {
 	e.d.fabric.gateOf(vmGate(e.ID)).block()
 	for _, l := range e.listeners() {
@@ -44,7 +44,7 @@
 	}
 }
 
-// Unpause ends Pause.
+// Unpause reverts Pause.
 func (e *Entry) Unpause() {
 	for _, l := range e.listeners() {
 		l.Unstall()
@@ -52,38 +52,38 @@
 	e.d.fabric.gateOf(vmGate(e.ID)).unblock()
 }
 
-// Remove takes the entry VM off the platform's list, as after its end.
+// Remove removes the entry VM from the platform's VM list, as after its termination.
 func (e *Entry) Remove() { e.d.VMs.Remove(e.ID) }
 
-// Kill ends the process of an entry VM that is cut off, without a drain.
+// Kill stops the daemon of an entry VM that is cut off, without draining it.
 func (e *Entry) Kill() {
 	e.kill()
 	e.drain()
 	<-e.done
 }
 
-// Done is closed or has a value when the daemon has ended.
+// Done returns a channel that receives the daemon's result when it has ended.
 func (e *Entry) Done() <-chan error { return e.done }
 
-// CutZones loses all traffic over connections opened from one availability
-// zone to the other, until HealZones.
+// CutZones blocks all traffic over connections opened from one availability zone
+// to the other, until HealZones is called.
 func (d *Deployment) CutZones(from, to string) { d.fabric.gateOf(zonesGate(from, to)).block() }
 
-// HealZones ends CutZones.
+// HealZones reverts CutZones.
 func (d *Deployment) HealZones(from, to string) { d.fabric.gateOf(zonesGate(from, to)).unblock() }
 
-// EngineNet is the network at an engine's address.
+// EngineNet returns the fault-injecting listener at an engine's address.
 func (d *Deployment) EngineNet(id string) *faultnet.Listener {
 	vm, _ := d.VMs.Latest(id)
 	return d.fabric.listenerAt(vm.Address)
 }
 
-// PlainBackendNet is the network at the plain service's address.
+// PlainBackendNet returns the fault-injecting listener at the plain backend's address.
 func (d *Deployment) PlainBackendNet() *faultnet.Listener {
 	return d.fabric.listenerAt(d.plainBackendAddress)
 }
 
-// DrainEngine marks an engine as leaving on the platform's list.
+// DrainEngine marks an engine as leaving in the platform's VM list.
 func (d *Deployment) DrainEngine(id string) {
 	vm, ok := d.VMs.Latest(id)
 	if !ok {
@@ -93,12 +93,12 @@
 	d.VMs.Put(vm)
 }
 
-// RemoveEngine ends an engine for good and takes it off the list.
+// RemoveEngine stops an engine permanently and removes it from the VM list.
 func (d *Deployment) RemoveEngine(id string, sim *enginesim.Sim) {
 	sim.Die()
 	d.EngineNet(id).Cut()
 	d.VMs.Remove(id)
 }
 
-// IsReady reports whether an entry VM answers every generation service.
+// IsReady reports whether an entry VM serves every generation service and knows all other entry VMs.
 func (d *Deployment) IsReady(ctx context.Context, e *Entry) bool { return d.isReady(ctx, e) }
--- a/lab/stand/golden_test.go
+++ b/lab/stand/golden_test.go
@@ -20,7 +20,7 @@
 	"mallowwind.dev/external/standin/tokencheck"
 )
 
-// callLog collects what engines were asked, in order and for one generation.
+// callLog records the calls to engines in order.
 type callLog struct {
 	mu    sync.Mutex
 	lines []string
@@ -32,7 +32,8 @@
 	r.lines = append(r.lines, fmt.Sprintf(format, args...))
 }
 
-// recordingEngine notes what daemons ask of an engine.
+// recordingEngine records the calls of daemons to an engine. Requests for a single token, as the
+// readiness check sends them, are left out.
 type recordingEngine struct {
 	engine.Engine
 	id string
@@ -56,8 +57,9 @@
 	return e.Engine.Cancel(ctx, id, attempt)
 }
 
-// Random parts of ids differ from run to run, and so does what an engine
-// samples; that the tokens are one whole generation is checked apart.
+// Parts that differ from run to run and are replaced before the comparison: random parts of
+// ids, times and sampled tokens. checkText checks separately that the tokens are one complete
+// generation.
 var (
 	generationID = regexp.MustCompile(`g[0-9a-f]{32}`)
 	epochID      = regexp.MustCompile(`GENERATION:[0-9a-f]+:`)
@@ -75,7 +77,7 @@
 }
 
 // goldenSiteText has one engine in each of two zones, so that there is one choice
-// at each step and the file does not depend on when engines are polled.
+// at each step and the golden file does not depend on the timing of polls.
 const goldenSiteText = `[site]
 name = golden
 zones = Rufisque, Pikine
@@ -101,9 +103,9 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// A caller reads an answer of 30 tokens. The engine dies after the twelfth
-// event. The file shows what the caller read byte by byte, what the engines
-// were asked, and what the store holds afterwards.
+// A caller reads a generation of 30 tokens and the engine dies after the twelfth event.
+// The golden file holds the bytes that the caller read, the calls to engines and the
+// keys in the store afterwards.
 func TestGoldenSession(t *testing.T) {
 	var (
 		caller  strings.Builder
@@ -120,7 +122,7 @@
 		must.NoError(t, err)
 		defer time.Sleep(3 * time.Minute)
 		defer d.Close()
-		time.Sleep(5 * time.Second) // all engines loaded, the text in force everywhere
+		time.Sleep(5 * time.Second) // until all engines have loaded and the site text is in force everywhere
 		r, err := d.Entries[0].Client().Do(t.Context(), http.MethodPost, "/v1/completions", map[string]any{
 			"model": "reviews", "prompt": "golden", "max_tokens": 30, "stream": true,
 		}, nil)
@@ -139,7 +141,7 @@
 		caller.String(), strings.Join(engines.lines, "\n"), strings.Join(keys, "\n")))))
 }
 
-// checkText verifies that the events hold one whole generation of 30 tokens.
+// checkText verifies that the events contain one complete generation of 30 tokens.
 func checkText(t *testing.T, events string) {
 	t.Helper()
 	var text strings.Builder
@@ -149,7 +151,7 @@
 	must.NoError(t, tokencheck.CheckWhole(DemoModel, "golden", text.String(), 30))
 }
 
-// readSession copies the answer and makes the engine die after twelve events.
+// readSession copies the response and kills the engine after twelve events.
 func readSession(t *testing.T, d *Deployment, r *http.Response, to *strings.Builder) {
 	fmt.Fprintf(to, "%s\nContent-Type: %s\n\n", r.Status, r.Header.Get("Content-Type"))
 	buf := make([]byte, 64<<10)
--- a/lab/stand/links.go
+++ b/lab/stand/links.go
@@ -8,15 +8,15 @@
 	"github.com/pkg/errors"
 )
 
-// errUnreachable is what dialing from a VM that is cut off returns.
+// errUnreachable is returned when a VM that is cut off dials.
 var errUnreachable = errors.New("stand: no route from a VM that is cut off")
 
-// gate is one place through which traffic passes: all that a VM sends out, or
-// all from one availability zone to another. While it is shut nothing passes
-// and nothing is reported, as packets that are lost on the way.
+// gate controls the traffic of the connections that a VM dials, or of those dialed from
+// one availability zone to another. While it is blocked nothing passes and no
+// error is reported, as with lost packets.
 type gate struct {
 	mu   sync.Mutex
-	open chan struct{} // closed while traffic flows
+	open chan struct{} // closed while the gate is not blocked
 	cut  bool          // dials fail at once
 }
 
@@ -64,10 +64,10 @@
 	return g.open
 }
 
-// location is where a VM stands.
+// location is a VM id and its zone.
 type location struct{ id, zone string }
 
-// gateOf returns the gate of a name, open at first.
+// gateOf returns the gate with a name. It creates it unblocked if needed.
 func (f *fabric) gateOf(name string) *gate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -87,8 +87,8 @@
 	return f.locations[a]
 }
 
-// dialFrom returns a dialer for a VM: its connections pass the VM's own gate
-// and the one from its zone to the zone of the address.
+// dialFrom returns a dial function for a VM. Its connections pass the VM's gate and, if the
+// address is in another zone, the gate from the VM's zone to that zone.
 func (f *fabric) dialFrom(from location) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		gates := []*gate{f.gateOf(vmGate(from.id))}
@@ -115,7 +115,7 @@
 	}
 }
 
-// track notes an open connection of a VM and returns what forgets it.
+// track records an open connection of a VM and returns a function that removes the record.
 func (f *fabric) track(id string, c *gatedConn) func() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -137,11 +137,11 @@
 	delete(f.dialed, id)
 	f.mu.Unlock()
 	for c := range conns {
-		_ = c.Conn.Close() // the VM sees it at its next read or write
+		_ = c.Conn.Close() // the VM gets the error at its next read or write
 	}
 }
 
-// gatedConn is the dialing end of a connection that passes gates.
+// gatedConn is the dialing end of a connection that passes through gates.
 type gatedConn struct {
 	net.Conn
 	gates  []*gate
@@ -150,7 +150,7 @@
 	closed chan struct{}
 }
 
-// pass waits until every gate is open.
+// pass waits until no gate is blocked or the connection is closed.
 func (c *gatedConn) pass() error {
 	for _, g := range c.gates {
 		select {
@@ -179,7 +179,7 @@
 	return c.Conn.Write(p)
 }
 
-// Close implements net.Conn. The other end learns of it when the gates open.
+// Close implements net.Conn. The connection is closed for the other end once the gates are unblocked.
 func (c *gatedConn) Close() error {
 	c.once.Do(func() {
 		close(c.closed)
@@ -188,7 +188,7 @@
 			for _, g := range c.gates {
 				<-g.unblocked()
 			}
-			_ = c.Conn.Close() // both ends are done with it
+			_ = c.Conn.Close() // the connection is no longer used
 		}()
 	})
 	return nil
--- a/lab/stand/platform.go
+++ b/lab/stand/platform.go
@@ -9,7 +9,7 @@
 	"mallowwind.dev/external/vmlist"
 )
 
-// serve answers at a new address.
+// serve starts an HTTP server for h at a new address.
 func (d *Deployment) serve(h http.Handler) (address string, err error) {
 	l, err := d.fabric.listen()
 	if err != nil {
@@ -21,7 +21,7 @@
 	return l.Addr().String(), nil
 }
 
-// startPlatform starts the stand-ins: store, VM list, engines and the desk.
+// startPlatform starts the simulated store, VM list, engines and plain backend.
 func (d *Deployment) startPlatform() error {
 	storeAt, err := d.serve(storesim.Handler(d.Store))
 	if err != nil {
@@ -54,7 +54,7 @@
 	return err
 }
 
-// AddEngine is StartEngine and returns the engine's VM id.
+// AddEngine adds a model engine to a zone and returns its VM id.
 func (d *Deployment) AddEngine(zone string) (string, error) {
 	id := fmt.Sprintf("engine-%d", len(d.Engines)+1)
 	sim := enginesim.New(enginesim.Config{
--- a/lab/stand/site.go
+++ b/lab/stand/site.go
@@ -5,7 +5,7 @@
 // DemoToken is the bearer token of the demo's one client account.
 const DemoToken = "demo-token"
 
-// DemoText is the embedded default: the Association's services, scaled down.
+// DemoText is the default site text: the Association's services, scaled down to six engines.
 const DemoText = `# The Association's services, scaled down to six engines.
 [site]
 name = demo
@@ -69,5 +69,5 @@
 
 var demoZones = []string{"Rufisque", "Pikine", "Plateau"}
 
-// DemoZones are the availability zones of DemoText.
+// DemoZones returns the availability zones of DemoText.
 func DemoZones() []string { return slices.Clone(demoZones) }
--- a/lab/stand/stand.go
+++ b/lab/stand/stand.go
@@ -1,7 +1,7 @@
-// Package stand runs a whole deployment in one process: stand-ins of the
-// platform and one daemon per availability zone or more, over loopback TCP or,
-// in virtual time, over pipes in memory. The demo, tests of whole sessions and
-// experiments are built on it.
+// Package stand runs a complete deployment in one process: simulated platform
+// services and at least one daemon per availability zone, over loopback TCP or,
+// in virtual time, over in-memory pipes. The demo, end-to-end tests and
+// experiments use it.
 package stand
 
 import (
@@ -24,40 +24,40 @@
 )
 
 const (
-	// vmListDelay is how late the stand-in VM list shows changes.
+	// vmListDelay is the delay after which the simulated VM list shows changes.
 	vmListDelay = 300 * time.Millisecond
-	// watchInterval is how often daemons read the list and poll engines: faster
-	// than in a real deployment, so that a short run sees changes.
+	// watchInterval is the interval at which daemons read the VM list and poll engines.
+	// It is shorter than in a real deployment, so that short runs see changes.
 	watchInterval = 500 * time.Millisecond
-	// readyTimeout bounds the start of the deployment.
+	// readyTimeout bounds the wait for each daemon's readiness at the start of the deployment.
 	readyTimeout = 15 * time.Second
-	// fenceWait is added where engines ignore fences: a holder of the zone's lease
-	// then waits out what the one before may still send.
+	// fenceWait is added to readyTimeout where engines ignore fencing numbers: a new holder
+	// of the zone's lease then waits until no order of the previous holder can still arrive.
 	fenceWait         = 45 * time.Second
 	readyPollInterval = 200 * time.Millisecond
 	loadTime          = 200 * time.Millisecond
 	fetchTime         = 500 * time.Millisecond
-	// maxFetches is how many fetches the stand-in weight store runs at once.
+	// maxFetches is the number of concurrent fetches of the simulated weight store.
 	maxFetches       = 4
 	plainServiceTime = 10 * time.Millisecond
 )
 
-// Options describe a deployment. Zero fields take the demo's values.
+// Options configure a deployment. Zero fields take the demo's values.
 type Options struct {
 	Seed   uint64
-	Memory bool   // pipes in memory instead of loopback TCP
+	Memory bool   // in-memory pipes instead of loopback TCP
 	Text   string // the site text
-	Site   string // its name
+	Site   string // the site's name
 	Zones  []string
 	// EnginesPerZone is the number of engines in pool "engines" in each zone.
 	EnginesPerZone int
 	// EntriesPerZone is the number of daemons in each zone.
 	EntriesPerZone int
-	Logs           io.Writer // of the daemons
+	Logs           io.Writer // receives the daemons' logs
 	DrainLimit     time.Duration
 	// Wrap, if set, stands between daemons and the engine with this VM id.
 	WrapEngine func(id string, e engine.Engine) engine.Engine
-	// IgnoreFencing makes engines take orders with old fencing numbers.
+	// IgnoreFencing makes engines accept orders with stale fencing numbers.
 	IgnoreFencing bool
 }
 
@@ -80,7 +80,7 @@
 	return o
 }
 
-// Deployment is the running whole.
+// Deployment is a running deployment.
 type Deployment struct {
 	Engines      map[string]*enginesim.Sim // by VM id
 	PlainBackend *plainsim.Sim
@@ -102,8 +102,8 @@
 	plainBackendAddress string
 }
 
-// Start runs everything and applies the site text as an operator would. It
-// returns when every entry VM serves every service.
+// Start starts the platform and the daemons and applies the site text as an operator
+// would. It returns when every entry VM serves every generation service.
 func Start(ctx context.Context, o Options) (*Deployment, error) {
 	d := &Deployment{
 		opts:         o.withDefaults(),
@@ -140,7 +140,7 @@
 	return d.awaitReady()
 }
 
-// Operator returns what an operator's command line works with.
+// Operator returns the client that an operator's command line uses.
 func (d *Deployment) Operator() *operate.Client {
 	return &operate.Client{Store: d.Store, Site: d.opts.Site, Who: "demo"}
 }
@@ -150,13 +150,13 @@
 	return &http.Client{Transport: sent.NewTransportWith(d.fabric.dial, false), CheckRedirect: sent.NoRedirect}
 }
 
-// Client returns a caller of the demo's account at an address.
+// Client returns a client of the demo's account for the entry VM at an address.
 func (d *Deployment) Client(address string) *Client {
 	return &Client{Base: "http://" + address, Token: DemoToken, HTTP: d.HTTP()}
 }
 
-// awaitReady waits until every entry VM serves each generation service of the
-// demo's text and knows all others.
+// awaitReady waits until every entry VM serves each generation service and knows
+// all other entry VMs.
 func (d *Deployment) awaitReady() error {
 	limit := readyTimeout
 	if d.opts.IgnoreFencing {
@@ -191,7 +191,7 @@
 	return e.Daemon.Knows(len(d.Entries))
 }
 
-// Close ends everything at once.
+// Close stops the daemons and platform services at once, without draining.
 func (d *Deployment) Close() {
 	d.stop()
 	for _, e := range d.Entries {
--- a/lab/stand/stand_test.go
+++ b/lab/stand/stand_test.go
@@ -23,14 +23,14 @@
 		o.Memory = true
 		d, err := Start(t.Context(), o)
 		must.NoError(t, err)
-		// Fetches of weights and idle connections end by themselves.
+		// Gives weight fetches and idle connections time to end.
 		defer time.Sleep(3 * time.Minute)
 		defer d.Close()
 		f(t, d)
 	})
 }
 
-// kill makes the engine die that runs a generation.
+// kill kills the engines that run a generation and returns their number.
 func (d *Deployment) kill(id string) (killed int) {
 	for _, e := range d.Engines {
 		if e.Runs(id) {
@@ -41,9 +41,9 @@
 	return killed
 }
 
-// A program written against the usual client library streams a completion. The
-// engine dies at its fortieth token. The program sees no error, no gap and no
-// repetition: it does not learn that anything happened.
+// A program that uses an unmodified client library streams a completion and the engine
+// dies after about forty tokens. The program must see no error and no missing or repeated
+// token.
 func TestUnmodifiedClientLibrary(t *testing.T) {
 	inMemory(t, Options{Seed: 1}, func(t *testing.T, d *Deployment) {
 		c := openai.NewClient(
@@ -74,7 +74,7 @@
 	})
 }
 
-// The same library asks for a chat answer at once, not streamed.
+// The same library requests a chat completion without streaming.
 func TestUnmodifiedClientLibraryChat(t *testing.T) {
 	inMemory(t, Options{Seed: 2}, func(t *testing.T, d *Deployment) {
 		c := openai.NewClient(
@@ -94,7 +94,7 @@
 	})
 }
 
-// Bad input is refused with a clear error, and the refusal says that nothing ran.
+// Invalid input must be rejected with its own code and message and the verdict not_run.
 func TestBadInput(t *testing.T) {
 	const post, completions = http.MethodPost, "/v1/completions"
 	body := func(format string, args ...any) []byte { return fmt.Appendf(nil, format, args...) }
@@ -141,8 +141,8 @@
 	})
 }
 
-// A caller repeats a request with its key on another entry VM and gets the
-// answer of the same generation. With another body the key is refused.
+// A caller repeats a request with the same key on another entry VM and must get the text
+// of the same generation. The key with another body must be rejected.
 func TestSameKeyElsewhere(t *testing.T) {
 	inMemory(t, Options{Seed: 4}, func(t *testing.T, d *Deployment) {
 		key := map[string]string{"Idempotency-Key": "review-17"}
@@ -164,9 +164,9 @@
 	})
 }
 
-// An entry VM is replaced while it streams a long answer. New callers are sent
-// elsewhere at once, the caller that still keeps the old answer is served, and
-// the running stream ends whole before the daemon exits.
+// An entry VM shuts down while it streams a long generation. It must no longer be named to
+// callers, must still serve callers that have its address cached, and must complete the
+// running stream before the daemon exits.
 func TestGracefulShutdown(t *testing.T) {
 	inMemory(t, Options{Seed: 5}, func(t *testing.T, d *Deployment) {
 		leaving := d.Entries[0]
@@ -197,9 +197,8 @@
 	})
 }
 
-// The entry VM that streams an answer is lost together with the engine that
-// produces it. The caller goes on at another entry VM with the id of its last
-// event and holds one whole answer at the end.
+// The entry VM and the engine of a generation are lost together. The caller continues on
+// another entry VM with its last event id and must receive one complete generation.
 func TestEntryAndEngineLost(t *testing.T) {
 	inMemory(t, Options{Seed: 6}, func(t *testing.T, d *Deployment) {
 		a := &Answer{
@@ -218,10 +217,9 @@
 	})
 }
 
-// A finished answer's last bytes were lost with the connection, and then every
-// entry VM is replaced, one after another. The caller sends its request again
-// with the same key and gets the answer that it had begun to read, because each
-// VM gives the copies it holds to the next before it stops.
+// Every entry VM is replaced, one after another, after a generation has finished. A caller
+// that sends the request again with the same key must get the same text, since each VM
+// hands its replicas to another VM before it stops.
 func TestFinishedAnswerSurvivesReplacement(t *testing.T) {
 	inMemory(t, Options{Seed: 7}, func(t *testing.T, d *Deployment) {
 		key := map[string]string{"Idempotency-Key": "review-18"}
--- a/lab/stand/starts.go
+++ b/lab/stand/starts.go
@@ -10,8 +10,8 @@
 	"mallowwind.dev/external/engine"
 )
 
-// attemptCounter counts the attempts that engines took in, by prompt. It stands at the
-// engines' side of the network, so that it knows what daemons may not know.
+// attemptCounter counts the attempts that engines accepted, by prompt. It counts at the
+// engines, so that it includes attempts whose response a daemon never received.
 type attemptCounter struct {
 	mu       sync.Mutex
 	byPrompt map[string]int
@@ -32,7 +32,7 @@
 	return s.byPrompt[prompt]
 }
 
-// wrap counts the completions that h answers with 200.
+// wrap returns a handler that counts the completions that h answers with 200.
 func (s *attemptCounter) wrap(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != engine.PathCompletions {
@@ -41,16 +41,16 @@
 		}
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
-			return // the connection broke before the request was whole
+			return // the connection failed before the request was complete
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		var c engine.CompletionRequest
-		_ = json.Unmarshal(body, &c) // h refuses what is malformed
+		_ = json.Unmarshal(body, &c) // h rejects malformed requests
 		h.ServeHTTP(&startWriter{ResponseWriter: w, onStart: func() { s.add(c.Prompt) }}, r)
 	})
 }
 
-// startWriter notices the status of an answer.
+// startWriter calls onStart when the response status is 200.
 type startWriter struct {
 	http.ResponseWriter
 	onStart func()
@@ -64,8 +64,8 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap lets http.ResponseController reach the connection.
+// Unwrap gives http.ResponseController access to the underlying writer.
 func (w *startWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// AttemptsStarted returns how many attempts for a prompt engines have taken in.
+// AttemptsStarted returns the number of attempts for a prompt that engines have accepted.
 func (d *Deployment) AttemptsStarted(prompt string) int { return d.attempts.count(prompt) }
--- a/lab/stand/version_test.go
+++ b/lab/stand/version_test.go
@@ -13,9 +13,9 @@
 	"mallowwind.dev/external/engine"
 )
 
-// An operator applies a new version while callers keep asking and long answers
-// run. Every caller must get its whole answer; none may be refused because the
-// new version is not ready yet or the old one is being unloaded.
+// An operator applies a new model version under traffic, with long generations running.
+// Every caller must get a complete generation; no request may be rejected because the new
+// version is not ready yet or the old one is being unloaded.
 func TestVersionChangeUnderTraffic(t *testing.T) {
 	inMemory(t, Options{Seed: 3}, func(t *testing.T, d *Deployment) {
 		var callers sync.WaitGroup
