--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -38,10 +38,10 @@
 	}
 }
 
-const relayed = "answers relayed, their copies on another daemon included"
+const relayRow = "answers relayed, their copies on another daemon included"
 
-// line is a slope of a + b*x without any error.
-func line(name string, a, b float64) *report.Slope {
+// linearSlope is a slope of a + b*x without any error.
+func linearSlope(name string, a, b float64) *report.Slope {
 	s := &report.Slope{Name: name, X: report.Col("things", ""), Y: report.Col("cost", "µs")}
 	for _, x := range []float64{1, 2, 3, 4} {
 		s.Points = append(s.Points, report.Point{X: x, Y: []float64{a + b*x}})
@@ -52,10 +52,10 @@
 	return s
 }
 
-func find(t *testing.T, rows []Row, role Role, what string, unit Unit) Row {
+func findRow(t *testing.T, rows []Row, role Role, what string, unit Unit) Row {
 	t.Helper()
 	for _, r := range rows {
-		if r.Role == role && r.What == what && r.Unit == unit {
+		if r.Role == role && r.Description == what && r.Unit == unit {
 			return r
 		}
 	}
@@ -65,16 +65,16 @@
 
 func TestProductOfSizeAndSlope(t *testing.T) {
 	m := NewModel(Target(), map[string]*report.Slope{
-		slopeRelay:    line(slopeRelay, 5, 10),
-		slopeKnown:    line(slopeKnown, 100, 0.1),
-		slopeDispatch: line(slopeDispatch, 1000, 2),
+		slopeRelay:         linearSlope(slopeRelay, 5, 10),
+		slopeBackendsKnown: linearSlope(slopeBackendsKnown, 100, 0.1),
+		slopeDispatch:      linearSlope(slopeDispatch, 1000, 2),
 	})
-	relay := find(t, m.Rows(), Entry, relayed, Core)
+	relay := findRow(t, m.Rows(), Entry, relayRow, Core)
 	test.InDelta(t, 3.3e6/390*10e-6+8200.0/390*5e-6, relay.Value(), 1e-9)
 	test.Eq(t, "8.472 % of a core", relay.Result())
-	route := find(t, m.Rows(), Entry, "of these: dispatch, at the backend servers known", Core)
+	route := findRow(t, m.Rows(), Entry, "of these: dispatch, at the backend servers known", Core)
 	test.InDelta(t, 8200.0/390*(1000+2*290)*1e-9, route.Value(), 1e-12)
-	test.StrContains(t, route.Work(), "at 290 things (`flow_cpu_backends`)")
+	test.StrContains(t, route.Formula(), "at 290 things (`flow_cpu_backends`)")
 }
 
 func TestUnmeasuredRowsClaimNothing(t *testing.T) {
@@ -90,26 +90,26 @@
 }
 
 func TestTotalSaysWhatIsMissing(t *testing.T) {
-	slopes := map[string]*report.Slope{slopeQuietCPU: line(slopeQuietCPU, 0, 39)}
+	slopes := map[string]*report.Slope{slopeIdleCPU: linearSlope(slopeIdleCPU, 0, 39)}
 	m := NewModel(Target(), slopes)
-	sum := find(t, m.Rows(), Entry, "control in all", Core)
+	sum := findRow(t, m.Rows(), Entry, "control in all", Core)
 	test.InDelta(t, 0.039, sum.Value(), 1e-9)
 	test.StrHasPrefix(t, "at least 3.9", sum.Result())
-	test.StrContains(t, sum.Work(), "not measured")
-	test.True(t, sum.Within())
+	test.StrContains(t, sum.Formula(), "not measured")
+	test.True(t, sum.IsWithinLimit())
 
-	slopes[slopeQuietCPU] = line(slopeQuietCPU, 0, 78)
-	sum = find(t, m.Rows(), Entry, "control in all", Core)
-	test.False(t, sum.Within())
+	slopes[slopeIdleCPU] = linearSlope(slopeIdleCPU, 0, 78)
+	sum = findRow(t, m.Rows(), Entry, "control in all", Core)
+	test.False(t, sum.IsWithinLimit())
 	test.StrContains(t, sum.Status(), "1.8 times")
 }
 
 func TestErrorOfSlopeReachesTheRow(t *testing.T) {
-	s := line(slopeRelay, 0, 10)
+	s := linearSlope(slopeRelay, 0, 10)
 	s.Points[3].Y[0] += 8
 	must.NoError(t, s.Refit())
 	m := NewModel(Target(), map[string]*report.Slope{slopeRelay: s})
-	r := find(t, m.Rows(), Entry, relayed, Core)
+	r := findRow(t, m.Rows(), Entry, relayRow, Core)
 	answer := Target().TokensPerAnswer()
 	test.InDelta(t, math.Hypot(s.Fit.MaxResidual(), s.Fit.SlopeError*answer)/s.Fit.At(answer), r.Error()/r.Value(), 1e-9)
 	test.StrContains(t, r.Result(), "±")
@@ -119,8 +119,8 @@
 	slopes, err := report.LoadSlopes(measurements)
 	must.NoError(t, err)
 	for _, r := range NewModel(Target(), slopes).Rows() {
-		if !r.Within() {
-			test.NotEq(t, "", r.Beyond, test.Sprintf("%s, %s: %s", r.Role, r.What, r.Status()))
+		if !r.IsWithinLimit() {
+			test.NotEq(t, "", r.Remedy, test.Sprintf("%s, %s: %s", r.Role, r.Description, r.Status()))
 		}
 	}
 }
@@ -132,6 +132,6 @@
 		rows = append(rows, f.Rows...)
 	}
 	for _, r := range rows {
-		test.NotEq(t, "", strings.TrimSpace(r.Carrier), test.Sprint(r.What))
+		test.NotEq(t, "", strings.TrimSpace(r.Component), test.Sprint(r.Description))
 	}
 }
--- a/lab/capacity/constants.go
+++ b/lab/capacity/constants.go
@@ -14,20 +14,20 @@
 
 // Constants of the packages that the arithmetic takes up.
 var (
-	limits    = site.DefaultLimits()
-	polling   = backends.DefaultConfig()
-	placing   = reconcile.DefaultConfig()
-	leasing   = lease.DefaultConfig()
-	drainTime = limits.EntriesTTL + settings.DefaultDrainLimit
+	siteLimits      = site.DefaultLimits()
+	pollConfig      = backends.DefaultConfig()
+	reconcileConfig = reconcile.DefaultConfig()
+	leaseConfig     = lease.DefaultConfig()
+	drainTime       = siteLimits.EntriesTTL + settings.DefaultDrainLimit
 )
 
 const (
-	// slots is the number of slots that idempotency keys hash to.
-	slots = float64(slot.Count)
-	// base64Growth is how much values grow in the store's JSON form.
-	base64Growth = 4.0 / 3
-	// rosterReads is how often all daemons together read the roster, a second.
-	rosterReads = float64(time.Second) / float64(roster.PollPerMember)
+	// slotCount is the number of slots that idempotency keys hash to.
+	slotCount = float64(slot.Count)
+	// base64Ratio is how much values grow in the store's JSON form.
+	base64Ratio = 4.0 / 3
+	// rosterReadsPerSecond is how often all daemons together read the roster, a second.
+	rosterReadsPerSecond = float64(time.Second) / float64(roster.PollPerMember)
 )
 
 func perSecond(every time.Duration) float64 { return 1 / every.Seconds() }
--- a/lab/capacity/model.go
+++ b/lab/capacity/model.go
@@ -18,13 +18,13 @@
 	return &Model{Size: size, Slopes: slopes, used: make(map[string]bool)}
 }
 
-// given is a factor that the size or a constant of the code sets.
-func given(v float64, label string) Factor {
+// constant is a factor that the size or a constant of the code sets.
+func constant(v float64, label string) Factor {
 	return Factor{Raw: v, Scale: 1, Label: label, Known: true}
 }
 
-// per is the slope itself; scale converts it into the row's unit.
-func (m *Model) per(name string, scale float64) Factor {
+// slopeFactor is the slope itself; scale converts it into the row's unit.
+func (m *Model) slopeFactor(name string, scale float64) Factor {
 	s := m.Slopes[name]
 	if s == nil {
 		return Factor{Slope: name}
@@ -37,11 +37,11 @@
 	return f
 }
 
-// at is the fitted value at x; scale converts it into the row's unit. Its
+// fittedFactor is the fitted value at x; scale converts it into the row's unit. Its
 // error joins the largest residual, how far a measured size lay off the line,
 // with the slope's error over the whole way from the origin, which is what
 // counts far beyond the sizes measured.
-func (m *Model) at(name string, x, scale float64) Factor {
+func (m *Model) fittedFactor(name string, x, scale float64) Factor {
 	s := m.Slopes[name]
 	if s == nil {
 		return Factor{Slope: name}
--- a/lab/capacity/page.go
+++ b/lab/capacity/page.go
@@ -54,7 +54,7 @@
 claimed.
 `
 
-var roles = []Role{Entry, Peer, Holder, Spreader, Binder, Forward, Store, Backend, Caller}
+var roles = []Role{Entry, JournalPeer, LeaseHolder, ConfigRelay, KeyBinder, Forwarder, Store, Backend, Caller}
 
 func (m *Model) writeSize(b *bytes.Buffer) {
 	s := m.Size
@@ -66,24 +66,24 @@
 	row("daemons, one an entry VM", "%d", s.Daemons)
 	row("replicas (backend servers)", "%d", s.Replicas)
 	row("accelerators", "%d, %.1f a replica", s.Accelerators, float64(s.Accelerators)/float64(s.Replicas))
-	row("requests at the peak", "%.0f/s, %.1f/s a daemon, %.1f/s a replica", s.RequestsPerS, s.RequestsPerDaemon(), s.RequestsPerS/float64(s.Replicas))
-	row("tokens generated at the peak", "%.1f million/s, %.0f/s a daemon, %.0f an answer", s.TokensPerS/1e6, s.TokensPerDaemon(), s.TokensPerAnswer())
+	row("requests at the peak", "%.0f/s, %.1f/s a daemon, %.1f/s a replica", s.RequestsPerSecond, s.RequestsPerDaemon(), s.RequestsPerSecond/float64(s.Replicas))
+	row("tokens generated at the peak", "%.1f million/s, %.0f/s a daemon, %.0f an answer", s.TokensPerSecond/1e6, s.TokensPerDaemon(), s.TokensPerAnswer())
 	row("first token", "within %v for %.0f in 100", s.FirstToken, s.Percentile)
 	row("between tokens", "%v for %.0f in 100; so at most %.0f streams at once, %.0f a daemon, %.0f a replica",
 		s.TokenGap, s.Percentile, s.Streams(), s.StreamsPerDaemon(), s.StreamsPerReplica())
-	row("generations that run for minutes", "%.0f%%, %.0f/s", 100*s.LongShare, s.LongShare*s.RequestsPerS)
-	row("output goes on after a loss", "within %v", s.Resume)
+	row("generations that run for minutes", "%.0f%%, %.0f/s", 100*s.LongShare, s.LongShare*s.RequestsPerSecond)
+	row("output goes on after a loss", "within %v", s.ResumeWithin)
 	row("client accounts, models", "%d, %d", s.Accounts, s.Models)
 	row("regions, availability zones", "%d, %d; %.1f daemons and %.0f replicas a zone", s.Regions, s.Zones, s.DaemonsPerZone(), s.ReplicasPerZone())
-	row("configuration changes", "%.0f a day, one every %.1f s, in force everywhere within %v", s.ChangesPerDay, 1/s.ChangesPerS(), s.InForce)
-	row("control, a daemon at most", "%.1f%% of a core, %.0f MB, %.0f KB/s", 100*s.ControlCore, s.ControlMemory/1e6, s.ControlBytes/1e3)
+	row("configuration changes", "%.0f a day, one every %.1f s, in force everywhere within %v", s.ChangesPerDay, 1/s.ChangesPerSecond(), s.InForceWithin)
+	row("control, a daemon at most", "%.1f%% of a core, %.0f MB, %.0f KB/s", 100*s.ControlCoreRatio, s.ControlMemoryBytes/1e6, s.ControlBytesPerSecond/1e3)
 	row("VMs that fail", "%.0f a day", s.DeathsPerDay)
 	row("VMs restarted or replaced", "%.0f a day, one every %.0f s", s.ReplacementsPerDay, secondsPerDay/s.ReplacementsPerDay)
-	row("a rack or switch goes", "%s", s.RackLoss)
-	row("an availability zone goes", "%s", s.ZoneLoss)
-	row("regions lose each other", "for %.0f hour now and then", s.RegionsApart.Hours())
+	row("a rack or switch goes", "%s", s.RackLossFrequency)
+	row("an availability zone goes", "%s", s.ZoneLossFrequency)
+	row("regions lose each other", "for %.0f hour now and then", s.RegionPartition.Hours())
 	row("the platform's store", "several hundred writes/s (%.0f taken), %.0f reads/s, values to %.0f MB; a waiting watch is a call",
-		s.Store.WritesPerS, s.Store.ReadsPerS, s.Store.Value/(1<<20))
+		s.Store.WritesPerSecond, s.Store.ReadsPerSecond, s.Store.MaxValueBytes/(1<<20))
 	b.Write(t.Markdown())
 }
 
@@ -95,13 +95,13 @@
 	}}
 	for _, r := range rows {
 		if r.Limit != 0 {
-			t.Add(report.Text(string(r.Role)), report.Text(r.What), report.Text(r.Result()), report.Text(r.Status()))
+			t.Add(report.Text(string(r.Role)), report.Text(r.Description), report.Text(r.Result()), report.Text(r.Status()))
 		}
 	}
 	b.Write(t.Markdown())
 	for _, r := range rows {
-		if r.Beyond != "" && !r.Within() {
-			fmt.Fprintf(b, "\n**%s, %s.** %s\n", r.Role, r.What, r.Beyond)
+		if r.Remedy != "" && !r.IsWithinLimit() {
+			fmt.Fprintf(b, "\n**%s, %s.** %s\n", r.Role, r.Description, r.Remedy)
 		}
 	}
 }
@@ -114,8 +114,8 @@
 	}}
 	for _, r := range rows {
 		if r.Role == role {
-			t.Add(report.Text(string(r.Kind)), report.Text(r.What), report.Text(r.Result()),
-				report.Text(r.Work()), report.Text(r.Carrier))
+			t.Add(report.Text(string(r.Kind)), report.Text(r.Description), report.Text(r.Result()),
+				report.Text(r.Formula()), report.Text(r.Component))
 		}
 	}
 	b.Write(t.Markdown())
@@ -130,9 +130,9 @@
 	for _, name := range slices.Sorted(maps.Keys(m.Slopes)) {
 		s := m.Slopes[name]
 		t.Add(report.Text("[`"+name+"`](measurements/"+name+".svg)"), report.Text(s.Help), report.Text(sizes(s)),
-			report.Text(fmt.Sprintf("%s + %s ± %s %s", report.Format(s.Fit.Intercept), report.Format(s.Fit.Slope), report.Format(round(s.Fit.SlopeError)), s.Unit())),
+			report.Text(fmt.Sprintf("%s + %s ± %s %s", report.Format(s.Fit.Intercept), report.Format(s.Fit.Slope), report.Format(roundToTwoDigits(s.Fit.SlopeError)), s.Unit())),
 			report.Text(fmt.Sprintf("%.3f", s.Fit.R2)),
-			report.Text(report.Format(round(s.Fit.MaxResidual()))+" "+s.Y.Unit),
+			report.Text(report.Format(roundToTwoDigits(s.Fit.MaxResidual()))+" "+s.Y.Unit),
 			report.Text(fmt.Sprintf("%.0f%%", 100*s.MaxSpread())),
 			report.Text(s.Taken.Format(time.DateTime)+", load "+s.Machine.Load))
 	}
--- a/lab/capacity/row.go
+++ b/lab/capacity/row.go
@@ -13,15 +13,15 @@
 
 // The roles, in the order of the page.
 const (
-	Entry    Role = "Daemon as entry"
-	Peer     Role = "Daemon as journal peer"
-	Holder   Role = "Daemon as zone lease holder"
-	Spreader Role = "Daemon as spreader of configuration"
-	Binder   Role = "Daemon as binder of idempotency keys"
-	Forward  Role = "Daemon that forwards"
-	Store    Role = "The platform's store"
-	Backend  Role = "Backend server"
-	Caller   Role = "Caller"
+	Entry       Role = "Daemon as entry"
+	JournalPeer Role = "Daemon as journal peer"
+	LeaseHolder Role = "Daemon as zone lease holder"
+	ConfigRelay Role = "Daemon as spreader of configuration"
+	KeyBinder   Role = "Daemon as binder of idempotency keys"
+	Forwarder   Role = "Daemon that forwards"
+	Store       Role = "The platform's store"
+	Backend     Role = "Backend server"
+	Caller      Role = "Caller"
 )
 
 // Kind is what a row counts.
@@ -40,12 +40,12 @@
 
 // The units of rows.
 const (
-	Core      Unit = "core"
-	Bytes     Unit = "B"
-	BytesPerS Unit = "B/s"
-	PerS      Unit = "1/s"
-	Number    Unit = ""
-	Seconds   Unit = "s"
+	Core           Unit = "core"
+	Bytes          Unit = "B"
+	BytesPerSecond Unit = "B/s"
+	PerSecond      Unit = "1/s"
+	Number         Unit = ""
+	Seconds        Unit = "s"
 )
 
 // Factor is one number of a row's product and where it comes from.
@@ -64,27 +64,27 @@
 
 // Row is one cell of the page: a product of factors.
 type Row struct {
-	Role    Role
-	Kind    Kind
-	What    string
-	Unit    Unit
-	Carrier string // package that carries it
-	Factors []Factor
-	Parts   []Row // of a sum; Factors is empty then
+	Role        Role
+	Kind        Kind
+	Description string
+	Unit        Unit
+	Component   string // package that carries it
+	Factors     []Factor
+	Parts       []Row // of a sum; Factors is empty then
 	// Control marks rows that count against the bounds on control.
 	Control bool
 	Limit   float64 // 0 where no bound applies
 	LimitOf string
-	// Beyond says, where the limit is passed, which mechanism will carry it and
+	// Remedy says, where the limit is passed, which mechanism will carry it and
 	// what that costs.
-	Beyond string
+	Remedy string
 }
 
-// Known reports whether every slope of the row was measured. A sum is known
+// IsKnown reports whether every slope of the row was measured. A sum is known
 // as far as any of its parts is; its text says how many are missing.
-func (r *Row) Known() bool {
+func (r *Row) IsKnown() bool {
 	if len(r.Parts) > 0 {
-		return r.unknown() < len(r.Parts)
+		return r.unknownCount() < len(r.Parts)
 	}
 	for _, f := range r.Factors {
 		if !f.Known {
@@ -120,30 +120,30 @@
 	return math.Abs(r.Value()) * math.Sqrt(squares)
 }
 
-// Within reports whether the row keeps its limit, as far as it is known.
-func (r *Row) Within() bool { return r.Limit == 0 || !r.Known() || r.Value() <= r.Limit }
+// IsWithinLimit reports whether the row keeps its limit, as far as it is known.
+func (r *Row) IsWithinLimit() bool { return r.Limit == 0 || !r.IsKnown() || r.Value() <= r.Limit }
 
 // Result is the value with its error and unit, as the page shows it.
 func (r *Row) Result() string {
-	if !r.Known() {
+	if !r.IsKnown() {
 		return "not measured"
 	}
 	v, e := r.Value(), r.Error()
 	scale, unit := readable(r.Unit, v)
 	s := report.Format(v / scale)
-	if r.unknown() > 0 {
+	if r.unknownCount() > 0 {
 		s = "at least " + s
 	}
 	if e > 0 {
-		s += " ± " + report.Format(round(e/scale))
+		s += " ± " + report.Format(roundToTwoDigits(e/scale))
 	}
 	return strings.TrimSpace(s + " " + unit)
 }
 
-// Work is the arithmetic, as the page shows it.
-func (r *Row) Work() string {
+// Formula is the arithmetic, as the page shows it.
+func (r *Row) Formula() string {
 	if len(r.Parts) > 0 {
-		return r.sumWork()
+		return r.sumFormula()
 	}
 	parts := make([]string, len(r.Factors))
 	for i, f := range r.Factors {
@@ -160,9 +160,9 @@
 	scale, unit := readable(r.Unit, r.Limit)
 	limit := strings.TrimSpace(report.Format(r.Limit/scale) + " " + unit)
 	switch {
-	case !r.Known():
+	case !r.IsKnown():
 		return "not known against " + limit + " (" + r.LimitOf + ")"
-	case r.Within():
+	case r.IsWithinLimit():
 		return fmt.Sprintf("%.0f%% of %s (%s)", 100*r.Value()/r.Limit, limit, r.LimitOf)
 	default:
 		return fmt.Sprintf("**%.1f times** %s (%s)", r.Value()/r.Limit, limit, r.LimitOf)
@@ -192,7 +192,7 @@
 	switch {
 	case u == Core:
 		return 0.01, "% of a core"
-	case u != Bytes && u != BytesPerS:
+	case u != Bytes && u != BytesPerSecond:
 		return 1, string(u)
 	case v >= 1e9:
 		return 1e9, "G" + string(u)
@@ -205,8 +205,8 @@
 	}
 }
 
-// round keeps two significant digits: an error deserves no more.
-func round(v float64) float64 {
+// roundToTwoDigits keeps two significant digits: an error deserves no more.
+func roundToTwoDigits(v float64) float64 {
 	if v == 0 {
 		return 0
 	}
--- a/lab/capacity/total.go
+++ b/lab/capacity/total.go
@@ -15,17 +15,17 @@
 		limit float64
 		of    string
 	}{
-		{Core, s.ControlCore, "processor time for control"},
-		{Bytes, s.ControlMemory, "memory for control"},
-		{BytesPerS, s.ControlBytes, "bytes for control"},
+		{Core, s.ControlCoreRatio, "processor time for control"},
+		{Bytes, s.ControlMemoryBytes, "memory for control"},
+		{BytesPerSecond, s.ControlBytesPerSecond, "bytes for control"},
 	} {
-		for _, role := range []Role{Entry, Holder} {
+		for _, role := range []Role{Entry, LeaseHolder} {
 			sum := Row{
-				Role: role, Kind: kindOf(b.unit), What: "control in all", Unit: b.unit,
-				Carrier: "all of them", Limit: b.limit, LimitOf: b.of, Beyond: beyondTotals[role][b.unit],
+				Role: role, Kind: kindOf(b.unit), Description: "control in all", Unit: b.unit,
+				Component: "all of them", Limit: b.limit, LimitOf: b.of, Remedy: totalRemedies[role][b.unit],
 			}
 			for _, r := range rows {
-				if r.Control && r.Unit == b.unit && (r.Role != Holder || role == Holder) {
+				if r.Control && r.Unit == b.unit && (r.Role != LeaseHolder || role == LeaseHolder) {
 					sum.Parts = append(sum.Parts, r)
 				}
 			}
@@ -35,15 +35,15 @@
 	return out
 }
 
-// beyondTotals says what brings a total that is beyond its bound back.
-var beyondTotals = map[Role]map[Unit]string{
+// totalRemedies says what brings a total that is beyond its bound back.
+var totalRemedies = map[Role]map[Unit]string{
 	Entry: {
-		BytesPerS: "The largest parts are status polls and exchanges, and most of both is HTTP headers. Half the polls a second " +
+		BytesPerSecond: "The largest parts are status polls and exchanges, and most of both is HTTP headers. Half the polls a second " +
 			"take it under the bound; the report of a backend server that does not change is then twice as old, while " +
 			"servers whose state changes are polled as before.",
 	},
-	Holder: {
-		BytesPerS: "The holder asks the engines of its zone itself, beside what every daemon asks. One daemon in a zone's " +
+	LeaseHolder: {
+		BytesPerSecond: "The holder asks the engines of its zone itself, beside what every daemon asks. One daemon in a zone's " +
 			"56 pays it. The other daemons of the zone have the same reports; passing on only changed ones with the " +
 			"exchanges takes the polls away and adds at most a few seconds to the time in which an order's effect is seen.",
 	},
@@ -60,11 +60,11 @@
 	}
 }
 
-// unknown counts the parts of a sum that were not measured.
-func (r *Row) unknown() int {
+// unknownCount counts the parts of a sum that were not measured.
+func (r *Row) unknownCount() int {
 	n := 0
 	for i := range r.Parts {
-		if !r.Parts[i].Known() {
+		if !r.Parts[i].IsKnown() {
 			n++
 		}
 	}
@@ -74,7 +74,7 @@
 // sum adds the measured parts and their errors.
 func (r *Row) sum() (value, err float64) {
 	for i := range r.Parts {
-		if p := &r.Parts[i]; p.Known() {
+		if p := &r.Parts[i]; p.IsKnown() {
 			value += p.Value()
 			err = math.Hypot(err, p.Error())
 		}
@@ -82,9 +82,9 @@
 	return value, err
 }
 
-func (r *Row) sumWork() string {
+func (r *Row) sumFormula() string {
 	s := fmt.Sprintf("sum of %d rows on control", len(r.Parts))
-	if n := r.unknown(); n > 0 {
+	if n := r.unknownCount(); n > 0 {
 		s += fmt.Sprintf(", %d of them not measured", n)
 	}
 	return s
--- a/lab/report/fit.go
+++ b/lab/report/fit.go
@@ -28,7 +28,7 @@
 	if len(x) != len(y) {
 		return Fit{}, errors.Errorf("fit: %d x and %d y", len(x), len(y))
 	}
-	if n := distinct(x); n < MinFitPoints {
+	if n := distinctCount(x); n < MinFitPoints {
 		return Fit{}, errors.Errorf("fit: %d sizes, need at least %d", n, MinFitPoints)
 	}
 	a, b := stat.LinearRegression(x, y, nil, false)
@@ -42,8 +42,8 @@
 		f.Residuals = append(f.Residuals, r)
 		squares += r * r
 	}
-	spread := stat.Variance(x, nil) * float64(len(x)-1)
-	f.SlopeError = math.Sqrt(squares / float64(len(x)-2) / spread)
+	squaresX := stat.Variance(x, nil) * float64(len(x)-1)
+	f.SlopeError = math.Sqrt(squares / float64(len(x)-2) / squaresX)
 	return f, nil
 }
 
@@ -59,7 +59,7 @@
 	return m
 }
 
-func distinct(x []float64) int {
+func distinctCount(x []float64) int {
 	seen := make(map[float64]bool, len(x))
 	for _, v := range x {
 		seen[v] = true
--- a/lab/report/plot.go
+++ b/lab/report/plot.go
@@ -76,7 +76,7 @@
 	g.Title.Text, g.X.Label.Text, g.Y.Label.Text = p.Title, p.XLabel, p.YLabel
 	g.Add(plotter.NewGrid())
 	g.Legend.Top, g.Legend.Left = true, true
-	p.scale(g)
+	p.setScales(g)
 	for i, s := range p.Series {
 		if err := addSeries(g, i, s); err != nil {
 			return "", errors.Wrapf(err, "plot %s, series %s", p.Name, s.Name)
@@ -86,7 +86,7 @@
 	return file, errors.Wrap(g.Save(plotWidth, plotHeight, filepath.Join(dir, file)), "plot")
 }
 
-func (p *Plot) scale(g *plot.Plot) {
+func (p *Plot) setScales(g *plot.Plot) {
 	if p.LogX {
 		g.X.Scale, g.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	}
--- a/lab/stand/stand.go
+++ b/lab/stand/stand.go
@@ -55,7 +55,7 @@
 	EntriesPerZone int
 	Logs           io.Writer // receives the daemons' logs
 	DrainLimit     time.Duration
-	// Wrap, if set, stands between daemons and the engine with this VM id.
+	// WrapEngine, if set, wraps the client that a daemon uses for the engine with this VM id.
 	WrapEngine func(id string, e engine.Engine) engine.Engine
 	// IgnoreFencing makes engines accept orders with stale fencing numbers.
 	IgnoreFencing bool
