--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -17,13 +17,13 @@
 	pageFile     = "../../docs/CAPACITY.md"
 )
 
-func TestPageEqualsArithmetic(t *testing.T) {
+func TestPageIsUpToDate(t *testing.T) {
 	want, err := Page(measurements)
 	must.NoError(t, err)
 	have, err := os.ReadFile(pageFile)
 	must.NoError(t, err)
 	test.Eq(t, string(want), string(have), test.Sprint(
-		"docs/CAPACITY.md and the arithmetic differ; run: go run ./cmd/mallowctl capacity --write docs/CAPACITY.md"))
+		"docs/CAPACITY.md differs from the generated page; run: go run ./cmd/mallowctl capacity --write docs/CAPACITY.md"))
 }
 
 func TestPageNamesEveryNumberOfTheSize(t *testing.T) {
@@ -40,7 +40,7 @@
 
 const relayRow = "answers relayed, their copies on another daemon included"
 
-// linearSlope is a slope of a + b*x without any error.
+// linearSlope returns a slope with the exact fit a + b*x.
 func linearSlope(name string, a, b float64) *report.Slope {
 	s := &report.Slope{Name: name, X: report.Col("things", ""), Y: report.Col("cost", "µs")}
 	for _, x := range []float64{1, 2, 3, 4} {
@@ -59,7 +59,7 @@
 			return r
 		}
 	}
-	t.Fatalf("no row %q", what)
+	t.Fatalf("row %q does not exist", what)
 	return Row{}
 }
 
@@ -77,7 +77,7 @@
 	test.StrContains(t, route.Formula(), "at 290 things (`flow_cpu_backends`)")
 }
 
-func TestUnmeasuredRowsClaimNothing(t *testing.T) {
+func TestUnmeasuredRowsShowNoValue(t *testing.T) {
 	m := NewModel(Target(), nil)
 	for _, r := range m.Rows() {
 		for _, f := range r.Factors {
@@ -115,7 +115,7 @@
 	test.StrContains(t, r.Result(), "±")
 }
 
-func TestRowsBeyondTheirBoundNameWhatWillCarryThem(t *testing.T) {
+func TestRowsOverTheirLimitHaveARemedy(t *testing.T) {
 	slopes, err := report.LoadSlopes(measurements)
 	must.NoError(t, err)
 	for _, r := range NewModel(Target(), slopes).Rows() {
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestEveryRowNamesItsCarrier(t *testing.T) {
+func TestEveryRowNamesItsComponent(t *testing.T) {
 	m := NewModel(Target(), nil)
 	rows := m.Rows()
 	for _, f := range m.Failures() {
--- a/lab/capacity/constants.go
+++ b/lab/capacity/constants.go
@@ -12,7 +12,7 @@
 	"mallowwind.dev/decision/slot"
 )
 
-// Constants of the packages that the arithmetic takes up.
+// Default settings of other packages that the model uses.
 var (
 	siteLimits      = site.DefaultLimits()
 	pollConfig      = backends.DefaultConfig()
@@ -22,11 +22,11 @@
 )
 
 const (
-	// slotCount is the number of slots that idempotency keys hash to.
+	// slotCount is the number of slots that idempotency keys are hashed to.
 	slotCount = float64(slot.Count)
-	// base64Ratio is how much values grow in the store's JSON form.
+	// base64Ratio is the factor by which base64 enlarges values in the store's JSON encoding.
 	base64Ratio = 4.0 / 3
-	// rosterReadsPerSecond is how often all daemons together read the roster, a second.
+	// rosterReadsPerSecond is the rate at which all daemons together read the roster.
 	rosterReadsPerSecond = float64(time.Second) / float64(roster.PollPerMember)
 )
 
--- a/lab/capacity/failures.go
+++ b/lab/capacity/failures.go
@@ -7,18 +7,18 @@
 	"mallowwind.dev/lab/report"
 )
 
-// Failure is one kind of loss and what it costs those that remain.
+// Failure is a kind of failure and its cost for the remaining daemons and servers.
 type Failure struct {
 	Name string
 	Rows []Row
-	Note string // what the rows leave out or ask for
+	Note string // additional text on the rows
 }
 
-// rackSizes are the sizes of rack worked out: how many VMs share a rack is not
-// given, so the page shows the loss for several.
+// rackSizes are the numbers of VMs per rack for which a rack failure is calculated. The
+// real number is not known, so the page shows several.
 var rackSizes = []int{5, 10, 20}
 
-// Failures returns what each loss costs.
+// Failures returns all modelled failures with their costs.
 func (m *Model) Failures() []Failure {
 	s := m.Size
 	out := []Failure{
@@ -40,10 +40,10 @@
 	return Row{Description: what, Unit: unit, Component: carrier, Factors: factors}
 }
 
-// bytesPerToken is the usual size of a token of text with its field in a message, in bytes.
+// bytesPerToken is the typical size of a token's text with its field in a message.
 const bytesPerToken = 6.0
 
-// daemonLoss is the loss of n daemons at once.
+// daemonLoss returns the cost of losing n daemons at once.
 func (m *Model) daemonLoss(name string, n float64) Failure {
 	s := m.Size
 	daemons := float64(s.Daemons)
@@ -64,8 +64,8 @@
 	}}
 }
 
-// plannedReplacements is the planned replacement of VMs through the day. All of them are
-// taken for entry VMs, an upper bound: how many are backend servers is not given.
+// plannedReplacements returns the cost of the planned replacement of VMs over a day. It counts
+// all of them as entry VMs, which is an upper bound: how many are backend servers is not known.
 func (m *Model) plannedReplacements() Failure {
 	s := m.Size
 	all := constant(s.ReplacementsPerDay, "replacements a day")
@@ -79,7 +79,7 @@
 	}}
 }
 
-// regionPartition is regions that lose each other.
+// regionPartition returns the cost of a network partition between the regions.
 func (m *Model) regionPartition() Failure {
 	s := m.Size
 	part := constant(float64(s.Daemons)/float64(s.Regions), "daemons a region")
--- a/lab/capacity/forward.go
+++ b/lab/capacity/forward.go
@@ -6,10 +6,9 @@
 	"mallowwind.dev/serve/forward"
 )
 
-// forwarder is what a daemon that forwards requests by the configuration in the
-// platform's store sends and is asked. Its processor time, memory and bytes at this
-// size are not measured by a slope; docs/design/90-users-platform.md has what was
-// seen at 30, 100 and 300 daemons.
+// forwarder returns the rows for the message rates of daemons that forward requests by the
+// configuration in the platform's store. No slope measures their processor time, memory and
+// bytes; docs/design/90-users-platform.md has measurements with 30, 100 and 300 daemons.
 func (m *Model) forwarder() []Row {
 	s := m.Size
 	watchers := float64(watchplan.CountWatchers(s.Daemons))
--- a/lab/capacity/model.go
+++ b/lab/capacity/model.go
@@ -6,7 +6,7 @@
 	"mallowwind.dev/lab/report"
 )
 
-// Model joins the size with the recorded slopes.
+// Model combines the target size with the recorded slopes.
 type Model struct {
 	Size   Size
 	Slopes map[string]*report.Slope
@@ -18,12 +18,12 @@
 	return &Model{Size: size, Slopes: slopes, used: make(map[string]bool)}
 }
 
-// constant is a factor that the size or a constant of the code sets.
+// constant returns a factor that follows from the size or a constant in the code.
 func constant(v float64, label string) Factor {
 	return Factor{Raw: v, Scale: 1, Label: label, Known: true}
 }
 
-// slopeFactor is the slope itself; scale converts it into the row's unit.
+// slopeFactor returns the slope of a fit as a factor. scale converts it to the row's unit.
 func (m *Model) slopeFactor(name string, scale float64) Factor {
 	s := m.Slopes[name]
 	if s == nil {
@@ -37,10 +37,9 @@
 	return f
 }
 
-// fittedFactor is the fitted value at x; scale converts it into the row's unit. Its
-// error joins the largest residual, how far a measured size lay off the line,
-// with the slope's error over the whole way from the origin, which is what
-// counts far beyond the sizes measured.
+// fittedFactor returns the fitted value at x as a factor. scale converts it to the row's
+// unit. Its error combines the largest residual with the standard error of the slope times
+// x, which dominates when extrapolating far beyond the measured sizes.
 func (m *Model) fittedFactor(name string, x, scale float64) Factor {
 	s := m.Slopes[name]
 	if s == nil {
--- a/lab/capacity/page.go
+++ b/lab/capacity/page.go
@@ -2,7 +2,7 @@
 
 import (
 	"bytes"
-	_ "embed" // for values
+	_ "embed" // values.md
 	"fmt"
 	"maps"
 	"slices"
@@ -32,8 +32,8 @@
 	return b.Bytes(), nil
 }
 
-// values are what was run to choose the values of constants, and the rows that are worked out
-// from them alone.
+// values is the section of the page on the runs behind the values of constants, and on the
+// rows calculated from constants alone.
 //
 //go:embed values.md
 var values string
@@ -87,7 +87,7 @@
 	b.Write(t.Markdown())
 }
 
-// writeSummary lists the bounds and whether the rows keep them.
+// writeSummary writes the rows with a limit and whether they are within it.
 func writeSummary(b *bytes.Buffer, rows []Row) {
 	b.WriteString("\n## Against the bounds\n\n")
 	t := &report.Table{Columns: []report.Column{
@@ -152,7 +152,7 @@
 	return strings.Join(out, ", ") + " " + s.X.Name
 }
 
-// machines lists each machine once, without the load, which the table gives.
+// machines returns the distinct machines of the slopes without their load, which is in the table.
 func (m *Model) machines() []string {
 	seen := make(map[string]bool)
 	for _, s := range m.Slopes {
--- a/lab/capacity/peers.go
+++ b/lab/capacity/peers.go
@@ -6,8 +6,8 @@
 	"mallowwind.dev/serve/journal"
 )
 
-// journalPeer is what a daemon does for answers that other daemons serve. Copies
-// spread evenly on the whole, so a daemon takes as many as it gives.
+// journalPeer returns the rows for the replicas that a daemon keeps of generations that
+// other daemons serve. Replicas are spread evenly, so a daemon receives as many as it sends.
 func (m *Model) journalPeer() []Row {
 	s := m.Size
 	const carrier = "`serve/journal`"
@@ -44,7 +44,8 @@
 	}
 }
 
-// leaseHolder is the daemon that gives orders in its zone.
+// leaseHolder returns the rows for the daemon that holds its zone's lease and sends orders to
+// the zone's backend servers.
 func (m *Model) leaseHolder() []Row {
 	s := m.Size
 	const carrier = "`control/reconcile`, `decision/placement`"
@@ -74,7 +75,7 @@
 	}
 }
 
-// configRelay passes accepted texts on.
+// configRelay returns the rows for a daemon that relays accepted site texts to other daemons.
 func (m *Model) configRelay() []Row {
 	s := m.Size
 	const carrier = "`control/inforce`"
@@ -104,9 +105,9 @@
 	}
 }
 
-// keyBinder binds idempotency keys. How many requests carry a key is not given;
-// the rows take all of them, an upper bound. Each is bound by an owner and
-// confirmed by a witness, both of them daemons.
+// keyBinder returns the rows for binding idempotency keys. How many requests carry a key
+// is not known; the rows assume all of them, which is an upper bound. Each key is bound
+// by an owner and confirmed by a witness, both of them daemons.
 func (m *Model) keyBinder() []Row {
 	s := m.Size
 	const carrier = "`serve/once`, `decision/slot`"
--- a/lab/capacity/platform.go
+++ b/lab/capacity/platform.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// replacementWindow is how long a replacement was observed for its writes.
+// replacementWindow is the time over which the writes of one replacement were counted.
 const replacementWindow = 50 * time.Second
 
-// rosterWriterNote says why the writes do not grow with the daemons.
+// rosterWriterNote explains why the writes for a replacement do not grow with the number of
+// daemons.
 const rosterWriterNote = "One daemon writes the roster for all others, so the writes for one replacement do not grow with the number " +
 	"of daemons. Where it cannot be reached each daemon writes for itself, and lost races cost more writes."
 
-// store is what all daemons together ask of the platform's key-value service.
+// store returns the rows for the load of all daemons on the platform's key-value store.
 func (m *Model) store() []Row {
 	s := m.Size
 	daemons := float64(s.Daemons)
@@ -43,7 +44,7 @@
 	}
 }
 
-// backend is what the system asks of one backend server beside its work.
+// backend returns the rows for the load on one backend server.
 func (m *Model) backend() []Row {
 	s := m.Size
 	daemons, replicas := float64(s.Daemons), float64(s.Replicas)
@@ -76,8 +77,8 @@
 	}
 }
 
-// caller is what one caller of the system spends. How many there are is not
-// given, so rows are for one caller that holds one answer's stream.
+// caller returns the rows for one caller. The number of callers is not known, so the
+// rows are for one caller with one stream.
 func (m *Model) caller() []Row {
 	s := m.Size
 	return []Row{
--- a/lab/capacity/roles.go
+++ b/lab/capacity/roles.go
@@ -1,6 +1,6 @@
 package capacity
 
-// Names of the slopes that rows use; lab/bench measures and records them.
+// Names of the slopes that the rows use. lab/bench measures and records them.
 const (
 	slopeRelay             = "relay_cpu"
 	slopeCallerBytes       = "caller_bytes"
@@ -43,7 +43,7 @@
 	slopeResume            = "resume_engine_time"
 )
 
-// Conversions of measured units into those of rows.
+// Factors that convert measured units to the units of rows.
 const (
 	nano  = 1e-9
 	micro = 1e-6
@@ -52,7 +52,7 @@
 	mega  = 1e6
 )
 
-// Rows returns all cells of the page in the order of the roles.
+// Rows returns all rows of the page.
 func (m *Model) Rows() []Row {
 	var rows []Row
 	for _, f := range []func() []Row{
@@ -67,7 +67,7 @@
 	return rows
 }
 
-// entryData is what requests cost a daemon.
+// entryData returns the rows for the cost of requests to a daemon.
 func (m *Model) entryData() []Row {
 	s := m.Size
 	requests := constant(s.RequestsPerDaemon(), "requests/s")
@@ -105,7 +105,8 @@
 	}
 }
 
-// changesPerReplacement of the VM list: leaving, gone, and the new VM.
+// changesPerReplacement is the number of VM list changes per replaced VM: the old VM is marked
+// as leaving, the old VM is removed, and the new VM is added.
 const changesPerReplacement = 3
 
 func (m *Model) listChanges() Factor {
@@ -118,9 +119,9 @@
 	"needs a row instead of the list; that is the platform's to give. Until then fewer readers a zone divide the " +
 	"total, and the time until a leaving backend server gets no new work grows when one of them dies."
 
-// entryControl is what a daemon spends to know the others. Whole daemons
-// without requests were measured; the rows named "of these" are parts of that,
-// measured alone.
+// entryControl returns the rows for a daemon's control traffic and state. The main rows are
+// measured on whole daemons without requests; the rows named "of these" are parts of them,
+// measured separately.
 func (m *Model) entryControl() []Row {
 	s := m.Size
 	vms, daemons := float64(s.Daemons+s.Replicas), float64(s.Daemons)
--- a/lab/capacity/row.go
+++ b/lab/capacity/row.go
@@ -8,10 +8,10 @@
 	"mallowwind.dev/lab/report"
 )
 
-// Role is a part that a process plays.
+// Role is a function of a daemon or another party of the system. The rows are grouped by it.
 type Role string
 
-// The roles, in the order of the page.
+// The roles.
 const (
 	Entry       Role = "Daemon as entry"
 	JournalPeer Role = "Daemon as journal peer"
@@ -24,7 +24,7 @@
 	Caller      Role = "Caller"
 )
 
-// Kind is what a row counts.
+// Kind is the kind of resource or load that a row counts.
 type Kind string
 
 // The kinds of rows.
@@ -35,7 +35,7 @@
 	Memory    Kind = "memory"
 )
 
-// Unit of a row's value. Rows of one unit can be added.
+// Unit is the unit of a row's value. Only rows of the same unit can be added.
 type Unit string
 
 // The units of rows.
@@ -48,40 +48,40 @@
 	Seconds        Unit = "s"
 )
 
-// Factor is one number of a row's product and where it comes from.
+// Factor is one factor of a row's product with its source.
 type Factor struct {
-	Raw   float64 // as it was given or measured, in Unit
+	Raw   float64 // value as specified or measured, in Unit
 	Unit  string
 	Scale float64 // converts Raw to the row's unit
 	Label string
-	Error float64 // relative standard error, 0 where the number is given
-	Slope string  // name of the recorded slope, if it comes from one
+	Error float64 // relative standard error, 0 for constants
+	Slope string  // name of the recorded slope, empty for constants
 	Known bool    // false where the slope was not measured
 }
 
-// Value is the factor in the row's unit.
+// Value returns the factor in the row's unit.
 func (f Factor) Value() float64 { return f.Raw * f.Scale }
 
-// Row is one cell of the page: a product of factors.
+// Row is one row of the page: a product of factors or a sum of other rows.
 type Row struct {
 	Role        Role
 	Kind        Kind
 	Description string
 	Unit        Unit
-	Component   string // package that carries it
+	Component   string // packages or party that bear the load
 	Factors     []Factor
-	Parts       []Row // of a sum; Factors is empty then
-	// Control marks rows that count against the bounds on control.
+	Parts       []Row // terms of a sum; Factors is then empty
+	// Control marks rows that count towards the limits on control overhead.
 	Control bool
-	Limit   float64 // 0 where no bound applies
+	Limit   float64 // 0 if there is no limit
 	LimitOf string
-	// Remedy says, where the limit is passed, which mechanism will carry it and
-	// what that costs.
+	// Remedy describes how the load can be brought within the limit and what that
+	// costs. It is shown only if the limit is exceeded.
 	Remedy string
 }
 
-// IsKnown reports whether every slope of the row was measured. A sum is known
-// as far as any of its parts is; its text says how many are missing.
+// IsKnown reports whether every slope of the row was measured. A sum is known if at
+// least one of its parts is; its formula says how many are missing.
 func (r *Row) IsKnown() bool {
 	if len(r.Parts) > 0 {
 		return r.unknownCount() < len(r.Parts)
@@ -94,7 +94,7 @@
 	return true
 }
 
-// Value is the product of the factors, or the sum of the parts.
+// Value returns the product of the factors or the sum of the known parts.
 func (r *Row) Value() float64 {
 	if len(r.Parts) > 0 {
 		v, _ := r.sum()
@@ -107,7 +107,7 @@
 	return v
 }
 
-// Error is the standard error of Value as far as the slopes bring one.
+// Error returns the standard error of Value that results from the errors of the slopes.
 func (r *Row) Error() float64 {
 	if len(r.Parts) > 0 {
 		_, e := r.sum()
@@ -120,10 +120,10 @@
 	return math.Abs(r.Value()) * math.Sqrt(squares)
 }
 
-// IsWithinLimit reports whether the row keeps its limit, as far as it is known.
+// IsWithinLimit reports whether the row has no limit, is unknown or is within its limit.
 func (r *Row) IsWithinLimit() bool { return r.Limit == 0 || !r.IsKnown() || r.Value() <= r.Limit }
 
-// Result is the value with its error and unit, as the page shows it.
+// Result returns the value with its error and unit as text for the page.
 func (r *Row) Result() string {
 	if !r.IsKnown() {
 		return "not measured"
@@ -140,7 +140,7 @@
 	return strings.TrimSpace(s + " " + unit)
 }
 
-// Formula is the arithmetic, as the page shows it.
+// Formula returns the calculation of the value as text for the page.
 func (r *Row) Formula() string {
 	if len(r.Parts) > 0 {
 		return r.sumFormula()
@@ -152,7 +152,7 @@
 	return strings.Join(parts, " × ")
 }
 
-// Status says whether the limit is kept.
+// Status returns the value relative to the limit as text for the page, empty without a limit.
 func (r *Row) Status() string {
 	if r.Limit == 0 {
 		return ""
@@ -169,7 +169,7 @@
 	}
 }
 
-// String is the factor as the page shows it.
+// String returns the factor as text for the page.
 func (f Factor) String() string {
 	if !f.Known {
 		return "`" + f.Slope + "` (not measured)"
@@ -186,7 +186,7 @@
 	return s
 }
 
-// readable returns a divisor and the unit to show after dividing.
+// readable returns a divisor for v and the display unit of the quotient.
 func readable(u Unit, v float64) (scale float64, unit string) {
 	v = math.Abs(v)
 	switch {
@@ -205,7 +205,7 @@
 	}
 }
 
-// roundToTwoDigits keeps two significant digits: an error deserves no more.
+// roundToTwoDigits rounds to two significant digits, since errors are not known more precisely.
 func roundToTwoDigits(v float64) float64 {
 	if v == 0 {
 		return 0
--- a/lab/capacity/size.go
+++ b/lab/capacity/size.go
@@ -1,31 +1,31 @@
-// Package capacity works out what each role of the system needs at the size it
-// is to reach, from slopes that were measured and recorded, and writes
-// docs/CAPACITY.md. A cell whose slope was not measured says so; none is guessed.
+// Package capacity calculates the resources that each role of the system needs at its
+// target size from measured and recorded slopes, and generates docs/CAPACITY.md.
+// A row without a measured slope is shown as not measured instead of estimated.
 package capacity
 
 import "time"
 
-// Size is what the system is to carry.
+// Size is the size, load and limits for which the capacity is calculated.
 type Size struct {
 	Daemons           int
 	Replicas          int
 	Accelerators      int
 	RequestsPerSecond float64
-	TokensPerSecond   float64       // generated, at the peak
-	FirstToken        time.Duration // within, for Percentile of requests
-	TokenGap          time.Duration // within, for Percentile of tokens
+	TokensPerSecond   float64       // generated, at peak load
+	FirstToken        time.Duration // maximum at the Percentile of requests
+	TokenGap          time.Duration // maximum at the Percentile of tokens
 	Percentile        float64
-	LongShare         float64       // of generations run for minutes
-	ResumeWithin      time.Duration // output goes on within, after a loss
+	LongShare         float64       // share of generations that run for minutes
+	ResumeWithin      time.Duration // maximum time until output continues after a failure
 	Accounts          int
 	Models            int
 	Regions           int
 	Zones             int
 
 	ChangesPerDay float64
-	InForceWithin time.Duration // a change is in force everywhere within
+	InForceWithin time.Duration // maximum time until a configuration change is in force everywhere
 
-	ControlCoreRatio      float64 // of one core, for control, per daemon
+	ControlCoreRatio      float64 // share of one core for control per daemon
 	ControlMemoryBytes    float64 // bytes
 	ControlBytesPerSecond float64 // bytes per second
 
@@ -38,15 +38,15 @@
 	Store StoreLimits
 }
 
-// StoreLimits are what the platform's key-value service carries.
+// StoreLimits are the limits of the platform's key-value store.
 type StoreLimits struct {
 	WritesPerSecond float64
 	ReadsPerSecond  float64
 	MaxValueBytes   float64 // bytes
 }
 
-// Target is the size to come. The service's writes are given as several
-// hundred a second; 300 is taken, the least that phrase can mean.
+// Target returns the target size. The store's write limit is specified as several
+// hundred per second; the model assumes 300, the least that this can mean.
 func Target() Size {
 	return Size{
 		Daemons: 390, Replicas: 1900, Accelerators: 15000,
@@ -65,33 +65,33 @@
 
 // Per-daemon and per-replica shares, with the load spread evenly.
 
-// TokensPerDaemon is in tokens per second.
+// TokensPerDaemon returns the tokens per second of one daemon.
 func (s Size) TokensPerDaemon() float64 { return s.TokensPerSecond / float64(s.Daemons) }
 
-// RequestsPerDaemon is in requests per second.
+// RequestsPerDaemon returns the requests per second of one daemon.
 func (s Size) RequestsPerDaemon() float64 { return s.RequestsPerSecond / float64(s.Daemons) }
 
-// TokensPerAnswer is the mean length of an answer.
+// TokensPerAnswer returns the mean number of tokens of a generation.
 func (s Size) TokensPerAnswer() float64 { return s.TokensPerSecond / s.RequestsPerSecond }
 
-// Streams is the number of answers being generated at once. By Little's law it
-// is tokens per second times the mean gap between two tokens of one stream;
-// the bound on the gap stands for its mean, so this is an upper bound.
+// Streams returns the number of concurrent generations. By Little's law it is
+// tokens per second times the mean gap between two tokens of one stream. TokenGap
+// is used in place of the mean, so this is an upper bound.
 func (s Size) Streams() float64 { return s.TokensPerSecond * s.TokenGap.Seconds() }
 
-// StreamsPerDaemon is Streams spread over the daemons.
+// StreamsPerDaemon returns the concurrent generations per daemon.
 func (s Size) StreamsPerDaemon() float64 { return s.Streams() / float64(s.Daemons) }
 
-// StreamsPerReplica is Streams spread over the backend servers.
+// StreamsPerReplica returns the concurrent generations per backend server.
 func (s Size) StreamsPerReplica() float64 { return s.Streams() / float64(s.Replicas) }
 
-// DaemonsPerZone is the share of one zone, spread evenly.
+// DaemonsPerZone returns the mean number of daemons per zone.
 func (s Size) DaemonsPerZone() float64 { return float64(s.Daemons) / float64(s.Zones) }
 
-// ReplicasPerZone is the share of one zone, spread evenly.
+// ReplicasPerZone returns the mean number of backend servers per zone.
 func (s Size) ReplicasPerZone() float64 { return float64(s.Replicas) / float64(s.Zones) }
 
-// ChangesPerSecond is the mean rate of configuration changes.
+// ChangesPerSecond returns the mean rate of configuration changes.
 func (s Size) ChangesPerSecond() float64 { return s.ChangesPerDay / secondsPerDay }
 
 const secondsPerDay = 24 * 60 * 60
--- a/lab/capacity/total.go
+++ b/lab/capacity/total.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// totals adds up the control rows of one daemon, which is entry, journal peer,
-// spreader and binder at once, and of one that also holds its zone's lease.
+// totals returns the sums of the control rows of a daemon that is entry, journal peer,
+// configuration relay and key binder at once, and of one that also holds its zone's lease.
 func (m *Model) totals(rows []Row) []Row {
 	s := m.Size
 	var out []Row
@@ -35,7 +35,7 @@
 	return out
 }
 
-// totalRemedies says what brings a total that is beyond its bound back.
+// totalRemedies are the remedies for totals that exceed their limits.
 var totalRemedies = map[Role]map[Unit]string{
 	Entry: {
 		BytesPerSecond: "The largest parts are status polls and exchanges, and most of both is HTTP headers. Half the polls a second " +
@@ -60,7 +60,7 @@
 	}
 }
 
-// unknownCount counts the parts of a sum that were not measured.
+// unknownCount returns the number of parts of a sum that were not measured.
 func (r *Row) unknownCount() int {
 	n := 0
 	for i := range r.Parts {
@@ -71,7 +71,7 @@
 	return n
 }
 
-// sum adds the measured parts and their errors.
+// sum returns the sum of the known parts and its standard error.
 func (r *Row) sum() (value, err float64) {
 	for i := range r.Parts {
 		if p := &r.Parts[i]; p.IsKnown() {
--- a/lab/report/fit.go
+++ b/lab/report/fit.go
@@ -7,33 +7,33 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// MinFitPoints is the least number of sizes a slope may be drawn from: with
-// fewer, the residuals say nothing about whether a line fits.
+// MinFitPoints is the minimum number of different sizes for a fit: with fewer, the
+// residuals do not show whether the relation is linear.
 const MinFitPoints = 4
 
-// Fit is a straight line y = Intercept + Slope*x by least squares.
+// Fit is a least-squares fit of the line y = Intercept + Slope*x.
 type Fit struct {
 	Intercept float64 `json:"intercept"`
 	Slope     float64 `json:"slope"`
 	// SlopeError is the standard error of Slope.
 	SlopeError float64 `json:"slope_error"`
 	R2         float64 `json:"r2"`
-	// Residuals are measured minus fitted, in the order of the points.
+	// Residuals are the measured minus the fitted values, in the order of the points.
 	Residuals []float64 `json:"residuals"`
 }
 
-// LeastSquares fits a line through the points. It is an error if there are
-// fewer than MinFitPoints different x.
+// LeastSquares fits a line to the points. It returns an error if there are
+// fewer than MinFitPoints different x values.
 func LeastSquares(x, y []float64) (Fit, error) {
 	if len(x) != len(y) {
-		return Fit{}, errors.Errorf("fit: %d x and %d y", len(x), len(y))
+		return Fit{}, errors.Errorf("fit: %d x values and %d y values", len(x), len(y))
 	}
 	if n := distinctCount(x); n < MinFitPoints {
-		return Fit{}, errors.Errorf("fit: %d sizes, need at least %d", n, MinFitPoints)
+		return Fit{}, errors.Errorf("fit: %d different x values, need at least %d", n, MinFitPoints)
 	}
 	a, b := stat.LinearRegression(x, y, nil, false)
 	f := Fit{Intercept: a, Slope: b, R2: stat.RSquared(x, y, nil, a, b)}
-	if math.IsNaN(f.R2) { // all y are equal: the line goes through each
+	if math.IsNaN(f.R2) { // all y are equal, so the line fits exactly
 		f.R2 = 1
 	}
 	var squares float64
@@ -50,7 +50,7 @@
 // At returns the fitted value at x.
 func (f Fit) At(x float64) float64 { return f.Intercept + f.Slope*x }
 
-// MaxResidual returns the largest residual without its sign.
+// MaxResidual returns the largest absolute residual.
 func (f Fit) MaxResidual() float64 {
 	var m float64
 	for _, r := range f.Residuals {
--- a/lab/report/machine.go
+++ b/lab/report/machine.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// Machine says where a run was taken and how busy the machine was.
+// Machine describes the machine of a run and its load.
 type Machine struct {
 	Cores int    `json:"cores"`
 	CPU   string `json:"cpu,omitempty"`
 	Go    string `json:"go"`
 	OS    string `json:"os"`
-	// Load is the load average over the minute before the report was started,
-	// empty where the system does not tell. Above Cores, times are inflated by
-	// waiting for a core.
+	// Load is the one-minute load average when the report was created, empty where
+	// /proc/loadavg is missing. If it exceeds Cores, measured times include waiting
+	// for a core.
 	Load string `json:"load_1m,omitempty"`
 }
 
--- a/lab/report/plot.go
+++ b/lab/report/plot.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of a plot's file.
+// Dimensions of a plot.
 const (
 	plotWidth  = 7 * vg.Inch
 	plotHeight = 4 * vg.Inch
@@ -21,18 +21,18 @@
 
 // Plot is a set of lines over common axes.
 type Plot struct {
-	Name   string   `json:"name"` // of the file, without extension
+	Name   string   `json:"name"` // file name without extension
 	Title  string   `json:"title"`
 	XLabel string   `json:"x_label"`
 	YLabel string   `json:"y_label"`
 	LogX   bool     `json:"log_x,omitempty"`
 	LogY   bool     `json:"log_y,omitempty"`
 	Series []Series `json:"series"`
-	// Percentiles marks the x axis as 1/(1-quantile), labelled by percentile.
+	// Percentiles is set if x values are 1/(1-quantile); the x axis is then labelled by percentile.
 	Percentiles bool `json:"percentiles,omitempty"`
 }
 
-// Series is one line. Points marks the measured values with glyphs.
+// Series is one line or, if Points is set, a set of unconnected points.
 type Series struct {
 	Name   string    `json:"name"`
 	X      []float64 `json:"x"`
@@ -45,18 +45,18 @@
 	p.Series = append(p.Series, Series{Name: name, X: x, Y: y})
 }
 
-// Fitted adds measured points and the line fitted through them.
+// Fitted adds measured points and their fitted line.
 func (p *Plot) Fitted(name string, x, y []float64, f Fit) {
 	p.Series = append(p.Series, Series{Name: name, X: x, Y: y, Points: true})
 	lo, hi := slices.Min(x), slices.Max(x)
 	p.Line("fit of "+name, []float64{lo, hi}, []float64{f.At(lo), f.At(hi)})
 }
 
-// quantiles drawn by Latency, as parts of one.
+// quantiles are the quantiles that Latency draws.
 var quantiles = []float64{0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.98, 0.99, 0.995, 0.998, 0.999, 0.9999}
 
-// Latency adds the percentiles of h, divided by unit, and turns the x axis
-// into percentiles. Quantiles finer than h has values are left out.
+// Latency adds the percentiles of h, divided by unit, and sets Percentiles and LogX.
+// Quantiles with less than one value of h beyond them are left out.
 func (p *Plot) Latency(name string, h *hdrhistogram.Histogram, unit float64) {
 	p.Percentiles, p.LogX = true, true
 	s := Series{Name: name}
@@ -70,7 +70,7 @@
 	p.Series = append(p.Series, s)
 }
 
-// Save draws the plot into dir as Name.svg and returns the file's name.
+// Save writes the plot to Name.svg in dir and returns the file name.
 func (p *Plot) Save(dir string) (string, error) {
 	g := plot.New()
 	g.Title.Text, g.X.Label.Text, g.Y.Label.Text = p.Title, p.XLabel, p.YLabel
@@ -108,7 +108,7 @@
 
 func addSeries(g *plot.Plot, i int, s Series) error {
 	if len(s.X) != len(s.Y) {
-		return errors.Errorf("%d x and %d y", len(s.X), len(s.Y))
+		return errors.Errorf("%d x values and %d y values", len(s.X), len(s.Y))
 	}
 	if len(s.X) == 0 {
 		return nil
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -1,6 +1,6 @@
-// Package report holds the result of one experiment in a typed form and writes
-// it as JSON, Markdown and plots, so that every experiment states the same
-// things: the command, the seed, the machine and how busy it was.
+// Package report holds the results of an experiment and writes them as JSON,
+// Markdown and plots. Every report includes the command, the seed, the machine
+// and its load.
 package report
 
 import (
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// Report is the result of one run of an experiment. Its JSON form is stable:
-// the same Report gives the same bytes.
+// Report is the result of one run of an experiment. Its JSON encoding is
+// deterministic.
 type Report struct {
 	Title   string    `json:"title"`
-	Command string    `json:"command"` // gives the run again
+	Command string    `json:"command"` // reproduces the run
 	Seed    uint64    `json:"seed"`
 	Taken   time.Time `json:"taken"`
 	Machine Machine   `json:"machine"`
 	Params  []Param   `json:"params,omitempty"`
 	Tables  []*Table  `json:"tables,omitempty"`
 	Plots   []*Plot   `json:"plots,omitempty"`
-	Notes   []string  `json:"notes,omitempty"` // what the figures show and what they leave out
+	Notes   []string  `json:"notes,omitempty"` // what the results show and what they leave out
 }
 
 // Param is one setting of the run.
@@ -34,7 +34,7 @@
 	Unit string `json:"unit,omitempty"`
 }
 
-// Table is a table of results; each row has one cell a column.
+// Table is a table of results. Each row has one cell per column.
 type Table struct {
 	Title   string   `json:"title"`
 	Columns []Column `json:"columns"`
@@ -47,7 +47,7 @@
 	Number *float64 `json:"number,omitempty"`
 }
 
-// New starts a report of a run on this machine at time now.
+// New returns an empty report of a run on this machine at time now.
 func New(title, command string, seed uint64, now time.Time) *Report {
 	return &Report{
 		Title: title, Command: command, Seed: seed,
@@ -60,7 +60,7 @@
 	r.Params = append(r.Params, Param{Name: name, Value: value})
 }
 
-// Note adds a sentence on what the figures show.
+// Note adds a note on the results.
 func (r *Report) Note(s string) { r.Notes = append(r.Notes, s) }
 
 // Table adds an empty table and returns it.
@@ -70,18 +70,18 @@
 	return t
 }
 
-// Plot adds a plot and returns it. Its file is name.svg.
+// Plot adds an empty plot and returns it. Its file is name.svg.
 func (r *Report) Plot(name, title, xLabel, yLabel string) *Plot {
 	p := &Plot{Name: name, Title: title, XLabel: xLabel, YLabel: yLabel}
 	r.Plots = append(r.Plots, p)
 	return p
 }
 
-// Col is a column named name whose cells are in unit.
+// Col returns a column with a name and the unit of its cells.
 func Col(name, unit string) Column { return Column{Name: name, Unit: unit} }
 
-// Add appends a row; it panics unless there is one cell a column, which is a
-// mistake in the experiment's code.
+// Add appends a row. It panics unless there is one cell per column, since that is a
+// bug in the experiment.
 func (t *Table) Add(cells ...Cell) {
 	if len(cells) != len(t.Columns) {
 		panic("report: row of " + strconv.Itoa(len(cells)) + " cells in table " + t.Title)
@@ -89,20 +89,19 @@
 	t.Rows = append(t.Rows, cells)
 }
 
-// Text is a cell of text.
+// Text returns a cell that holds text.
 func Text(s string) Cell { return Cell{Text: s} }
 
-// Num is a cell that holds a number.
+// Num returns a cell that holds a number.
 func Num(f float64) Cell { return Cell{Number: &f} }
 
-// Count is a cell that holds an integer.
+// Count returns a cell that holds an integer.
 func Count(n int) Cell { return Num(float64(n)) }
 
-// Millis is a cell that holds d in milliseconds.
+// Millis returns a cell that holds d in milliseconds.
 func Millis(d time.Duration) Cell { return Num(float64(d) / float64(time.Millisecond)) }
 
-// String returns the cell as Markdown shows it: numbers with four significant
-// digits, whole numbers in full.
+// String returns the text of the cell in Markdown. Numbers are formatted by Format.
 func (c Cell) String() string {
 	if c.Number == nil {
 		return c.Text
@@ -110,7 +109,7 @@
 	return Format(*c.Number)
 }
 
-// Format writes a number with four significant digits, whole numbers in full.
+// Format formats a number with four significant digits, integers with all digits.
 func Format(f float64) string {
 	const largestWhole = 1 << 53
 	if f == float64(int64(f)) && f < largestWhole && f > -largestWhole {
--- a/lab/report/slope.go
+++ b/lab/report/slope.go
@@ -13,11 +13,11 @@
 	"github.com/pkg/errors"
 )
 
-// Slope is a recorded measurement: how one quantity grows with one size. The
-// arithmetic of docs/CAPACITY.md is worked out from these.
+// Slope is a recorded measurement of how a quantity grows with a size. The capacity
+// model behind docs/CAPACITY.md is calculated from slopes.
 type Slope struct {
-	Name    string    `json:"name"` // of the file, without extension
-	Help    string    `json:"help"` // what was run and what is counted
+	Name    string    `json:"name"` // file name without extension
+	Help    string    `json:"help"` // what was run and what was counted
 	Command string    `json:"command"`
 	Seed    uint64    `json:"seed"`
 	Taken   time.Time `json:"taken"`
@@ -25,25 +25,25 @@
 	X       Column    `json:"x"`
 	Y       Column    `json:"y"`
 	Points  []Point   `json:"points"`
-	Fit     Fit       `json:"fit"` // through the medians
+	Fit     Fit       `json:"fit"` // of the medians
 }
 
-// Point is what was measured at one size, once a repeat.
+// Point holds the values measured at one size, one for each repetition.
 type Point struct {
 	X float64   `json:"x"`
 	Y []float64 `json:"y"`
 }
 
-// Median returns the middle of the repeats, the lower one of two.
+// Median returns the median of the repetitions, the lower one of two middle values.
 func (p Point) Median() float64 {
 	y := slices.Sorted(slices.Values(p.Y))
 	return y[(len(y)-1)/2]
 }
 
-// Spread returns the smallest and largest repeat.
+// Spread returns the smallest and largest value of the repetitions.
 func (p Point) Spread() (lo, hi float64) { return slices.Min(p.Y), slices.Max(p.Y) }
 
-// Refit sets Fit from Points. It is an error if there are too few sizes.
+// Refit calculates Fit from Points. It returns an error if there are too few sizes.
 func (s *Slope) Refit() error {
 	var x, y []float64
 	for _, p := range s.Points {
@@ -59,7 +59,8 @@
 	return strings.TrimSpace(s.Y.Unit + "/" + strings.TrimSuffix(s.X.Name, "s"))
 }
 
-// MaxSpread returns the largest spread of one size's repeats over its median.
+// MaxSpread returns the largest ratio, over all sizes, of the spread of the repetitions to their
+// median.
 func (s *Slope) MaxSpread() float64 {
 	var worst float64
 	for _, p := range s.Points {
@@ -71,7 +72,7 @@
 	return worst
 }
 
-// Save writes Name.json and the plot Name.svg into dir.
+// Save writes Name.json and the plot Name.svg to dir.
 func (s *Slope) Save(dir string) error {
 	b, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
@@ -100,8 +101,8 @@
 	return p
 }
 
-// LoadSlopes reads every recorded slope of dir, by name. The fit is worked out
-// anew from the points, so that an edited figure does not stand.
+// LoadSlopes reads all recorded slopes in dir and returns them by name. It recalculates
+// each fit from the points, so that a fit edited by hand has no effect.
 func LoadSlopes(dir string) (map[string]*Slope, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
@@ -130,12 +131,12 @@
 		return nil, errors.Wrapf(err, "slope %s", file)
 	}
 	if want := strings.TrimSuffix(filepath.Base(file), ".json"); s.Name != want {
-		return nil, errors.Errorf("slope %s names itself %s", file, s.Name)
+		return nil, errors.Errorf("slope file %s contains name %s", file, s.Name)
 	}
 	return s, s.Refit()
 }
 
-// Summary states slope, spread, fit and command in one line.
+// Summary returns the slope, its errors, its spread and the command in one line.
 func (s *Slope) Summary() string {
 	return fmt.Sprintf("%s: %s ± %s %s, R² %.3f, largest residual %s %s, spread %.0f%%; %s",
 		s.Name, Format(s.Fit.Slope), Format(s.Fit.SlopeError), s.Unit(), s.Fit.R2,
--- a/lab/report/write.go
+++ b/lab/report/write.go
@@ -12,14 +12,13 @@
 	"github.com/pkg/errors"
 )
 
-// Names of the files that Write makes, beside one SVG for each plot.
+// Names of the files that Write creates, besides one SVG file for each plot.
 const (
 	JSONFile     = "report.json"
 	MarkdownFile = "report.md"
 )
 
-// Write writes the report into dir, which it makes if needed: JSONFile,
-// MarkdownFile and the plots.
+// Write writes JSONFile, MarkdownFile and the plots to dir. It creates dir if needed.
 func (r *Report) Write(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return errors.Wrap(err, "report")
@@ -39,13 +38,13 @@
 	return errors.Wrap(os.WriteFile(filepath.Join(dir, MarkdownFile), r.Markdown(), 0o644), "report")
 }
 
-// JSON returns the stable JSON form, indented, with a final newline.
+// JSON returns the indented JSON encoding with a trailing newline.
 func (r *Report) JSON() ([]byte, error) {
 	b, err := json.MarshalIndent(r, "", "  ")
 	return append(b, '\n'), errors.Wrap(err, "report")
 }
 
-// Read reads the JSON form from a file.
+// Read reads a report from a JSON file.
 func Read(file string) (*Report, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -55,7 +54,7 @@
 	return r, errors.Wrapf(json.Unmarshal(b, r), "report %s", file)
 }
 
-// Markdown returns the report as a page that links to its plots.
+// Markdown returns the report as Markdown with links to its plots.
 func (r *Report) Markdown() []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "# %s\n\n    %s\n\n", r.Title, r.Command)
@@ -79,7 +78,7 @@
 	return b.Bytes()
 }
 
-// Markdown returns the table alone.
+// Markdown returns the table as Markdown.
 func (t *Table) Markdown() []byte {
 	var b bytes.Buffer
 	head := make([]string, len(t.Columns))
@@ -99,7 +98,7 @@
 	return b.Bytes()
 }
 
-// align sets columns of numbers to the right.
+// align returns the Markdown alignment of a column: right if all its cells are numbers.
 func (t *Table) align(column int) string {
 	for _, row := range t.Rows {
 		if row[column].Number == nil {
@@ -109,7 +108,7 @@
 	return "--:"
 }
 
-// String returns the heading of the column, with its unit.
+// String returns the heading of the column with its unit.
 func (c Column) String() string {
 	if c.Unit == "" {
 		return c.Name
@@ -117,7 +116,7 @@
 	return c.Name + " (" + c.Unit + ")"
 }
 
-// String describes the machine in a phrase.
+// String returns a one-line description of the machine.
 func (m Machine) String() string {
 	s := fmt.Sprintf("%d cores", m.Cores)
 	if m.CPU != "" {
