--- a/lab/world/random_test.go
+++ b/lab/world/random_test.go
@@ -192,7 +192,7 @@
 
 // runCaller runs one caller to its end. It returns an error only for a violated guarantee, not for
 // a failure that faults explain.
-func (w *World) runCaller(ctx context.Context, p plan, r request) (whole bool, err error) {
+func (w *World) runCaller(ctx context.Context, p plan, r request) (complete bool, err error) {
 	random := rand.New(rand.NewPCG(p.Seed, uint64(r.VM)))
 	// Callers with the same key send the same body, since a key reused with another body is refused.
 	c := w.Caller("contract "+r.Key, r.Key, r.Tokens)
@@ -257,9 +257,9 @@
 
 // outcome is the result of one scenario.
 type outcome struct {
-	whole, failed int
-	err           error
-	counts        [6]float64 // values of summedCounters
+	complete, failed int
+	err              error
+	counts           [6]float64 // values of summedCounters
 }
 
 // summedCounters are logged as sums over all scenarios, to show that the faults take effect.
@@ -282,14 +282,14 @@
 		)
 		for _, r := range p.Callers {
 			wg.Go(func() {
-				whole, err := w.runCaller(t.Context(), p, r)
+				complete, err := w.runCaller(t.Context(), p, r)
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
 				case err != nil:
 					out.err = err
-				case whole:
-					out.whole++
+				case complete:
+					out.complete++
 				default:
 					out.failed++
 				}
@@ -311,7 +311,7 @@
 // entry VMs and links. Each caller must hold a prefix of exactly one generation, and
 // get a terminal event only with the complete generation.
 func TestRandomFaults(t *testing.T) {
-	var whole, failed int
+	var complete, failed int
 	var counts [len(summedCounters)]float64
 	rapid.Check(t, func(rt *rapid.T) {
 		p := drawPlan(rt)
@@ -319,7 +319,7 @@
 		if out.err != nil {
 			rt.Fatalf("%v\n%+v", out.err, p)
 		}
-		whole, failed = whole+out.whole, failed+out.failed
+		complete, failed = complete+out.complete, failed+out.failed
 		for i, n := range out.counts {
 			counts[i] += n
 		}
@@ -327,5 +327,5 @@
 	for i, n := range counts {
 		t.Logf("%s: %g", summedCounters[i], n)
 	}
-	t.Logf("%d generations complete, %d failed as the faults allow", whole, failed)
+	t.Logf("%d generations complete, %d failed as the faults allow", complete, failed)
 }
