--- a/lab/stand/platform.go
+++ b/lab/stand/platform.go
@@ -39,12 +39,12 @@
 			}
 		}
 	}
-	deskAt, err := d.serve(d.PlainBackend)
+	plainAt, err := d.serve(d.PlainBackend)
 	if err != nil {
 		return err
 	}
-	d.plainBackendAddress = deskAt
-	d.VMs.Put(vmlist.VM{ID: "desk-1", Address: deskAt, Zone: d.opts.Zones[0], Role: vmlist.RoleBackend, Pool: "desks", State: vmlist.Live})
+	d.plainBackendAddress = plainAt
+	d.VMs.Put(vmlist.VM{ID: "desk-1", Address: plainAt, Zone: d.opts.Zones[0], Role: vmlist.RoleBackend, Pool: "desks", State: vmlist.Live})
 	return nil
 }
 
