--- a/cmd/mallowwind/forward.go
+++ b/cmd/mallowwind/forward.go
@@ -77,29 +77,29 @@
 }
 
 // bounds are the settings that may change while the daemon runs.
-func bounds(s *nodefile.Settings) gateway.Bounds {
-	return gateway.Bounds{
-		KeyAge: s.KeyRevocationDelay, Grace: s.DrainGrace, Seeds: s.Seeds,
-		Repeats:  retrybudget.Policy{Ratio: s.RetryRatio, Slack: s.RetrySlack, Window: s.RetryWindow},
-		Rollouts: rollout.Limits{Share: s.CanaryRatio, Slack: s.CanarySlack},
+func bounds(s *nodefile.Settings) gateway.DynamicOptions {
+	return gateway.DynamicOptions{
+		MaxKeyAge: s.KeyRevocationDelay, GracePeriod: s.DrainGrace, Seeds: s.Seeds,
+		RetryBudget:   retrybudget.Policy{Ratio: s.RetryRatio, Slack: s.RetrySlack, Window: s.RetryWindow},
+		RolloutLimits: rollout.Limits{Share: s.CanaryRatio, Slack: s.CanarySlack},
 	}
 }
 
 func gatewayOptions(s *nodefile.Settings, events *event.Log) (gateway.Options, error) {
 	keep := min(keepAnswers, s.MaxDirectoryTTL)
 	o := gateway.Options{
-		Self:         routing.VM{ID: s.VM, Zone: s.Zone, Address: s.CallerAddress, PeerAddress: s.PeerAddress},
-		Store:        kv.New(s.StoreAddress),
-		Schema:       wire.Schema{},
-		Codec:        wire.Codec{},
-		Clock:        bootClock,
-		Log:          events,
-		Bounds:       bounds(s),
-		Dialer:       link.NewDialer(nil),
-		LeaseMin:     s.MinLeaseTTL,
-		Registry:     metric.NewCatalogue(),
-		KeepAnswers:  keep,
-		ReadyHandler: wire.ReadyHandler,
+		Self:           routing.VM{ID: s.VM, Zone: s.Zone, Address: s.CallerAddress, PeerAddress: s.PeerAddress},
+		Store:          kv.New(s.StoreAddress),
+		Schema:         wire.Schema{},
+		Codec:          wire.Codec{},
+		Clock:          bootClock,
+		Log:            events,
+		DynamicOptions: bounds(s),
+		Dialer:         link.NewDialer(nil),
+		MinLeaseTTL:    s.MinLeaseTTL,
+		Registry:       metric.NewCatalogue(),
+		AddressTTL:     keep,
+		ReadyHandler:   wire.ReadyHandler,
 		DirectoryHandler: func(addresses func(zone string) []string) http.Handler {
 			return wire.DirectoryHandler(func(q wire.DirectoryRequest) []string { return addresses(q.Zone) }, keep)
 		},
--- a/cmd/mallowwind/forwardown.go
+++ b/cmd/mallowwind/forwardown.go
@@ -61,9 +61,9 @@
 		Store:  store.Confirmed{Store: client, Key: feed.OwnConfigKey, Hold: ownHold},
 		Prefix: feed.OwnPrefix, Schema: feed.OwnSchema{}, Codec: forward.DefaultCodec{},
 		Clock: bootClock, Log: events, Registry: metric.NewCatalogue(),
-		Bounds:      gateway.Bounds{KeyAge: ownKeyAge, Repeats: ownRepeats, Rollouts: ownRollouts, Grace: s.DrainLimit},
-		KeepAnswers: keepAnswers,
-		Dialer:      link.NewDialer(nil),
+		DynamicOptions: gateway.DynamicOptions{MaxKeyAge: ownKeyAge, RetryBudget: ownRepeats, RolloutLimits: ownRollouts, GracePeriod: s.DrainLimit},
+		AddressTTL:     keepAnswers,
+		Dialer:         link.NewDialer(nil),
 	}
 	admin := mux.NewRouter()
 	admin.Handle("/metrics", promhttp.HandlerFor(o.Registry, promhttp.HandlerOpts{})).Methods(http.MethodGet)
--- a/lab/bench/slopes/journal.go
+++ b/lab/bench/slopes/journal.go
@@ -125,7 +125,7 @@
 		h := journal.NewHolder(journal.Limits{Bytes: 1 << 30, TTL: func() time.Duration { return time.Hour }}, rng.Uint64)
 		for i := range n / tokensPerCopy {
 			id := fmt.Sprintf("generation-%016x", i)
-			r := h.Open(journal.Copy{Spec: &peerpb.GenerationSpec{Id: id}, Line: epochs.History{{Epoch: 1, Owner: "entry-1"}}})
+			r := h.Open(journal.Copy{Spec: &peerpb.GenerationSpec{Id: id}, History: epochs.History{{Epoch: 1, Owner: "entry-1"}}})
 			for at := 0; at < tokensPerCopy && r.Accepted; at++ {
 				r = h.Append(id, 1, at, randomTokens(1, rng), nil, "")
 			}
--- a/lab/capacity/peers.go
+++ b/lab/capacity/peers.go
@@ -11,7 +11,7 @@
 func (m *Model) journalPeer() []Row {
 	s := m.Size
 	const carrier = "`serve/journal`"
-	holders, gap := journal.Batching()
+	holders, gap := journal.BatchParameters()
 	perS := float64(holders) / gap.Seconds()
 	messages := constant(perS, "messages/s to "+strconv.Itoa(holders)+" holders")
 	answers := s.TokensPerDaemon() / perS
--- a/lab/world/loss_test.go
+++ b/lab/world/loss_test.go
@@ -166,7 +166,7 @@
 
 // replicaVM returns the id of the entry VM with the replica of the generation that owner serves.
 func (w *World) replicaVM(owner int, c *Caller) string {
-	m, _ := journal.Pick(c.ID, w.vm(owner).Current(), func(membership.Member) bool { return false })
+	m, _ := journal.PickHolder(c.ID, w.vm(owner).Current(), func(membership.Member) bool { return false })
 	return m.ID
 }
 
--- a/serve/api/api.go
+++ b/serve/api/api.go
@@ -26,13 +26,13 @@
 	Zone    string `json:"zone"`
 }
 
-// Entries answers which entry VMs an account should use.
-type Entries interface {
-	For(account *site.Account) []Entry
+// EntrySelector answers which entry VMs an account should use.
+type EntrySelector interface {
+	EntriesFor(account *site.Account) []Entry
 }
 
-// Calls carries out calls to plain services. Errors are *verdict.Error.
-type Calls interface {
+// ServiceCaller carries out calls to plain services. Errors are *verdict.Error.
+type ServiceCaller interface {
 	Call(ctx context.Context, account *site.Account, service *site.Service, key string, call plain.Call) (plain.Answer, error)
 }
 
@@ -40,16 +40,16 @@
 type Config struct {
 	Site        site.Source
 	Generations *generation.Manager
-	Calls       Calls
-	Entries     Entries
+	Calls       ServiceCaller
+	Entries     EntrySelector
 	Log         *event.Log
 	Metrics     prometheus.Registerer
-	// Refusing reports whether new requests are refused because the daemon stops.
-	Refusing func() bool
-	// Starting reports whether the daemon does not know enough yet to serve.
-	Starting func() bool
-	// Ready reports whether callers should be sent here.
-	Ready func() bool
+	// IsShuttingDown reports whether new requests are refused because the daemon stops.
+	IsShuttingDown func() bool
+	// IsStarting reports whether the daemon does not know enough yet to serve.
+	IsStarting func() bool
+	// IsReady reports whether callers should be sent here.
+	IsReady func() bool
 }
 
 // API handles callers' requests. It is safe for concurrent use.
@@ -138,9 +138,9 @@
 // accepting refuses new work while the daemon starts or stops.
 func (a *API) accepting(r *http.Request) error {
 	switch {
-	case a.Refusing():
+	case a.IsShuttingDown():
 		return a.elsewhere(r, verdict.CodeShuttingDown, "this entry VM is shutting down; ask /v1/entries for another one")
-	case a.Starting():
+	case a.IsStarting():
 		return a.elsewhere(r, verdict.CodeNoConfiguration, "this entry VM is starting; use another one")
 	}
 	return nil
@@ -159,7 +159,7 @@
 }
 
 func (a *API) readyz(w http.ResponseWriter, _ *http.Request) {
-	if !a.Ready() {
+	if !a.IsReady() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/serve/api/services.go
+++ b/serve/api/services.go
@@ -91,7 +91,7 @@
 
 func (a *API) entries(w http.ResponseWriter, _ *http.Request, s *site.Site, account *site.Account) error {
 	writeJSON(w, http.StatusOK, entriesAnswer{
-		Entries:    a.Entries.For(account),
+		Entries:    a.Entries.EntriesFor(account),
 		TTLSeconds: int(s.Limits.EntriesTTL.Seconds()),
 	})
 	return nil
--- a/serve/daemon/daemon.go
+++ b/serve/daemon/daemon.go
@@ -197,9 +197,9 @@
 		Site: d.inforce, Generations: d.generations, Calls: d.calls,
 		Entries: &entries{site: d.inforce, members: d.members, log: d.log},
 		Log:     d.log, Metrics: d.registry,
-		Refusing: d.drain.refusing,
-		Starting: func() bool { return !d.serving.Load() },
-		Ready:    d.ready,
+		IsShuttingDown: d.drain.refusing,
+		IsStarting:     func() bool { return !d.serving.Load() },
+		IsReady:        d.ready,
 	})
 }
 
--- a/serve/daemon/entries.go
+++ b/serve/daemon/entries.go
@@ -20,10 +20,10 @@
 	turn    atomic.Uint64
 }
 
-// For implements api.Entries. Only members seen alive are named: one that is
+// EntriesFor implements api.Entries. Only members seen alive are named: one that is
 // leaving vanishes from the answers at once and serves on for the callers that
 // still keep it.
-func (e *entries) For(account *site.Account) []api.Entry {
+func (e *entries) EntriesFor(account *site.Account) []api.Entry {
 	members := e.members.Current().Members
 	vms := make([]ask.VM, 0, len(members))
 	for _, m := range members {
--- a/serve/gateway/addresses_test.go
+++ b/serve/gateway/addresses_test.go
@@ -44,9 +44,9 @@
 			g := New(Options{
 				Self: vm, Store: storesim.Confirming{Store: memory, Hold: time.Second},
 				Schema: feed.OwnSchema{}, Codec: forward.DefaultCodec{}, Log: event.Discard(),
-				Clock:    func() time.Duration { return time.Since(start) + time.Hour },
-				Bounds:   Bounds{KeyAge: 5 * time.Second},
-				Registry: metric.NewCatalogue(),
+				Clock:          func() time.Duration { return time.Since(start) + time.Hour },
+				DynamicOptions: DynamicOptions{MaxKeyAge: 5 * time.Second},
+				Registry:       metric.NewCatalogue(),
 			})
 			fleet[i] = g
 			running.Go(func() { g.feed.Run(ctx) })
--- a/serve/gateway/fleet_test.go
+++ b/serve/gateway/fleet_test.go
@@ -100,12 +100,12 @@
 	g := New(Options{
 		Self: d.vm, Store: storesim.Confirming{Store: d.way, Hold: time.Second}, Schema: feed.OwnSchema{}, Codec: forward.DefaultCodec{},
 		Clock: func() time.Duration { return time.Since(f.began) + time.Hour }, Log: event.Discard(),
-		Bounds: Bounds{
-			KeyAge: 5 * time.Second, Grace: 8 * time.Second, Seeds: []string{"vm-0:2", "vm-1:2"},
-			Repeats:  retrybudget.Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second},
-			Rollouts: rollout.Limits{Share: 0.1, Slack: 50},
+		DynamicOptions: DynamicOptions{
+			MaxKeyAge: 5 * time.Second, GracePeriod: 8 * time.Second, Seeds: []string{"vm-0:2", "vm-1:2"},
+			RetryBudget:   retrybudget.Policy{Ratio: 0.8, Slack: 150, Window: 10 * time.Second},
+			RolloutLimits: rollout.Limits{Share: 0.1, Slack: 50},
 		},
-		KeepAnswers: time.Second, LeaseMin: time.Second,
+		AddressTTL: time.Second, MinLeaseTTL: time.Second,
 		Registry: metric.NewCatalogue(), Callers: d.callers, Peers: d.peers,
 		Readiness: faultnet.Pipe(), Directory: faultnet.Pipe(), ReadyHandler: readyHandler, DirectoryHandler: directoryHandler,
 		DialServer: f.dial, Dialer: link.NewDialerWith(&http.Client{Transport: d.dialer}),
--- a/serve/gateway/gateway.go
+++ b/serve/gateway/gateway.go
@@ -55,11 +55,11 @@
 	Codec  forward.Codec
 	Clock  feed.Clock
 	Log    *event.Log
-	Bounds
-	// LeaseMin is the shortest lease that the store grants.
-	LeaseMin time.Duration
-	// KeepAnswers is how long callers are told to keep an address answer.
-	KeepAnswers time.Duration
+	DynamicOptions
+	// MinLeaseTTL is the shortest lease that the store grants.
+	MinLeaseTTL time.Duration
+	// AddressTTL is how long callers are told to keep an address answer.
+	AddressTTL time.Duration
 	// Registry receives the metrics, which are served at Metrics.
 	Registry *metric.Catalogue
 	// Dialer connects to other daemons.
@@ -94,41 +94,41 @@
 		s.Observe(f.ObserveCall)
 	}
 	v := versions.New(versions.Options{
-		Feed: f, Clock: o.Clock, Log: o.Log, Self: o.Self, Dialer: o.Dialer, Limits: o.Rollouts, Registerer: o.Registry,
+		Feed: f, Clock: o.Clock, Log: o.Log, Self: o.Self, Dialer: o.Dialer, Limits: o.RolloutLimits, Registerer: o.Registry,
 	})
 	h := forward.New(forward.Options{
-		Versions: v, Feed: f, Codec: o.Codec, Log: o.Log, Self: o.Self, MaxKeyAge: o.KeyAge, RetryBudget: o.Repeats,
+		Versions: v, Feed: f, Codec: o.Codec, Log: o.Log, Self: o.Self, MaxKeyAge: o.MaxKeyAge, RetryBudget: o.RetryBudget,
 		Registerer: o.Registry, Dial: o.DialServer, Dialer: o.Dialer,
 	})
 	g := &Gateway{opts: o, feed: f, handler: h, versions: v}
-	g.grace.Store(int64(o.Grace))
+	g.grace.Store(int64(o.GracePeriod))
 	return g
 }
 
-// Bounds are what the platform may change while the daemon runs.
-type Bounds struct {
-	// KeyAge is how old the configuration may be for an account key to be trusted.
-	KeyAge time.Duration
-	// Repeats bounds the sends beyond the first of the whole fleet.
-	Repeats retrybudget.Policy
-	// Rollouts bounds what a version of a service may get that is not known to be good.
-	Rollouts rollout.Limits
-	// Grace is the time between SIGTERM and the end.
-	Grace time.Duration
+// DynamicOptions are what the platform may change while the daemon runs.
+type DynamicOptions struct {
+	// MaxKeyAge is how old the configuration may be for an account key to be trusted.
+	MaxKeyAge time.Duration
+	// RetryBudget bounds the sends beyond the first of the whole fleet.
+	RetryBudget retrybudget.Policy
+	// RolloutLimits bounds what a version of a service may get that is not known to be good.
+	RolloutLimits rollout.Limits
+	// GracePeriod is the time between SIGTERM and the end.
+	GracePeriod time.Duration
 	// Seeds are where some other daemons were.
 	Seeds []string
 }
 
 // Apply takes other bounds for what comes from now on.
-func (g *Gateway) Apply(b Bounds) {
-	g.handler.SetBounds(b.KeyAge, b.Repeats)
+func (g *Gateway) Apply(b DynamicOptions) {
+	g.handler.SetBounds(b.MaxKeyAge, b.RetryBudget)
 	g.feed.SetSeeds(b.Seeds)
-	g.versions.SetLimits(b.Rollouts)
-	g.grace.Store(int64(b.Grace))
+	g.versions.SetLimits(b.RolloutLimits)
+	g.grace.Store(int64(b.GracePeriod))
 }
 
-// Ready reports whether callers should be sent here.
-func (g *Gateway) Ready() bool { return !g.leaving.Load() && g.feed.View().Config != nil }
+// IsReady reports whether callers should be sent here.
+func (g *Gateway) IsReady() bool { return !g.leaving.Load() && g.feed.View().Config != nil }
 
 // Addresses are the entry VMs that a caller is told. Its account is not known here.
 func (g *Gateway) Addresses(_ string) []string {
@@ -140,12 +140,12 @@
 		if own {
 			self = len(vms)
 		}
-		usable := !vm.Draining && (!own || g.Ready())
+		usable := !vm.Draining && (!own || g.IsReady())
 		vms = append(vms, entry(vm, usable))
 	}
 	if self < 0 {
 		self = len(vms)
-		vms = append(vms, entry(g.opts.Self, g.Ready()))
+		vms = append(vms, entry(g.opts.Self, g.IsReady()))
 	}
 	a := entries.SelectForUnknownAccount(vms, self, g.turn.Add(1))
 	list := make([]string, 0, len(a.VMs))
@@ -171,7 +171,7 @@
 	registered := make(chan struct{})
 	go func() {
 		defer close(registered)
-		r := feed.Registrar{Store: g.opts.Store, VM: g.opts.Self, Log: g.opts.Log, MinLeaseTTL: g.opts.LeaseMin, Feed: g.feed}
+		r := feed.Registrar{Store: g.opts.Store, VM: g.opts.Self, Log: g.opts.Log, MinLeaseTTL: g.opts.MinLeaseTTL, Feed: g.feed}
 		r.Run(soft)
 	}()
 	g.opts.Log.Emit(event.DaemonStarted, g.opts.Self.Address, g.opts.Self.PeerAddress, "")
@@ -201,7 +201,7 @@
 		listener net.Listener
 		handler  http.Handler
 	}{
-		{g.opts.Readiness, g.opts.ReadyHandler(g.Ready)},
+		{g.opts.Readiness, g.opts.ReadyHandler(g.IsReady)},
 		{g.opts.Directory, g.opts.DirectoryHandler(g.Addresses)},
 		{g.opts.Peers, g.peerHandler()},
 		{g.opts.Metrics, promhttp.HandlerFor(g.opts.Registry, promhttp.HandlerOpts{})},
@@ -244,7 +244,7 @@
 	g.handler.BeginShutdown(forward.ShutdownSchedule{
 		StreamsUntil: started.Add(streamsUntil), RequestsUntil: started.Add(allUntil), ExitAt: started.Add(ends),
 	})
-	kept := min(keptAnswers*g.opts.KeepAnswers, ends)
+	kept := min(keptAnswers*g.opts.AddressTTL, ends)
 	g.opts.Log.Emit(event.DaemonDraining, g.handler.Running(), kept)
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
--- a/serve/gateway/gateway_test.go
+++ b/serve/gateway/gateway_test.go
@@ -60,11 +60,11 @@
 			Self:  routing.VM{ID: "self", Address: "self:1"},
 			Store: storesim.Confirming{Store: s.store, Hold: time.Second}, Schema: feed.OwnSchema{}, Codec: forward.DefaultCodec{},
 			Clock: func() time.Duration { return time.Since(start) + time.Hour }, Log: event.Discard(),
-			Bounds: Bounds{
-				KeyAge: 5 * time.Second, Grace: 8 * time.Second, Repeats: retrybudget.Policy{Ratio: 1, Slack: 10, Window: time.Second},
+			DynamicOptions: DynamicOptions{
+				MaxKeyAge: 5 * time.Second, GracePeriod: 8 * time.Second, RetryBudget: retrybudget.Policy{Ratio: 1, Slack: 10, Window: time.Second},
 			},
-			KeepAnswers: time.Second,
-			Registry:    metric.NewCatalogue(), Callers: s.callers, Readiness: s.ready, Directory: s.directory,
+			AddressTTL: time.Second,
+			Registry:   metric.NewCatalogue(), Callers: s.callers, Readiness: s.ready, Directory: s.directory,
 			ReadyHandler: readyHandler, DirectoryHandler: directoryHandler, DialServer: s.backend.Dial,
 		})
 		soft, term := context.WithCancel(t.Context())
--- a/serve/generation/batch_bench_test.go
+++ b/serve/generation/batch_bench_test.go
@@ -34,7 +34,7 @@
 			batch := &peerpb.AppendBatch{}
 			for i := range size {
 				id := fmt.Sprintf("g%032x", i)
-				res := m.holder.Open(journal.Copy{Spec: &peerpb.GenerationSpec{Id: id}, Line: epochs.History{{Epoch: 1}}})
+				res := m.holder.Open(journal.Copy{Spec: &peerpb.GenerationSpec{Id: id}, History: epochs.History{{Epoch: 1}}})
 				must.True(b, res.Accepted)
 				batch.Appends = append(batch.Appends, &peerpb.AppendRequest{Id: id, Epoch: 1, Tokens: []string{" token"}})
 			}
--- a/serve/generation/copier.go
+++ b/serve/generation/copier.go
@@ -113,7 +113,7 @@
 		c.leave("not alive")
 	}
 	now := time.Now()
-	next, ok := journal.Pick(c.spec.ID, v, func(m membership.Member) bool {
+	next, ok := journal.PickHolder(c.spec.ID, v, func(m membership.Member) bool {
 		return now.Before(c.excluded[keyOf(m)])
 	})
 	if !ok {
@@ -170,7 +170,7 @@
 func (c *copier) call(ctx context.Context, w write) (*peerpb.JournalReply, error) {
 	if !c.open {
 		return c.m.client(c.holder).Open(ctx, journal.ToWire(journal.Copy{
-			Spec: c.spec.toWire(), Line: c.line, Tokens: w.tokens, Attempt: w.attempt, Finish: string(w.finish),
+			Spec: c.spec.toWire(), History: c.line, Tokens: w.tokens, Attempt: w.attempt, Finish: string(w.finish),
 		}))
 	}
 	return c.m.appends.Append(ctx, c.holder, &peerpb.AppendRequest{
--- a/serve/generation/handover.go
+++ b/serve/generation/handover.go
@@ -51,7 +51,7 @@
 	v := m.members.Current()
 	var tried []string
 	for ctx.Err() == nil {
-		to, ok := journal.Pick(c.Spec.GetId(), v, func(m membership.Member) bool {
+		to, ok := journal.PickHolder(c.Spec.GetId(), v, func(m membership.Member) bool {
 			return slices.Contains(tried, m.ID)
 		})
 		if !ok {
--- a/serve/generation/manager.go
+++ b/serve/generation/manager.go
@@ -274,17 +274,17 @@
 func (m *Manager) adopt(c journal.Copy) *Generation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if g := m.owned[c.Spec.GetId()]; g != nil && g.serves() && g.state().epoch.OwnerCount() >= c.Line.Epoch().OwnerCount() {
+	if g := m.owned[c.Spec.GetId()]; g != nil && g.serves() && g.state().epoch.OwnerCount() >= c.History.Epoch().OwnerCount() {
 		return g
 	}
 	spec := specFromWire(c.Spec, m.site.Current())
-	g := newGeneration(spec, c.Line, c.Tokens, finishOf(c.Finish))
-	m.runLocked(g, c.Line, c.Attempt)
+	g := newGeneration(spec, c.History, c.Tokens, finishOf(c.Finish))
+	m.runLocked(g, c.History, c.Attempt)
 	m.metrics.adopted.Inc()
 	from := ""
-	if n := len(c.Line); n > 1 {
-		from = c.Line[n-2].Owner
+	if n := len(c.History); n > 1 {
+		from = c.History[n-2].Owner
 	}
-	m.log.Emit(event.GenerationAdopted, spec.ID, from, uint64(c.Line.Epoch()), len(c.Tokens))
+	m.log.Emit(event.GenerationAdopted, spec.ID, from, uint64(c.History.Epoch()), len(c.Tokens))
 	return g
 }
--- a/serve/generation/server.go
+++ b/serve/generation/server.go
@@ -45,7 +45,7 @@
 	if g == nil {
 		return 0, false
 	}
-	s, next := g.state(), c.Line.Epoch()
+	s, next := g.state(), c.History.Epoch()
 	if s.failure != nil || s.epoch.OwnerCount() != next.OwnerCount() || s.epoch >= next {
 		return 0, false
 	}
@@ -112,9 +112,9 @@
 		return &peerpb.AdoptReply{Unknown: true}
 	}
 	return &peerpb.AdoptReply{
-		Epoch:      uint64(c.Line.Epoch()),
+		Epoch:      uint64(c.History.Epoch()),
 		Length:     uint32(len(c.Tokens)),
-		Owner:      c.Line.Owner(),
+		Owner:      c.History.Owner(),
 		BodyDigest: c.Spec.GetBodyDigest(),
 		Account:    c.Spec.GetAccount(),
 	}
--- a/serve/generation/spec.go
+++ b/serve/generation/spec.go
@@ -39,7 +39,7 @@
 	if s.Key == "" {
 		var b [idBytes]byte
 		_, _ = rand.Read(b[:])
-		group := journal.GroupOf(owner, b[0])
+		group := journal.GroupName(owner, b[0])
 		s.ID = "g" + group + hex.EncodeToString(b[:])[len(group):]
 		return
 	}
--- a/serve/journal/batch.go
+++ b/serve/journal/batch.go
@@ -156,6 +156,6 @@
 	l.waiting = nil
 }
 
-// Batching returns how many holders the answers of one owner have, those of
+// BatchParameters returns how many holders the answers of one owner have, those of
 // requests with a key apart, and the least time between two messages to one.
-func Batching() (holders int, gap time.Duration) { return groups, minGap }
+func BatchParameters() (holders int, gap time.Duration) { return groups, minGap }
--- a/serve/journal/batch_test.go
+++ b/serve/journal/batch_test.go
@@ -111,8 +111,8 @@
 	for _, owner := range members {
 		v := &membership.View{Self: owner, Members: members}
 		for g := range byte(groups) {
-			id := fmt.Sprintf("g%s%024d", GroupOf(owner.ID, g), 0)
-			m, ok := Pick(id, v, nil)
+			id := fmt.Sprintf("g%s%024d", GroupName(owner.ID, g), 0)
+			m, ok := PickHolder(id, v, nil)
 			must.True(t, ok)
 			must.NotEq(t, owner.Zone, m.Zone)
 			held[m.ID]++
--- a/serve/journal/holder.go
+++ b/serve/journal/holder.go
@@ -12,7 +12,7 @@
 // Copy is one generation as its owner last copied it here.
 type Copy struct {
 	Spec    *peerpb.GenerationSpec
-	Line    epochs.History
+	History epochs.History
 	Tokens  []string
 	Attempt *peerpb.Attempt
 	Finish  string
@@ -68,17 +68,17 @@
 	defer h.mu.Unlock()
 	old := h.copies[c.Spec.GetId()]
 	if old != nil && supersedes(old.Copy, c) {
-		return Result{Epoch: old.Line.Epoch(), Length: len(old.Tokens)}
+		return Result{Epoch: old.History.Epoch(), Length: len(old.Tokens)}
 	}
-	if old != nil && old.Line.Epoch() == c.Line.Epoch() && len(old.Tokens) > len(c.Tokens) {
+	if old != nil && old.History.Epoch() == c.History.Epoch() && len(old.Tokens) > len(c.Tokens) {
 		// A message that was under way while its successors arrived: the owner
 		// gave it up as lost long ago. Taking it would shorten the copy below
 		// what callers hold.
-		return Result{Accepted: true, Epoch: c.Line.Epoch(), Length: len(old.Tokens)}
+		return Result{Accepted: true, Epoch: c.History.Epoch(), Length: len(old.Tokens)}
 	}
 	e := &entry{Copy: c, bytes: size(c)}
 	if !h.makeRoom(e.bytes, c.Spec.GetId()) {
-		return Result{Epoch: c.Line.Epoch()}
+		return Result{Epoch: c.History.Epoch()}
 	}
 	if old != nil {
 		h.remove(c.Spec.GetId(), old)
@@ -86,26 +86,26 @@
 	h.copies[c.Spec.GetId()] = e
 	h.bytes += e.bytes
 	h.touch(e)
-	return Result{Accepted: true, Epoch: c.Line.Epoch(), Length: len(c.Tokens)}
+	return Result{Accepted: true, Epoch: c.History.Epoch(), Length: len(c.Tokens)}
 }
 
 // supersedes reports whether the copy held must not be replaced by next.
 func supersedes(held, next Copy) bool {
-	if next.Line.Epoch() == held.Line.Epoch() {
+	if next.History.Epoch() == held.History.Epoch() {
 		return false
 	}
-	for i, f := range next.Line[:len(next.Line)-1] {
-		if f.Epoch == held.Line.Epoch() {
+	for i, f := range next.History[:len(next.History)-1] {
+		if f.Epoch == held.History.Epoch() {
 			// next continues what is held, unless it left the line before the
 			// held end: then callers may hold tokens that next does not have, of
 			// an owner that was cut off while its answer was taken over.
-			return next.Line[i+1].FromOffset < len(held.Tokens)
+			return next.History[i+1].FromOffset < len(held.Tokens)
 		}
 	}
-	if held.Finish != "" && next.Line.Epoch().OwnerCount() == held.Line.Epoch().OwnerCount() {
+	if held.Finish != "" && next.History.Epoch().OwnerCount() == held.History.Epoch().OwnerCount() {
 		return true
 	}
-	return next.Line.Epoch().OwnerCount() <= held.Line.Epoch().OwnerCount()
+	return next.History.Epoch().OwnerCount() <= held.History.Epoch().OwnerCount()
 }
 
 // Append adds tokens at offset under epoch. Tokens already held are skipped, so
@@ -117,8 +117,8 @@
 	if e == nil {
 		return Result{Unknown: true}
 	}
-	res := Result{Epoch: e.Line.Epoch(), Length: len(e.Tokens)}
-	if e.Line.Epoch() != epoch {
+	res := Result{Epoch: e.History.Epoch(), Length: len(e.Tokens)}
+	if e.History.Epoch() != epoch {
 		return res
 	}
 	if offset > len(e.Tokens) {
@@ -170,11 +170,11 @@
 	if e == nil {
 		return Copy{}, epochs.Prefix, false
 	}
-	if rel := e.Line.Compare(seen, len(e.Tokens)); rel != epochs.Prefix {
+	if rel := e.History.Compare(seen, len(e.Tokens)); rel != epochs.Prefix {
 		return Copy{}, rel, true
 	}
-	e.Line = e.Line.Extend(epochs.Fork{
-		Epoch:      e.Line.Epoch().Next(h.random()),
+	e.History = e.History.Extend(epochs.Fork{
+		Epoch:      e.History.Epoch().Next(h.random()),
 		FromOffset: len(e.Tokens),
 		Owner:      newOwner,
 	})
@@ -186,7 +186,7 @@
 func (h *Holder) Drop(id string, epoch epochs.Epoch) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if e := h.copies[id]; e != nil && e.Line.Epoch() == epoch {
+	if e := h.copies[id]; e != nil && e.History.Epoch() == epoch {
 		h.remove(id, e)
 	}
 }
--- a/serve/journal/holder_test.go
+++ b/serve/journal/holder_test.go
@@ -23,7 +23,7 @@
 func copyOf(id string, epoch epochs.Epoch, tokens int, finish string) Copy {
 	c := Copy{
 		Spec: &peerpb.GenerationSpec{Id: id}, Finish: finish,
-		Line:    epochs.History{{Epoch: epoch, Owner: "vm0"}},
+		History: epochs.History{{Epoch: epoch, Owner: "vm0"}},
 		Attempt: &peerpb.Attempt{Number: 1},
 	}
 	for i := range tokens {
@@ -55,10 +55,10 @@
 	c, rel, ok := h.Adopt("g", "vm1", epochs.Position{Epoch: first, Offset: 3})
 	must.True(t, ok)
 	must.Eq(t, epochs.Prefix, rel)
-	must.Eq(t, "vm1", c.Line.Owner())
+	must.Eq(t, "vm1", c.History.Owner())
 	r := h.Append("g", first, 4, []string{"late"}, nil, "")
 	must.False(t, r.Accepted)
-	must.Eq(t, c.Line.Epoch(), r.Epoch)
+	must.Eq(t, c.History.Epoch(), r.Epoch)
 	must.False(t, h.Open(copyOf("g", first, 9, "")).Accepted)
 	_, rel, _ = h.Adopt("g", "vm2", epochs.Position{Epoch: first, Offset: 5})
 	must.Eq(t, epochs.Diverged, rel)
--- a/serve/journal/place.go
+++ b/serve/journal/place.go
@@ -40,8 +40,8 @@
 	groupDigits = 8
 )
 
-// GroupOf returns the name of one of the owner's journal groups, chosen by pick.
-func GroupOf(owner string, pick byte) string {
+// GroupName returns the name of one of the owner's journal groups, chosen by pick.
+func GroupName(owner string, pick byte) string {
 	h := xxhash.Sum64String(owner + "#" + strconv.Itoa(int(pick)%groups))
 	return fmt.Sprintf("%016x", h)[:groupDigits]
 }
@@ -78,9 +78,9 @@
 	return out
 }
 
-// Pick returns the member that should hold the copy of a generation served by
+// PickHolder returns the member that should hold the copy of a generation served by
 // v.Self, leaving out those that exclude names; nil names nobody. ok is false where no member is fit.
-func Pick(id string, v *membership.View, exclude func(membership.Member) bool) (m membership.Member, ok bool) {
+func PickHolder(id string, v *membership.View, exclude func(membership.Member) bool) (m membership.Member, ok bool) {
 	fallback := -1
 	list := Candidates(id, v)
 	for i, c := range list {
--- a/serve/journal/wire.go
+++ b/serve/journal/wire.go
@@ -9,7 +9,7 @@
 func ToWire(c Copy) *peerpb.OpenRequest {
 	return &peerpb.OpenRequest{
 		Spec:    c.Spec,
-		Forks:   ForksToWire(c.Line),
+		Forks:   ForksToWire(c.History),
 		Tokens:  c.Tokens,
 		Attempt: c.Attempt,
 		Finish:  c.Finish,
@@ -26,7 +26,7 @@
 	for _, f := range r.GetForks() {
 		line = append(line, epochs.Fork{Epoch: epochs.Epoch(f.GetEpoch()), FromOffset: int(f.GetOffset()), Owner: f.GetOwner()})
 	}
-	return Copy{Spec: r.GetSpec(), Line: line, Tokens: r.GetTokens(), Attempt: r.GetAttempt(), Finish: r.GetFinish()}, true
+	return Copy{Spec: r.GetSpec(), History: line, Tokens: r.GetTokens(), Attempt: r.GetAttempt(), Finish: r.GetFinish()}, true
 }
 
 // ForksToWire returns the message form of a line.
