--- a/lab/bench/load/policy.go
+++ b/lab/bench/load/policy.go
@@ -46,7 +46,7 @@
 func newDispatcher(w *world, name PolicyName, vm int) dispatcher {
 	switch name {
 	case Product:
-		place := flow.Place{VM: w.daemons[vm].id, Zone: zoneName(w.daemons[vm].zone)}
+		place := flow.Location{VM: w.daemons[vm].id, Zone: zoneName(w.daemons[vm].zone)}
 		return &product{world: w, place: place, core: flow.NewCore(place, nil, nil, w.seed+uint64(vm))}
 	case FIFO:
 		return &fifo{world: w}
@@ -58,7 +58,7 @@
 // product runs flow.Core, exactly as a daemon does.
 type product struct {
 	world *world
-	place flow.Place
+	place flow.Location
 	core  *flow.Core
 }
 
@@ -79,8 +79,8 @@
 }
 
 func (p *product) submit(r *request) {
-	ask := flow.Ask{
-		Account: r.account.site, Service: r.kind.service, Cost: r.expected(),
+	ask := flow.Request{
+		Account: r.account.site, Service: r.kind.service, CostTokens: r.expected(),
 		PrefixHash: r.prefix, Deadline: r.patienceEnd, Resume: r.produced() > 0, Exclude: r.exclude,
 	}
 	if p.world.plain {
@@ -112,10 +112,10 @@
 func (p *product) tick() { p.core.Tick(p.world.clock.now) }
 
 func (p *product) update(snap *backends.Snapshot, daemons int) {
-	fleet := flow.Fleet{Alive: daemons}
+	fleet := flow.Fleet{AliveCount: daemons}
 	for _, d := range p.world.daemons {
 		if !d.dead && zoneName(d.zone) == p.place.Zone {
-			fleet.Zone = append(fleet.Zone, xxhash.Sum64String(d.id))
+			fleet.ZoneHashes = append(fleet.ZoneHashes, xxhash.Sum64String(d.id))
 		}
 	}
 	p.core.Update(p.world.clock.now, p.world.site, snap, fleet)
--- a/lab/bench/load/world.go
+++ b/lab/bench/load/world.go
@@ -115,7 +115,7 @@
 	w.clock.after(cacheEventDelay, func() {
 		for _, d := range w.daemons {
 			if p, ok := d.policy.(*product); ok && !d.dead {
-				p.core.CacheEvent(id, engine.CacheEvent{Prefix: prefix, Held: held})
+				p.core.RecordCacheEvent(id, engine.CacheEvent{Prefix: prefix, Held: held})
 			}
 		}
 	})
--- a/lab/bench/slopes/flow.go
+++ b/lab/bench/slopes/flow.go
@@ -59,20 +59,20 @@
 func (s *swapped) Current() *backends.Snapshot { return s.p.Load() }
 
 // dispatcher returns a Manager before n backend servers, and asks from each account.
-func dispatcher(n, accounts int) (*flow.Manager, *swapped, []flow.Ask) {
+func dispatcher(n, accounts int) (*flow.Manager, *swapped, []flow.Request) {
 	st := testSite(accounts)
 	source := new(swapped)
 	source.p.Store(snapshot(n))
 	m := flow.New(flow.Config{
-		Place: flow.Place{VM: "entry-0000", Zone: zoneOf(0), Region: "region-0"},
-		Site:  fixedSite{st}, Backends: source, Log: discard(), Seed: 1,
+		Location: flow.Location{VM: "entry-0000", Zone: zoneOf(0), Region: "region-0"},
+		Site:     fixedSite{st}, Backends: source, Log: discard(), Seed: 1,
 	})
-	var asks []flow.Ask
+	var asks []flow.Request
 	for i := range accounts {
-		asks = append(asks, flow.Ask{
-			Request: fmt.Sprintf("request-%d", i),
-			Account: st.Accounts[fmt.Sprintf("account-%04d", i)],
-			Service: st.Services[modelOf(i)], Cost: 400,
+		asks = append(asks, flow.Request{
+			RequestID: fmt.Sprintf("request-%d", i),
+			Account:   st.Accounts[fmt.Sprintf("account-%04d", i)],
+			Service:   st.Services[modelOf(i)], CostTokens: 400,
 		})
 	}
 	return m, source, asks
@@ -87,7 +87,7 @@
 	})
 }
 
-func dispatch(ctx context.Context, m *flow.Manager, ask flow.Ask) error {
+func dispatch(ctx context.Context, m *flow.Manager, ask flow.Request) error {
 	ask.Deadline = time.Now().Add(time.Minute)
 	grant, err := m.Acquire(ctx, ask)
 	if err != nil {
--- a/lab/world/caller.go
+++ b/lab/world/caller.go
@@ -48,7 +48,7 @@
 	h, err := c.callWithTimeout(ctx, func(ctx context.Context) (*generation.Handle, error) {
 		return c.w.Manager(vm).Submit(ctx, &generation.Spec{
 			Account: c.w.Site.Accounts[c.Account], Service: c.w.Site.Services[Service],
-			Prompt: c.Prompt, MaxTokens: c.Tokens, Temperature: 1, Key: c.Key,
+			Prompt: c.Prompt, MaxTokens: c.Tokens, Temperature: 1, IdempotencyKey: c.Key,
 		})
 	})
 	if err != nil {
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -150,12 +150,12 @@
 	v := &vm{id: self.ID, registry: prometheus.NewRegistry(), stop: stop}
 	v.view.Store(&membership.View{Self: self, Members: slices.Clone(w.members)})
 	f := flow.New(flow.Config{
-		Place: flow.Place{VM: self.ID, Zone: self.Zone}, Site: fixedSite{w.Site},
+		Location: flow.Location{VM: self.ID, Zone: self.Zone}, Site: fixedSite{w.Site},
 		Backends: backends.Static{Snapshot: w.snapshot(self.ID)}, Members: v,
 		Registerer: v.registry, Seed: w.config.Seed + uint64(i),
 	})
 	v.manager = generation.NewManager(generation.Config{
-		Site: fixedSite{w.Site}, Members: v, Flow: f, Log: event.Discard(), Metrics: v.registry,
+		Site: fixedSite{w.Site}, Members: v, Dispatcher: f, Log: event.Discard(), Metrics: v.registry,
 		Dialer: link.NewDialerWith(&http.Client{Transport: vmTransport{w.Net, self.ID}}),
 		Policy: w.config.Policy,
 	})
--- a/serve/api/request.go
+++ b/serve/api/request.go
@@ -120,7 +120,7 @@
 	}
 	spec := &generation.Spec{
 		Account: account, Service: service, Prompt: prompt, MaxTokens: limit,
-		Seed: q.Seed, Stop: stop, Key: key, Chat: chat, Temperature: 1,
+		Seed: q.Seed, Stop: stop, IdempotencyKey: key, Chat: chat, Temperature: 1,
 	}
 	if q.Temperature != nil {
 		if *q.Temperature < 0 || *q.Temperature > 2 {
--- a/serve/daemon/daemon.go
+++ b/serve/daemon/daemon.go
@@ -179,13 +179,13 @@
 func (d *Daemon) assembleServing() {
 	s := d.opts.Settings
 	d.flow = flow.New(flow.Config{
-		Place: flow.Place{VM: s.VM, Zone: s.Zone, Region: s.Region},
-		Site:  d.inforce, Backends: d.backends, Members: d.members,
+		Location: flow.Location{VM: s.VM, Zone: s.Zone, Region: s.Region},
+		Site:     d.inforce, Backends: d.backends, Members: d.members,
 		Log: d.log, Registerer: d.registry, Seed: d.seed(),
 	})
 	d.generations = generation.NewManager(generation.Config{
-		Site: d.inforce, Members: d.members, Flow: d.flow, Dialer: d.opts.Dialer,
-		Log: d.log, Metrics: d.registry, Version: d.version, NotReady: d.backends.Hint,
+		Site: d.inforce, Members: d.members, Dispatcher: d.flow, Dialer: d.opts.Dialer,
+		Log: d.log, Metrics: d.registry, ChooseVersion: d.version, NotReady: d.backends.Hint,
 	})
 	d.calls = &calls{log: d.log, service: once.NewService(once.Deps{
 		Members: d.members, Roster: d.roster, Site: d.inforce, Flow: d.flow,
--- a/serve/daemon/drain.go
+++ b/serve/daemon/drain.go
@@ -37,7 +37,7 @@
 	ctx, cancel := context.WithTimeout(hard, limit)
 	defer cancel()
 	kept := r.keptAnswers()
-	r.d.log.Emit(event.DaemonDraining, r.d.generations.Running(), kept)
+	r.d.log.Emit(event.DaemonDraining, r.d.generations.RunningCount(), kept)
 	r.stage.Store(stageLeaving)
 	r.d.members.Leave()
 	r.wait(ctx, kept)
@@ -47,7 +47,7 @@
 		r.wait(ctx, drainPoll)
 	}
 	r.d.generations.HandOver(ctx)
-	r.d.log.Emit(event.DaemonStopped, r.d.generations.Running(), r.d.calls.running())
+	r.d.log.Emit(event.DaemonStopped, r.d.generations.RunningCount(), r.d.calls.running())
 }
 
 func (r *drainer) wait(ctx context.Context, d time.Duration) {
@@ -58,7 +58,7 @@
 }
 
 func (r *drainer) busy() bool {
-	return r.d.generations.Running() > 0 || r.d.calls.running() > 0 || r.d.api.Active() > 0
+	return r.d.generations.RunningCount() > 0 || r.d.calls.running() > 0 || r.d.api.Active() > 0
 }
 
 // keptAnswers is the longest time for which a caller may keep an answer that
--- a/serve/flow/core.go
+++ b/serve/flow/core.go
@@ -23,7 +23,7 @@
 // that a simulation in virtual time drives exactly what the daemon runs. It is
 // not safe for concurrent use; Manager adds the lock.
 type Core struct {
-	place    Place
+	place    Location
 	observe  *observer
 	random   *rand.Rand
 	site     *site.Site
@@ -41,8 +41,8 @@
 	nextEval     time.Time
 }
 
-// Place is where this daemon stands.
-type Place struct {
+// Location is where this daemon stands.
+type Location struct {
 	VM     string
 	Zone   string
 	Region string
@@ -58,7 +58,7 @@
 // Waiter is a submitted request.
 type Waiter struct {
 	item    admit.Item
-	ask     Ask
+	ask     Request
 	sink    Sink
 	group   *group
 	arrived time.Time
@@ -98,7 +98,7 @@
 
 // NewCore returns a core without backend servers; Update gives it some.
 // log and registerer may be nil.
-func NewCore(place Place, log *event.Log, registerer prometheus.Registerer, seed uint64) *Core {
+func NewCore(place Location, log *event.Log, registerer prometheus.Registerer, seed uint64) *Core {
 	return &Core{
 		place: place, observe: newObserver(log, registerer),
 		random:   rand.New(rand.NewPCG(seed, route.Mix(seed))),
@@ -116,7 +116,7 @@
 	}
 }
 
-func classOf(ask *Ask) admit.Class {
+func classOf(ask *Request) admit.Class {
 	if ask.Resume {
 		return admit.Resumed
 	}
@@ -132,7 +132,7 @@
 
 // Submit decides about a request. The sink is called before Submit returns
 // unless the request waits; then the Waiter can be given to Cancel.
-func (c *Core) Submit(now time.Time, ask Ask, sink Sink) *Waiter {
+func (c *Core) Submit(now time.Time, ask Request, sink Sink) *Waiter {
 	w := c.waiter(now, ask, sink)
 	if err := c.precheck(now, w); err != nil {
 		c.refuse(now, w, err)
@@ -160,7 +160,7 @@
 	return w
 }
 
-func (c *Core) waiter(now time.Time, ask Ask, sink Sink) *Waiter {
+func (c *Core) waiter(now time.Time, ask Request, sink Sink) *Waiter {
 	if ask.Deadline.IsZero() {
 		wait := ask.Service.Deadline
 		if wait <= 0 {
@@ -170,7 +170,7 @@
 	}
 	w := &Waiter{ask: ask, sink: sink, group: c.asked(now, keyOf(ask.Service)), arrived: now}
 	w.item = admit.Item{
-		Weight: 1, Class: classOf(&ask), Cost: float64(max(ask.Cost, 1)), Deadline: ask.Deadline,
+		Weight: 1, Class: classOf(&ask), Cost: float64(max(ask.CostTokens, 1)), Deadline: ask.Deadline,
 	}
 	if ask.Account != nil {
 		w.item.Account = ask.Account.Name
--- a/serve/flow/decide_test.go
+++ b/serve/flow/decide_test.go
@@ -88,7 +88,7 @@
 			{ID: "e0", Zone: "a", Caller: "127.0.0.1:1"}, {ID: "e1", Zone: "b", Caller: "127.0.0.1:2"},
 		}}
 		m := flow.New(flow.Config{
-			Place: flow.Place{VM: "e0", Zone: "a"}, Site: f, Backends: snapshots{f},
+			Location: flow.Location{VM: "e0", Zone: "a"}, Site: f, Backends: snapshots{f},
 			Members: membership.Static{View: view}, Seed: 1,
 		})
 		a := ask(f, "review")
@@ -100,11 +100,11 @@
 			time.Sleep(time.Second)
 			var g flow.Grant
 			if g, err = m.Acquire(t.Context(), a); err == nil {
-				granted += a.Cost
+				granted += a.CostTokens
 				g.Done(flow.Outcome{})
 			}
 		}
-		test.Between(t, 600*50, granted, 660*50+2*a.Cost)
+		test.Between(t, 600*50, granted, 660*50+2*a.CostTokens)
 		for err == nil {
 			_, err = m.Acquire(t.Context(), a)
 		}
@@ -124,7 +124,7 @@
 		f := newFixed(4, 1000)
 		m := manager(t, f)
 		a := ask(f, "review")
-		a.Resume, a.Speculative, a.Extra = true, true, 500
+		a.Resume, a.Speculative, a.ExtraTokens = true, true, 500
 		granted := 0
 		var denied *verdict.Error
 		for range 100 {
--- a/serve/flow/fleet.go
+++ b/serve/flow/fleet.go
@@ -12,15 +12,15 @@
 
 // Fleet is what a core needs to know of the entry VMs.
 type Fleet struct {
-	Alive int      // entry VMs that serve, this one included
-	Zone  []uint64 // hashes of the ids of those in this VM's zone, this one included
-	VMs   []entries.VM
+	AliveCount int      // entry VMs that serve, this one included
+	ZoneHashes []uint64 // hashes of the ids of those in this VM's zone, this one included
+	VMs        []entries.VM
 }
 
-func (f *Fleet) count() int { return max(1, f.Alive) }
+func (f *Fleet) count() int { return max(1, f.AliveCount) }
 
 // fleetOf reads a membership view.
-func fleetOf(v *membership.View, place Place) Fleet {
+func fleetOf(v *membership.View, place Location) Fleet {
 	var f Fleet
 	for _, m := range v.Members {
 		serves := m.State == membership.Alive || m.State == membership.Suspect
@@ -31,9 +31,9 @@
 		if !serves {
 			continue
 		}
-		f.Alive++
+		f.AliveCount++
 		if m.Zone == place.Zone {
-			f.Zone = append(f.Zone, xxhash.Sum64String(m.ID))
+			f.ZoneHashes = append(f.ZoneHashes, xxhash.Sum64String(m.ID))
 		}
 	}
 	return f
@@ -62,7 +62,7 @@
 		return c.fleet.count()
 	}
 	if c.rank(b) == route.SameZone {
-		return max(1, len(c.fleet.Zone))
+		return max(1, len(c.fleet.ZoneHashes))
 	}
 	return 0
 }
@@ -83,14 +83,14 @@
 	for _, zone := range sortedKeys(zones) {
 		in := zones[zone]
 		size := route.SubsetSize
-		if zone != c.place.Zone && len(c.fleet.Zone) > fartherSize {
+		if zone != c.place.Zone && len(c.fleet.ZoneHashes) > fartherSize {
 			size = fartherSize
 		}
 		hashes := make([]uint64, len(in))
 		for i, b := range in {
 			hashes[i] = xxhash.Sum64String(b.VM.ID)
 		}
-		for _, i := range route.Subset(self, c.fleet.Zone, hashes, size) {
+		for _, i := range route.Subset(self, c.fleet.ZoneHashes, hashes, size) {
 			chosen = append(chosen, c.candidate(in[i]))
 		}
 	}
--- a/serve/flow/flow.go
+++ b/serve/flow/flow.go
@@ -11,13 +11,13 @@
 	"mallowwind.dev/external/engine"
 )
 
-// Ask describes work that wants a backend server.
-type Ask struct {
-	Request string // id for logs
-	Account *site.Account
-	Service *site.Service
-	// Cost is the expected work in tokens, prompt and answer together.
-	Cost int
+// Request describes work that wants a backend server.
+type Request struct {
+	RequestID string // id for logs
+	Account   *site.Account
+	Service   *site.Service
+	// CostTokens is the expected work in tokens, prompt and answer together.
+	CostTokens int
 	// PrefixHash is the hash of the prompt's leading block, 0 if none.
 	PrefixHash uint64
 	// Deadline is when the caller no longer waits to be dispatched.
@@ -28,9 +28,9 @@
 	// Speculative marks a continuation whose previous attempt may still be
 	// alive: it is extra work, and refused when the budget does not afford it.
 	Speculative bool
-	// Extra is the work, in generated tokens, that the budget is charged for a
+	// ExtraTokens is the work, in generated tokens, that the budget is charged for a
 	// continuation: mostly the prefill. 0 means Cost.
-	Extra float64
+	ExtraTokens float64
 	// Reattach asks for exactly the backend server in Prefer, which already runs
 	// the work: it needs no further slot there, so it does not wait for one.
 	Reattach bool
@@ -71,5 +71,5 @@
 type Dispatcher interface {
 	// Acquire waits until the work may start and returns where. Its error is
 	// always a *verdict.Error with verdict not_run.
-	Acquire(ctx context.Context, ask Ask) (Grant, error)
+	Acquire(ctx context.Context, ask Request) (Grant, error)
 }
--- a/serve/flow/hints.go
+++ b/serve/flow/hints.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// CacheEvent takes in one cache event of the engine with this id.
-func (c *Core) CacheEvent(id string, e engine.CacheEvent) { c.hints.note(id, e) }
+// RecordCacheEvent takes in one cache event of the engine with this id.
+func (c *Core) RecordCacheEvent(id string, e engine.CacheEvent) { c.hints.note(id, e) }
 
 // forget drops what is remembered of an engine that restarted with a cold cache.
 func (h *hints) forget(id string) {
@@ -115,7 +115,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, e := range events {
-		m.core.CacheEvent(s.id, e)
+		m.core.RecordCacheEvent(s.id, e)
 		s.seq = max(s.seq, e.Seq)
 	}
 }
--- a/serve/flow/manager.go
+++ b/serve/flow/manager.go
@@ -16,7 +16,7 @@
 
 // Config holds what a Manager needs. Site and Backends are required.
 type Config struct {
-	Place      Place
+	Location   Location
 	Site       site.Source
 	Backends   backends.Source
 	Members    membership.Source     // nil: this daemon is the only one
@@ -41,7 +41,7 @@
 func New(config Config) *Manager {
 	return &Manager{
 		config: config,
-		core:   NewCore(config.Place, config.Log, config.Registerer, config.Seed),
+		core:   NewCore(config.Location, config.Log, config.Registerer, config.Seed),
 	}
 }
 
@@ -86,9 +86,9 @@
 		return
 	}
 	m.site, m.snap, m.view = st, snap, view
-	fleet := Fleet{Alive: 1}
+	fleet := Fleet{AliveCount: 1}
 	if view != nil {
-		fleet = fleetOf(view, m.config.Place)
+		fleet = fleetOf(view, m.config.Location)
 	}
 	m.core.Update(now, st, snap, fleet)
 }
@@ -109,7 +109,7 @@
 func (s waitSink) Refused(_ time.Time, err *verdict.Error) { s <- result{err: err} }
 
 // Acquire implements Dispatcher.
-func (m *Manager) Acquire(ctx context.Context, ask Ask) (Grant, error) {
+func (m *Manager) Acquire(ctx context.Context, ask Request) (Grant, error) {
 	sink := make(waitSink, 1)
 	m.mu.Lock()
 	now := time.Now()
--- a/serve/flow/manager_test.go
+++ b/serve/flow/manager_test.go
@@ -79,7 +79,7 @@
 // manager returns a running Manager and stops it when the test ends.
 func manager(t *testing.T, f *fixed) *flow.Manager {
 	m := flow.New(flow.Config{
-		Place: flow.Place{VM: "e0", Zone: "a"}, Site: f, Backends: snapshots{f},
+		Location: flow.Location{VM: "e0", Zone: "a"}, Site: f, Backends: snapshots{f},
 		Registerer: prometheus.NewRegistry(), Seed: 1,
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -88,9 +88,9 @@
 	return m
 }
 
-func ask(f *fixed, service string) flow.Ask {
-	return flow.Ask{
-		Request: "r", Service: f.site.Services[service], Cost: 100,
+func ask(f *fixed, service string) flow.Request {
+	return flow.Request{
+		RequestID: "r", Service: f.site.Services[service], CostTokens: 100,
 		Account: &site.Account{Name: "acc", Share: 1},
 	}
 }
--- a/serve/flow/observe.go
+++ b/serve/flow/observe.go
@@ -71,18 +71,18 @@
 	class, wait := w.item.Class.String(), now.Sub(w.arrived)
 	o.dispatches.WithLabelValues(class, string(l.reason)).Inc()
 	o.waits.WithLabelValues(class).Observe(wait.Seconds())
-	o.log.Emit(event.RequestDispatched, w.ask.Request, accountName(w), w.ask.Service.Name, class,
+	o.log.Emit(event.RequestDispatched, w.ask.RequestID, accountName(w), w.ask.Service.Name, class,
 		l.server.backend.ID, l.server.backend.Zone, l.reason, wait, l.server.load.InFlight, l.server.load.Limit)
 }
 
 func (o *observer) queued(w *Waiter, d admit.Decision) {
-	o.log.Emit(event.RequestQueued, w.ask.Request, accountName(w), w.ask.Service.Name,
+	o.log.Emit(event.RequestQueued, w.ask.RequestID, accountName(w), w.ask.Service.Name,
 		w.item.Class.String(), d.Reason, d.PredictedWait)
 }
 
 func (o *observer) refused(_ time.Time, w *Waiter, err *verdict.Error) {
 	o.refusals.WithLabelValues(w.item.Class.String(), string(err.Code)).Inc()
-	o.log.Emit(event.RequestRefused, w.ask.Request, accountName(w), w.ask.Service.Name,
+	o.log.Emit(event.RequestRefused, w.ask.RequestID, accountName(w), w.ask.Service.Name,
 		w.item.Class.String(), err.Message, err.Code, err.RetryAfter)
 }
 
@@ -92,7 +92,7 @@
 		kind = "takeover"
 	}
 	o.expenses.WithLabelValues(string(why)).Inc()
-	o.log.Emit(event.BudgetDecided, w.ask.Request, kind, why, w.item.Cost, balance)
+	o.log.Emit(event.BudgetDecided, w.ask.RequestID, kind, why, w.item.Cost, balance)
 }
 
 func (o *observer) done(l *Lease, out Outcome) {
@@ -121,7 +121,7 @@
 
 func (o *observer) loading(w *Waiter, d loading.Decision) {
 	o.loads.WithLabelValues(string(d.Reason)).Inc()
-	o.log.Emit(event.LoadingDecided, w.ask.Request, w.ask.Service.Model, d.Reason, d.RetryAfter)
+	o.log.Emit(event.LoadingDecided, w.ask.RequestID, w.ask.Service.Model, d.Reason, d.RetryAfter)
 }
 
 func (o *observer) waiting(g *group) {
--- a/serve/flow/precheck.go
+++ b/serve/flow/precheck.go
@@ -63,7 +63,7 @@
 // certainly gone is always paid: its caller holds half an answer.
 func (c *Core) afford(now time.Time, w *Waiter) *verdict.Error {
 	waiting, _ := w.group.queue.Waiting()
-	cost := w.ask.Extra
+	cost := w.ask.ExtraTokens
 	if cost == 0 {
 		cost = w.item.Cost
 	}
--- a/serve/generation/attempt.go
+++ b/serve/generation/attempt.go
@@ -77,7 +77,7 @@
 }
 
 // run acquires a backend server, generates or attaches, and reports every chunk.
-func (a *attempt) run(d flow.Dispatcher, ask flow.Ask, spec *Spec, to chan<- report) {
+func (a *attempt) run(d flow.Dispatcher, ask flow.Request, spec *Spec, to chan<- report) {
 	defer a.cancel()
 	grant, err := d.Acquire(a.ctx, ask)
 	if err != nil {
@@ -194,7 +194,7 @@
 }
 
 // primeOne makes a backend server read a request's prefix and returns its id.
-func (m *Manager) primeOne(ctx context.Context, ask flow.Ask, req engine.Request) string {
+func (m *Manager) primeOne(ctx context.Context, ask flow.Request, req engine.Request) string {
 	grant, err := m.flow.Acquire(ctx, ask)
 	if err != nil {
 		return ""
--- a/serve/generation/decide.go
+++ b/serve/generation/decide.go
@@ -255,24 +255,24 @@
 	if s.reattach != nil {
 		a.reattach, a.engineNumber = true, s.reattach.GetNumber()
 		ask.Prefer, ask.Exclude = s.reattach.GetBackend(), nil
-		ask.Extra, ask.Speculative = reattachCost, false
+		ask.ExtraTokens, ask.Speculative = reattachCost, false
 		ask.Reattach, ask.Resume = true, true
 	}
 	go a.run(l.m.flow, ask, l.spec, l.reports)
 }
 
 // ask describes the work that is left to flow.
-func (l *loop) ask() flow.Ask {
+func (l *loop) ask() flow.Request {
 	read := promptTokens(l.spec.Prompt) + len(l.accepted)
-	return flow.Ask{
-		Request:    l.spec.ID,
-		Account:    l.spec.Account,
-		Service:    l.spec.Service,
-		Cost:       read + l.spec.MaxTokens - len(l.accepted),
-		PrefixHash: prefixHash(l.spec.Service, l.spec.Prompt),
-		Deadline:   time.Now().Add(l.spec.Service.Deadline),
-		Resume:     l.total > 1 || len(l.accepted) > 0,
-		Extra:      budget.TakeoverCost(read),
-		Exclude:    slices.Clone(l.excluded),
+	return flow.Request{
+		RequestID:   l.spec.ID,
+		Account:     l.spec.Account,
+		Service:     l.spec.Service,
+		CostTokens:  read + l.spec.MaxTokens - len(l.accepted),
+		PrefixHash:  prefixHash(l.spec.Service, l.spec.Prompt),
+		Deadline:    time.Now().Add(l.spec.Service.Deadline),
+		Resume:      l.total > 1 || len(l.accepted) > 0,
+		ExtraTokens: budget.TakeoverCost(read),
+		Exclude:     slices.Clone(l.excluded),
 	}
 }
--- a/serve/generation/manager.go
+++ b/serve/generation/manager.go
@@ -35,20 +35,20 @@
 
 // Config names what a Manager works with.
 type Config struct {
-	Site    site.Source
-	Members membership.Source
-	Flow    flow.Dispatcher
-	Dialer  *link.Dialer
-	Log     *event.Log
-	Metrics prometheus.Registerer
+	Site       site.Source
+	Members    membership.Source
+	Dispatcher flow.Dispatcher
+	Dialer     *link.Dialer
+	Log        *event.Log
+	Metrics    prometheus.Registerer
 	// Linger overrides how long an unread generation runs on; 0 means the default.
 	Linger time.Duration
 	// Policy overrides the resume policy of services; nil means the default.
 	Policy func(*site.Service) resume.Policy
-	// Version returns a service with the version that a new request runs with,
+	// ChooseVersion returns a service with the version that a new request runs with,
 	// none of those in except where another is ready; nil means the one that the
 	// site text names.
-	Version func(s *site.Service, except ...string) *site.Service
+	ChooseVersion func(s *site.Service, except ...string) *site.Service
 	// NotReady is told of a backend server that did not have the version which
 	// this daemon took it to have ready; it must not block. nil means nobody is.
 	NotReady func(backend string)
@@ -85,14 +85,14 @@
 	m := &Manager{
 		site:    c.Site,
 		members: c.Members,
-		flow:    c.Flow,
+		flow:    c.Dispatcher,
 		dialer:  c.Dialer,
 		log:     c.Log,
 		metrics: newMetrics(c.Metrics),
 		linger:  c.Linger,
 		watch:   newWatch(),
 		policy:  c.Policy,
-		version: c.Version,
+		version: c.ChooseVersion,
 		unready: c.NotReady,
 		owned:   make(map[string]*Generation),
 		ended:   make(map[string]time.Time),
@@ -139,8 +139,8 @@
 	}
 }
 
-// Running returns the number of generations that are not at their end.
-func (m *Manager) Running() int {
+// RunningCount returns the number of generations that are not at their end.
+func (m *Manager) RunningCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.owned) - len(m.ended)
@@ -175,7 +175,7 @@
 func (m *Manager) Submit(ctx context.Context, spec *Spec) (*Handle, error) {
 	spec.Service = m.version(spec.Service)
 	spec.assignID(m.members.Current().Self.ID)
-	if spec.Key == "" {
+	if spec.IdempotencyKey == "" {
 		g := m.start(spec, m.firstLine(0))
 		return m.handle(spec, g), nil
 	}
--- a/serve/generation/spec.go
+++ b/serve/generation/spec.go
@@ -23,9 +23,9 @@
 	Temperature float64
 	Seed        *int64
 	Stop        []string
-	// Key is the caller's Idempotency-Key, empty if none.
-	Key  string
-	Chat bool // the caller used the chat form
+	// IdempotencyKey is the caller's Idempotency-Key, empty if none.
+	IdempotencyKey string
+	Chat           bool // the caller used the chat form
 }
 
 // idBytes is the length of a generation id in bytes; epochs.ValidID checks the text form.
@@ -36,7 +36,7 @@
 // one it is random behind the owner's journal group, so that the copies of one
 // owner's answers have few holders.
 func (s *Spec) assignID(owner string) {
-	if s.Key == "" {
+	if s.IdempotencyKey == "" {
 		var b [idBytes]byte
 		_, _ = rand.Read(b[:])
 		group := journal.GroupName(owner, b[0])
@@ -44,7 +44,7 @@
 		return
 	}
 	h := sha256.New()
-	fmt.Fprintf(h, "%q %q %q", s.Account.Name, s.Service.Name, s.Key)
+	fmt.Fprintf(h, "%q %q %q", s.Account.Name, s.Service.Name, s.IdempotencyKey)
 	s.ID = "k" + hex.EncodeToString(h.Sum(nil)[:idBytes])
 }
 
@@ -71,7 +71,7 @@
 		Temperature:    s.Temperature,
 		Seed:           s.Seed,
 		Stop:           s.Stop,
-		IdempotencyKey: s.Key,
+		IdempotencyKey: s.IdempotencyKey,
 		BodyDigest:     s.digest(),
 		Chat:           s.Chat,
 	}
@@ -93,16 +93,16 @@
 	}
 	service.Model, service.Adapter, service.Version = w.GetModel(), w.GetAdapter(), w.GetVersion()
 	return &Spec{
-		ID:          w.GetId(),
-		Account:     account,
-		Service:     &service,
-		Prompt:      w.GetPrompt(),
-		MaxTokens:   int(w.GetMaxTokens()),
-		Temperature: w.GetTemperature(),
-		Seed:        w.Seed,
-		Stop:        w.GetStop(),
-		Key:         w.GetIdempotencyKey(),
-		Chat:        w.GetChat(),
+		ID:             w.GetId(),
+		Account:        account,
+		Service:        &service,
+		Prompt:         w.GetPrompt(),
+		MaxTokens:      int(w.GetMaxTokens()),
+		Temperature:    w.GetTemperature(),
+		Seed:           w.Seed,
+		Stop:           w.GetStop(),
+		IdempotencyKey: w.GetIdempotencyKey(),
+		Chat:           w.GetChat(),
 	}
 }
 
--- a/serve/generation/standby.go
+++ b/serve/generation/standby.go
@@ -38,7 +38,7 @@
 	}
 	ask := l.ask()
 	ask.Resume, ask.Speculative = true, true
-	ask.Extra = budget.TakeoverCost(len(l.accepted) - s.primed)
+	ask.ExtraTokens = budget.TakeoverCost(len(l.accepted) - s.primed)
 	ask.Exclude = append(ask.Exclude, lead.backend.ID)
 	ask.Prefer = s.backend
 	s.primed, s.busy = len(l.accepted), true
--- a/serve/generation/version_test.go
+++ b/serve/generation/version_test.go
@@ -61,13 +61,13 @@
 	snapshot := picture(believed, holds)
 	registry := prometheus.NewRegistry()
 	f := flow.New(flow.Config{
-		Place: flow.Place{VM: self.ID, Zone: self.Zone}, Site: in, Members: members,
+		Location: flow.Location{VM: self.ID, Zone: self.Zone}, Site: in, Members: members,
 		Backends: backends.Static{Snapshot: snapshot}, Registerer: registry,
 	})
 	c := &changing{service: service}
 	c.manager = NewManager(Config{
-		Site: in, Members: members, Flow: f, Log: event.Discard(), Metrics: registry, Dialer: link.NewDialer(nil),
-		Version: func(s *site.Service, except ...string) *site.Service {
+		Site: in, Members: members, Dispatcher: f, Log: event.Discard(), Metrics: registry, Dialer: link.NewDialer(nil),
+		ChooseVersion: func(s *site.Service, except ...string) *site.Service {
 			chosen := *s
 			wanted := engine.ModelRef{Model: s.Model, Version: s.Version}
 			chosen.Version = snapshot.Choose(s.Pool, wanted, 0, except...).Version
--- a/serve/once/dispatch.go
+++ b/serve/once/dispatch.go
@@ -155,9 +155,9 @@
 	return false
 }
 
-func newAsk(id string, account *site.Account, service *site.Service, exclude []string) flow.Ask {
-	return flow.Ask{
-		Request: id, Account: account, Service: service, Cost: 1, Exclude: exclude,
+func newAsk(id string, account *site.Account, service *site.Service, exclude []string) flow.Request {
+	return flow.Request{
+		RequestID: id, Account: account, Service: service, CostTokens: 1, Exclude: exclude,
 		Deadline: time.Now().Add(callDeadline(service)),
 	}
 }
--- a/serve/once/world_test.go
+++ b/serve/once/world_test.go
@@ -386,7 +386,7 @@
 	hold   atomic.Pointer[chan struct{}] // Acquire waits until it is closed
 }
 
-func (f *fakeFlow) Acquire(ctx context.Context, _ flow.Ask) (flow.Grant, error) {
+func (f *fakeFlow) Acquire(ctx context.Context, _ flow.Request) (flow.Grant, error) {
 	if hold := f.hold.Load(); hold != nil {
 		<-*hold
 	}
