--- a/control/backends/manager.go
+++ b/control/backends/manager.go
@@ -58,7 +58,7 @@
 	news     map[string]time.Time // when each VM that changed was last seen to
 	version  uint64
 	missing  map[string]vmlist.VM // VMs that the last read lacked for the first time
-	onNews   []func(membership.VMNews)
+	onNews   []func(membership.VMChange)
 	onReport []func(id string, digest uint64)
 }
 
--- a/control/backends/manager_test.go
+++ b/control/backends/manager_test.go
@@ -223,12 +223,12 @@
 		time.Sleep(time.Second)
 		leaving := b1
 		leaving.State = vmlist.Leaving
-		must.True(t, m.Learn(membership.VMNews{VM: leaving, Seen: time.Now()}))
+		must.True(t, m.Learn(membership.VMChange{VM: leaving, SeenAt: time.Now()}))
 		must.Eq(t, vmlist.Leaving, find(m, "b1").VM.State)
-		must.False(t, m.Learn(membership.VMNews{VM: b1, Seen: old}))
+		must.False(t, m.Learn(membership.VMChange{VM: b1, SeenAt: old}))
 		must.Eq(t, vmlist.Leaving, find(m, "b1").VM.State)
 		time.Sleep(time.Second)
-		must.True(t, m.Learn(membership.VMNews{VM: b2, Gone: true, Seen: time.Now()}))
+		must.True(t, m.Learn(membership.VMChange{VM: b2, Removed: true, SeenAt: time.Now()}))
 		must.Eq(t, vmlist.Leaving, find(m, "b2").VM.State)
 	})
 }
@@ -240,8 +240,8 @@
 		b1, b2 := backend("b1", vmlist.Live), backend("b2", vmlist.Live)
 		list.set(b2, b1)
 		m := NewManager(Deps{Self: "d1", Zone: "a", VMs: list, Engine: func(string) engine.Engine { return &engineFake{} }})
-		var news []membership.VMNews
-		m.OnNews(func(n membership.VMNews) { news = append(news, n) })
+		var news []membership.VMChange
+		m.OnNews(func(n membership.VMChange) { news = append(news, n) })
 		read := func(rows ...vmlist.VM) {
 			list.set(rows...)
 			m.readList(t.Context())
@@ -250,14 +250,14 @@
 		read(b1) // short
 		read(b1, b2)
 		must.SliceLen(t, 1, news)
-		must.False(t, news[0].Gone)
+		must.False(t, news[0].Removed)
 		b1.State = vmlist.Leaving
 		read(b1, b2)
 		read(b2)
 		must.SliceLen(t, 2, news)
 		read(b2)
 		must.SliceLen(t, 3, news)
-		must.True(t, news[2].Gone)
+		must.True(t, news[2].Removed)
 		must.Eq(t, "b1", news[2].VM.ID)
 	})
 }
--- a/control/backends/news.go
+++ b/control/backends/news.go
@@ -38,19 +38,19 @@
 
 // OnNews registers f to be called with each change that this daemon finds in
 // the list it read itself. f must not block. Call OnNews before Run.
-func (m *Manager) OnNews(f func(membership.VMNews)) { m.onNews = append(m.onNews, f) }
+func (m *Manager) OnNews(f func(membership.VMChange)) { m.onNews = append(m.onNews, f) }
 
 // Learn takes a change that another daemon found. It reports whether it was
 // new here, so that it is passed on.
-func (m *Manager) Learn(n membership.VMNews) bool {
+func (m *Manager) Learn(n membership.VMChange) bool {
 	m.mu.Lock()
-	if m.list == nil || !n.Seen.After(m.news[n.VM.ID]) {
+	if m.list == nil || !n.SeenAt.After(m.news[n.VM.ID]) {
 		m.mu.Unlock()
 		return false
 	}
-	m.news[n.VM.ID] = n.Seen
+	m.news[n.VM.ID] = n.SeenAt
 	rows, changed := patched(m.list, n)
-	if e, ok := m.entries[n.VM.ID]; ok && n.Gone && changed {
+	if e, ok := m.entries[n.VM.ID]; ok && n.Removed && changed {
 		e.absent = absences - 1 // the reader has seen it missing often enough
 	}
 	m.mu.Unlock()
@@ -61,12 +61,12 @@
 }
 
 // patched returns the rows with one change made, ordered by id.
-func patched(rows []vmlist.VM, n membership.VMNews) ([]vmlist.VM, bool) {
+func patched(rows []vmlist.VM, n membership.VMChange) ([]vmlist.VM, bool) {
 	i, found := slices.BinarySearchFunc(rows, n.VM.ID, func(vm vmlist.VM, id string) int { return strings.Compare(vm.ID, id) })
 	switch {
-	case n.Gone && !found, found && !n.Gone && rows[i] == n.VM:
+	case n.Removed && !found, found && !n.Removed && rows[i] == n.VM:
 		return rows, false
-	case n.Gone:
+	case n.Removed:
 		return slices.Delete(slices.Clone(rows), i, i+1), true
 	case found:
 		rows = slices.Clone(rows)
@@ -82,24 +82,24 @@
 
 // differences returns how rows differ from the list before. A VM counts as
 // gone when two reads in a row lack it.
-func (m *Manager) differences(rows []vmlist.VM, now time.Time) []membership.VMNews {
+func (m *Manager) differences(rows []vmlist.VM, now time.Time) []membership.VMChange {
 	if len(m.missing) == 0 && slices.Equal(rows, m.list) {
 		return nil
 	}
-	var news []membership.VMNews
+	var news []membership.VMChange
 	before := make(map[string]vmlist.VM, len(m.list))
 	for _, vm := range m.list {
 		before[vm.ID] = vm
 	}
 	for _, vm := range rows {
 		if old, ok := before[vm.ID]; !ok || old != vm {
-			news = append(news, membership.VMNews{VM: vm, Seen: now})
+			news = append(news, membership.VMChange{VM: vm, SeenAt: now})
 		}
 		delete(before, vm.ID)
 		delete(m.missing, vm.ID)
 	}
 	for _, vm := range m.missing {
-		news = append(news, membership.VMNews{VM: vm, Gone: true, Seen: now})
+		news = append(news, membership.VMChange{VM: vm, Removed: true, SeenAt: now})
 	}
 	m.missing = before
 	maps.DeleteFunc(m.news, func(_ string, seen time.Time) bool { return now.Sub(seen) > newsKept })
--- a/control/inforce/fetch.go
+++ b/control/inforce/fetch.go
@@ -128,14 +128,14 @@
 }
 
 func (m *Manager) client(peer membership.Member) peerpb.Config {
-	return peerpb.NewConfigProtobufClient(m.cfg.Dialer.URL(peer.Peer), m.cfg.Dialer.Client)
+	return peerpb.NewConfigProtobufClient(m.cfg.Dialer.URL(peer.PeerAddr), m.cfg.Dialer.Client)
 }
 
 // randomPeers returns up to n other members that are not gone, in random order.
 func (m *Manager) randomPeers(n int) []membership.Member {
 	var list []membership.Member
 	for _, peer := range m.cfg.Members.Current().Members {
-		if peer.ID != m.cfg.VM && peer.State != membership.Gone && peer.Peer != "" {
+		if peer.ID != m.cfg.VM && peer.State != membership.Gone && peer.PeerAddr != "" {
 			list = append(list, peer)
 		}
 	}
--- a/control/inforce/fleet_test.go
+++ b/control/inforce/fleet_test.go
@@ -57,7 +57,7 @@
 	f.logger.SetOutput(&f.log)
 	for i := range zones * perZone {
 		f.view.Members = append(f.view.Members, membership.Member{
-			ID: fmt.Sprintf("vm-%d", i), Zone: fmt.Sprintf("zone-%d", i%zones), Peer: fmt.Sprintf("vm-%d:1", i),
+			ID: fmt.Sprintf("vm-%d", i), Zone: fmt.Sprintf("zone-%d", i%zones), PeerAddr: fmt.Sprintf("vm-%d:1", i),
 		})
 	}
 	for _, m := range f.view.Members {
@@ -153,7 +153,7 @@
 
 func (t transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	for _, n := range t.nodes {
-		if n.member.Peer != r.URL.Host {
+		if n.member.PeerAddr != r.URL.Host {
 			continue
 		}
 		if !t.areConnected(t.from.member.Zone, n.member.Zone) {
--- a/control/lease/lease.go
+++ b/control/lease/lease.go
@@ -21,39 +21,39 @@
 	"time"
 )
 
-// Hold is a lease as its holder knows it.
-type Hold struct {
-	// Fence is the fencing number; it grows from holder to holder.
-	Fence uint64
-	// Taken is when this daemon knew that it held the lease.
-	Taken time.Time
-	// Until is when the hold ends unless it is renewed.
-	Until time.Time
+// Lease is a lease as its holder knows it.
+type Lease struct {
+	// FencingToken is the fencing number; it grows from holder to holder.
+	FencingToken uint64
+	// AcquiredAt is when this daemon knew that it held the lease.
+	AcquiredAt time.Time
+	// ExpiresAt is when the hold ends unless it is renewed.
+	ExpiresAt time.Time
 	// wall is Until without the monotonic reading.
 	wall time.Time
 }
 
 // newHold returns a hold that lasts until the given time.
-func newHold(fence uint64, taken, until time.Time) Hold {
-	return Hold{Fence: fence, Taken: taken, Until: until, wall: until.Round(0)}
+func newHold(fence uint64, taken, until time.Time) Lease {
+	return Lease{FencingToken: fence, AcquiredAt: taken, ExpiresAt: until, wall: until.Round(0)}
 }
 
-// Valid reports whether the hold lasts at now.
+// IsValid reports whether the hold lasts at now.
 //
 // Both clocks must agree. The failure: a virtual machine is frozen and thawed,
 // and its monotonic clock stood still meanwhile. It shows as a holder that
 // goes on for what it takes to be the rest of its lease. The wall clock is
 // set right after a thaw and gives it away; while the wall clock is wrong the
 // monotonic one still bounds the hold.
-func (h Hold) Valid(now time.Time) bool {
-	return h.Fence != 0 && now.Before(h.Until) && now.Round(0).Before(h.wall)
+func (h Lease) IsValid(now time.Time) bool {
+	return h.FencingToken != 0 && now.Before(h.ExpiresAt) && now.Round(0).Before(h.wall)
 }
 
 // Source tells whether this daemon holds the lease.
 type Source interface {
-	// Held returns the hold; it is the zero Hold, which is never valid, while
+	// Current returns the hold; it is the zero Hold, which is never valid, while
 	// another daemon or nobody holds the lease.
-	Held() Hold
+	Current() Lease
 }
 
 // Config holds the intervals of a Manager.
@@ -61,25 +61,25 @@
 	// TTL is how long a lease lasts after its last renewal: the longest time
 	// a zone is without orders after its holder died, together with Check.
 	TTL time.Duration
-	// Margin is taken off TTL at the holder. A tenth covers clocks that differ
+	// ExpiryMargin is taken off TTL at the holder. A tenth covers clocks that differ
 	// by a tenth in speed, far more than any that works.
-	Margin time.Duration
-	// Renew is the time between renewals; three fit into a TTL.
-	Renew time.Duration
-	// Check is the time between two looks of a candidate that does not hold.
-	Check time.Duration
+	ExpiryMargin time.Duration
+	// RenewInterval is the time between renewals; three fit into a TTL.
+	RenewInterval time.Duration
+	// CheckInterval is the time between two looks of a candidate that does not hold.
+	CheckInterval time.Duration
 	// CallTimeout bounds one call to the store.
 	CallTimeout time.Duration
 	// Candidates is how many daemons of a zone try for the lease.
 	Candidates int
-	// Jitter is the share by which Check varies.
-	Jitter float64
+	// JitterRatio is the share by which Check varies.
+	JitterRatio float64
 }
 
 // DefaultConfig returns the values in use.
 func DefaultConfig() Config {
 	return Config{
-		TTL: 10 * time.Second, Margin: time.Second, Renew: 3 * time.Second, Check: 4 * time.Second,
-		CallTimeout: 2 * time.Second, Candidates: 3, Jitter: 0.2,
+		TTL: 10 * time.Second, ExpiryMargin: time.Second, RenewInterval: 3 * time.Second, CheckInterval: 4 * time.Second,
+		CallTimeout: 2 * time.Second, Candidates: 3, JitterRatio: 0.2,
 	}
 }
--- a/control/lease/manager.go
+++ b/control/lease/manager.go
@@ -38,7 +38,7 @@
 	key   string
 	value string
 	rng   *rand.Rand
-	hold  atomic.Pointer[Hold]
+	hold  atomic.Pointer[Lease]
 
 	// Used by Run only.
 	id     store.LeaseID // the lease behind hold, or one to try again
@@ -64,12 +64,12 @@
 		value: self.ID + " " + strconv.FormatUint(self.Incarnation, 10),
 		rng:   rand.New(rand.NewPCG(seed, self.Incarnation)),
 	}
-	m.hold.Store(&Hold{})
+	m.hold.Store(&Lease{})
 	return m
 }
 
-// Held implements Source.
-func (m *Manager) Held() Hold { return *m.hold.Load() }
+// Current implements Source.
+func (m *Manager) Current() Lease { return *m.hold.Load() }
 
 // Run competes for the lease until ctx ends, then gives it up.
 func (m *Manager) Run(ctx context.Context) error {
@@ -92,7 +92,7 @@
 		return m.renew(ctx)
 	case rank < 0:
 		m.absent = time.Time{}
-		return m.jittered(m.cfg.Check)
+		return m.jittered(m.cfg.CheckInterval)
 	default:
 		return m.contend(ctx, rank)
 	}
@@ -110,17 +110,17 @@
 	m.met.calls.Inc()
 	switch {
 	case err == nil:
-		m.holdUntil(before.Add(min(ttl, m.cfg.TTL) - m.cfg.Margin))
-		return m.cfg.Renew
+		m.holdUntil(before.Add(min(ttl, m.cfg.TTL) - m.cfg.ExpiryMargin))
+		return m.cfg.RenewInterval
 	case errors.Is(err, store.ErrLeaseGone):
 		m.drop("the store ended the lease")
-		return m.jittered(m.cfg.Check)
+		return m.jittered(m.cfg.CheckInterval)
 	}
 	m.deps.Log.Emit(event.LeaseFailed, m.key, err.Error())
-	if h := m.Held(); h.Fence != 0 && !h.Valid(time.Now()) {
+	if h := m.Current(); h.FencingToken != 0 && !h.IsValid(time.Now()) {
 		m.clear("not renewed in time")
 	}
-	return m.jittered(m.cfg.Renew / 3)
+	return m.jittered(m.cfg.RenewInterval / 3)
 }
 
 // contend looks at the key and takes the lease if nobody holds it. Candidates
@@ -134,21 +134,21 @@
 	switch {
 	case err == nil:
 		m.absent = time.Time{}
-		return m.jittered(m.cfg.Check)
+		return m.jittered(m.cfg.CheckInterval)
 	case !errors.Is(err, store.ErrNotFound):
 		m.deps.Log.Emit(event.LeaseFailed, m.key, err.Error())
-		return m.jittered(m.cfg.Check)
+		return m.jittered(m.cfg.CheckInterval)
 	}
 	if m.absent.IsZero() {
 		m.absent = now
 	}
-	if turn := m.absent.Add(time.Duration(rank) * m.cfg.Renew / 2); now.Before(turn) {
+	if turn := m.absent.Add(time.Duration(rank) * m.cfg.RenewInterval / 2); now.Before(turn) {
 		return turn.Sub(now)
 	}
 	if m.acquire(ctx) {
-		return m.cfg.Renew
+		return m.cfg.RenewInterval
 	}
-	return m.jittered(m.cfg.Check)
+	return m.jittered(m.cfg.CheckInterval)
 }
 
 // acquire starts a lease and binds the key to it.
@@ -172,7 +172,7 @@
 		return false
 	}
 	m.id, m.fence = id, uint64(version)
-	m.holdUntil(before.Add(m.cfg.TTL - m.cfg.Margin))
+	m.holdUntil(before.Add(m.cfg.TTL - m.cfg.ExpiryMargin))
 	return true
 }
 
@@ -198,27 +198,27 @@
 // holdUntil sets the deadline of the hold and logs it when it is new. An
 // answer that came too late to hold anything begins none.
 func (m *Manager) holdUntil(until time.Time) {
-	h := m.Held()
-	if h.Fence == 0 && !time.Now().Before(until) {
+	h := m.Current()
+	if h.FencingToken == 0 && !time.Now().Before(until) {
 		return
 	}
-	if h.Fence == 0 {
+	if h.FencingToken == 0 {
 		h = newHold(m.fence, time.Now(), until)
 		m.deps.Log.Emit(event.LeaseTaken, m.key, m.fence)
 		m.met.held.Set(1)
 		m.met.taken.Inc()
 	} else {
-		h = newHold(h.Fence, h.Taken, until)
+		h = newHold(h.FencingToken, h.AcquiredAt, until)
 	}
 	m.hold.Store(&h)
 }
 
 // clear ends the hold but keeps the lease's id for another try.
 func (m *Manager) clear(reason string) {
-	if h := m.Held(); h.Fence != 0 {
-		m.deps.Log.Emit(event.LeaseLost, m.key, h.Fence, reason)
+	if h := m.Current(); h.FencingToken != 0 {
+		m.deps.Log.Emit(event.LeaseLost, m.key, h.FencingToken, reason)
 	}
-	m.hold.Store(&Hold{})
+	m.hold.Store(&Lease{})
 	m.met.held.Set(0)
 }
 
@@ -249,5 +249,5 @@
 }
 
 func (m *Manager) jittered(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (1 + m.cfg.Jitter*(2*m.rng.Float64()-1)))
+	return time.Duration(float64(d) * (1 + m.cfg.JitterRatio*(2*m.rng.Float64()-1)))
 }
--- a/control/lease/manager_test.go
+++ b/control/lease/manager_test.go
@@ -91,7 +91,7 @@
 	synctest.Wait()
 	holder := -1
 	for i, m := range w.managers {
-		if m.Held().Valid(time.Now()) {
+		if m.Current().IsValid(time.Now()) {
 			must.Eq(t, -1, holder)
 			holder = i
 		}
@@ -125,20 +125,20 @@
 		w := newWorld(t, 3)
 		time.Sleep(10 * time.Second)
 		first := w.holder(t)
-		fence := w.managers[first].Held().Fence
+		fence := w.managers[first].Current().FencingToken
 		w.cancels[first]()
 		time.Sleep(8 * time.Second)
 		second := w.holder(t)
 		must.NotEq(t, -1, second)
-		must.Greater(t, fence, w.managers[second].Held().Fence)
+		must.Greater(t, fence, w.managers[second].Current().FencingToken)
 
-		fence = w.managers[second].Held().Fence
+		fence = w.managers[second].Current().FencingToken
 		w.gate(second).shut() // never answers again
 		time.Sleep(25 * time.Second)
 		third := w.holder(t)
 		must.NotEq(t, -1, third)
 		must.NotEq(t, second, third)
-		must.Greater(t, fence, w.managers[third].Held().Fence)
+		must.Greater(t, fence, w.managers[third].Current().FencingToken)
 	})
 }
 
@@ -171,7 +171,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3)
 		time.Sleep(10 * time.Second)
-		fence := w.managers[w.holder(t)].Held().Fence
+		fence := w.managers[w.holder(t)].Current().FencingToken
 		w.store.SetDown(true)
 		time.Sleep(DefaultConfig().TTL)
 		must.Eq(t, -1, w.holder(t))
@@ -180,7 +180,7 @@
 		time.Sleep(15 * time.Second)
 		next := w.holder(t)
 		must.NotEq(t, -1, next)
-		must.Greater(t, fence, w.managers[next].Held().Fence)
+		must.Greater(t, fence, w.managers[next].Current().FencingToken)
 	})
 }
 
@@ -196,7 +196,7 @@
 			must.NotEq(t, -1, holder)
 			kv, err := w.store.Get(t.Context(), Prefix+"a")
 			must.NoError(t, err)
-			must.Eq(t, uint64(kv.Version), w.managers[holder].Held().Fence)
+			must.Eq(t, uint64(kv.Version), w.managers[holder].Current().FencingToken)
 			must.Eq(t, w.managers[holder].value, string(kv.Value))
 		})
 	}
@@ -207,8 +207,8 @@
 func TestHoldEndsByWallClock(t *testing.T) {
 	now := time.Now()
 	h := newHold(1, now, now.Add(9*time.Second))
-	must.True(t, h.Valid(now.Add(8*time.Second)))
+	must.True(t, h.IsValid(now.Add(8*time.Second)))
 	h.wall = h.wall.Add(-10 * time.Second)
-	must.False(t, h.Valid(now.Add(8*time.Second)))
-	must.False(t, Hold{}.Valid(now))
+	must.False(t, h.IsValid(now.Add(8*time.Second)))
+	must.False(t, Lease{}.IsValid(now))
 }
--- a/control/membership/convert.go
+++ b/control/membership/convert.go
@@ -17,14 +17,14 @@
 func toMember(r gossip.Record) Member {
 	return Member{
 		ID: r.ID, Incarnation: r.Incarnation, Zone: r.Zone, Region: r.Region,
-		Caller: r.CallerAddr, Peer: r.PeerAddr, State: State(r.State),
+		CallerAddr: r.CallerAddr, PeerAddr: r.PeerAddr, State: State(r.State),
 	}
 }
 
 func toRecord(m Member) gossip.Record {
 	return gossip.Record{
 		ID: m.ID, Incarnation: m.Incarnation, Zone: m.Zone, Region: m.Region,
-		CallerAddr: m.Caller, PeerAddr: m.Peer, State: gossip.State(m.State),
+		CallerAddr: m.CallerAddr, PeerAddr: m.PeerAddr, State: gossip.State(m.State),
 	}
 }
 
--- a/control/membership/exchange.go
+++ b/control/membership/exchange.go
@@ -27,7 +27,7 @@
 	if m.exchange(ctx, target) == nil || target.State == gossip.Gone {
 		return
 	}
-	m.deps.Dial.DropIdle()
+	m.deps.Dialer.DropIdle()
 	if m.exchange(ctx, target) == nil {
 		return
 	}
@@ -70,7 +70,7 @@
 }
 
 func (m *Manager) client(to gossip.Record) peerpb.Membership {
-	return peerpb.NewMembershipProtobufClient(m.deps.Dial.URL(to.PeerAddr), m.deps.Dial.Client)
+	return peerpb.NewMembershipProtobufClient(m.deps.Dialer.URL(to.PeerAddr), m.deps.Dialer.Client)
 }
 
 // exchange passes news both ways with one daemon.
--- a/control/membership/fleet_test.go
+++ b/control/membership/fleet_test.go
@@ -62,9 +62,9 @@
 
 func (f *fleet) start(nd *node, incarnation uint64) {
 	nd.Manager = NewManager(Deps{
-		Self: Member{ID: nd.id, Incarnation: incarnation, Zone: nd.zone, Region: nd.region, Peer: nd.id, Caller: nd.id},
-		VMs:  f,
-		Dial: link.NewDialerWith(&http.Client{Transport: &wire{f: f, from: nd}}),
+		Self:   Member{ID: nd.id, Incarnation: incarnation, Zone: nd.zone, Region: nd.region, PeerAddr: nd.id, CallerAddr: nd.id},
+		VMs:    f,
+		Dialer: link.NewDialerWith(&http.Client{Transport: &wire{f: f, from: nd}}),
 	})
 	nd.handler = peerpb.NewMembershipServer(nd.Manager)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/control/membership/manager.go
+++ b/control/membership/manager.go
@@ -24,8 +24,8 @@
 	Self Member
 	// VMs is the platform's list, usually by way of backends.Manager.
 	VMs vmlist.Source
-	// Dial reaches other daemons.
-	Dial *link.Dialer
+	// Dialer reaches other daemons.
+	Dialer *link.Dialer
 	// PeerAddress returns where a listed entry VM takes calls from other
 	// daemons; nil means VM.Address. It is needed for first contact only.
 	PeerAddress func(vmlist.VM) string
@@ -45,7 +45,7 @@
 
 	onDigest []func(m Member, name string, version uint64)
 	onChange []func(*View)
-	onVM     []func(VMNews)
+	onVM     []func(VMChange)
 	onReport []func(id string, digest uint64)
 
 	mu         sync.Mutex
@@ -117,9 +117,9 @@
 	}
 }
 
-// Serve tells the others where callers reach this daemon. Until then it takes
+// AnnounceCallerAddr tells the others where callers reach this daemon. Until then it takes
 // part without being named to callers.
-func (m *Manager) Serve(caller string) {
+func (m *Manager) AnnounceCallerAddr(caller string) {
 	m.mu.Lock()
 	c := m.table.SetCallerAddr(caller)
 	m.mu.Unlock()
@@ -157,7 +157,7 @@
 	spread := time.NewTimer(time.Hour)
 	spread.Stop()
 	pending := false
-	budget := rate.NewLimiter(rate.Every(m.cfg.SpreadEvery), m.cfg.SpreadBurst)
+	budget := rate.NewLimiter(rate.Every(m.cfg.FanoutInterval), m.cfg.FanoutBurst)
 	for {
 		select {
 		case <-ctx.Done():
@@ -166,14 +166,14 @@
 			return ctx.Err()
 		case <-list.C:
 			m.readList(ctx)
-			list.Reset(m.cfg.ListEvery)
+			list.Reset(m.cfg.ListInterval)
 		case <-round.C:
 			m.round(ctx)
 			round.Reset(m.interval())
 		case <-m.news:
 			if !pending {
 				pending = true
-				spread.Reset(max(m.cfg.SpreadDelay, budget.Reserve().Delay()))
+				spread.Reset(max(m.cfg.FanoutDelay, budget.Reserve().Delay()))
 			}
 		case <-spread.C:
 			pending = false
@@ -192,11 +192,11 @@
 func (m *Manager) interval() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return time.Duration(float64(m.cfg.Gossip.ProbeInterval) * (1 + m.cfg.Jitter*(2*m.rng.Float64()-1)))
+	return time.Duration(float64(m.cfg.Gossip.ProbeInterval) * (1 + m.cfg.JitterRatio*(2*m.rng.Float64()-1)))
 }
 
 func (m *Manager) readList(ctx context.Context) {
-	readCtx, cancel := context.WithTimeout(ctx, m.cfg.ListEvery)
+	readCtx, cancel := context.WithTimeout(ctx, m.cfg.ListInterval)
 	defer cancel()
 	rows, err := m.deps.VMs.List(readCtx)
 	if err != nil {
--- a/control/membership/manager_test.go
+++ b/control/membership/manager_test.go
@@ -180,7 +180,7 @@
 		for id, nd := range f.nodes {
 			n := &atomic.Int64{}
 			times[id] = n
-			nd.OnVM(func(news VMNews) {
+			nd.OnVMChange(func(news VMChange) {
 				must.Eq(t, vmlist.Leaving, news.VM.State)
 				n.Add(1)
 				if !slices.Contains(readers, id) {
@@ -191,7 +191,7 @@
 		f.until("joined", 30*time.Second, f.whole)
 		vm := vmlist.VM{ID: "b1", Role: vmlist.RoleBackend, State: vmlist.Leaving}
 		for _, id := range readers {
-			f.nodes[id].ShareVM(VMNews{VM: vm, Seen: time.Now()})
+			f.nodes[id].BroadcastVMChange(VMChange{VM: vm, SeenAt: time.Now()})
 			time.Sleep(10 * time.Millisecond)
 		}
 		f.until("heard by all", 2*time.Second, func() bool { return heard.Load() >= 27 })
--- a/control/membership/news.go
+++ b/control/membership/news.go
@@ -7,16 +7,16 @@
 	"mallowwind.dev/peer/peerpb"
 )
 
-// VMNews is one change of the platform's VM list, as the daemons that read the
+// VMChange is one change of the platform's VM list, as the daemons that read the
 // list pass it on to the others.
-type VMNews struct {
+type VMChange struct {
 	VM vmlist.VM
-	// Gone says that the list no longer shows the VM.
-	Gone bool
-	// Seen is when the reader saw the change, by its wall clock. The newest
+	// Removed says that the list no longer shows the VM.
+	Removed bool
+	// SeenAt is when the reader saw the change, by its wall clock. The newest
 	// news of a VM wins; what clocks that differ get wrong lasts until the
 	// next full read.
-	Seen time.Time
+	SeenAt time.Time
 }
 
 // row is a VMNews without its time.
@@ -25,14 +25,14 @@
 	gone bool
 }
 
-// OnVM registers f to be called with changes of the VM list that others found.
+// OnVMChange registers f to be called with changes of the VM list that others found.
 // f must not block. Call OnVM before Run.
-func (m *Manager) OnVM(f func(VMNews)) { m.onVM = append(m.onVM, f) }
+func (m *Manager) OnVMChange(f func(VMChange)) { m.onVM = append(m.onVM, f) }
 
-// ShareVM passes on a change of the VM list that this daemon found.
-func (m *Manager) ShareVM(n VMNews) {
+// BroadcastVMChange passes on a change of the VM list that this daemon found.
+func (m *Manager) BroadcastVMChange(n VMChange) {
 	m.mu.Lock()
-	fresh := m.vms.keep(n.VM.ID, row{n.VM, n.Gone}, n.Seen, len(m.Current().Members))
+	fresh := m.vms.keep(n.VM.ID, row{n.VM, n.Removed}, n.SeenAt, len(m.Current().Members))
 	m.mu.Unlock()
 	if fresh {
 		m.wake()
@@ -44,8 +44,8 @@
 // Call OnReport before Run.
 func (m *Manager) OnReport(f func(id string, digest uint64)) { m.onReport = append(m.onReport, f) }
 
-// ShareReport passes on that this daemon found a backend server's report changed.
-func (m *Manager) ShareReport(id string, digest uint64) {
+// BroadcastReportChange passes on that this daemon found a backend server's report changed.
+func (m *Manager) BroadcastReportChange(id string, digest uint64) {
 	m.mu.Lock()
 	fresh := m.reports.keep(id, digest, time.Now(), len(m.Current().Members))
 	m.mu.Unlock()
@@ -73,15 +73,15 @@
 func (m *Manager) absorbNews(g *peerpb.Gossip) {
 	members := len(m.Current().Members)
 	for _, p := range g.Vms {
-		n := VMNews{
+		n := VMChange{
 			VM: vmlist.VM{
 				ID: p.Id, Address: p.Address, Zone: p.Zone, Region: p.Region,
 				Role: vmlist.Role(p.Role), Pool: p.Pool, State: vmlist.State(p.State),
 			},
-			Gone: p.Gone, Seen: time.Unix(0, int64(p.Seen)),
+			Removed: p.Gone, SeenAt: time.Unix(0, int64(p.Seen)),
 		}
 		m.mu.Lock()
-		fresh := m.vms.keep(n.VM.ID, row{n.VM, n.Gone}, n.Seen, members)
+		fresh := m.vms.keep(n.VM.ID, row{n.VM, n.Removed}, n.SeenAt, members)
 		m.mu.Unlock()
 		if !fresh {
 			continue
--- a/control/membership/view.go
+++ b/control/membership/view.go
@@ -25,8 +25,8 @@
 	Incarnation uint64 // start time of the daemon process, unix nanoseconds
 	Zone        string
 	Region      string
-	Caller      string // address callers connect to
-	Peer        string // address other daemons connect to
+	CallerAddr  string // address callers connect to
+	PeerAddr    string // address other daemons connect to
 	State       State
 }
 
--- a/control/reconcile/fence.go
+++ b/control/reconcile/fence.go
@@ -30,15 +30,15 @@
 	if o.fenced || !o.silent.IsZero() || o.seen.IsZero() || !fencing(text, o.vm.Pool) {
 		return
 	}
-	hold := m.deps.Lease.Held()
-	if hold.Fence != m.fence || !hold.Valid(time.Now()) {
+	hold := m.deps.Lease.Current()
+	if hold.FencingToken != m.fence || !hold.IsValid(time.Now()) {
 		return
 	}
 	role := o.status.Role
 	if role == "" {
 		role = engine.RoleMixed
 	}
-	order := engine.Order{ID: uuid.NewString(), Kind: engine.OrderRole, Role: role, Fence: hold.Fence}
+	order := engine.Order{ID: uuid.NewString(), Kind: engine.OrderRole, Role: role, Fence: hold.FencingToken}
 	orderCtx, cancel := context.WithTimeout(ctx, m.cfg.StatusTimeout)
 	err := o.eng.Order(orderCtx, order)
 	cancel()
--- a/control/reconcile/manager_test.go
+++ b/control/reconcile/manager_test.go
@@ -127,7 +127,7 @@
 		first := w.holder()
 		first.stop()
 		w.until("another holds", time.Minute, func() bool { return w.holder() != nil })
-		taken := w.holder().lease.Held().Taken
+		taken := w.holder().lease.Current().AcquiredAt
 		given := len(w.given())
 		w.apply(2, v2, 3, 1)
 		w.until("the first order", time.Minute, func() bool { return len(w.given()) > given })
--- a/control/reconcile/observe.go
+++ b/control/reconcile/observe.go
@@ -199,7 +199,7 @@
 }
 
 // plan asks the decision package for the next step.
-func (m *Manager) plan(ctx context.Context, hold lease.Hold, text *site.Site) placement.Step {
+func (m *Manager) plan(ctx context.Context, hold lease.Lease, text *site.Site) placement.Step {
 	in := placement.Input{Services: desired(text, m.deps.Zone), LoadBudget: m.freeFetches(ctx, text), Now: time.Now()}
 	for id, o := range m.engines {
 		b := placement.Backend{
@@ -221,13 +221,13 @@
 }
 
 // earliest is when an engine may be given its next order.
-func (m *Manager) earliest(o *observed, hold lease.Hold, text *site.Site) time.Time {
+func (m *Manager) earliest(o *observed, hold lease.Lease, text *site.Site) time.Time {
 	earliest := o.readyAt.Add(m.cfg.Settle)
 	if o.holdUntil.After(earliest) {
 		earliest = o.holdUntil
 	}
 	if !fencing(text, o.vm.Pool) {
-		if t := hold.Taken.Add(m.cfg.WaitOut); t.After(earliest) {
+		if t := hold.AcquiredAt.Add(m.cfg.WaitOut); t.After(earliest) {
 			earliest = t
 		}
 	}
--- a/control/reconcile/reconcile.go
+++ b/control/reconcile/reconcile.go
@@ -185,12 +185,12 @@
 const maxSteps = 8
 
 func (m *Manager) tick(ctx context.Context) {
-	hold := m.deps.Lease.Held()
-	if !hold.Valid(time.Now()) {
+	hold := m.deps.Lease.Current()
+	if !hold.IsValid(time.Now()) {
 		m.forget()
 		return
 	}
-	if hold.Fence != m.fence {
+	if hold.FencingToken != m.fence {
 		m.begin(hold)
 	}
 	text := m.deps.Site.Current()
@@ -209,9 +209,9 @@
 }
 
 // begin drops what was seen under an earlier hold.
-func (m *Manager) begin(hold lease.Hold) {
+func (m *Manager) begin(hold lease.Lease) {
 	m.forget()
-	m.fence = hold.Fence
+	m.fence = hold.FencingToken
 }
 
 func (m *Manager) forget() {
@@ -231,12 +231,12 @@
 }
 
 // step decides and carries out one order. It reports whether another may follow.
-func (m *Manager) step(ctx context.Context, hold lease.Hold, text *site.Site) bool {
+func (m *Manager) step(ctx context.Context, hold lease.Lease, text *site.Site) bool {
 	step := m.plan(ctx, hold, text)
 	if step.ReducesCapacity && m.observe(ctx, text, m.cfg.Fresh) == nil {
 		step = m.plan(ctx, hold, text)
 	}
-	m.set(Report{Holds: true, Fence: hold.Fence, Revision: text.Revision, Step: step, At: time.Now()})
+	m.set(Report{Holds: true, Fence: hold.FencingToken, Revision: text.Revision, Step: step, At: time.Now()})
 	m.say(step, text)
 	if step.Kind != placement.Load && step.Kind != placement.Unload {
 		return false
@@ -263,14 +263,14 @@
 // became of it.
 func (m *Manager) give(ctx context.Context, text *site.Site, step placement.Step) bool {
 	o, ok := m.engines[step.Backend]
-	hold := m.deps.Lease.Held()
-	if !ok || hold.Fence != m.fence || !hold.Valid(time.Now()) {
+	hold := m.deps.Lease.Current()
+	if !ok || hold.FencingToken != m.fence || !hold.IsValid(time.Now()) {
 		return false
 	}
-	order := engine.Order{ID: uuid.NewString(), Kind: orderKind(step.Kind), Ref: toEngine(step.Ref), Fence: hold.Fence}
+	order := engine.Order{ID: uuid.NewString(), Kind: orderKind(step.Kind), Ref: toEngine(step.Ref), Fence: hold.FencingToken}
 	until := time.Now().Add(m.cfg.OrderTimeout)
-	if hold.Until.Before(until) {
-		until = hold.Until
+	if hold.ExpiresAt.Before(until) {
+		until = hold.ExpiresAt
 	}
 	orderCtx, cancel := context.WithDeadline(ctx, until)
 	err := o.eng.Order(orderCtx, order)
--- a/control/reconcile/world_test.go
+++ b/control/reconcile/world_test.go
@@ -303,7 +303,7 @@
 
 func (w *world) holder() *daemon {
 	for _, d := range w.daemons {
-		if d.lease.Held().Valid(time.Now()) {
+		if d.lease.Current().IsValid(time.Now()) {
 			return d
 		}
 	}
--- a/control/roster/gather.go
+++ b/control/roster/gather.go
@@ -34,10 +34,10 @@
 	done      chan error
 }
 
-// Gather proposes assignments together with those of other callers and waits
+// CommitBatched proposes assignments together with those of other callers and waits
 // for the write. Slot tells afterwards what the store accepted; on an error the
 // outcome is open.
-func (m *Manager) Gather(ctx context.Context, proposals []slot.Assignment) error {
+func (m *Manager) CommitBatched(ctx context.Context, proposals []slot.Assignment) error {
 	g := &group{proposals: proposals, done: make(chan error, 1)}
 	m.gather.mu.Lock()
 	m.gather.waiting = append(m.gather.waiting, g)
--- a/control/roster/roster.go
+++ b/control/roster/roster.go
@@ -28,11 +28,11 @@
 // Key is where the store holds the roster.
 const Key = "/mallowwind/roster"
 
-// PollPerMember spreads polling so that all daemons together read the value
+// PollIntervalPerMember spreads polling so that all daemons together read the value
 // once a second at any size of the fleet, which costs each of 390 daemons about
 // 160 bytes a second. Polling only finds what nobody passed on: members of a
 // pair hear of changes from each other, callers' daemons from those they ask.
-const PollPerMember = time.Second
+const PollIntervalPerMember = time.Second
 
 const (
 	pollMin = 2 * time.Second
@@ -77,7 +77,7 @@
 func (m *Manager) Run(ctx context.Context) error {
 	for {
 		_ = m.Refresh(ctx)
-		wait := max(pollMin, time.Duration(len(m.members.Current().Members))*PollPerMember)
+		wait := max(pollMin, time.Duration(len(m.members.Current().Members))*PollIntervalPerMember)
 		wait = wait*3/4 + rand.N(wait/2)
 		select {
 		case <-ctx.Done():
@@ -106,9 +106,9 @@
 	return m.snapshot, m.known
 }
 
-// Learn takes an assignment that the store accepted, from a peer. Older ones
+// MergeAssignment takes an assignment that the store accepted, from a peer. Older ones
 // are ignored.
-func (m *Manager) Learn(a slot.Assignment) {
+func (m *Manager) MergeAssignment(a slot.Assignment) {
 	if a.Slot < 0 || a.Slot >= slot.Count {
 		return
 	}
@@ -230,7 +230,7 @@
 		}
 		if err == nil {
 			for _, a := range open {
-				m.Learn(a)
+				m.MergeAssignment(a)
 			}
 			return append(won, open...), nil
 		}
--- a/control/roster/roster_test.go
+++ b/control/roster/roster_test.go
@@ -77,12 +77,12 @@
 func TestLearnNeverGoesBack(t *testing.T) {
 	// A peer that lags passes an old assignment on after a newer one is known.
 	m := newManager(store.NewMemory())
-	m.Learn(slot.Assignment{Slot: 5, Term: 3, Owner: vm1, ChangeID: "c"})
-	m.Learn(slot.Assignment{Slot: 5, Term: 2, Owner: vm2, ChangeID: "b"})
+	m.MergeAssignment(slot.Assignment{Slot: 5, Term: 3, Owner: vm1, ChangeID: "c"})
+	m.MergeAssignment(slot.Assignment{Slot: 5, Term: 2, Owner: vm2, ChangeID: "b"})
 	must.EqOp(t, vm1, m.Slot(5).Owner)
 	var violated int
 	m.OnViolation(func(string, string) { violated++ })
-	m.Learn(slot.Assignment{Slot: 5, Term: 3, Owner: vm2, ChangeID: "x"})
+	m.MergeAssignment(slot.Assignment{Slot: 5, Term: 3, Owner: vm2, ChangeID: "x"})
 	must.EqOp(t, 1, violated)
 	must.EqOp(t, vm1, m.Slot(5).Owner)
 }
@@ -176,7 +176,7 @@
 			wg.Go(func() {
 				time.Sleep(time.Duration(i) * 5 * time.Millisecond)
 				a := slot.Assignment{Slot: i, Term: 1, Owner: vm1, Witness: vm2, ChangeID: fmt.Sprint("c", i)}
-				must.NoError(t, m.Gather(t.Context(), []slot.Assignment{a}))
+				must.NoError(t, m.CommitBatched(t.Context(), []slot.Assignment{a}))
 				must.EqOp(t, a, m.Slot(i))
 			})
 		}
@@ -195,7 +195,7 @@
 		m.OnViolation(func(subject, detail string) { t.Errorf("%s: %s", subject, detail) })
 		var wg sync.WaitGroup
 		for _, p := range [][]slot.Assignment{first("a", vm1), first("b", vm2)} {
-			wg.Go(func() { must.NoError(t, m.Gather(t.Context(), p)) })
+			wg.Go(func() { must.NoError(t, m.CommitBatched(t.Context(), p)) })
 		}
 		wg.Wait()
 		other := newManager(shared)
--- a/control/tlsfiles/tlsfiles.go
+++ b/control/tlsfiles/tlsfiles.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// Caller returns the configuration of the callers' listener, nil for plain TCP.
-func (f *Files) Caller() *tls.Config {
+// CallerServer returns the configuration of the callers' listener, nil for plain TCP.
+func (f *Files) CallerServer() *tls.Config {
 	if f.caller == nil {
 		return nil
 	}
--- a/control/tlsfiles/tlsfiles_test.go
+++ b/control/tlsfiles/tlsfiles_test.go
@@ -160,7 +160,7 @@
 func TestPlainWithoutCertificates(t *testing.T) {
 	f, err := New(settings.TLS{}, event.Discard())
 	must.NoError(t, err)
-	must.Nil(t, f.Caller())
+	must.Nil(t, f.CallerServer())
 	must.Nil(t, f.PeerServer())
 	must.Nil(t, f.PeerClient())
 	_, err = New(settings.TLS{Cert: "none.pem", Key: "none.pem"}, event.Discard())
--- a/lab/bench/control/fleet.go
+++ b/lab/bench/control/fleet.go
@@ -117,8 +117,8 @@
 	id, zone, address := fmt.Sprintf("entry-%03d", i), fmt.Sprintf("zone-%d", i%zones), listener.Addr().String()
 	dialer := link.NewDialer(nil)
 	members := membership.NewManager(membership.Deps{
-		Self: membership.Member{ID: id, Zone: zone, Caller: address, Peer: address, Incarnation: uint64(i + 1)},
-		VMs:  vms, Dial: dialer,
+		Self: membership.Member{ID: id, Zone: zone, CallerAddr: address, PeerAddr: address, Incarnation: uint64(i + 1)},
+		VMs:  vms, Dialer: dialer,
 	})
 	config := inforce.New(inforce.Config{
 		Site: site, VM: id, Zone: zone, Store: kv, Members: members, Dialer: dialer,
--- a/lab/bench/members/fleet.go
+++ b/lab/bench/members/fleet.go
@@ -109,10 +109,10 @@
 	d.members = membership.NewManager(membership.Deps{
 		Self: membership.Member{
 			ID: d.id, Incarnation: uint64(time.Now().UnixNano()), Zone: vm.Zone, Region: vm.Region,
-			Caller: vm.Address, Peer: vm.Address,
+			CallerAddr: vm.Address, PeerAddr: vm.Address,
 		},
 		VMs:        f,
-		Dial:       link.NewDialerWith(&http.Client{Transport: &lossy{RoundTripper: transport, f: f}}),
+		Dialer:     link.NewDialerWith(&http.Client{Transport: &lossy{RoundTripper: transport, f: f}}),
 		Registerer: d.registry,
 	})
 	holder := lease.NewManager(lease.Deps{Store: f.store, Members: d.members})
--- a/lab/bench/slopes/fleetcost.go
+++ b/lab/bench/slopes/fleetcost.go
@@ -225,7 +225,7 @@
 
 func (s *stack) acquainted() bool {
 	for _, n := range s.daemons {
-		if !n.daemon.Knows(len(s.daemons)) {
+		if !n.daemon.SeesAlive(len(s.daemons)) {
 			return false
 		}
 	}
--- a/lab/capacity/constants.go
+++ b/lab/capacity/constants.go
@@ -27,7 +27,7 @@
 	// base64Ratio is the factor by which base64 enlarges values in the store's JSON encoding.
 	base64Ratio = 4.0 / 3
 	// rosterReadsPerSecond is the rate at which all daemons together read the roster.
-	rosterReadsPerSecond = float64(time.Second) / float64(roster.PollPerMember)
+	rosterReadsPerSecond = float64(time.Second) / float64(roster.PollIntervalPerMember)
 )
 
 func perSecond(every time.Duration) float64 { return 1 / every.Seconds() }
--- a/lab/capacity/peers.go
+++ b/lab/capacity/peers.go
@@ -70,7 +70,7 @@
 		},
 		{
 			Role: LeaseHolder, Kind: Messages, Description: "renewals of the lease", Unit: PerSecond, Component: "`control/lease`",
-			Factors: []Factor{constant(perSecond(leaseConfig.Renew), "renewals/s")},
+			Factors: []Factor{constant(perSecond(leaseConfig.RenewInterval), "renewals/s")},
 		},
 	}
 }
--- a/lab/soak/operators.go
+++ b/lab/soak/operators.go
@@ -118,7 +118,7 @@
 	const every = 100 * time.Millisecond
 	for ctx.Err() == nil {
 		for _, e := range r.fleet.all() {
-			if s := e.Daemon.InForce(); s != nil {
+			if s := e.Daemon.CurrentSite(); s != nil {
 				r.texts.observe(r, e.ID, s.Revision, markOf(s.Text))
 			}
 		}
@@ -145,7 +145,7 @@
 	there := r.fleet.all()
 	time.Sleep(inForceLimit)
 	for _, e := range there {
-		if s := e.Daemon.InForce(); s == nil || s.Revision < revision {
+		if s := e.Daemon.CurrentSite(); s == nil || s.Revision < revision {
 			r.violate("revision %d was not in force at %s after %v", revision, e.ID, inForceLimit)
 		}
 	}
--- a/lab/soak/settle.go
+++ b/lab/soak/settle.go
@@ -47,7 +47,7 @@
 		return errors.Wrap(err, "the accepted text cannot be read")
 	}
 	for _, e := range r.fleet.all() {
-		if s := e.Daemon.InForce(); s == nil || s.Revision < head.Revision {
+		if s := e.Daemon.CurrentSite(); s == nil || s.Revision < head.Revision {
 			return errors.Errorf("%s does not follow revision %d", e.ID, head.Revision)
 		}
 	}
--- a/lab/stand/stand.go
+++ b/lab/stand/stand.go
@@ -188,7 +188,7 @@
 			return false
 		}
 	}
-	return e.Daemon.Knows(len(d.Entries))
+	return e.Daemon.SeesAlive(len(d.Entries))
 }
 
 // Close stops the daemons and platform services at once, without draining.
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -112,7 +112,7 @@
 	}
 	for i := range c.VMs {
 		w.members = append(w.members, membership.Member{
-			ID: VMID(i), Zone: zones[i%len(zones)], Peer: VMID(i), Caller: VMID(i), Incarnation: 1,
+			ID: VMID(i), Zone: zones[i%len(zones)], PeerAddr: VMID(i), CallerAddr: VMID(i), Incarnation: 1,
 		})
 	}
 	for i := range c.VMs {
--- a/serve/daemon/daemon.go
+++ b/serve/daemon/daemon.go
@@ -122,14 +122,14 @@
 			Incarnation: uint64(time.Now().UnixNano()),
 			Zone:        s.Zone,
 			Region:      s.Region,
-			Peer:        d.opts.Listeners.Peers.Addr().String(),
+			PeerAddr:    d.opts.Listeners.Peers.Addr().String(),
 		},
-		VMs: d.backends, Dial: d.opts.Dialer, Log: d.log, Registerer: d.registry,
+		VMs: d.backends, Dialer: d.opts.Dialer, Log: d.log, Registerer: d.registry,
 	})
-	d.backends.OnNews(d.members.ShareVM)
-	d.members.OnVM(func(n membership.VMNews) { d.backends.Learn(n) })
+	d.backends.OnNews(d.members.BroadcastVMChange)
+	d.members.OnVMChange(func(n membership.VMChange) { d.backends.Learn(n) })
 	d.backends.OnReport(func(id string, digest uint64) {
-		d.members.ShareReport(id, digest)
+		d.members.BroadcastReportChange(id, digest)
 		d.reconcile.Hint(id)
 	})
 	d.members.OnReport(func(id string, digest uint64) {
@@ -228,11 +228,11 @@
 	return 0
 }
 
-// Knows reports whether this daemon sees n entry VMs alive, itself included.
-func (d *Daemon) Knows(n int) bool {
+// SeesAlive reports whether this daemon sees n entry VMs alive, itself included.
+func (d *Daemon) SeesAlive(n int) bool {
 	alive := 0
 	for _, m := range d.members.Current().Members {
-		if m.State == membership.Alive && m.Caller != "" {
+		if m.State == membership.Alive && m.CallerAddr != "" {
 			alive++
 		}
 	}
@@ -301,5 +301,5 @@
 	return mux
 }
 
-// InForce returns the site text in force here, nil before the first.
-func (d *Daemon) InForce() *site.Site { return d.inforce.Current() }
+// CurrentSite returns the site text in force here, nil before the first.
+func (d *Daemon) CurrentSite() *site.Site { return d.inforce.Current() }
--- a/serve/daemon/entries.go
+++ b/serve/daemon/entries.go
@@ -28,8 +28,8 @@
 	vms := make([]ask.VM, 0, len(members))
 	for _, m := range members {
 		vms = append(vms, ask.VM{
-			ID: m.ID, Hash: xxhash.Sum64String(m.ID), Zone: m.Zone, Address: m.Caller,
-			Usable: m.State == membership.Alive && m.Caller != "",
+			ID: m.ID, Hash: xxhash.Sum64String(m.ID), Zone: m.Zone, Address: m.CallerAddr,
+			Usable: m.State == membership.Alive && m.CallerAddr != "",
 		})
 	}
 	part, before := ask.LoadPosition(shares(e.site.Current()), account.Name)
--- a/serve/daemon/listen.go
+++ b/serve/daemon/listen.go
@@ -31,7 +31,7 @@
 // Secure puts TLS on the listeners for callers and for other entry VMs where
 // certificates are set.
 func (l Listeners) Secure(files *tlsfiles.Files) Listeners {
-	l.Callers = secured(l.Callers, files.Caller())
+	l.Callers = secured(l.Callers, files.CallerServer())
 	l.Peers = secured(l.Peers, files.PeerServer())
 	return l
 }
--- a/serve/daemon/start.go
+++ b/serve/daemon/start.go
@@ -41,7 +41,7 @@
 	}
 	d.serving.Store(true)
 	if !d.drain.leaving() {
-		d.members.Serve(d.opts.Listeners.Callers.Addr().String())
+		d.members.AnnounceCallerAddr(d.opts.Listeners.Callers.Addr().String())
 	}
 	return nil
 }
--- a/serve/flow/decide_test.go
+++ b/serve/flow/decide_test.go
@@ -85,7 +85,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixed(4, 1000)
 		view := &membership.View{Members: []membership.Member{
-			{ID: "e0", Zone: "a", Caller: "127.0.0.1:1"}, {ID: "e1", Zone: "b", Caller: "127.0.0.1:2"},
+			{ID: "e0", Zone: "a", CallerAddr: "127.0.0.1:1"}, {ID: "e1", Zone: "b", CallerAddr: "127.0.0.1:2"},
 		}}
 		m := flow.New(flow.Config{
 			Location: flow.Location{VM: "e0", Zone: "a"}, Site: f, Backends: snapshots{f},
--- a/serve/flow/fleet.go
+++ b/serve/flow/fleet.go
@@ -25,8 +25,8 @@
 	for _, m := range v.Members {
 		serves := m.State == membership.Alive || m.State == membership.Suspect
 		f.VMs = append(f.VMs, entries.VM{
-			ID: m.ID, Hash: xxhash.Sum64String(m.ID), Zone: m.Zone, Address: m.Caller,
-			Usable: m.State == membership.Alive && m.Caller != "",
+			ID: m.ID, Hash: xxhash.Sum64String(m.ID), Zone: m.Zone, Address: m.CallerAddr,
+			Usable: m.State == membership.Alive && m.CallerAddr != "",
 		})
 		if !serves {
 			continue
--- a/serve/forward/attempt.go
+++ b/serve/forward/attempt.go
@@ -70,7 +70,7 @@
 	a.stopProbing = stop
 	a.spare = r.newReplicator(l)
 	a.probeFailures = r.startProbing(probing, l)
-	a.versionLeaving = r.h.versions.Leaves(r.h.opts.Feed.View(), l.target.server)
+	a.versionLeaving = r.h.versions.MigrateSignal(r.h.opts.Feed.View(), l.target.server)
 	a.startTrial(l, r.in.routeName())
 	go a.receive(UpstreamRequest{
 		ID: r.in.call.ID, Server: l.target.server, Timeout: time.Until(r.in.deadline),
--- a/serve/forward/canary.go
+++ b/serve/forward/canary.go
@@ -78,7 +78,7 @@
 // call goes to the other servers.
 func (h *Handler) chooseCanary(ctx context.Context, view *feed.View, service, route string) (choice, bool) {
 	now := time.Now()
-	if !h.versions.Drawn(view, service, route) {
+	if !h.versions.RoutesToTarget(view, service, route) {
 		return choice{}, false
 	}
 	c, ok := h.pool.choosePlain(now, view, canaryKey(service), nil)
@@ -96,7 +96,7 @@
 // placeCanary chooses an engine of the new version for a prompt drawn as a canary, and counts the
 // prompt there; ok is false if the prompt goes to the other engines.
 func (r *relay) placeCanary(ctx context.Context, view *feed.View) (choice, bool) {
-	if r.starts > 0 || r.in.call.LastEventID > 0 || !r.h.versions.Drawn(view, r.service, r.in.routeName()) {
+	if r.starts > 0 || r.in.call.LastEventID > 0 || !r.h.versions.RoutesToTarget(view, r.service, r.in.routeName()) {
 		return choice{}, false
 	}
 	list := r.h.pool.prefillCandidates(time.Now(), view, canaryKey(r.service), r.in.call.PromptKey, SampleSize, nil)
@@ -117,7 +117,7 @@
 // isFinishingRuns reports whether a server that gets no new requests still serves for a while,
 // because answers in progress finish at its version.
 func (p *pool) isFinishingRuns(view *feed.View, s routing.Server) bool {
-	state := p.versions.Now(view).Of(s.Service)
+	state := p.versions.Snapshot(view).State(s.Service)
 	return state.Stage == rollout.Full && s.Version == state.Baseline &&
 		slices.ContainsFunc(view.Servers[s.Service], func(current routing.Server) bool {
 			return current.Incarnation() == s.Incarnation() && !current.Draining
@@ -171,22 +171,22 @@
 // startTrial starts a comparison sample for a leg that produces an answer from its beginning.
 func (a *attempt) startTrial(l segment, route string) {
 	if l.resumeFrom == "" && a.r.in.call.LastEventID == 0 && a.r.lastEventID == 0 {
-		a.trial = a.r.h.versions.Try(l.target.server, route, rollout.TimeToFirstEvent)
+		a.trial = a.r.h.versions.StartTrial(l.target.server, route, rollout.TimeToFirstEvent)
 	}
 }
 
 // recordFirstEvent records the time to the first event and starts the samples for the rest of the
 // answer.
 func (a *attempt) recordFirstEvent() {
-	whole := a.trial.Also(rollout.ResponseTime)
+	whole := a.trial.ForKind(rollout.ResponseTime)
 	a.trial.Done(rollout.Succeeded)
-	a.trial, a.pace = whole, whole.Also(rollout.EventInterval)
+	a.trial, a.pace = whole, whole.ForKind(rollout.EventInterval)
 }
 
 // recordNextEvent records the pace of a stream after enough events.
 func (a *attempt) recordNextEvent() {
 	if a.eventCount++; a.eventCount == paceEventCount {
-		a.pace.DoneIn(rollout.Succeeded, time.Since(a.firstEventAt)/paceEventCount)
+		a.pace.DoneWithDuration(rollout.Succeeded, time.Since(a.firstEventAt)/paceEventCount)
 	}
 }
 
@@ -202,7 +202,7 @@
 	default:
 		a.trial.Done(rollout.Unanswered)
 	}
-	a.pace.Drop()
+	a.pace.Discard()
 }
 
 // migrationRetryInterval is the time between two attempts to migrate an answer to another version.
@@ -217,7 +217,7 @@
 	}
 	c, held, ok := r.liveReplica(ctx, a)
 	view := r.h.opts.Feed.View()
-	if !ok || !r.h.versions.Now(view).Of(r.service).ServesByDefault(c.server.Version) || !r.tryAcquirePermit(ctx, c) || !r.tryAcquireRetry(ctx, time.Now()) {
+	if !ok || !r.h.versions.Snapshot(view).State(r.service).ServesByDefault(c.server.Version) || !r.tryAcquirePermit(ctx, c) || !r.tryAcquireRetry(ctx, time.Now()) {
 		return false
 	}
 	r.h.pool.addLoad(c, 1, 0, 0)
--- a/serve/forward/crashes.go
+++ b/serve/forward/crashes.go
@@ -106,7 +106,7 @@
 // isLeaving reports whether a server is known to leave, by itself or with its whole version.
 func (h *Handler) isLeaving(s routing.Server) bool {
 	view := h.opts.Feed.View()
-	if h.versions.Barred(view, s) {
+	if h.versions.IsBlocked(view, s) {
 		return true
 	}
 	for _, current := range view.Servers[s.Service] {
--- a/serve/forward/handler.go
+++ b/serve/forward/handler.go
@@ -113,7 +113,7 @@
 		opts: o, dial: o.Dial, transport: newTransport(o.Dial), pool: newPool(o.Self, o.RetryBudget, o.Versions), pressure: newPressure(),
 		borrower: newRetryBorrower(o), neighbours: newPeerClient(o), versions: o.Versions,
 	}
-	h.versions.CountUnderWay(h.pool.runningAtOldVersions)
+	h.versions.SetInFlightCounter(h.pool.runningAtOldVersions)
 	h.locator, h.keepers, h.poisoned = newLocator(h), newWorkTracker(h), newPoisonRegistry(h)
 	h.limits = newRateLimits(h)
 	h.pool.onWorkChanged, h.pool.limits = h.keepers.workChanged, h.limits
--- a/serve/forward/plain.go
+++ b/serve/forward/plain.go
@@ -267,12 +267,12 @@
 func (h *Handler) exchange(ctx context.Context, in *inbound, c choice, sendNumber int) *outcome {
 	o := &outcome{choice: c, sendNumber: sendNumber}
 	started := time.Now()
-	trial := h.versions.Try(c.server, in.routeName(), rollout.ResponseTime)
+	trial := h.versions.StartTrial(c.server, in.routeName(), rollout.ResponseTime)
 	defer func() {
 		if result, ok := o.trialOutcome(ctx); ok {
 			trial.Done(result)
 		} else {
-			trial.Drop()
+			trial.Discard()
 		}
 	}()
 	defer func() { h.logExchange(ctx, in, o, time.Since(started)) }()
--- a/serve/forward/pool.go
+++ b/serve/forward/pool.go
@@ -86,7 +86,7 @@
 // choose runs pick on the server set of a service under the lock. There is no choice if the service
 // has no servers.
 func (p *pool) choose(view *feed.View, service string, pick func(*serverSet) (choice, bool)) (choice, bool) {
-	snapshot := p.versions.Now(view)
+	snapshot := p.versions.Snapshot(view)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.updateView(view, snapshot)
--- a/serve/forward/serverset.go
+++ b/serve/forward/serverset.go
@@ -30,7 +30,7 @@
 	p.serverSets = make(map[string]*serverSet, len(view.Servers))
 	used := make(map[routing.Incarnation]*serverLoad, len(p.loads))
 	for service, servers := range view.Servers {
-		state := snapshot.Of(service)
+		state := snapshot.State(service)
 		steady, canaries := splitByVersion(servers, state)
 		p.serverSets[service] = p.buildServerSet(steady, used)
 		if state.Stage.IsRunning() {
--- a/serve/forward/successors.go
+++ b/serve/forward/successors.go
@@ -23,7 +23,7 @@
 // replicas and prompts of the old server in vain, and if the id has changed, every request to that
 // address would be rejected.
 func (p *pool) recordSuccessor(view *feed.View, old, next routing.Incarnation) {
-	snapshot := p.versions.Now(view)
+	snapshot := p.versions.Snapshot(view)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.successors[p.listedIncarnation(old)] = next
@@ -34,7 +34,7 @@
 // recordRestart records that a server has a newer incarnation under its id, and reports whether
 // that was unknown.
 func (p *pool) recordRestart(view *feed.View, old, next routing.Incarnation) bool {
-	snapshot := p.versions.Now(view)
+	snapshot := p.versions.Snapshot(view)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.updateView(view, snapshot)
--- a/serve/generation/locate.go
+++ b/serve/generation/locate.go
@@ -163,7 +163,7 @@
 
 // client returns the journal service of another entry VM.
 func (m *Manager) client(to membership.Member) peerpb.Journal {
-	return peerpb.NewJournalProtobufClient(m.dialer.URL(to.Peer), m.dialer.Client)
+	return peerpb.NewJournalProtobufClient(m.dialer.URL(to.PeerAddr), m.dialer.Client)
 }
 
 // sendAppends carries a batch of appends to a holder.
--- a/serve/once/bench_test.go
+++ b/serve/once/bench_test.go
@@ -58,7 +58,7 @@
 		}))
 		b.Cleanup(servers[i].Close)
 		view.Members = append(view.Members, membership.Member{
-			ID: fmt.Sprint("vm", i), Incarnation: 1, Zone: fmt.Sprint("z", i), Peer: servers[i].Listener.Addr().String(),
+			ID: fmt.Sprint("vm", i), Incarnation: 1, Zone: fmt.Sprint("z", i), PeerAddr: servers[i].Listener.Addr().String(),
 		})
 	}
 	w := &world{site: &site.Site{
--- a/serve/once/entry.go
+++ b/serve/once/entry.go
@@ -79,7 +79,7 @@
 		s.Dialer.DropIdle()
 		return reply{outcome: outcome{moved: true}}
 	}
-	s.Roster.Learn(assignmentFromWire(w.GetAssignment()))
+	s.Roster.MergeAssignment(assignmentFromWire(w.GetAssignment()))
 	s.heard(e.slot, w.GetSeen())
 	return replyFromWire(w)
 }
@@ -135,7 +135,7 @@
 	for _, m := range slot.HighestRanked(s.peers(), a.Slot, peersAsked) {
 		w, err := s.client(m).Learn(ctx, &pb.SlotAssignments{Assignments: []*pb.SlotAssignment{assignmentToWire(a)}})
 		if err == nil && len(w.GetAssignments()) == 1 {
-			s.Roster.Learn(assignmentFromWire(w.GetAssignments()[0]))
+			s.Roster.MergeAssignment(assignmentFromWire(w.GetAssignments()[0]))
 		}
 	}
 }
--- a/serve/once/keeper.go
+++ b/serve/once/keeper.go
@@ -124,7 +124,7 @@
 }
 
 func toMember(m membership.Member) slot.Member {
-	return slot.Member{ID: m.ID, Incarnation: m.Incarnation, Zone: m.Zone, PeerAddr: m.Peer}
+	return slot.Member{ID: m.ID, Incarnation: m.Incarnation, Zone: m.Zone, PeerAddr: m.PeerAddr}
 }
 
 // peers returns the other members.
--- a/serve/once/once.go
+++ b/serve/once/once.go
@@ -88,7 +88,7 @@
 	self := d.Members.Current().Self
 	s := &Service{
 		Deps:    d,
-		self:    slot.Member{ID: self.ID, Incarnation: self.Incarnation, Zone: self.Zone, PeerAddr: self.Peer},
+		self:    slot.Member{ID: self.ID, Incarnation: self.Incarnation, Zone: self.Zone, PeerAddr: self.PeerAddr},
 		metrics: newMetrics(d.Registry),
 	}
 	for i := range s.tables {
--- a/serve/once/peer.go
+++ b/serve/once/peer.go
@@ -121,7 +121,7 @@
 			return nil, errBadSlot()
 		}
 		if a.GetTerm() > 0 {
-			p.s.Roster.Learn(assignmentFromWire(a))
+			p.s.Roster.MergeAssignment(assignmentFromWire(a))
 		}
 		reply.Assignments = append(reply.Assignments, assignmentToWire(p.s.Roster.Slot(int(a.GetSlot()))))
 	}
--- a/serve/once/propose.go
+++ b/serve/once/propose.go
@@ -23,7 +23,7 @@
 	if w := s.writer(); !w.IsSameProcess(s.self) && s.proposeTo(ctx, w, proposals) == nil {
 		return s.accepted(proposals), nil
 	}
-	err := s.Roster.Gather(ctx, proposals)
+	err := s.Roster.CommitBatched(ctx, proposals)
 	return s.accepted(proposals), err
 }
 
@@ -54,7 +54,7 @@
 	}
 	for _, a := range r.GetAssignments() {
 		if a.GetSlot() < slot.Count {
-			s.Roster.Learn(assignmentFromWire(a))
+			s.Roster.MergeAssignment(assignmentFromWire(a))
 		}
 	}
 	return nil
@@ -80,7 +80,7 @@
 		}
 		proposals = append(proposals, assignmentFromWire(a))
 	}
-	if err := p.s.Roster.Gather(ctx, proposals); err != nil {
+	if err := p.s.Roster.CommitBatched(ctx, proposals); err != nil {
 		return nil, err
 	}
 	out := &pb.SlotAssignments{}
--- a/serve/once/report.go
+++ b/serve/once/report.go
@@ -73,6 +73,6 @@
 		s.Dialer.DropIdle()
 		return false
 	}
-	s.Roster.Learn(assignmentFromWire(w.GetAssignment()))
+	s.Roster.MergeAssignment(assignmentFromWire(w.GetAssignment()))
 	return true
 }
--- a/serve/once/world_test.go
+++ b/serve/once/world_test.go
@@ -95,7 +95,7 @@
 	w.mu.Lock()
 	w.started++
 	d := &daemon{w: w, id: id}
-	self := membership.Member{ID: id, Incarnation: w.started, Zone: zone, Peer: id}
+	self := membership.Member{ID: id, Incarnation: w.started, Zone: zone, PeerAddr: id}
 	d.view.Store(&membership.View{Self: self, Members: []membership.Member{self}})
 	w.mu.Unlock()
 	faulty := &faultyStore{d: d, inner: w.store}
--- a/serve/versions/decide.go
+++ b/serve/versions/decide.go
@@ -28,7 +28,7 @@
 // decide takes the next step of a roll-out, if it is due.
 func (m *Manager) decide(ctx context.Context, s *service) {
 	view := m.opts.Feed.View()
-	underWay := m.underWay(s.name, m.Now(view).Of(s.name))
+	underWay := m.underWay(s.name, m.Snapshot(view).State(s.name))
 	m.mu.Lock()
 	now := m.opts.Clock()
 	if now < max(s.retry, s.look) || s.evidence == nil || view.Config == nil {
--- a/serve/versions/report.go
+++ b/serve/versions/report.go
@@ -141,7 +141,7 @@
 // nextReport is what the daemon that decides is told now, nil where it was told a moment ago. Once
 // nothing is under way any more at the version before it is told at once.
 func (m *Manager) nextReport(s *service, to string) *peerpb.RolloutReport {
-	underWay := m.underWay(s.name, m.current.Load().Of(s.name))
+	underWay := m.underWay(s.name, m.current.Load().State(s.name))
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.opts.Clock()
@@ -189,7 +189,7 @@
 // Report implements peerpb.Rollout.
 func (t telling) Report(_ context.Context, q *peerpb.RolloutReport) (*peerpb.RolloutReply, error) {
 	m := t.m
-	m.Now(m.opts.Feed.View())
+	m.Snapshot(m.opts.Feed.View())
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := m.told(q.GetState())
@@ -231,7 +231,7 @@
 
 // Stage implements peerpb.Rollout.
 func (t telling) Stage(_ context.Context, q *peerpb.RolloutState) (*peerpb.RolloutReply, error) {
-	t.m.Now(t.m.opts.Feed.View())
+	t.m.Snapshot(t.m.opts.Feed.View())
 	t.m.mu.Lock()
 	defer t.m.mu.Unlock()
 	s := t.m.told(q)
--- a/serve/versions/trial.go
+++ b/serve/versions/trial.go
@@ -17,13 +17,13 @@
 	done   bool
 }
 
-// Try begins to watch a request at a server; it returns nil where there is nothing to compare.
-func (m *Manager) Try(server routing.Server, route string, kind rollout.Kind) *Trial {
+// StartTrial begins to watch a request at a server; it returns nil where there is nothing to compare.
+func (m *Manager) StartTrial(server routing.Server, route string, kind rollout.Kind) *Trial {
 	now := m.current.Load()
 	if !now.active {
 		return nil
 	}
-	state := now.Of(server.Service)
+	state := now.State(server.Service)
 	if !state.Stage.IsRunning() || server.Version != state.Target && server.Version != state.Baseline {
 		return nil
 	}
@@ -39,8 +39,8 @@
 	return t
 }
 
-// Also watches the same request for something else.
-func (t *Trial) Also(kind rollout.Kind) *Trial {
+// ForKind watches the same request for something else.
+func (t *Trial) ForKind(kind rollout.Kind) *Trial {
 	if t == nil {
 		return nil
 	}
@@ -52,12 +52,12 @@
 // Done records how the request ended at the server; only the first call counts.
 func (t *Trial) Done(outcome rollout.Outcome) {
 	if t != nil {
-		t.DoneIn(outcome, t.m.opts.Clock()-t.began)
+		t.DoneWithDuration(outcome, t.m.opts.Clock()-t.began)
 	}
 }
 
-// DoneIn is Done with another time than that since the trial began.
-func (t *Trial) DoneIn(outcome rollout.Outcome, took time.Duration) {
+// DoneWithDuration is Done with another time than that since the trial began.
+func (t *Trial) DoneWithDuration(outcome rollout.Outcome, took time.Duration) {
 	if t == nil {
 		return
 	}
@@ -75,8 +75,8 @@
 	}
 }
 
-// Drop forgets the request: how it ended says nothing of the server.
-func (t *Trial) Drop() {
+// Discard forgets the request: how it ended says nothing of the server.
+func (t *Trial) Discard() {
 	if t == nil {
 		return
 	}
--- a/serve/versions/versions.go
+++ b/serve/versions/versions.go
@@ -73,8 +73,8 @@
 	ending bool // one of them sends everything to the target
 }
 
-// Of is the state of a service.
-func (s *Snapshot) Of(service string) rollout.State { return s.states[service] }
+// State is the state of a service.
+func (s *Snapshot) State(service string) rollout.State { return s.states[service] }
 
 // New returns a manager; Run starts it.
 func New(o Options) *Manager {
@@ -90,12 +90,14 @@
 // SetLimits changes what a version may get that is not known to be good.
 func (m *Manager) SetLimits(l rollout.Limits) { m.limits.Store(&l) }
 
-// CountUnderWay sets how the requests under way at servers of other versions than the target are
+// SetInFlightCounter sets how the requests under way at servers of other versions than the target are
 // counted. It is called before Run.
-func (m *Manager) CountUnderWay(count func(service string, s rollout.State) int) { m.underWay = count }
+func (m *Manager) SetInFlightCounter(count func(service string, s rollout.State) int) {
+	m.underWay = count
+}
 
-// Now is what holds for a view of the store.
-func (m *Manager) Now(view *feed.View) *Snapshot {
+// Snapshot is what holds for a view of the store.
+func (m *Manager) Snapshot(view *feed.View) *Snapshot {
 	now := m.current.Load()
 	if now.view == view || now.view != nil && view.PublishedAt.Before(now.view.PublishedAt) {
 		return now
@@ -148,10 +150,10 @@
 	return s
 }
 
-// Drawn reports whether a request that begins goes to the new version of a service.
-func (m *Manager) Drawn(view *feed.View, service, route string) bool {
-	now := m.Now(view)
-	if !now.active || !m.drawn(now.Of(service), service, route) {
+// RoutesToTarget reports whether a request that begins goes to the new version of a service.
+func (m *Manager) RoutesToTarget(view *feed.View, service, route string) bool {
+	now := m.Snapshot(view)
+	if !now.active || !m.drawn(now.State(service), service, route) {
 		return false
 	}
 	return m.inTouch()
@@ -169,14 +171,14 @@
 	return s.RoutesToTarget(rand.Float64(), route, &m.of(service).mix)
 }
 
-// Barred reports whether a version of a service may run nothing.
-func (m *Manager) Barred(view *feed.View, server routing.Server) bool {
-	return m.Now(view).Of(server.Service).IsBlocked(server.Version)
+// IsBlocked reports whether a version of a service may run nothing.
+func (m *Manager) IsBlocked(view *feed.View, server routing.Server) bool {
+	return m.Snapshot(view).State(server.Service).IsBlocked(server.Version)
 }
 
-// Leaves returns a channel that is closed when answers under way at a server go on elsewhere.
-func (m *Manager) Leaves(view *feed.View, server routing.Server) <-chan struct{} {
-	m.Now(view)
+// MigrateSignal returns a channel that is closed when answers under way at a server go on elsewhere.
+func (m *Manager) MigrateSignal(view *feed.View, server routing.Server) <-chan struct{} {
+	m.Snapshot(view)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.of(server.Service).leaving(server.Version)
@@ -203,7 +205,7 @@
 		case <-tick.C:
 		case <-m.roused:
 		}
-		now := m.Now(m.opts.Feed.View())
+		now := m.Snapshot(m.opts.Feed.View())
 		every := idleTick
 		if now.active {
 			every = activeTick
