--- a/control/backends/backends.go
+++ b/control/backends/backends.go
@@ -22,10 +22,10 @@
 
 // Backend is one backend server as last seen. It is immutable.
 type Backend struct {
-	VM     vmlist.VM
-	Engine engine.Engine // nil in pools of plain services
-	Status engine.Status // last report; zero for plain services
-	Seen   time.Time     // when Status was taken, zero if never
+	VM       vmlist.VM
+	Engine   engine.Engine // nil in pools of plain services
+	Status   engine.Status // last report; zero for plain services
+	StatusAt time.Time     // when Status was taken, zero if never
 	// Reachable is false after the last poll failed.
 	Reachable bool
 }
@@ -71,7 +71,7 @@
 	Pools   map[string][]*Backend
 }
 
-// Choose returns the version with which a new request for ref runs. pick is any
+// ChooseVersion returns the version with which a new request for ref runs. pick is any
 // evenly distributed number.
 //
 // The failure it guards against: a text with a new version is in force before
@@ -82,7 +82,7 @@
 //
 // except names versions that are out of the question: an engine that unloads
 // one refuses requests for it before its report says so.
-func (s *Snapshot) Choose(pool string, ref engine.ModelRef, pick uint64, except ...string) engine.ModelRef {
+func (s *Snapshot) ChooseVersion(pool string, ref engine.ModelRef, pick uint64, except ...string) engine.ModelRef {
 	var ready []engine.ModelRef
 	for _, b := range s.Pools[pool] {
 		if r, ok := b.serving(ref, except); ok {
--- a/control/backends/config.go
+++ b/control/backends/config.go
@@ -4,37 +4,37 @@
 
 // Config bounds what a Manager spends and how old its picture may get.
 type Config struct {
-	// ListEvery is the time between two reads of the VM list by a daemon that
+	// ListInterval is the time between two reads of the VM list by a daemon that
 	// reads it for its zone.
-	ListEvery time.Duration
-	// ListRest is the time between two reads by the other daemons, which learn
+	ListInterval time.Duration
+	// NonReaderListInterval is the time between two reads by the other daemons, which learn
 	// of changes from the readers.
-	ListRest time.Duration
-	// Readers is how many daemons of a zone read the list for the others.
-	Readers int
+	NonReaderListInterval time.Duration
+	// ReadersPerZone is how many daemons of a zone read the list for the others.
+	ReadersPerZone int
 	// ListTimeout bounds one read of the list.
 	ListTimeout time.Duration
-	// StatusEvery is the time between two polls of a backend server whose state
+	// MinPollInterval is the time between two polls of a backend server whose state
 	// is changing: one never polled, unreachable, or loading.
-	StatusEvery time.Duration
+	MinPollInterval time.Duration
 	// StatusTimeout bounds one poll.
 	StatusTimeout time.Duration
 	// PollsPerSecond bounds the polls of backend servers in a steady state.
 	PollsPerSecond float64
-	// Parallel bounds polls in flight, so that a zone of silent backend servers
+	// MaxConcurrentPolls bounds polls in flight, so that a zone of silent backend servers
 	// does not collect a goroutine and a connection each.
-	Parallel int
-	// Near and Far bound the subset of each pool in this daemon's zone and in
+	MaxConcurrentPolls int
+	// LocalSubsetSize and Far bound the subset of each pool in this daemon's zone and in
 	// all other zones together.
-	Near, Far int
-	// Cover is how many daemons of a zone should know each backend server of
+	LocalSubsetSize, RemoteSubsetSize int
+	// DaemonsPerBackend is how many daemons of a zone should know each backend server of
 	// it; the subset grows above Near while the zone has too few daemons.
-	Cover int
-	// Retain is how long a backend server that left the list stays known as
+	DaemonsPerBackend int
+	// RemovedRetention is how long a backend server that left the list stays known as
 	// leaving, so that its running work can still be followed and cancelled.
-	Retain time.Duration
-	// Jitter is the share by which every interval varies around its length.
-	Jitter float64
+	RemovedRetention time.Duration
+	// JitterRatio is the share by which every interval varies around its length.
+	JitterRatio float64
 }
 
 // DefaultConfig returns the values in use.
@@ -49,19 +49,19 @@
 // are to stay under 2 KB a second, so one a second is left for them.
 func DefaultConfig() Config {
 	return Config{
-		ListEvery:      time.Second,
-		ListRest:       15 * time.Minute,
-		Readers:        3,
-		ListTimeout:    time.Second,
-		StatusEvery:    2 * time.Second,
-		StatusTimeout:  time.Second,
-		PollsPerSecond: 1,
-		Parallel:       16,
-		Near:           12,
-		Far:            8,
-		Cover:          8,
-		Retain:         10 * time.Minute,
-		Jitter:         0.2,
+		ListInterval:          time.Second,
+		NonReaderListInterval: 15 * time.Minute,
+		ReadersPerZone:        3,
+		ListTimeout:           time.Second,
+		MinPollInterval:       2 * time.Second,
+		StatusTimeout:         time.Second,
+		PollsPerSecond:        1,
+		MaxConcurrentPolls:    16,
+		LocalSubsetSize:       12,
+		RemoteSubsetSize:      8,
+		DaemonsPerBackend:     8,
+		RemovedRetention:      10 * time.Minute,
+		JitterRatio:           0.2,
 	}
 }
 
@@ -73,13 +73,13 @@
 // backend server as leaving and this daemon giving it no new work, while the
 // list answers.
 func (c Config) DrainBound() time.Duration {
-	return c.longest(c.ListEvery) + c.ListTimeout + newsTime
+	return c.longest(c.ListInterval) + c.ListTimeout + newsTime
 }
 
-// VanishBound is the same for a backend server that the list no longer shows
+// RemovalBound is the same for a backend server that the list no longer shows
 // at all; absence counts after two reads.
-func (c Config) VanishBound() time.Duration { return 2 * c.DrainBound() }
+func (c Config) RemovalBound() time.Duration { return 2 * c.DrainBound() }
 
 func (c Config) longest(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (1 + c.Jitter))
+	return time.Duration(float64(d) * (1 + c.JitterRatio))
 }
--- a/control/backends/manager.go
+++ b/control/backends/manager.go
@@ -26,13 +26,13 @@
 	VMs  vmlist.Source
 	// Engine returns the client of the engine at an address.
 	Engine func(address string) engine.Engine
-	// Kind says what the site text in force says of a pool; nil means that all
+	// PoolKind says what the site text in force says of a pool; nil means that all
 	// hold engines.
-	Kind func(pool string) Kind
-	// Reads reports whether this daemon is one of its zone's readers of the
+	PoolKind func(pool string) Kind
+	// IsReader reports whether this daemon is one of its zone's readers of the
 	// list, given their number; nil means that it is. See Readers.
-	Reads func(readers int) bool
-	Log   *event.Log
+	IsReader func(readers int) bool
+	Log      *event.Log
 	// Registerer takes the metrics; nil keeps them unregistered.
 	Registerer prometheus.Registerer
 	Config     Config
@@ -76,7 +76,7 @@
 		cfg:     deps.Config,
 		met:     newMetrics(deps.Registerer),
 		wake:    make(chan struct{}, 1),
-		slots:   make(chan struct{}, deps.Config.Parallel),
+		slots:   make(chan struct{}, deps.Config.MaxConcurrentPolls),
 		rng:     rand.New(rand.NewPCG(seed, seed)),
 		entries: make(map[string]*entry),
 		news:    make(map[string]time.Time),
@@ -109,7 +109,7 @@
 		} else {
 			m.take(m.rows(), time.Now())
 		}
-		pause.For(ctx, m.jittered(m.cfg.ListEvery))
+		pause.For(ctx, m.jittered(m.cfg.ListInterval))
 	}
 	wg.Wait()
 	return ctx.Err()
@@ -118,7 +118,7 @@
 // mustRead reports whether it is this daemon's turn to read the list.
 func (m *Manager) mustRead() bool {
 	age := m.listAge()
-	return age == 0 || age >= m.cfg.ListRest || m.deps.Reads == nil || m.deps.Reads(m.cfg.Readers)
+	return age == 0 || age >= m.cfg.NonReaderListInterval || m.deps.IsReader == nil || m.deps.IsReader(m.cfg.ReadersPerZone)
 }
 
 func (m *Manager) rows() []vmlist.VM {
@@ -226,8 +226,8 @@
 	}
 	out := make(map[string]vmlist.VM)
 	for name, pool := range pools {
-		near := nearSize(m.cfg.Near, m.cfg.Cover, here[name], daemons)
-		for _, vm := range subset(m.deps.Self, m.deps.Zone, pool, near, m.cfg.Far) {
+		near := nearSize(m.cfg.LocalSubsetSize, m.cfg.DaemonsPerBackend, here[name], daemons)
+		for _, vm := range subset(m.deps.Self, m.deps.Zone, pool, near, m.cfg.RemoteSubsetSize) {
 			out[vm.ID] = vm
 		}
 	}
@@ -248,5 +248,5 @@
 func (m *Manager) jittered(d time.Duration) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return time.Duration(float64(d) * (1 + m.cfg.Jitter*(2*m.rng.Float64()-1)))
+	return time.Duration(float64(d) * (1 + m.cfg.JitterRatio*(2*m.rng.Float64()-1)))
 }
--- a/control/backends/manager_test.go
+++ b/control/backends/manager_test.go
@@ -126,10 +126,10 @@
 		list.set(b1, b2)
 		time.Sleep(3 * time.Second)
 		list.set(b2)
-		time.Sleep(m.cfg.VanishBound())
+		time.Sleep(m.cfg.RemovalBound())
 		synctest.Wait()
 		must.Eq(t, vmlist.Leaving, find(m, "b1").VM.State)
-		time.Sleep(m.cfg.Retain + m.cfg.DrainBound())
+		time.Sleep(m.cfg.RemovedRetention + m.cfg.DrainBound())
 		synctest.Wait()
 		must.Nil(t, find(m, "b1"))
 		must.NotNil(t, find(m, "b2"))
@@ -147,13 +147,13 @@
 		m := start(t, list, engines)
 		must.True(t, find(m, "b1").Reachable)
 		engines["b1:1"].down.Store(true)
-		m.Hint("b1")
+		m.PollSoon("b1")
 		time.Sleep(m.cfg.StatusTimeout)
 		synctest.Wait()
 		must.False(t, find(m, "b1").Reachable)
 		must.True(t, find(m, "b2").Reachable)
 		engines["b1:1"].down.Store(false)
-		time.Sleep(m.cfg.StatusTimeout + m.cfg.longest(m.cfg.StatusEvery))
+		time.Sleep(m.cfg.StatusTimeout + m.cfg.longest(m.cfg.MinPollInterval))
 		synctest.Wait()
 		must.True(t, find(m, "b1").Reachable)
 	})
@@ -209,7 +209,7 @@
 		list.set(b1, b2)
 		engines := map[string]*engineFake{"b1:1": {}, "b2:1": {}}
 		m := NewManager(Deps{
-			Self: "d9", Zone: "a", VMs: list, Reads: func(int) bool { return false },
+			Self: "d9", Zone: "a", VMs: list, IsReader: func(int) bool { return false },
 			Engine: func(address string) engine.Engine { return engines[address] },
 		})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -223,12 +223,12 @@
 		time.Sleep(time.Second)
 		leaving := b1
 		leaving.State = vmlist.Leaving
-		must.True(t, m.Learn(membership.VMChange{VM: leaving, SeenAt: time.Now()}))
+		must.True(t, m.ApplyVMChange(membership.VMChange{VM: leaving, SeenAt: time.Now()}))
 		must.Eq(t, vmlist.Leaving, find(m, "b1").VM.State)
-		must.False(t, m.Learn(membership.VMChange{VM: b1, SeenAt: old}))
+		must.False(t, m.ApplyVMChange(membership.VMChange{VM: b1, SeenAt: old}))
 		must.Eq(t, vmlist.Leaving, find(m, "b1").VM.State)
 		time.Sleep(time.Second)
-		must.True(t, m.Learn(membership.VMChange{VM: b2, Removed: true, SeenAt: time.Now()}))
+		must.True(t, m.ApplyVMChange(membership.VMChange{VM: b2, Removed: true, SeenAt: time.Now()}))
 		must.Eq(t, vmlist.Leaving, find(m, "b2").VM.State)
 	})
 }
@@ -241,7 +241,7 @@
 		list.set(b2, b1)
 		m := NewManager(Deps{Self: "d1", Zone: "a", VMs: list, Engine: func(string) engine.Engine { return &engineFake{} }})
 		var news []membership.VMChange
-		m.OnNews(func(n membership.VMChange) { news = append(news, n) })
+		m.OnVMChange(func(n membership.VMChange) { news = append(news, n) })
 		read := func(rows ...vmlist.VM) {
 			list.set(rows...)
 			m.readList(t.Context())
@@ -276,12 +276,12 @@
 		list.set(rows...)
 		m := start(t, list, engines)
 		var told []string
-		m.OnReport(func(id string, _ uint64) { told = append(told, id) })
+		m.OnReportChange(func(id string, _ uint64) { told = append(told, id) })
 		time.Sleep(30 * time.Second)
 		engines["b07:1"].down.Store(true)
 		must.True(t, find(m, "b07").Reachable)
 		before := engines["b07:1"].polls.Load()
-		m.LearnReport("b07", silent)
+		m.HandleReportChange("b07", silent)
 		time.Sleep(reportSpread + m.cfg.StatusTimeout)
 		synctest.Wait()
 		must.False(t, find(m, "b07").Reachable)
@@ -289,7 +289,7 @@
 		must.Eq(t, before+1, engines["b07:1"].polls.Load())
 
 		b9 := engines["b09:1"].polls.Load()
-		m.LearnReport("b09", find(m, "b09").digest())
+		m.HandleReportChange("b09", find(m, "b09").digest())
 		time.Sleep(2 * time.Second)
 		must.Eq(t, b9, engines["b09:1"].polls.Load())
 	})
@@ -331,14 +331,14 @@
 		kind.Store(uint32(KindUnknown))
 		m := NewManager(Deps{
 			Self: "d1", Zone: "a", VMs: list,
-			Engine: func(string) engine.Engine { return desk },
-			Kind:   func(string) Kind { return Kind(kind.Load()) },
+			Engine:   func(string) engine.Engine { return desk },
+			PoolKind: func(string) Kind { return Kind(kind.Load()) },
 		})
 		run(t, m)
 		time.Sleep(10 * time.Second)
 		must.False(t, find(m, "desk").Reachable)
 		kind.Store(uint32(KindPlain))
-		time.Sleep(2 * m.cfg.ListEvery)
+		time.Sleep(2 * m.cfg.ListInterval)
 		must.True(t, find(m, "desk").Reachable)
 		must.Nil(t, find(m, "desk").Engine)
 		must.Eq(t, 0, desk.polls.Load())
@@ -362,8 +362,8 @@
 	}}}
 	chosen := make(map[string]int)
 	for pick := range uint64(400) {
-		chosen[s.Choose("p", ref("2"), pick).Version]++
+		chosen[s.ChooseVersion("p", ref("2"), pick).Version]++
 	}
 	must.Eq(t, map[string]int{"1": 300, "2": 100}, chosen)
-	must.Eq(t, ref("9"), s.Choose("other", ref("9"), 3))
+	must.Eq(t, ref("9"), s.ChooseVersion("other", ref("9"), 3))
 }
--- a/control/backends/news.go
+++ b/control/backends/news.go
@@ -17,11 +17,11 @@
 // list at each change of it; taking turns spreads that over a zone's daemons.
 const readerTerm = time.Hour
 
-// Readers returns the Reads of a daemon that goes by the members of its zone:
+// ReaderElection returns the Reads of a daemon that goes by the members of its zone:
 // which of them read is drawn anew each hour, by hash. Views and clocks that
 // differ for a moment give a reader more or fewer, which costs a few reads or
 // a few seconds.
-func Readers(members membership.Source) func(int) bool {
+func ReaderElection(members membership.Source) func(int) bool {
 	return func(readers int) bool {
 		view := members.Current()
 		term := strconv.FormatInt(time.Now().Unix()/int64(readerTerm.Seconds()), 10)
@@ -36,13 +36,13 @@
 	}
 }
 
-// OnNews registers f to be called with each change that this daemon finds in
+// OnVMChange registers f to be called with each change that this daemon finds in
 // the list it read itself. f must not block. Call OnNews before Run.
-func (m *Manager) OnNews(f func(membership.VMChange)) { m.onNews = append(m.onNews, f) }
+func (m *Manager) OnVMChange(f func(membership.VMChange)) { m.onNews = append(m.onNews, f) }
 
-// Learn takes a change that another daemon found. It reports whether it was
+// ApplyVMChange takes a change that another daemon found. It reports whether it was
 // new here, so that it is passed on.
-func (m *Manager) Learn(n membership.VMChange) bool {
+func (m *Manager) ApplyVMChange(n membership.VMChange) bool {
 	m.mu.Lock()
 	if m.list == nil || !n.SeenAt.After(m.news[n.VM.ID]) {
 		m.mu.Unlock()
--- a/control/backends/poll.go
+++ b/control/backends/poll.go
@@ -13,9 +13,9 @@
 // list or a hint wakes it sooner.
 const idlePoll = time.Second
 
-// Hint asks for an early poll of a backend server, after work on it failed in
+// PollSoon asks for an early poll of a backend server, after work on it failed in
 // a way that its own report may explain.
-func (m *Manager) Hint(id string) {
+func (m *Manager) PollSoon(id string) {
 	m.mu.Lock()
 	if e, ok := m.entries[id]; ok {
 		e.due = time.Time{}
@@ -111,7 +111,7 @@
 	changed := !first && digest != e.digest
 	e.digest = digest
 	if e.hot() {
-		interval = m.cfg.StatusEvery
+		interval = m.cfg.MinPollInterval
 	}
 	m.publish()
 	vm := e.vm
@@ -143,5 +143,5 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	round := time.Duration(float64(len(m.entries)) / m.cfg.PollsPerSecond * float64(time.Second))
-	return max(round, m.cfg.StatusEvery)
+	return max(round, m.cfg.MinPollInterval)
 }
--- a/control/backends/reports.go
+++ b/control/backends/reports.go
@@ -30,15 +30,17 @@
 	return d.Sum64()
 }
 
-// OnReport registers f to be called when a poll of this daemon found a changed
+// OnReportChange registers f to be called when a poll of this daemon found a changed
 // report: another process, other weights, or silence. f must not block. Call
 // OnReport before Run.
-func (m *Manager) OnReport(f func(id string, digest uint64)) { m.onReport = append(m.onReport, f) }
+func (m *Manager) OnReportChange(f func(id string, digest uint64)) {
+	m.onReport = append(m.onReport, f)
+}
 
-// LearnReport takes the news that another daemon found a changed report, and
+// HandleReportChange takes the news that another daemon found a changed report, and
 // asks for the report itself soon. At 1,900 backend servers the steady round
 // takes minutes; some daemon or other polls each server every few seconds.
-func (m *Manager) LearnReport(id string, digest uint64) {
+func (m *Manager) HandleReportChange(id string, digest uint64) {
 	soon := time.Now().Add(m.jittered(reportSpread) / 2)
 	m.mu.Lock()
 	e, ok := m.entries[id]
--- a/control/backends/table.go
+++ b/control/backends/table.go
@@ -95,7 +95,7 @@
 		return change{vm: e.vm, reason: "the VM list no longer shows it"}, true
 	}
 	silent := e.eng == nil || !e.reachable
-	if now.Sub(e.vanished) >= m.cfg.Retain || (silent && now.Sub(e.vanished) >= m.cfg.VanishBound()) {
+	if now.Sub(e.vanished) >= m.cfg.RemovedRetention || (silent && now.Sub(e.vanished) >= m.cfg.RemovalBound()) {
 		delete(m.entries, e.vm.ID)
 		return change{vm: e.vm, forgot: true}, true
 	}
@@ -119,10 +119,10 @@
 }
 
 func (m *Manager) kind(pool string) Kind {
-	if m.deps.Kind == nil {
+	if m.deps.PoolKind == nil {
 		return KindEngine
 	}
-	return m.deps.Kind(pool)
+	return m.deps.PoolKind(pool)
 }
 
 // publish swaps in a new snapshot if anything but the load figures changed or
@@ -131,7 +131,7 @@
 	pools := make(map[string][]*Backend)
 	for _, e := range m.entries {
 		pools[e.vm.Pool] = append(pools[e.vm.Pool], &Backend{
-			VM: e.vm, Engine: e.eng, Status: e.status, Seen: e.seen, Reachable: e.reachable,
+			VM: e.vm, Engine: e.eng, Status: e.status, StatusAt: e.seen, Reachable: e.reachable,
 		})
 	}
 	for _, p := range pools {
--- a/control/inifile/errors.go
+++ b/control/inifile/errors.go
@@ -10,8 +10,8 @@
 type Error struct {
 	File    string
 	Line    int // 0 when the fault belongs to the whole file
-	What    string
-	Instead string
+	Problem string
+	Remedy  string
 }
 
 // Error returns "file:line: what: what to write instead".
@@ -20,7 +20,7 @@
 	if e.Line > 0 {
 		where = fmt.Sprintf("%s:%d", e.File, e.Line)
 	}
-	return fmt.Sprintf("%s: %s: %s", where, e.What, e.Instead)
+	return fmt.Sprintf("%s: %s: %s", where, e.Problem, e.Remedy)
 }
 
 // Errors lists every fault of one file, ordered by line.
@@ -43,7 +43,7 @@
 
 // Add records a fault at line.
 func (c *Collector) Add(line int, what, instead string) {
-	c.list = append(c.list, Error{File: c.File, Line: line, What: what, Instead: instead})
+	c.list = append(c.list, Error{File: c.File, Line: line, Problem: what, Remedy: instead})
 }
 
 // Err returns the faults as Errors ordered by line, or nil.
--- a/control/inifile/schema.go
+++ b/control/inifile/schema.go
@@ -165,8 +165,8 @@
 	return len(s) == tokenHashSize && strings.Trim(s, "0123456789abcdef") == ""
 }
 
-// Table returns rows as the Markdown tables of a reference page, one per section.
-func Table(rows []Row) string {
+// MarkdownTables returns rows as the Markdown tables of a reference page, one per section.
+func MarkdownTables(rows []Row) string {
 	var b strings.Builder
 	section := ""
 	for _, r := range rows {
--- a/control/reconcile/manager_test.go
+++ b/control/reconcile/manager_test.go
@@ -131,7 +131,7 @@
 		given := len(w.given())
 		w.apply(2, v2, 3, 1)
 		w.until("the first order", time.Minute, func() bool { return len(w.given()) > given })
-		must.GreaterEq(t, DefaultConfig().WaitOut, time.Since(taken))
+		must.GreaterEq(t, DefaultConfig().UnfencedOrderDelay, time.Since(taken))
 	})
 }
 
@@ -203,7 +203,7 @@
 		time.Sleep(5 * time.Minute)
 		w.sims["b7"].Die()
 		w.sims["b7"].Revive()
-		w.holder().rec.Hint("b7")
+		w.holder().rec.PollSoon("b7")
 		w.until("all serve again", 15*time.Second, func() bool { return w.ready(v1) == 30 })
 	})
 }
--- a/control/reconcile/observe.go
+++ b/control/reconcile/observe.go
@@ -55,7 +55,7 @@
 // steadyAge is the age at which an engine in a steady state is polled again.
 func (m *Manager) steadyAge() time.Duration {
 	round := time.Duration(float64(len(m.engines)) / m.cfg.PollsPerSecond * float64(time.Second))
-	return max(m.cfg.Sweep, round)
+	return max(m.cfg.SteadyPollInterval, round)
 }
 
 // observe brings the zone's engines up to date: their rows in the list, and
@@ -67,12 +67,12 @@
 	}
 	m.match(rows, text)
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, m.cfg.Parallel)
+	slots := make(chan struct{}, m.cfg.MaxConcurrentPolls)
 	now := time.Now()
 	for _, o := range m.engines {
 		due := age
 		if o.changing() {
-			due = min(age, m.cfg.Tick)
+			due = min(age, m.cfg.TickInterval)
 		}
 		if now.Sub(o.asked) < due {
 			continue
@@ -193,7 +193,7 @@
 }
 
 func (m *Manager) holdBack(o *observed) {
-	wait := min(m.cfg.RetryMin<<min(o.failures, 10), m.cfg.RetryMax)
+	wait := min(m.cfg.MinRetryDelay<<min(o.failures, 10), m.cfg.MaxRetryDelay)
 	o.failures++
 	o.holdUntil = time.Now().Add(wait)
 }
@@ -222,17 +222,17 @@
 
 // earliest is when an engine may be given its next order.
 func (m *Manager) earliest(o *observed, hold lease.Lease, text *site.Site) time.Time {
-	earliest := o.readyAt.Add(m.cfg.Settle)
+	earliest := o.readyAt.Add(m.cfg.ReadySettleTime)
 	if o.holdUntil.After(earliest) {
 		earliest = o.holdUntil
 	}
 	if !fencing(text, o.vm.Pool) {
-		if t := hold.AcquiredAt.Add(m.cfg.WaitOut); t.After(earliest) {
+		if t := hold.AcquiredAt.Add(m.cfg.UnfencedOrderDelay); t.After(earliest) {
 			earliest = t
 		}
 	}
 	if o.pending {
-		if t := time.Now().Add(m.cfg.Tick); t.After(earliest) {
+		if t := time.Now().Add(m.cfg.TickInterval); t.After(earliest) {
 			earliest = t
 		}
 	}
@@ -252,7 +252,7 @@
 	switch {
 	case o.silent.IsZero() && !o.seen.IsZero():
 		return placement.Up
-	case o.silent.IsZero() || time.Since(o.silent) < m.cfg.LostAfter:
+	case o.silent.IsZero() || time.Since(o.silent) < m.cfg.SilenceTimeout:
 		return placement.Suspect
 	}
 	return placement.Lost
--- a/control/reconcile/reconcile.go
+++ b/control/reconcile/reconcile.go
@@ -36,12 +36,12 @@
 
 // Config holds the intervals of a Manager.
 type Config struct {
-	// Tick is the time between two looks at the zone.
-	Tick time.Duration
-	// Fresh is how old an observation may be that an order rests on.
-	Fresh time.Duration
-	// Sweep is the time between polls of an engine in a steady state.
-	Sweep time.Duration
+	// TickInterval is the time between two looks at the zone.
+	TickInterval time.Duration
+	// MaxObservationAge is how old an observation may be that an order rests on.
+	MaxObservationAge time.Duration
+	// SteadyPollInterval is the time between polls of an engine in a steady state.
+	SteadyPollInterval time.Duration
 	// PollsPerSecond bounds polls of engines in a steady state; in a large
 	// zone Sweep grows accordingly, to minutes. Changes are known sooner by
 	// Hint, since some daemon or other polls each engine every few seconds.
@@ -50,34 +50,34 @@
 	StatusTimeout time.Duration
 	// OrderTimeout bounds one order.
 	OrderTimeout time.Duration
-	// WaitOut is how long a new holder gives no orders to engines that ignore
+	// UnfencedOrderDelay is how long a new holder gives no orders to engines that ignore
 	// fencing numbers: the lease's TTL and OrderTimeout, the longest time that
 	// an order of the holder before it may still be under way.
-	WaitOut time.Duration
-	// Settle is how long an engine is left alone after a set of weights became
+	UnfencedOrderDelay time.Duration
+	// ReadySettleTime is how long an engine is left alone after a set of weights became
 	// ready on it. The failure: the old version was unloaded as soon as the
 	// holder saw the new one, while daemons that had not polled the engine yet
 	// still sent it requests for the old. They poll an engine that loads every
 	// 2 s, a little more with jitter and a slow answer.
-	Settle time.Duration
-	// LostAfter is how long an engine may stay silent before its replicas are
+	ReadySettleTime time.Duration
+	// SilenceTimeout is how long an engine may stay silent before its replicas are
 	// replaced. It is longer than a restart of a router's connection or a
 	// collection of garbage, and short against the time of a load.
-	LostAfter time.Duration
-	// RetryMin and RetryMax bound the wait after an order or a load failed.
-	RetryMin, RetryMax time.Duration
-	// Parallel bounds polls in flight.
-	Parallel int
+	SilenceTimeout time.Duration
+	// MinRetryDelay and RetryMax bound the wait after an order or a load failed.
+	MinRetryDelay, MaxRetryDelay time.Duration
+	// MaxConcurrentPolls bounds polls in flight.
+	MaxConcurrentPolls int
 }
 
 // DefaultConfig returns the values in use.
 func DefaultConfig() Config {
 	c := Config{
-		Tick: time.Second, Fresh: 3 * time.Second, Sweep: 10 * time.Second, PollsPerSecond: 0.7,
-		StatusTimeout: time.Second, OrderTimeout: 3 * time.Second, Settle: 5 * time.Second, LostAfter: 30 * time.Second,
-		RetryMin: 5 * time.Second, RetryMax: 5 * time.Minute, Parallel: 16,
+		TickInterval: time.Second, MaxObservationAge: 3 * time.Second, SteadyPollInterval: 10 * time.Second, PollsPerSecond: 0.7,
+		StatusTimeout: time.Second, OrderTimeout: 3 * time.Second, ReadySettleTime: 5 * time.Second, SilenceTimeout: 30 * time.Second,
+		MinRetryDelay: 5 * time.Second, MaxRetryDelay: 5 * time.Minute, MaxConcurrentPolls: 16,
 	}
-	c.WaitOut = lease.DefaultConfig().TTL + c.OrderTimeout
+	c.UnfencedOrderDelay = lease.DefaultConfig().TTL + c.OrderTimeout
 	return c
 }
 
@@ -98,11 +98,11 @@
 
 // Report is what a holder can say of its zone, for operators.
 type Report struct {
-	Holds    bool
-	Fence    uint64
-	Revision int64
-	Step     placement.Step // the last decision
-	At       time.Time      // when it was made
+	HoldsLease bool
+	Fence      uint64
+	Revision   int64
+	LastStep   placement.Step // the last decision
+	DecidedAt  time.Time      // when it was made
 }
 
 // Manager reconciles one zone while this daemon holds its lease.
@@ -144,12 +144,12 @@
 	return m.report
 }
 
-// Hint asks for an early poll of an engine whose report is known to have
+// PollSoon asks for an early poll of an engine whose report is known to have
 // changed.
-func (m *Manager) Hint(id string) {
+func (m *Manager) PollSoon(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.report.Holds {
+	if m.report.HoldsLease {
 		m.hints[id] = true
 	}
 }
@@ -168,7 +168,7 @@
 
 // Run reconciles until ctx ends.
 func (m *Manager) Run(ctx context.Context) error {
-	t := time.NewTicker(m.cfg.Tick)
+	t := time.NewTicker(m.cfg.TickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -233,10 +233,10 @@
 // step decides and carries out one order. It reports whether another may follow.
 func (m *Manager) step(ctx context.Context, hold lease.Lease, text *site.Site) bool {
 	step := m.plan(ctx, hold, text)
-	if step.ReducesCapacity && m.observe(ctx, text, m.cfg.Fresh) == nil {
+	if step.ReducesCapacity && m.observe(ctx, text, m.cfg.MaxObservationAge) == nil {
 		step = m.plan(ctx, hold, text)
 	}
-	m.set(Report{Holds: true, Fence: hold.FencingToken, Revision: text.Revision, Step: step, At: time.Now()})
+	m.set(Report{HoldsLease: true, Fence: hold.FencingToken, Revision: text.Revision, LastStep: step, DecidedAt: time.Now()})
 	m.say(step, text)
 	if step.Kind != placement.Load && step.Kind != placement.Unload {
 		return false
--- a/control/settings/docs_test.go
+++ b/control/settings/docs_test.go
@@ -12,5 +12,5 @@
 func TestReferencePage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/settings.md")
 	must.NoError(t, err)
-	must.StrContains(t, string(page), inifile.Table(Reference()))
+	must.StrContains(t, string(page), inifile.MarkdownTables(Reference()))
 }
--- a/control/settings/parse.go
+++ b/control/settings/parse.go
@@ -71,8 +71,8 @@
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, inifile.Errors{{
-			File: path, What: "cannot be read (" + cause(err).Error() + ")",
-			Instead: "give the path of a readable settings file",
+			File: path, Problem: "cannot be read (" + cause(err).Error() + ")",
+			Remedy: "give the path of a readable settings file",
 		}}
 	}
 	return ParseText(path, text)
--- a/control/settings/settings.go
+++ b/control/settings/settings.go
@@ -36,10 +36,10 @@
 	lines map[string]int
 }
 
-// Where returns file:line of a key of [daemon], for errors that show only when
+// Position returns file:line of a key of [daemon], for errors that show only when
 // the value is used, such as a busy port. It is the key alone where the
 // settings were not read from a file.
-func (s *Settings) Where(key string) string {
+func (s *Settings) Position(key string) string {
 	line, ok := s.lines[key]
 	if !ok {
 		return key
--- a/lab/bench/load/world.go
+++ b/lab/bench/load/world.go
@@ -157,7 +157,7 @@
 			ID: e.id, Address: e.id, Zone: zoneName(e.zone), Role: vmlist.RoleBackend,
 			Pool: pool, State: vmlist.Live,
 		},
-		Engine: nil, Status: st, Seen: w.clock.now, Reachable: true,
+		Engine: nil, Status: st, StatusAt: w.clock.now, Reachable: true,
 	}
 }
 
--- a/lab/bench/slopes/backends.go
+++ b/lab/bench/slopes/backends.go
@@ -57,8 +57,8 @@
 func manager(list vmlist.Source) *backends.Manager {
 	return backends.NewManager(backends.Deps{
 		Self: "entry-0000", Zone: zoneOf(0), VMs: list,
-		Engine: func(string) engine.Engine { return nil },
-		Kind:   func(string) backends.Kind { return backends.KindPlain },
+		Engine:   func(string) engine.Engine { return nil },
+		PoolKind: func(string) backends.Kind { return backends.KindPlain },
 	})
 }
 
--- a/lab/bench/slopes/fleet.go
+++ b/lab/bench/slopes/fleet.go
@@ -55,7 +55,7 @@
 	s := &backends.Snapshot{Version: 1, Pools: make(map[string][]*backends.Backend)}
 	for _, vm := range fleet(0, n) {
 		s.Pools[vm.Pool] = append(s.Pools[vm.Pool], &backends.Backend{
-			VM: vm, Reachable: true, Seen: time.Now(),
+			VM: vm, Reachable: true, StatusAt: time.Now(),
 			Status: engine.Status{
 				Role: engine.RoleMixed, Slots: 64, TokensPerS: 1000,
 				Models: []engine.Loaded{{Ref: engine.ModelRef{Model: vm.Pool}, State: engine.Ready}},
--- a/lab/capacity/peers.go
+++ b/lab/capacity/peers.go
@@ -58,7 +58,7 @@
 		},
 		{
 			Role: LeaseHolder, Kind: Processor, Description: "comparing wanted and observed", Unit: Core, Component: carrier, Control: true,
-			Factors: []Factor{constant(perSecond(reconcileConfig.Tick), "plans/s"), m.fittedFactor(slopePlacement, replicas, micro)},
+			Factors: []Factor{constant(perSecond(reconcileConfig.TickInterval), "plans/s"), m.fittedFactor(slopePlacement, replicas, micro)},
 		},
 		{
 			Role: LeaseHolder, Kind: Processor, Description: "status polls of the zone, both ends", Unit: Core, Component: carrier, Control: true,
--- a/lab/capacity/roles.go
+++ b/lab/capacity/roles.go
@@ -128,7 +128,7 @@
 	share := constant(1/daemons, "of all daemons")
 	known := m.fittedFactor(slopeBackendsKnown, float64(s.Replicas), 1)
 	polls := constant(pollConfig.PollsPerSecond, "polls/s")
-	reads := constant(perSecond(pollConfig.ListRest), "whole reads/s")
+	reads := constant(perSecond(pollConfig.NonReaderListInterval), "whole reads/s")
 	const backends, all = "`control/backends`", "`control/membership`, `control/inforce`, `control/backends`, `control/lease`"
 	return []Row{
 		{
--- a/lab/stand/entry.go
+++ b/lab/stand/entry.go
@@ -44,7 +44,7 @@
 	logger := logrus.New()
 	logger.SetOutput(d.opts.Logs)
 	watch := backends.DefaultConfig()
-	watch.ListEvery, watch.StatusEvery = watchInterval, watchInterval
+	watch.ListInterval, watch.MinPollInterval = watchInterval, watchInterval
 	e.Daemon = daemon.New(daemon.Options{
 		Settings:  &settings.Settings{Site: d.opts.Site, VM: e.ID, Zone: zone, DrainLimit: d.opts.DrainLimit},
 		Listeners: listeners,
--- a/lab/standins/config.go
+++ b/lab/standins/config.go
@@ -30,7 +30,7 @@
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return host.Config{}, inifile.Errors{{
-			File: path, What: err.Error(), Instead: "give the path of a readable file",
+			File: path, Problem: err.Error(), Remedy: "give the path of a readable file",
 		}}
 	}
 	return Parse(path, text)
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -178,7 +178,7 @@
 				Role: vmlist.RoleBackend, State: vmlist.Live,
 			},
 			Engine:    &backend{Engine: sim, net: w.Net, vm: self, id: id},
-			Reachable: true, Seen: time.Now(),
+			Reachable: true, StatusAt: time.Now(),
 			Status: engine.Status{
 				Slots:  32,
 				Models: []engine.Loaded{{Ref: engine.ModelRef{Model: Model}, State: engine.Ready}},
--- a/serve/daemon/daemon.go
+++ b/serve/daemon/daemon.go
@@ -112,9 +112,9 @@
 		bc = *d.opts.Backends
 	}
 	d.backends = backends.NewManager(backends.Deps{
-		Self: s.VM, Zone: s.Zone, VMs: p.VMs, Engine: p.Engine, Kind: d.poolKind,
-		Reads: func(readers int) bool { return backends.Readers(d.members)(readers) },
-		Log:   d.log, Registerer: d.registry, Config: bc,
+		Self: s.VM, Zone: s.Zone, VMs: p.VMs, Engine: p.Engine, PoolKind: d.poolKind,
+		IsReader: func(readers int) bool { return backends.ReaderElection(d.members)(readers) },
+		Log:      d.log, Registerer: d.registry, Config: bc,
 	})
 	d.members = membership.NewManager(membership.Deps{
 		Self: membership.Member{
@@ -126,15 +126,15 @@
 		},
 		VMs: d.backends, Dialer: d.opts.Dialer, Log: d.log, Registerer: d.registry,
 	})
-	d.backends.OnNews(d.members.BroadcastVMChange)
-	d.members.OnVMChange(func(n membership.VMChange) { d.backends.Learn(n) })
-	d.backends.OnReport(func(id string, digest uint64) {
+	d.backends.OnVMChange(d.members.BroadcastVMChange)
+	d.members.OnVMChange(func(n membership.VMChange) { d.backends.ApplyVMChange(n) })
+	d.backends.OnReportChange(func(id string, digest uint64) {
 		d.members.BroadcastReportChange(id, digest)
-		d.reconcile.Hint(id)
+		d.reconcile.PollSoon(id)
 	})
 	d.members.OnReport(func(id string, digest uint64) {
-		d.backends.LearnReport(id, digest)
-		d.reconcile.Hint(id)
+		d.backends.HandleReportChange(id, digest)
+		d.reconcile.PollSoon(id)
 	})
 	d.inforce = inforce.New(inforce.Config{
 		Site: s.Site, VM: s.VM, Zone: s.Zone, Store: p.Store, Members: d.members,
@@ -185,7 +185,7 @@
 	})
 	d.generations = generation.NewManager(generation.Config{
 		Site: d.inforce, Members: d.members, Dispatcher: d.flow, Dialer: d.opts.Dialer,
-		Log: d.log, Metrics: d.registry, ChooseVersion: d.version, NotReady: d.backends.Hint,
+		Log: d.log, Metrics: d.registry, ChooseVersion: d.version, NotReady: d.backends.PollSoon,
 	})
 	d.calls = &calls{log: d.log, service: once.NewService(once.Deps{
 		Members: d.members, Roster: d.roster, Site: d.inforce, Flow: d.flow,
@@ -208,7 +208,7 @@
 // stays with its version, which its copy carries.
 func (d *Daemon) version(s *site.Service, except ...string) *site.Service {
 	ref := engine.ModelRef{Model: s.Model, Adapter: s.Adapter, Version: s.Version}
-	chosen := d.backends.Current().Choose(s.Pool, ref, rand.Uint64(), except...)
+	chosen := d.backends.Current().ChooseVersion(s.Pool, ref, rand.Uint64(), except...)
 	if chosen == ref {
 		return s
 	}
--- a/serve/daemon/listen.go
+++ b/serve/daemon/listen.go
@@ -17,7 +17,7 @@
 			return
 		}
 		*to, err = net.Listen("tcp", address)
-		err = errors.Wrap(err, s.Where(key))
+		err = errors.Wrap(err, s.Position(key))
 	}
 	open(&l.Callers, "listen", s.Listen)
 	open(&l.Peers, "peer_listen", s.PeerListen)
--- a/serve/daemon/status.go
+++ b/serve/daemon/status.go
@@ -32,11 +32,11 @@
 // fillPlacement adds the change under way, which only the lease holder knows.
 func (d *Daemon) fillPlacement(p *statuspage.Page) {
 	r := d.reconcile.Report()
-	if !r.Holds || r.Step.Kind == placement.None {
+	if !r.HoldsLease || r.LastStep.Kind == placement.None {
 		return
 	}
 	p.Changes = append(p.Changes, statuspage.Change{
-		Zone: d.opts.Settings.Zone, Service: r.Step.Service, Backend: r.Step.Backend,
-		Action: r.Step.Kind.String(), Reason: string(r.Step.Reason), Since: r.At,
+		Zone: d.opts.Settings.Zone, Service: r.LastStep.Service, Backend: r.LastStep.Backend,
+		Action: r.LastStep.Kind.String(), Reason: string(r.LastStep.Reason), Since: r.DecidedAt,
 	})
 }
--- a/serve/flow/server.go
+++ b/serve/flow/server.go
@@ -68,8 +68,8 @@
 func (s *server) observe(now time.Time, b *backends.Backend, sharers, readers int) (health.Transition, bool) {
 	s.backend = Backend{ID: b.VM.ID, Address: b.VM.Address, Zone: b.VM.Zone, Engine: b.Engine}
 	taken := time.Time{}
-	if !b.Seen.IsZero() {
-		taken = b.Seen.Add(-b.Status.Age)
+	if !b.StatusAt.IsZero() {
+		taken = b.StatusAt.Add(-b.Status.Age)
 	}
 	own := s.inFlightAt.before(taken)
 	s.limit.ApplyReport(limit.Report{
--- a/serve/generation/version_test.go
+++ b/serve/generation/version_test.go
@@ -70,7 +70,7 @@
 		ChooseVersion: func(s *site.Service, except ...string) *site.Service {
 			chosen := *s
 			wanted := engine.ModelRef{Model: s.Model, Version: s.Version}
-			chosen.Version = snapshot.Choose(s.Pool, wanted, 0, except...).Version
+			chosen.Version = snapshot.ChooseVersion(s.Pool, wanted, 0, except...).Version
 			return &chosen
 		},
 		NotReady: func(backend string) { c.unready = append(c.unready, backend) },
@@ -87,7 +87,7 @@
 		sim := enginesim.New(enginesim.Config{Name: id, Models: refs(holds[id])})
 		b := &backends.Backend{
 			VM:     vmlist.VM{ID: id, Address: id, Pool: changingPool, Role: vmlist.RoleBackend, State: vmlist.Live},
-			Engine: sim, Reachable: true, Seen: time.Now(), Status: engine.Status{Slots: 8},
+			Engine: sim, Reachable: true, StatusAt: time.Now(), Status: engine.Status{Slots: 8},
 		}
 		for _, r := range refs(believed[id]) {
 			b.Status.Models = append(b.Status.Models, engine.Loaded{Ref: r, State: engine.Ready})
