--- a/control/reconcile/manager_test.go
+++ b/control/reconcile/manager_test.go
@@ -144,10 +144,10 @@
 		w.until("all serve version 1", 2*time.Minute, func() bool { return w.ready(v1) == 3 })
 		w.apply(2, v2, 3, 2)
 		w.until("the change has begun", time.Minute, func() bool { return w.ready(v2) > 0 })
-		w.sims["b0"].Die()
+		w.sims["b0"].Crash()
 		w.addEngine("b9")
 		w.until("three serve version 2", 5*time.Minute, func() bool { return w.ready(v2) == 3 })
-		w.sims["b0"].Revive()
+		w.sims["b0"].Restart()
 		w.vms.Put(vmlist.VM{ID: "b0", Address: "b0", Zone: "a", Role: vmlist.RoleBackend, Pool: "p", State: vmlist.Leaving})
 		time.Sleep(time.Minute)
 		must.Eq(t, 3, w.ready(v2))
@@ -165,11 +165,11 @@
 		w.apply(1, v1, 3, 2)
 		w.until("all serve version 1", 2*time.Minute, func() bool { return w.ready(v1) == 3 })
 		time.Sleep(24 * time.Second) // not a multiple of Sweep, so that the last one is old
-		w.sims["b0"].Die()
+		w.sims["b0"].Crash()
 		w.apply(2, v2, 3, 2)
 		time.Sleep(time.Minute)
 		must.Eq(t, 2, w.ready(v1))
-		w.sims["b0"].Revive()
+		w.sims["b0"].Restart()
 		w.until("all serve version 2", 5*time.Minute, func() bool { return w.ready(v2) == 3 })
 	})
 }
@@ -201,8 +201,8 @@
 		w.apply(1, v1, 30, 1)
 		w.until("all serve version 1", 10*time.Minute, func() bool { return w.ready(v1) == 30 })
 		time.Sleep(5 * time.Minute)
-		w.sims["b7"].Die()
-		w.sims["b7"].Revive()
+		w.sims["b7"].Crash()
+		w.sims["b7"].Restart()
 		w.holder().rec.PollSoon("b7")
 		w.until("all serve again", 15*time.Second, func() bool { return w.ready(v1) == 30 })
 	})
@@ -287,9 +287,9 @@
 	case 3:
 		w.store.SetDown(rng.IntN(2) == 0)
 	case 4:
-		sim.Die()
+		sim.Crash()
 	case 5:
-		sim.Revive()
+		sim.Restart()
 	case 6:
 		sim.Pause()
 	case 7:
@@ -305,7 +305,7 @@
 		d.unpause()
 	}
 	for _, sim := range w.sims {
-		sim.Revive()
+		sim.Restart()
 		sim.Unpause()
 	}
 }
--- a/control/reconcile/world_test.go
+++ b/control/reconcile/world_test.go
@@ -142,7 +142,7 @@
 
 func (w *world) addEngineIn(id, zone string) {
 	w.sims[id] = enginesim.New(enginesim.Config{
-		Name: id, RespectFence: w.fencing, MaxModels: w.room, LoadTime: time.Second, Weights: w,
+		Name: id, EnforceFencing: w.fencing, MaxModels: w.room, LoadTime: time.Second, Weights: w,
 	})
 	w.vms.Put(vmlist.VM{ID: id, Address: id, Zone: zone, Role: vmlist.RoleBackend, Pool: "p", State: vmlist.Live})
 }
--- a/external/standin/enginesim/bench_test.go
+++ b/external/standin/enginesim/bench_test.go
@@ -17,8 +17,8 @@
 // fast is an engine whose steps take no time, so that a benchmark measures the
 // stand-in itself.
 var fast = enginesim.Config{
-	Models: []engine.ModelRef{ref}, Slots: 64, Queue: 1 << 20,
-	StepBase: 1, StepPerRequest: 1, PrefillPerToken: 1, Keep: time.Millisecond,
+	Models: []engine.ModelRef{ref}, Slots: 64, QueueLimit: 1 << 20,
+	StepBase: 1, StepPerRequest: 1, PrefillPerToken: 1, Retention: time.Millisecond,
 }
 
 func drain(b *testing.B, e engine.Engine, id string, tokens int) {
--- a/external/standin/enginesim/cache.go
+++ b/external/standin/enginesim/cache.go
@@ -32,7 +32,7 @@
 func newCache(c Config, random *rand.Rand) *cache {
 	return &cache{
 		limit: c.CacheBlocks, order: list.New(), blocks: make(map[uint64]*list.Element),
-		delay: c.EventDelay, loss: c.EventLoss, random: random,
+		delay: c.EventDelay, loss: c.EventLossRatio, random: random,
 	}
 }
 
--- a/external/standin/enginesim/config.go
+++ b/external/standin/enginesim/config.go
@@ -29,27 +29,27 @@
 	Seed   uint64
 	Models []engine.ModelRef // ready from the start
 
-	Slots     int // largest batch
-	Queue     int // longest waiting queue; a further request is refused
-	MaxModels int // sets of weights held at once
+	Slots      int // largest batch
+	QueueLimit int // longest waiting queue; a further request is refused
+	MaxModels  int // sets of weights held at once
 
-	StepBase        time.Duration // time of a step, apart from its load
-	StepPerRequest  time.Duration // added for each running generation
-	PrefillPerToken time.Duration // added for each prompt token worked off
-	PrefillChunk    int           // most prompt tokens worked off in one step
-	CacheBlocks     int           // prompt blocks kept, least recently used first out
-	Memory          int           // tokens that the batch may hold; 0 means no bound
+	StepBase           time.Duration // time of a step, apart from its load
+	StepPerRequest     time.Duration // added for each running generation
+	PrefillPerToken    time.Duration // added for each prompt token worked off
+	PrefillChunkTokens int           // most prompt tokens worked off in one step
+	CacheBlocks        int           // prompt blocks kept, least recently used first out
+	MemoryTokens       int           // tokens that the batch may hold; 0 means no bound
 
-	Linger time.Duration // how long a generation runs on with no reader
-	Keep   time.Duration // how long a finished or cancelled one is remembered
+	UnreadTimeout time.Duration // how long a generation runs on with no reader
+	Retention     time.Duration // how long a finished or cancelled one is remembered
 
-	StatusLag  time.Duration // age of load figures; 0 means none
-	EventDelay time.Duration // lateness of cache events; 0 means none
-	EventLoss  float64       // share of cache events lost; 0 means none
+	StatusLag      time.Duration // age of load figures; 0 means none
+	EventDelay     time.Duration // lateness of cache events; 0 means none
+	EventLossRatio float64       // share of cache events lost; 0 means none
 
-	RespectFence bool // refuse orders with an old fencing number
-	LoadTime     time.Duration
-	Weights      Fetcher // nil means that loading takes LoadTime alone
+	EnforceFencing bool // refuse orders with an old fencing number
+	LoadTime       time.Duration
+	Weights        Fetcher // nil means that loading takes LoadTime alone
 }
 
 // WithDefaults returns c with zero fields set. At the defaults an engine alone
@@ -57,15 +57,15 @@
 func (c Config) WithDefaults() Config {
 	setDefault(&c.Name, "engine")
 	setDefault(&c.Slots, 32)
-	setDefault(&c.Queue, 64)
+	setDefault(&c.QueueLimit, 64)
 	setDefault(&c.MaxModels, 4)
 	setDefault(&c.StepBase, 12*time.Millisecond)
 	setDefault(&c.StepPerRequest, 500*time.Microsecond)
 	setDefault(&c.PrefillPerToken, 100*time.Microsecond)
-	setDefault(&c.PrefillChunk, 512)
+	setDefault(&c.PrefillChunkTokens, 512)
 	setDefault(&c.CacheBlocks, 4096)
-	setDefault(&c.Linger, 30*time.Second)
-	setDefault(&c.Keep, 2*time.Minute)
+	setDefault(&c.UnreadTimeout, 30*time.Second)
+	setDefault(&c.Retention, 2*time.Minute)
 	setDefault(&c.LoadTime, 5*time.Second)
 	return c
 }
@@ -87,5 +87,5 @@
 	Cancelled int64 `json:"cancelled"`  // attempts ended by Cancel
 	Abandoned int64 `json:"abandoned"`  // attempts ended because nobody read them
 	Lost      int64 `json:"lost"`       // attempts lost by Die
-	ThrownOut int64 `json:"thrown_out"` // attempts taken out of the batch for want of memory
+	Preempted int64 `json:"thrown_out"` // attempts taken out of the batch for want of memory
 }
--- a/external/standin/enginesim/faults.go
+++ b/external/standin/enginesim/faults.go
@@ -6,9 +6,9 @@
 	"mallowwind.dev/external/engine"
 )
 
-// Die resets every connection and forgets every generation, the cache and the
+// Crash resets every connection and forgets every generation, the cache and the
 // weights. Calls find nothing listening until Revive.
-func (s *Sim) Die() {
+func (s *Sim) Crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.dead {
@@ -32,9 +32,9 @@
 	s.cache.clear()
 }
 
-// Revive starts a new incarnation, which loads the models it was made with.
+// Restart starts a new incarnation, which loads the models it was made with.
 // Its fencing number begins anew, as nothing was kept.
-func (s *Sim) Revive() {
+func (s *Sim) Restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.dead {
@@ -80,8 +80,8 @@
 	}
 }
 
-// Slow multiplies the time of every step; 1 is the usual speed.
-func (s *Sim) Slow(factor float64) {
+// SetSlowdown multiplies the time of every step; 1 is the usual speed.
+func (s *Sim) SetSlowdown(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slow = factor
@@ -99,8 +99,8 @@
 	}
 }
 
-// RefuseNew makes the engine refuse new generations, or take them again.
-func (s *Sim) RefuseNew(refuse bool) {
+// SetRefusing makes the engine refuse new generations, or take them again.
+func (s *Sim) SetRefusing(refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refusing = refuse
--- a/external/standin/enginesim/faults_test.go
+++ b/external/standin/enginesim/faults_test.go
@@ -49,10 +49,10 @@
 		before, err := e.Status(t.Context())
 		must.NoError(t, err)
 		w.net.Cut()
-		w.sim.Die()
+		w.sim.Crash()
 		_, err = e.Generate(t.Context(), request("p", 5))
 		must.ErrorIs(t, err, engine.ErrNotSent)
-		w.sim.Revive()
+		w.sim.Restart()
 		must.NoError(t, w.net.Restore())
 		_, err = e.Generate(t.Context(), request("p", 5))
 		must.ErrorIs(t, err, engine.ErrRefused) // still loading
@@ -69,15 +69,15 @@
 // An engine says no in its own words: a full queue, a model that it does not
 // hold, an order to take nothing new. Each is a refusal, not a broken stream.
 func TestRefusals(t *testing.T) {
-	forBoth(t, enginesim.Config{Slots: 1, Queue: 1}, func(t *testing.T, w *wired, e engine.Engine) {
+	forBoth(t, enginesim.Config{Slots: 1, QueueLimit: 1}, func(t *testing.T, w *wired, e engine.Engine) {
 		req := request("p", 50)
 		req.Model = "unknown"
 		_, err := e.Generate(t.Context(), req)
 		must.ErrorIs(t, err, engine.ErrRefused)
-		w.sim.RefuseNew(true)
+		w.sim.SetRefusing(true)
 		_, err = e.Generate(t.Context(), request("p", 50))
 		must.ErrorIs(t, err, engine.ErrRefused)
-		w.sim.RefuseNew(false)
+		w.sim.SetRefusing(false)
 		for i, id := range []string{"a", "b", "c"} {
 			req := request("p", 50)
 			req.Generation = id
@@ -147,7 +147,7 @@
 // A reader goes away. For a stated time the engine runs on and another may
 // attach; after that it spends no more work on an answer that nobody reads.
 func TestUnreadGenerationEnds(t *testing.T) {
-	config := enginesim.Config{Linger: 10 * time.Second}
+	config := enginesim.Config{UnreadTimeout: 10 * time.Second}
 	forBoth(t, config, func(t *testing.T, w *wired, e engine.Engine) {
 		s, err := e.Generate(t.Context(), request("p", 1e6))
 		must.NoError(t, err)
@@ -194,7 +194,7 @@
 func TestFencing(t *testing.T) {
 	other := engine.ModelRef{Model: "other"}
 	for respects, want := range map[bool]error{true: engine.ErrStaleFence, false: nil} {
-		forBoth(t, enginesim.Config{RespectFence: respects}, func(t *testing.T, w *wired, e engine.Engine) {
+		forBoth(t, enginesim.Config{EnforceFencing: respects}, func(t *testing.T, w *wired, e engine.Engine) {
 			must.NoError(t, e.Order(t.Context(), engine.Order{ID: "new", Kind: engine.OrderLoad, Ref: other, Fence: 5}))
 			time.Sleep(time.Minute)
 			err := e.Order(t.Context(), engine.Order{ID: "old", Kind: engine.OrderUnload, Ref: other, Fence: 4})
--- a/external/standin/enginesim/load_test.go
+++ b/external/standin/enginesim/load_test.go
@@ -47,7 +47,7 @@
 		one, many := run(t, s, 1, ""), run(t, s, 32, "")
 		must.Greater(t, 2*one, many)
 		must.Less(t, 4*one, many)
-		s.Slow(3)
+		s.SetSlowdown(3)
 		must.Eq(t, 3*one, run(t, s, 1, ""))
 	})
 }
@@ -65,7 +65,7 @@
 
 func TestCacheEventsAreLateAndLossy(t *testing.T) {
 	prompt := strings.Repeat("a contract of many pages. ", 400)
-	config := enginesim.Config{EventDelay: 10 * time.Second, EventLoss: 0.3}
+	config := enginesim.Config{EventDelay: 10 * time.Second, EventLossRatio: 0.3}
 	simulate(t, config, func(t *testing.T, s *enginesim.Sim) {
 		run(t, s, 1, prompt)
 		events, err := s.CacheEvents(t.Context(), 0)
@@ -175,7 +175,7 @@
 // wait, although the batch has places, and all answers come whole.
 func TestPromptsWaitForMemory(t *testing.T) {
 	prompt := strings.Repeat("a contract of many pages. ", 400) // 2,600 tokens
-	simulate(t, enginesim.Config{Memory: 8000}, func(t *testing.T, s *enginesim.Sim) {
+	simulate(t, enginesim.Config{MemoryTokens: 8000}, func(t *testing.T, s *enginesim.Sim) {
 		midway := make(chan engine.Status, 1)
 		go func() {
 			time.Sleep(500 * time.Millisecond)
@@ -186,7 +186,7 @@
 		status := <-midway
 		must.Eq(t, 3, status.Running)
 		must.Eq(t, 3, status.Waiting)
-		must.Eq(t, 0, int(s.Stats().ThrownOut))
+		must.Eq(t, 0, int(s.Stats().Preempted))
 	})
 }
 
@@ -194,7 +194,7 @@
 // stream and goes on later; its caller sees a pause, and neither a gap nor a token
 // twice.
 func TestAnswersOutgrowTheMemory(t *testing.T) {
-	simulate(t, enginesim.Config{Memory: 300}, func(t *testing.T, s *enginesim.Sim) {
+	simulate(t, enginesim.Config{MemoryTokens: 300}, func(t *testing.T, s *enginesim.Sim) {
 		answers := make(chan error, 3)
 		for i := range 3 {
 			req := request(fmt.Sprint("contract ", i), 150)
@@ -212,6 +212,6 @@
 		for range 3 {
 			must.NoError(t, <-answers)
 		}
-		must.Positive(t, s.Stats().ThrownOut)
+		must.Positive(t, s.Stats().Preempted)
 	})
 }
--- a/external/standin/enginesim/memory.go
+++ b/external/standin/enginesim/memory.go
@@ -23,17 +23,17 @@
 // room reports whether the memory holds one more generation. An empty engine takes
 // any, so that none waits for ever.
 func (s *Sim) room(g *generation) bool {
-	return s.config.Memory == 0 || len(s.batch) == 0 || s.used()+g.size() <= s.config.Memory
+	return s.config.MemoryTokens == 0 || len(s.batch) == 0 || s.used()+g.size() <= s.config.MemoryTokens
 }
 
 // trim takes generations out of the batch until the others fit. Their streams pause
 // while the prompt and what was generated are read again.
 func (s *Sim) trim() {
-	for s.config.Memory > 0 && len(s.batch) > 1 && s.used() > s.config.Memory {
+	for s.config.MemoryTokens > 0 && len(s.batch) > 1 && s.used() > s.config.MemoryTokens {
 		g := s.least()
 		s.batch = without(s.batch, g)
 		g.phase = waiting
-		s.stats.ThrownOut++
+		s.stats.Preempted++
 		s.enqueue(g)
 	}
 }
--- a/external/standin/enginesim/random_test.go
+++ b/external/standin/enginesim/random_test.go
@@ -27,9 +27,9 @@
 		switch r.IntN(5) {
 		case 0:
 			w.net.Cut()
-			w.sim.Die()
+			w.sim.Crash()
 			time.Sleep(span)
-			w.sim.Revive()
+			w.sim.Restart()
 			_ = w.net.Restore()
 		case 1:
 			w.net.Stall()
@@ -40,11 +40,11 @@
 		case 2:
 			w.net.Silence()
 		case 3:
-			w.sim.RefuseNew(true)
+			w.sim.SetRefusing(true)
 			time.Sleep(span)
-			w.sim.RefuseNew(false)
+			w.sim.SetRefusing(false)
 		case 4:
-			w.sim.Slow(1 + 5*r.Float64())
+			w.sim.SetSlowdown(1 + 5*r.Float64())
 		}
 		time.Sleep(time.Duration(r.IntN(1000)) * time.Millisecond)
 	}
--- a/external/standin/enginesim/sim.go
+++ b/external/standin/enginesim/sim.go
@@ -151,7 +151,7 @@
 
 // Close ends the engine for good, as Die does.
 func (s *Sim) Close() {
-	s.Die()
+	s.Crash()
 	s.close()
 }
 
@@ -205,7 +205,7 @@
 		return refuse(engine.CodeStaleAttempt, "attempts up to %d are cancelled", t.attempt)
 	case s.generations[k] != nil:
 		return refuse(engine.CodeStaleAttempt, "attempt %d is known already", req.Attempt)
-	case len(s.queue) >= s.config.Queue:
+	case len(s.queue) >= s.config.QueueLimit:
 		return refuse(engine.CodeOverloaded, "%d requests wait", len(s.queue))
 	}
 	return nil
@@ -240,15 +240,15 @@
 	s.swept = now
 	for k, g := range s.generations {
 		switch {
-		case g.done() && now.Sub(g.ended) > s.config.Keep:
+		case g.done() && now.Sub(g.ended) > s.config.Retention:
 			delete(s.generations, k)
-		case !g.done() && len(g.readers) == 0 && now.Sub(g.unread) > s.config.Linger:
+		case !g.done() && len(g.readers) == 0 && now.Sub(g.unread) > s.config.UnreadTimeout:
 			s.stats.Abandoned++
 			s.end(g, cancelled)
 		}
 	}
 	for id, t := range s.tombstones {
-		if now.Sub(t.at) > s.config.Keep {
+		if now.Sub(t.at) > s.config.Retention {
 			delete(s.tombstones, id)
 		}
 	}
@@ -273,9 +273,9 @@
 	return &Refusal{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
-// Runs reports whether the engine holds an attempt of this generation that has
+// HasUnfinished reports whether the engine holds an attempt of this generation that has
 // not ended, so that a story can pick the engine to fail.
-func (s *Sim) Runs(id string) bool {
+func (s *Sim) HasUnfinished(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for k, g := range s.generations {
@@ -286,8 +286,8 @@
 	return false
 }
 
-// Busy reports whether any attempt waits or runs.
-func (s *Sim) Busy() bool {
+// IsBusy reports whether any attempt waits or runs.
+func (s *Sim) IsBusy() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.queue)+len(s.batch) > 0
--- a/external/standin/enginesim/status.go
+++ b/external/standin/enginesim/status.go
@@ -68,7 +68,7 @@
 		TokensPerS:  f.perS,
 		Age:         time.Since(f.at),
 	}
-	if s.config.RespectFence {
+	if s.config.EnforceFencing {
 		status.Fence = s.weights.fence
 	}
 	return status, nil
--- a/external/standin/enginesim/step.go
+++ b/external/standin/enginesim/step.go
@@ -101,7 +101,7 @@
 // layOut shares the step's prefill chunk among those that need it, in batch order.
 func (s *Sim) layOut() (work []part, prefill int) {
 	work = make([]part, 0, len(s.batch))
-	left := s.config.PrefillChunk
+	left := s.config.PrefillChunkTokens
 	for _, g := range s.batch {
 		n := min(g.prefill, left)
 		if g.prefill > 0 && n == 0 {
--- a/external/standin/enginesim/weights.go
+++ b/external/standin/enginesim/weights.go
@@ -71,7 +71,7 @@
 	}
 	defer s.mu.Unlock()
 	w := &s.weights
-	if s.config.RespectFence {
+	if s.config.EnforceFencing {
 		if o.Fence < w.fence {
 			return errors.Wrapf(engine.ErrStaleFence, "%d is below %d", o.Fence, w.fence)
 		}
--- a/external/standin/enginesim/wire_test.go
+++ b/external/standin/enginesim/wire_test.go
@@ -92,7 +92,7 @@
 		defer b.close()
 		s, err := a.client.Generate(t.Context(), request("hello", 100))
 		must.NoError(t, err)
-		time.AfterFunc(500*time.Millisecond, func() { a.net.Cut(); a.sim.Die() })
+		time.AfterFunc(500*time.Millisecond, func() { a.net.Cut(); a.sim.Crash() })
 		first, _, err := readAll(t.Context(), s)
 		must.ErrorIs(t, err, engine.ErrBroken)
 		n, err := tokencheck.Check(ref.Model, "hello", first)
--- a/external/standin/host/faults.go
+++ b/external/standin/host/faults.go
@@ -86,12 +86,12 @@
 func engineFaults(n *Node) faults {
 	e := n.Engine
 	return faults{
-		"die":     func(string) error { n.net.Cut(); e.Die(); return nil },
-		"revive":  func(string) error { e.Revive(); return n.net.Restore() },
+		"die":     func(string) error { n.net.Cut(); e.Crash(); return nil },
+		"revive":  func(string) error { e.Restart(); return n.net.Restore() },
 		"pause":   func(string) error { n.net.Stall(); e.Pause(); return nil },
 		"unpause": func(string) error { e.Unpause(); n.net.Unstall(); return nil },
-		"slow":    number(e.Slow),
-		"refuse":  boolean(e.RefuseNew),
+		"slow":    number(e.SetSlowdown),
+		"refuse":  boolean(e.SetRefusing),
 	}
 }
 
--- a/lab/bench/losses/trial.go
+++ b/lab/bench/losses/trial.go
@@ -112,8 +112,8 @@
 	undo = func() {}
 	switch k {
 	case engineDeath:
-		e.Die()
-		undo = e.Revive
+		e.Crash()
+		undo = e.Restart
 	case enginePause:
 		e.Pause()
 		undo = e.Unpause
@@ -123,8 +123,8 @@
 		w.Kill(i % vms)
 		undo = func() { w.Replace(i % vms) }
 	case slowEngine:
-		e.Slow(6)
-		undo = func() { e.Slow(1) }
+		e.SetSlowdown(6)
+		undo = func() { e.SetSlowdown(1) }
 	}
 	return h, undo
 }
--- a/lab/bench/slopes/resume.go
+++ b/lab/bench/slopes/resume.go
@@ -99,6 +99,6 @@
 			busiest, most = i, status.Running
 		}
 	}
-	s.sims[busiest].Die()
+	s.sims[busiest].Crash()
 	s.engines[busiest].CloseClientConnections()
 }
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -108,9 +108,9 @@
 // kill ends the engine that runs a generation.
 func (r *run) kill(id string) {
 	for name, e := range r.stand.Engines {
-		if e.Runs(id) {
+		if e.HasUnfinished(id) {
 			r.say("token %d: %s dies", killAt, name)
-			e.Die()
+			e.Crash()
 		}
 	}
 }
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -87,14 +87,14 @@
 	sim := r.stand.Engines[id]
 	switch s.Kind {
 	case EngineDie:
-		sim.Die()
-		return sim.Revive, true
+		sim.Crash()
+		return sim.Restart, true
 	case EnginePause:
 		sim.Pause()
 		return sim.Unpause, true
 	case EngineSlow:
-		sim.Slow(slowFactor)
-		return func() { sim.Slow(1) }, true
+		sim.SetSlowdown(slowFactor)
+		return func() { sim.SetSlowdown(1) }, true
 	case EngineSilence:
 		sim.Silence()
 		return nil, true
@@ -102,8 +102,8 @@
 		r.stand.EngineNet(id).Silence()
 		return nil, true
 	case EngineRefuse:
-		sim.RefuseNew(true)
-		return func() { sim.RefuseNew(false) }, true
+		sim.SetRefusing(true)
+		return func() { sim.SetRefusing(false) }, true
 	case EngineLeave:
 		r.replaceEngine(id)
 		return nil, true
@@ -125,7 +125,7 @@
 	sim := r.stand.Engines[id]
 	r.fleet.stops.Go(func() {
 		time.Sleep(leaveBefore)
-		for sim.Busy() {
+		for sim.IsBusy() {
 			time.Sleep(leavePoll)
 		}
 		r.stand.RemoveEngine(id, sim)
@@ -188,14 +188,14 @@
 		e.Cut()
 	}
 	for _, id := range engines {
-		r.stand.Engines[id].Die()
+		r.stand.Engines[id].Crash()
 	}
 	return func() {
 		for _, e := range entries {
 			r.restore(e)
 		}
 		for _, id := range engines {
-			r.stand.Engines[id].Revive()
+			r.stand.Engines[id].Restart()
 		}
 	}
 }
--- a/lab/soak/fleet.go
+++ b/lab/soak/fleet.go
@@ -48,7 +48,7 @@
 	defer f.mu.Unlock()
 	var busy []string
 	for _, id := range f.engines {
-		if f.d.Engines[id].Busy() {
+		if f.d.Engines[id].IsBusy() {
 			busy = append(busy, id)
 		}
 	}
--- a/lab/stand/faults.go
+++ b/lab/stand/faults.go
@@ -95,7 +95,7 @@
 
 // RemoveEngine stops an engine permanently and removes it from the VM list.
 func (d *Deployment) RemoveEngine(id string, sim *enginesim.Sim) {
-	sim.Die()
+	sim.Crash()
 	d.EngineNet(id).Cut()
 	d.VMs.Remove(id)
 }
--- a/lab/stand/platform.go
+++ b/lab/stand/platform.go
@@ -58,7 +58,7 @@
 func (d *Deployment) AddEngine(zone string) (string, error) {
 	id := fmt.Sprintf("engine-%d", len(d.Engines)+1)
 	sim := enginesim.New(enginesim.Config{
-		Name: id, Seed: d.opts.Seed + uint64(len(d.Engines)), RespectFence: !d.opts.IgnoreFencing,
+		Name: id, Seed: d.opts.Seed + uint64(len(d.Engines)), EnforceFencing: !d.opts.IgnoreFencing,
 		Weights: d.Weights, LoadTime: loadTime,
 	})
 	at, err := d.serve(d.attempts.wrap(enginesim.Handler(sim)))
--- a/lab/stand/stand.go
+++ b/lab/stand/stand.go
@@ -202,6 +202,6 @@
 	}
 	d.wg.Wait()
 	for _, e := range d.Engines {
-		e.Die()
+		e.Crash()
 	}
 }
--- a/lab/stand/stand_test.go
+++ b/lab/stand/stand_test.go
@@ -33,8 +33,8 @@
 // kill kills the engines that run a generation and returns their number.
 func (d *Deployment) kill(id string) (killed int) {
 	for _, e := range d.Engines {
-		if e.Runs(id) {
-			e.Die()
+		if e.HasUnfinished(id) {
+			e.Crash()
 			killed++
 		}
 	}
--- a/lab/standins/fields.go
+++ b/lab/standins/fields.go
@@ -57,18 +57,18 @@
 var engineFields = append([]inifile.Field[host.Pool]{
 	{Name: "models", Help: "models ready from the start, comma-separated, each model[:adapter[:version]]", Set: setModels},
 	{Name: "slots", Default: "32", Help: "largest batch", Set: number(func(p *host.Pool) *int { return &p.Engine.Slots })},
-	{Name: "queue", Default: "64", Help: "longest waiting queue", Set: number(func(p *host.Pool) *int { return &p.Engine.Queue })},
+	{Name: "queue", Default: "64", Help: "longest waiting queue", Set: number(func(p *host.Pool) *int { return &p.Engine.QueueLimit })},
 	{Name: "max_models", Default: "4", Help: "sets of weights held at once", Set: number(func(p *host.Pool) *int { return &p.Engine.MaxModels })},
 	{Name: "step_base", Default: "12ms", Help: "time of a step apart from its load", Set: duration(func(p *host.Pool) *time.Duration { return &p.Engine.StepBase })},
 	{Name: "step_per_request", Default: "500us", Help: "added for each running generation", Set: duration(func(p *host.Pool) *time.Duration { return &p.Engine.StepPerRequest })},
 	{Name: "prefill_per_token", Default: "100us", Help: "added for each prompt token worked off", Set: duration(func(p *host.Pool) *time.Duration { return &p.Engine.PrefillPerToken })},
 	{Name: "cache_blocks", Default: "4096", Help: "prompt blocks of 256 bytes kept", Set: number(func(p *host.Pool) *int { return &p.Engine.CacheBlocks })},
-	{Name: "memory", Help: "tokens of prompts and answers that the batch may hold; no bound if left out", Set: number(func(p *host.Pool) *int { return &p.Engine.Memory })},
-	{Name: "linger", Default: "30s", Help: "how long a generation runs on with no reader", Set: duration(func(p *host.Pool) *time.Duration { return &p.Engine.Linger })},
+	{Name: "memory", Help: "tokens of prompts and answers that the batch may hold; no bound if left out", Set: number(func(p *host.Pool) *int { return &p.Engine.MemoryTokens })},
+	{Name: "linger", Default: "30s", Help: "how long a generation runs on with no reader", Set: duration(func(p *host.Pool) *time.Duration { return &p.Engine.UnreadTimeout })},
 	{Name: "status_lag", Default: "0s", Help: "age of load figures", Set: duration(func(p *host.Pool) *time.Duration { return &p.Engine.StatusLag })},
 	{Name: "event_delay", Default: "0s", Help: "lateness of cache events", Set: duration(func(p *host.Pool) *time.Duration { return &p.Engine.EventDelay })},
-	{Name: "event_loss", Default: "0", Help: "share of cache events lost, 0 to 1", Set: set(parseShare, func(p *host.Pool) *float64 { return &p.Engine.EventLoss })},
-	{Name: "fencing", Default: "no", Help: "whether orders with an old fencing number are refused", Set: set(parseYesNo, func(p *host.Pool) *bool { return &p.Engine.RespectFence })},
+	{Name: "event_loss", Default: "0", Help: "share of cache events lost, 0 to 1", Set: set(parseShare, func(p *host.Pool) *float64 { return &p.Engine.EventLossRatio })},
+	{Name: "fencing", Default: "no", Help: "whether orders with an old fencing number are refused", Set: set(parseYesNo, func(p *host.Pool) *bool { return &p.Engine.EnforceFencing })},
 	{Name: "load_time", Default: "5s", Help: "time to load weights once fetched", Set: duration(func(p *host.Pool) *time.Duration { return &p.Engine.LoadTime })},
 }, poolFields...)
 
--- a/lab/world/answer_test.go
+++ b/lab/world/answer_test.go
@@ -230,7 +230,7 @@
 func TestKeyReusedAfterFailure(t *testing.T) {
 	inWorld(t, Config{Seed: 17}, func(t *testing.T, ctx context.Context, w *World) {
 		for _, e := range w.Engines {
-			e.Die()
+			e.Crash()
 		}
 		c := w.Caller(prompt, "order-4", 200)
 		must.NoError(t, c.Submit(ctx, 0))
@@ -238,7 +238,7 @@
 		must.Eq(t, verdict.CodeNoBackend, codeOf(t, c.Finish(ctx)))
 		must.LessEq(t, time.Second, time.Since(began))
 		for _, e := range w.Engines {
-			e.Revive()
+			e.Restart()
 		}
 		time.Sleep(10 * time.Second)
 		must.NoError(t, c.Submit(ctx, 3))
--- a/lab/world/loss_test.go
+++ b/lab/world/loss_test.go
@@ -50,9 +50,9 @@
 once; the generation continues on another engine without waiting for a timeout.`,
 	fault: func(w *World, _ *Caller) {
 		w.killBusy()
-		w.Engines[1].Die()
-		w.Engines[2].Die()
-		w.Engines[4].Die()
+		w.Engines[1].Crash()
+		w.Engines[2].Crash()
+		w.Engines[4].Crash()
 	},
 	maxWait: 200 * time.Millisecond, maxExtraAttempts: 4,
 }, {
@@ -90,7 +90,7 @@
 not lost: a limited number of other attempts race it, and the generation is complete.`,
 	fault: func(w *World, _ *Caller) {
 		for _, i := range w.BusyEngines() {
-			w.Engines[i].Slow(5)
+			w.Engines[i].SetSlowdown(5)
 		}
 	},
 	maxWait: 500 * time.Millisecond, maxExtraAttempts: 2,
@@ -173,7 +173,7 @@
 // killBusy kills the engines with running attempts.
 func (w *World) killBusy() {
 	for _, i := range w.BusyEngines() {
-		w.Engines[i].Die()
+		w.Engines[i].Crash()
 	}
 }
 
--- a/lab/world/random_test.go
+++ b/lab/world/random_test.go
@@ -120,21 +120,21 @@
 	undo := func() {}
 	switch f.Kind {
 	case "engine dies":
-		e.Die()
+		e.Crash()
 	case "engine restarts":
-		e.Die()
-		undo = e.Revive
+		e.Crash()
+		undo = e.Restart
 	case "engine pauses":
 		e.Pause()
 		undo = e.Unpause
 	case "streams go silent":
 		e.Silence()
 	case "engine slow":
-		e.Slow(8)
-		undo = func() { e.Slow(1) }
+		e.SetSlowdown(8)
+		undo = func() { e.SetSlowdown(1) }
 	case "engine refuses":
-		e.RefuseNew(true)
-		undo = func() { e.RefuseNew(false) }
+		e.SetRefusing(true)
+		undo = func() { e.SetRefusing(false) }
 	case "vm dies":
 		w.Kill(f.A)
 	case "vm pauses":
@@ -146,7 +146,7 @@
 		w.SetMemberState(f.A, membership.Gone)
 		undo = func() { w.SetMemberState(f.A, membership.Alive) }
 	case "vm isolated and engine dies":
-		e.Die()
+		e.Crash()
 		fallthrough
 	case "vm isolated":
 		w.isolate(f.A, 1+Fault(f.B%2))
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -286,7 +286,7 @@
 func (w *World) Close() {
 	for _, e := range w.Engines {
 		e.Unpause()
-		e.Die()
+		e.Crash()
 	}
 	w.stop()
 	w.Net.close()
