--- a/cmd/mallowctl/apply.go
+++ b/cmd/mallowctl/apply.go
@@ -80,7 +80,7 @@
 	ctx, cancel := context.WithTimeout(s.ctx, c.Timeout)
 	defer cancel()
 	accepted, err := s.Apply(ctx, operate.Request{
-		Text: text, Against: c.Against, Comment: c.Comment, Restores: c.Restore, Above: c.Above,
+		Text: text, BaseRevision: c.Against, Comment: c.Comment, RestoredRevision: c.Restore, AboveRevision: c.Above,
 	})
 	if err != nil {
 		return err
@@ -114,7 +114,7 @@
 			return errors.Wrapf(err, "revision %d is accepted; waiting for it", revision)
 		}
 		status := s.Status(ctx, answers)
-		if status.Accepted >= revision && status.Settled() {
+		if status.AcceptedRevision >= revision && status.HasConverged() {
 			return nil
 		}
 		select {
--- a/cmd/mallowctl/operator.go
+++ b/cmd/mallowctl/operator.go
@@ -44,7 +44,7 @@
 		return nil, usageError{err}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
-	client := &operate.Client{Store: kv, Site: f.Site, Who: f.Who}
+	client := &operate.Client{Store: kv, Site: f.Site, Author: f.Who}
 	return &session{Client: client, ctx: ctx, stop: stop, out: os.Stdout}, nil
 }
 
@@ -80,12 +80,12 @@
 }
 
 // read asks the daemons for their pages.
-func (f *adminFlags) read(ctx context.Context) ([]operate.Answer, error) {
+func (f *adminFlags) read(ctx context.Context) ([]operate.PageResult, error) {
 	addresses, err := f.addresses(ctx)
 	if err != nil {
 		return nil, err
 	}
-	pages := operate.Pages{Client: http.DefaultClient, Scheme: "http", Token: f.Token}
+	pages := operate.PageReader{Client: http.DefaultClient, Scheme: "http", Token: f.Token}
 	if f.TLS {
 		pages.Scheme = "https"
 	}
--- a/cmd/mallowctl/plan.go
+++ b/cmd/mallowctl/plan.go
@@ -45,7 +45,7 @@
 // that is nil before the first.
 func (s *session) plan(text string) (plan, *operate.Current, error) {
 	current, err := s.Get(s.ctx)
-	if err == operate.ErrNothing {
+	if err == operate.ErrNoText {
 		changes, err := operate.Plan("", text)
 		return plan{Changes: changes}, nil, err
 	}
--- a/cmd/mallowctl/status.go
+++ b/cmd/mallowctl/status.go
@@ -29,8 +29,8 @@
 	if err != nil {
 		return err
 	}
-	if !status.Settled() {
-		return errors.Errorf("not in force everywhere: %d VMs lag, %d do not answer", len(status.Lagging()), len(status.NoAnswer))
+	if !status.HasConverged() {
+		return errors.Errorf("not in force everywhere: %d VMs lag, %d do not answer", len(status.Lagging()), len(status.Unreachable))
 	}
 	return nil
 }
--- a/control/feed/calls_test.go
+++ b/control/feed/calls_test.go
@@ -188,7 +188,7 @@
 	metered := meteredStore{storesim.Confirming{Store: faulty, Hold: time.Second}, processCtx, c.meter}
 	feed := New(Options{
 		Store: metered, Schema: textSchema{}, Log: event.Discard(), Clock: c.clock,
-		Self: id, Seeds: []string{"0:1", "1:1", "2:1"}, Dialer: link.NewDialerWith(c.client()),
+		Self: id, Seeds: []string{"0:1", "1:1", "2:1"}, Dialer: link.NewDialerWithClient(c.client()),
 	})
 	c.mu.Lock()
 	c.faultyStores[n], c.feeds[n], c.cancel[n] = faulty, feed, cancel
--- a/control/feed/fleet_test.go
+++ b/control/feed/fleet_test.go
@@ -67,7 +67,7 @@
 			faulty := store.NewFaulty(f.store)
 			m := New(Options{
 				Store: storesim.Confirming{Store: faulty, Hold: time.Second}, Schema: textSchema{}, Log: event.Discard(),
-				Clock: f.clock, Self: strconv.Itoa(n), Seeds: []string{"0:1"}, Dialer: link.NewDialerWith(f.client()),
+				Clock: f.clock, Self: strconv.Itoa(n), Seeds: []string{"0:1"}, Dialer: link.NewDialerWithClient(f.client()),
 			})
 			f.faultyStores, f.feeds = append(f.faultyStores, faulty), append(f.feeds, m)
 		}
@@ -335,7 +335,7 @@
 	view.watchPlan = newWatchPlan(view.VMs)
 	polls := map[string]int{}
 	for _, vm := range view.VMs {
-		m := New(Options{Self: vm.ID, Log: event.Discard(), Dialer: link.NewDialerWith(nil), Clock: func() time.Duration { return time.Hour }})
+		m := New(Options{Self: vm.ID, Log: event.Discard(), Dialer: link.NewDialerWithClient(nil), Clock: func() time.Duration { return time.Hour }})
 		m.view.Store(view)
 		m.confirmedAt.Store(int64(time.Hour))
 		for turn := range 5 {
--- a/control/feed/peers.go
+++ b/control/feed/peers.go
@@ -188,7 +188,7 @@
 	if err != nil {
 		m.peerAlsoStale.Store(false) // this daemon may be the one that is partitioned
 		m.opts.Log.Emit(event.FeedPeerFailed, address, err)
-		m.opts.Dialer.DropIdle()
+		m.opts.Dialer.CloseIdleConnections()
 		return false
 	}
 	stale := time.Duration(reply.GetAgeMs())*time.Millisecond > maxFreshAge
--- a/control/inforce/fetch.go
+++ b/control/inforce/fetch.go
@@ -99,7 +99,7 @@
 	delete(m.peerRevisions, peer.ID)
 	m.mu.Unlock()
 	if ctx.Err() != nil {
-		m.cfg.Dialer.DropIdle()
+		m.cfg.Dialer.CloseIdleConnections()
 	}
 	m.cfg.Log.Emit(event.ConfigFetchFailed, peer.ID, expected, err.Error())
 }
--- a/control/inforce/fleet_test.go
+++ b/control/inforce/fleet_test.go
@@ -115,7 +115,7 @@
 	m := New(Config{
 		Site: "yard", VM: n.member.ID, Zone: n.member.Zone, Store: s,
 		Members: membership.Static{View: f.view}, Log: event.New(f.logger, n.member.ID, n.member.Zone),
-		Dialer: link.NewDialerWith(&http.Client{Transport: transport{f, n}}), Seed: f.rng.Uint64(),
+		Dialer: link.NewDialerWithClient(&http.Client{Transport: transport{f, n}}), Seed: f.rng.Uint64(),
 	})
 	f.mu.Lock()
 	n.Manager = m
--- a/control/membership/exchange.go
+++ b/control/membership/exchange.go
@@ -27,7 +27,7 @@
 	if m.exchange(ctx, target) == nil || target.State == gossip.Gone {
 		return
 	}
-	m.deps.Dialer.DropIdle()
+	m.deps.Dialer.CloseIdleConnections()
 	if m.exchange(ctx, target) == nil {
 		return
 	}
--- a/control/membership/fleet_test.go
+++ b/control/membership/fleet_test.go
@@ -64,7 +64,7 @@
 	nd.Manager = NewManager(Deps{
 		Self:   Member{ID: nd.id, Incarnation: incarnation, Zone: nd.zone, Region: nd.region, PeerAddr: nd.id, CallerAddr: nd.id},
 		VMs:    f,
-		Dialer: link.NewDialerWith(&http.Client{Transport: &wire{f: f, from: nd}}),
+		Dialer: link.NewDialerWithClient(&http.Client{Transport: &wire{f: f, from: nd}}),
 	})
 	nd.handler = peerpb.NewMembershipServer(nd.Manager)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/control/operate/apply.go
+++ b/control/operate/apply.go
@@ -14,15 +14,15 @@
 
 // Request is a change that an operator wants.
 type Request struct {
-	Text    string
-	Against int64 // revision it was planned against, 0 for the first text
-	Comment string
-	// Restores is the revision whose text this is, when rolling back.
-	Restores int64
-	// Above makes the new revision higher than this as well. It is needed once
+	Text         string
+	BaseRevision int64 // revision it was planned against, 0 for the first text
+	Comment      string
+	// RestoredRevision is the revision whose text this is, when rolling back.
+	RestoredRevision int64
+	// AboveRevision makes the new revision higher than this as well. It is needed once
 	// after the store was restored from an older copy: daemons then have in
 	// force, and rightly keep, a higher revision than the store knows.
-	Above int64
+	AboveRevision int64
 }
 
 const (
@@ -41,8 +41,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if revisionOf(head) != request.Against {
-		return nil, c.conflict(ctx, request.Against, head)
+	if revisionOf(head) != request.BaseRevision {
+		return nil, c.conflict(ctx, request.BaseRevision, head)
 	}
 	next := c.next(ctx, head, request)
 	if err := c.create(ctx, c.keys().Body(next.ID), []byte(request.Text)); err != nil {
@@ -61,7 +61,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return nil, c.conflict(ctx, request.Against, now)
+		return nil, c.conflict(ctx, request.BaseRevision, now)
 	}
 	if next.Revision%pruneEvery == 0 {
 		c.prune(ctx)
@@ -79,9 +79,9 @@
 // next is the record of a change to head.
 func (c *Client) next(ctx context.Context, head record.Accepted, request Request) *record.Record {
 	r := &record.Record{
-		ID: uuid.NewString(), Revision: max(revisionOf(head), request.Above) + 1, BaseRevision: revisionOf(head),
-		SHA256: record.Hash(request.Text), Author: c.Who, AppliedAt: time.Now().UTC(),
-		Comment: request.Comment, RestoredRevision: request.Restores,
+		ID: uuid.NewString(), Revision: max(revisionOf(head), request.AboveRevision) + 1, BaseRevision: revisionOf(head),
+		SHA256: record.Hash(request.Text), Author: c.Author, AppliedAt: time.Now().UTC(),
+		Comment: request.Comment, RestoredRevision: request.RestoredRevision,
 	}
 	if head.Record == nil {
 		return r
@@ -119,7 +119,7 @@
 		return err
 	})
 	if err != nil {
-		return false, &StoreError{Unknown: unknown, ID: next.ID, Err: err}
+		return false, &StoreError{OutcomeUnknown: unknown, ChangeID: next.ID, Err: err}
 	}
 	return accepted, nil
 }
@@ -146,7 +146,7 @@
 	if head.Record == nil {
 		return errors.Errorf("planned against revision %d, but no text has been accepted yet; use --against 0", planned)
 	}
-	e := &ConflictError{Planned: planned, Head: head}
+	e := &ConflictError{PlannedRevision: planned, Head: head}
 	oldText := ""
 	if planned > 0 {
 		old, err := c.GetRevision(ctx, planned)
--- a/control/operate/apply_test.go
+++ b/control/operate/apply_test.go
@@ -32,12 +32,12 @@
 
 func newClient(who string) (*Client, *store.Faulty) {
 	s := store.NewFaulty(store.NewMemory())
-	return &Client{Store: s, Site: "yard", Who: who}, s
+	return &Client{Store: s, Site: "yard", Author: who}, s
 }
 
 func apply(t *testing.T, c *Client, against int64, text string) *record.Record {
 	t.Helper()
-	r, err := c.Apply(t.Context(), Request{Text: text, Against: against})
+	r, err := c.Apply(t.Context(), Request{Text: text, BaseRevision: against})
 	must.NoError(t, err)
 	return r
 }
@@ -54,10 +54,10 @@
 // The night operator is told who changed what, and nothing of his is in force.
 func TestRaceAcrossHandover(t *testing.T) {
 	day, s := newClient("day")
-	night := &Client{Store: s, Site: "yard", Who: "night"}
+	night := &Client{Store: s, Site: "yard", Author: "night"}
 	apply(t, day, 0, text("1", 4))
 	apply(t, day, 1, text("1", 6))
-	_, err := night.Apply(t.Context(), Request{Text: text("2", 4), Against: 1})
+	_, err := night.Apply(t.Context(), Request{Text: text("2", 4), BaseRevision: 1})
 	var conflict *ConflictError
 	must.ErrorAs[error](t, err, &conflict)
 	must.Eq(t, "day", conflict.Head.Author)
@@ -87,8 +87,8 @@
 	day, s := newClient("day")
 	apply(t, day, 0, text("1", 4))
 	g := &gate{Store: s, key: record.KeysOf("yard").Head(), first: func() { apply(t, day, 1, text("1", 5)) }}
-	night := &Client{Store: g, Site: "yard", Who: "night"}
-	_, err := night.Apply(t.Context(), Request{Text: text("2", 4), Against: 1})
+	night := &Client{Store: g, Site: "yard", Author: "night"}
+	_, err := night.Apply(t.Context(), Request{Text: text("2", 4), BaseRevision: 1})
 	must.ErrorContains(t, err, "revision 2 is accepted: day")
 	must.Eq(t, 2, newest(t, day).Revision)
 	kvs, _, err := s.List(t.Context(), "/mallowwind/yard/body/")
@@ -109,7 +109,7 @@
 					prepare = s.LoseNextWrite
 				}
 				l := &onWrite{Store: s, key: "/mallowwind/yard/" + write, do: prepare}
-				r, err := (&Client{Store: l, Site: "yard"}).Apply(t.Context(), Request{Text: text("1", 5), Against: 1})
+				r, err := (&Client{Store: l, Site: "yard"}).Apply(t.Context(), Request{Text: text("1", 5), BaseRevision: 1})
 				must.NoError(t, err)
 				must.Eq(t, 2, r.Revision)
 				must.Eq(t, r.ID, newest(t, c).ID)
@@ -148,7 +148,7 @@
 			time.Sleep(firstRetry / 2)
 			apply(t, day, 2, text("1", 9))
 		}()
-		r, err := (&Client{Store: lost, Site: "yard"}).Apply(t.Context(), Request{Text: text("1", 5), Against: 1})
+		r, err := (&Client{Store: lost, Site: "yard"}).Apply(t.Context(), Request{Text: text("1", 5), BaseRevision: 1})
 		must.NoError(t, err)
 		must.Eq(t, 2, r.Revision)
 		must.Eq(t, 3, newest(t, day).Revision)
@@ -164,10 +164,10 @@
 		c, s := newClient("day")
 		apply(t, c, 0, text("1", 4))
 		s.SetDown(true)
-		_, err := c.Apply(t.Context(), Request{Text: text("1", 5), Against: 1})
+		_, err := c.Apply(t.Context(), Request{Text: text("1", 5), BaseRevision: 1})
 		var down *StoreError
 		must.ErrorAs[error](t, err, &down)
-		must.False(t, down.Unknown)
+		must.False(t, down.OutcomeUnknown)
 		s.SetDown(false)
 
 		cut := &onWrite{Store: s, key: record.KeysOf("yard").Head()}
@@ -177,12 +177,12 @@
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		_, err = (&Client{Store: cut, Site: "yard"}).Apply(ctx, Request{Text: text("1", 5), Against: 1})
+		_, err = (&Client{Store: cut, Site: "yard"}).Apply(ctx, Request{Text: text("1", 5), BaseRevision: 1})
 		must.ErrorAs[error](t, err, &down)
-		must.True(t, down.Unknown)
+		must.True(t, down.OutcomeUnknown)
 		must.StrContains(t, err.Error(), "may have been accepted")
 		s.SetDown(false)
-		_, err = c.Apply(t.Context(), Request{Text: text("1", 5), Against: 1})
+		_, err = c.Apply(t.Context(), Request{Text: text("1", 5), BaseRevision: 1})
 		must.ErrorContains(t, err, "revision 2 is accepted")
 		must.Eq(t, text("1", 5), newest(t, c).Text)
 	})
@@ -194,11 +194,11 @@
 	apply(t, c, 1, text("2", 4))
 	old, err := c.GetRevision(t.Context(), 1)
 	must.NoError(t, err)
-	r, err := c.Apply(t.Context(), Request{Text: old.Text, Against: 2, Restores: 1})
+	r, err := c.Apply(t.Context(), Request{Text: old.Text, BaseRevision: 2, RestoredRevision: 1})
 	must.NoError(t, err)
 	must.Eq(t, 3, r.Revision)
 	must.Eq(t, text("1", 4), newest(t, c).Text)
-	r, err = c.Apply(t.Context(), Request{Text: text("3", 4), Against: 3, Above: 40})
+	r, err = c.Apply(t.Context(), Request{Text: text("3", 4), BaseRevision: 3, AboveRevision: 40})
 	must.NoError(t, err)
 	must.Eq(t, 41, r.Revision)
 }
@@ -210,7 +210,7 @@
 	_, err = c.Apply(t.Context(), Request{Text: "[nothing]\n"})
 	must.ErrorContains(t, err, "unknown section")
 	_, err = c.Get(t.Context())
-	must.ErrorIs(t, err, ErrNothing)
+	must.ErrorIs(t, err, ErrNoText)
 }
 
 func TestHistoryIsBounded(t *testing.T) {
--- a/control/operate/handover.go
+++ b/control/operate/handover.go
@@ -27,11 +27,11 @@
 
 // Handover gathers text, revision, lagging VMs, running changes and open
 // warnings. A store that does not answer is part of the report, not a failure.
-func (c *Client) Handover(ctx context.Context, answers []Answer) (*Handover, error) {
+func (c *Client) Handover(ctx context.Context, answers []PageResult) (*Handover, error) {
 	h := &Handover{Time: time.Now().UTC(), Status: c.Status(ctx, answers)}
 	current, err := c.Get(ctx)
 	var down *StoreError
-	if errors.As(err, &down) || errors.Is(err, ErrNothing) {
+	if errors.As(err, &down) || errors.Is(err, ErrNoText) {
 		return h, nil
 	}
 	if err != nil {
--- a/control/operate/operate.go
+++ b/control/operate/operate.go
@@ -18,8 +18,8 @@
 type Client struct {
 	Store store.Store
 	Site  string
-	// Who stands in the history beside each change.
-	Who string
+	// Author stands in the history beside each change.
+	Author string
 }
 
 // Current is an accepted text with its record.
@@ -32,24 +32,24 @@
 // daemons do.
 const callTimeout = 5 * time.Second
 
-// ErrNothing means that no text has been accepted yet.
-var ErrNothing = errors.New("no site text has been accepted yet")
+// ErrNoText means that no text has been accepted yet.
+var ErrNoText = errors.New("no site text has been accepted yet")
 
 // StoreError means that the store did not answer. Unknown tells whether the
 // change may have been accepted all the same.
 type StoreError struct {
-	Unknown bool
-	ID      string // of the change, when Unknown
-	Err     error
+	OutcomeUnknown bool
+	ChangeID       string // of the change, when Unknown
+	Err            error
 }
 
 // Error says what the operator knows and can do.
 func (e *StoreError) Error() string {
-	if !e.Unknown {
+	if !e.OutcomeUnknown {
 		return fmt.Sprintf("the store does not answer, nothing was changed: %v", e.Err)
 	}
 	return fmt.Sprintf("the store does not answer, the change %s may have been accepted; "+
-		"run history when it answers, or the same apply again with the same --against: %v", e.ID, e.Err)
+		"run history when it answers, or the same apply again with the same --against: %v", e.ChangeID, e.Err)
 }
 
 // Unwrap returns the store's error.
@@ -60,15 +60,15 @@
 
 // ConflictError means that another change was accepted since this one was planned.
 type ConflictError struct {
-	Planned int64
-	Head    record.Accepted // what is accepted instead
-	Changes []Change        // from the planned revision to Head; nil when its text is gone
+	PlannedRevision int64
+	Head            record.Accepted // what is accepted instead
+	Changes         []Change        // from the planned revision to Head; nil when its text is gone
 }
 
 // Error names who changed what.
 func (e *ConflictError) Error() string {
 	text := fmt.Sprintf("planned against revision %d, but revision %d is accepted: %s at %s: %q",
-		e.Planned, e.Head.Revision, e.Head.Author, e.Head.AppliedAt.UTC().Format(time.RFC3339), e.Head.Comment)
+		e.PlannedRevision, e.Head.Revision, e.Head.Author, e.Head.AppliedAt.UTC().Format(time.RFC3339), e.Head.Comment)
 	for _, c := range e.Changes {
 		text += "\n  " + c.String()
 	}
@@ -87,7 +87,7 @@
 		return nil, err
 	}
 	if head.Record == nil {
-		return nil, ErrNothing
+		return nil, ErrNoText
 	}
 	return c.withText(ctx, head)
 }
--- a/control/operate/status.go
+++ b/control/operate/status.go
@@ -25,23 +25,23 @@
 	pagesAtOnce = 32
 )
 
-// Pages reads status pages of daemons.
-type Pages struct {
+// PageReader reads status pages of daemons.
+type PageReader struct {
 	Client *http.Client
 	Scheme string // http or https
 	Token  string // operators' bearer token, may be empty
 }
 
-// Answer is one daemon's page, or why there is none.
-type Answer struct {
+// PageResult is one daemon's page, or why there is none.
+type PageResult struct {
 	Address string          `json:"address"`
 	Page    statuspage.Page `json:"page"`
 	Error   string          `json:"error,omitempty"`
 }
 
 // Read asks all addresses and returns the answers in their order.
-func (p *Pages) Read(ctx context.Context, addresses []string) []Answer {
-	answers := make([]Answer, len(addresses))
+func (p *PageReader) Read(ctx context.Context, addresses []string) []PageResult {
+	answers := make([]PageResult, len(addresses))
 	slots := make(chan struct{}, pagesAtOnce)
 	var wg sync.WaitGroup
 	for i, address := range addresses {
@@ -58,7 +58,7 @@
 	return answers
 }
 
-func (p *Pages) read(ctx context.Context, address string, page *statuspage.Page) error {
+func (p *PageReader) read(ctx context.Context, address string, page *statuspage.Page) error {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.Scheme+"://"+address+"/status", nil)
@@ -81,29 +81,29 @@
 
 // Status is the state of the configuration in the whole site.
 type Status struct {
-	Accepted int64               `json:"accepted"` // newest revision known, 0 for none
-	Store    string              `json:"store"`    // "answers", or the error
-	Zones    []Zone              `json:"zones"`
-	NoAnswer []Answer            `json:"no_answer"`
-	Changes  []statuspage.Change `json:"changes"`
-	Warnings []Warning           `json:"warnings"`
+	AcceptedRevision int64               `json:"accepted"` // newest revision known, 0 for none
+	StoreState       string              `json:"store"`    // "answers", or the error
+	Zones            []Zone              `json:"zones"`
+	Unreachable      []PageResult        `json:"no_answer"`
+	Changes          []statuspage.Change `json:"changes"`
+	Warnings         []Warning           `json:"warnings"`
 }
 
 // Zone is the configuration in one zone.
 type Zone struct {
-	Name     string `json:"name"`
-	Revision int64  `json:"revision"` // the lowest in force: what the whole zone has reached
-	Newest   int64  `json:"newest"`   // the highest in force
-	VMs      []VM   `json:"vms"`
+	Name        string `json:"name"`
+	MinRevision int64  `json:"revision"` // the lowest in force: what the whole zone has reached
+	MaxRevision int64  `json:"newest"`   // the highest in force
+	VMs         []VM   `json:"vms"`
 }
 
 // VM is one entry VM. Revision is 0 where nobody has heard of one.
 type VM struct {
-	ID       string    `json:"id"`
-	State    string    `json:"state"`
-	Revision int64     `json:"revision"`
-	Heard    time.Time `json:"heard"`
-	Lags     bool      `json:"lags"`
+	ID         string    `json:"id"`
+	State      string    `json:"state"`
+	Revision   int64     `json:"revision"`
+	ObservedAt time.Time `json:"heard"`
+	IsLagging  bool      `json:"lags"`
 }
 
 // Warning is a warning with the daemon that gave it.
@@ -114,17 +114,17 @@
 
 // Status joins the pages with what the store has accepted. What a daemon says
 // of itself counts more than what others heard of it; of hearsay the latest.
-func (c *Client) Status(ctx context.Context, answers []Answer) *Status {
-	s := &Status{Store: "answers"}
+func (c *Client) Status(ctx context.Context, answers []PageResult) *Status {
+	s := &Status{StoreState: "answers"}
 	head, err := c.head(ctx)
 	if err != nil {
-		s.Store = err.Error()
+		s.StoreState = err.Error()
 	}
-	s.Accepted = revisionOf(head)
+	s.AcceptedRevision = revisionOf(head)
 	vms := map[string]located{}
 	for _, a := range answers {
 		if a.Error != "" {
-			s.NoAnswer = append(s.NoAnswer, a)
+			s.Unreachable = append(s.Unreachable, a)
 			continue
 		}
 		s.take(a.Page, vms)
@@ -140,18 +140,18 @@
 }
 
 func (s *Status) take(p statuspage.Page, vms map[string]located) {
-	s.Accepted = max(s.Accepted, p.Config.Revision)
+	s.AcceptedRevision = max(s.AcceptedRevision, p.Config.Revision)
 	s.Changes = append(s.Changes, p.Changes...)
 	for _, w := range p.Warnings {
 		s.Warnings = append(s.Warnings, Warning{p.VM, w})
 	}
-	vms[p.VM] = located{VM{ID: p.VM, State: p.State, Revision: p.Config.Revision, Heard: p.Time}, p.Zone, true}
+	vms[p.VM] = located{VM{ID: p.VM, State: p.State, Revision: p.Config.Revision, ObservedAt: p.Time}, p.Zone, true}
 	for _, m := range p.Members {
 		known, ok := vms[m.ID]
-		if ok && (known.first || !m.Heard.After(known.Heard)) {
+		if ok && (known.first || !m.ObservedAt.After(known.ObservedAt)) {
 			continue
 		}
-		vms[m.ID] = located{VM{ID: m.ID, State: m.State, Revision: m.Revision, Heard: m.Heard}, m.Zone, false}
+		vms[m.ID] = located{VM{ID: m.ID, State: m.State, Revision: m.Revision, ObservedAt: m.ObservedAt}, m.Zone, false}
 	}
 }
 
@@ -160,12 +160,12 @@
 	for _, vm := range vms {
 		z := byZone[vm.zone]
 		if z == nil {
-			z = &Zone{Name: vm.zone, Revision: vm.Revision}
+			z = &Zone{Name: vm.zone, MinRevision: vm.Revision}
 			byZone[vm.zone] = z
 		}
-		vm.Lags = vm.Revision < s.Accepted
-		z.Revision = min(z.Revision, vm.Revision)
-		z.Newest = max(z.Newest, vm.Revision)
+		vm.IsLagging = vm.Revision < s.AcceptedRevision
+		z.MinRevision = min(z.MinRevision, vm.Revision)
+		z.MaxRevision = max(z.MaxRevision, vm.Revision)
 		z.VMs = append(z.VMs, vm.VM)
 	}
 	for _, z := range byZone {
@@ -180,7 +180,7 @@
 	var list []VM
 	for _, z := range s.Zones {
 		for _, vm := range z.VMs {
-			if vm.Lags {
+			if vm.IsLagging {
 				list = append(list, vm)
 			}
 		}
@@ -188,21 +188,21 @@
 	return list
 }
 
-// Settled reports whether every known VM has the newest revision in force
+// HasConverged reports whether every known VM has the newest revision in force
 // and every asked one answered.
-func (s *Status) Settled() bool {
-	return s.Accepted > 0 && len(s.NoAnswer) == 0 && len(s.Lagging()) == 0
+func (s *Status) HasConverged() bool {
+	return s.AcceptedRevision > 0 && len(s.Unreachable) == 0 && len(s.Lagging()) == 0
 }
 
 // Write prints the status for a person.
 func (s *Status) Write(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer w.Flush()
-	fmt.Fprintf(w, "newest accepted revision: %d, store: %s\n", s.Accepted, s.Store)
+	fmt.Fprintf(w, "newest accepted revision: %d, store: %s\n", s.AcceptedRevision, s.StoreState)
 	for _, z := range s.Zones {
-		fmt.Fprintf(w, "zone\t%s\trevision %d in force\t%d VMs%s\n", z.Name, z.Revision, len(z.VMs), lagging(z))
+		fmt.Fprintf(w, "zone\t%s\trevision %d in force\t%d VMs%s\n", z.Name, z.MinRevision, len(z.VMs), lagging(z))
 	}
-	for _, a := range s.NoAnswer {
+	for _, a := range s.Unreachable {
 		fmt.Fprintf(w, "no answer\t%s\t%s\n", a.Address, a.Error)
 	}
 	for _, x := range s.Changes {
@@ -216,7 +216,7 @@
 func lagging(z Zone) string {
 	var ids []string
 	for _, vm := range z.VMs {
-		if vm.Lags {
+		if vm.IsLagging {
 			ids = append(ids, fmt.Sprintf("%s (%d)", vm.ID, vm.Revision))
 		}
 	}
--- a/control/operate/status_test.go
+++ b/control/operate/status_test.go
@@ -17,8 +17,8 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-func page(vm, zone string, revision int64, members ...statuspage.Member) Answer {
-	return Answer{Address: vm, Page: statuspage.Page{
+func page(vm, zone string, revision int64, members ...statuspage.Member) PageResult {
+	return PageResult{Address: vm, Page: statuspage.Page{
 		VM: vm, Zone: zone, State: "serving", Time: time.Unix(100, 0),
 		Config: statuspage.Config{Revision: revision}, Members: members,
 	}}
@@ -28,25 +28,25 @@
 	c, s := newClient("day")
 	apply(t, c, 0, text("1", 4))
 	heard := func(id, zone string, revision, at int64) statuspage.Member {
-		return statuspage.Member{ID: id, Zone: zone, State: "alive", Revision: revision, Heard: time.Unix(at, 0)}
+		return statuspage.Member{ID: id, Zone: zone, State: "alive", Revision: revision, ObservedAt: time.Unix(at, 0)}
 	}
-	answers := []Answer{
+	answers := []PageResult{
 		page("a", "Embakasi", 1, heard("b", "Athi River", 0, 50), heard("c", "Athi River", 0, 60)),
 		page("b", "Athi River", 1, heard("a", "Embakasi", 0, 99), heard("c", "Athi River", 0, 40)),
 	}
 	status := c.Status(t.Context(), answers)
-	must.False(t, status.Settled())
-	must.Eq(t, []VM{{ID: "c", State: "alive", Heard: time.Unix(60, 0), Lags: true}}, status.Lagging())
+	must.False(t, status.HasConverged())
+	must.Eq(t, []VM{{ID: "c", State: "alive", ObservedAt: time.Unix(60, 0), IsLagging: true}}, status.Lagging())
 
 	answers[1].Page.Members[1] = heard("c", "Athi River", 1, 70)
 	s.SetDown(true)
 	status = c.Status(t.Context(), answers)
-	must.True(t, status.Settled())
-	must.StrContains(t, status.Store, "does not answer")
-	must.Eq(t, 1, status.Accepted)
+	must.True(t, status.HasConverged())
+	must.StrContains(t, status.StoreState, "does not answer")
+	must.Eq(t, 1, status.AcceptedRevision)
 
-	status = c.Status(t.Context(), append(answers, Answer{Address: "d", Error: "refused"}))
-	must.False(t, status.Settled())
+	status = c.Status(t.Context(), append(answers, PageResult{Address: "d", Error: "refused"}))
+	must.False(t, status.HasConverged())
 }
 
 // The next shift stores the handover in version control and applies it. Its
@@ -56,7 +56,7 @@
 	apply(t, c, 0, text("1", 4))
 	answer := page("a", "Embakasi", 0)
 	answer.Page.Warnings = []statuspage.Warning{{Subject: "store", Text: "does not answer:\nfor an hour"}}
-	h, err := c.Handover(t.Context(), []Answer{answer})
+	h, err := c.Handover(t.Context(), []PageResult{answer})
 	must.NoError(t, err)
 	var out bytes.Buffer
 	h.Write(&out)
@@ -91,13 +91,13 @@
 	var log bytes.Buffer
 	l := logrus.New()
 	l.SetOutput(&log)
-	guarded := statuspage.Guard(record.Hash("right"), event.New(l, "vm", "zone"),
+	guarded := statuspage.RequireToken(record.Hash("right"), event.New(l, "vm", "zone"),
 		statuspage.Handler(func() statuspage.Page { return page("a", "Embakasi", 3).Page }))
 	server := httptest.NewServer(guarded)
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
 
-	pages := Pages{Client: server.Client(), Scheme: "http", Token: "wrong"}
+	pages := PageReader{Client: server.Client(), Scheme: "http", Token: "wrong"}
 	answers := pages.Read(t.Context(), []string{address})
 	must.StrContains(t, answers[0].Error, "401")
 	must.StrContains(t, log.String(), "operator_refused")
--- a/control/operate/statuspage/guard.go
+++ b/control/operate/statuspage/guard.go
@@ -10,11 +10,11 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// Guard lets requests through that carry the bearer token whose lower-case hex
+// RequireToken lets requests through that carry the bearer token whose lower-case hex
 // SHA-256 is hash; an empty hash lets all through. Both sides are hashes of
 // one length and compared in constant time, so that the time of a refusal
 // tells nothing of the token. The token itself is never logged.
-func Guard(hash string, log *event.Log, next http.Handler) http.Handler {
+func RequireToken(hash string, log *event.Log, next http.Handler) http.Handler {
 	want := []byte(hash)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		token, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
--- a/control/operate/statuspage/page.go
+++ b/control/operate/statuspage/page.go
@@ -32,22 +32,22 @@
 
 // Config is the site text in force at the daemon.
 type Config struct {
-	Revision int64     `json:"revision"` // 0 for none
-	Source   string    `json:"source,omitempty"`
-	Since    time.Time `json:"since,omitzero"`
-	Who      string    `json:"who,omitempty"`
-	Accepted time.Time `json:"accepted,omitzero"`
-	Comment  string    `json:"comment,omitempty"`
-	Watching bool      `json:"watching"` // this daemon watches the store for its zone
+	Revision     int64     `json:"revision"` // 0 for none
+	Source       string    `json:"source,omitempty"`
+	InForceSince time.Time `json:"since,omitzero"`
+	Author       string    `json:"who,omitempty"`
+	AcceptedAt   time.Time `json:"accepted,omitzero"`
+	Comment      string    `json:"comment,omitempty"`
+	Watching     bool      `json:"watching"` // this daemon watches the store for its zone
 }
 
 // Member is another daemon as this one sees it.
 type Member struct {
-	ID       string    `json:"id"`
-	Zone     string    `json:"zone"`
-	State    string    `json:"state"`
-	Revision int64     `json:"revision"` // last heard, 0 for never
-	Heard    time.Time `json:"heard,omitzero"`
+	ID         string    `json:"id"`
+	Zone       string    `json:"zone"`
+	State      string    `json:"state"`
+	Revision   int64     `json:"revision"` // last heard, 0 for never
+	ObservedAt time.Time `json:"heard,omitzero"`
 }
 
 // Change is a placement order under way.
@@ -70,15 +70,15 @@
 // Fill sets the parts of p that configuration and membership know. The
 // daemon adds its own changes and warnings.
 func (p *Page) Fill(r inforce.Report, view *membership.View) {
-	p.Config = Config{Revision: r.Revision, Source: r.Source, Since: r.ActiveSince, Watching: r.Watching}
+	p.Config = Config{Revision: r.Revision, Source: r.Source, InForceSince: r.ActiveSince, Watching: r.Watching}
 	if r.Record != nil {
-		p.Config.Who, p.Config.Accepted, p.Config.Comment = r.Record.Author, r.Record.AppliedAt, r.Record.Comment
+		p.Config.Author, p.Config.AcceptedAt, p.Config.Comment = r.Record.Author, r.Record.AppliedAt, r.Record.Comment
 	}
 	p.Members = make([]Member, 0, len(view.Members))
 	for _, m := range view.Members {
 		heard := r.MemberRevisions[m.ID]
 		p.Members = append(p.Members, Member{
-			ID: m.ID, Zone: m.Zone, State: m.State.String(), Revision: heard.Revision, Heard: heard.ObservedAt,
+			ID: m.ID, Zone: m.Zone, State: m.State.String(), Revision: heard.Revision, ObservedAt: heard.ObservedAt,
 		})
 	}
 	if !r.StoreDownSince.IsZero() {
@@ -115,7 +115,7 @@
 	fmt.Fprintf(w, "%s in %s is %s, version %s\n", p.VM, p.Zone, p.State, p.Version)
 	c := p.Config
 	fmt.Fprintf(w, "revision %d from %s since %s, accepted from %s: %s\n",
-		c.Revision, c.Source, c.Since.UTC().Format(time.RFC3339), c.Who, c.Comment)
+		c.Revision, c.Source, c.InForceSince.UTC().Format(time.RFC3339), c.Author, c.Comment)
 	for _, x := range p.Warnings {
 		fmt.Fprintf(w, "warning: %s %s\n", x.Subject, x.Text)
 	}
--- a/control/operate/values.go
+++ b/control/operate/values.go
@@ -45,7 +45,7 @@
 		"kind": string(s.Kind), "pool": s.Pool, "model": s.Model, "adapter": s.Adapter, "version": s.Version,
 		"floor": strconv.Itoa(s.Floor), "class": string(s.Class), "deadline": s.Deadline.String(),
 		"depends_on": strings.Join(slices.Sorted(slices.Values(s.DependsOn)), ", "),
-		"repeatable": yesNo(s.Repeatable), "latency_weight": number(s.LatencyWeight),
+		"repeatable": yesNo(s.Idempotent), "latency_weight": number(s.LatencyWeight),
 		"max_tokens": strconv.Itoa(s.MaxTokens),
 	}
 	for _, zone := range slices.Sorted(maps.Keys(s.Replicas)) {
@@ -60,7 +60,7 @@
 // into tickets, and a hash of a weak token can be guessed from.
 func accountValues(a *site.Account) values {
 	return values{
-		"share": number(a.Share), "tokens_per_second": number(a.TokensPerS),
+		"share": number(a.Share), "tokens_per_second": number(a.TokensPerSecond),
 		"token_hashes": fmt.Sprintf("%d (%s)", len(a.TokenHashes), digest(a.TokenHashes)),
 	}
 }
--- a/control/site/fields.go
+++ b/control/site/fields.go
@@ -33,7 +33,7 @@
 func newService(name string) *Service {
 	return &Service{
 		Name: name, Replicas: map[string]int{}, Class: ClassNormal, Deadline: defaultDeadline,
-		Repeatable: true, LatencyWeight: 0.5, MaxTokens: defaultMaxTokens,
+		Idempotent: true, LatencyWeight: 0.5, MaxTokens: defaultMaxTokens,
 	}
 }
 
@@ -142,7 +142,7 @@
 }
 
 func setTokensPerS(to *Account, _, value string) (err error) {
-	to.TokensPerS, err = inifile.Float(value, 0, mostTokensPerS)
+	to.TokensPerSecond, err = inifile.Float(value, 0, mostTokensPerS)
 	return err
 }
 
@@ -192,7 +192,7 @@
 }
 
 func setRepeatable(to *Service, _, value string) (err error) {
-	to.Repeatable, err = inifile.Bool(value)
+	to.Idempotent, err = inifile.Bool(value)
 	return err
 }
 
--- a/control/site/parse.go
+++ b/control/site/parse.go
@@ -6,16 +6,16 @@
 	"mallowwind.dev/control/inifile"
 )
 
-// MaxText bounds the site text in bytes: the store holds a megabyte per value,
+// MaxTextBytes bounds the site text in bytes: the store holds a megabyte per value,
 // and the value carries who wrote it beside the text.
-const MaxText = 1<<20 - 16<<10
+const MaxTextBytes = 1<<20 - 16<<10
 
 // Parse reads a site text; name stands in the errors. Its error is an
 // inifile.Errors that lists every fault as "file:line: what: what to write instead".
 func Parse(name string, text []byte) (*Site, error) {
 	errs := &inifile.Collector{File: name}
-	if len(text) > MaxText {
-		errs.Add(0, fmt.Sprintf("the text has %d bytes", len(text)), fmt.Sprintf("keep it under %d bytes", MaxText))
+	if len(text) > MaxTextBytes {
+		errs.Add(0, fmt.Sprintf("the text has %d bytes", len(text)), fmt.Sprintf("keep it under %d bytes", MaxTextBytes))
 		return nil, errs.Err()
 	}
 	p := parser{errs: errs, site: &Site{
--- a/control/site/parse_test.go
+++ b/control/site/parse_test.go
@@ -62,7 +62,7 @@
 	must.Eq(t, map[string]int{"Embakasi": 6, "Athi River": 6}, s.Services["drafting"].Replicas)
 	must.Eq(t, 2*time.Minute, s.Services["drafting"].Deadline)
 	must.Eq(t, []string{"desk"}, s.Services["drafting"].DependsOn)
-	must.False(t, s.Services["desk"].Repeatable)
+	must.False(t, s.Services["desk"].Idempotent)
 	must.False(t, s.Pools["engines"].Fencing)
 	must.True(t, s.Pools["desks"].Fencing)
 	must.Eq(t, 5*time.Minute, s.Limits.AnswerTTL)
@@ -147,7 +147,7 @@
 }
 
 func TestParseRefusesTooLarge(t *testing.T) {
-	_, err := Parse("site.ini", []byte(strings.Repeat("# x\n", MaxText/4+1)))
+	_, err := Parse("site.ini", []byte(strings.Repeat("# x\n", MaxTextBytes/4+1)))
 	must.ErrorContains(t, err, "keep it under")
 }
 
--- a/control/site/site.go
+++ b/control/site/site.go
@@ -37,8 +37,8 @@
 	Class     Class
 	Deadline  time.Duration // longest wait for the first token or the answer
 	DependsOn []string
-	// Repeatable says that running a call twice does no harm.
-	Repeatable bool
+	// Idempotent says that running a call twice does no harm.
+	Idempotent bool
 	// LatencyWeight weighs resume latency (1) against extra resources (0).
 	LatencyWeight float64
 	MaxTokens     int // largest answer, in tokens
@@ -55,10 +55,10 @@
 
 // Account is one client account.
 type Account struct {
-	Name        string
-	TokenHashes []string // lower-case hex SHA-256 of bearer tokens
-	Share       float64  // weight in fair sharing, 1 is usual
-	TokensPerS  float64  // limit over all entry VMs, 0 means none
+	Name            string
+	TokenHashes     []string // lower-case hex SHA-256 of bearer tokens
+	Share           float64  // weight in fair sharing, 1 is usual
+	TokensPerSecond float64  // limit over all entry VMs, 0 means none
 }
 
 // Limits bound what one daemon takes in.
--- a/lab/bench/control/fleet.go
+++ b/lab/bench/control/fleet.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f.operator = &operate.Client{Store: operatorStore, Site: site, Who: "bench"}
+	f.operator = &operate.Client{Store: operatorStore, Site: site, Author: "bench"}
 	if err := f.apply(ctx, text); err != nil {
 		return nil, err
 	}
@@ -191,7 +191,7 @@
 
 // apply accepts text as an operator would.
 func (f *fleet) apply(ctx context.Context, text string) error {
-	r, err := f.operator.Apply(ctx, operate.Request{Text: text, Against: f.revision})
+	r, err := f.operator.Apply(ctx, operate.Request{Text: text, BaseRevision: f.revision})
 	if err == nil {
 		f.revision = r.Revision
 	}
--- a/lab/bench/load/deploy.go
+++ b/lab/bench/load/deploy.go
@@ -46,7 +46,7 @@
 func service(name, pool string, class site.Class, patience time.Duration) *site.Service {
 	return &site.Service{
 		Name: name, Kind: site.KindGeneration, Pool: pool, Model: pool, Version: "1",
-		Class: class, Deadline: patience, Repeatable: true,
+		Class: class, Deadline: patience, Idempotent: true,
 	}
 }
 
--- a/lab/bench/members/fleet.go
+++ b/lab/bench/members/fleet.go
@@ -112,7 +112,7 @@
 			CallerAddr: vm.Address, PeerAddr: vm.Address,
 		},
 		VMs:        f,
-		Dialer:     link.NewDialerWith(&http.Client{Transport: &lossy{RoundTripper: transport, f: f}}),
+		Dialer:     link.NewDialerWithClient(&http.Client{Transport: &lossy{RoundTripper: transport, f: f}}),
 		Registerer: d.registry,
 	})
 	holder := lease.NewManager(lease.Deps{Store: f.store, Members: d.members})
--- a/lab/bench/slopes/stack.go
+++ b/lab/bench/slopes/stack.go
@@ -96,8 +96,8 @@
 
 // apply makes text the accepted one, as an operator's command does.
 func (s *stack) apply(ctx context.Context, text string) error {
-	c := &operate.Client{Store: s.store, Site: siteName, Who: siteName}
-	r, err := c.Apply(ctx, operate.Request{Text: text, Against: s.revision})
+	c := &operate.Client{Store: s.store, Site: siteName, Author: siteName}
+	r, err := c.Apply(ctx, operate.Request{Text: text, BaseRevision: s.revision})
 	if err == nil {
 		s.revision = r.Revision
 	}
--- a/lab/soak/operators.go
+++ b/lab/soak/operators.go
@@ -48,13 +48,13 @@
 // operate applies changes until the plan is over.
 func (r *run) operate(ctx context.Context, who int, rng *rand.Rand) {
 	client := r.stand.Operator()
-	client.Who = fmt.Sprintf("operator-%d", who)
+	client.Author = fmt.Sprintf("operator-%d", who)
 	for n := 0; r.pause(ctx, between(rng, 300*time.Millisecond, 3*time.Second)); n++ {
 		current, err := client.Get(ctx)
 		if err != nil {
 			continue
 		}
-		line := fmt.Sprintf("%s%d of %s", mark, n, client.Who)
+		line := fmt.Sprintf("%s%d of %s", mark, n, client.Author)
 		if rng.IntN(2) == 0 {
 			pause.For(ctx, between(rng, 0, 500*time.Millisecond)) // the other one may be faster
 		}
@@ -66,7 +66,7 @@
 	once, cancel := context.WithTimeout(ctx, applyLimit)
 	defer cancel()
 	record, err := client.Apply(once, operate.Request{
-		Text: changed(current.Text, line, rng), Against: current.Revision, Comment: line,
+		Text: changed(current.Text, line, rng), BaseRevision: current.Revision, Comment: line,
 	})
 	var (
 		conflict *operate.ConflictError
@@ -83,7 +83,7 @@
 	case errors.As(err, &conflict):
 		r.count("text conflict")
 		r.texts.wasRefused(line)
-	case errors.As(err, &failed) && !failed.Unknown:
+	case errors.As(err, &failed) && !failed.OutcomeUnknown:
 		r.count("text not changed")
 		r.texts.wasRefused(line)
 	case errors.As(err, &failed):
--- a/lab/stand/entry.go
+++ b/lab/stand/entry.go
@@ -48,7 +48,7 @@
 	e.Daemon = daemon.New(daemon.Options{
 		Settings:  &settings.Settings{Site: d.opts.Site, VM: e.ID, Zone: zone, DrainLimit: d.opts.DrainLimit},
 		Listeners: listeners,
-		Dialer:    link.NewDialerWith(d.httpFrom(location{e.ID, zone})),
+		Dialer:    link.NewDialerWithClient(d.httpFrom(location{e.ID, zone})),
 		Logger:    logger,
 		Version:   "stand",
 		Backends:  &watch,
--- a/lab/stand/stand.go
+++ b/lab/stand/stand.go
@@ -142,7 +142,7 @@
 
 // Operator returns the client that an operator's command line uses.
 func (d *Deployment) Operator() *operate.Client {
-	return &operate.Client{Store: d.Store, Site: d.opts.Site, Who: "demo"}
+	return &operate.Client{Store: d.Store, Site: d.opts.Site, Author: "demo"}
 }
 
 // HTTP returns a client that reaches every address of the deployment.
--- a/lab/stand/version_test.go
+++ b/lab/stand/version_test.go
@@ -35,7 +35,7 @@
 				current, err := d.Operator().Get(t.Context())
 				must.NoError(t, err)
 				text := strings.ReplaceAll(current.Text, "version = 1", "version = 2")
-				_, err = d.Operator().Apply(t.Context(), operate.Request{Text: text, Against: current.Revision})
+				_, err = d.Operator().Apply(t.Context(), operate.Request{Text: text, BaseRevision: current.Revision})
 				must.NoError(t, err)
 			}
 			tokens := 60
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -132,7 +132,7 @@
 		Zones: zones,
 		Services: map[string]*site.Service{Service: {
 			Name: Service, Kind: site.KindGeneration, Pool: pool, Model: Model, Class: site.ClassNormal,
-			Deadline: time.Minute, MaxTokens: c.MaxTokens, LatencyWeight: c.Weight, Repeatable: true,
+			Deadline: time.Minute, MaxTokens: c.MaxTokens, LatencyWeight: c.Weight, Idempotent: true,
 		}},
 		Accounts: map[string]*site.Account{
 			Account: {Name: Account, Share: 1},
@@ -156,7 +156,7 @@
 	})
 	v.manager = generation.NewManager(generation.Config{
 		Site: fixedSite{w.Site}, Members: v, Dispatcher: f, Log: event.Discard(), Metrics: v.registry,
-		Dialer: link.NewDialerWith(&http.Client{Transport: vmTransport{w.Net, self.ID}}),
+		Dialer: link.NewDialerWithClient(&http.Client{Transport: vmTransport{w.Net, self.ID}}),
 		Policy: w.config.Policy,
 	})
 	w.metrics = append(w.metrics, v.registry)
--- a/peer/link/link.go
+++ b/peer/link/link.go
@@ -45,14 +45,14 @@
 	return &Dialer{Client: &http.Client{Transport: t}, scheme: scheme}
 }
 
-// NewDialerWith returns a Dialer on a given client, for tests without a network.
-func NewDialerWith(client *http.Client) *Dialer {
+// NewDialerWithClient returns a Dialer on a given client, for tests without a network.
+func NewDialerWithClient(client *http.Client) *Dialer {
 	return &Dialer{Client: client, scheme: "http"}
 }
 
 // URL returns the base URL of the daemon at address.
 func (d *Dialer) URL(address string) string { return d.scheme + "://" + address }
 
-// DropIdle closes idle connections, so that the next call opens a fresh one:
+// CloseIdleConnections closes idle connections, so that the next call opens a fresh one:
 // a connection on which a call timed out may be silent for good.
-func (d *Dialer) DropIdle() { d.Client.CloseIdleConnections() }
+func (d *Dialer) CloseIdleConnections() { d.Client.CloseIdleConnections() }
--- a/serve/api/services.go
+++ b/serve/api/services.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	if key == "" && !service.Repeatable {
+	if key == "" && !service.Idempotent {
 		return verdict.New(verdict.NotRun, verdict.CodeKeyRequired,
 			"calls to %s may not be repeated: send an %s header, the same one when you try again", service.Name, keyHeader)
 	}
--- a/serve/daemon/server.go
+++ b/serve/daemon/server.go
@@ -66,7 +66,7 @@
 func (d *Daemon) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", promhttp.HandlerFor(d.registry, promhttp.HandlerOpts{}))
-	mux.Handle("/status", statuspage.Guard(d.opts.Settings.TLS.OperatorTokenHash, d.log, statuspage.Handler(d.page)))
+	mux.Handle("/status", statuspage.RequireToken(d.opts.Settings.TLS.OperatorTokenHash, d.log, statuspage.Handler(d.page)))
 	mux.Handle("/healthz", d.api)
 	mux.Handle("/readyz", d.api)
 	return mux
--- a/serve/flow/decide_test.go
+++ b/serve/flow/decide_test.go
@@ -92,7 +92,7 @@
 			Members: membership.Static{View: view}, Seed: 1,
 		})
 		a := ask(f, "review")
-		a.Account = &site.Account{Name: "acc", Share: 1, TokensPerS: 100}
+		a.Account = &site.Account{Name: "acc", Share: 1, TokensPerSecond: 100}
 		f.site.Accounts = map[string]*site.Account{"acc": a.Account}
 		granted := 0
 		var err error
--- a/serve/flow/precheck.go
+++ b/serve/flow/precheck.go
@@ -26,7 +26,7 @@
 		return c.afford(now, w)
 	}
 	a := w.ask.Account
-	if a == nil || a.TokensPerS <= 0 {
+	if a == nil || a.TokensPerSecond <= 0 {
 		return nil
 	}
 	bucket, ok := c.accounts[a.Name]
@@ -37,10 +37,10 @@
 	if bucket.fleet != c.fleetVersion {
 		bucket.share, bucket.fleet = c.share(a.Name), c.fleetVersion
 	}
-	rate := a.TokensPerS * bucket.share
+	rate := a.TokensPerSecond * bucket.share
 	if wait := bucket.Take(now, w.item.Cost, rate); wait > 0 {
 		return verdict.New(verdict.NotRun, verdict.CodeAccountLimit,
-			"account %s is above its limit of %g tokens a second", a.Name, a.TokensPerS).WithRetryAfter(wait)
+			"account %s is above its limit of %g tokens a second", a.Name, a.TokensPerSecond).WithRetryAfter(wait)
 	}
 	return nil
 }
--- a/serve/forward/borrow.go
+++ b/serve/forward/borrow.go
@@ -92,7 +92,7 @@
 		// A retry granted in a lost reply stays unused: the fleet retries less than its budget
 		// allows.
 		b.log.Emit(event.LenderFailed, address, err)
-		b.dialer.DropIdle()
+		b.dialer.CloseIdleConnections()
 		return false
 	}
 	return reply.GetGranted()
--- a/serve/forward/borrow_test.go
+++ b/serve/forward/borrow_test.go
@@ -47,7 +47,7 @@
 			withTestCluster(t, streamRoute(), func(w *testCluster) {
 				lender := newPool(routing.VM{ID: "vm-3"}, retrybudget.Policy{Slack: c.slack, Window: 10 * time.Second}, w.handler.versions)
 				w.handler.SetBounds(5*time.Second, retrybudget.Policy{Window: 10 * time.Second})
-				w.handler.borrower.dialer = link.NewDialerWith(&http.Client{Transport: lenderPools{"three:1": lender}})
+				w.handler.borrower.dialer = link.NewDialerWithClient(&http.Client{Transport: lenderPools{"three:1": lender}})
 				lender.startedAt = lender.startedAt.Add(-10 * time.Second)
 				w.handler.pool.startedAt = lender.startedAt
 				w.put("mallowwind/vm/vm-2", `{"id":"vm-2","zone":"b","address":"two:2","peer":"two:1"}`) // dead
--- a/serve/forward/place_test.go
+++ b/serve/forward/place_test.go
@@ -179,12 +179,12 @@
 	for n := range count {
 		id := fmt.Sprintf("vm-%d", n+2)
 		o := w.handler.opts
-		o.Self, o.Registerer, o.Dialer = routing.VM{ID: id, Zone: "b"}, nil, link.NewDialerWith(&http.Client{Transport: reach})
+		o.Self, o.Registerer, o.Dialer = routing.VM{ID: id, Zone: "b"}, nil, link.NewDialerWithClient(&http.Client{Transport: reach})
 		others = append(others, New(o))
 		reach.peerDaemons[id+":1"] = others[n]
 		w.put("mallowwind/vm/"+id, fmt.Sprintf(`{"id":%q,"zone":"b","address":"%s:2","peer":"%s:1"}`, id, id, id))
 	}
-	w.handler.neighbours.dialer = link.NewDialerWith(&http.Client{Transport: reach})
+	w.handler.neighbours.dialer = link.NewDialerWithClient(&http.Client{Transport: reach})
 	time.Sleep(time.Second)
 	return others, cut
 }
@@ -261,7 +261,7 @@
 		Feed: w.feed, Codec: testCodec{}, Log: event.Discard(), Self: routing.VM{ID: id, Zone: "b"},
 		RetryBudget: testRetryRule, Dial: w.dial,
 	})
-	w.handler.neighbours.dialer = link.NewDialerWith(&http.Client{Transport: peerDaemons{id + ":1": other}})
+	w.handler.neighbours.dialer = link.NewDialerWithClient(&http.Client{Transport: peerDaemons{id + ":1": other}})
 	w.put("mallowwind/vm/vm-1", `{"id":"vm-1","zone":"a","address":"vm-1:2","peer":"vm-1:1"}`)
 	w.put("mallowwind/vm/"+id, `{"id":"`+id+`","zone":"b","address":"`+id+`:2","peer":"`+id+`:1"}`)
 	time.Sleep(time.Second)
@@ -323,7 +323,7 @@
 		w.add("e-1", "llm", "a", streamEvents(3, 100*time.Millisecond, 10*time.Millisecond))
 		w.addDaemon("vm-2")
 		asked := 0
-		w.handler.neighbours.dialer = link.NewDialerWith(&http.Client{Transport: unresponsivePeers{&asked}})
+		w.handler.neighbours.dialer = link.NewDialerWithClient(&http.Client{Transport: unresponsivePeers{&asked}})
 		for range 4 {
 			got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 			must.Eq(t, events(1, 3), got.body)
--- a/serve/gateway/fleet_test.go
+++ b/serve/gateway/fleet_test.go
@@ -108,7 +108,7 @@
 		AddressTTL: time.Second, MinLeaseTTL: time.Second,
 		Registry: metric.NewCatalogue(), Callers: d.callers, Peers: d.peers,
 		Readiness: faultnet.Pipe(), Directory: faultnet.Pipe(), ReadyHandler: readyHandler, DirectoryHandler: directoryHandler,
-		DialServer: f.dial, Dialer: link.NewDialerWith(&http.Client{Transport: d.dialer}),
+		DialServer: f.dial, Dialer: link.NewDialerWithClient(&http.Client{Transport: d.dialer}),
 	})
 	hard, kill := context.WithCancel(f.t.Context())
 	d.kill = kill
--- a/serve/generation/copier.go
+++ b/serve/generation/copier.go
@@ -83,7 +83,7 @@
 		switch {
 		case err != nil:
 			// The connection may be silent for good while new ones work.
-			c.m.dialer.DropIdle()
+			c.m.dialer.CloseIdleConnections()
 			c.leave("unreachable")
 		case res.Accepted:
 			c.open = true
--- a/serve/generation/handle.go
+++ b/serve/generation/handle.go
@@ -254,7 +254,7 @@
 		})
 		cancel()
 		if err != nil {
-			h.m.dialer.DropIdle()
+			h.m.dialer.CloseIdleConnections()
 			return Batch{}, errors.Join(errFenced{}, err)
 		}
 		b, err := followed(r, pos)
--- a/serve/generation/version_test.go
+++ b/serve/generation/version_test.go
@@ -47,7 +47,7 @@
 func newChanging(t *testing.T, believed, holds map[string][]string) *changing {
 	service := &site.Service{
 		Name: "reviews", Kind: site.KindGeneration, Pool: changingPool, Model: changingModel, Version: newVersion,
-		Class: site.ClassLong, Deadline: 30 * time.Second, MaxTokens: 100, Repeatable: true,
+		Class: site.ClassLong, Deadline: 30 * time.Second, MaxTokens: 100, Idempotent: true,
 	}
 	account := &site.Account{Name: "mill", Share: 1}
 	in := oneSite{&site.Site{
--- a/serve/once/dispatch.go
+++ b/serve/once/dispatch.go
@@ -95,7 +95,7 @@
 	client := pb.NewOnceProtobufClient(s.Dialer.URL(peer), s.Dialer.Client)
 	reply, err := client.Bind(ctx, &pb.BindRequest{Slot: uint32(i), Term: term, Record: recordToWire(&r, time.Now())})
 	if err != nil {
-		s.Dialer.DropIdle()
+		s.Dialer.CloseIdleConnections()
 		s.witnessSilent(i, term)
 		return false
 	}
--- a/serve/once/entry.go
+++ b/serve/once/entry.go
@@ -76,7 +76,7 @@
 		Service: e.service, Call: callToWire(e.call), Seen: e.seen, WaitMs: slice.Milliseconds(),
 	})
 	if err != nil {
-		s.Dialer.DropIdle()
+		s.Dialer.CloseIdleConnections()
 		return reply{outcome: outcome{moved: true}}
 	}
 	s.Roster.MergeAssignment(assignmentFromWire(w.GetAssignment()))
--- a/serve/once/once.go
+++ b/serve/once/once.go
@@ -108,7 +108,7 @@
 // not_run when nothing was and nothing will be sent for the copies of the call
 // seen so far, ran when the answer is no longer kept, else may_have_run.
 func (s *Service) Handle(ctx context.Context, req Request) (plain.Answer, error) {
-	if req.Service.Repeatable {
+	if req.Service.Idempotent {
 		return s.repeatable(ctx, req)
 	}
 	if err := CheckKey(req.Key); err != nil {
--- a/serve/once/report.go
+++ b/serve/once/report.go
@@ -70,7 +70,7 @@
 		Slot: uint32(i), Term: term, Record: recordToWire(r, time.Now()),
 	})
 	if err != nil {
-		s.Dialer.DropIdle()
+		s.Dialer.CloseIdleConnections()
 		return false
 	}
 	s.Roster.MergeAssignment(assignmentFromWire(w.GetAssignment()))
--- a/serve/once/transfer.go
+++ b/serve/once/transfer.go
@@ -139,7 +139,7 @@
 	}
 	reply, err := s.client(from).Seal(ctx, w)
 	if err != nil || len(reply.GetSlots()) != len(group) {
-		s.Dialer.DropIdle()
+		s.Dialer.CloseIdleConnections()
 		return
 	}
 	now := time.Now()
@@ -190,7 +190,7 @@
 		err = errRefused
 	}
 	if err != nil {
-		s.Dialer.DropIdle()
+		s.Dialer.CloseIdleConnections()
 		s.silent.add(witness.ID, now)
 	} else {
 		s.silent.clear(witness.ID)
--- a/serve/once/world_test.go
+++ b/serve/once/world_test.go
@@ -102,7 +102,7 @@
 	manager := roster.NewManager(faulty, d, event.Discard())
 	d.Service = NewService(Deps{
 		Members: d, Roster: manager, Site: w, Flow: &d.flow, Caller: &caller{d},
-		Dialer: link.NewDialerWith(&http.Client{Transport: &transport{d}}),
+		Dialer: link.NewDialerWithClient(&http.Client{Transport: &transport{d}}),
 		Log:    event.Discard(), Registry: prometheus.NewRegistry(), VMs: w,
 	})
 	_, d.handler = d.Handler()
