--- a/cmd/mallowwind/forwardown.go
+++ b/cmd/mallowwind/forwardown.go
@@ -58,7 +58,7 @@
 	}
 	o := gateway.Options{
 		Self:   routing.VM{ID: s.VM, Zone: s.Zone, Address: s.Listen, PeerAddress: s.PeerListen},
-		Store:  store.Confirmed{Store: client, Key: feed.OwnConfigKey, Hold: ownHold},
+		Store:  store.Confirmed{Store: client, Key: feed.OwnConfigKey, Interval: ownHold},
 		Prefix: feed.OwnPrefix, Schema: feed.OwnSchema{}, Codec: forward.DefaultCodec{},
 		Clock: bootClock, Log: events, Registry: metric.NewCatalogue(),
 		DynamicOptions: gateway.DynamicOptions{MaxKeyAge: ownKeyAge, RetryBudget: ownRepeats, RolloutLimits: ownRollouts, GracePeriod: s.DrainLimit},
--- a/control/backends/manager_test.go
+++ b/control/backends/manager_test.go
@@ -349,16 +349,16 @@
 // it nor all go to that engine, and a leaving engine counts for nothing.
 func TestVersionsShareRequestsByEngines(t *testing.T) {
 	ref := func(v string) engine.ModelRef { return engine.ModelRef{Model: "m", Version: v} }
-	holding := func(state vmlist.State, models ...engine.Loaded) *Backend {
+	holding := func(state vmlist.State, models ...engine.LoadedModel) *Backend {
 		return &Backend{VM: vmlist.VM{State: state}, Reachable: true, Status: engine.Status{Models: models}}
 	}
-	old := engine.Loaded{Ref: ref("1"), State: engine.Ready}
+	old := engine.LoadedModel{Ref: ref("1"), State: engine.Ready}
 	s := &Snapshot{Pools: map[string][]*Backend{"p": {
 		holding(vmlist.Live, old),
-		holding(vmlist.Live, old, engine.Loaded{Ref: ref("2"), State: engine.Ready}),
-		holding(vmlist.Live, old, engine.Loaded{Ref: ref("2"), State: engine.Loading}),
+		holding(vmlist.Live, old, engine.LoadedModel{Ref: ref("2"), State: engine.Ready}),
+		holding(vmlist.Live, old, engine.LoadedModel{Ref: ref("2"), State: engine.Loading}),
 		holding(vmlist.Live, old),
-		holding(vmlist.Leaving, engine.Loaded{Ref: ref("2"), State: engine.Ready}),
+		holding(vmlist.Leaving, engine.LoadedModel{Ref: ref("2"), State: engine.Ready}),
 	}}}
 	chosen := make(map[string]int)
 	for pick := range uint64(400) {
--- a/control/feed/calls_test.go
+++ b/control/feed/calls_test.go
@@ -185,7 +185,7 @@
 	faulty := store.NewFaulty(c.store)
 	faulty.SetDelay(4 * time.Millisecond)
 	processCtx, cancel := context.WithCancel(c.ctx)
-	metered := meteredStore{storesim.Confirming{Store: faulty, Hold: time.Second}, processCtx, c.meter}
+	metered := meteredStore{storesim.BoundedWatch{Store: faulty, MaxWait: time.Second}, processCtx, c.meter}
 	feed := New(Options{
 		Store: metered, Schema: textSchema{}, Log: event.Discard(), Clock: c.clock,
 		Self: id, Seeds: []string{"0:1", "1:1", "2:1"}, Dialer: link.NewDialerWithClient(c.client()),
--- a/control/feed/fleet_test.go
+++ b/control/feed/fleet_test.go
@@ -66,7 +66,7 @@
 		for n := range size {
 			faulty := store.NewFaulty(f.store)
 			m := New(Options{
-				Store: storesim.Confirming{Store: faulty, Hold: time.Second}, Schema: textSchema{}, Log: event.Discard(),
+				Store: storesim.BoundedWatch{Store: faulty, MaxWait: time.Second}, Schema: textSchema{}, Log: event.Discard(),
 				Clock: f.clock, Self: strconv.Itoa(n), Seeds: []string{"0:1"}, Dialer: link.NewDialerWithClient(f.client()),
 			})
 			f.faultyStores, f.feeds = append(f.faultyStores, faulty), append(f.feeds, m)
--- a/control/feed/metrics.go
+++ b/control/feed/metrics.go
@@ -27,7 +27,7 @@
 // ObserveCall counts a call to the store and logs it. It is a store.Observer.
 func (m *Manager) ObserveCall(c store.Call) {
 	m.storeCalls.WithLabelValues(string(c.Purpose), c.Result()).Inc()
-	m.opts.Log.Emit(event.StoreCall, c.Purpose, c.Path, c.Result(), c.Took)
+	m.opts.Log.Emit(event.StoreCall, c.Purpose, c.Path, c.Result(), c.Duration)
 }
 
 func (m *Manager) registerMetrics(r prometheus.Registerer) {
--- a/control/feed/register_test.go
+++ b/control/feed/register_test.go
@@ -34,7 +34,7 @@
 func (r *registration) startProcess() {
 	r.faultyStores[1] = store.NewFaulty(r.store)
 	o := r.feeds[1].opts
-	o.Store = storesim.Confirming{Store: r.faultyStores[1], Hold: time.Second}
+	o.Store = storesim.BoundedWatch{Store: r.faultyStores[1], MaxWait: time.Second}
 	r.feeds[1] = New(o)
 	processCtx, cancel := context.WithCancel(r.ctx)
 	r.cancel = cancel
--- a/control/lease/manager_test.go
+++ b/control/lease/manager_test.go
@@ -187,7 +187,7 @@
 // The write that takes the lease takes effect and its answer is lost, or the
 // write itself is lost. The daemon must find out which before it acts.
 func TestLostAnswerOnTaking(t *testing.T) {
-	for _, lose := range []func(*store.Faulty){(*store.Faulty).LoseNextWrite, (*store.Faulty).DropNextWrite} {
+	for _, lose := range []func(*store.Faulty){(*store.Faulty).LoseNextWriteResponse, (*store.Faulty).DropNextWrite} {
 		synctest.Test(t, func(t *testing.T) {
 			w := newWorld(t, 3)
 			lose(w.store)
--- a/control/operate/apply_test.go
+++ b/control/operate/apply_test.go
@@ -106,7 +106,7 @@
 				apply(t, c, 0, text("1", 4))
 				prepare := s.DropNextWrite
 				if lose {
-					prepare = s.LoseNextWrite
+					prepare = s.LoseNextWriteResponse
 				}
 				l := &onWrite{Store: s, key: "/mallowwind/yard/" + write, do: prepare}
 				r, err := (&Client{Store: l, Site: "yard"}).Apply(t.Context(), Request{Text: text("1", 5), BaseRevision: 1})
@@ -143,7 +143,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		day, s := newClient("day")
 		apply(t, day, 0, text("1", 4))
-		lost := &onWrite{Store: s, key: record.KeysOf("yard").Head(), do: s.LoseNextWrite}
+		lost := &onWrite{Store: s, key: record.KeysOf("yard").Head(), do: s.LoseNextWriteResponse}
 		go func() {
 			time.Sleep(firstRetry / 2)
 			apply(t, day, 2, text("1", 9))
@@ -172,7 +172,7 @@
 
 		cut := &onWrite{Store: s, key: record.KeysOf("yard").Head()}
 		cut.do = func() {
-			s.LoseNextWrite()
+			s.LoseNextWriteResponse()
 			time.AfterFunc(firstRetry/2, func() { s.SetDown(true) })
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
--- a/control/reconcile/manager_test.go
+++ b/control/reconcile/manager_test.go
@@ -186,7 +186,7 @@
 		w.apply(2, v2, 3, 1)
 		time.Sleep(time.Hour)
 		must.Eq(t, 2, w.ready(v1))
-		must.LessEq(t, 20, w.weights.Fetches(v2))
+		must.LessEq(t, 20, w.weights.FetchCount(v2))
 		w.broken.Store(false)
 		w.until("all serve version 2", 10*time.Minute, func() bool { return w.ready(v2) == 3 })
 	})
--- a/control/reconcile/observe.go
+++ b/control/reconcile/observe.go
@@ -157,7 +157,7 @@
 // ready before.
 func becameReady(before, now engine.Status) bool {
 	for _, l := range now.Models {
-		if l.State == engine.Ready && !slices.ContainsFunc(before.Models, func(b engine.Loaded) bool {
+		if l.State == engine.Ready && !slices.ContainsFunc(before.Models, func(b engine.LoadedModel) bool {
 			return b.Ref == l.Ref && b.State == engine.Ready
 		}) {
 			return true
--- a/control/roster/roster_test.go
+++ b/control/roster/roster_test.go
@@ -36,7 +36,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		faulty := store.NewFaulty(store.NewMemory())
 		m := newManager(faulty)
-		faulty.LoseNextWrite()
+		faulty.LoseNextWriteResponse()
 		won, err := m.Commit(t.Context(), first("a", vm1))
 		must.NoError(t, err)
 		must.Len(t, 1, won)
--- a/external/engine/client.go
+++ b/external/engine/client.go
@@ -166,7 +166,7 @@
 // what cut or silenced this connection may have done so to all.
 func (c *Client) failure(err error, probe *sent.Probe) error {
 	c.calls.CloseIdleConnections()
-	if probe.Nothing() {
+	if probe.NothingSent() {
 		return errors.Wrapf(ErrNotSent, "%v", err)
 	}
 	return errors.Wrapf(ErrBroken, "%v", err)
--- a/external/engine/engine.go
+++ b/external/engine/engine.go
@@ -101,8 +101,8 @@
 	Failed    LoadState = "failed"
 )
 
-// Loaded is one set of weights on an engine.
-type Loaded struct {
+// LoadedModel is one set of weights on an engine.
+type LoadedModel struct {
 	Ref   ModelRef  `json:"ref"`
 	State LoadState `json:"state"`
 	// Remaining is the engine's own estimate until Ready, zero if unknown.
@@ -111,15 +111,15 @@
 
 // Status is what an engine reports of itself. Load figures lag by up to Age.
 type Status struct {
-	Incarnation string        `json:"incarnation"` // changes when the engine restarts
-	Role        Role          `json:"role"`
-	Models      []Loaded      `json:"models"`
-	Fence       uint64        `json:"fence"` // highest fencing number seen, 0 if it keeps none
-	Running     int           `json:"running"`
-	Waiting     int           `json:"waiting"`
-	Slots       int           `json:"slots"` // largest batch
-	TokensPerS  float64       `json:"tokens_per_s"`
-	Age         time.Duration `json:"age_ns"`
+	Incarnation     string        `json:"incarnation"` // changes when the engine restarts
+	Role            Role          `json:"role"`
+	Models          []LoadedModel `json:"models"`
+	Fence           uint64        `json:"fence"` // highest fencing number seen, 0 if it keeps none
+	Running         int           `json:"running"`
+	Waiting         int           `json:"waiting"`
+	Slots           int           `json:"slots"` // largest batch
+	TokensPerSecond float64       `json:"tokens_per_s"`
+	Age             time.Duration `json:"age_ns"`
 }
 
 // OrderKind is what an order asks for.
--- a/external/engine/stream.go
+++ b/external/engine/stream.go
@@ -103,7 +103,7 @@
 		if err != nil {
 			return errors.Wrapf(ErrBroken, "read: %v", err)
 		}
-		if e.Data == Done {
+		if e.Data == StreamDone {
 			return errors.Wrap(ErrBroken, "stream ended without a finish reason")
 		}
 		c, err := parseEvent(e.Data, attempt)
--- a/external/engine/wire.go
+++ b/external/engine/wire.go
@@ -63,8 +63,8 @@
 	FinishReason *FinishReason `json:"finish_reason"`
 }
 
-// Done is the data of the last event of a whole stream.
-const Done = "[DONE]"
+// StreamDone is the data of the last event of a whole stream.
+const StreamDone = "[DONE]"
 
 // ErrorCode is the stable code of an engine's refusal.
 type ErrorCode string
--- a/external/plain/client.go
+++ b/external/plain/client.go
@@ -10,8 +10,8 @@
 	"mallowwind.dev/external/sent"
 )
 
-// DefaultMaxAnswer is the largest answer that a Client reads unless told otherwise, in bytes.
-const DefaultMaxAnswer = 16 << 20
+// DefaultMaxResponseBytes is the largest answer that a Client reads unless told otherwise, in bytes.
+const DefaultMaxResponseBytes = 16 << 20
 
 // Client sends calls over HTTP. Every call has its own connection: one kept
 // from earlier may have gone silent, or be closed by the backend server just as
@@ -32,18 +32,18 @@
 		transport = sent.NewTransport(true)
 	}
 	if maxAnswer <= 0 {
-		maxAnswer = DefaultMaxAnswer
+		maxAnswer = DefaultMaxResponseBytes
 	}
 	hc := &http.Client{Transport: transport, CheckRedirect: sent.NoRedirect}
 	return &Client{http: hc, maxAnswer: maxAnswer}
 }
 
 // Do implements Caller. A redirect is an answer and is not followed.
-func (c *Client) Do(ctx context.Context, address string, call Call) (Answer, error) {
+func (c *Client) Do(ctx context.Context, address string, call Call) (Response, error) {
 	ctx, probe := sent.WithProbe(ctx)
 	req, err := http.NewRequestWithContext(ctx, call.Method, "http://"+address+call.Path, nil)
 	if err != nil {
-		return Answer{}, errors.Wrapf(ErrNotSent, "%v", err)
+		return Response{}, errors.Wrapf(ErrNotSent, "%v", err)
 	}
 	req.Header = call.Header.Clone()
 	if req.Header == nil {
@@ -52,21 +52,21 @@
 	sent.SetBody(req, call.Body)
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return Answer{}, failure(err, probe)
+		return Response{}, failure(err, probe)
 	}
 	defer resp.Body.Close()
 	body, err := c.read(resp.Body)
 	if err != nil {
-		return Answer{}, errors.Wrapf(ErrNoAnswer, "read answer: %v", err)
+		return Response{}, errors.Wrapf(ErrNoResponse, "read answer: %v", err)
 	}
-	return Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
+	return Response{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
 
 func failure(err error, probe *sent.Probe) error {
-	if probe.Nothing() {
+	if probe.NothingSent() {
 		return errors.Wrapf(ErrNotSent, "%v", err)
 	}
-	return errors.Wrapf(ErrNoAnswer, "%v", err)
+	return errors.Wrapf(ErrNoResponse, "%v", err)
 }
 
 func (c *Client) read(r io.Reader) ([]byte, error) {
--- a/external/plain/plain.go
+++ b/external/plain/plain.go
@@ -14,8 +14,8 @@
 var (
 	// ErrNotSent means that no byte of the request was written to the backend server.
 	ErrNotSent = errors.New("plain: not sent")
-	// ErrNoAnswer means that bytes were written and no whole answer came back.
-	ErrNoAnswer = errors.New("plain: no answer")
+	// ErrNoResponse means that bytes were written and no whole answer came back.
+	ErrNoResponse = errors.New("plain: no answer")
 )
 
 // Call is one request, its body in memory.
@@ -26,8 +26,8 @@
 	Body   []byte
 }
 
-// Answer is one whole answer.
-type Answer struct {
+// Response is one whole answer.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -38,5 +38,5 @@
 type Caller interface {
 	// Do sends call to the backend server at address and reads the whole answer.
 	// Errors wrap ErrNotSent or ErrNoAnswer.
-	Do(ctx context.Context, address string, call Call) (Answer, error)
+	Do(ctx context.Context, address string, call Call) (Response, error)
 }
--- a/external/sent/sent.go
+++ b/external/sent/sent.go
@@ -65,8 +65,8 @@
 	return true
 }
 
-// Counting returns dial with its connections wrapped in Conn.
-func Counting(dial DialFunc) DialFunc {
+// CountingDial returns dial with its connections wrapped in Conn.
+func CountingDial(dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
 		if err != nil {
@@ -107,10 +107,10 @@
 	p.uses = append(p.uses, u)
 }
 
-// Nothing reports whether no byte of the request was written and none will be.
+// NothingSent reports whether no byte of the request was written and none will be.
 // Call it after the request has failed. A connection that does not count is
 // taken as written to.
-func (p *Probe) Nothing() bool {
+func (p *Probe) NothingSent() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, u := range p.uses {
@@ -142,7 +142,7 @@
 // NewTransportWith is NewTransport with a given dialer.
 func NewTransportWith(dial DialFunc, fresh bool) *http.Transport {
 	return &http.Transport{
-		DialContext:         Counting(dial),
+		DialContext:         CountingDial(dial),
 		DisableKeepAlives:   fresh,
 		MaxIdleConnsPerHost: idlePerHost,
 		IdleConnTimeout:     idleTimeout,
@@ -153,9 +153,9 @@
 // NoRedirect is the CheckRedirect of clients that must send a request once only.
 func NoRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// ByAddress returns a dialer that knows only these addresses, for stand-ins
+// DialByAddress returns a dialer that knows only these addresses, for stand-ins
 // reached without a network.
-func ByAddress(dials map[string]DialFunc) DialFunc {
+func DialByAddress(dials map[string]DialFunc) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		dial, ok := dials[address]
 		if !ok {
--- a/external/sent/sent_test.go
+++ b/external/sent/sent_test.go
@@ -56,19 +56,19 @@
 // The headers leave in part and the connection breaks before any hook about
 // writing has run. The request may have arrived in part: it was sent.
 func TestPartOfTheHeadersCountsAsSent(t *testing.T) {
-	dial := sent.Counting(pipe(func(c net.Conn) net.Conn { return &brokenConn{c, 8 << 10} }))
-	must.False(t, post(t, dial).Nothing())
+	dial := sent.CountingDial(pipe(func(c net.Conn) net.Conn { return &brokenConn{c, 8 << 10} }))
+	must.False(t, post(t, dial).NothingSent())
 }
 
 func TestRefusedDialIsNothing(t *testing.T) {
 	refused := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
-	must.True(t, post(t, refused).Nothing())
+	must.True(t, post(t, refused).NothingSent())
 }
 
 // A client made elsewhere does not count what it writes. The probe then cannot
 // know and does not promise that nothing was sent.
 func TestUncountedConnectionCountsAsSent(t *testing.T) {
-	must.False(t, post(t, pipe(func(c net.Conn) net.Conn { return c })).Nothing())
+	must.False(t, post(t, pipe(func(c net.Conn) net.Conn { return c })).NothingSent())
 }
 
 // recordingConn keeps what is written.
@@ -90,7 +90,7 @@
 	c := sent.NewConn(inner)
 	ctx, probe := sent.WithProbe(t.Context())
 	gotConn(ctx, c)
-	must.True(t, probe.Nothing())
+	must.True(t, probe.NothingSent())
 	_, err := c.Write([]byte("late"))
 	must.ErrorIs(t, err, sent.ErrSealed)
 	must.SliceEmpty(t, inner.written)
--- a/external/standin/enginesim/handler.go
+++ b/external/standin/enginesim/handler.go
@@ -182,7 +182,7 @@
 	m.AppendData(string(data))
 	if c.Finish != "" {
 		last := &sse.Message{}
-		last.AppendData(engine.Done)
+		last.AppendData(engine.StreamDone)
 		if _, err := m.WriteTo(w); err != nil {
 			return err
 		}
--- a/external/standin/enginesim/load_test.go
+++ b/external/standin/enginesim/load_test.go
@@ -147,7 +147,7 @@
 			must.Eq(t, want, ready)
 			time.Sleep(11500 * time.Millisecond) // ready after 11, 21 and 31 s
 		}
-		must.Eq(t, 3, weights.Fetches(ref))
+		must.Eq(t, 3, weights.FetchCount(ref))
 	})
 }
 
--- a/external/standin/enginesim/status.go
+++ b/external/standin/enginesim/status.go
@@ -59,14 +59,14 @@
 	s.load.sample(s)
 	f := s.load.reported(s.config.StatusLag)
 	status := engine.Status{
-		Incarnation: fmt.Sprintf("%s-%d", s.config.Name, s.incarnation),
-		Role:        s.weights.role,
-		Models:      slices.Clone(s.weights.models),
-		Running:     f.running,
-		Waiting:     f.waiting,
-		Slots:       s.config.Slots,
-		TokensPerS:  f.perS,
-		Age:         time.Since(f.at),
+		Incarnation:     fmt.Sprintf("%s-%d", s.config.Name, s.incarnation),
+		Role:            s.weights.role,
+		Models:          slices.Clone(s.weights.models),
+		Running:         f.running,
+		Waiting:         f.waiting,
+		Slots:           s.config.Slots,
+		TokensPerSecond: f.perS,
+		Age:             time.Since(f.at),
 	}
 	if s.config.EnforceFencing {
 		status.Fence = s.weights.fence
--- a/external/standin/enginesim/weights.go
+++ b/external/standin/enginesim/weights.go
@@ -17,14 +17,14 @@
 
 // weightSet is what an engine holds and in which role it works.
 type weightSet struct {
-	models []engine.Loaded
+	models []engine.LoadedModel
 	role   engine.Role
 	fence  uint64
 	orders []engine.Order
 }
 
-func (w *weightSet) find(ref engine.ModelRef) *engine.Loaded {
-	i := slices.IndexFunc(w.models, func(l engine.Loaded) bool { return l.Ref == ref })
+func (w *weightSet) find(ref engine.ModelRef) *engine.LoadedModel {
+	i := slices.IndexFunc(w.models, func(l engine.LoadedModel) bool { return l.Ref == ref })
 	if i < 0 {
 		return nil
 	}
@@ -43,12 +43,12 @@
 		l.State = state
 		return
 	}
-	w.models = append(w.models, engine.Loaded{Ref: ref, State: state})
+	w.models = append(w.models, engine.LoadedModel{Ref: ref, State: state})
 }
 
 // settle drops models being unloaded that no generation uses any more.
 func (w *weightSet) settle(uses func(engine.ModelRef) bool) {
-	w.models = slices.DeleteFunc(w.models, func(l engine.Loaded) bool {
+	w.models = slices.DeleteFunc(w.models, func(l engine.LoadedModel) bool {
 		return l.State == engine.Unloading && !uses(l.Ref)
 	})
 }
--- a/external/standin/host/admin.go
+++ b/external/standin/host/admin.go
@@ -39,7 +39,7 @@
 		stats := n.Engine.Stats()
 		report.Engine = &stats
 	case n.Plain != nil:
-		report.Runs = n.Plain.All()
+		report.Runs = n.Plain.AllRuns()
 	case n.Name == NameStore:
 		counts := h.Store.Counts()
 		report.Calls = &counts
--- a/external/standin/host/faults.go
+++ b/external/standin/host/faults.go
@@ -97,9 +97,9 @@
 
 func plainFaults(n *Node) faults {
 	return faults{
-		"work":         duration(n.Plain.SetWork),
-		"hold":         boolean(n.Plain.Silence),
-		"lose-answers": integer(n.Plain.LoseAnswers),
+		"work":         duration(n.Plain.SetServiceTime),
+		"hold":         boolean(n.Plain.SetSilent),
+		"lose-answers": integer(n.Plain.LoseResponses),
 	}
 }
 
@@ -107,7 +107,7 @@
 	return faults{
 		"down":            boolean(f.SetDown),
 		"delay":           duration(f.SetDelay),
-		"lose-next-write": plainly(f.LoseNextWrite),
+		"lose-next-write": plainly(f.LoseNextWriteResponse),
 		"drop-next-write": plainly(f.DropNextWrite),
 	}
 }
@@ -116,7 +116,7 @@
 	return faults{"down": boolean(m.SetDown), "lag": duration(m.SetLag)}
 }
 
-func weightFaults(w *weightsim.Sim) faults { return faults{"slow": number(w.Slow)} }
+func weightFaults(w *weightsim.Sim) faults { return faults{"slow": number(w.SetSlowdown)} }
 
 func plainly(f func()) func(string) error {
 	return func(string) error { f(); return nil }
--- a/external/standin/host/host.go
+++ b/external/standin/host/host.go
@@ -103,7 +103,7 @@
 		if err := h.serve(node, s.listen, handler); err != nil {
 			return err
 		}
-		h.VMs.Show(vmlist.VM{
+		h.VMs.PutNow(vmlist.VM{
 			ID: s.id, Address: node.Address, Zone: s.zone, Region: p.Region,
 			Role: vmlist.RoleBackend, Pool: p.Name, State: vmlist.Live,
 		})
--- a/external/standin/host/host_test.go
+++ b/external/standin/host/host_test.go
@@ -59,7 +59,7 @@
 	must.NoError(t, err)
 	status, err := weights.NewClient(h.URLs(host.NameWeights)[0], nil).Status(ctx)
 	must.NoError(t, err)
-	must.Eq(t, weights.Status{Capacity: 2, Typical: time.Second}, status)
+	must.Eq(t, weights.Status{Capacity: 2, FetchDuration: time.Second}, status)
 	list, err := vmlist.NewClient(h.URLs(host.NameVMList)[0], nil).List(ctx)
 	must.NoError(t, err)
 	must.Len(t, 5, list)
--- a/external/standin/plainsim/plainsim.go
+++ b/external/standin/plainsim/plainsim.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// KeyHeader names the call.
-	KeyHeader = "Idempotency-Key"
-	maxBody   = 16 << 20
+	// IdempotencyKeyHeader names the call.
+	IdempotencyKeyHeader = "Idempotency-Key"
+	maxBody              = 16 << 20
 )
 
 // Reply is the body of an answer.
@@ -92,7 +92,7 @@
 func (s *Sim) run(r *http.Request, body string) (Reply, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	key := r.Header.Get(KeyHeader)
+	key := r.Header.Get(IdempotencyKeyHeader)
 	s.runs[key]++
 	s.total++
 	lost := s.loseNext > 0
@@ -112,37 +112,37 @@
 	return s.runs[key]
 }
 
-// All returns the runs of every key.
-func (s *Sim) All() map[string]int {
+// AllRuns returns the runs of every key.
+func (s *Sim) AllRuns() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.runs)
 }
 
-// Total returns the number of runs of all keys.
-func (s *Sim) Total() int {
+// TotalRuns returns the number of runs of all keys.
+func (s *Sim) TotalRuns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.total
 }
 
-// LoseAnswers makes the next n calls run and lose their answers.
-func (s *Sim) LoseAnswers(n int) {
+// LoseResponses makes the next n calls run and lose their answers.
+func (s *Sim) LoseResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loseNext = n
 }
 
-// SetWork changes how long calls take from now on.
-func (s *Sim) SetWork(d time.Duration) {
+// SetServiceTime changes how long calls take from now on.
+func (s *Sim) SetServiceTime(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.work = d
 }
 
-// Silence makes the service take calls and neither run nor answer them, until
+// SetSilent makes the service take calls and neither run nor answer them, until
 // it is called with false. Calls whose caller is still there then run.
-func (s *Sim) Silence(silent bool) {
+func (s *Sim) SetSilent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
--- a/external/standin/plainsim/plainsim_test.go
+++ b/external/standin/plainsim/plainsim_test.go
@@ -37,7 +37,7 @@
 }
 
 func order(key string) plain.Call {
-	header := http.Header{plainsim.KeyHeader: {key}}
+	header := http.Header{plainsim.IdempotencyKeyHeader: {key}}
 	return plain.Call{Method: http.MethodPost, Path: "/confirm?order=7", Header: header, Body: []byte("40 sacks")}
 }
 
@@ -57,10 +57,10 @@
 func TestAnswerLostAfterRunning(t *testing.T) {
 	withDesk(t, func(t *testing.T, d desk) {
 		for i := range 3 {
-			d.sim.LoseAnswers(1)
+			d.sim.LoseResponses(1)
 			key := fmt.Sprint(i)
 			_, err := d.client.Do(t.Context(), "desk", order(key))
-			must.ErrorIs(t, err, plain.ErrNoAnswer)
+			must.ErrorIs(t, err, plain.ErrNoResponse)
 			must.Eq(t, 1, d.sim.Runs(key))
 		}
 	})
@@ -76,11 +76,11 @@
 		for _, body := range []string{"", "40 sacks"} {
 			_, err := pooled.Do(t.Context(), "desk", order("warm"))
 			must.NoError(t, err)
-			d.sim.LoseAnswers(1)
+			d.sim.LoseResponses(1)
 			call := order("key" + body)
 			call.Body = []byte(body)
 			_, err = pooled.Do(t.Context(), "desk", call)
-			must.ErrorIs(t, err, plain.ErrNoAnswer)
+			must.ErrorIs(t, err, plain.ErrNoResponse)
 			must.Eq(t, 1, d.sim.Runs("key"+body))
 		}
 	})
@@ -93,7 +93,7 @@
 		d.net.Cut()
 		_, err := d.client.Do(t.Context(), "desk", order("k"))
 		must.ErrorIs(t, err, plain.ErrNotSent)
-		must.Eq(t, 0, d.sim.Total())
+		must.Eq(t, 0, d.sim.TotalRuns())
 	})
 }
 
@@ -101,12 +101,12 @@
 // may have run, whatever the desk did with it.
 func TestTimeoutIsNoAnswer(t *testing.T) {
 	withDesk(t, func(t *testing.T, d desk) {
-		d.sim.Silence(true)
+		d.sim.SetSilent(true)
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
 		_, err := d.client.Do(ctx, "desk", order("k"))
-		must.ErrorIs(t, err, plain.ErrNoAnswer)
-		d.sim.Silence(false)
+		must.ErrorIs(t, err, plain.ErrNoResponse)
+		d.sim.SetSilent(false)
 	})
 }
 
@@ -128,7 +128,7 @@
 		_, err := client.Do(ctx, "desk", order("k"))
 		must.ErrorIs(t, err, plain.ErrNotSent)
 		time.Sleep(time.Hour)
-		must.Eq(t, 0, orders.Total())
+		must.Eq(t, 0, orders.TotalRuns())
 	})
 }
 
@@ -139,6 +139,6 @@
 		call := order("k")
 		call.Body = []byte(strings.Repeat("x", 200))
 		_, err := small.Do(t.Context(), "desk", call)
-		must.ErrorIs(t, err, plain.ErrNoAnswer)
+		must.ErrorIs(t, err, plain.ErrNoResponse)
 	})
 }
--- a/external/standin/storesim/confirming.go
+++ b/external/standin/storesim/confirming.go
@@ -9,22 +9,22 @@
 	"mallowwind.dev/external/store"
 )
 
-// Confirming stands in for a service that holds a watch for a bounded time: a
+// BoundedWatch stands in for a service that holds a watch for a bounded time: a
 // watch that has nothing to tell returns an empty batch after Hold. The inner
 // store must deliver each change at once, as store.Memory does, so that an
 // empty batch proves that nothing changed.
-type Confirming struct {
+type BoundedWatch struct {
 	store.Store
-	Hold time.Duration
+	MaxWait time.Duration
 }
 
 // Watch implements store.Store.
-func (c Confirming) Watch(ctx context.Context, prefix string, from int64) (store.Watcher, error) {
+func (c BoundedWatch) Watch(ctx context.Context, prefix string, from int64) (store.Watcher, error) {
 	w, err := c.Store.Watch(ctx, prefix, from)
 	if err != nil {
 		return nil, err
 	}
-	return confirmingWatch{Watcher: w, hold: c.Hold}, nil
+	return confirmingWatch{Watcher: w, hold: c.MaxWait}, nil
 }
 
 type confirmingWatch struct {
--- a/external/standin/storesim/contract_test.go
+++ b/external/standin/storesim/contract_test.go
@@ -43,7 +43,7 @@
 		dials[address] = l.Dial
 		s.nets, servers = append(s.nets, l), append(servers, server)
 	}
-	transport := sent.NewTransportWith(sent.ByAddress(dials), false)
+	transport := sent.NewTransportWith(sent.DialByAddress(dials), false)
 	client, err := store.NewEtcdClient([]string{"http://one", "http://two"}, &http.Client{Transport: transport})
 	if err != nil {
 		panic(err)
@@ -194,7 +194,7 @@
 func TestLostAnswerIsUnknown(t *testing.T) {
 	forBoth(t, func(t *testing.T, s *service) {
 		ctx := t.Context()
-		s.faults.LoseNextWrite()
+		s.faults.LoseNextWriteResponse()
 		_, err := s.CompareAndSwap(ctx, "a", 0, []byte("1"), 0)
 		must.ErrorIs(t, err, store.ErrUnknown)
 		kv, err := s.Get(ctx, "a")
--- a/external/standin/storesim/random_test.go
+++ b/external/standin/storesim/random_test.go
@@ -37,7 +37,7 @@
 			time.Sleep(span)
 			s.faults.SetDown(false)
 		case 4:
-			s.faults.LoseNextWrite()
+			s.faults.LoseNextWriteResponse()
 		case 5:
 			s.faults.DropNextWrite()
 		}
--- a/external/standin/storesim/storesim.go
+++ b/external/standin/storesim/storesim.go
@@ -53,8 +53,8 @@
 	answer(w, a, err)
 }
 
-func (h *handler) lookUp(ctx context.Context, q store.EtcdRange) (store.EtcdRangeAnswer, error) {
-	var a store.EtcdRangeAnswer
+func (h *handler) lookUp(ctx context.Context, q store.EtcdRange) (store.EtcdRangeResponse, error) {
+	var a store.EtcdRangeResponse
 	if len(q.RangeEnd) == 0 {
 		kv, err := h.store.Get(ctx, string(q.Key))
 		if errors.Is(err, store.ErrNotFound) {
@@ -103,8 +103,8 @@
 	answer(w, a, err)
 }
 
-func (h *handler) swap(ctx context.Context, c store.EtcdCompare, op store.EtcdOp) (store.EtcdTxnAnswer, error) {
-	a := store.EtcdTxnAnswer{Succeeded: true}
+func (h *handler) swap(ctx context.Context, c store.EtcdCompare, op store.EtcdOp) (store.EtcdTxnResponse, error) {
+	a := store.EtcdTxnResponse{Succeeded: true}
 	switch {
 	case op.Put != nil:
 		v, err := h.store.CompareAndSwap(ctx, string(c.Key), c.ModRevision, op.Put.Value, store.LeaseID(op.Put.Lease))
@@ -116,9 +116,9 @@
 	return a, errors.New("storesim: operation is neither put nor delete")
 }
 
-func (h *handler) failed(ctx context.Context, key []byte) (store.EtcdTxnAnswer, error) {
+func (h *handler) failed(ctx context.Context, key []byte) (store.EtcdTxnResponse, error) {
 	found, err := h.lookUp(ctx, store.EtcdRange{Key: key})
-	return store.EtcdTxnAnswer{Responses: []store.EtcdOpAnswer{{Range: &found}}}, err
+	return store.EtcdTxnResponse{Responses: []store.EtcdOpResponse{{Range: &found}}}, err
 }
 
 func (h *handler) grant(w http.ResponseWriter, r *http.Request) {
@@ -147,7 +147,7 @@
 		left, err = 0, nil
 	}
 	result := store.EtcdLease{ID: q.ID, TTL: int64(left / time.Second)}
-	answer(w, store.EtcdStreamed[store.EtcdLease]{Result: &result}, err)
+	answer(w, store.EtcdStreamMessage[store.EtcdLease]{Result: &result}, err)
 }
 
 func (h *handler) watch(w http.ResponseWriter, r *http.Request) {
@@ -162,7 +162,7 @@
 		return
 	}
 	s := &watchStream{enc: json.NewEncoder(w), flush: http.NewResponseController(w)}
-	if !s.send(store.EtcdWatchAnswer{Created: true}) {
+	if !s.send(store.EtcdWatchResponse{Created: true}) {
 		return
 	}
 	if err != nil {
@@ -173,8 +173,8 @@
 	s.copy(r.Context(), watcher, from)
 }
 
-func compacted(from int64) store.EtcdWatchAnswer {
-	return store.EtcdWatchAnswer{Canceled: true, CompactRevision: from + 1}
+func compacted(from int64) store.EtcdWatchResponse {
+	return store.EtcdWatchResponse{Canceled: true, CompactRevision: from + 1}
 }
 
 // watchStream writes the messages of one watch.
@@ -183,8 +183,8 @@
 	flush *http.ResponseController
 }
 
-func (s *watchStream) send(a store.EtcdWatchAnswer) bool {
-	err := s.enc.Encode(store.EtcdStreamed[store.EtcdWatchAnswer]{Result: &a})
+func (s *watchStream) send(a store.EtcdWatchResponse) bool {
+	err := s.enc.Encode(store.EtcdStreamMessage[store.EtcdWatchResponse]{Result: &a})
 	return err == nil && s.flush.Flush() == nil
 }
 
@@ -197,7 +197,7 @@
 		if err != nil {
 			return
 		}
-		a := store.EtcdWatchAnswer{}
+		a := store.EtcdWatchResponse{}
 		for _, e := range events {
 			a.Events = append(a.Events, wireEvent(e))
 			a.Header.Revision = e.KV.Version
--- a/external/standin/weightsim/weightsim.go
+++ b/external/standin/weightsim/weightsim.go
@@ -75,15 +75,15 @@
 	return time.Duration(float64(s.fetch) * s.slow * float64(max(n, 1)))
 }
 
-// Slow multiplies the time of fetches that begin from now on; 1 is usual.
-func (s *Sim) Slow(factor float64) {
+// SetSlowdown multiplies the time of fetches that begin from now on; 1 is usual.
+func (s *Sim) SetSlowdown(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slow = factor
 }
 
-// Fetches returns how often each set of weights was fetched.
-func (s *Sim) Fetches(ref engine.ModelRef) int {
+// FetchCount returns how often each set of weights was fetched.
+func (s *Sim) FetchCount(ref engine.ModelRef) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts[ref]
@@ -96,7 +96,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return weights.Status{Capacity: cap(s.slots), Active: s.active, Typical: s.typical(s.active)}, nil
+	return weights.Status{Capacity: cap(s.slots), Active: s.active, FetchDuration: s.typical(s.active)}, nil
 }
 
 // Handler serves the report in its wire form: one GET, one JSON object.
--- a/external/store/confirmed.go
+++ b/external/store/confirmed.go
@@ -13,8 +13,8 @@
 // last seen. Otherwise the watch is behind and ends.
 type Confirmed struct {
 	Store
-	Key  string
-	Hold time.Duration
+	Key      string
+	Interval time.Duration
 }
 
 // ErrBehind means that a watch has not delivered a change that a read shows.
@@ -65,7 +65,7 @@
 
 // Next implements Watcher.
 func (w *confirmedWatcher) Next(ctx context.Context) ([]Event, error) {
-	hold := time.NewTimer(w.from.Hold)
+	hold := time.NewTimer(w.from.Interval)
 	defer hold.Stop()
 	select {
 	case b := <-w.batches:
--- a/external/store/confirmed_test.go
+++ b/external/store/confirmed_test.go
@@ -16,7 +16,7 @@
 		m := NewMemory()
 		version, err := m.CompareAndSwap(ctx, "k", 0, []byte("1"), 0)
 		must.NoError(t, err)
-		c := Confirmed{Store: m, Key: "k", Hold: time.Second}
+		c := Confirmed{Store: m, Key: "k", Interval: time.Second}
 		w, err := c.Watch(ctx, "", version)
 		must.NoError(t, err)
 		events, err := w.Next(ctx)
@@ -53,7 +53,7 @@
 		m := NewMemory()
 		version, err := m.CompareAndSwap(t.Context(), "k", 0, []byte("1"), 0)
 		must.NoError(t, err)
-		w, err := Confirmed{Store: deafStore{m}, Key: "k", Hold: time.Second}.Watch(t.Context(), "", version)
+		w, err := Confirmed{Store: deafStore{m}, Key: "k", Interval: time.Second}.Watch(t.Context(), "", version)
 		must.NoError(t, err)
 		_, err = w.Next(t.Context())
 		must.NoError(t, err)
@@ -67,7 +67,7 @@
 
 func TestConfirmedWatchEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, err := Confirmed{Store: NewMemory(), Key: "k", Hold: time.Second}.Watch(t.Context(), "", 0)
+		w, err := Confirmed{Store: NewMemory(), Key: "k", Interval: time.Second}.Watch(t.Context(), "", 0)
 		must.NoError(t, err)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
--- a/external/store/etcd.go
+++ b/external/store/etcd.go
@@ -60,7 +60,7 @@
 
 // Get implements Store.
 func (c *EtcdClient) Get(ctx context.Context, key string) (KV, error) {
-	var a EtcdRangeAnswer
+	var a EtcdRangeResponse
 	if err := c.read(ctx, PathRange, EtcdRange{Key: []byte(key)}, &a); err != nil {
 		return KV{}, err
 	}
@@ -83,7 +83,7 @@
 }
 
 func (c *EtcdClient) list(ctx context.Context, q EtcdRange) ([]KV, int64, error) {
-	var a EtcdRangeAnswer
+	var a EtcdRangeResponse
 	if err := c.read(ctx, PathRange, q, &a); err != nil {
 		return nil, 0, err
 	}
@@ -136,19 +136,19 @@
 }
 
 // txn does op if key stands at version, and else reads the key.
-func (c *EtcdClient) txn(ctx context.Context, key string, version int64, op EtcdOp) (EtcdTxnAnswer, error) {
+func (c *EtcdClient) txn(ctx context.Context, key string, version int64, op EtcdOp) (EtcdTxnResponse, error) {
 	compare := EtcdCompare{Key: []byte(key), Target: EtcdTargetMod, Result: EtcdResultEqual, ModRevision: version}
 	txn := EtcdTxn{
 		Compare: []EtcdCompare{compare},
 		Success: []EtcdOp{op},
 		Failure: []EtcdOp{{Range: &EtcdRange{Key: []byte(key)}}},
 	}
-	var a EtcdTxnAnswer
+	var a EtcdTxnResponse
 	return a, c.write(ctx, PathTxn, txn, &a)
 }
 
 // found is the version that a failed compare met, 0 if there was no key.
-func (a EtcdTxnAnswer) found() int64 {
+func (a EtcdTxnResponse) found() int64 {
 	for _, r := range a.Responses {
 		if r.Range != nil && len(r.Range.KVs) > 0 {
 			return r.Range.KVs[0].ModRevision
@@ -167,7 +167,7 @@
 
 // KeepAlive implements Store.
 func (c *EtcdClient) KeepAlive(ctx context.Context, id LeaseID) (time.Duration, error) {
-	var a EtcdStreamed[EtcdLease]
+	var a EtcdStreamMessage[EtcdLease]
 	if err := c.write(ctx, PathKeepAlive, EtcdLease{ID: int64(id)}, &a); err != nil {
 		return 0, err
 	}
@@ -270,7 +270,7 @@
 	resp, err := hc.Do(req)
 	if err != nil {
 		c.calls.CloseIdleConnections()
-		if probe.Nothing() {
+		if probe.NothingSent() {
 			return nil, errors.Wrapf(ErrUnavailable, "%v", err)
 		}
 		return nil, errors.Wrapf(ErrUnknown, "%v", err)
@@ -293,7 +293,7 @@
 
 func (e EtcdError) fact(status string) error {
 	switch e.Message {
-	case EtcdNoLeader, EtcdTooMany:
+	case EtcdNoLeader, EtcdTooManyRequests:
 		return errors.Wrap(ErrUnavailable, e.Message)
 	case EtcdTooLarge:
 		return errors.Wrap(ErrTooLarge, e.Message)
--- a/external/store/etcdwatch.go
+++ b/external/store/etcdwatch.go
@@ -36,7 +36,7 @@
 }
 
 type watchMessage struct {
-	answer EtcdWatchAnswer
+	answer EtcdWatchResponse
 	err    error
 }
 
@@ -116,7 +116,7 @@
 }
 
 func decodeWatch(d *json.Decoder) watchMessage {
-	var s EtcdStreamed[EtcdWatchAnswer]
+	var s EtcdStreamMessage[EtcdWatchResponse]
 	err := d.Decode(&s)
 	switch {
 	case err == io.EOF:
@@ -181,7 +181,7 @@
 
 // take returns the events not seen yet. A revision may hold several events,
 // which the service sends in one message.
-func (w *etcdWatcher) take(a EtcdWatchAnswer) []Event {
+func (w *etcdWatcher) take(a EtcdWatchResponse) []Event {
 	var events []Event
 	last := w.seen
 	for _, e := range a.Events {
--- a/external/store/etcdwire.go
+++ b/external/store/etcdwire.go
@@ -35,8 +35,8 @@
 	Serializable bool `json:"serializable,omitempty"`
 }
 
-// EtcdRangeAnswer answers EtcdRange.
-type EtcdRangeAnswer struct {
+// EtcdRangeResponse answers EtcdRange.
+type EtcdRangeResponse struct {
 	Header EtcdHeader `json:"header"`
 	KVs    []EtcdKV   `json:"kvs,omitempty"`
 }
@@ -76,16 +76,16 @@
 	Failure []EtcdOp      `json:"failure"`
 }
 
-// EtcdOpAnswer answers one operation.
-type EtcdOpAnswer struct {
-	Range *EtcdRangeAnswer `json:"response_range,omitempty"`
+// EtcdOpResponse answers one operation.
+type EtcdOpResponse struct {
+	Range *EtcdRangeResponse `json:"response_range,omitempty"`
 }
 
-// EtcdTxnAnswer answers EtcdTxn.
-type EtcdTxnAnswer struct {
-	Header    EtcdHeader     `json:"header"`
-	Succeeded bool           `json:"succeeded,omitempty"`
-	Responses []EtcdOpAnswer `json:"responses,omitempty"`
+// EtcdTxnResponse answers EtcdTxn.
+type EtcdTxnResponse struct {
+	Header    EtcdHeader       `json:"header"`
+	Succeeded bool             `json:"succeeded,omitempty"`
+	Responses []EtcdOpResponse `json:"responses,omitempty"`
 }
 
 // EtcdLease names a lease and its time to live in seconds.
@@ -94,8 +94,8 @@
 	TTL int64 `json:"TTL,omitempty,string"`
 }
 
-// EtcdStreamed wraps each message of a streaming answer.
-type EtcdStreamed[T any] struct {
+// EtcdStreamMessage wraps each message of a streaming answer.
+type EtcdStreamMessage[T any] struct {
 	Result *T         `json:"result,omitempty"`
 	Error  *EtcdError `json:"error,omitempty"`
 }
@@ -112,8 +112,8 @@
 	StartRevision int64  `json:"start_revision,omitempty,string"`
 }
 
-// EtcdWatchAnswer is one message of a watch.
-type EtcdWatchAnswer struct {
+// EtcdWatchResponse is one message of a watch.
+type EtcdWatchResponse struct {
 	Header          EtcdHeader  `json:"header"`
 	Created         bool        `json:"created,omitempty"`
 	Canceled        bool        `json:"canceled,omitempty"`
@@ -138,11 +138,11 @@
 
 // The messages of errors that state a fact about the request.
 const (
-	EtcdNoLeader      = "etcdserver: no leader"
-	EtcdTooMany       = "etcdserver: too many requests"
-	EtcdTooLarge      = "etcdserver: request is too large"
-	EtcdLeaseNotFound = "etcdserver: requested lease not found"
-	EtcdCompacted     = "etcdserver: mvcc: required revision has been compacted"
+	EtcdNoLeader        = "etcdserver: no leader"
+	EtcdTooManyRequests = "etcdserver: too many requests"
+	EtcdTooLarge        = "etcdserver: request is too large"
+	EtcdLeaseNotFound   = "etcdserver: requested lease not found"
+	EtcdCompacted       = "etcdserver: mvcc: required revision has been compacted"
 )
 
 // PrefixEnd returns the end of the range of keys under prefix.
--- a/external/store/faulty.go
+++ b/external/store/faulty.go
@@ -81,9 +81,9 @@
 	f.delay = d
 }
 
-// LoseNextWrite loses the answer of the next write to a key that takes effect:
+// LoseNextWriteResponse loses the answer of the next write to a key that takes effect:
 // its caller gets ErrUnknown.
-func (f *Faulty) LoseNextWrite() {
+func (f *Faulty) LoseNextWriteResponse() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.loseNext = true
--- a/external/store/purpose.go
+++ b/external/store/purpose.go
@@ -43,9 +43,9 @@
 type Call struct {
 	Purpose Purpose
 	// Path is the call's path without what follows a '?'.
-	Path string
-	Took time.Duration
-	Err  error // nil where it succeeded
+	Path     string
+	Duration time.Duration
+	Err      error // nil where it succeeded
 }
 
 // Result names how the call ended, in one word.
--- a/external/vmlist/memory.go
+++ b/external/vmlist/memory.go
@@ -46,8 +46,8 @@
 	return m
 }
 
-// Show adds or replaces a VM at once, for the start.
-func (m *Memory) Show(vm VM) {
+// PutNow adds or replaces a VM at once, for the start.
+func (m *Memory) PutNow(vm VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.visible[vm.ID] = vm
--- a/external/weights/weights.go
+++ b/external/weights/weights.go
@@ -13,8 +13,8 @@
 	Capacity int `json:"capacity"`
 	// Active is the number of fetches running.
 	Active int `json:"active"`
-	// Typical is the time of one fetch at the present load.
-	Typical time.Duration `json:"typical_ns"`
+	// FetchDuration is the time of one fetch at the present load.
+	FetchDuration time.Duration `json:"typical_ns"`
 }
 
 // Store reports on the weight store; engines fetch from it by themselves.
--- a/lab/bench/load/world.go
+++ b/lab/bench/load/world.go
@@ -151,7 +151,7 @@
 func (w *world) row(pool string, e *engineSim) *backends.Backend {
 	st := w.reports[e.id]
 	st.Incarnation, st.Age = "1", reportEvery
-	st.Models = []engine.Loaded{{Ref: engine.ModelRef{Model: pool, Version: "1"}, State: engine.Ready}}
+	st.Models = []engine.LoadedModel{{Ref: engine.ModelRef{Model: pool, Version: "1"}, State: engine.Ready}}
 	return &backends.Backend{
 		VM: vmlist.VM{
 			ID: e.id, Address: e.id, Zone: zoneName(e.zone), Role: vmlist.RoleBackend,
--- a/lab/bench/slopes/fleet.go
+++ b/lab/bench/slopes/fleet.go
@@ -57,8 +57,8 @@
 		s.Pools[vm.Pool] = append(s.Pools[vm.Pool], &backends.Backend{
 			VM: vm, Reachable: true, StatusAt: time.Now(),
 			Status: engine.Status{
-				Role: engine.RoleMixed, Slots: 64, TokensPerS: 1000,
-				Models: []engine.Loaded{{Ref: engine.ModelRef{Model: vm.Pool}, State: engine.Ready}},
+				Role: engine.RoleMixed, Slots: 64, TokensPerSecond: 1000,
+				Models: []engine.LoadedModel{{Ref: engine.ModelRef{Model: vm.Pool}, State: engine.Ready}},
 			},
 		})
 	}
--- a/lab/bench/slopes/relay.go
+++ b/lab/bench/slopes/relay.go
@@ -114,7 +114,7 @@
 		if !bytes.HasPrefix(lines.Bytes(), []byte("data:")) {
 			continue
 		}
-		if bytes.HasSuffix(lines.Bytes(), []byte(engine.Done)) {
+		if bytes.HasSuffix(lines.Bytes(), []byte(engine.StreamDone)) {
 			return n, nil
 		}
 		onToken()
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -141,7 +141,7 @@
 // caller tries again with the same key on another entry VM.
 func (r *run) confirmation(ctx context.Context) {
 	const key = "confirm-thies-0042"
-	r.stand.PlainBackend.LoseAnswers(1)
+	r.stand.PlainBackend.LoseResponses(1)
 	var verdicts []string
 	for _, entry := range r.stand.Entries[:2] {
 		_, verdict, err := entry.Client().Call(ctx, "confirmations", "/confirm", key)
--- a/lab/soak/calls.go
+++ b/lab/soak/calls.go
@@ -156,7 +156,7 @@
 func (b *callBook) judge(r *run) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for key, runs := range r.stand.PlainBackend.All() {
+	for key, runs := range r.stand.PlainBackend.AllRuns() {
 		if runs > 1 {
 			r.violate("call %q ran %d times", key, runs)
 		}
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -142,7 +142,7 @@
 		d.Store.SetDelay(storeDelay)
 		return func() { d.Store.SetDelay(0) }, true
 	case StoreLoseWrite:
-		d.Store.LoseNextWrite()
+		d.Store.LoseNextWriteResponse()
 		return nil, true
 	case StoreDropWrite:
 		d.Store.DropNextWrite()
@@ -151,14 +151,14 @@
 		d.VMs.SetDown(true)
 		return func() { d.VMs.SetDown(false) }, true
 	case DeskLose:
-		d.PlainBackend.LoseAnswers(lostCalls)
-		return func() { d.PlainBackend.LoseAnswers(0) }, true
+		d.PlainBackend.LoseResponses(lostCalls)
+		return func() { d.PlainBackend.LoseResponses(0) }, true
 	case DeskSilent:
-		d.PlainBackend.Silence(true)
-		return func() { d.PlainBackend.Silence(false) }, true
+		d.PlainBackend.SetSilent(true)
+		return func() { d.PlainBackend.SetSilent(false) }, true
 	case DeskSlow:
-		d.PlainBackend.SetWork(deskDelay)
-		return func() { d.PlainBackend.SetWork(deskWork) }, true
+		d.PlainBackend.SetServiceTime(deskDelay)
+		return func() { d.PlainBackend.SetServiceTime(deskWork) }, true
 	}
 	return nil, false
 }
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -181,7 +181,7 @@
 			Reachable: true, StatusAt: time.Now(),
 			Status: engine.Status{
 				Slots:  32,
-				Models: []engine.Loaded{{Ref: engine.ModelRef{Model: Model}, State: engine.Ready}},
+				Models: []engine.LoadedModel{{Ref: engine.ModelRef{Model: Model}, State: engine.Ready}},
 			},
 		})
 	}
--- a/serve/api/api.go
+++ b/serve/api/api.go
@@ -33,7 +33,7 @@
 
 // ServiceCaller carries out calls to plain services. Errors are *verdict.Error.
 type ServiceCaller interface {
-	Call(ctx context.Context, account *site.Account, service *site.Service, key string, call plain.Call) (plain.Answer, error)
+	Call(ctx context.Context, account *site.Account, service *site.Service, key string, call plain.Call) (plain.Response, error)
 }
 
 // Config names what an API works with.
--- a/serve/daemon/calls.go
+++ b/serve/daemon/calls.go
@@ -19,7 +19,7 @@
 }
 
 // Call implements api.Calls.
-func (c *calls) Call(ctx context.Context, account *site.Account, service *site.Service, key string, call plain.Call) (plain.Answer, error) {
+func (c *calls) Call(ctx context.Context, account *site.Account, service *site.Service, key string, call plain.Call) (plain.Response, error) {
 	c.active.Add(1)
 	defer c.active.Add(-1)
 	return c.service.Handle(ctx, once.Request{Account: account, Service: service, Key: key, Call: call})
--- a/serve/daemon/start.go
+++ b/serve/daemon/start.go
@@ -88,7 +88,7 @@
 	if service.Kind == site.KindPlain {
 		return true
 	}
-	ready := func(m engine.Loaded) bool {
+	ready := func(m engine.LoadedModel) bool {
 		return m.Ref.Model == service.Model && m.State == engine.Ready
 	}
 	return slices.ContainsFunc(b.Status.Models, ready)
--- a/serve/flow/manager_test.go
+++ b/serve/flow/manager_test.go
@@ -60,7 +60,7 @@
 func backend(id string, state vmlist.State) *backends.Backend {
 	return &backends.Backend{
 		VM:        vmlist.VM{ID: id, Address: "127.0.0.1:1", Zone: "a", Role: vmlist.RoleBackend, Pool: "p", State: state},
-		Status:    engine.Status{Incarnation: "1", Models: []engine.Loaded{{Ref: reviewRef, State: engine.Ready}}},
+		Status:    engine.Status{Incarnation: "1", Models: []engine.LoadedModel{{Ref: reviewRef, State: engine.Ready}}},
 		Reachable: true,
 	}
 }
--- a/serve/forward/cluster_test.go
+++ b/serve/forward/cluster_test.go
@@ -370,7 +370,7 @@
 	start := time.Now()
 	clock := func() time.Duration { return time.Since(start) + time.Hour }
 	self := routing.VM{ID: "vm-1", Zone: "a"}
-	w.feed = feed.New(feed.Options{Store: storesim.Confirming{Store: w.daemonStore, Hold: time.Second}, Schema: w.schema, Clock: clock, Log: event.Discard()})
+	w.feed = feed.New(feed.Options{Store: storesim.BoundedWatch{Store: w.daemonStore, MaxWait: time.Second}, Schema: w.schema, Clock: clock, Log: event.Discard()})
 	w.handler = New(Options{
 		Feed: w.feed, Codec: testCodec{}, Log: event.Discard(), Self: self, MaxKeyAge: 5 * time.Second,
 		RetryBudget: testRetryRule, Dial: w.dial,
--- a/serve/gateway/addresses_test.go
+++ b/serve/gateway/addresses_test.go
@@ -42,7 +42,7 @@
 			put("mallowwind/vm/"+vm.ID, fmt.Sprintf(`{"id":%q,"zone":%q,"address":%q,"leaving":%t}`,
 				vm.ID, vm.Zone, vm.Address, i >= size-leaving))
 			g := New(Options{
-				Self: vm, Store: storesim.Confirming{Store: memory, Hold: time.Second},
+				Self: vm, Store: storesim.BoundedWatch{Store: memory, MaxWait: time.Second},
 				Schema: feed.OwnSchema{}, Codec: forward.DefaultCodec{}, Log: event.Discard(),
 				Clock:          func() time.Duration { return time.Since(start) + time.Hour },
 				DynamicOptions: DynamicOptions{MaxKeyAge: 5 * time.Second},
--- a/serve/gateway/fleet_test.go
+++ b/serve/gateway/fleet_test.go
@@ -98,7 +98,7 @@
 	f.daemons[id] = d
 	f.mu.Unlock()
 	g := New(Options{
-		Self: d.vm, Store: storesim.Confirming{Store: d.way, Hold: time.Second}, Schema: feed.OwnSchema{}, Codec: forward.DefaultCodec{},
+		Self: d.vm, Store: storesim.BoundedWatch{Store: d.way, MaxWait: time.Second}, Schema: feed.OwnSchema{}, Codec: forward.DefaultCodec{},
 		Clock: func() time.Duration { return time.Since(f.began) + time.Hour }, Log: event.Discard(),
 		DynamicOptions: DynamicOptions{
 			MaxKeyAge: 5 * time.Second, GracePeriod: 8 * time.Second, Seeds: []string{"vm-0:2", "vm-1:2"},
--- a/serve/gateway/gateway_test.go
+++ b/serve/gateway/gateway_test.go
@@ -58,7 +58,7 @@
 		start := time.Now()
 		g := New(Options{
 			Self:  routing.VM{ID: "self", Address: "self:1"},
-			Store: storesim.Confirming{Store: s.store, Hold: time.Second}, Schema: feed.OwnSchema{}, Codec: forward.DefaultCodec{},
+			Store: storesim.BoundedWatch{Store: s.store, MaxWait: time.Second}, Schema: feed.OwnSchema{}, Codec: forward.DefaultCodec{},
 			Clock: func() time.Duration { return time.Since(start) + time.Hour }, Log: event.Discard(),
 			DynamicOptions: DynamicOptions{
 				MaxKeyAge: 5 * time.Second, GracePeriod: 8 * time.Second, RetryBudget: retrybudget.Policy{Ratio: 1, Slack: 10, Window: time.Second},
--- a/serve/generation/version_test.go
+++ b/serve/generation/version_test.go
@@ -90,7 +90,7 @@
 			Engine: sim, Reachable: true, StatusAt: time.Now(), Status: engine.Status{Slots: 8},
 		}
 		for _, r := range refs(believed[id]) {
-			b.Status.Models = append(b.Status.Models, engine.Loaded{Ref: r, State: engine.Ready})
+			b.Status.Models = append(b.Status.Models, engine.LoadedModel{Ref: r, State: engine.Ready})
 		}
 		s.Pools[changingPool] = append(s.Pools[changingPool], b)
 	}
--- a/serve/once/bench_test.go
+++ b/serve/once/bench_test.go
@@ -43,8 +43,8 @@
 // instant is a backend server that answers at once.
 type instant struct{}
 
-func (instant) Do(context.Context, string, plain.Call) (plain.Answer, error) {
-	return plain.Answer{Status: http.StatusOK, Body: []byte("confirmed")}, nil
+func (instant) Do(context.Context, string, plain.Call) (plain.Response, error) {
+	return plain.Response{Status: http.StatusOK, Body: []byte("confirmed")}, nil
 }
 
 // benchDaemons starts three daemons with settled slots on loopback.
--- a/serve/once/dispatch.go
+++ b/serve/once/dispatch.go
@@ -164,7 +164,7 @@
 
 // repeatable runs a call whose repetition does no harm: no key is bound, and
 // another backend server is tried whatever became of the first.
-func (s *Service) repeatable(ctx context.Context, req Request) (plain.Answer, error) {
+func (s *Service) repeatable(ctx context.Context, req Request) (plain.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, callDeadline(req.Service))
 	defer cancel()
 	var exclude []string
@@ -192,7 +192,7 @@
 		// A later refusal does not undo what an earlier attempt sent.
 		last = verdict.New(verdict.MayHaveRun, last.Code, "%s", last.Message).WithRetryAfter(last.RetryAfter)
 	}
-	return plain.Answer{}, last
+	return plain.Response{}, last
 }
 
 // logEnd writes the one line that each dispatched call has.
--- a/serve/once/once.go
+++ b/serve/once/once.go
@@ -107,12 +107,12 @@
 // Handle runs one call and returns its answer. Errors are *verdict.Error:
 // not_run when nothing was and nothing will be sent for the copies of the call
 // seen so far, ran when the answer is no longer kept, else may_have_run.
-func (s *Service) Handle(ctx context.Context, req Request) (plain.Answer, error) {
+func (s *Service) Handle(ctx context.Context, req Request) (plain.Response, error) {
 	if req.Service.Idempotent {
 		return s.repeatable(ctx, req)
 	}
 	if err := CheckKey(req.Key); err != nil {
-		return plain.Answer{}, err
+		return plain.Response{}, err
 	}
 	e := newExecution(req)
 	e.seen = s.seen[e.slot].Load()
@@ -122,7 +122,7 @@
 	s.metrics.count(out)
 	if out.err != nil {
 		s.logFailure(e, out.err)
-		return plain.Answer{}, out.err
+		return plain.Response{}, out.err
 	}
 	return *out.answer, nil
 }
--- a/serve/once/record.go
+++ b/serve/once/record.go
@@ -36,9 +36,9 @@
 
 // outcome is how a call ended, or what its caller is told.
 type outcome struct {
-	answer *plain.Answer  // nil unless it ran and the answer is kept
-	err    *verdict.Error // nil when answer is set
-	moved  bool           // another daemon serves the slot
+	answer *plain.Response // nil unless it ran and the answer is kept
+	err    *verdict.Error  // nil when answer is set
+	moved  bool            // another daemon serves the slot
 }
 
 // cause is the error that the flow is told of.
--- a/serve/once/table_test.go
+++ b/serve/once/table_test.go
@@ -132,7 +132,7 @@
 	now := time.Now()
 	for i := range byte(20) {
 		must.True(t, o.bind(4, boundRecord(i, 41+uint64(i))))
-		answer := plain.Answer{Body: make([]byte, 30<<10)}
+		answer := plain.Response{Body: make([]byte, 30<<10)}
 		o.finish(record{key: slot.Key{i}, attempt: 41 + uint64(i), state: ran, out: outcome{answer: &answer}}, 0, 4)
 	}
 	must.LessEq(t, maxAnswersPerSlot, o.answers)
--- a/serve/once/wire.go
+++ b/serve/once/wire.go
@@ -60,18 +60,18 @@
 	return plain.Call{Method: c.GetMethod(), Path: c.GetPath(), Header: headerFromWire(c.GetHeader()), Body: c.GetBody()}
 }
 
-func answerToWire(a *plain.Answer) *pb.PlainAnswer {
+func answerToWire(a *plain.Response) *pb.PlainAnswer {
 	if a == nil {
 		return nil
 	}
 	return &pb.PlainAnswer{Status: int32(a.Status), Header: headerToWire(a.Header), Body: a.Body}
 }
 
-func answerFromWire(a *pb.PlainAnswer) *plain.Answer {
+func answerFromWire(a *pb.PlainAnswer) *plain.Response {
 	if a == nil {
 		return nil
 	}
-	return &plain.Answer{Status: int(a.GetStatus()), Header: headerFromWire(a.GetHeader()), Body: a.GetBody()}
+	return &plain.Response{Status: int(a.GetStatus()), Header: headerFromWire(a.GetHeader()), Body: a.GetBody()}
 }
 
 func errorToWire(e *verdict.Error) *pb.CallError {
--- a/serve/once/world_test.go
+++ b/serve/once/world_test.go
@@ -444,15 +444,15 @@
 // caller is one daemon's way to the backend server.
 type caller struct{ d *daemon }
 
-func (c *caller) Do(ctx context.Context, _ string, call plain.Call) (plain.Answer, error) {
+func (c *caller) Do(ctx context.Context, _ string, call plain.Call) (plain.Response, error) {
 	// A paused process sends late: nothing between the check and the send looks
 	// at a clock.
 	if err := c.d.pass(); err != nil {
-		return plain.Answer{}, errors.Wrap(plain.ErrNotSent, err.Error())
+		return plain.Response{}, errors.Wrap(plain.ErrNotSent, err.Error())
 	}
 	answer, lost, failed, takes := c.d.w.backend.run(string(call.Body))
 	if failed {
-		return plain.Answer{}, plain.ErrNotSent
+		return plain.Response{}, plain.ErrNotSent
 	}
 	select {
 	case <-ctx.Done():
@@ -460,9 +460,9 @@
 	case <-time.After(takes + time.Millisecond):
 	}
 	if err := c.d.pass(); err != nil || lost {
-		return plain.Answer{}, plain.ErrNoAnswer
+		return plain.Response{}, plain.ErrNoResponse
 	}
-	return plain.Answer{Status: http.StatusOK, Body: []byte(answer)}, nil
+	return plain.Response{Status: http.StatusOK, Body: []byte(answer)}, nil
 }
 
 // leave shows a daemon as leaving in every view.
