--- a/cmd/mallowctl/benchcontrol.go
+++ b/cmd/mallowctl/benchcontrol.go
@@ -27,10 +27,10 @@
 		o.Only, o.Command = c.Only, o.Command+" --only "+c.Only
 	}
 	if len(c.Sizes) > 0 {
-		o.Sizes = c.Sizes
+		o.SpreadDaemons = c.Sizes
 	}
 	if len(c.Daemons) > 0 {
-		o.Daemons = c.Daemons
+		o.CostDaemons = c.Daemons
 	}
 	return control.Run(ctx, o)
 }
--- a/cmd/mallowctl/benchresume.go
+++ b/cmd/mallowctl/benchresume.go
@@ -25,7 +25,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	return losses.Run(ctx, losses.Options{
-		Dir: c.Out, Seed: c.Seed, Duration: c.Duration, Fixed: c.Fixed, Parallel: c.Parallel, Only: c.Only,
+		Dir: c.Out, Seed: c.Seed, Duration: c.Duration, FixedTimeout: c.Fixed, MaxParallel: c.Parallel, OnlyFault: c.Only,
 		Command: fmt.Sprintf("go run ./cmd/mallowctl bench resume --seed %d --duration %s --fixed %s --parallel %d --out DIR",
 			c.Seed, c.Duration, c.Fixed, c.Parallel),
 		Log: os.Stderr, Now: time.Now,
--- a/lab/bench/control/bench.go
+++ b/lab/bench/control/bench.go
@@ -13,25 +13,25 @@
 
 // Options of a run.
 type Options struct {
-	Dir      string // where the report goes
-	Command  string
-	Only     string // spread, daemons, accounts or changes; empty for all
-	Sizes    []int  // daemons, for the time to in force
-	Daemons  []int  // daemons, for the slopes; four sizes at least
-	Accounts int    // in the text, for the time to in force
-	Changes  int    // accepted with the store up
-	Failures int    // accepted with the store failing
-	Warm     int    // changes before a window
-	Window   time.Duration
-	Log      io.Writer
-	Now      func() time.Time
+	Dir            string // where the report goes
+	Command        string
+	Only           string // spread, daemons, accounts or changes; empty for all
+	SpreadDaemons  []int  // daemons, for the time to in force
+	CostDaemons    []int  // daemons, for the slopes; four sizes at least
+	Accounts       int    // in the text, for the time to in force
+	Changes        int    // accepted with the store up
+	FailureChanges int    // accepted with the store failing
+	WarmupChanges  int    // changes before a window
+	Window         time.Duration
+	Log            io.Writer
+	Now            func() time.Time
 }
 
 // Defaults returns the options of the recorded run, some seven minutes.
 func Defaults() Options {
 	return Options{
-		Sizes: []int{7, 56, 112}, Daemons: []int{7, 28, 56, 112},
-		Accounts: 810, Changes: 30, Failures: 4, Warm: 8, Window: 8 * time.Second,
+		SpreadDaemons: []int{7, 56, 112}, CostDaemons: []int{7, 28, 56, 112},
+		Accounts: 810, Changes: 30, FailureChanges: 4, WarmupChanges: 8, Window: 8 * time.Second,
 	}
 }
 
@@ -69,7 +69,7 @@
 func spreadTable(ctx context.Context, o Options, r *report.Report) error {
 	table := r.Table("From acceptance to in force everywhere", report.Col("daemons", ""), report.Col("store", ""), report.Col("changes", ""),
 		report.Col("p50", "ms"), report.Col("p99", "ms"), report.Col("max", "ms"), report.Col("not within 9 s", ""))
-	for _, n := range o.Sizes {
+	for _, n := range o.SpreadDaemons {
 		if err := measureSpread(ctx, o, n, table); err != nil {
 			return err
 		}
--- a/lab/bench/control/cost.go
+++ b/lab/bench/control/cost.go
@@ -43,7 +43,7 @@
 
 func allSeries(o Options) []series {
 	var daemons, accounts, changes []point
-	for _, n := range o.Daemons {
+	for _, n := range o.CostDaemons {
 		daemons = append(daemons, point{n, costAccounts, 0})
 	}
 	for _, n := range []int{10, 200, 500, 810} {
@@ -121,7 +121,7 @@
 	}
 	defer f.close()
 	// Changes before the window fill the memory of texts served as differences.
-	for range o.Warm {
+	for range o.WarmupChanges {
 		if err := f.apply(ctx, text(p.accounts, int(f.revision))); err != nil {
 			return usage{}, err
 		}
--- a/lab/bench/control/spread.go
+++ b/lab/bench/control/spread.go
@@ -21,7 +21,7 @@
 var scenarios = []scenario{
 	{name: "up", rounds: func(o Options) int { return o.Changes }},
 	{name: "slow, 300 ms a call", delay: 300 * time.Millisecond, rounds: func(o Options) int { return o.Changes / 2 }},
-	{name: "fails right after acceptance", fails: true, rounds: func(o Options) int { return o.Failures }},
+	{name: "fails right after acceptance", fails: true, rounds: func(o Options) int { return o.FailureChanges }},
 }
 
 const (
--- a/lab/bench/load/bench.go
+++ b/lab/bench/load/bench.go
@@ -53,12 +53,12 @@
 		return err
 	}
 	if o.Engines != "" {
-		if d.engines, err = physics.Named(o.Engines); err != nil {
+		if d.engines, err = physics.EngineByName(o.Engines); err != nil {
 			return err
 		}
 	}
 	command := fmt.Sprintf("go run ./cmd/mallowctl bench load --out DIR --deployment %s --seed %d", d.name, o.Seed)
-	if d.engines.Name != physics.Beside.Name {
+	if d.engines.Name != physics.SeparatePrefill.Name {
 		command += " --engines " + d.engines.Name
 	}
 	if o.Scenario != "" {
--- a/lab/bench/load/deploy.go
+++ b/lab/bench/load/deploy.go
@@ -86,7 +86,7 @@
 	if !ok {
 		return d, errors.Errorf("deployment %q is none of association, tharaka", name)
 	}
-	d.engines = physics.Beside
+	d.engines = physics.SeparatePrefill
 	return d, nil
 }
 
@@ -120,7 +120,7 @@
 			answer += k.share
 		}
 	}
-	return float64(d.pools[pool]) * d.engines.Rate(d.slots, prompt, answer)
+	return float64(d.pools[pool]) * d.engines.AnswerTokensPerSecond(d.slots, prompt, answer)
 }
 
 // meanAnswer is the mean of answer tokens over the requests of a kind, given
--- a/lab/bench/load/engine.go
+++ b/lab/bench/load/engine.go
@@ -57,11 +57,11 @@
 }
 
 func (e *engineSim) step() time.Duration {
-	return time.Duration(float64(e.physics.Step(len(e.batch), e.filling != nil)) * e.slow)
+	return time.Duration(float64(e.physics.StepTime(len(e.batch), e.filling != nil)) * e.slow)
 }
 
 // chunks reports whether a prefill is part of the steps now.
-func (e *engineSim) chunks() bool { return e.filling != nil && e.physics.Chunk > 0 }
+func (e *engineSim) chunks() bool { return e.filling != nil && e.physics.ChunkTokens > 0 }
 
 // advance moves the token clock to now at the present step time.
 func (e *engineSim) advance() {
@@ -73,7 +73,7 @@
 	step := e.step()
 	n := float64(dt) / float64(step)
 	if e.chunks() {
-		e.unread -= n * float64(e.physics.Chunk)
+		e.unread -= n * float64(e.physics.ChunkTokens)
 	}
 	if len(e.batch) == 0 {
 		return
@@ -111,7 +111,7 @@
 
 // room reports whether the memory holds one more job. An empty engine takes any.
 func (e *engineSim) room(next *job) bool {
-	if e.physics.Memory == 0 || e.running() == 0 {
+	if e.physics.MemoryTokens == 0 || e.running() == 0 {
 		return true
 	}
 	taken := next.tokens()
@@ -121,7 +121,7 @@
 	for _, j := range e.batch {
 		taken += j.tokens()
 	}
-	return taken <= e.physics.Memory
+	return taken <= e.physics.MemoryTokens
 }
 
 // tokens is what a job takes of an engine's memory at its end.
@@ -150,11 +150,11 @@
 		}
 		tokens *= cachedPart
 	}
-	if e.physics.Chunk > 0 {
+	if e.physics.ChunkTokens > 0 {
 		e.unread = tokens // worked off step by step
 		return
 	}
-	took := time.Duration(tokens / e.physics.PrefillRate * e.slow * float64(time.Second))
+	took := time.Duration(tokens / e.physics.PrefillTokensPerSecond * e.slow * float64(time.Second))
 	e.clock.after(took, func() { e.filled(j) })
 }
 
@@ -184,7 +184,7 @@
 	}
 	left := math.Inf(1)
 	if e.chunks() {
-		left = e.unread / float64(e.physics.Chunk)
+		left = e.unread / float64(e.physics.ChunkTokens)
 	}
 	for _, j := range e.batch {
 		left = min(left, j.startV+j.answer-e.v)
--- a/lab/bench/load/physics_test.go
+++ b/lab/bench/load/physics_test.go
@@ -29,7 +29,7 @@
 // A prompt of 8,000 tokens is worked off in 40 chunks. Alone it takes a second and a
 // bit; a stream beside it gets a token only with each chunk, six times later than usual.
 func TestChunksAreReadBetweenTokens(t *testing.T) {
-	e := oneEngine(physics.Chunked)
+	e := oneEngine(physics.ChunkedPrefill)
 	stream, streamFirst, streamEnd := timed(e, 200, 200)
 	e.add(stream)
 	e.clock.runUntil(e.clock.now.Add(100 * time.Millisecond))
@@ -37,16 +37,16 @@
 	reading, first, _ := timed(e, 8000, 10)
 	e.add(reading)
 	e.clock.runUntil(e.clock.now.Add(5 * time.Second))
-	step := physics.Chunked.Step(1, true)
+	step := physics.ChunkedPrefill.StepTime(1, true)
 	test.Between(t, 39*step, *first, 42*step)
-	plain := 200 * physics.Chunked.Step(1, false)
+	plain := 200 * physics.ChunkedPrefill.StepTime(1, false)
 	test.Between(t, plain+38*25*time.Millisecond, *streamEnd, plain+42*26*time.Millisecond)
 }
 
 // Three answers of 20,000 tokens each fill an engine's memory but for a part. A fourth
 // waits until the first of them ends, although the batch has places.
 func TestJobsWaitForMemory(t *testing.T) {
-	e := oneEngine(physics.Chunked)
+	e := oneEngine(physics.ChunkedPrefill)
 	for range 4 {
 		j, _, _ := timed(e, 25_000, 100)
 		e.add(j)
@@ -65,7 +65,7 @@
 	t.Parallel()
 	d, err := deploymentNamed("tharaka")
 	must.NoError(t, err)
-	d.engines = physics.Chunked
+	d.engines = physics.ChunkedPrefill
 	s, err := scenarioNamed("saturation")
 	must.NoError(t, err)
 	s.span = 60 * time.Second
@@ -78,6 +78,6 @@
 }
 
 func TestUnknownEnginesAreRefused(t *testing.T) {
-	_, err := physics.Named("other")
+	_, err := physics.EngineByName("other")
 	must.ErrorContains(t, err, "beside, chunked")
 }
--- a/lab/bench/load/request.go
+++ b/lab/bench/load/request.go
@@ -126,7 +126,7 @@
 }
 
 func (w *world) cancel(r *request, j *job) {
-	w.meter.wasted(float64(j.req.prompt)/j.server.physics.PrefillRate, j.server.made(j))
+	w.meter.wasted(float64(j.req.prompt)/j.server.physics.PrefillTokensPerSecond, j.server.made(j))
 	j.server.cancel(j)
 	w.daemons[r.daemon].policy.ended(r, false, true)
 	w.over(r)
--- a/lab/bench/load/show.go
+++ b/lab/bench/load/show.go
@@ -22,7 +22,7 @@
 	r.Param("entry VMs by zone", fmt.Sprint(d.daemons))
 	r.Param("slots a backend server", fmt.Sprint(d.slots))
 	r.Param("engine", fmt.Sprintf("%s: step %v and %v a stream, prefill %.0f tokens/s, chunks of %d in the steps, memory %d tokens, batch at most %d",
-		d.engines.Name, d.engines.StepBase, d.engines.StepPerStream, d.engines.PrefillRate, d.engines.Chunk, d.engines.Memory, batchMost))
+		d.engines.Name, d.engines.StepBase, d.engines.StepPerStream, d.engines.PrefillTokensPerSecond, d.engines.ChunkTokens, d.engines.MemoryTokens, batchMost))
 	r.Param("virtual time", fmt.Sprintf("%v warm-up, %v measured, %v to end", warmUp, measured, settle))
 	r.Param("capacity", "answer tokens a second of a plain queue that keeps every slot full, with callers who wait for ever")
 	for _, k := range d.kinds {
--- a/lab/bench/losses/losses.go
+++ b/lab/bench/losses/losses.go
@@ -19,15 +19,15 @@
 
 // Options of a run.
 type Options struct {
-	Dir      string
-	Seed     uint64
-	Duration time.Duration // of the load in each trial
-	Fixed    time.Duration // the baselines' timeout
-	Parallel int           // trials at once
-	Only     string        // this kind of loss alone, "" for all
-	Command  string
-	Log      io.Writer
-	Now      func() time.Time
+	Dir          string
+	Seed         uint64
+	Duration     time.Duration // of the load in each trial
+	FixedTimeout time.Duration // the baselines' timeout
+	MaxParallel  int           // trials at once
+	OnlyFault    string        // this kind of loss alone, "" for all
+	Command      string
+	Log          io.Writer
+	Now          func() time.Time
 }
 
 // weights are those of the curve.
@@ -43,16 +43,16 @@
 // Run compares the policies and writes the report into o.Dir.
 func Run(ctx context.Context, o Options) error {
 	var cells []*cell
-	for _, v := range variants(o.Fixed, weights) {
+	for _, v := range variants(o.FixedTimeout, weights) {
 		for _, k := range kinds {
-			if o.Only != "" && o.Only != string(k) {
+			if o.OnlyFault != "" && o.OnlyFault != string(k) {
 				continue
 			}
 			cells = append(cells, &cell{variant: v, kind: k})
 		}
 	}
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(o.Parallel)
+	g.SetLimit(o.MaxParallel)
 	for _, c := range cells {
 		g.Go(func() (err error) {
 			c.result, err = run(ctx, c.variant, c.kind, o.Seed, o.Duration)
@@ -71,10 +71,10 @@
 func write(o Options, cells []*cell) error {
 	r := report.New("Resume latency against extra resources", o.Command, o.Seed, o.Now())
 	r.Param("trial", fmt.Sprintf("%s of load by %d callers on %d entry VMs and %d engines", o.Duration, callers, vms, engines))
-	r.Param("fixed timeout", o.Fixed.String())
-	r.Param("trials at once", fmt.Sprint(o.Parallel))
+	r.Param("fixed timeout", o.FixedTimeout.String())
+	r.Param("trials at once", fmt.Sprint(o.MaxParallel))
 	for _, k := range kinds {
-		if o.Only == "" || o.Only == string(k) {
+		if o.OnlyFault == "" || o.OnlyFault == string(k) {
 			table(r, k, cells)
 		}
 	}
--- a/lab/bench/prompts/deployment.go
+++ b/lab/bench/prompts/deployment.go
@@ -32,9 +32,9 @@
 
 // withDefaults returns d with zero fields set that have a default.
 func (d deployment) withDefaults() deployment {
-	d.kind = cmp.Or(d.kind, physics.Chunked)
+	d.kind = cmp.Or(d.kind, physics.ChunkedPrefill)
 	d.prompt = cmp.Or(d.prompt, usualPrompt)
-	d.memory = cmp.Or(d.memory, d.kind.Memory)
+	d.memory = cmp.Or(d.memory, d.kind.MemoryTokens)
 	d.patience = cmp.Or(d.patience, usualPatience)
 	return d
 }
--- a/lab/bench/prompts/engine.go
+++ b/lab/bench/prompts/engine.go
@@ -52,7 +52,7 @@
 
 // step makes one step that begins at now, and returns when it ends.
 func (e *engine) step(now time.Duration, w *world) time.Duration {
-	took := e.kind.Step(len(e.running), false)
+	took := e.kind.StepTime(len(e.running), false)
 	took += e.read(now)
 	took = time.Duration(float64(took) * e.speed)
 	end := now + took
@@ -104,14 +104,14 @@
 	if r.held() == 0 && e.used()+r.unread > e.memory {
 		return 0 // it waits for room
 	}
-	n := min(e.kind.Chunk, r.unread)
+	n := min(e.kind.ChunkTokens, r.unread)
 	r.unread -= n
 	if r.unread == 0 {
 		e.reading = e.reading[1:]
 		r.token = eventTokens - 1 // the next step gives the first event
 		e.running = append(e.running, r)
 	}
-	return time.Duration(n) * time.Second / time.Duration(e.kind.PrefillRate)
+	return time.Duration(n) * time.Second / time.Duration(e.kind.PrefillTokensPerSecond)
 }
 
 // fail loses everything on the engine and returns it.
--- a/lab/bench/prompts/prompts.go
+++ b/lab/bench/prompts/prompts.go
@@ -119,7 +119,7 @@
 	{name: "Tharaka", engines: 18, daemons: 6, rate: 4.68, lossEvery: 6 * time.Second},
 	{
 		name: "Merrimack Valley", engines: 24, daemons: 6, rate: 6.24, lossEvery: 6500 * time.Millisecond,
-		kind: physics.Slower, prompt: 5200, paired: true,
+		kind: physics.SlowChunkedPrefill, prompt: 5200, paired: true,
 	},
 	{name: "Association, twice the load", engines: 36, daemons: 7, rate: 18.7, lossEvery: 6 * time.Second},
 	{name: "Association grown", engines: 120, daemons: 73, rate: 36, lossEvery: 3 * time.Second, lossShare: 0.55},
