--- a/lab/capacity/constants.go
+++ b/lab/capacity/constants.go
@@ -12,22 +12,22 @@
 	"mallowwind.dev/decision/slot"
 )
 
-// Constants of the packages that the arithmetic takes up.
+// Default settings of other packages that the model uses.
 var (
-	limits    = site.DefaultLimits()
-	polling   = backends.DefaultConfig()
-	placing   = reconcile.DefaultConfig()
-	leasing   = lease.DefaultConfig()
-	drainTime = limits.EntriesTTL + settings.DefaultDrainLimit
+	siteLimits      = site.DefaultLimits()
+	pollConfig      = backends.DefaultConfig()
+	reconcileConfig = reconcile.DefaultConfig()
+	leaseConfig     = lease.DefaultConfig()
+	drainTime       = siteLimits.EntriesTTL + settings.DefaultDrainLimit
 )
 
 const (
-	// slots is the number of slots that idempotency keys hash to.
-	slots = float64(slot.Count)
-	// base64Growth is how much values grow in the store's JSON form.
-	base64Growth = 4.0 / 3
-	// rosterReads is how often all daemons together read the roster, a second.
-	rosterReads = float64(time.Second) / float64(roster.PollIntervalPerMember)
+	// slotCount is the number of slots that idempotency keys are hashed to.
+	slotCount = float64(slot.Count)
+	// base64Ratio is the factor by which base64 enlarges values in the store's JSON encoding.
+	base64Ratio = 4.0 / 3
+	// rosterReadsPerSecond is the rate at which all daemons together read the roster.
+	rosterReadsPerSecond = float64(time.Second) / float64(roster.PollIntervalPerMember)
 )
 
 func perSecond(every time.Duration) float64 { return 1 / every.Seconds() }
--- a/lab/capacity/row.go
+++ b/lab/capacity/row.go
@@ -8,23 +8,23 @@
 	"mallowwind.dev/lab/report"
 )
 
-// Role is a part that a process plays.
+// Role is a function of a daemon or another party of the system. The rows are grouped by it.
 type Role string
 
-// The roles, in the order of the page.
+// The roles.
 const (
-	Entry    Role = "Daemon as entry"
-	Peer     Role = "Daemon as journal peer"
-	Holder   Role = "Daemon as zone lease holder"
-	Spreader Role = "Daemon as spreader of configuration"
-	Binder   Role = "Daemon as binder of idempotency keys"
-	Forward  Role = "Daemon that forwards"
-	Store    Role = "The platform's store"
-	Backend  Role = "Backend server"
-	Caller   Role = "Caller"
+	Entry       Role = "Daemon as entry"
+	JournalPeer Role = "Daemon as journal peer"
+	LeaseHolder Role = "Daemon as zone lease holder"
+	ConfigRelay Role = "Daemon as spreader of configuration"
+	KeyBinder   Role = "Daemon as binder of idempotency keys"
+	Forwarder   Role = "Daemon that forwards"
+	Store       Role = "The platform's store"
+	Backend     Role = "Backend server"
+	Caller      Role = "Caller"
 )
 
-// Kind is what a row counts.
+// Kind is the kind of resource or load that a row counts.
 type Kind string
 
 // The kinds of rows.
@@ -35,56 +35,56 @@
 	Memory    Kind = "memory"
 )
 
-// Unit of a row's value. Rows of one unit can be added.
+// Unit is the unit of a row's value. Only rows of the same unit can be added.
 type Unit string
 
 // The units of rows.
 const (
-	Core      Unit = "core"
-	Bytes     Unit = "B"
-	BytesPerS Unit = "B/s"
-	PerS      Unit = "1/s"
-	Number    Unit = ""
-	Seconds   Unit = "s"
+	Core           Unit = "core"
+	Bytes          Unit = "B"
+	BytesPerSecond Unit = "B/s"
+	PerSecond      Unit = "1/s"
+	Number         Unit = ""
+	Seconds        Unit = "s"
 )
 
-// Factor is one number of a row's product and where it comes from.
+// Factor is one factor of a row's product with its source.
 type Factor struct {
-	Raw   float64 // as it was given or measured, in Unit
+	Raw   float64 // value as specified or measured, in Unit
 	Unit  string
 	Scale float64 // converts Raw to the row's unit
 	Label string
-	Error float64 // relative standard error, 0 where the number is given
-	Slope string  // name of the recorded slope, if it comes from one
+	Error float64 // relative standard error, 0 for constants
+	Slope string  // name of the recorded slope, empty for constants
 	Known bool    // false where the slope was not measured
 }
 
-// Value is the factor in the row's unit.
+// Value returns the factor in the row's unit.
 func (f Factor) Value() float64 { return f.Raw * f.Scale }
 
-// Row is one cell of the page: a product of factors.
+// Row is one row of the page: a product of factors or a sum of other rows.
 type Row struct {
-	Role    Role
-	Kind    Kind
-	What    string
-	Unit    Unit
-	Carrier string // package that carries it
-	Factors []Factor
-	Parts   []Row // of a sum; Factors is empty then
-	// Control marks rows that count against the bounds on control.
+	Role        Role
+	Kind        Kind
+	Description string
+	Unit        Unit
+	Component   string // packages or party that bear the load
+	Factors     []Factor
+	Parts       []Row // terms of a sum; Factors is then empty
+	// Control marks rows that count towards the limits on control overhead.
 	Control bool
-	Limit   float64 // 0 where no bound applies
+	Limit   float64 // 0 if there is no limit
 	LimitOf string
-	// Beyond says, where the limit is passed, which mechanism will carry it and
-	// what that costs.
-	Beyond string
+	// Remedy describes how the load can be brought within the limit and what that
+	// costs. It is shown only if the limit is exceeded.
+	Remedy string
 }
 
-// Known reports whether every slope of the row was measured. A sum is known
-// as far as any of its parts is; its text says how many are missing.
-func (r *Row) Known() bool {
+// IsKnown reports whether every slope of the row was measured. A sum is known if at
+// least one of its parts is; its formula says how many are missing.
+func (r *Row) IsKnown() bool {
 	if len(r.Parts) > 0 {
-		return r.unknown() < len(r.Parts)
+		return r.unknownCount() < len(r.Parts)
 	}
 	for _, f := range r.Factors {
 		if !f.Known {
@@ -94,7 +94,7 @@
 	return true
 }
 
-// Value is the product of the factors, or the sum of the parts.
+// Value returns the product of the factors or the sum of the known parts.
 func (r *Row) Value() float64 {
 	if len(r.Parts) > 0 {
 		v, _ := r.sum()
@@ -107,7 +107,7 @@
 	return v
 }
 
-// Error is the standard error of Value as far as the slopes bring one.
+// Error returns the standard error of Value that results from the errors of the slopes.
 func (r *Row) Error() float64 {
 	if len(r.Parts) > 0 {
 		_, e := r.sum()
@@ -120,30 +120,30 @@
 	return math.Abs(r.Value()) * math.Sqrt(squares)
 }
 
-// Within reports whether the row keeps its limit, as far as it is known.
-func (r *Row) Within() bool { return r.Limit == 0 || !r.Known() || r.Value() <= r.Limit }
+// IsWithinLimit reports whether the row has no limit, is unknown or is within its limit.
+func (r *Row) IsWithinLimit() bool { return r.Limit == 0 || !r.IsKnown() || r.Value() <= r.Limit }
 
-// Result is the value with its error and unit, as the page shows it.
+// Result returns the value with its error and unit as text for the page.
 func (r *Row) Result() string {
-	if !r.Known() {
+	if !r.IsKnown() {
 		return "not measured"
 	}
 	v, e := r.Value(), r.Error()
 	scale, unit := readable(r.Unit, v)
 	s := report.Format(v / scale)
-	if r.unknown() > 0 {
+	if r.unknownCount() > 0 {
 		s = "at least " + s
 	}
 	if e > 0 {
-		s += " ± " + report.Format(round(e/scale))
+		s += " ± " + report.Format(roundToTwoDigits(e/scale))
 	}
 	return strings.TrimSpace(s + " " + unit)
 }
 
-// Work is the arithmetic, as the page shows it.
-func (r *Row) Work() string {
+// Formula returns the calculation of the value as text for the page.
+func (r *Row) Formula() string {
 	if len(r.Parts) > 0 {
-		return r.sumWork()
+		return r.sumFormula()
 	}
 	parts := make([]string, len(r.Factors))
 	for i, f := range r.Factors {
@@ -152,7 +152,7 @@
 	return strings.Join(parts, " × ")
 }
 
-// Status says whether the limit is kept.
+// Status returns the value relative to the limit as text for the page, empty without a limit.
 func (r *Row) Status() string {
 	if r.Limit == 0 {
 		return ""
@@ -160,16 +160,16 @@
 	scale, unit := readable(r.Unit, r.Limit)
 	limit := strings.TrimSpace(report.Format(r.Limit/scale) + " " + unit)
 	switch {
-	case !r.Known():
+	case !r.IsKnown():
 		return "not known against " + limit + " (" + r.LimitOf + ")"
-	case r.Within():
+	case r.IsWithinLimit():
 		return fmt.Sprintf("%.0f%% of %s (%s)", 100*r.Value()/r.Limit, limit, r.LimitOf)
 	default:
 		return fmt.Sprintf("**%.1f times** %s (%s)", r.Value()/r.Limit, limit, r.LimitOf)
 	}
 }
 
-// String is the factor as the page shows it.
+// String returns the factor as text for the page.
 func (f Factor) String() string {
 	if !f.Known {
 		return "`" + f.Slope + "` (not measured)"
@@ -186,13 +186,13 @@
 	return s
 }
 
-// readable returns a divisor and the unit to show after dividing.
+// readable returns a divisor for v and the display unit of the quotient.
 func readable(u Unit, v float64) (scale float64, unit string) {
 	v = math.Abs(v)
 	switch {
 	case u == Core:
 		return 0.01, "% of a core"
-	case u != Bytes && u != BytesPerS:
+	case u != Bytes && u != BytesPerSecond:
 		return 1, string(u)
 	case v >= 1e9:
 		return 1e9, "G" + string(u)
@@ -205,8 +205,8 @@
 	}
 }
 
-// round keeps two significant digits: an error deserves no more.
-func round(v float64) float64 {
+// roundToTwoDigits rounds to two significant digits, since errors are not known more precisely.
+func roundToTwoDigits(v float64) float64 {
 	if v == 0 {
 		return 0
 	}
--- a/lab/stand/entry.go
+++ b/lab/stand/entry.go
@@ -26,7 +26,7 @@
 
 	peer, admin string
 	d           *Deployment
-	soft, kill  context.CancelFunc
+	drain, kill context.CancelFunc
 	done        chan error
 }
 
@@ -37,30 +37,30 @@
 	if err != nil {
 		return nil, err
 	}
-	platform, err := d.platform(place{e.ID, zone})
+	platform, err := d.platform(location{e.ID, zone})
 	if err != nil {
 		return nil, err
 	}
 	logger := logrus.New()
 	logger.SetOutput(d.opts.Logs)
 	watch := backends.DefaultConfig()
-	watch.ListInterval, watch.MinPollInterval = watchEvery, watchEvery
+	watch.ListInterval, watch.MinPollInterval = watchInterval, watchInterval
 	e.Daemon = daemon.New(daemon.Options{
 		Settings:  &settings.Settings{Site: d.opts.Site, VM: e.ID, Zone: zone, DrainLimit: d.opts.DrainLimit},
 		Listeners: listeners,
-		Dialer:    link.NewDialerWithClient(d.httpFrom(place{e.ID, zone})),
+		Dialer:    link.NewDialerWithClient(d.httpFrom(location{e.ID, zone})),
 		Logger:    logger,
 		Version:   "stand",
 		Backends:  &watch,
 		Platform:  platform,
 	})
 	e.Address, e.peer, e.admin = listeners.Callers.Addr().String(), listeners.Peers.Addr().String(), listeners.Admin.Addr().String()
-	d.fabric.name(e.peer, place{e.ID, zone})
+	d.fabric.setLocation(e.peer, location{e.ID, zone})
 	d.Entries = append(d.Entries, e)
 	d.VMs.Put(vmlist.VM{ID: e.ID, Address: e.peer, Zone: zone, Role: vmlist.RoleEntry, State: vmlist.Live})
 	soft, cancel := context.WithCancel(context.Background())
 	hard, kill := context.WithCancel(d.ctx)
-	e.soft, e.kill = cancel, kill
+	e.drain, e.kill = cancel, kill
 	d.wg.Go(func() { e.done <- e.Daemon.Run(soft, hard) })
 	return e, nil
 }
@@ -76,13 +76,14 @@
 	return l, err
 }
 
-// httpFrom returns a client of a VM, whose faults it shares.
-func (d *Deployment) httpFrom(at place) *http.Client {
+// httpFrom returns an HTTP client whose connections are subject to the faults of the VM at a
+// location.
+func (d *Deployment) httpFrom(at location) *http.Client {
 	return &http.Client{Transport: sent.NewTransportWith(d.fabric.dialFrom(at), false), CheckRedirect: sent.NoRedirect}
 }
 
-// platform returns the platform as the VM at a place reaches it.
-func (d *Deployment) platform(at place) (daemon.Platform, error) {
+// platform returns clients of the platform services for the VM at a location.
+func (d *Deployment) platform(at location) (daemon.Platform, error) {
 	dial := d.fabric.dialFrom(at)
 	kv, err := store.NewEtcdClient([]string{d.storeURL}, d.httpFrom(at))
 	if err != nil {
@@ -108,22 +109,21 @@
 
 // engineAt returns the VM id of the engine at an address.
 func (d *Deployment) engineAt(address string) string {
-	return d.fabric.placeAt(address).id
+	return d.fabric.locationOf(address).id
 }
 
 // Stop begins a graceful shutdown, as SIGTERM does, and waits for its end.
 func (e *Entry) Stop() error {
 	e.d.VMs.Put(vmlist.VM{ID: e.ID, Address: e.peer, Zone: e.Zone, Role: vmlist.RoleEntry, State: vmlist.Leaving})
-	e.soft()
+	e.drain()
 	return <-e.done
 }
 
-// Callers is the network at the entry VM's address for callers, and Peers at
-// the one for other daemons.
-func (e *Entry) Callers() *faultnet.Listener { return e.d.fabric.at(e.Address) }
+// Callers returns the fault-injecting listener at the entry VM's address for callers.
+func (e *Entry) Callers() *faultnet.Listener { return e.d.fabric.listenerAt(e.Address) }
 
-// Peers is the network at the entry VM's address for other daemons.
-func (e *Entry) Peers() *faultnet.Listener { return e.d.fabric.at(e.peer) }
+// Peers returns the fault-injecting listener at the entry VM's address for other daemons.
+func (e *Entry) Peers() *faultnet.Listener { return e.d.fabric.listenerAt(e.peer) }
 
-// Client returns a caller of the demo's account that uses this entry VM.
+// Client returns a client of the demo's account for this entry VM.
 func (e *Entry) Client() *Client { return e.d.Client(e.Address) }
--- a/lab/stand/fabric.go
+++ b/lab/stand/fabric.go
@@ -11,14 +11,14 @@
 	"mallowwind.dev/external/standin/faultnet"
 )
 
-// fabric is the network between callers, daemons and stand-ins: loopback TCP,
-// or pipes in memory for runs in virtual time. Faults are injected by address.
+// fabric is the network between callers, daemons and simulated services: loopback TCP,
+// or in-memory pipes for runs in virtual time. Faults are injected by address, VM or zone.
 type fabric struct {
 	memory bool
 
 	mu        sync.Mutex
 	listeners map[string]*faultnet.Listener
-	places    map[string]place // by address
+	locations map[string]location // by address
 	gates     map[string]*gate
 	dialed    map[string]map[*gatedConn]struct{} // by VM id
 }
@@ -27,20 +27,20 @@
 	return &fabric{
 		memory:    memory,
 		listeners: make(map[string]*faultnet.Listener),
-		places:    make(map[string]place),
+		locations: make(map[string]location),
 		gates:     make(map[string]*gate),
 		dialed:    make(map[string]map[*gatedConn]struct{}),
 	}
 }
 
-// name notes which VM an address belongs to.
-func (f *fabric) name(address string, at place) {
+// setLocation records the VM and zone of an address.
+func (f *fabric) setLocation(address string, at location) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.places[address] = at
+	f.locations[address] = at
 }
 
-// listen opens the next address.
+// listen opens a listener at a new address.
 func (f *fabric) listen() (net.Listener, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -58,7 +58,7 @@
 	return namedListener{l, at}, nil
 }
 
-// dial connects to an address; it has the form of http.Transport.DialContext.
+// dial connects to an address. It has the signature of http.Transport.DialContext.
 func (f *fabric) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if !f.memory {
 		var d net.Dialer
@@ -68,19 +68,19 @@
 	l := f.listeners[address]
 	f.mu.Unlock()
 	if l == nil {
-		return nil, errors.Errorf("nothing listens at %s", address)
+		return nil, errors.Errorf("no listener at %s", address)
 	}
 	return l.Dial(ctx, network, address)
 }
 
-// at returns the listener at an address, to make it fail.
-func (f *fabric) at(address string) *faultnet.Listener {
+// listenerAt returns the listener at an address, for fault injection.
+func (f *fabric) listenerAt(address string) *faultnet.Listener {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.listeners[address]
 }
 
-// pipeAddr is an address in memory, written like one on a network.
+// pipeAddr is the address of an in-memory listener, in the form host:port.
 type pipeAddr string
 
 func (pipeAddr) Network() string  { return "pipe" }
--- a/lab/stand/platform.go
+++ b/lab/stand/platform.go
@@ -9,19 +9,19 @@
 	"mallowwind.dev/external/vmlist"
 )
 
-// serve answers at a new address.
+// serve starts an HTTP server for h at a new address.
 func (d *Deployment) serve(h http.Handler) (address string, err error) {
 	l, err := d.fabric.listen()
 	if err != nil {
 		return "", err
 	}
-	srv := &http.Server{Handler: h, ReadHeaderTimeout: readyLimit}
+	srv := &http.Server{Handler: h, ReadHeaderTimeout: readyTimeout}
 	d.servers = append(d.servers, srv)
 	d.wg.Go(func() { _ = srv.Serve(l) }) // ends with ErrServerClosed
 	return l.Addr().String(), nil
 }
 
-// startPlatform starts the stand-ins: store, VM list, engines and the desk.
+// startPlatform starts the simulated store, VM list, engines and plain backend.
 func (d *Deployment) startPlatform() error {
 	storeAt, err := d.serve(storesim.Handler(d.Store))
 	if err != nil {
@@ -39,12 +39,12 @@
 			}
 		}
 	}
-	deskAt, err := d.serve(d.PlainBackend)
+	plainAt, err := d.serve(d.PlainBackend)
 	if err != nil {
 		return err
 	}
-	d.deskAddress = deskAt
-	d.VMs.Put(vmlist.VM{ID: "desk-1", Address: deskAt, Zone: d.opts.Zones[0], Role: vmlist.RoleBackend, Pool: "desks", State: vmlist.Live})
+	d.plainBackendAddress = plainAt
+	d.VMs.Put(vmlist.VM{ID: "desk-1", Address: plainAt, Zone: d.opts.Zones[0], Role: vmlist.RoleBackend, Pool: "desks", State: vmlist.Live})
 	return nil
 }
 
@@ -54,19 +54,19 @@
 	return err
 }
 
-// AddEngine is StartEngine and returns the engine's VM id.
+// AddEngine adds a model engine to a zone and returns its VM id.
 func (d *Deployment) AddEngine(zone string) (string, error) {
 	id := fmt.Sprintf("engine-%d", len(d.Engines)+1)
 	sim := enginesim.New(enginesim.Config{
 		Name: id, Seed: d.opts.Seed + uint64(len(d.Engines)), EnforceFencing: !d.opts.IgnoreFencing,
 		Weights: d.Weights, LoadTime: loadTime,
 	})
-	at, err := d.serve(d.starts.counting(enginesim.Handler(sim)))
+	at, err := d.serve(d.attempts.wrap(enginesim.Handler(sim)))
 	if err != nil {
 		return "", err
 	}
 	d.Engines[id] = sim
-	d.fabric.name(at, place{id, zone})
+	d.fabric.setLocation(at, location{id, zone})
 	d.VMs.Put(vmlist.VM{ID: id, Address: at, Zone: zone, Role: vmlist.RoleBackend, Pool: "engines", State: vmlist.Live})
 	return id, nil
 }
--- a/lab/stand/starts.go
+++ b/lab/stand/starts.go
@@ -10,14 +10,14 @@
 	"mallowwind.dev/external/engine"
 )
 
-// starts counts the attempts that engines took in, by prompt. It stands at the
-// engines' side of the network, so that it knows what daemons may not know.
-type starts struct {
+// attemptCounter counts the attempts that engines accepted, by prompt. It counts at the
+// engines, so that it includes attempts whose response a daemon never received.
+type attemptCounter struct {
 	mu       sync.Mutex
 	byPrompt map[string]int
 }
 
-func (s *starts) add(prompt string) {
+func (s *attemptCounter) add(prompt string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.byPrompt == nil {
@@ -26,14 +26,14 @@
 	s.byPrompt[prompt]++
 }
 
-func (s *starts) of(prompt string) int {
+func (s *attemptCounter) count(prompt string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.byPrompt[prompt]
 }
 
-// counting counts the completions that h answers with 200.
-func (s *starts) counting(h http.Handler) http.Handler {
+// wrap returns a handler that counts the completions that h answers with 200.
+func (s *attemptCounter) wrap(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != engine.PathCompletions {
 			h.ServeHTTP(w, r)
@@ -41,16 +41,16 @@
 		}
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
-			return // the connection broke before the request was whole
+			return // the connection failed before the request was complete
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		var c engine.CompletionRequest
-		_ = json.Unmarshal(body, &c) // h refuses what is malformed
+		_ = json.Unmarshal(body, &c) // h rejects malformed requests
 		h.ServeHTTP(&startWriter{ResponseWriter: w, onStart: func() { s.add(c.Prompt) }}, r)
 	})
 }
 
-// startWriter notices the status of an answer.
+// startWriter calls onStart when the response status is 200.
 type startWriter struct {
 	http.ResponseWriter
 	onStart func()
@@ -64,8 +64,8 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap lets http.ResponseController reach the connection.
+// Unwrap gives http.ResponseController access to the underlying writer.
 func (w *startWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// AttemptsStarted returns how many attempts for a prompt engines have taken in.
-func (d *Deployment) AttemptsStarted(prompt string) int { return d.starts.of(prompt) }
+// AttemptsStarted returns the number of attempts for a prompt that engines have accepted.
+func (d *Deployment) AttemptsStarted(prompt string) int { return d.attempts.count(prompt) }
--- a/lab/world/network.go
+++ b/lab/world/network.go
@@ -11,33 +11,33 @@
 	"github.com/pkg/errors"
 )
 
-// Fault is what a directed link does to messages.
+// Fault is the state of a VM or of one direction of a link.
 type Fault uint8
 
-// The faults of a link.
+// States of a link or VM.
 const (
 	Healthy Fault = iota
-	Cut           // refuses at once, and resets what is open
-	Hang          // messages are kept back until the link heals
+	Cut           // refuses at once and resets open connections
+	Hang          // holds messages until the link is healthy again
 )
 
 // latency is the usual one-way delay between two VMs.
 const latency = time.Millisecond
 
-// errCut is what a caller sees of a dead peer or a refused connection.
-var errCut = errors.New("connection refused")
+// errRefused is returned to the sender when the peer is dead or the link is cut.
+var errRefused = errors.New("connection refused")
 
 type pair struct{ from, to string }
 
-// Network carries messages between entry VMs and to backend servers, with
-// faults for each directed link and each VM. It is safe for concurrent use.
+// Network carries messages between entry VMs and to backend servers and injects
+// faults for each VM and each direction of a link. It is safe for concurrent use.
 type Network struct {
 	mu       sync.Mutex
 	handlers map[string]http.Handler
 	vms      map[string]Fault
 	links    map[pair]Fault
 	delays   map[pair]time.Duration
-	silent   map[pair]bool      // the connection open now has lost its track
+	silent   map[pair]bool      // the current connection drops all messages
 	streams  map[*stream]string // generations by open stream
 	changed  chan struct{}      // closed and replaced at every change
 	closed   chan struct{}
@@ -71,32 +71,33 @@
 // SetLink sets the fault of one direction of a link.
 func (n *Network) SetLink(from, to string, f Fault) { n.update(func() { n.links[pair{from, to}] = f }) }
 
-// Partition cuts or heals both directions between two VMs.
+// Partition sets the fault of both directions between two VMs.
 func (n *Network) Partition(a, b string, f Fault) {
 	n.SetLink(a, b, f)
 	n.SetLink(b, a, f)
 }
 
-// Delay makes messages from one VM to another late. A message later than its
-// sender waits still arrives.
+// Delay adds a delay to messages from one VM to another. A message still arrives
+// after its sender has timed out.
 func (n *Network) Delay(from, to string, d time.Duration) {
 	n.update(func() { n.delays[pair{from, to}] = d })
 }
 
-// Silence makes the connection that is open now from one entry VM to another
-// silent for good; connections opened later work.
+// Silence makes the current connection from one entry VM to another drop all
+// messages permanently; connections opened later work.
 func (n *Network) Silence(from, to string) { n.update(func() { n.silent[pair{from, to}] = true }) }
 
 func (n *Network) handle(id string, h http.Handler) { n.update(func() { n.handlers[id] = h }) }
 
-// vm returns the fault of a VM and a channel closed at the next change.
+// vm returns the fault of a VM and a channel that is closed at the next change of any fault.
 func (n *Network) vm(id string) (Fault, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.vms[id], n.changed
 }
 
-// link returns the fault that a message from one VM to another meets now.
+// link returns the combined fault of the link and both VMs for messages between them, and a
+// channel that is closed at the next change of any fault.
 func (n *Network) link(from, to string) (Fault, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -110,36 +111,36 @@
 	return f, n.changed
 }
 
-// pass waits until a message may go from one VM to another.
-func (n *Network) pass(ctx context.Context, from, to string) error {
+// awaitLink waits until messages can pass from one VM to another.
+func (n *Network) awaitLink(ctx context.Context, from, to string) error {
 	for {
 		f, changed := n.link(from, to)
 		switch f {
 		case Healthy:
 			return nil
 		case Cut:
-			return errCut
+			return errRefused
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-n.closed:
-			return errCut
+			return errRefused
 		}
 	}
 }
 
-// port is the network as one entry VM sees it.
-type port struct {
+// vmTransport is the HTTP transport of one entry VM over the Network.
+type vmTransport struct {
 	net  *Network
 	self string
 }
 
-var _ http.RoundTripper = port{}
+var _ http.RoundTripper = vmTransport{}
 
 // CloseIdleConnections makes the next message to each peer use a new connection.
-func (p port) CloseIdleConnections() {
+func (p vmTransport) CloseIdleConnections() {
 	p.net.update(func() {
 		for l := range p.net.silent {
 			if l.from == p.self {
@@ -149,12 +150,12 @@
 	})
 }
 
-// RoundTrip implements http.RoundTripper. The message goes on when its sender
-// gives up waiting, as one in the buffers of a connection does.
-func (p port) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip implements http.RoundTripper. The message is still delivered after its
+// sender times out, like data in the buffers of a connection.
+func (p vmTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	to := r.URL.Host
 	if f, _ := p.net.link(p.self, to); f == Cut {
-		return nil, errCut
+		return nil, errRefused
 	}
 	p.net.mu.Lock()
 	silent := p.net.silent[pair{p.self, to}]
@@ -172,7 +173,7 @@
 	select {
 	case a := <-answer:
 		if a == nil {
-			return nil, errCut
+			return nil, errRefused
 		}
 		return a.response(r), nil
 	case <-r.Context().Done():
@@ -180,25 +181,25 @@
 	}
 }
 
-// deliver carries a message there and its answer back; nil if the link broke.
-func (p port) deliver(r *http.Request, to string, body []byte) *recorder {
+// deliver delivers a request and returns the response, or nil if the link failed.
+func (p vmTransport) deliver(r *http.Request, to string, body []byte) *recorder {
 	ctx := context.WithoutCancel(r.Context())
 	n := p.net
 	n.mu.Lock()
 	h, delay := n.handlers[to], latency+n.delays[pair{p.self, to}]
 	n.mu.Unlock()
-	if n.pass(ctx, p.self, to) != nil || h == nil || !n.sleep(delay) {
+	if n.awaitLink(ctx, p.self, to) != nil || h == nil || !n.sleep(delay) {
 		return nil
 	}
-	// A VM that died or paused meanwhile does not take the message.
-	if n.pass(ctx, p.self, to) != nil {
+	// The state of the link or VM may have changed during the delay.
+	if n.awaitLink(ctx, p.self, to) != nil {
 		return nil
 	}
 	w := &recorder{header: make(http.Header), status: http.StatusOK}
 	copied := r.Clone(ctx)
 	copied.Body = io.NopCloser(bytes.NewReader(body))
 	h.ServeHTTP(w, copied)
-	if n.pass(ctx, to, p.self) != nil {
+	if n.awaitLink(ctx, to, p.self) != nil {
 		return nil
 	}
 	return w
@@ -213,13 +214,13 @@
 	}
 }
 
-// close ends every message under way and waits for it.
+// close aborts the waits of messages in flight and waits for their goroutines.
 func (n *Network) close() {
 	close(n.closed)
 	n.wg.Wait()
 }
 
-// recorder keeps a handler's answer.
+// recorder records a handler's response.
 type recorder struct {
 	header http.Header
 	status int
--- a/lab/world/random_test.go
+++ b/lab/world/random_test.go
@@ -19,8 +19,8 @@
 	"mallowwind.dev/decision/verdict"
 )
 
-// The same scenarios run every time, unless -rapid.seed and -rapid.checks say
-// otherwise: go test ./world -run Random -rapid.checks=10000 -rapid.seed=7.
+// Fixes the seed and the number of scenarios, so that every run is the same. They can be set on
+// the command line: go test ./world -run Random -rapid.checks=10000 -rapid.seed=7.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "250", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -30,73 +30,74 @@
 	os.Exit(m.Run())
 }
 
-// fault is one drawn fault: what, where, when, and for how long.
+// fault is one generated fault.
 type fault struct {
-	Kind     string
-	A, B     int
-	Engine   int // set when the fault strikes
-	At, Long time.Duration
+	Kind         string
+	A, B         int
+	Engine       int // set when the fault is injected
+	At, Duration time.Duration
 }
 
-// plan is one drawn scenario.
+// plan is one generated scenario.
 type plan struct {
 	Seed   uint64
 	Weight float64
-	// Patience is short, so that callers move while their answer still runs.
-	Patience time.Duration
-	Faults   []fault
-	Callers  []request
+	// CallerTimeout is short, so that callers fail over while their generation still runs.
+	CallerTimeout time.Duration
+	Faults        []fault
+	Callers       []request
 }
 
-// request is one drawn caller.
+// request is one generated caller.
 type request struct {
 	VM, Tokens int
 	Key        string
 	At         time.Duration
-	Moves      bool // changes its entry VM without need
+	Moves      bool // also changes its entry VM when that one works
 	Slow       bool
 }
 
-var kinds = []string{
+var faultKinds = []string{
 	"engine dies", "engine restarts", "engine pauses", "streams go silent", "engine slow", "engine refuses",
 	"vm dies", "vm pauses", "vm replaced", "vm believed gone", "vm isolated", "vm isolated and engine dies",
 	"peers cut", "peers hang", "one way", "late", "peer silent", "engine cut off", "engine hangs", "all stall",
 }
 
-// dice draws evenly; rapid itself prefers small numbers, which makes most
-// faults strike before the answer begins. It still shrinks how many there are.
-type dice struct{ *rand.Rand }
+// uniform draws from a uniform distribution. rapid itself prefers small numbers, which
+// would inject most faults before the generation starts. rapid still draws and shrinks
+// the numbers of callers and faults.
+type uniform struct{ *rand.Rand }
 
-func (d dice) millis(lo, hi int) time.Duration {
+func (d uniform) millis(lo, hi int) time.Duration {
 	return time.Duration(lo+d.IntN(hi-lo)) * time.Millisecond
 }
 
-func (d dice) bool() bool { return d.IntN(2) == 0 }
+func (d uniform) bool() bool { return d.IntN(2) == 0 }
 
 func drawPlan(t *rapid.T) plan {
 	p := plan{Seed: rapid.Uint64().Draw(t, "seed")}
-	d := dice{rand.New(rand.NewPCG(p.Seed, 1))}
+	d := uniform{rand.New(rand.NewPCG(p.Seed, 1))}
 	p.Weight = []float64{0.2, 0.9}[d.IntN(2)]
-	p.Patience = d.millis(200, 1200)
+	p.CallerTimeout = d.millis(200, 1200)
 	for range rapid.IntRange(1, 4).Draw(t, "callers") {
 		p.Callers = append(p.Callers, request{
 			VM: d.IntN(4), Tokens: 20 + d.IntN(280), Key: []string{"", "k1", "k1", "k1"}[d.IntN(4)],
 			At: d.millis(0, 1500), Moves: d.bool(), Slow: d.bool(),
 		})
 	}
-	d = dice{rand.New(rand.NewPCG(p.Seed, 2))}
+	d = uniform{rand.New(rand.NewPCG(p.Seed, 2))}
 	for range rapid.IntRange(2, 10).Draw(t, "faults") {
 		p.Faults = append(p.Faults, fault{
-			Kind: kinds[d.IntN(len(kinds))], A: d.IntN(6), B: d.IntN(6),
-			At: d.millis(0, 4000), Long: d.millis(20, 3000),
+			Kind: faultKinds[d.IntN(len(faultKinds))], A: d.IntN(6), B: d.IntN(6),
+			At: d.millis(0, 4000), Duration: d.millis(20, 3000),
 		})
 	}
 	return p
 }
 
-// aim turns the drawn numbers into an engine that is at work and an entry VM
-// that a caller began at, where there are such: other faults teach little.
-func (w *World) aim(f fault, p plan) fault {
+// targetActive maps the drawn numbers to a busy engine, if there is one, and to an entry
+// VM where a caller started, since faults elsewhere rarely affect a generation.
+func (w *World) targetActive(f fault, p plan) fault {
 	if busy := w.BusyEngines(); len(busy) > 0 {
 		f.Engine = busy[f.A%len(busy)]
 	}
@@ -104,7 +105,7 @@
 	return f
 }
 
-// isolate makes all links between an entry VM and the others do this.
+// isolate sets the fault of all links between an entry VM and the other entry VMs.
 func (w *World) isolate(vm int, how Fault) {
 	for i := range w.config.VMs {
 		if i != vm {
@@ -113,7 +114,7 @@
 	}
 }
 
-// inject carries out f now and undoes it later.
+// inject applies f and reverts it after f.Duration.
 func (w *World) inject(f fault) {
 	e, a, b := w.Engines[f.Engine], VMID(f.A), VMID(f.B)
 	undo := func() {}
@@ -138,7 +139,7 @@
 		w.Kill(f.A)
 	case "vm pauses":
 		w.Net.SetVM(a, Hang)
-		undo = func() { w.Net.recover(a) }
+		undo = func() { w.Net.endPause(a) }
 	case "vm replaced":
 		w.Replace(f.A)
 	case "vm believed gone":
@@ -158,7 +159,7 @@
 		w.Net.SetLink(a, b, Hang)
 		undo = func() { w.Net.SetLink(a, b, Healthy) }
 	case "late":
-		w.Net.Delay(a, b, f.Long/4)
+		w.Net.Delay(a, b, f.Duration/4)
 		undo = func() { w.Net.Delay(a, b, 0) }
 	case "peer silent":
 		w.Net.Silence(a, b)
@@ -176,23 +177,24 @@
 			}
 		}
 	}
-	time.AfterFunc(f.Long, undo)
+	time.AfterFunc(f.Duration, undo)
 }
 
-// recover ends a pause, unless the VM died in the meantime.
-func (n *Network) recover(id string) {
+// endPause makes a paused VM healthy again, unless it has died in the meantime.
+func (n *Network) endPause(id string) {
 	if f, _ := n.vm(id); f == Hang {
 		n.SetVM(id, Healthy)
 	}
 }
 
-// tries is how often a caller sends its request before it gives up.
-const tries = 4
+// maxSubmits is how many times a caller sends its request before it gives up.
+const maxSubmits = 4
 
-// serve plays one caller to its end. It returns an error only when a promise was broken.
-func (w *World) serve(ctx context.Context, p plan, r request) (whole bool, err error) {
+// runCaller runs one caller to its end. It returns an error only for a violated guarantee, not for
+// a failure that faults explain.
+func (w *World) runCaller(ctx context.Context, p plan, r request) (complete bool, err error) {
 	random := rand.New(rand.NewPCG(p.Seed, uint64(r.VM)))
-	// The body belongs to the key, as a repeated key with another body is refused.
+	// Callers with the same key send the same body, since a key reused with another body is refused.
 	c := w.Caller("contract "+r.Key, r.Key, r.Tokens)
 	if r.Key != "" {
 		c.Tokens = 200
@@ -200,7 +202,7 @@
 	defer func() { c.Close() }()
 	time.Sleep(r.At)
 	vm := r.VM
-	for range tries {
+	for range maxSubmits {
 		if err := c.Submit(ctx, vm); err == nil {
 			if err := w.readAll(ctx, c, r, random); err != nil || c.Done {
 				return c.Done, err
@@ -214,7 +216,7 @@
 	return false, nil
 }
 
-// readAll reads one answer; nil without c.Done means an honest failure.
+// readAll reads one generation. It returns nil without c.Done for a failure that faults explain.
 func (w *World) readAll(ctx context.Context, c *Caller, r request, random *rand.Rand) error {
 	for moves := 0; !c.Done; {
 		err := c.Read(ctx)
@@ -241,7 +243,7 @@
 	return nil
 }
 
-// unexpected passes on errors that no fault explains.
+// unexpected returns err if no fault explains it, otherwise nil.
 func unexpected(err error) error {
 	var e *verdict.Error
 	switch {
@@ -253,26 +255,26 @@
 	return nil
 }
 
-// outcome is what became of one scenario.
+// outcome is the result of one scenario.
 type outcome struct {
-	whole, failed int
-	err           error
-	counts        [6]float64 // of the counters counted
+	complete, failed int
+	err              error
+	counts           [6]float64 // values of summedCounters
 }
 
-// counted are summed over a run, to show that the faults strike.
-var counted = [...]string{
+// summedCounters are logged as sums over all scenarios, to show that the faults take effect.
+var summedCounters = [...]string{
 	"generation_adopted_total", "generation_attempts_failed_total", "generation_attempts_suspected_total",
 	"generation_reattached_total", "generation_journal_moves_total", "generation_uncopied_tokens_total",
 }
 
-func play(t *testing.T, p plan) (out outcome) {
+func runPlan(t *testing.T, p plan) (out outcome) {
 	cryptotest.SetGlobalRandom(t, p.Seed)
 	synctest.Test(t, func(t *testing.T) {
-		w := New(t.Context(), Config{Seed: p.Seed, Weight: p.Weight, CallerTimeout: p.Patience})
+		w := New(t.Context(), Config{Seed: p.Seed, Weight: p.Weight, CallerTimeout: p.CallerTimeout})
 		defer w.Close()
 		for _, f := range p.Faults {
-			time.AfterFunc(f.At, func() { w.inject(w.aim(f, p)) })
+			time.AfterFunc(f.At, func() { w.inject(w.targetActive(f, p)) })
 		}
 		var (
 			mu sync.Mutex
@@ -280,51 +282,50 @@
 		)
 		for _, r := range p.Callers {
 			wg.Go(func() {
-				whole, err := w.serve(t.Context(), p, r)
+				complete, err := w.runCaller(t.Context(), p, r)
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
 				case err != nil:
 					out.err = err
-				case whole:
-					out.whole++
+				case complete:
+					out.complete++
 				default:
 					out.failed++
 				}
 			})
 		}
 		wg.Wait()
-		for i, name := range counted {
+		for i, name := range summedCounters {
 			out.counts[i] = w.SumCounter(name)
 		}
 		if n := w.SumCounter("generation_invariant_violations_total"); n > 0 && out.err == nil {
-			out.err = fmt.Errorf("%g invariants violated inside", n)
+			out.err = fmt.Errorf("the generation managers counted %g invariant violations", n)
 		}
-		time.Sleep(20 * time.Second) // every fault and restart ends before the world does
+		time.Sleep(20 * time.Second) // lets every fault and restart end before the deployment is closed
 	})
 	return out
 }
 
-// Callers ask, move between entry VMs and repeat themselves while up to six
-// faults hit engines, entry VMs and the links between. Whatever happens, each
-// holds a prefix of exactly one generation, and a terminal event only with the
-// whole answer.
+// Callers submit, change entry VMs and retry while 2 to 10 random faults hit engines,
+// entry VMs and links. Each caller must hold a prefix of exactly one generation, and
+// get a terminal event only with the complete generation.
 func TestRandomFaults(t *testing.T) {
-	var whole, failed int
-	var counts [len(counted)]float64
+	var complete, failed int
+	var counts [len(summedCounters)]float64
 	rapid.Check(t, func(rt *rapid.T) {
 		p := drawPlan(rt)
-		out := play(t, p)
+		out := runPlan(t, p)
 		if out.err != nil {
 			rt.Fatalf("%v\n%+v", out.err, p)
 		}
-		whole, failed = whole+out.whole, failed+out.failed
+		complete, failed = complete+out.complete, failed+out.failed
 		for i, n := range out.counts {
 			counts[i] += n
 		}
 	})
 	for i, n := range counts {
-		t.Logf("%s: %g", counted[i], n)
+		t.Logf("%s: %g", summedCounters[i], n)
 	}
-	t.Logf("%d answers whole, %d failed honestly", whole, failed)
+	t.Logf("%d generations complete, %d failed as the faults allow", complete, failed)
 }
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -1,6 +1,6 @@
-// Package world is a deployment in memory: the managers of several entry VMs
-// over a network with faults, and stand-in engines. Under testing/synctest it
-// runs in virtual time; an experiment runs it in real time.
+// Package world runs a deployment in memory: the generation managers of several
+// entry VMs, connected by a network with fault injection, and simulated engines.
+// Under testing/synctest it runs in virtual time; an experiment runs it in real time.
 package world
 
 import (
@@ -27,7 +27,7 @@
 	"mallowwind.dev/telemetry/event"
 )
 
-// The names that every world uses.
+// Names of the model, service, account and pool in every World.
 const (
 	Model   = "m"
 	Service = "reviews"
@@ -47,10 +47,10 @@
 	// MaxTokens is the most that a request may ask for; 4000.
 	MaxTokens int
 	Engine    enginesim.Config // the name and seed are set for each engine
-	// CallerTimeout is how long callers wait on a silent connection; somewhat more
-	// than the interval of keep-alives.
+	// CallerTimeout is how long callers wait on a silent connection. It is somewhat
+	// longer than the keep-alive interval.
 	CallerTimeout time.Duration
-	// Policy overrides the resume policy; nil means the one of the weight.
+	// Policy overrides the resume policy; nil means the policy that follows from Weight.
 	Policy func(*site.Service) resume.Policy
 }
 
@@ -61,7 +61,7 @@
 		}
 	}
 	if c.CallerTimeout == 0 {
-		c.CallerTimeout = defaultPatience
+		c.CallerTimeout = defaultCallerTimeout
 	}
 	c.Engine.Models = []engine.ModelRef{{Model: Model}}
 	return c
@@ -80,7 +80,7 @@
 
 	mu      sync.Mutex
 	vms     []*vm
-	metrics []*prometheus.Registry // of every entry VM there ever was
+	metrics []*prometheus.Registry // of every entry VM, including replaced ones
 	members []membership.Member
 }
 
@@ -116,7 +116,7 @@
 		})
 	}
 	for i := range c.VMs {
-		w.vms = append(w.vms, w.boot(i))
+		w.vms = append(w.vms, w.startVM(i))
 	}
 	return w
 }
@@ -143,8 +143,8 @@
 	}
 }
 
-// boot starts the daemon's parts that serve generations on the i-th entry VM.
-func (w *World) boot(i int) *vm {
+// startVM starts the daemon's parts that serve generations on the i-th entry VM.
+func (w *World) startVM(i int) *vm {
 	self := w.members[i]
 	ctx, stop := context.WithCancel(w.ctx)
 	v := &vm{id: self.ID, registry: prometheus.NewRegistry(), stop: stop}
@@ -156,7 +156,7 @@
 	})
 	v.manager = generation.NewManager(generation.Config{
 		Site: fixedSite{w.Site}, Members: v, Dispatcher: f, Log: event.Discard(), Metrics: v.registry,
-		Dialer: link.NewDialerWithClient(&http.Client{Transport: port{w.Net, self.ID}}),
+		Dialer: link.NewDialerWithClient(&http.Client{Transport: vmTransport{w.Net, self.ID}}),
 		Policy: w.config.Policy,
 	})
 	w.metrics = append(w.metrics, v.registry)
@@ -167,7 +167,7 @@
 	return v
 }
 
-// snapshot is the pool as an entry VM reaches it.
+// snapshot returns the pool with the engines reached over the links of one entry VM.
 func (w *World) snapshot(self string) *backends.Snapshot {
 	s := &backends.Snapshot{Version: 1, Pools: map[string][]*backends.Backend{}}
 	for i, sim := range w.Engines {
@@ -194,27 +194,27 @@
 	return w.vms[i]
 }
 
-// Manager returns the generations of the i-th entry VM.
+// Manager returns the generation manager of the i-th entry VM.
 func (w *World) Manager(i int) *generation.Manager { return w.vm(i).manager }
 
-// Kill ends the i-th entry VM at once. The others' membership does not notice.
+// Kill stops the i-th entry VM at once. The membership views of the other VMs do not change.
 func (w *World) Kill(i int) {
 	w.Net.SetVM(VMID(i), Cut)
 	w.vm(i).stop()
 }
 
-// Replace starts the i-th entry VM anew with nothing kept.
+// Replace restarts the i-th entry VM as a new incarnation without its state.
 func (w *World) Replace(i int) {
 	w.Kill(i)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.members[i].Incarnation++
-	w.vms[i] = w.boot(i)
+	w.vms[i] = w.startVM(i)
 	w.publish()
 	w.Net.SetVM(VMID(i), Healthy)
 }
 
-// SetMemberState makes every entry VM's membership say this of the i-th.
+// SetMemberState sets the state of the i-th entry VM in every entry VM's membership view.
 func (w *World) SetMemberState(i int, s membership.State) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -222,14 +222,14 @@
 	w.publish()
 }
 
-// publish hands the members to every entry VM; w.mu is held.
+// publish updates the membership view of every entry VM. The caller holds w.mu.
 func (w *World) publish() {
 	for i, v := range w.vms {
 		v.view.Store(&membership.View{Self: w.members[i], Members: slices.Clone(w.members)})
 	}
 }
 
-// BusyEngines returns the engines that run something now.
+// BusyEngines returns the indexes of the engines with running attempts.
 func (w *World) BusyEngines() []int {
 	var busy []int
 	for i, e := range w.Engines {
@@ -240,7 +240,7 @@
 	return busy
 }
 
-// SumCounter adds up a counter over all entry VMs.
+// SumCounter returns the sum of a counter over all entry VMs, including replaced ones.
 func (w *World) SumCounter(name string) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -262,7 +262,7 @@
 	return total
 }
 
-// Stats adds up the engines' counts of work.
+// Stats returns the sum of the engines' statistics.
 func (w *World) Stats() enginesim.Stats {
 	var total enginesim.Stats
 	for _, e := range w.Engines {
@@ -278,10 +278,11 @@
 	return total
 }
 
-// lastStep is longer than any step of an engine, which may be in one when it dies.
-const lastStep = time.Second
+// maxEngineStep is longer than any step of an engine. Close waits this long, since an engine may
+// be in the middle of a step when it dies.
+const maxEngineStep = time.Second
 
-// Close ends everything and waits for it.
+// Close stops the engines, the entry VMs and the network and waits for their goroutines.
 func (w *World) Close() {
 	for _, e := range w.Engines {
 		e.Unpause()
@@ -290,5 +291,5 @@
 	w.stop()
 	w.Net.close()
 	w.wg.Wait()
-	time.Sleep(lastStep)
+	time.Sleep(maxEngineStep)
 }
