--- a/lab/soak/completion.go
+++ b/lab/soak/completion.go
@@ -61,7 +61,7 @@
 	return req.exchange(ctx, to, http.MethodGet, "/v1/generations/"+req.id, nil, header)
 }
 
-// exchange returns nil at the terminal event, errConnectionBroken or a *stand.Refusal.
+// exchange returns nil at the terminal event, errConnectionBroken or a *stand.ErrorResponse.
 func (req *completion) exchange(ctx context.Context, to *stand.Client, method, path string, body any, header map[string]string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/serve/forward/codec.go
+++ b/serve/forward/codec.go
@@ -68,7 +68,7 @@
 
 // Report is the status that an engine reports. It lags by a tenth of a second.
 type Report struct {
-	// Born identifies the incarnation that reports, as routing.Life.Born; 0 if it is not stated.
+	// Born identifies the incarnation that reports, as routing.Incarnation.StartedAtMS; 0 if it is not stated.
 	Born int64
 	// Events is the number of events that each run has generated, by request ID.
 	Events map[string]int
@@ -94,7 +94,7 @@
 
 // Cache lists the prompts in the KV cache of an engine.
 type Cache struct {
-	// Born identifies the incarnation that reports, as routing.Life.Born; 0 if it is not stated.
+	// Born identifies the incarnation that reports, as routing.Incarnation.StartedAtMS; 0 if it is not stated.
 	Born int64
 	// PromptKeys are the cached prompts, each identified as by Call.PromptKey.
 	PromptKeys []string
--- a/serve/forward/defaultcodec.go
+++ b/serve/forward/defaultcodec.go
@@ -92,7 +92,7 @@
 
 // engineStatus is the part of an engine's status that is used here.
 type engineStatus struct {
-	Born int64 `json:"born"` // as routing.Life.Born
+	Born int64 `json:"born"` // as routing.Incarnation.StartedAtMS
 }
 
 // Report implements Codec. Any response shows that the engine is alive, even an empty one.
--- a/serve/forward/segment.go
+++ b/serve/forward/segment.go
@@ -198,7 +198,7 @@
 // Without this check, a stalled link would exclude the one engine that holds the prompt or a copy
 // of the run, although nothing of the request was sent, and the prompt would be prefilled again,
 // which occupies another engine for a second. Instead the same engine is tried again, for
-// takeover.HeldUp at most, unless another engine responds.
+// takeover.MaxLinkStall at most, unless another engine responds.
 func (r *relay) isLinkStalled(ctx context.Context, l segment, err error) bool {
 	view, now := r.h.opts.Feed.View(), time.Now()
 	if l.unconfirmed || !isTimeout(err) || view.Config.Engine(r.service) == nil {
--- a/serve/forward/takeover.go
+++ b/serve/forward/takeover.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// awaitLatePart waits for takeover.Settling for a part of a stalled attempt before the attempt is
+// awaitLatePart waits for takeover.SettleTime for a part of a stalled attempt before the attempt is
 // given up, and returns the state that the part shows. The part is pushed back.
 //
 // It covers a link of the daemon that stalls and recovers while engines are probed. The delayed
--- a/serve/generation/generation.go
+++ b/serve/generation/generation.go
@@ -7,7 +7,7 @@
 // to another entry VM before they are released, as long as one can be reached
 // (serve/journal). Every event id contains the epoch of its token, so that a
 // caller that moves to another entry VM is continued only by an answer with the
-// same ownership history (decision/lineage).
+// same ownership history (decision/epochs).
 package generation
 
 import (
--- a/serve/generation/spec.go
+++ b/serve/generation/spec.go
@@ -28,7 +28,7 @@
 	Chat           bool // the caller used the chat API
 }
 
-// idBytes is the length of a generation id in bytes; lineage.ValidID checks the text form.
+// idBytes is the length of a generation id in bytes; epochs.IsValidID checks the text form.
 const idBytes = 16
 
 // assignID sets the id. With a key, the id is derived from account, service and key,
