--- a/serve/forward/attempt.go
+++ b/serve/forward/attempt.go
@@ -31,7 +31,7 @@
 	probeFailures  <-chan error      // why the engine is considered dead
 	versionLeaving <-chan struct{}   // closed when the server's version is withdrawn
 	prefilling     bool              // counted in the pool as prefilling its prompt, not as running
-	spare          *replicator
+	replicator     *replicator
 	trial, pace    *versions.Trial // of the server's version; nil where versions are not compared
 	eventCount     int             // events received in this attempt
 	timesFoundLost int             // times that the engine reported events and none had arrived
@@ -68,7 +68,7 @@
 	r.possibleRuns++
 	probing, stop := context.WithCancel(a.ctx)
 	a.stopProbing = stop
-	a.spare = r.newReplicator(l)
+	a.replicator = r.newReplicator(l)
 	a.probeFailures = r.startProbing(probing, l)
 	a.versionLeaving = r.h.versions.MigrateSignal(r.h.opts.Feed.View(), l.target.server)
 	a.startTrial(l, r.in.routeName())
@@ -151,8 +151,8 @@
 	if a.resumeFrom == "" && r.in.call.LastEventID == 0 {
 		r.h.pressure.recordPrefill(r.service, r.in.call.PromptTokens, time.Since(a.sentAt))
 	}
-	if a.spare != nil {
-		go a.spare.run(a.ctx)
+	if a.replicator != nil {
+		go a.replicator.run(a.ctx)
 	}
 }
 
@@ -166,7 +166,7 @@
 
 // hasCopy reports whether another engine should hold a copy of the run.
 func (a *attempt) hasCopy() bool {
-	return a.runCopy().at.load != nil || a.spare != nil && a.spare.remade.Load() != nil
+	return a.runCopy().at.load != nil || a.replicator != nil && a.replicator.remade.Load() != nil
 }
 
 // end closes the connection, so that the server cancels an unfinished run, and removes the
@@ -181,7 +181,7 @@
 	} else {
 		pool.addLoad(a.target, 0, -1, 0)
 	}
-	a.r.settleSpare(a.spare, result)
+	a.r.settleReplicator(a.replicator, result)
 }
 
 // closeResponse closes the response, also one whose head was pushed back and not handled.
@@ -206,9 +206,9 @@
 	}
 }
 
-// settleSpare keeps a copy made on demand where the response may resume from it, and frees it
+// settleReplicator keeps a copy made on demand where the response may resume from it, and frees it
 // otherwise.
-func (r *relay) settleSpare(spare *replicator, result segmentEnd) {
+func (r *relay) settleReplicator(spare *replicator, result segmentEnd) {
 	switch {
 	case spare == nil:
 	case (result == segmentBroken || result == segmentMoved) && r.replacement != nil && r.replacement.resumeFrom != "": // the replacement uses that copy
@@ -277,8 +277,8 @@
 func (a *attempt) markCopyUsed() {
 	a.copyUsed = true
 	a.r.heldCopy = replica{}
-	if a.spare != nil {
-		a.spare.firstUsed.Store(true)
-		a.spare.remade.Store(nil)
+	if a.replicator != nil {
+		a.replicator.firstUsed.Store(true)
+		a.replicator.remade.Store(nil)
 	}
 }
--- a/serve/forward/candidate.go
+++ b/serve/forward/candidate.go
@@ -132,8 +132,8 @@
 // liveReplica returns the engine that holds a replica of an attempt's run, if it answers a probe.
 func (r *relay) liveReplica(ctx context.Context, a *attempt) (choice, replica, bool) {
 	held := r.heldCopy
-	if a.spare != nil {
-		if remade := a.spare.remade.Load(); remade != nil {
+	if a.replicator != nil {
+		if remade := a.replicator.remade.Load(); remade != nil {
 			held = *remade
 		}
 	}
--- a/serve/forward/crashes.go
+++ b/serve/forward/crashes.go
@@ -99,7 +99,7 @@
 	h.opts.Log.Emit(event.BackendConnectionBroken, e.in.call.ID, e.in.digests, e.in.call.PromptKey, e.in.accountName(),
 		e.at.server.ID, e.at.server.Zone, string(found), finding.String(), crash.PeersChecked, crash.PeersDown, now.Sub(e.sentAt), running, e.fromReplica, e.err)
 	if found == processExited && finding == poison.Attributed {
-		h.poisoned.recordCrash(context.Background(), e.in, e.at.server.Incarnation())
+		h.poisonRegistry.recordCrash(context.Background(), e.in, e.at.server.Incarnation())
 	}
 }
 
--- a/serve/forward/handler.go
+++ b/serve/forward/handler.go
@@ -82,22 +82,22 @@
 
 // Handler forwards requests.
 type Handler struct {
-	opts       Options
-	dial       sent.DialFunc
-	transport  http.RoundTripper
-	pool       *pool
-	pressure   *pressure
-	keepers    *workTracker
-	locator    *locator
-	borrower   *retryBorrower
-	neighbours *peerClient
-	poisoned   *poisonRegistry
-	limits     *rateLimits
-	versions   *versions.Manager
-	metrics    *metrics
-	running    atomic.Int64
-	maxKeyAge  atomic.Int64
-	shutdown   atomic.Pointer[ShutdownSchedule] // nil unless the daemon is shutting down
+	opts           Options
+	dial           sent.DialFunc
+	transport      http.RoundTripper
+	pool           *pool
+	pressure       *pressure
+	workTracker    *workTracker
+	locator        *locator
+	borrower       *retryBorrower
+	peers          *peerClient
+	poisonRegistry *poisonRegistry
+	limits         *rateLimits
+	versions       *versions.Manager
+	metrics        *metrics
+	running        atomic.Int64
+	maxKeyAge      atomic.Int64
+	shutdown       atomic.Pointer[ShutdownSchedule] // nil unless the daemon is shutting down
 }
 
 // New returns a handler. Until o.Feed has a configuration, requests wait for one for a short time
@@ -111,12 +111,12 @@
 	}
 	h := &Handler{
 		opts: o, dial: o.Dial, transport: newTransport(o.Dial), pool: newPool(o.Self, o.RetryBudget, o.Versions), pressure: newPressure(),
-		borrower: newRetryBorrower(o), neighbours: newPeerClient(o), versions: o.Versions,
+		borrower: newRetryBorrower(o), peers: newPeerClient(o), versions: o.Versions,
 	}
 	h.versions.SetInFlightCounter(h.pool.runningAtOldVersions)
-	h.locator, h.keepers, h.poisoned = newLocator(h), newWorkTracker(h), newPoisonRegistry(h)
+	h.locator, h.workTracker, h.poisonRegistry = newLocator(h), newWorkTracker(h), newPoisonRegistry(h)
 	h.limits = newRateLimits(h)
-	h.pool.onWorkChanged, h.pool.limits = h.keepers.workChanged, h.limits
+	h.pool.onWorkChanged, h.pool.limits = h.workTracker.workChanged, h.limits
 	h.SetBounds(o.MaxKeyAge, o.RetryBudget)
 	h.metrics = newMetrics(o.Registerer, h.Running)
 	return h
@@ -175,7 +175,7 @@
 	h.setWriteDeadline(w, in.deadline)
 	ctx, cancel := context.WithDeadline(r.Context(), in.deadline)
 	defer cancel()
-	ctx, leave, err := h.poisoned.begin(ctx, in)
+	ctx, leave, err := h.poisonRegistry.begin(ctx, in)
 	if err != nil {
 		h.refuse(w, in, err)
 		return
@@ -200,4 +200,4 @@
 
 // Run exchanges with other daemons what is known of requests that crash backend servers, until
 // ctx ends.
-func (h *Handler) Run(ctx context.Context) { h.poisoned.run(ctx) }
+func (h *Handler) Run(ctx context.Context) { h.poisonRegistry.run(ctx) }
--- a/serve/forward/limits.go
+++ b/serve/forward/limits.go
@@ -128,8 +128,8 @@
 // from the next answer it gets.
 func (l *rateLimits) broadcast(m *peerpb.Limit) {
 	q := &peerpb.LimitedRequest{Limit: m}
-	l.h.neighbours.broadcast(l.h.opts.Feed.View(), func(ctx context.Context, vm routing.VM) error {
-		_, err := callPeer(ctx, l.h.neighbours, vm, peerpb.NewQuotaProtobufClient, peerpb.Quota.Limited, q, limitTimeout)
+	l.h.peers.broadcast(l.h.opts.Feed.View(), func(ctx context.Context, vm routing.VM) error {
+		_, err := callPeer(ctx, l.h.peers, vm, peerpb.NewQuotaProtobufClient, peerpb.Quota.Limited, q, limitTimeout)
 		return err
 	})
 }
--- a/serve/forward/peers.go
+++ b/serve/forward/peers.go
@@ -172,16 +172,16 @@
 // fetchPace asks some other daemons for their estimates of a service's engines if this daemon has
 // seen too few answers to tell which ones cannot be complete in time.
 func (h *Handler) fetchPace(ctx context.Context, service string) {
-	if h.neighbours.dialer == nil || h.pressure.hasEstimates(service) {
+	if h.peers.dialer == nil || h.pressure.hasEstimates(service) {
 		return
 	}
 	view := h.opts.Feed.View()
-	peers := h.neighbours.responsive(time.Now(), routing.Peers(view.VMs, h.neighbours.self))
+	peers := h.peers.responsive(time.Now(), routing.Peers(view.VMs, h.peers.self))
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	var wg sync.WaitGroup
 	for _, vm := range peers[:min(pacePeers, len(peers))] {
 		wg.Go(func() {
-			if reply, err := h.neighbours.queryPace(ctx, vm, service); err == nil {
+			if reply, err := h.peers.queryPace(ctx, vm, service); err == nil {
 				h.pressure.mergeEstimates(service, prompts.Estimates{
 					PrefillNsPerToken: reply.GetPerToken(), NsPerEvent: reply.GetPerEvent(),
 					Events: reply.GetEvents(), Answers: int(min(reply.GetAnswers(), math.MaxInt32)),
--- a/serve/forward/permits.go
+++ b/serve/forward/permits.go
@@ -81,7 +81,7 @@
 // daemon's own share of the limit.
 func (l *rateLimits) requestPermit(ctx context.Context, state *serverLimit, q *peerpb.PermitRequest) (granted bool, wait time.Duration) {
 	vms, hashes := routing.Serving(l.h.opts.Feed.View().VMs)
-	if l.h.neighbours.dialer == nil {
+	if l.h.peers.dialer == nil {
 		hashes = nil
 	}
 	for _, i := range rendezvous.Select(xxhash.Sum64String(state.server.ID), hashes, permitIssuers) {
@@ -91,10 +91,10 @@
 			}
 			break
 		}
-		if len(l.h.neighbours.responsive(time.Now(), vms[i:i+1])) == 0 {
+		if len(l.h.peers.responsive(time.Now(), vms[i:i+1])) == 0 {
 			continue
 		}
-		reply, err := callPeer(ctx, l.h.neighbours, vms[i], peerpb.NewQuotaProtobufClient, peerpb.Quota.Permit, q, workTimeout)
+		reply, err := callPeer(ctx, l.h.peers, vms[i], peerpb.NewQuotaProtobufClient, peerpb.Quota.Permit, q, workTimeout)
 		if err == nil {
 			return reply.GetGranted(), time.Duration(reply.GetWaitMs()) * time.Millisecond
 		}
--- a/serve/forward/place.go
+++ b/serve/forward/place.go
@@ -35,10 +35,10 @@
 // gets the request anyway: the daemon's own link may be at fault, and nothing is lost by trying.
 func (r *relay) place(ctx context.Context, view *feed.View) (sampledEngine, bool) {
 	if view.Config.Engine(r.service) != nil {
-		others, everyDaemon := r.h.neighbours.totalWork(ctx, view, r.service)
+		others, everyDaemon := r.h.peers.totalWork(ctx, view, r.service)
 		complete := everyDaemon
 		if !everyDaemon {
-			others, complete = r.h.keepers.trackedWork(ctx, view, r.service, r.in.call.PromptKey)
+			others, complete = r.h.workTracker.trackedWork(ctx, view, r.service, r.in.call.PromptKey)
 		}
 		if complete {
 			if c, ok := r.placeByFleetWork(ctx, view, others, !everyDaemon); ok {
--- a/serve/forward/place_test.go
+++ b/serve/forward/place_test.go
@@ -170,8 +170,8 @@
 	return s.peerDaemons.RoundTrip(r)
 }
 
-// addDaemons creates count more daemons, so many that each engine has a keeper, and returns them.
-// No daemon can reach another one once cut is set.
+// addDaemons creates count more daemons, so many that each engine has a tracking daemon, and
+// returns them. No daemon can reach another one once cut is set.
 func (w *testCluster) addDaemons(count int) (others []*Handler, cut *atomic.Bool) {
 	cut = &atomic.Bool{}
 	reach := severablePeers{peerDaemons{"vm-1:1": w.handler}, cut}
@@ -184,16 +184,16 @@
 		reach.peerDaemons[id+":1"] = others[n]
 		w.put("mallowwind/vm/"+id, fmt.Sprintf(`{"id":%q,"zone":"b","address":"%s:2","peer":"%s:1"}`, id, id, id))
 	}
-	w.handler.neighbours.dialer = link.NewDialerWithClient(&http.Client{Transport: reach})
+	w.handler.peers.dialer = link.NewDialerWithClient(&http.Client{Transport: reach})
 	time.Sleep(time.Second)
 	return others, cut
 }
 
 // Thirteen daemons are too many to query all of them before each prompt. Two daemons have prefills
 // and runs in progress at all engines but one, which the engines' reports, a tenth of a second old,
-// do not show yet. The keepers of the engines know of them, so the prompt goes to the free engine.
-// Once the keepers are unreachable, the engines' reports decide.
-func TestPromptPlacementAsksKeepersInLargeFleet(t *testing.T) {
+// do not show yet. The tracking daemons of the engines know of them, so the prompt goes to the free
+// engine. Once these are unreachable, the engines' reports decide.
+func TestPromptPlacementAsksTrackingDaemonsInLargeFleet(t *testing.T) {
 	withTestCluster(t, streamRoute(), func(w *testCluster) {
 		handle := streamEvents(3, time.Second, 40*time.Millisecond)
 		for n := range 6 {
@@ -261,7 +261,7 @@
 		Feed: w.feed, Codec: testCodec{}, Log: event.Discard(), Self: routing.VM{ID: id, Zone: "b"},
 		RetryBudget: testRetryRule, Dial: w.dial,
 	})
-	w.handler.neighbours.dialer = link.NewDialerWithClient(&http.Client{Transport: peerDaemons{id + ":1": other}})
+	w.handler.peers.dialer = link.NewDialerWithClient(&http.Client{Transport: peerDaemons{id + ":1": other}})
 	w.put("mallowwind/vm/vm-1", `{"id":"vm-1","zone":"a","address":"vm-1:2","peer":"vm-1:1"}`)
 	w.put("mallowwind/vm/"+id, `{"id":"`+id+`","zone":"b","address":"`+id+`:2","peer":"`+id+`:1"}`)
 	time.Sleep(time.Second)
@@ -323,7 +323,7 @@
 		w.add("e-1", "llm", "a", streamEvents(3, 100*time.Millisecond, 10*time.Millisecond))
 		w.addDaemon("vm-2")
 		asked := 0
-		w.handler.neighbours.dialer = link.NewDialerWithClient(&http.Client{Transport: unresponsivePeers{&asked}})
+		w.handler.peers.dialer = link.NewDialerWithClient(&http.Client{Transport: unresponsivePeers{&asked}})
 		for range 4 {
 			got := w.request(http.MethodPost, "/s/1", callerHeaders, "prompt")
 			must.Eq(t, events(1, 3), got.body)
--- a/serve/forward/plain.go
+++ b/serve/forward/plain.go
@@ -299,7 +299,7 @@
 	}
 	h.pool.recordSuccess(c)
 	if o.hasResponse() {
-		h.poisoned.recordCompletion(in)
+		h.poisonRegistry.recordCompletion(in)
 	}
 	return o
 }
--- a/serve/forward/poison.go
+++ b/serve/forward/poison.go
@@ -125,7 +125,7 @@
 		q := &peerpb.EndedRequest{Digest: digest, Server: incarnation.ID, Born: incarnation.StartedAtMS, Account: in.accountName(), Route: in.routeName()}
 		p.countCrash(q)
 		p.notifyTrackers(digest, func(vm routing.VM) {
-			reply, err := callPeer(ctx, p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Ended, q, poisonTimeout)
+			reply, err := callPeer(ctx, p.h.peers, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Ended, q, poisonTimeout)
 			if err == nil {
 				p.observeMark(reply.GetRequest(), markFromProto(reply.GetMark()))
 			}
@@ -218,7 +218,7 @@
 			q := &peerpb.ClearedRequest{Digest: digest}
 			// A failure is logged by recordResult; the next complete answer clears the request
 			// there.
-			_, _ = callPeer(context.Background(), p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Cleared, q, poisonTimeout)
+			_, _ = callPeer(context.Background(), p.h.peers, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Cleared, q, poisonTimeout)
 		})
 	}
 }
--- a/serve/forward/poisonpeers.go
+++ b/serve/forward/poisonpeers.go
@@ -26,7 +26,7 @@
 
 // notifyTrackers calls notify for each tracking daemon of a request except this one.
 func (p *poisonRegistry) notifyTrackers(digest string, notify func(routing.VM)) {
-	if p.h.neighbours.dialer == nil {
+	if p.h.peers.dialer == nil {
 		return
 	}
 	vms, hashes := routing.Serving(p.h.opts.Feed.View().VMs)
@@ -40,8 +40,8 @@
 // broadcast tells all other daemons of a request. A daemon that misses the message learns of a
 // refusal from the store, or from a tracking daemon when it counts a crash itself.
 func (p *poisonRegistry) broadcast(q *peerpb.MarkedRequest) {
-	p.h.neighbours.broadcast(p.h.opts.Feed.View(), func(ctx context.Context, vm routing.VM) error {
-		_, err := callPeer(ctx, p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Marked, q, poisonTimeout)
+	p.h.peers.broadcast(p.h.opts.Feed.View(), func(ctx context.Context, vm routing.VM) error {
+		_, err := callPeer(ctx, p.h.peers, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Marked, q, poisonTimeout)
 		return err
 	})
 }
@@ -51,14 +51,14 @@
 // It guards against a daemon that starts during a store outage: a request was refused meanwhile,
 // and the daemon reads the store's state from before the outage from another daemon.
 func (p *poisonRegistry) fetchMarks(ctx context.Context) {
-	if p.h.neighbours.dialer == nil {
+	if p.h.peers.dialer == nil {
 		return
 	}
 	peers := routing.Peers(p.h.opts.Feed.View().VMs, p.h.opts.Self.ID)
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	for _, vm := range peers[:min(marksPeers, len(peers))] {
 		go func() {
-			reply, err := callPeer(ctx, p.h.neighbours, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Marks, &peerpb.MarksRequest{}, poisonTimeout)
+			reply, err := callPeer(ctx, p.h.peers, vm, peerpb.NewPoisonProtobufClient, peerpb.Poison.Marks, &peerpb.MarksRequest{}, poisonTimeout)
 			if err != nil {
 				return // logged by recordResult
 			}
@@ -126,6 +126,6 @@
 
 // PoisonService returns the path prefix and handler of the twirp service for poison requests.
 func (h *Handler) PoisonService() (prefix string, handler http.Handler) {
-	s := peerpb.NewPoisonServer(poisonService{h.poisoned})
+	s := peerpb.NewPoisonServer(poisonService{h.poisonRegistry})
 	return s.PathPrefix(), s
 }
--- a/serve/forward/segment.go
+++ b/serve/forward/segment.go
@@ -291,7 +291,7 @@
 	case segmentBroken:
 		go r.h.checkForCrash(brokenSend{in: r.in, at: a.target, sentAt: a.sentAt, firstEventAt: a.firstEventAt, fromReplica: a.resumeFrom, err: err})
 	case segmentComplete, segmentNonStream:
-		r.h.poisoned.recordCompletion(r.in)
+		r.h.poisonRegistry.recordCompletion(r.in)
 	}
 }
 
--- a/serve/forward/worktracker.go
+++ b/serve/forward/worktracker.go
@@ -34,7 +34,7 @@
 
 // isTracked reports whether the engines of a service have tracking daemons.
 func (t *workTracker) isTracked(view *feed.View, service string) bool {
-	return t.h.neighbours.dialer != nil && view.Config != nil && view.Config.Engine(service) != nil &&
+	return t.h.peers.dialer != nil && view.Config != nil && view.Config.Engine(service) != nil &&
 		len(view.VMs) > 1 && !prompts.ShouldPollPeers(len(view.VMs))
 }
 
@@ -85,10 +85,10 @@
 		t.record(s.Incarnation(), self, report)
 		return
 	}
-	if len(t.h.neighbours.responsive(time.Now(), vms[i:i+1])) == 0 {
+	if len(t.h.peers.responsive(time.Now(), vms[i:i+1])) == 0 {
 		return
 	}
-	t.h.neighbours.sendReport(context.Background(), vms[i], &peerpb.NoteRequest{
+	t.h.peers.sendReport(context.Background(), vms[i], &peerpb.NoteRequest{
 		Daemon: self, Boot: report.Incarnation, Sequence: report.Sequence,
 		Work: &peerpb.ServerWork{
 			Id: s.ID, Born: s.StartedAtMS, Reading: int32(report.Prefilling), Running: int32(report.Running),
@@ -156,14 +156,14 @@
 		}
 		return work
 	}
-	if len(t.h.neighbours.responsive(time.Now(), []routing.VM{vm})) == 0 {
+	if len(t.h.peers.responsive(time.Now(), []routing.VM{vm})) == 0 {
 		return nil
 	}
 	q := &peerpb.NotedRequest{Daemon: self}
 	for _, incarnation := range incarnations {
 		q.Servers = append(q.Servers, serverWork(incarnation, workload{}))
 	}
-	reply, err := t.h.neighbours.queryTracked(ctx, vm, q)
+	reply, err := t.h.peers.queryTracked(ctx, vm, q)
 	if err != nil {
 		return nil
 	}
@@ -182,7 +182,7 @@
 // Note implements peerpb.Work.
 func (t workService) Note(_ context.Context, q *peerpb.NoteRequest) (*peerpb.NoteReply, error) {
 	w := q.GetWork()
-	t.h.keepers.record(routing.Incarnation{ID: w.GetId(), StartedAtMS: w.GetBorn()}, q.GetDaemon(), prompts.DaemonLoad{
+	t.h.workTracker.record(routing.Incarnation{ID: w.GetId(), StartedAtMS: w.GetBorn()}, q.GetDaemon(), prompts.DaemonLoad{
 		Incarnation: q.GetBoot(), Sequence: q.GetSequence(),
 		Prefilling: int(max(w.GetReading(), 0)), Running: int(max(w.GetRunning(), 0)),
 		SuspectFor: time.Duration(w.GetSuspectMs()) * time.Millisecond,
@@ -195,7 +195,7 @@
 	reply := &peerpb.WorkReply{}
 	for _, s := range q.GetServers() {
 		incarnation := routing.Incarnation{ID: s.GetId(), StartedAtMS: s.GetBorn()}
-		n := t.h.keepers.tracked(incarnation, q.GetDaemon())
+		n := t.h.workTracker.tracked(incarnation, q.GetDaemon())
 		reply.Servers = append(reply.Servers, &peerpb.ServerWork{
 			Id: incarnation.ID, Born: incarnation.StartedAtMS, Reading: int32(n.Prefilling), Running: int32(n.Running), Suspects: int32(n.SuspectedBy),
 		})
